--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -5,10 +5,10 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -38,8 +38,8 @@
   @Param({"100", "1000"})
   public int held;
 
-  private static final PackageTerms TERMS =
-      new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
+  private static final PackageSettings TERMS =
+      new PackageSettings(1, Span.ofMillis(800), 1, 0, 4, 0, false);
 
   /** Carries nothing: set-ups are answered by the benchmark, wakes are never due. */
   private static final class Mute implements Carrier {
@@ -78,7 +78,7 @@
     public void plays(Held vw) {}
 
     @Override
-    public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+    public void blocked(Span comeBackAfter, Environment.RejectionReason reason) {
       throw new IllegalStateException("blocked");
     }
 
@@ -105,15 +105,15 @@
 
   @Setup
   public void open() {
-    Headend house =
-        new Headend(
+    Deployment house =
+        new Deployment(
             1,
             0,
             0,
             List.of(TERMS),
             new double[] {30, 60, 100, 170, 300},
             new double[] {0.25, 0.45, 0.65, 0.82, 1},
-            new Headend.Fleet(
+            new Deployment.Fleet(
                 boxes,
                 Math.max(1, boxes / 8),
                 new int[] {1000},
@@ -121,8 +121,8 @@
                 1e6,
                 8e6,
                 Span.ofMillis(800)),
-            new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 0, 0, Span.NONE),
-            new Headend.Permits(4, false, false, false, 0.01, 0.01, 0, Span.ofSeconds(2)));
+            new Deployment.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 0, 0, Span.NONE),
+            new Deployment.Permissions(4, false, false, false, 0.01, 0.01, 0, Span.ofSeconds(2)));
     desk =
         new Desk(
             house,
--- a/src/main/java/linengauge/Headend.java
+++ b/src/main/java/linengauge/Deployment.java
@@ -6,16 +6,16 @@
  * What a front is told of its place when it starts: its neighbours, fleet, ladder, packages and
  * what it may do.
  */
-public record Headend(
+public record Deployment(
     int fronts,
     int ownNumber,
     int building,
-    List<PackageTerms> packages,
+    List<PackageSettings> packages,
     double[] ladderKb,
     double[] rungValue,
     Fleet fleet,
     Rules rules,
-    Permits permits) {
+    Permissions permits) {
 
   /** Links and racks as told; linkKbPerWeight is 0 where the list gives no sizes. */
   public record Fleet(
@@ -41,7 +41,7 @@
    * What the front may do, and the prices that it weighs: of a probe, a crossing, a new connection
    * to a box.
    */
-  public record Permits(
+  public record Permissions(
       int tuneIns,
       boolean messages,
       boolean probes,
--- a/src/main/java/linengauge/Outside.java
+++ b/src/main/java/linengauge/Environment.java
@@ -5,7 +5,7 @@
  * to each instance, a Player with each viewing and a Line with each media box; the module answers
  * with handles, and all that happens later is a call on those: see Policy.
  */
-public interface Outside {
+public interface Environment {
   /**
    * Runs the given step once, not earlier than after the span and never within the present call.
    */
@@ -33,7 +33,7 @@
    * The viewer's end of one viewing. Tune-ins are numbered 0, 1, 2 ... in the order in which they
    * are made.
    */
-  interface Player {
+  interface ViewingPort {
     void tuneIn(Policy.MediaBox box, Span timeout);
 
     /**
@@ -48,14 +48,14 @@
      * Final answer: blocked; a further try is harmless, best after the given span (none: no
      * advice). The reason is for the log.
      */
-    void block(Span comeBackAfter, Refusal reason);
+    void block(Span comeBackAfter, RejectionReason reason);
 
     /** Final answer: aborted; says nothing of what may have run. */
     void abort();
   }
 
   /** Why a request was refused, as operators read it. */
-  enum Refusal {
+  enum RejectionReason {
     /** No server that serves and holds the title may take it now. */
     NO_SERVER,
     /** Every server that may take it would be short, even at the lowest rung. */
@@ -72,7 +72,7 @@
   }
 
   /** The front's line to one media box. */
-  interface Line {
+  interface BoxPort {
     /** The server's id in the list: the same whenever it is listed again. */
     long id();
 
@@ -85,7 +85,7 @@
    * answer was read in time, as the front stood still. BROKEN: its connection closed; RESET: the
    * server says that it broke on its way; SPOILT: it was answered with what no client can use.
    */
-  enum Ending {
+  enum AttemptOutcome {
     FINISHED(false, true),
     ERROR(false, true),
     TURNED_AWAY(true, true),
@@ -107,7 +107,7 @@
      */
     public final boolean confirmed;
 
-    Ending(boolean neverRan, boolean confirmed) {
+    AttemptOutcome(boolean neverRan, boolean confirmed) {
       this.neverRan = neverRan;
       this.confirmed = confirmed;
     }
--- a/src/main/java/linengauge/PackageTerms.java
+++ b/src/main/java/linengauge/PackageSettings.java
@@ -1,7 +1,7 @@
 package linengauge;
 
 /** What is agreed for one package; seats 0: no limit. */
-public record PackageTerms(
+public record PackageSettings(
     double value,
     Span joinTarget,
     double rateFactor,
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -90,8 +90,8 @@
    */
   public static final Span UNTIL_SENT = Span.ofMillis(500);
 
-  private final Headend house;
-  private final Outside outside;
+  private final Deployment house;
+  private final Environment outside;
   private final SplittableRandom chance;
   private final double middleKb;
   private final double othersPart;
@@ -117,7 +117,7 @@
   /** The load of a link that nothing is known of: the mean of what boxes report. */
   private double usual = USUAL;
 
-  public Policy(Headend house, long seed, Outside outside) {
+  public Policy(Deployment house, long seed, Environment outside) {
     this.house = house;
     this.outside = outside;
     this.chance = new SplittableRandom(seed);
@@ -143,7 +143,7 @@
     }
   }
 
-  public MediaBox box(Outside.Line line) {
+  public MediaBox box(Environment.BoxPort line) {
     return new MediaBox(line);
   }
 
@@ -152,7 +152,11 @@
   }
 
   public Viewing take(
-      Outside.Player player, PackageTerms terms, Title title, int ceiling, Span patience) {
+      Environment.ViewingPort player,
+      PackageSettings terms,
+      Title title,
+      int ceiling,
+      Span patience) {
     pruneRation();
     taken.add(now);
     Viewing vw = new Viewing(player, terms, title, ceiling, now.plus(patience));
@@ -162,7 +166,11 @@
 
   /** A viewing that plays already; the rung in force is heard with the next news. */
   public Viewing handOver(
-      Outside.Player player, PackageTerms terms, Title title, int ceiling, MediaBox at) {
+      Environment.ViewingPort player,
+      PackageSettings terms,
+      Title title,
+      int ceiling,
+      MediaBox at) {
     Viewing vw = new Viewing(player, terms, title, ceiling, now);
     vw.answered = true;
     vw.playing = true;
@@ -301,7 +309,7 @@
 
   /** What the list's sizes, or else the streams of the kinds, say of links in kB. */
   private double kbPerShare() {
-    Headend.Fleet fleet = house.fleet();
+    Deployment.Fleet fleet = house.fleet();
     return fleet.linkKbPerWeight() > 0
         ? fleet.linkKbPerWeight()
         : fleet.linksKb() / Math.max(1, allShares);
@@ -380,7 +388,7 @@
   }
 
   public final class MediaBox {
-    private final Outside.Line line;
+    private final Environment.BoxPort line;
     private final Link link = new Link();
 
     /** Viewings with a tune-in out or playing here; each leaves when that ends. */
@@ -425,11 +433,11 @@
     /** Sends within the window in which a cold box may fall; time empties it. */
     private final ArrayDeque<Moment> sends = new ArrayDeque<>();
 
-    private MediaBox(Outside.Line line) {
+    private MediaBox(Environment.BoxPort line) {
       this.line = line;
     }
 
-    public Outside.Line line() {
+    public Environment.BoxPort line() {
       return line;
     }
 
@@ -516,13 +524,13 @@
     }
 
     public void probed(boolean answered) {
-      probed(answered ? Outside.Ending.FINISHED : Outside.Ending.NO_ANSWER);
+      probed(answered ? Environment.AttemptOutcome.FINISHED : Environment.AttemptOutcome.NO_ANSWER);
     }
 
     /** What came of a probe: FINISHED where it was answered. */
-    public void probed(Outside.Ending how) {
-      if (how != Outside.Ending.FINISHED && how != Outside.Ending.HELD_UP) {
-        failed(how != Outside.Ending.UNHEARD);
+    public void probed(Environment.AttemptOutcome how) {
+      if (how != Environment.AttemptOutcome.FINISHED && how != Environment.AttemptOutcome.HELD_UP) {
+        failed(how != Environment.AttemptOutcome.UNHEARD);
       }
       answerAskers();
     }
@@ -836,11 +844,11 @@
    * What is watched: where it is held, and the viewings of it here that hold a seat, one row a
    * package; a row leaves with its last viewing.
    */
-  public record Title(int firstCell, int cellsInRow, Map<PackageTerms, Integer> seated) {}
+  public record Title(int firstCell, int cellsInRow, Map<PackageSettings, Integer> seated) {}
 
   public final class Viewing {
-    private final Outside.Player player;
-    private final PackageTerms terms;
+    private final Environment.ViewingPort player;
+    private final PackageSettings terms;
     private final Title title;
     private final int ceiling;
     private final Moment target;
@@ -865,7 +873,11 @@
     private boolean asked;
 
     private Viewing(
-        Outside.Player player, PackageTerms terms, Title title, int ceiling, Moment patienceEnds) {
+        Environment.ViewingPort player,
+        PackageSettings terms,
+        Title title,
+        int ceiling,
+        Moment patienceEnds) {
       this.player = player;
       this.terms = terms;
       this.title = title;
@@ -1117,7 +1129,7 @@
 
     /** The final answer, at once: blocked where that is safe to say, else aborted. */
     private void giveUp(MediaBox best) {
-      Outside.Refusal reason = refusal(best);
+      Environment.RejectionReason reason = refusal(best);
       answered = true;
       if (mayHaveRun && terms.paidAtSetUp()) {
         player.abort();
@@ -1126,22 +1138,22 @@
       }
     }
 
-    private Outside.Refusal refusal(MediaBox best) {
+    private Environment.RejectionReason refusal(MediaBox best) {
       if (best != null) {
-        return Outside.Refusal.SERVERS_FULL;
+        return Environment.RejectionReason.SERVERS_FULL;
       }
       if (!mayStillPlay()) {
-        return Outside.Refusal.ATTEMPTS_USED_UP;
+        return Environment.RejectionReason.ATTEMPTS_USED_UP;
       }
       if (!margin.under(patienceLeft(this))) {
-        return Outside.Refusal.DEADLINE_TOO_CLOSE;
+        return Environment.RejectionReason.DEADLINE_TOO_CLOSE;
       }
       if (tuneIns > 0 && !furtherLeft()) {
-        return Outside.Refusal.RETRY_BUDGET_USED_UP;
+        return Environment.RejectionReason.RETRY_BUDGET_USED_UP;
       }
       return barredByUnconfirmed() != null
-          ? Outside.Refusal.EARLIER_ATTEMPT_UNCONFIRMED
-          : Outside.Refusal.NO_SERVER;
+          ? Environment.RejectionReason.EARLIER_ATTEMPT_UNCONFIRMED
+          : Environment.RejectionReason.NO_SERVER;
     }
 
     /* ---- end-of-viewing bookkeeping ---- */
@@ -1160,7 +1172,7 @@
      * The tune-in is no longer out; over says that the viewing has ended with it or before,
      * confirmed that it is over at its server too.
      */
-    public void tuneInEnded(Outside.Ending how, boolean over, boolean confirmed) {
+    public void tuneInEnded(Environment.AttemptOutcome how, boolean over, boolean confirmed) {
       if (at == null) {
         return;
       }
@@ -1251,7 +1263,7 @@
   }
 
   private boolean furtherLeft() {
-    Headend.Rules rules = house.rules();
+    Deployment.Rules rules = house.rules();
     pruneRation();
     return rules.furtherSpan().equals(Span.NONE)
         || further.size() + 1 <= rules.furtherFree() + rules.furtherShare() * taken.size();
@@ -1281,7 +1293,7 @@
    * that has itself just started may have sent before: it waits.
    */
   private boolean coldPaceKept(MediaBox b) {
-    Headend.Rules rules = house.rules();
+    Deployment.Rules rules = house.rules();
     if (!now.before(b.startedAt.orLater(b.lostAt).plus(rules.coldFor()))) {
       return true; // neither just started nor lost from sight so lately that it may have
     }
--- a/src/main/java/linengauge/briefing/Briefing.java
+++ b/src/main/java/linengauge/briefing/Briefing.java
@@ -3,8 +3,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import linengauge.Headend;
-import linengauge.PackageTerms;
+import linengauge.Deployment;
+import linengauge.PackageSettings;
 import linengauge.Span;
 
 /**
@@ -13,7 +13,7 @@
  * where the simulator gives numbers.
  */
 public record Briefing(
-    Headend headend,
+    Deployment headend,
     List<String> packages,
     List<String> buildings,
     List<String> kinds,
@@ -52,7 +52,7 @@
     return List.copyOf(names);
   }
 
-  private static Headend headend(Map<?, ?> conf) throws BadBriefing {
+  private static Deployment headend(Map<?, ?> conf) throws BadBriefing {
     Map<?, ?> domain = map(conf, "domain");
     Map<?, ?> limits = map(conf, "policyLimits");
     Map<?, ?> rules = map(conf, "guarantees");
@@ -63,7 +63,7 @@
     double[] floors = numbers(domain, "floorByClass");
     double[] tops = numbers(domain, "highestRung");
     double[] seats = numbers(domain, "licenceCap");
-    List<PackageTerms> packages = new ArrayList<>();
+    List<PackageSettings> packages = new ArrayList<>();
     if (!(conf.get("requestClasses") instanceof List<?> classes)) {
       throw new BadBriefing("conf: 'requestClasses' should be a list");
     }
@@ -73,7 +73,7 @@
       }
       int i = packages.size();
       packages.add(
-          new PackageTerms(
+          new PackageSettings(
               number(c, "worth", 1),
               span(c, "aimUs"),
               at(rates, i, 1),
@@ -84,7 +84,7 @@
     }
     boolean sized = !"silent".equals(conf.get("weights"));
     var fleet =
-        new Headend.Fleet(
+        new Deployment.Fleet(
             (int) number(domain, "places", 1),
             (int) Math.max(1, number(domain, "shelves", 1)),
             whole(numbers(domain, "placesByKind")),
@@ -93,7 +93,7 @@
             number(domain, "uplinkKb", 0),
             span(domain, "seeUs"));
     var figures =
-        new Headend.Rules(
+        new Deployment.Rules(
             span(rules, "coldUs"),
             number(rules, "startCapacity", 1),
             number(rules, "fallMultiple", 1),
@@ -104,7 +104,7 @@
     boolean uplink = loads.get("fields") instanceof List<?> fields && fields.contains("x1");
     boolean advice = !Boolean.FALSE.equals(limits.get("retryAfter"));
     var permits =
-        new Headend.Permits(
+        new Deployment.Permissions(
             (int) number(limits, "maxAttempts", 1),
             Boolean.TRUE.equals(limits.get("peers")),
             Boolean.TRUE.equals(limits.get("probing")),
@@ -113,7 +113,7 @@
             number(charges, "crossZone", 0),
             number(charges, "handshake", 0),
             advice ? span(limits, "maxRetryAfterUs") : Span.NONE);
-    return new Headend(
+    return new Deployment(
         (int) Math.max(1, number(conf, "balancers", 1)),
         (int) number(conf, "me", 0),
         (int) number(conf, "zone", 0),
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.function.Consumer;
-import linengauge.Outside.Ending;
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Span;
 import linengauge.carry.Sparse;
 import linengauge.hls.BadPlaylist;
@@ -142,7 +142,7 @@
         request -> {
           if (o.over || !vw.sendable(tuneIn)) {
             request.reset();
-            ended(vw, o, Ending.NEVER_SENT);
+            ended(vw, o, AttemptOutcome.NEVER_SENT);
             return;
           }
           o.request = request;
@@ -162,11 +162,11 @@
               request,
               Buffer.buffer(body),
               r -> read(vw, o, box, rung, r),
-              e -> ended(vw, o, Ending.BROKEN));
+              e -> ended(vw, o, AttemptOutcome.BROKEN));
         },
         e -> {
           boolean full = e instanceof io.vertx.core.http.ConnectionPoolTooBusyException;
-          ended(vw, o, full ? Ending.NEVER_SENT : Ending.NOT_REACHED);
+          ended(vw, o, full ? AttemptOutcome.NEVER_SENT : AttemptOutcome.NOT_REACHED);
         });
   }
 
@@ -209,13 +209,13 @@
     }
   }
 
-  private void ended(Held vw, Out o, Ending how) {
+  private void ended(Held vw, Out o, AttemptOutcome how) {
     program.onDesk(
         () -> {
           if (!o.over) {
             o.over = true;
             out.remove(vw, o);
-            if (how == Ending.BROKEN) {
+            if (how == AttemptOutcome.BROKEN) {
               tellEnd(vw, o.box, o.tuneIn); // it may run there
             }
             vw.failed(o.tuneIn, how);
@@ -233,11 +233,11 @@
     if (status != 201) {
       r.handler(b -> {});
       boolean never = "true".equals(r.getHeader("Never-Ran"));
-      ended(vw, o, never ? Ending.TURNED_AWAY : Ending.ERROR);
+      ended(vw, o, never ? AttemptOutcome.TURNED_AWAY : AttemptOutcome.ERROR);
       return;
     }
     Buffer body = Buffer.buffer();
-    r.exceptionHandler(e -> ended(vw, o, Ending.BROKEN));
+    r.exceptionHandler(e -> ended(vw, o, AttemptOutcome.BROKEN));
     r.handler(
         b -> {
           body.appendBuffer(b);
@@ -290,7 +290,7 @@
           if (!o.over) {
             log.warn("broken playlist", box.toString(), what);
             withdraw(vw, box, o.tuneIn);
-            vw.failed(o.tuneIn, Ending.SPOILT);
+            vw.failed(o.tuneIn, AttemptOutcome.SPOILT);
           }
         });
   }
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -14,8 +14,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.regex.Pattern;
-import linengauge.Headend;
-import linengauge.PackageTerms;
+import linengauge.Deployment;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import linengauge.carry.Sparse;
 import linengauge.carry.Wall;
@@ -38,7 +38,7 @@
 
   private final FrontProgram program;
   private final Site site;
-  private final Headend house;
+  private final Deployment house;
   private final Map<String, Integer> packages;
   private final Map<String, Site.Held> cells;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(Door.class));
@@ -47,7 +47,7 @@
   private Relay relay;
   private Context loop;
 
-  Door(FrontProgram program, Headend house) {
+  Door(FrontProgram program, Deployment house) {
     this.program = program;
     this.site = program.site();
     this.house = house;
@@ -266,7 +266,7 @@
       refuse(r, 400, "package names none of this site");
       return null;
     }
-    PackageTerms terms = house.packages().get(number);
+    PackageSettings terms = house.packages().get(number);
     long ceiling = whole(r.getParam("ceiling"), terms.highestRung());
     long patience = whole(r.getParam("patience"), site.viewers().longestPatienceMs());
     if (ceiling < 0 || patience <= 0) {
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
-import linengauge.Headend;
+import linengauge.Deployment;
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.BoxTable;
@@ -58,7 +58,7 @@
   private static final Span FAILED_CLOSES_AFTER = Span.ofMillis(200);
 
   private final Site site;
-  private final Headend house;
+  private final Deployment house;
 
   /**
    * The desk's own loop, one for calls to boxes, and those of the viewers' connections: none can
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -4,8 +4,8 @@
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpServerResponse;
 import java.util.concurrent.atomic.AtomicInteger;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.Held;
@@ -104,7 +104,7 @@
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void blocked(Span comeBackAfter, Environment.RejectionReason reason) {
     answer(503, "blocked: come again\n", comeBackAfter);
   }
 
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Set;
 import linengauge.Moment;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import linengauge.platform.codec.SetUpForm;
 import linengauge.platform.codec.Texts;
@@ -205,7 +205,7 @@
       again(line, before, handedOver);
       return;
     }
-    PackageTerms terms = front.briefing().headend().packages().get(pack);
+    PackageSettings terms = front.briefing().headend().packages().get(pack);
     int ceiling = form.ceiling() < 0 ? terms.highestRung() : (int) form.ceiling();
     var ask =
         new Held.Ask(
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -1,7 +1,7 @@
 package linengauge.platform;
 
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
 import linengauge.platform.codec.ViewerMessages;
@@ -94,8 +94,9 @@
   }
 
   @Override
-  public void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {
-    boolean ordinary = how == Outside.Ending.FINISHED || how == Outside.Ending.WITHDRAWN;
+  public void attemptEnded(int attempt, BoxTable.Entry server, Environment.AttemptOutcome how) {
+    boolean ordinary =
+        how == Environment.AttemptOutcome.FINISHED || how == Environment.AttemptOutcome.WITHDRAWN;
     Kind kind = stands ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
     int connection = wire == null ? LogEvent.NONE : wire.number();
     log(kind, server.id(), attempt, connection, how.name(), !ordinary);
@@ -166,7 +167,7 @@
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void blocked(Span comeBackAfter, Environment.RejectionReason reason) {
     log(Kind.REQUEST_REFUSED, reason.name(), true);
     settle(ViewerMessages.blocked(id, comeBackAfter.micros() / 1000));
     door.over(this);
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -3,8 +3,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Moment;
-import linengauge.Outside.Ending;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
 import linengauge.platform.codec.BadMessage;
@@ -230,7 +230,7 @@
   private void leave(long id, Out out) {
     if (!out.held.sendable(out.tuneIn)) {
       outs.remove(id, out);
-      front().later(() -> out.held.failed(out.tuneIn, Ending.NEVER_SENT));
+      front().later(() -> out.held.failed(out.tuneIn, AttemptOutcome.NEVER_SENT));
       return;
     }
     out.written = true;
@@ -442,11 +442,11 @@
       if (out.written) {
         link.endAfterClose(((ClientSession) out.held.viewer()).id());
       }
-      Ending broken =
-          out.written && link.silence(out.writtenAt, this) == Ending.UNHEARD
-              ? Ending.UNHEARD
-              : Ending.BROKEN;
-      out.held.failed(out.tuneIn, out.written ? broken : Ending.NOT_REACHED);
+      AttemptOutcome broken =
+          out.written && link.silence(out.writtenAt, this) == AttemptOutcome.UNHEARD
+              ? AttemptOutcome.UNHEARD
+              : AttemptOutcome.BROKEN;
+      out.held.failed(out.tuneIn, out.written ? broken : AttemptOutcome.NOT_REACHED);
     }
     for (Wake timer : ServerLinks.taken(tests)) {
       timer.cancel();
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -5,8 +5,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Moment;
-import linengauge.Outside.Ending;
 import linengauge.Span;
 import linengauge.platform.codec.BoxLines;
 import linengauge.platform.codec.Texts;
@@ -79,7 +79,7 @@
     long id = ((ClientSession) vw.viewer()).id();
     ServerConnection w = connection(id);
     if (w == null || w.hasSpent(id)) {
-      front().later(() -> vw.failed(tuneIn, Ending.NEVER_SENT));
+      front().later(() -> vw.failed(tuneIn, AttemptOutcome.NEVER_SENT));
     } else {
       w.setUp(vw, tuneIn);
     }
@@ -127,7 +127,7 @@
 
   void stands(ClientSession seat) {
     standing.put(seat.id(), seat);
-    Ending how = earlyEnds.take(seat.id());
+    AttemptOutcome how = earlyEnds.take(seat.id());
     if (how != null) {
       front().later(() -> ended(seat.id(), how, null));
       return;
@@ -356,7 +356,7 @@
    * The box says on that connection (null: before its handing over) that an attempt or a viewing is
    * over.
    */
-  void ended(long id, Ending how, ServerConnection by) {
+  void ended(long id, AttemptOutcome how, ServerConnection by) {
     ClientSession stands = standing.get(id);
     if (by != null
         && by.hasSpent(id)
@@ -381,21 +381,21 @@
     }
   }
 
-  Ending unanswered(Held vw, int tuneIn) {
+  AttemptOutcome unanswered(Held vw, int tuneIn) {
     for (ServerConnection w : connections) {
       Moment writtenAt = w.writtenAt(vw, tuneIn);
       if (writtenAt != null) {
         return silence(writtenAt, null);
       }
     }
-    return Ending.NO_ANSWER;
+    return AttemptOutcome.NO_ANSWER;
   }
 
   /**
    * What it means that nothing came of something written then; one connection, if any, has just
    * broken.
    */
-  Ending silence(Moment writtenAt, ServerConnection but) {
+  AttemptOutcome silence(Moment writtenAt, ServerConnection but) {
     return TimeoutCause.meaning(
         writtenAt,
         front().lag(),
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import linengauge.Outside;
+import linengauge.Environment;
 import linengauge.Span;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
@@ -124,7 +124,7 @@
   }
 
   @Override
-  public Outside.Ending unanswered(Held vw, int tuneIn) {
+  public Environment.AttemptOutcome unanswered(Held vw, int tuneIn) {
     return link(vw.box()).unanswered(vw, tuneIn);
   }
 
--- a/src/main/java/linengauge/platform/codec/BoxLines.java
+++ b/src/main/java/linengauge/platform/codec/BoxLines.java
@@ -11,7 +11,7 @@
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import linengauge.Outside.Ending;
+import linengauge.Environment.AttemptOutcome;
 
 /**
  * Media boxes' lines of JSON (docs/protocol/platform.md, "Boxes"). One reader a connection; a line
@@ -169,23 +169,23 @@
   }
 
   /** What the cause of a release means for a set-up that was not answered. */
-  public static Ending unanswered(int cause) {
+  public static AttemptOutcome unanswered(int cause) {
     return switch (cause) {
-      case 34 -> Ending.TURNED_AWAY;
-      case 47 -> Ending.ERROR;
-      case 102 -> Ending.NEVER_SENT;
-      default -> Ending.RESET;
+      case 34 -> AttemptOutcome.TURNED_AWAY;
+      case 47 -> AttemptOutcome.ERROR;
+      case 102 -> AttemptOutcome.NEVER_SENT;
+      default -> AttemptOutcome.RESET;
     };
   }
 
   /**
    * What it means for a viewing that plays; WITHDRAWN: its viewer has ended it and is owed nothing.
    */
-  public static Ending played(int cause) {
+  public static AttemptOutcome played(int cause) {
     return switch (cause) {
-      case 16 -> Ending.FINISHED;
-      case 31 -> Ending.WITHDRAWN;
-      default -> Ending.BROKEN;
+      case 16 -> AttemptOutcome.FINISHED;
+      case 31 -> AttemptOutcome.WITHDRAWN;
+      default -> AttemptOutcome.BROKEN;
     };
   }
 
--- a/src/main/java/linengauge/platform/keep/EarlyEnds.java
+++ b/src/main/java/linengauge/platform/keep/EarlyEnds.java
@@ -1,8 +1,8 @@
 package linengauge.platform.keep;
 
 import java.util.LinkedHashMap;
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Moment;
-import linengauge.Outside.Ending;
 import linengauge.Span;
 
 /**
@@ -13,7 +13,7 @@
  * It could hurt where an id came into use again: ids are new with each set-up.
  */
 public final class EarlyEnds {
-  private record End(Ending how, Moment until) {}
+  private record End(AttemptOutcome how, Moment until) {}
 
   private final int most;
   private final Span kept;
@@ -26,7 +26,7 @@
     this.kept = kept;
   }
 
-  public void heard(long id, Ending how, Moment now) {
+  public void heard(long id, AttemptOutcome how, Moment now) {
     look(now);
     if (ends.size() == most) {
       ends.remove(ends.keySet().iterator().next());
@@ -35,7 +35,7 @@
   }
 
   /** How the viewing of that id has ended already, once; null where nothing was heard of it. */
-  public Ending take(long id) {
+  public AttemptOutcome take(long id) {
     End end = ends.remove(id);
     return end == null ? null : end.how();
   }
--- a/src/main/java/linengauge/platform/keep/TimeoutCause.java
+++ b/src/main/java/linengauge/platform/keep/TimeoutCause.java
@@ -1,7 +1,7 @@
 package linengauge.platform.keep;
 
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Moment;
-import linengauge.Outside.Ending;
 import linengauge.Span;
 
 /**
@@ -21,16 +21,16 @@
    * Of something written then; the lines are the box's connections that are up, but for one that
    * has just broken.
    */
-  public static Ending meaning(
+  public static AttemptOutcome meaning(
       Moment writtenAt, EventLoopLag lag, Moment now, Iterable<Line> lines) {
     if (lag.heldUp(OWN_DELAY, writtenAt, now)) {
-      return Ending.HELD_UP;
+      return AttemptOutcome.HELD_UP;
     }
     for (Line line : lines) {
       if (line.upAt().before(writtenAt) && writtenAt.before(line.heardAt())) {
-        return Ending.UNHEARD;
+        return AttemptOutcome.UNHEARD;
       }
     }
-    return Ending.NO_ANSWER;
+    return AttemptOutcome.NO_ANSWER;
   }
 }
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Consumer;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Policy;
 import linengauge.Span;
 
@@ -38,7 +38,7 @@
       Moment startedAt) {}
 
   /** One media box: the module's line to it and what the carrier needs to reach it. */
-  public static final class Entry implements Outside.Line {
+  public static final class Entry implements Environment.BoxPort {
     private final long id;
     private final Consumer<Entry> prober;
     private Policy.MediaBox handle;
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -1,6 +1,6 @@
 package linengauge.session;
 
-import linengauge.Outside;
+import linengauge.Environment;
 import linengauge.Span;
 
 /**
@@ -39,8 +39,8 @@
    * withdrawn: NO_ANSWER where nothing else is known, UNHEARD or HELD_UP where there is evidence of
    * these.
    */
-  default Outside.Ending unanswered(Held vw, int tuneIn) {
-    return Outside.Ending.NO_ANSWER;
+  default Environment.AttemptOutcome unanswered(Held vw, int tuneIn) {
+    return Environment.AttemptOutcome.NO_ANSWER;
   }
 
   /**
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -7,10 +7,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
+import linengauge.Environment.RejectionReason;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.Outside.Refusal;
 import linengauge.Policy;
 import linengauge.Span;
 
@@ -19,7 +19,7 @@
  * carries words between fronts and drives the module. It holds no clock, thread or socket: whoever
  * runs it tells the time with clock() before each round of calls and acts through {@link Carrier}.
  */
-public final class Desk implements Outside {
+public final class Desk implements Environment {
   /** First byte of every datagram between fronts. */
   private static final byte DATAGRAM = 0x4c;
 
@@ -50,7 +50,7 @@
     public long wordsPassedOver;
   }
 
-  private final Headend house;
+  private final Deployment house;
   private final Bounds bounds;
   private final Carrier carrier;
   private final String prefix;
@@ -76,7 +76,7 @@
   private boolean broken;
 
   /** The epoch tells this life of the front from earlier ones in the ids of viewings. */
-  public Desk(Headend house, Bounds bounds, long seed, String epoch, Carrier carrier) {
+  public Desk(Deployment house, Bounds bounds, long seed, String epoch, Carrier carrier) {
     this.house = house;
     this.bounds = bounds;
     this.carrier = carrier;
@@ -154,7 +154,7 @@
     Span patience = ask.patience().minus(unseen).minus(margin);
     Held before = ask.key() == null ? null : byKey.get(ask.key());
     boolean full = held.size() >= bounds.viewings();
-    Refusal refusal = refusal(full, patience, before);
+    RejectionReason refusal = refusal(full, patience, before);
     if (refusal != null) {
       counts.turnedAwayFull += full ? 1 : 0;
       counts.blocked++;
@@ -190,20 +190,20 @@
   }
 
   /** Why a request is not taken; null where it is. */
-  private Refusal refusal(boolean full, Span patience, Held before) {
+  private RejectionReason refusal(boolean full, Span patience, Held before) {
     if (broken) {
-      return Refusal.FRONT_FAILED;
+      return RejectionReason.FRONT_FAILED;
     }
     if (stopping) {
-      return Refusal.FRONT_STOPPING;
+      return RejectionReason.FRONT_STOPPING;
     }
     if (full) {
-      return Refusal.FRONT_FULL;
+      return RejectionReason.FRONT_FULL;
     }
     if (!Span.NONE.under(patience)) {
-      return Refusal.DEADLINE_TOO_CLOSE;
+      return RejectionReason.DEADLINE_TOO_CLOSE;
     }
-    return before != null && !before.isPlaying() ? Refusal.SAME_KEY_OPEN : null;
+    return before != null && !before.isPlaying() ? RejectionReason.SAME_KEY_OPEN : null;
   }
 
   /**
@@ -330,7 +330,7 @@
   }
 
   /** A probe has come to this: FINISHED where it was answered. */
-  public void probed(BoxTable.Entry box, Outside.Ending how) {
+  public void probed(BoxTable.Entry box, Environment.AttemptOutcome how) {
     call(() -> box.handle().probed(how));
   }
 
--- a/src/main/java/linengauge/session/Held.java
+++ b/src/main/java/linengauge/session/Held.java
@@ -1,8 +1,8 @@
 package linengauge.session;
 
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Policy;
 import linengauge.Span;
 
@@ -11,7 +11,7 @@
  * playing. What happens to it is a call on this handle; every call may come at any time and in any
  * order, and is passed over where it no longer fits.
  */
-public final class Held implements Outside.Player {
+public final class Held implements Environment.ViewingPort {
   private final Desk desk;
   private final Viewer viewer;
   private final Ask ask;
@@ -46,7 +46,7 @@
 
   private Carrier.Wake timeOut;
   private Carrier.Wake nextLook;
-  private Outside.Ending last = Outside.Ending.NEVER_SENT;
+  private Environment.AttemptOutcome last = Environment.AttemptOutcome.NEVER_SENT;
 
   /**
    * What was asked for: title and where it is held (cells from the first, 0: all), package, highest
@@ -57,7 +57,7 @@
       int firstCell,
       int cellsInRow,
       int pack,
-      PackageTerms terms,
+      PackageSettings terms,
       int ceiling,
       Span patience,
       String key) {}
@@ -161,7 +161,8 @@
 
   private void timedOut(int n) {
     // One that still waits for its connection never ran: that is no secret from the module.
-    Outside.Ending how = sent ? desk.carrier().unanswered(this, n) : Outside.Ending.NOT_REACHED;
+    Environment.AttemptOutcome how =
+        sent ? desk.carrier().unanswered(this, n) : Environment.AttemptOutcome.NOT_REACHED;
     giveBack(n);
     end(how, false);
   }
@@ -175,7 +176,7 @@
   }
 
   @Override
-  public void block(Span comeBackAfter, Outside.Refusal reason) {
+  public void block(Span comeBackAfter, Environment.RejectionReason reason) {
     if (answer()) {
       desk.counts().blocked++;
       viewer.blocked(comeBackAfter, reason);
@@ -186,9 +187,9 @@
   @Override
   public void abort() {
     abort(
-        last == Outside.Ending.NO_ANSWER
-                || last == Outside.Ending.UNHEARD
-                || last == Outside.Ending.HELD_UP
+        last == Environment.AttemptOutcome.NO_ANSWER
+                || last == Environment.AttemptOutcome.UNHEARD
+                || last == Environment.AttemptOutcome.HELD_UP
             ? Viewer.Cause.NO_ANSWER
             : Viewer.Cause.FAILED);
   }
@@ -258,7 +259,7 @@
           }
           if (answered || !answer()) {
             giveBack(tuneIn);
-            end(Outside.Ending.WITHDRAWN, true);
+            end(Environment.AttemptOutcome.WITHDRAWN, true);
             return;
           }
           playing = true;
@@ -275,7 +276,7 @@
   }
 
   /** A tune-in that is out has failed. */
-  public void failed(int tuneIn, Outside.Ending how) {
+  public void failed(int tuneIn, Environment.AttemptOutcome how) {
     if (waitsFor(tuneIn)) {
       desk.call(() -> end(how, false));
     }
@@ -314,7 +315,7 @@
   }
 
   /** The box itself has told that it no longer plays, and how that came. */
-  public void boxEnded(Outside.Ending ending, Viewer.End how) {
+  public void boxEnded(Environment.AttemptOutcome ending, Viewer.End how) {
     if (playing) {
       desk.call(() -> stop(ending, how));
     }
@@ -326,7 +327,7 @@
       desk.call(
           () -> {
             giveBack(tuneIns - 1); // it may live on at a box that this front alone cannot hear
-            stop(Outside.Ending.BROKEN, Viewer.End.BOX_LOST);
+            stop(Environment.AttemptOutcome.BROKEN, Viewer.End.BOX_LOST);
           });
     }
   }
@@ -352,7 +353,7 @@
   void leave(Viewer.End how) {
     if (playing) {
       giveBack(tuneIns - 1);
-      stop(Outside.Ending.FINISHED, how);
+      stop(Environment.AttemptOutcome.FINISHED, how);
     } else if (!answered) {
       answered = true; // nobody waits for it any more
       callOff(answerBy);
@@ -360,7 +361,7 @@
       handle.viewerLeft();
       if (out) {
         giveBack(tuneIns - 1);
-        end(Outside.Ending.WITHDRAWN, true);
+        end(Environment.AttemptOutcome.WITHDRAWN, true);
       } else {
         desk.release(this);
       }
@@ -385,7 +386,7 @@
     handle.viewerLeft();
     if (out) {
       giveBack(tuneIns - 1);
-      end(Outside.Ending.WITHDRAWN, true);
+      end(Environment.AttemptOutcome.WITHDRAWN, true);
     }
   }
 
@@ -404,7 +405,7 @@
     abort(Viewer.Cause.FRONT_FAILED);
   }
 
-  private void stop(Outside.Ending ending, Viewer.End how) {
+  private void stop(Environment.AttemptOutcome ending, Viewer.End how) {
     playing = false;
     end(ending, true);
     viewer.ended(how);
@@ -414,7 +415,7 @@
     desk.carrier().withdraw(this, at, tuneIn);
   }
 
-  private void end(Outside.Ending how, boolean over) {
+  private void end(Environment.AttemptOutcome how, boolean over) {
     callOff(timeOut);
     callOff(nextLook);
     out = false;
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -1,7 +1,7 @@
 package linengauge.session;
 
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 
 /**
@@ -30,10 +30,10 @@
   void plays(Held vw);
 
   /** A further try is harmless, best after the span (none: no advice). */
-  void blocked(Span comeBackAfter, Outside.Refusal reason);
+  void blocked(Span comeBackAfter, Environment.RejectionReason reason);
 
   /** An attempt is no longer out, or what it set up no longer plays; for the log. */
-  default void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {}
+  default void attemptEnded(int attempt, BoxTable.Entry server, Environment.AttemptOutcome how) {}
 
   void aborted(Cause cause);
 
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -6,8 +6,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import linengauge.Headend;
-import linengauge.PackageTerms;
+import linengauge.Deployment;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import linengauge.flow.DoorTerms;
 import linengauge.flow.FlowTerms;
@@ -289,15 +289,15 @@
   public record Stop(int playingMs) {}
 
   /** What the module is told at its start. */
-  public Headend headend() {
-    return new Headend(
+  public Deployment headend() {
+    return new Deployment(
         fronts.count,
         front.number,
         buildings.indexOf(front.building),
         packageTerms(),
         ladder.stream().mapToDouble(Rung::kb).toArray(),
         ladder.stream().mapToDouble(Rung::value).toArray(),
-        new Headend.Fleet(
+        new Deployment.Fleet(
             fleet.cells,
             fleet.racks,
             fleet.kinds.stream().mapToInt(Kind::streams).toArray(),
@@ -305,7 +305,7 @@
             fleet.linkKbPerWeight,
             fleet.uplinkKb,
             Span.ofMillis(fleet.shareLatenessMs)),
-        new Headend.Rules(
+        new Deployment.Rules(
             Span.ofMillis(rules.coldMs),
             rules.startCapacity,
             rules.fallMultiple,
@@ -313,7 +313,7 @@
             rules.furtherFree,
             rules.furtherShare,
             Span.ofMillis(rules.furtherMs)),
-        new Headend.Permits(
+        new Deployment.Permissions(
             permits.tuneIns,
             permits.messages,
             permits.probes,
@@ -324,12 +324,12 @@
             Span.ofMillis(permits.longestAdviceMs)));
   }
 
-  private List<PackageTerms> packageTerms() {
-    List<PackageTerms> terms = new ArrayList<>();
+  private List<PackageSettings> packageTerms() {
+    List<PackageSettings> terms = new ArrayList<>();
     int top = ladder.size() - 1;
     for (Package p : packages) {
       terms.add(
-          new PackageTerms(
+          new PackageSettings(
               p.value,
               Span.ofMillis(p.joinTargetMs),
               or(p.rateFactor, 1.0),
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -10,10 +10,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Policy;
 import linengauge.Span;
 import linengauge.briefing.BadBriefing;
@@ -25,7 +25,7 @@
 import linengauge.wire.WireHost.Wrong;
 
 /** One front: turns ids into the module's handles and its decisions into actions. */
-final class WireFront implements Outside {
+final class WireFront implements Environment {
   private static final Set<String> EVENTS =
       Set.of(
           "backendsChanged",
@@ -41,7 +41,7 @@
 
   private final int number;
   private final PrintStream complaints;
-  private final List<PackageTerms> packages;
+  private final List<PackageSettings> packages;
   private final Policy policy;
   private final BoxTable boxes;
 
@@ -63,7 +63,7 @@
   WireFront(int number, long seed, Map<?, ?> conf, PrintStream complaints) throws Wrong {
     this.number = number;
     this.complaints = complaints;
-    Headend headend;
+    Deployment headend;
     try {
       headend = Briefing.read(conf).headend();
     } catch (BadBriefing e) {
@@ -79,7 +79,7 @@
     return EVENTS.contains(event);
   }
 
-  private final class WireViewing implements Player {
+  private final class WireViewing implements ViewingPort {
     final long id;
     final String titleName;
     Policy.Viewing handle;
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void block(Span comeBackAfter, Refusal reason) {
+    public void block(Span comeBackAfter, RejectionReason reason) {
       act("bounce", id, comeBackAfter.micros());
       answered();
     }
@@ -233,7 +233,7 @@
     String item = m.text("item");
     Span patience = new Span(m.whole("budgetUs"));
     m.skip();
-    PackageTerms terms = terms(m.integer("type"));
+    PackageSettings terms = terms(m.integer("type"));
     int fromCell = m.integer("fromCell", 0);
     m.skip();
     m.skip();
@@ -252,7 +252,7 @@
 
   private void resumed(Message m, Moment now, JsonGenerator writer) throws IOException, Wrong {
     long id = m.whole("job");
-    PackageTerms terms = terms(m.integer("type"));
+    PackageSettings terms = terms(m.integer("type"));
     m.skip();
     m.skip();
     String item = m.text("title");
@@ -284,16 +284,16 @@
     Long server = m.whole("server", -1);
     Map<?, ?> load = m.object("feedback");
     m.end();
-    Ending ending =
+    AttemptOutcome ending =
         switch (how) {
-          case 200 -> Ending.FINISHED;
-          case 502 -> Ending.ERROR;
-          case 429 -> Ending.TURNED_AWAY;
-          case 408 -> Ending.NO_ANSWER;
-          case 521 -> Ending.NOT_REACHED;
-          case 520 -> Ending.BROKEN;
-          case 444 -> Ending.WITHDRAWN;
-          case 409 -> Ending.NEVER_SENT;
+          case 200 -> AttemptOutcome.FINISHED;
+          case 502 -> AttemptOutcome.ERROR;
+          case 429 -> AttemptOutcome.TURNED_AWAY;
+          case 408 -> AttemptOutcome.NO_ANSWER;
+          case 521 -> AttemptOutcome.NOT_REACHED;
+          case 520 -> AttemptOutcome.BROKEN;
+          case 444 -> AttemptOutcome.WITHDRAWN;
+          case 409 -> AttemptOutcome.NEVER_SENT;
           default -> throw new Wrong("unknown outcome " + how);
         };
     BoxTable.Entry b = boxes.get(server);
@@ -334,7 +334,7 @@
     return load.get(key) instanceof Double d ? d : Double.NaN;
   }
 
-  private PackageTerms terms(int type) throws Wrong {
+  private PackageSettings terms(int type) throws Wrong {
     if (type < 0 || type >= packages.size()) {
       throw new Wrong("'type' names no package: " + type);
     }
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -21,36 +21,38 @@
 
   private record Send(Moment at, int box) {}
 
-  private static Headend place(int fronts, int streams) {
-    Headend p = Stage.place(fronts, false, false, Span.NONE, Stage.terms(0, 0, false));
+  private static Deployment place(int fronts, int streams) {
+    Deployment p =
+        PolicyHarness.place(fronts, false, false, Span.NONE, PolicyHarness.terms(0, 0, false));
     var f = p.fleet();
-    return new Headend(
+    return new Deployment(
         fronts,
         0,
         0,
         p.packages(),
         p.ladderKb(),
         p.rungValue(),
-        new Headend.Fleet(
+        new Deployment.Fleet(
             f.cells(), f.racks(), new int[] {streams}, 4e8, 2e8, 4e8, f.shareLateness()),
         p.rules(),
         p.permits());
   }
 
   private final class Fleet {
-    private final Headend place;
+    private final Deployment place;
     private final SplittableRandom chance;
-    private final List<Stage> fronts = new ArrayList<>();
+    private final List<PolicyHarness> fronts = new ArrayList<>();
     private final List<Moment> toldAt = new ArrayList<>();
     private final List<Send> sends = new ArrayList<>();
     private Moment now = new Moment(1_000_000_000L);
     private Moment startedAt = Moment.DISTANT_PAST;
 
-    private Fleet(Headend place, long seed) {
+    private Fleet(Deployment place, long seed) {
       this.place = place;
       this.chance = new SplittableRandom(seed);
       for (int i = 0; i < place.fronts(); i++) {
-        fronts.add(new Stage(Stage.numbered(place, i), seed * 1000 + i, BOXES, now));
+        fronts.add(
+            new PolicyHarness(PolicyHarness.numbered(place, i), seed * 1000 + i, BOXES, now));
         toldAt.add(Moment.DISTANT_PAST);
       }
     }
@@ -60,10 +62,12 @@
       for (int i = 0; i < fronts.size(); i++) {
         if (restarts && chance.nextInt(200) == 0) {
           fronts.set(
-              i, new Stage(Stage.numbered(place, i), chance.nextLong(), BOXES, now.minus(STEP)));
+              i,
+              new PolicyHarness(
+                  PolicyHarness.numbered(place, i), chance.nextLong(), BOXES, now.minus(STEP)));
           tell(i); // the list of its start says so
         }
-        Stage s = fronts.get(i);
+        PolicyHarness s = fronts.get(i);
         s.pass(now.since(s.now));
         if (!toldAt.get(i).equals(Moment.DISTANT_PAST)
             && !now.before(toldAt.get(i))
@@ -78,19 +82,19 @@
       fronts.get(front).boxes.forEach(b -> b.serving(startedAt));
     }
 
-    private void crowd(int front, Stage s) {
+    private void crowd(int front, PolicyHarness s) {
       s.take(
           s.headend.packages().get(0),
           s.policy.title(chance.nextInt(BOXES), 1),
           Span.ofMillis(900));
-      for (Stage.Viewer v : List.copyOf(s.viewers)) {
+      for (PolicyHarness.Viewer v : List.copyOf(s.viewers)) {
         if (v.out != null && !v.playing) {
           leaves(s, v);
         }
       }
     }
 
-    private void leaves(Stage s, Stage.Viewer v) {
+    private void leaves(PolicyHarness s, PolicyHarness.Viewer v) {
       // What was chosen before the start was heard is chosen again (Held.sendable): it does not
       // leave.
       if (!v.out.startedAt.before(startedAt)) {
@@ -99,15 +103,15 @@
         sends.add(new Send(at, s.boxes.indexOf(v.out)));
       }
       v.plays();
-      v.ends(Outside.Ending.FINISHED);
+      v.ends(Environment.AttemptOutcome.FINISHED);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"20,24", "20,240", "30,24", "30,240", "100,24", "100,240", "100,1000", "3,24"})
   void allFrontsTogetherStayWithinTheBudgetOfAColdBox(int fronts, int streams) {
-    Headend place = place(fronts, streams);
-    Headend.Rules rules = place.rules();
+    Deployment place = place(fronts, streams);
+    Deployment.Rules rules = place.rules();
     double worst = Double.NEGATIVE_INFINITY;
     long sent = 0;
     int seeds = SEEDS * 20 / Math.max(20, fronts);
--- a/src/test/java/linengauge/Stage.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -14,10 +14,10 @@
 import java.util.PriorityQueue;
 
 /** One front with its boxes and viewers, and the six rules checked at every send and answer. */
-final class Stage implements Outside {
+final class PolicyHarness implements Environment {
   private static final Span DRAIN_GRACE = Span.ofMillis(1000);
 
-  final class Box implements Line {
+  final class Box implements BoxPort {
     final Policy.MediaBox handle;
     int cell;
     boolean serving;
@@ -64,11 +64,11 @@
     }
   }
 
-  final class Viewer implements Player {
+  final class Viewer implements ViewingPort {
     /** Attempts that ended here without a word of their servers. */
     final Map<Integer, Box> unconfirmed = new HashMap<>();
 
-    final PackageTerms terms;
+    final PackageSettings terms;
     final Policy.Title title;
     final int ceiling;
     final Moment end;
@@ -81,7 +81,7 @@
     String answer;
     Span timeout;
 
-    Viewer(PackageTerms terms, Policy.Title title, int ceiling, Span patience) {
+    Viewer(PackageSettings terms, Policy.Title title, int ceiling, Span patience) {
       this.terms = terms;
       this.title = title;
       this.ceiling = ceiling;
@@ -91,7 +91,7 @@
     @Override
     public void tuneIn(Policy.MediaBox at, Span timeout) {
       Box box = (Box) at.line();
-      Headend.Rules rules = headend.rules();
+      Deployment.Rules rules = headend.rules();
       assertNull(answer, "sent after the answer");
       assertNull(out, "two tune-ins out");
       assertFalse(terms.paidAtSetUp() && mayHaveRun, "set up twice");
@@ -131,7 +131,7 @@
           timeout,
           () -> {
             if (out != null && !playing && tuneIns == sent) {
-              ends(Ending.NO_ANSWER);
+              ends(AttemptOutcome.NO_ANSWER);
             }
           });
       if (terms.seats() > 0) {
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void block(Span comeBackAfter, Outside.Refusal reason) {
+    public void block(Span comeBackAfter, Environment.RejectionReason reason) {
       assertFalse(terms.paidAtSetUp() && mayHaveRun, "blocked though it may have run");
       answered("blocked");
     }
@@ -178,9 +178,11 @@
       handle.playing();
     }
 
-    void ends(Ending how) {
+    void ends(AttemptOutcome how) {
       boolean over = playing;
-      if (how == Ending.NO_ANSWER || how == Ending.NOT_REACHED || how == Ending.BROKEN) {
+      if (how == AttemptOutcome.NO_ANSWER
+          || how == AttemptOutcome.NOT_REACHED
+          || how == AttemptOutcome.BROKEN) {
         out.witnessed = now;
       }
       playing = false;
@@ -199,7 +201,7 @@
 
   private record Step(Moment at, long number, Runnable deed) {}
 
-  final Headend headend;
+  final Deployment headend;
   final Policy policy;
   final List<Box> boxes = new ArrayList<>();
   final List<Viewer> viewers = new ArrayList<>();
@@ -214,12 +216,12 @@
   private long nextBoxId;
   Moment now;
 
-  Stage(Headend headend, long seed, int boxCount) {
+  PolicyHarness(Deployment headend, long seed, int boxCount) {
     this(headend, seed, boxCount, new Moment(1_000_000_000L));
   }
 
   /** One that starts at that moment. */
-  Stage(Headend headend, long seed, int boxCount, Moment begun) {
+  PolicyHarness(Deployment headend, long seed, int boxCount, Moment begun) {
     this.now = begun;
     this.headend = headend;
     this.policy = new Policy(headend, seed, this);
@@ -234,26 +236,26 @@
   /**
    * A small place: five rungs, links of 1000 kB, one rack of 4000 kB, nothing rationed unless said.
    */
-  static Headend place(
-      int fronts, boolean messages, boolean probes, Span ration, PackageTerms... packages) {
-    return new Headend(
+  static Deployment place(
+      int fronts, boolean messages, boolean probes, Span ration, PackageSettings... packages) {
+    return new Deployment(
         fronts,
         0,
         0,
         List.of(packages),
         new double[] {30, 60, 100, 170, 300},
         new double[] {0.25, 0.45, 0.65, 0.82, 1},
-        new Headend.Fleet(4, 1, new int[] {24}, 4000, 1000, 4000, Span.ofMillis(800)),
-        new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
-        new Headend.Permits(4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
+        new Deployment.Fleet(4, 1, new int[] {24}, 4000, 1000, 4000, Span.ofMillis(800)),
+        new Deployment.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
+        new Deployment.Permissions(4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
   }
 
-  static PackageTerms terms(int floor, int seats, boolean paid) {
-    return new PackageTerms(1, Span.ofMillis(800), 1, floor, 4, seats, paid);
+  static PackageSettings terms(int floor, int seats, boolean paid) {
+    return new PackageSettings(1, Span.ofMillis(800), 1, floor, 4, seats, paid);
   }
 
-  static Headend numbered(Headend p, int own) {
-    return new Headend(
+  static Deployment numbered(Deployment p, int own) {
+    return new Deployment(
         p.fronts(),
         own,
         p.building(),
@@ -265,7 +267,7 @@
         p.permits());
   }
 
-  Viewer take(PackageTerms terms, Policy.Title title, Span patience) {
+  Viewer take(PackageSettings terms, Policy.Title title, Span patience) {
     taken.add(now);
     Viewer v = new Viewer(terms, title, 4, patience);
     viewers.add(v);
@@ -275,7 +277,7 @@
   }
 
   /** A viewing that has played at the box since before. */
-  Viewer plays(PackageTerms terms, Policy.Title title, Box at, int rung) {
+  Viewer plays(PackageSettings terms, Policy.Title title, Box at, int rung) {
     Viewer v = new Viewer(terms, title, 4, Span.NONE);
     viewers.add(v);
     v.answer = "plays";
--- a/src/test/java/linengauge/PolicyTest.java
+++ b/src/test/java/linengauge/PolicyTest.java
@@ -13,24 +13,25 @@
 
 /** Plain cases, one for each part of the ordinary path and one for each failure met. */
 class PolicyTest {
-  private static final PackageTerms PLAIN = Stage.terms(0, 0, false);
+  private static final PackageSettings PLAIN = PolicyHarness.terms(0, 0, false);
   private static final Span PATIENCE = Span.ofSeconds(3);
 
-  private static Stage stage(int boxes, boolean messages) {
-    Stage s = new Stage(Stage.place(2, messages, false, Span.NONE, PLAIN), 7, boxes);
+  private static PolicyHarness stage(int boxes, boolean messages) {
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, messages, false, Span.NONE, PLAIN), 7, boxes);
     s.pass(Span.ofSeconds(2));
     return s;
   }
 
-  private static void report(Stage s, double load) {
-    for (Stage.Box b : s.boxes) {
+  private static void report(PolicyHarness s, double load) {
+    for (PolicyHarness.Box b : s.boxes) {
       b.handle.reported(load, Double.NaN, Double.NaN);
     }
   }
 
   @Test
   void highShortAverageStepsTopRungsDownByOwnPartAndIsReset() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     Policy.Title t = s.policy.title(0, 4);
     for (int rung : new int[] {4, 4, 2}) {
       s.plays(PLAIN, t, s.boxes.get(0), rung);
@@ -49,7 +50,7 @@
     assertEquals(after, rungs(s), "the reset holds the next step back");
   }
 
-  private static int rungs(Stage s) {
+  private static int rungs(PolicyHarness s) {
     return s.viewers.stream().mapToInt(v -> v.rung).sum();
   }
 
@@ -57,8 +58,9 @@
   void manyFrontsOnTheSameNewsShedTogetherWhatIsShort() {
     int stepped = 0;
     for (int seed = 0; seed < 80; seed++) {
-      Stage s = new Stage(Stage.place(80, false, false, Span.NONE, PLAIN), seed, 1);
-      Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
+      PolicyHarness s =
+          new PolicyHarness(PolicyHarness.place(80, false, false, Span.NONE, PLAIN), seed, 1);
+      PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
       report(s, 1.2);
       s.pass(Span.ofSeconds(2.5));
       stepped += v.rung < 2 ? 1 : 0;
@@ -70,22 +72,22 @@
 
   @Test
   void oldNewsOfALinkFades() {
-    Stage s = stage(2, true);
+    PolicyHarness s = stage(2, true);
     s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
     s.boxes.get(1).handle.frontPlays(1, 6, 600, 1);
     Policy.Title t = s.policy.title(0, 4);
     assertSame(s.boxes.get(1), s.take(PLAIN, t, PATIENCE).out);
-    s.viewers.get(0).ends(Outside.Ending.NEVER_SENT);
+    s.viewers.get(0).ends(Environment.AttemptOutcome.NEVER_SENT);
     s.pass(Span.ofSeconds(12));
     assertSame(s.boxes.get(0), s.take(PLAIN, t, PATIENCE).out);
   }
 
   @Test
   void lowLongAverageStepsTheLowestRungUp() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     Policy.Title t = s.policy.title(0, 4);
-    Stage.Viewer high = s.plays(PLAIN, t, s.boxes.get(0), 3);
-    Stage.Viewer low = s.plays(PLAIN, t, s.boxes.get(0), 1);
+    PolicyHarness.Viewer high = s.plays(PLAIN, t, s.boxes.get(0), 3);
+    PolicyHarness.Viewer low = s.plays(PLAIN, t, s.boxes.get(0), 1);
     report(s, 0.6);
     s.pass(Span.ofMillis(900));
     assertEquals(1, low.rung, "not before the long average has come down");
@@ -98,8 +100,8 @@
 
   @Test
   void aLongGapMovesAnAverageToTheSampleAndNotPastIt() {
-    Stage s = stage(1, false);
-    Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
+    PolicyHarness s = stage(1, false);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
     s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
     s.now = s.now.plus(Span.ofSeconds(30));
     s.policy.clock(s.now);
@@ -109,7 +111,7 @@
 
   @Test
   void capBoundsTheRungOfASetUp() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     Policy.Title t = s.policy.title(0, 4);
     assertEquals(4, s.take(PLAIN, t, PATIENCE).rung, "an empty link leaves room for the top rung");
     report(s, 0.7);
@@ -119,7 +121,7 @@
 
   @Test
   void goesToTheRoomiestHolder() {
-    Stage s = stage(4, false);
+    PolicyHarness s = stage(4, false);
     report(s, 0.8);
     s.boxes.get(2).handle.reported(0.2, Double.NaN, Double.NaN);
     s.boxes.get(3).handle.reported(0.1, Double.NaN, Double.NaN);
@@ -128,10 +130,10 @@
 
   @Test
   void afterSilenceAnotherBoxIsTriedAndTheSilentOneAvoided() {
-    Stage s = stage(2, false);
+    PolicyHarness s = stage(2, false);
     Policy.Title t = s.policy.title(0, 4);
-    Stage.Viewer v = s.take(PLAIN, t, PATIENCE);
-    Stage.Box silent = v.out;
+    PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
+    PolicyHarness.Box silent = v.out;
     assertTrue(v.timeout.under(PLAIN.joinTarget()), "room for another within the join target");
     s.pass(v.timeout);
     assertNotEquals(silent, v.out);
@@ -141,18 +143,18 @@
 
   @Test
   void afterAnErrorOthersArePreferred() {
-    Stage s = stage(2, false);
+    PolicyHarness s = stage(2, false);
     Policy.Title t = s.policy.title(0, 4);
-    Stage.Viewer v = s.take(PLAIN, t, PATIENCE);
-    Stage.Box failing = v.out;
-    v.ends(Outside.Ending.ERROR);
+    PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
+    PolicyHarness.Box failing = v.out;
+    v.ends(Environment.AttemptOutcome.ERROR);
     v.plays();
     assertNotEquals(failing, s.take(PLAIN, t, PATIENCE).out);
   }
 
   @Test
   void whenEveryBoxIsUnderSuspicionOneIsUsedAllTheSame() {
-    Stage s = stage(2, false);
+    PolicyHarness s = stage(2, false);
     s.boxes.forEach(b -> b.handle.probed(false));
     s.pass(Span.ofSeconds(3));
     s.boxes.forEach(b -> b.handle.probed(false));
@@ -161,28 +163,29 @@
 
   @Test
   void fullToTheFloorBlocksAtOnceAndSaysWhenToComeBack() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     report(s, 2.5);
     assertEquals("blocked", s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer);
   }
 
   @Test
   void paidAtSetUpIsAbortedOnceItMayHaveRun() {
-    PackageTerms paid = Stage.terms(0, 0, true);
-    Stage s = new Stage(Stage.place(2, false, false, Span.NONE, paid), 7, 2);
-    Stage.Viewer v = s.take(paid, s.policy.title(0, 4), PATIENCE);
-    v.ends(Outside.Ending.TURNED_AWAY);
+    PackageSettings paid = PolicyHarness.terms(0, 0, true);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, false, false, Span.NONE, paid), 7, 2);
+    PolicyHarness.Viewer v = s.take(paid, s.policy.title(0, 4), PATIENCE);
+    v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     assertNotNull(v.out, "what provably never ran is sent again");
-    v.ends(Outside.Ending.ERROR);
+    v.ends(Environment.AttemptOutcome.ERROR);
     assertEquals("aborted", v.answer);
   }
 
   @Test
   void oneShortBoxDoesNotBlameTheUplink() {
-    Stage s = stage(3, true);
+    PolicyHarness s = stage(3, true);
     Policy.Title t = s.policy.title(0, 4);
-    Stage.Viewer hit = s.plays(PLAIN, t, s.boxes.get(0), 3);
-    Stage.Viewer other = s.plays(PLAIN, t, s.boxes.get(1), 3);
+    PolicyHarness.Viewer hit = s.plays(PLAIN, t, s.boxes.get(0), 3);
+    PolicyHarness.Viewer other = s.plays(PLAIN, t, s.boxes.get(1), 3);
     for (int i = 0; i < 4; i++) {
       hit.handle.shareDelivered(0.8);
       s.pass(Span.ofSeconds(1));
@@ -193,9 +196,9 @@
 
   @Test
   void whatOtherFrontsPlayFillsTheRoom() {
-    Stage s = stage(2, true);
+    PolicyHarness s = stage(2, true);
     s.boxes.get(0).handle.frontPlays(1, 9, 800, 1);
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     assertSame(s.boxes.get(1), v.out);
     s.boxes.get(0).handle.frontPlays(2, 1, 60, 1);
     assertEquals(List.of(0.0, 800.0), s.answered);
@@ -203,32 +206,32 @@
 
   @Test
   void aSilentFrontsLastWordIsForgotten() {
-    Stage s = stage(1, true);
+    PolicyHarness s = stage(1, true);
     s.boxes.get(0).handle.frontPlays(1, 9, 1200, 1);
     Policy.Title t = s.policy.title(0, 4);
     assertEquals(0, s.take(PLAIN, t, PATIENCE).rung);
-    s.viewers.get(0).ends(Outside.Ending.NEVER_SENT);
+    s.viewers.get(0).ends(Environment.AttemptOutcome.NEVER_SENT);
     s.pass(Span.ofSeconds(20));
     assertEquals(4, s.take(PLAIN, t, PATIENCE).rung);
   }
 
   @Test
   void anUplinkKeepsRoomForEachOfItsBoxes() {
-    Stage s = stage(4, true);
+    PolicyHarness s = stage(4, true);
     for (int i = 0; i < 3; i++) {
       s.boxes.get(i).handle.frontPlays(1, 10, 1150, 1);
     }
     s.boxes.get(3).handle.frontPlays(1, 3, 60, 1);
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(3, 1), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(3, 1), PATIENCE);
     assertTrue(v.rung > 0 && v.rung < 4, "rung " + v.rung);
   }
 
   @Test
   void noMoreTuneInsThanAllowed() {
-    Stage s = stage(4, false);
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness s = stage(4, false);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     while (v.out != null) {
-      v.ends(Outside.Ending.TURNED_AWAY);
+      v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     }
     assertEquals(4, v.tuneIns);
     assertEquals("blocked", v.answer);
@@ -236,9 +239,9 @@
 
   @Test
   void drainingBoxesGetNothingAndHeldViewingsAreAnswered() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     s.boxes.get(0).draining();
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     assertNull(v.out);
     s.pass(PATIENCE);
     assertEquals("blocked", v.answer);
@@ -246,27 +249,28 @@
 
   @Test
   void aViewerWhoLeavesIsNotAnswered() {
-    Stage s = stage(1, false);
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness s = stage(1, false);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     v.handle.viewerLeft();
     v.answer = "left";
-    v.ends(Outside.Ending.WITHDRAWN);
+    v.ends(Environment.AttemptOutcome.WITHDRAWN);
     assertEquals(1, v.tuneIns);
     assertFalse(v.playing);
   }
 
-  private static Stage probing() {
-    Stage s = new Stage(Stage.place(80, false, true, Span.NONE, PLAIN), 7, 3);
+  private static PolicyHarness probing() {
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(80, false, true, Span.NONE, PLAIN), 7, 3);
     s.pass(Span.ofSeconds(2));
     return s;
   }
 
   @Test
   void aNewcomerGoesToTheRoomierOfTheBoxesAsked() {
-    Stage s = probing();
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness s = probing();
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     assertNull(v.out, "it waits for the answers");
-    List<Stage.Box> asked = s.boxes.stream().filter(b -> b.probes > 0).toList();
+    List<PolicyHarness.Box> asked = s.boxes.stream().filter(b -> b.probes > 0).toList();
     assertEquals(2, asked.size());
     asked.get(0).handle.reported(0.9, 0.5, Double.NaN);
     asked.get(0).handle.probed(true);
@@ -277,8 +281,8 @@
 
   @Test
   void withNoAnswerANewcomerIsSentAllTheSame() {
-    Stage s = probing();
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness s = probing();
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     assertNull(v.out);
     s.pass(Span.ofMillis(100));
     assertNotNull(v.out);
@@ -286,8 +290,8 @@
 
   @Test
   void aStepUpAsksFirst() {
-    Stage s = probing();
-    Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 1);
+    PolicyHarness s = probing();
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 1);
     s.take(PLAIN, s.policy.title(0, 4), PATIENCE); // a viewing more: the price of probes is earned
     s.pass(Span.ofSeconds(6));
     assertEquals(1, v.rung, "nothing heard, nothing stepped");
@@ -301,9 +305,9 @@
 
   @Test
   void shortNotesThatStillShowWhatWasShedShedNoMore() {
-    Stage s = stage(1, false);
-    Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
-    Stage.Viewer w = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
+    PolicyHarness s = stage(1, false);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
+    PolicyHarness.Viewer w = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
     s.pass(Span.ofSeconds(4));
     while (v.rung + w.rung == 8) {
       v.handle.shareDelivered(0.75);
@@ -319,7 +323,7 @@
 
   @Test
   void theKeeperSizesAShortUplinkAndTellsIt() {
-    Stage s = stage(1, true);
+    PolicyHarness s = stage(1, true);
     s.boxes.get(0).handle.frontPlays(1, 9, 3000, 1);
     s.pass(Span.ofSeconds(4));
     s.boxes.get(0).handle.frontPlays(1, 9, 3000, 0.8);
@@ -329,7 +333,8 @@
 
   @Test
   void aKeeperThatHasJustStartedAnswersNobody() {
-    Stage s = new Stage(Stage.place(2, true, false, Span.NONE, PLAIN), 7, 1);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, true, false, Span.NONE, PLAIN), 7, 1);
     s.boxes.get(0).handle.frontPlays(1, 9, 800, 1);
     assertTrue(s.answered.isEmpty());
     assertNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer, "a partial sum blocks nobody");
@@ -337,7 +342,7 @@
 
   @Test
   void aNewcomerThatWouldMakeItsBoxShortIsBlocked() {
-    Stage s = stage(1, false);
+    PolicyHarness s = stage(1, false);
     report(s, 0.99);
     assertEquals("blocked", s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer);
     s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
@@ -346,11 +351,12 @@
 
   @Test
   void furtherTuneInsAreRationedAcrossViewings() {
-    Stage s = new Stage(Stage.place(2, false, false, Span.ofSeconds(5), PLAIN), 7, 4);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, false, false, Span.ofSeconds(5), PLAIN), 7, 4);
     for (int i = 0; i < 10; i++) {
-      Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
       while (v.out != null) {
-        v.ends(Outside.Ending.TURNED_AWAY);
+        v.ends(Environment.AttemptOutcome.TURNED_AWAY);
       }
     }
     assertEquals(10 + 3 + 2, s.viewers.stream().mapToInt(v -> v.tuneIns).sum());
@@ -362,7 +368,8 @@
    */
   @Test
   void furtherTuneInsStayWithinTheirBudgetHoweverLateTheyLeave() {
-    Stage s = new Stage(Stage.place(2, false, false, Span.ofSeconds(5), PLAIN), 7, 4);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, false, false, Span.ofSeconds(5), PLAIN), 7, 4);
     for (int i = 0; i < 4; i++) {
       refused(s);
     }
@@ -374,17 +381,18 @@
     assertTrue(refused(s) > 1);
   }
 
-  private static int refused(Stage s) {
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+  private static int refused(PolicyHarness s) {
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     while (v.out != null) {
-      v.ends(Outside.Ending.TURNED_AWAY);
+      v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     }
     return v.tuneIns;
   }
 
   @Test
   void aFrontThatHasJustStartedSendsNothingToAColdBox() {
-    Stage s = new Stage(Stage.place(1, false, false, Span.NONE, PLAIN), 7, 1);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(1, false, false, Span.NONE, PLAIN), 7, 1);
     s.boxes.get(0).serving(s.now);
     assertNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).out);
     s.pass(Span.ofSeconds(3));
@@ -393,8 +401,8 @@
 
   @Test
   void ratesInForceBeforeTheFirstReportAreNoNews() {
-    Stage s = stage(1, false);
-    Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
+    PolicyHarness s = stage(1, false);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
     report(s, 0.9);
     s.pass(Span.ofSeconds(2));
     assertEquals(4, v.rung, "its 300 kB are in the 900 reported");
@@ -402,8 +410,8 @@
 
   @Test
   void whenAllWordsAreLostTheGuessAloneShedsNothing() {
-    Stage s = stage(8, true);
-    Stage.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
+    PolicyHarness s = stage(8, true);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
     s.boxes.get(0).handle.frontPlays(1, 9, 300, 1);
     s.pass(Span.ofSeconds(20));
     for (int i = 0; i < 40; i++) {
@@ -420,19 +428,25 @@
    */
   @Test
   void aBoxThatWasHeardMeanwhileIsHeldToNoColdPace() {
-    for (Outside.Ending how :
-        List.of(Outside.Ending.NO_ANSWER, Outside.Ending.UNHEARD, Outside.Ending.HELD_UP)) {
-      Stage s = stage(1, false);
-      Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    for (Environment.AttemptOutcome how :
+        List.of(
+            Environment.AttemptOutcome.NO_ANSWER,
+            Environment.AttemptOutcome.UNHEARD,
+            Environment.AttemptOutcome.HELD_UP)) {
+      PolicyHarness s = stage(1, false);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
       v.ends(how);
       assertTrue(v.out == null, how + ": the first may still be out there");
       v.endConfirmed(0);
       assertEquals(
-          how == Outside.Ending.NO_ANSWER, v.out == null, how + ": it may have started anew");
+          how == Environment.AttemptOutcome.NO_ANSWER,
+          v.out == null,
+          how + ": it may have started anew");
     }
-    Stage s = new Stage(Stage.place(2, false, true, Span.NONE, PLAIN), 7, 1);
+    PolicyHarness s =
+        new PolicyHarness(PolicyHarness.place(2, false, true, Span.NONE, PLAIN), 7, 1);
     s.pass(Span.ofSeconds(3));
-    s.boxes.get(0).handle.probed(Outside.Ending.HELD_UP);
+    s.boxes.get(0).handle.probed(Environment.AttemptOutcome.HELD_UP);
     s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
     s.pass(Span.ofMillis(100));
     s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
@@ -445,11 +459,11 @@
   @Test
   void onOldNewsANewcomerTakesTheRungNearestItsPartOfTheUplink() {
     for (double price : new double[] {0.008, 0.08}) {
-      Headend h = Stage.place(200, false, true, Span.NONE, PLAIN);
-      Headend.Permits p = h.permits();
-      Stage s =
-          new Stage(
-              new Headend(
+      Deployment h = PolicyHarness.place(200, false, true, Span.NONE, PLAIN);
+      Deployment.Permissions p = h.permits();
+      PolicyHarness s =
+          new PolicyHarness(
+              new Deployment(
                   h.fronts(),
                   h.ownNumber(),
                   h.building(),
@@ -458,13 +472,13 @@
                   h.rungValue(),
                   h.fleet(),
                   h.rules(),
-                  new Headend.Permits(
+                  new Deployment.Permissions(
                       p.tuneIns(), false, true, true, price, 0.01, 0, p.longestAdvice())),
               7,
               1);
       s.pass(Span.ofSeconds(3));
       s.boxes.get(0).handle.reported(0.3, 0.95, 10);
-      Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(
           price > 0.01 ? 2 : 0,
@@ -487,10 +501,10 @@
             new Case(4, 1, false),
             new Case(2, 2, true),
             new Case(4, 2, true))) {
-      Headend h = Stage.place(200, false, true, Span.NONE, PLAIN);
-      Stage s =
-          new Stage(
-              new Headend(
+      Deployment h = PolicyHarness.place(200, false, true, Span.NONE, PLAIN);
+      PolicyHarness s =
+          new PolicyHarness(
+              new Deployment(
                   h.fronts(),
                   h.ownNumber(),
                   h.building(),
@@ -499,12 +513,13 @@
                   h.rungValue(),
                   h.fleet(),
                   h.rules(),
-                  new Headend.Permits(4, false, true, true, 0.08, 0.01, 0, Span.ofSeconds(2))),
+                  new Deployment.Permissions(
+                      4, false, true, true, 0.08, 0.01, 0, Span.ofSeconds(2))),
               7,
               5);
       s.pass(Span.ofSeconds(3));
       for (int box = 1; box <= c.plays(); box++) {
-        Stage.Viewer there = s.plays(PLAIN, s.policy.title(box, 1), s.boxes.get(box), 1);
+        PolicyHarness.Viewer there = s.plays(PLAIN, s.policy.title(box, 1), s.boxes.get(box), 1);
         s.boxes
             .get(box)
             .handle
@@ -512,10 +527,10 @@
         there.handle.shareDelivered(box <= c.isShort() ? 0.9 : 1);
       }
       s.boxes.get(0).handle.reported(0.1, 0.1, 1);
-      Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 1), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 1), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(c.low(), v.rung == 0, "rung " + v.rung + " in " + c);
-      Stage.Viewer beside = s.take(PLAIN, s.policy.title(1, 1), PATIENCE);
+      PolicyHarness.Viewer beside = s.take(PLAIN, s.policy.title(1, 1), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(
           c.isShort() > 0,
@@ -526,11 +541,11 @@
 
   @Test
   void whereConnectionsArePricedNewcomersKeepToBoxesThatTheFrontPlaysOn() {
-    Headend h = Stage.place(200, false, false, Span.NONE, PLAIN);
+    Deployment h = PolicyHarness.place(200, false, false, Span.NONE, PLAIN);
     for (double price : new double[] {0, 0.08}) {
-      Stage s =
-          new Stage(
-              new Headend(
+      PolicyHarness s =
+          new PolicyHarness(
+              new Deployment(
                   h.fronts(),
                   h.ownNumber(),
                   h.building(),
@@ -539,7 +554,8 @@
                   h.rungValue(),
                   h.fleet(),
                   h.rules(),
-                  new Headend.Permits(4, false, false, false, 0, 0, price, Span.ofSeconds(2))),
+                  new Deployment.Permissions(
+                      4, false, false, false, 0, 0, price, Span.ofSeconds(2))),
               7,
               4);
       s.pass(Span.ofSeconds(3));
@@ -558,12 +574,12 @@
    */
   @Test
   void aServerThatMayStillHaveAnAttemptGetsNoFurtherOneUntilItIsConfirmed() {
-    for (Outside.Ending how : Outside.Ending.values()) {
+    for (Environment.AttemptOutcome how : Environment.AttemptOutcome.values()) {
       if (how.confirmed) {
         continue;
       }
-      Stage s = stage(1, false);
-      Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness s = stage(1, false);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
       v.ends(how);
       s.pass(Span.ofMillis(200));
       assertTrue(v.out == null && v.answer == null, how + ": it waits for the confirmation");
@@ -575,9 +591,9 @@
   /** Guards against an attempt that is forgotten as its server leaves the list and comes back. */
   @Test
   void aServerThatLeavesTheListAndComesBackIsStillTheOneThatMayHaveAnAttempt() {
-    Stage s = stage(1, false);
-    Stage.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
-    v.ends(Outside.Ending.UNHEARD);
+    PolicyHarness s = stage(1, false);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    v.ends(Environment.AttemptOutcome.UNHEARD);
     s.boxes.get(0).gone();
     s.boxes.get(0).serving(Moment.DISTANT_PAST);
     s.pass(Span.ofMillis(150));
--- a/src/test/java/linengauge/RulesTest.java
+++ b/src/test/java/linengauge/RulesTest.java
@@ -17,18 +17,20 @@
       })
   void rulesHoldAfterEveryStep(long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    PackageTerms[] packages = {
-      Stage.terms(0, 0, false), Stage.terms(2, 2, false), Stage.terms(0, 0, true)
+    PackageSettings[] packages = {
+      PolicyHarness.terms(0, 0, false),
+      PolicyHarness.terms(2, 2, false),
+      PolicyHarness.terms(0, 0, true)
     };
     Span ration = chance.nextBoolean() ? Span.ofSeconds(5) : Span.NONE;
-    Headend place =
-        Stage.place(
+    Deployment place =
+        PolicyHarness.place(
             1 + chance.nextInt(seed % 2 == 0 ? 6 : 300),
             chance.nextBoolean(),
             chance.nextBoolean(),
             ration,
             packages);
-    Stage stage = new Stage(place, seed, 4);
+    PolicyHarness stage = new PolicyHarness(place, seed, 4);
     List<Policy.Title> titles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
       titles.add(stage.policy.title(i, 3));
@@ -44,10 +46,10 @@
             titles.get(chance.nextInt(3)),
             Span.ofMillis(300 + chance.nextInt(3000)));
       }
-      for (Stage.Viewer v : List.copyOf(stage.viewers)) {
+      for (PolicyHarness.Viewer v : List.copyOf(stage.viewers)) {
         plays += outcome(stage, v, chance, trouble);
       }
-      Stage.Box box = stage.boxes.get(chance.nextInt(4));
+      PolicyHarness.Box box = stage.boxes.get(chance.nextInt(4));
       switch (chance.nextInt(120)) {
         case 0 -> box.draining();
         case 1 -> box.gone();
@@ -82,20 +84,21 @@
   @ValueSource(ints = {1, 3, 20, 240})
   void allFrontsTogetherNeverPushAColdBoxOver(int fronts) {
     SplittableRandom chance = new SplittableRandom(fronts);
-    PackageTerms plain = Stage.terms(0, 0, false);
-    Headend place = Stage.place(fronts, false, false, Span.NONE, plain);
-    List<Stage> stages = new ArrayList<>();
+    PackageSettings plain = PolicyHarness.terms(0, 0, false);
+    Deployment place = PolicyHarness.place(fronts, false, false, Span.NONE, plain);
+    List<PolicyHarness> stages = new ArrayList<>();
     for (int i = 0; i < fronts; i++) {
-      stages.add(new Stage(Stage.numbered(place, i), i, 4));
+      stages.add(new PolicyHarness(PolicyHarness.numbered(place, i), i, 4));
       stages.get(i).pass(Span.ofSeconds(3));
       stages.get(i).boxes.forEach(b -> b.serving(stages.get(0).now));
     }
     List<List<Moment>> sends =
         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (int step = 0; step < 90; step++) {
-      for (Stage s : stages) {
+      for (PolicyHarness s : stages) {
         s.pass(Span.ofMillis(100));
-        Stage.Viewer v = s.take(plain, s.policy.title(chance.nextInt(4), 1), Span.ofMillis(900));
+        PolicyHarness.Viewer v =
+            s.take(plain, s.policy.title(chance.nextInt(4), 1), Span.ofMillis(900));
         if (v.out != null) {
           sends.get(s.boxes.indexOf(v.out)).add(s.now);
           v.plays();
@@ -115,14 +118,15 @@
     }
   }
 
-  private static int outcome(Stage stage, Stage.Viewer v, SplittableRandom chance, double trouble) {
+  private static int outcome(
+      PolicyHarness stage, PolicyHarness.Viewer v, SplittableRandom chance, double trouble) {
     if (v.out == null) {
       return 0;
     }
     if (v.playing) {
       switch (chance.nextInt(400)) {
-        case 0, 1, 2 -> v.ends(Outside.Ending.FINISHED);
-        case 3 -> v.ends(Outside.Ending.BROKEN);
+        case 0, 1, 2 -> v.ends(Environment.AttemptOutcome.FINISHED);
+        case 3 -> v.ends(Environment.AttemptOutcome.BROKEN);
         case 4, 5, 6 -> v.handle.shareDelivered(chance.nextDouble());
         case 7 -> v.handle.loadsTold(chance.nextDouble() * 2, Double.NaN);
         default -> {}
@@ -130,12 +134,12 @@
       return 0;
     }
     if (chance.nextDouble() < trouble / 10) {
-      Outside.Ending[] ends = {
-        Outside.Ending.ERROR,
-        Outside.Ending.TURNED_AWAY,
-        Outside.Ending.NOT_REACHED,
-        Outside.Ending.BROKEN,
-        Outside.Ending.NEVER_SENT
+      Environment.AttemptOutcome[] ends = {
+        Environment.AttemptOutcome.ERROR,
+        Environment.AttemptOutcome.TURNED_AWAY,
+        Environment.AttemptOutcome.NOT_REACHED,
+        Environment.AttemptOutcome.BROKEN,
+        Environment.AttemptOutcome.NEVER_SENT
       };
       v.ends(ends[chance.nextInt(ends.length)]);
     } else if (chance.nextDouble() > trouble && chance.nextInt(4) == 0) {
--- a/src/test/java/linengauge/platform/KeepTest.java
+++ b/src/test/java/linengauge/platform/KeepTest.java
@@ -7,8 +7,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import linengauge.Environment.AttemptOutcome;
 import linengauge.Moment;
-import linengauge.Outside.Ending;
 import linengauge.Span;
 import linengauge.platform.keep.AcceptBacklog;
 import linengauge.platform.keep.DescriptorBudget;
@@ -244,17 +244,17 @@
   @Test
   void anEndThatOvertakesTheHandingOverIsKeptForAWhileAndTakenOnce() {
     EarlyEnds ends = new EarlyEnds(2, Span.ofMillis(8000));
-    ends.heard(1, Ending.FINISHED, at(0));
-    assertEquals(Ending.FINISHED, ends.take(1));
+    ends.heard(1, AttemptOutcome.FINISHED, at(0));
+    assertEquals(AttemptOutcome.FINISHED, ends.take(1));
     assertNull(ends.take(1));
     for (long id = 2; id < 5; id++) {
-      ends.heard(id, Ending.BROKEN, at(id));
+      ends.heard(id, AttemptOutcome.BROKEN, at(id));
     }
     assertEquals(2, ends.size());
     assertNull(ends.take(2), "the oldest has gone");
     ends.look(at(8004));
     assertNull(ends.take(3), "its time is over");
-    assertEquals(Ending.BROKEN, ends.take(4));
+    assertEquals(AttemptOutcome.BROKEN, ends.take(4));
   }
 
   @Test
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -5,10 +5,10 @@
 import java.util.Locale;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
@@ -19,10 +19,12 @@
  * for the judge.
  */
 final class CoreStage {
-  static final PackageTerms PLAIN = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
-  static final PackageTerms SEATED = new PackageTerms(2, Span.ofMillis(1000), 1, 1, 4, 2, false);
-  static final PackageTerms PAID = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, true);
-  static final List<PackageTerms> PACKAGES = List.of(PLAIN, SEATED, PAID);
+  static final PackageSettings PLAIN =
+      new PackageSettings(1, Span.ofMillis(800), 1, 0, 4, 0, false);
+  static final PackageSettings SEATED =
+      new PackageSettings(2, Span.ofMillis(1000), 1, 1, 4, 2, false);
+  static final PackageSettings PAID = new PackageSettings(1, Span.ofMillis(800), 1, 0, 4, 0, true);
+  static final List<PackageSettings> PACKAGES = List.of(PLAIN, SEATED, PAID);
   private static final String[] NAMES = {"plain", "seated", "paid"};
   static final Desk.Bounds BOUNDS =
       new Desk.Bounds(
@@ -90,7 +92,7 @@
     }
 
     @Override
-    public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+    public void blocked(Span comeBackAfter, Environment.RejectionReason reason) {
       advice = comeBackAfter;
       answered("blocked", "");
     }
@@ -124,7 +126,7 @@
     /** Wakes sooner than this are lost. */
     Span losesWakesUnder = Span.NONE;
 
-    Front(int number, Headend house, long seed) {
+    Front(int number, Deployment house, long seed) {
       this.number = number;
       this.desk = new Desk(house, BOUNDS, seed, "a", this);
       saw("'what':'front-started','front':%d", number);
@@ -203,11 +205,11 @@
           Span.ofMillis(holdBack ? 300 : 1),
           () -> {
             if (!vw.sendable(tuneIn)) {
-              vw.failed(tuneIn, Outside.Ending.NEVER_SENT);
+              vw.failed(tuneIn, Environment.AttemptOutcome.NEVER_SENT);
               return;
             }
             if (box.mood == Mood.REFUSES) {
-              vw.failed(tuneIn, Outside.Ending.NOT_REACHED);
+              vw.failed(tuneIn, Environment.AttemptOutcome.NOT_REACHED);
               return;
             }
             saw(
@@ -235,20 +237,21 @@
                       on(Span.ofMillis(1), () -> vw.plays(tuneIn));
                     });
               }
-              case ERRORS -> ends(box, vw, tuneIn, "error", Outside.Ending.ERROR);
-              case TURNS_AWAY -> ends(box, vw, tuneIn, "turned-away", Outside.Ending.TURNED_AWAY);
+              case ERRORS -> ends(box, vw, tuneIn, "error", Environment.AttemptOutcome.ERROR);
+              case TURNS_AWAY ->
+                  ends(box, vw, tuneIn, "turned-away", Environment.AttemptOutcome.TURNED_AWAY);
               case RESETS -> {
                 saw(
                     "'what':'set-up-broken','box':%d,'viewing':'%s','tuneIn':%d",
                     box.id, vw.id(), tuneIn);
-                on(Span.ofMillis(1), () -> vw.failed(tuneIn, Outside.Ending.BROKEN));
+                on(Span.ofMillis(1), () -> vw.failed(tuneIn, Environment.AttemptOutcome.BROKEN));
               }
               default -> {}
             }
           });
     }
 
-    private void ends(Box box, Held vw, int tuneIn, String how, Outside.Ending ending) {
+    private void ends(Box box, Held vw, int tuneIn, String how, Environment.AttemptOutcome ending) {
       heard(box, vw, tuneIn, how);
       on(Span.ofMillis(1), () -> vw.failed(tuneIn, ending));
     }
@@ -327,18 +330,19 @@
       boxes.add(new Box(i));
     }
     for (int i = 0; i < fronts; i++) {
-      Headend house =
-          new Headend(
+      Deployment house =
+          new Deployment(
               fronts,
               i,
               0,
               PACKAGES,
               new double[] {30, 60, 100, 170, 300},
               new double[] {0.25, 0.45, 0.65, 0.82, 1},
-              new Headend.Fleet(
+              new Deployment.Fleet(
                   4, 2, new int[] {24}, 1000.0 * boxCount, 1000, 1700, Span.ofMillis(800)),
-              new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
-              new Headend.Permits(4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
+              new Deployment.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
+              new Deployment.Permissions(
+                  4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
       this.fronts.add(new Front(i, house, seed + i));
       tellAll(this.fronts.get(i));
     }
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -8,8 +8,8 @@
 
 import java.util.List;
 import java.util.SplittableRandom;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -254,7 +254,7 @@
     s.pass(Span.ofMillis(200));
     assertEquals("plays", w.answer);
     w.held.abort();
-    w.held.block(Span.NONE, Outside.Refusal.NO_SERVER);
+    w.held.block(Span.NONE, Environment.RejectionReason.NO_SERVER);
     assertEquals("plays", w.answer);
     assertEquals(0, s.judged().broken("one-answer"));
   }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -4,10 +4,10 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 
@@ -60,7 +60,7 @@
         }
 
         @Override
-        public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+        public void blocked(Span comeBackAfter, Environment.RejectionReason reason) {
           done.add("blocked");
         }
 
@@ -81,18 +81,18 @@
       };
 
   private List<String> answeredAfter(long ms) {
-    PackageTerms pack = new PackageTerms(1, Span.ofMillis(800), 1, 0, 1, 0, false);
-    Headend house =
-        new Headend(
+    PackageSettings pack = new PackageSettings(1, Span.ofMillis(800), 1, 0, 1, 0, false);
+    Deployment house =
+        new Deployment(
             1,
             0,
             0,
             List.of(pack),
             new double[] {100, 200},
             new double[] {0.5, 1},
-            new Headend.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
-            new Headend.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
-            new Headend.Permits(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
+            new Deployment.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
+            new Deployment.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
+            new Deployment.Permissions(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
     Desk desk =
         new Desk(
             house,
--- a/src/test/java/linengauge/site/SiteFileTest.java
+++ b/src/test/java/linengauge/site/SiteFileTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.nio.file.Path;
-import linengauge.Headend;
+import linengauge.Deployment;
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -33,7 +33,7 @@
   @Test
   void aGoodFileIsReadWithDefaults() throws BadSite {
     Site site = SiteFile.parse("f", with("", ""));
-    Headend house = site.headend();
+    Deployment house = site.headend();
     assertEquals(1, house.ownNumber());
     assertEquals(1, house.building());
     assertEquals(Span.ofMillis(800), house.packages().get(0).joinTarget());
