--- a/src/main/java/linengauge/Environment.java
+++ b/src/main/java/linengauge/Environment.java
@@ -9,19 +9,19 @@
   /**
    * Runs the given step once, not earlier than after the span and never within the present call.
    */
-  void wakeAfter(Span span, Runnable step);
+  void schedule(Span span, Runnable step);
 
   /**
    * Tells another front, which keeps it, what this one plays at a box, and the share that the
    * uplink delivers there.
    */
-  void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare);
+  void sendUsage(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare);
 
   /**
    * Answers such a front with what all others play at the box, what all play on its rack, and the
    * size of the rack's uplink.
    */
-  void answer(
+  void sendRackUsage(
       int front,
       Policy.MediaBox box,
       int othersViewings,
@@ -40,18 +40,18 @@
      * Asks the server to show that it has read the end of that attempt, where it can be asked; told
      * by {@link Policy.Viewing#endConfirmed}.
      */
-    default void askConfirmation(long server) {}
+    default void requestEndConfirmation(long server) {}
 
-    void rung(int rung);
+    void setRung(int rung);
 
     /**
      * Final answer: blocked; a further try is harmless, best after the given span (none: no
      * advice). The reason is for the log.
      */
-    void block(Span comeBackAfter, RejectionReason reason);
+    void reject(Span comeBackAfter, RejectionReason reason);
 
     /** Final answer: aborted; says nothing of what may have run. */
-    void abort();
+    void fail();
   }
 
   /** Why a request was refused, as operators read it. */
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -139,7 +139,7 @@
     now = moment;
     if (started == null) {
       started = moment;
-      outside.wakeAfter(BEAT, this::beat);
+      outside.schedule(BEAT, this::beat);
     }
   }
 
@@ -179,7 +179,7 @@
   }
 
   private void beat() {
-    outside.wakeAfter(BEAT, this::beat);
+    outside.schedule(BEAT, this::beat);
     for (Rack r : racks) {
       r.relax();
     }
@@ -683,7 +683,7 @@
         rack.shortOf(share);
       }
       if (SETTLED.under(now.since(started))) {
-        outside.answer(
+        outside.sendRackUsage(
             front,
             this,
             wordsCount - count + viewings.size(),
@@ -717,7 +717,7 @@
       if (keeper == house.ownNumber()) {
         return false;
       }
-      outside.tell(keeper, this, viewings.size(), link.own, uplinkShare);
+      outside.sendUsage(keeper, this, viewings.size(), link.own, uplinkShare);
       return true;
     }
 
@@ -769,7 +769,7 @@
         lowered.add(top);
         top = next(-1);
       }
-      lowered.forEach(vw -> vw.player.rung(vw.rung)); // each change costs: one for several steps
+      lowered.forEach(vw -> vw.player.setRung(vw.rung)); // each change costs: one for several steps
     }
 
     private void stepUp(Viewing low, double under) {
@@ -779,7 +779,7 @@
       for (; low != null && chance.nextDouble() < part / low.added(1); low = next(1)) {
         part -= low.added(1);
         low.shift(1);
-        low.player.rung(low.rung);
+        low.player.setRung(low.rung);
       }
     }
 
@@ -932,7 +932,7 @@
       ask(first);
       ask(first == null ? null : roomiest(first));
       if (unheard > 0) {
-        outside.wakeAfter(LOOK, this::place);
+        outside.schedule(LOOK, this::place);
       } else {
         place();
       }
@@ -1003,7 +1003,7 @@
     private void hold() {
       if (!holding) {
         holding = true;
-        outside.wakeAfter(
+        outside.schedule(
             HOLD,
             () -> {
               holding = false;
@@ -1018,7 +1018,7 @@
       if (barred != null && !asked && house.permits().probes()) {
         asked = true;
         probesLeft--;
-        player.askConfirmation(barred.line.id());
+        player.requestEndConfirmation(barred.line.id());
       }
     }
 
@@ -1093,7 +1093,7 @@
       Span wait = LEAST_WAIT.under(toTarget) ? toTarget.times(0.5).orMore(LEAST_WAIT) : LATE_WAIT;
       gatePassed(this, b);
       settle(b, fits);
-      player.rung(rung);
+      player.setRung(rung);
       player.tuneIn(b, wait.orLess(patienceLeft(this)));
       b.tell(1);
     }
@@ -1132,9 +1132,9 @@
       Environment.RejectionReason reason = refusal(best);
       answered = true;
       if (mayHaveRun && terms.paidAtSetUp()) {
-        player.abort();
+        player.fail();
       } else {
-        player.block(COME_BACK.orLess(house.permits().longestAdvice()), reason);
+        player.reject(COME_BACK.orLess(house.permits().longestAdvice()), reason);
       }
     }
 
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -7,7 +7,7 @@
  * Lifeguard (Dadgar, Phillips, Currey 2017).
  *
  * @param period between two pings of this front's own (T')
- * @param answer how long the direct ping may take; the helpers' have the rest of the period
+ * @param sendRackUsage how long the direct ping may take; the helpers' have the rest of the period
  * @param helpers fronts asked to ping in this one's place (k)
  * @param suspicion times log10 of the fleet, times the period: how long a suspected member has to
  *     speak at the least (alpha)
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -337,12 +337,13 @@
   /* ---- words between fronts ---- */
 
   @Override
-  public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
+  public void sendUsage(
+      int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
     send(front, Words.told(box, viewings, kb, uplinkShare));
   }
 
   @Override
-  public void answer(
+  public void sendRackUsage(
       int front,
       Policy.MediaBox box,
       int othersViewings,
@@ -387,7 +388,7 @@
   /* ---- time and order ---- */
 
   @Override
-  public void wakeAfter(Span span, Runnable step) {
+  public void schedule(Span span, Runnable step) {
     wake(span, step);
   }
 
--- a/src/main/java/linengauge/session/Held.java
+++ b/src/main/java/linengauge/session/Held.java
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public void askConfirmation(long server) {
+  public void requestEndConfirmation(long server) {
     desk.carrier().askConfirmation(this, server);
   }
 
@@ -168,7 +168,7 @@
   }
 
   @Override
-  public void rung(int to) {
+  public void setRung(int to) {
     rung = to;
     if (playing) {
       desk.carrier().rung(this);
@@ -176,7 +176,7 @@
   }
 
   @Override
-  public void block(Span comeBackAfter, Environment.RejectionReason reason) {
+  public void reject(Span comeBackAfter, Environment.RejectionReason reason) {
     if (answer()) {
       desk.counts().blocked++;
       viewer.blocked(comeBackAfter, reason);
@@ -185,7 +185,7 @@
   }
 
   @Override
-  public void abort() {
+  public void fail() {
     abort(
         last == Environment.AttemptOutcome.NO_ANSWER
                 || last == Environment.AttemptOutcome.UNHEARD
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -98,18 +98,18 @@
     }
 
     @Override
-    public void rung(int rung) {
+    public void setRung(int rung) {
       act("setRung", id, rung);
     }
 
     @Override
-    public void block(Span comeBackAfter, RejectionReason reason) {
+    public void reject(Span comeBackAfter, RejectionReason reason) {
       act("bounce", id, comeBackAfter.micros());
       answered();
     }
 
     @Override
-    public void abort() {
+    public void fail() {
       act("reportFailure", id);
       answered();
     }
@@ -354,19 +354,20 @@
   }
 
   @Override
-  public void wakeAfter(Span span, Runnable step) {
+  public void schedule(Span span, Runnable step) {
     String token = Long.toString(stepNumber++, 36);
     steps.put(token, step);
     act("notifyMe", span.micros(), token);
   }
 
   @Override
-  public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
+  public void sendUsage(
+      int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
     say(front, Words.told(box, viewings, kb, uplinkShare));
   }
 
   @Override
-  public void answer(
+  public void sendRackUsage(
       int front,
       Policy.MediaBox box,
       int othersViewings,
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -127,7 +127,7 @@
       out = box;
       this.timeout = timeout;
       int sent = tuneIns;
-      wakeAfter(
+      schedule(
           timeout,
           () -> {
             if (out != null && !playing && tuneIns == sent) {
@@ -144,19 +144,19 @@
     }
 
     @Override
-    public void rung(int rung) {
+    public void setRung(int rung) {
       assertTrue(rung >= terms.lowestRung() && rung <= ceiling, "rung " + rung + " not allowed");
       this.rung = rung;
     }
 
     @Override
-    public void block(Span comeBackAfter, Environment.RejectionReason reason) {
+    public void reject(Span comeBackAfter, Environment.RejectionReason reason) {
       assertFalse(terms.paidAtSetUp() && mayHaveRun, "blocked though it may have run");
       answered("blocked");
     }
 
     @Override
-    public void abort() {
+    public void fail() {
       answered("aborted");
     }
 
@@ -340,17 +340,18 @@
   }
 
   @Override
-  public void wakeAfter(Span span, Runnable step) {
+  public void schedule(Span span, Runnable step) {
     steps.add(new Step(now.plus(span), number++, step));
   }
 
   @Override
-  public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
+  public void sendUsage(
+      int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
     assertTrue(headend.permits().messages(), "talked where it may not");
   }
 
   @Override
-  public void answer(
+  public void sendRackUsage(
       int front,
       Policy.MediaBox box,
       int othersViewings,
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -253,8 +253,8 @@
     CoreStage.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(200));
     assertEquals("plays", w.answer);
-    w.held.abort();
-    w.held.block(Span.NONE, Environment.RejectionReason.NO_SERVER);
+    w.held.fail();
+    w.held.reject(Span.NONE, Environment.RejectionReason.NO_SERVER);
     assertEquals("plays", w.answer);
     assertEquals(0, s.judged().broken("one-answer"));
   }
