--- a/src/main/java/linengauge/Deployment.java
+++ b/src/main/java/linengauge/Deployment.java
@@ -7,47 +7,47 @@
  * what it may do.
  */
 public record Deployment(
-    int fronts,
-    int ownNumber,
+    int frontCount,
+    int frontNumber,
     int building,
     List<PackageSettings> packages,
-    double[] ladderKb,
-    double[] rungValue,
+    double[] ladderKbPerSecond,
+    double[] rungValues,
     Fleet fleet,
     Rules rules,
-    Permissions permits) {
+    Permissions permissions) {
 
   /** Links and racks as told; linkKbPerWeight is 0 where the list gives no sizes. */
   public record Fleet(
-      int cells,
-      int racks,
+      int cellCount,
+      int rackCount,
       int[] streamsByKind,
-      double linksKb,
-      double linkKbPerWeight,
-      double uplinkKb,
-      Span shareLateness) {}
+      double totalLinkKbPerSecond,
+      double linkKbPerSecondPerWeight,
+      double uplinkKbPerSecond,
+      Span shareReportDelay) {}
 
   /** The figures of the rules; furtherSpan NONE: further tune-ins are not rationed. */
   public record Rules(
-      Span coldFor,
-      double startCapacity,
-      double fallMultiple,
-      Span fallAfter,
-      double furtherFree,
-      double furtherShare,
-      Span furtherSpan) {}
+      Span coldPeriod,
+      double coldStartCapacity,
+      double overloadMultiple,
+      Span overloadWindow,
+      double freeRetries,
+      double retriesPerRequest,
+      Span retryWindow) {}
 
   /**
    * What the front may do, and the prices that it weighs: of a probe, a crossing, a new connection
    * to a box.
    */
   public record Permissions(
-      int tuneIns,
-      boolean messages,
-      boolean probes,
-      boolean reportsUplink,
+      int maxTuneIns,
+      boolean mayMessageFronts,
+      boolean mayProbe,
+      boolean boxesReportUplink,
       double probePrice,
-      double crossingPrice,
-      double connectPrice,
-      Span longestAdvice) {}
+      double buildingCrossingPrice,
+      double connectionPrice,
+      Span maxRetryAfter) {}
 }
--- a/src/main/java/linengauge/PackageSettings.java
+++ b/src/main/java/linengauge/PackageSettings.java
@@ -3,9 +3,9 @@
 /** What is agreed for one package; seats 0: no limit. */
 public record PackageSettings(
     double value,
-    Span joinTarget,
+    Span latencyObjective,
     double rateFactor,
     int lowestRung,
     int highestRung,
-    int seats,
+    int maxViewingsPerTitle,
     boolean paidAtSetUp) {}
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -121,14 +121,15 @@
     this.house = house;
     this.outside = outside;
     this.chance = new SplittableRandom(seed);
-    double[] kb = house.ladderKb();
+    double[] kb = house.ladderKbPerSecond();
     this.middleKb = Math.sqrt(kb[0] * kb[kb.length - 1]);
-    this.othersPart = 1 - 1.0 / house.fronts();
-    this.oldNews = !house.permits().messages() && PROBE_SPEND < house.permits().probePrice();
-    for (int i = 0; i < Math.max(1, house.fleet().cells()); i++) {
+    this.othersPart = 1 - 1.0 / house.frontCount();
+    this.oldNews =
+        !house.permissions().mayMessageFronts() && PROBE_SPEND < house.permissions().probePrice();
+    for (int i = 0; i < Math.max(1, house.fleet().cellCount()); i++) {
       cells.add(new ArrayList<>());
     }
-    this.racks = new Rack[house.fleet().racks()];
+    this.racks = new Rack[house.fleet().rackCount()];
     for (int i = 0; i < racks.length; i++) {
       racks[i] = new Rack();
     }
@@ -263,7 +264,7 @@
     }
 
     double fill() {
-      return house.permits().probes()
+      return house.permissions().mayProbe()
           ? FILL
           : FILL_GUESSED + (FILL_TOLD - FILL_GUESSED) * wordHolds();
     }
@@ -274,7 +275,7 @@
      */
     double demand() {
       return blend(
-          house.permits().probes()
+          house.permissions().mayProbe()
               ? 0
               : Math.min(unheard(), Math.max(0, GUESSED_MOST * size() - own)));
     }
@@ -310,14 +311,14 @@
   /** What the list's sizes, or else the streams of the kinds, say of links in kB. */
   private double kbPerShare() {
     Deployment.Fleet fleet = house.fleet();
-    return fleet.linkKbPerWeight() > 0
-        ? fleet.linkKbPerWeight()
-        : fleet.linksKb() / Math.max(1, allShares);
+    return fleet.linkKbPerSecondPerWeight() > 0
+        ? fleet.linkKbPerSecondPerWeight()
+        : fleet.totalLinkKbPerSecond() / Math.max(1, allShares);
   }
 
   /** The uplink that a rack's boxes share. */
   private final class Rack extends Usage {
-    private double sizeKb = house.fleet().uplinkKb();
+    private double sizeKb = house.fleet().uplinkKbPerSecond();
     private Moment sizedAt = Moment.DISTANT_PAST;
 
     /**
@@ -377,12 +378,12 @@
     }
 
     void relax() {
-      double full = house.fleet().uplinkKb();
+      double full = house.fleet().uplinkKbPerSecond();
       double pace = RELAX.seconds() * (wordsKb > 0 ? 1 : 6); // words may be lost: not all at once
       double weight = Math.min(1, now.since(sizedAt).seconds() / pace);
       sizeKb += weight * (full - sizeKb);
       sizedAt = now;
-      double lag = house.fleet().shareLateness().plus(SHORT).seconds();
+      double lag = house.fleet().shareReportDelay().plus(SHORT).seconds();
       lately += Math.min(1, BEAT.seconds() / lag) * (demand() - lately);
     }
   }
@@ -505,7 +506,7 @@
      * kind.
      */
     private double share() {
-      return house.fleet().linkKbPerWeight() > 0 ? weight : places;
+      return house.fleet().linkKbPerSecondPerWeight() > 0 ? weight : places;
     }
 
     private void loads(double linkAsked, double uplinkAsked, Moment trueAt) {
@@ -551,7 +552,7 @@
     }
 
     private boolean probe() {
-      if (!house.permits().probes() || probesLeft < 1) {
+      if (!house.permissions().mayProbe() || probesLeft < 1) {
         return false;
       }
       probesLeft--;
@@ -608,11 +609,11 @@
         return;
       }
       shortAt = now;
-      Moment trueAt = now.minus(house.fleet().shareLateness()).minus(SMOOTHED);
+      Moment trueAt = now.minus(house.fleet().shareReportDelay()).minus(SMOOTHED);
       double asked = 1 / Math.max(LEAST_SHARE, share);
       if (rack.cleared() || link.load() >= rack.load()) {
         link.hear(asked, trueAt);
-      } else if (house.permits().reportsUplink() || rack.wordHolds() < 0.5) {
+      } else if (house.permissions().boxesReportUplink() || rack.wordHolds() < 0.5) {
         rack.hear(asked, trueAt);
       } else {
         rack.shortOf(1 / asked);
@@ -626,8 +627,8 @@
     /** The share of its size that a box which has just started is sure to give. */
     private double warmth() {
       double age = now.since(startedAt).seconds();
-      double whole = house.rules().coldFor().seconds();
-      double start = house.rules().startCapacity();
+      double whole = house.rules().coldPeriod().seconds();
+      double start = house.rules().coldStartCapacity();
       return age >= whole || whole <= 0 ? 1 : start + (1 - start) * Math.max(0, age) / whole;
     }
 
@@ -708,13 +709,13 @@
      * returns whether an answer is to come.
      */
     private boolean tell(double uplinkShare) {
-      if (!house.permits().messages() || house.fronts() < 2) {
+      if (!house.permissions().mayMessageFronts() || house.frontCount() < 2) {
         return false;
       }
       toldKb = link.own;
       toldAt = now;
-      int keeper = Math.floorMod(cell, racks.length) % house.fronts();
-      if (keeper == house.ownNumber()) {
+      int keeper = Math.floorMod(cell, racks.length) % house.frontCount();
+      if (keeper == house.frontNumber()) {
         return false;
       }
       outside.sendUsage(keeper, this, viewings.size(), link.own, uplinkShare);
@@ -728,8 +729,9 @@
       // With nothing heard and no probe to ask, own rates alone would look like room.
       Moment heardAt = reportedAt.orLater(link.elsewhereAt).orLater(link.toldTrueAt);
       boolean fresh =
-          now.since(heardAt).under(house.permits().probes() ? FRESH : TELL_ALL.times(2));
-      if (viewings.isEmpty() || !fresh && !house.permits().probes() && house.fronts() > 1) {
+          now.since(heardAt).under(house.permissions().mayProbe() ? FRESH : TELL_ALL.times(2));
+      if (viewings.isEmpty()
+          || !fresh && !house.permissions().mayProbe() && house.frontCount() > 1) {
         sampledAt = now;
         return;
       }
@@ -805,7 +807,7 @@
      * The other fronts' parts of what this one now does about a load of its link or of its uplink.
      */
     private void othersAlike(double by) {
-      if (house.permits().messages()) {
+      if (house.permissions().mayMessageFronts()) {
         return; // told soon
       }
       double onLink = by * Math.max(0, link.demand() - link.own);
@@ -825,7 +827,7 @@
               0,
               !Double.isNaN(streams)
                   ? streams - viewings.size()
-                  : house.permits().messages()
+                  : house.permissions().mayMessageFronts()
                       ? othersCount
                       : (link.likely() - link.own) / middleKb);
     }
@@ -884,15 +886,15 @@
       this.ceiling = Math.max(terms.lowestRung(), Math.min(ceiling, terms.highestRung()));
       this.patienceEnds = patienceEnds;
       this.margin = ANSWER_MARGIN.orLess(patienceEnds.since(now).times(MARGIN_PART));
-      this.target = now.plus(terms.joinTarget());
+      this.target = now.plus(terms.latencyObjective());
       probesLeft =
           Math.min(
               PROBES_HELD,
-              probesLeft + PROBE_SPEND / Math.max(0.001, house.permits().probePrice()));
+              probesLeft + PROBE_SPEND / Math.max(0.001, house.permissions().probePrice()));
     }
 
     private double rate(int r) {
-      return terms.rateFactor() * house.ladderKb()[r];
+      return terms.rateFactor() * house.ladderKbPerSecond()[r];
     }
 
     private boolean mayStep(int by) {
@@ -910,7 +912,7 @@
 
     /** Value won or lost for each kB of the step. */
     private double gain(int by) {
-      return terms.value() * (house.rungValue()[rung + by] - house.rungValue()[rung]) / added(by);
+      return terms.value() * (house.rungValues()[rung + by] - house.rungValues()[rung]) / added(by);
     }
 
     private void shift(int by) {
@@ -972,9 +974,12 @@
       double score = b.room() + 0.2 * b.link.room() + middleKb * chance.nextDouble();
       // Others of this front's play there: it is connected, and what is heard is heard for all of
       // them.
-      double connected = house.permits().connectPrice() * LOAD_FOR_PRICE * b.rack.size();
+      double connected = house.permissions().connectionPrice() * LOAD_FOR_PRICE * b.rack.size();
       score += b.viewings.isEmpty() ? 0 : connected;
-      score -= b.building == house.building() ? 0 : house.permits().crossingPrice() * 10 * middleKb;
+      score -=
+          b.building == house.building()
+              ? 0
+              : house.permissions().buildingCrossingPrice() * 10 * middleKb;
       score -= b.streams + b.settingUp() >= b.places ? 1e8 : 0;
       score -= b.avoided() ? 1e9 * (1 + b.failures) : 0;
       Moment heardAt = b.link.toldTrueAt.orLater(b.link.elsewhereAt);
@@ -1015,7 +1020,7 @@
     /** Asks once after each attempt, where nothing else is left; later probes pay for it. */
     private void askConfirmation() {
       MediaBox barred = barredByUnconfirmed();
-      if (barred != null && !asked && house.permits().probes()) {
+      if (barred != null && !asked && house.permissions().mayProbe()) {
         asked = true;
         probesLeft--;
         player.requestEndConfirmation(barred.line.id());
@@ -1052,7 +1057,7 @@
     }
 
     private boolean mayStillPlay() {
-      return tuneIns < house.permits().tuneIns() && (!mayHaveRun || !terms.paidAtSetUp());
+      return tuneIns < house.permissions().maxTuneIns() && (!mayHaveRun || !terms.paidAtSetUp());
     }
 
     /**
@@ -1109,7 +1114,7 @@
         b.sampledAt = now;
       }
       b.viewings.add(this);
-      if (terms.seats() > 0) {
+      if (terms.maxViewingsPerTitle() > 0) {
         title.seated.merge(terms, 1, Integer::sum);
       }
     }
@@ -1121,7 +1126,7 @@
         occupied.remove(at);
         at.tell(1);
       }
-      if (terms.seats() > 0) {
+      if (terms.maxViewingsPerTitle() > 0) {
         title.seated.computeIfPresent(terms, (t, n) -> n > 1 ? n - 1 : null);
       }
       at = null;
@@ -1134,7 +1139,7 @@
       if (mayHaveRun && terms.paidAtSetUp()) {
         player.fail();
       } else {
-        player.reject(COME_BACK.orLess(house.permits().longestAdvice()), reason);
+        player.reject(COME_BACK.orLess(house.permissions().maxRetryAfter()), reason);
       }
     }
 
@@ -1217,7 +1222,10 @@
     }
 
     public void rungInForce(int inForce) {
-      if (at != null && inForce != rung && inForce >= 0 && inForce < house.ladderKb().length) {
+      if (at != null
+          && inForce != rung
+          && inForce >= 0
+          && inForce < house.ladderKbPerSecond().length) {
         change(added(inForce - rung), false);
         rung = inForce;
       }
@@ -1226,7 +1234,7 @@
     /** What the box tells on this viewing of link and uplink; NaN for what it does not. */
     public void loadsTold(double linkAsked, double uplinkAsked) {
       if (at != null) {
-        Span late = playing ? house.fleet().shareLateness() : Span.NONE;
+        Span late = playing ? house.fleet().shareReportDelay() : Span.NONE;
         at.loads(linkAsked, uplinkAsked, now.minus(late));
       }
     }
@@ -1245,7 +1253,8 @@
         && vw.margin.under(patienceLeft(vw)) // the answer comes before the viewer's patience ends
         && b.serving
         && b.holds(vw.title) // drains: nothing at all once told, well within the grace
-        && (vw.terms.seats() <= 0 || vw.title.seated.getOrDefault(vw.terms, 0) < vw.terms.seats())
+        && (vw.terms.maxViewingsPerTitle() <= 0
+            || vw.title.seated.getOrDefault(vw.terms, 0) < vw.terms.maxViewingsPerTitle())
         && (vw.tuneIns == 0 || furtherLeft())
         && coldPaceKept(b);
   }
@@ -1265,14 +1274,14 @@
   private boolean furtherLeft() {
     Deployment.Rules rules = house.rules();
     pruneRation();
-    return rules.furtherSpan().equals(Span.NONE)
-        || further.size() + 1 <= rules.furtherFree() + rules.furtherShare() * taken.size();
+    return rules.retryWindow().equals(Span.NONE)
+        || further.size() + 1 <= rules.freeRetries() + rules.retriesPerRequest() * taken.size();
   }
 
   /** The window is that of the sending, which may come so much later. */
   private void pruneRation() {
-    prune(further, now.minus(house.rules().furtherSpan()).minus(UNTIL_SENT));
-    prune(taken, now.minus(house.rules().furtherSpan()).plus(UNTIL_SENT));
+    prune(further, now.minus(house.rules().retryWindow()).minus(UNTIL_SENT));
+    prune(taken, now.minus(house.rules().retryWindow()).plus(UNTIL_SENT));
   }
 
   private static void prune(ArrayDeque<Moment> moments, Moment from) {
@@ -1283,7 +1292,7 @@
 
   /** The span over which sends to a cold box are counted. */
   private Span fallWindow() {
-    return house.rules().fallAfter().plus(UNTIL_SENT);
+    return house.rules().overloadWindow().plus(UNTIL_SENT);
   }
 
   /**
@@ -1294,22 +1303,22 @@
    */
   private boolean coldPaceKept(MediaBox b) {
     Deployment.Rules rules = house.rules();
-    if (!now.before(b.startedAt.orLater(b.lostAt).plus(rules.coldFor()))) {
+    if (!now.before(b.startedAt.orLater(b.lostAt).plus(rules.coldPeriod()))) {
       return true; // neither just started nor lost from sight so lately that it may have
     }
     Span window = fallWindow();
     prune(b.sends, now.minus(window));
     double all =
         COLD_PART
-            * rules.fallMultiple()
+            * rules.overloadMultiple()
             * b.places
-            * rules.startCapacity()
-            * rules.fallAfter().seconds()
-            / rules.coldFor().seconds();
+            * rules.coldStartCapacity()
+            * rules.overloadWindow().seconds()
+            / rules.coldPeriod().seconds();
     if (now.since(started).under(window)) {
       return false;
     }
-    double part = Math.floor(all / house.fronts());
+    double part = Math.floor(all / house.frontCount());
     if (part >= 1) {
       return b.sends.size() < part;
     }
@@ -1317,6 +1326,6 @@
     long turn = Math.floorDiv(now.micros(), Math.max(1, Math.round(window.micros() / turns)));
     return turns >= 1
         && b.sends.isEmpty()
-        && Math.floorMod(turn, house.fronts()) == house.ownNumber();
+        && Math.floorMod(turn, house.frontCount()) == house.frontNumber();
   }
 }
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -29,7 +29,7 @@
 
   /** Binds the socket, where the site file names one and lets fronts speak to each other. */
   Future<?> open(Consumer<byte[]> receiver) {
-    if (!site.headend().permits().messages() || site.front().words() == null) {
+    if (!site.headend().permissions().mayMessageFronts() || site.front().words() == null) {
       return Future.succeededFuture();
     }
     Site.Address at = Site.Address.of(site.front().words());
--- a/src/main/java/linengauge/membership/explore/FaultSchedule.java
+++ b/src/main/java/linengauge/membership/explore/FaultSchedule.java
@@ -9,7 +9,7 @@
 /**
  * What befalls a fleet: troubles, then quiet until all has come round.
  *
- * @param fronts how many, in so many zones by number
+ * @param frontCount how many, in so many zones by number
  * @param quietFrom after it nothing is wrong any more
  */
 public record FaultSchedule(
--- a/src/main/java/linengauge/membership/explore/SimulationFigures.java
+++ b/src/main/java/linengauge/membership/explore/SimulationFigures.java
@@ -5,7 +5,7 @@
  *
  * @param mechanism GOSSIP or LEASE
  * @param event what befell the fleet, QUIET where nothing did
- * @param fronts how many there were
+ * @param frontCount how many there were
  * @param seed that gives the same run again
  * @param traffic of the fronts
  * @param ends how soon all other fronts knew of each life that ended without a word
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -175,8 +175,8 @@
 
   void setUp(ClientConnection line, long id, SetUpForm form) {
     int pack = front.briefing().packages().indexOf(form.pack());
-    int cells = front.briefing().headend().fleet().cells();
-    int rungs = front.briefing().headend().ladderKb().length;
+    int cells = front.briefing().headend().fleet().cellCount();
+    int rungs = front.briefing().headend().ladderKbPerSecond().length;
     boolean handedOver = form.at() != null;
     if (pack < 0
         || !within(form.firstCell(), cells)
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -58,7 +58,7 @@
         throw new BadBriefing("'settings', 'limits' and 'known' should be objects");
       }
       Briefing briefing = Briefing.read(settings);
-      if (briefing.packages().isEmpty() || briefing.headend().ladderKb().length == 0) {
+      if (briefing.packages().isEmpty() || briefing.headend().ladderKbPerSecond().length == 0) {
         throw new BadBriefing("'settings' name no packages or no ladder");
       }
       return new Configuration(
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -115,7 +115,7 @@
         new Desk.Bounds(
             MOST_VIEWINGS,
             Span.NONE,
-            COME_BACK.orLess(posting.briefing().headend().permits().longestAdvice()),
+            COME_BACK.orLess(posting.briefing().headend().permissions().maxRetryAfter()),
             Span.ofMillis(500),
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
--- a/src/main/java/linengauge/scale/hollow/HollowFigures.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFigures.java
@@ -21,7 +21,7 @@
    * @param allKnowSeconds from the event, or the end of one that lasts, until every front that
    *     lives held all that live, in their present lives, and nobody else, to the sample (a quarter
    *     of a second); by gossip lives are not told apart; -1: not within the phase
-   * @param fronts of whom the rates are
+   * @param frontCount of whom the rates are
    * @param wronglyGone numbers of fronts that were given up by anybody though nothing ailed them
    * @param controlMachines empty for gossip
    */
--- a/src/main/java/linengauge/scale/hollow/HollowPlan.java
+++ b/src/main/java/linengauge/scale/hollow/HollowPlan.java
@@ -33,7 +33,7 @@
   /**
    * How many of what.
    *
-   * @param fronts of each method's fleet
+   * @param frontCount of each method's fleet
    * @param processes that share the fronts of one fleet; each holds fronts of one zone
    * @param controlMachines of the lease fleet, in zones in turn
    * @param voters of the control machines, the first so many
--- a/src/main/java/linengauge/scale/hollow/HollowSample.java
+++ b/src/main/java/linengauge/scale/hollow/HollowSample.java
@@ -11,7 +11,7 @@
  * @param heapKb used after a collection, where one was asked for; else -1
  * @param traffic of all its lease or gossip sockets so far
  * @param logBytes of its log connections so far, TCP payload
- * @param fronts that it holds
+ * @param frontCount that it holds
  * @param followers of them that follow the log
  * @param highestFrontBytes on the wire, of any one front since the last sample
  * @param views how many of its fronts hold a set of members, by that set's sum; only where asked
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -80,7 +80,7 @@
     this.house = house;
     this.bounds = bounds;
     this.carrier = carrier;
-    this.prefix = house.ownNumber() + "-" + epoch + "-";
+    this.prefix = house.frontNumber() + "-" + epoch + "-";
     this.policy = new Policy(house, seed, this);
     this.boxes = new BoxTable(policy, carrier::probe);
     this.titles = new TitleTable(policy);
@@ -358,7 +358,7 @@
         front,
         ByteBuffer.allocate(3 + word.length)
             .put(DATAGRAM)
-            .putShort((short) house.ownNumber())
+            .putShort((short) house.frontNumber())
             .put(word)
             .array());
   }
@@ -375,8 +375,8 @@
                   ? -1
                   : Short.toUnsignedInt(ByteBuffer.wrap(datagram).getShort(1));
           if (from < 0
-              || from >= house.fronts()
-              || from == house.ownNumber()
+              || from >= house.frontCount()
+              || from == house.frontNumber()
               || !Words.hear(boxes, from, Arrays.copyOfRange(datagram, 3, datagram.length))) {
             counts.wordsPassedOver++;
           } else {
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -30,12 +30,12 @@
         0,
         0,
         p.packages(),
-        p.ladderKb(),
-        p.rungValue(),
+        p.ladderKbPerSecond(),
+        p.rungValues(),
         new Deployment.Fleet(
-            f.cells(), f.racks(), new int[] {streams}, 4e8, 2e8, 4e8, f.shareLateness()),
+            f.cellCount(), f.rackCount(), new int[] {streams}, 4e8, 2e8, 4e8, f.shareReportDelay()),
         p.rules(),
-        p.permits());
+        p.permissions());
   }
 
   private final class Fleet {
@@ -50,7 +50,7 @@
     private Fleet(Deployment place, long seed) {
       this.place = place;
       this.chance = new SplittableRandom(seed);
-      for (int i = 0; i < place.fronts(); i++) {
+      for (int i = 0; i < place.frontCount(); i++) {
         fronts.add(
             new PolicyHarness(PolicyHarness.numbered(place, i), seed * 1000 + i, BOXES, now));
         toldAt.add(Moment.DISTANT_PAST);
@@ -143,21 +143,21 @@
         sent += all.size();
         int first = 0;
         for (int i = 0; i < all.size(); i++) {
-          while (!all.get(i).at().before(all.get(first).at().plus(rules.fallAfter()))) {
+          while (!all.get(i).at().before(all.get(first).at().plus(rules.overloadWindow()))) {
             first++;
           }
           double age = all.get(first).at().since(fleet.startedAt).seconds();
           double warmth =
               Math.min(
                   1,
-                  rules.startCapacity()
-                      + (1 - rules.startCapacity()) * age / rules.coldFor().seconds());
+                  rules.coldStartCapacity()
+                      + (1 - rules.coldStartCapacity()) * age / rules.coldPeriod().seconds());
           double n =
-              rules.fallMultiple()
+              rules.overloadMultiple()
                   * streams
                   * warmth
-                  * rules.fallAfter().seconds()
-                  / rules.coldFor().seconds();
+                  * rules.overloadWindow().seconds()
+                  / rules.coldPeriod().seconds();
           worst = Math.max(worst, i - first + 1 - (n + 2 * Math.sqrt(n) + 2));
         }
       }
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -59,7 +59,7 @@
 
     @Override
     public void probe() {
-      assertTrue(headend.permits().probes(), "probed where it may not");
+      assertTrue(headend.permissions().mayProbe(), "probed where it may not");
       probes++;
     }
   }
@@ -95,32 +95,32 @@
       assertNull(answer, "sent after the answer");
       assertNull(out, "two tune-ins out");
       assertFalse(terms.paidAtSetUp() && mayHaveRun, "set up twice");
-      assertTrue(++tuneIns <= headend.permits().tuneIns(), "too many tune-ins");
+      assertTrue(++tuneIns <= headend.permissions().maxTuneIns(), "too many tune-ins");
       assertTrue(
           box.serving || now.since(box.told).under(DRAIN_GRACE), "sent past the drain grace");
       assertTrue(
           timeout.micros() > 0 && !end.before(now.plus(timeout)), "time-out past the patience");
       Moment coldSince = box.startedAt.orLater(box.witnessed);
       box.sends.add(now);
-      if (now.before(coldSince.plus(rules.coldFor()))) {
-        box.sends.removeIf(m -> m.before(now.minus(rules.fallAfter())));
+      if (now.before(coldSince.plus(rules.coldPeriod()))) {
+        box.sends.removeIf(m -> m.before(now.minus(rules.overloadWindow())));
         double all =
-            rules.fallMultiple()
+            rules.overloadMultiple()
                 * headend.fleet().streamsByKind()[0]
-                * rules.startCapacity()
-                * rules.fallAfter().seconds()
-                / rules.coldFor().seconds();
-        int fair = Math.max(1, (int) Math.floor(all / headend.fronts()));
+                * rules.coldStartCapacity()
+                * rules.overloadWindow().seconds()
+                / rules.coldPeriod().seconds();
+        int fair = Math.max(1, (int) Math.floor(all / headend.frontCount()));
         assertTrue(
             box.sends.size() <= fair, "cold box pushed: " + box.sends.size() + " of " + fair);
       }
-      if (tuneIns > 1 && !rules.furtherSpan().equals(Span.NONE)) {
+      if (tuneIns > 1 && !rules.retryWindow().equals(Span.NONE)) {
         further.add(now);
-        Moment from = now.minus(rules.furtherSpan());
+        Moment from = now.minus(rules.retryWindow());
         long made = further.stream().filter(m -> !m.before(from)).count();
         long took = taken.stream().filter(m -> !m.before(from)).count();
         assertTrue(
-            made <= rules.furtherFree() + rules.furtherShare() * took,
+            made <= rules.freeRetries() + rules.retriesPerRequest() * took,
             "further tune-ins over budget");
       }
       assertFalse(unconfirmed.containsValue(box), "sent where an earlier attempt may still be out");
@@ -134,12 +134,12 @@
               ends(AttemptOutcome.NO_ANSWER);
             }
           });
-      if (terms.seats() > 0) {
+      if (terms.maxViewingsPerTitle() > 0) {
         long held =
             viewers.stream()
                 .filter(v -> v.out != null && v.title == title && v.terms == terms)
                 .count();
-        assertTrue(held <= terms.seats(), "more viewings than seats");
+        assertTrue(held <= terms.maxViewingsPerTitle(), "more viewings than seats");
       }
     }
 
@@ -256,15 +256,15 @@
 
   static Deployment numbered(Deployment p, int own) {
     return new Deployment(
-        p.fronts(),
+        p.frontCount(),
         own,
         p.building(),
         p.packages(),
-        p.ladderKb(),
-        p.rungValue(),
+        p.ladderKbPerSecond(),
+        p.rungValues(),
         p.fleet(),
         p.rules(),
-        p.permits());
+        p.permissions());
   }
 
   Viewer take(PackageSettings terms, Policy.Title title, Span patience) {
@@ -347,7 +347,7 @@
   @Override
   public void sendUsage(
       int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
-    assertTrue(headend.permits().messages(), "talked where it may not");
+    assertTrue(headend.permissions().mayMessageFronts(), "talked where it may not");
   }
 
   @Override
--- a/src/test/java/linengauge/PolicyTest.java
+++ b/src/test/java/linengauge/PolicyTest.java
@@ -134,7 +134,8 @@
     Policy.Title t = s.policy.title(0, 4);
     PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
     PolicyHarness.Box silent = v.out;
-    assertTrue(v.timeout.under(PLAIN.joinTarget()), "room for another within the join target");
+    assertTrue(
+        v.timeout.under(PLAIN.latencyObjective()), "room for another within the join target");
     s.pass(v.timeout);
     assertNotEquals(silent, v.out);
     v.plays();
@@ -460,20 +461,20 @@
   void onOldNewsANewcomerTakesTheRungNearestItsPartOfTheUplink() {
     for (double price : new double[] {0.008, 0.08}) {
       Deployment h = PolicyHarness.place(200, false, true, Span.NONE, PLAIN);
-      Deployment.Permissions p = h.permits();
+      Deployment.Permissions p = h.permissions();
       PolicyHarness s =
           new PolicyHarness(
               new Deployment(
-                  h.fronts(),
-                  h.ownNumber(),
+                  h.frontCount(),
+                  h.frontNumber(),
                   h.building(),
                   h.packages(),
-                  h.ladderKb(),
-                  h.rungValue(),
+                  h.ladderKbPerSecond(),
+                  h.rungValues(),
                   h.fleet(),
                   h.rules(),
                   new Deployment.Permissions(
-                      p.tuneIns(), false, true, true, price, 0.01, 0, p.longestAdvice())),
+                      p.maxTuneIns(), false, true, true, price, 0.01, 0, p.maxRetryAfter())),
               7,
               1);
       s.pass(Span.ofSeconds(3));
@@ -505,12 +506,12 @@
       PolicyHarness s =
           new PolicyHarness(
               new Deployment(
-                  h.fronts(),
-                  h.ownNumber(),
+                  h.frontCount(),
+                  h.frontNumber(),
                   h.building(),
                   h.packages(),
-                  h.ladderKb(),
-                  h.rungValue(),
+                  h.ladderKbPerSecond(),
+                  h.rungValues(),
                   h.fleet(),
                   h.rules(),
                   new Deployment.Permissions(
@@ -546,12 +547,12 @@
       PolicyHarness s =
           new PolicyHarness(
               new Deployment(
-                  h.fronts(),
-                  h.ownNumber(),
+                  h.frontCount(),
+                  h.frontNumber(),
                   h.building(),
                   h.packages(),
-                  h.ladderKb(),
-                  h.rungValue(),
+                  h.ladderKbPerSecond(),
+                  h.rungValues(),
                   h.fleet(),
                   h.rules(),
                   new Deployment.Permissions(
--- a/src/test/java/linengauge/RulesTest.java
+++ b/src/test/java/linengauge/RulesTest.java
@@ -105,7 +105,8 @@
         }
       }
     }
-    double most = place.rules().fallMultiple() * 24 * place.rules().startCapacity() * 2 / 10;
+    double most =
+        place.rules().overloadMultiple() * 24 * place.rules().coldStartCapacity() * 2 / 10;
     for (List<Moment> box : sends) {
       assertTrue(fronts > 20 || !box.isEmpty(), "a cold box is never used");
       for (Moment from : box) {
--- a/src/test/java/linengauge/site/SiteFileTest.java
+++ b/src/test/java/linengauge/site/SiteFileTest.java
@@ -34,12 +34,12 @@
   void aGoodFileIsReadWithDefaults() throws BadSite {
     Site site = SiteFile.parse("f", with("", ""));
     Deployment house = site.headend();
-    assertEquals(1, house.ownNumber());
+    assertEquals(1, house.frontNumber());
     assertEquals(1, house.building());
-    assertEquals(Span.ofMillis(800), house.packages().get(0).joinTarget());
+    assertEquals(Span.ofMillis(800), house.packages().get(0).latencyObjective());
     assertEquals(1, house.packages().get(0).highestRung());
-    assertTrue(house.packages().get(0).paidAtSetUp() && house.permits().messages());
-    assertEquals(4, house.permits().tuneIns(), "a default beside a value that is given");
+    assertTrue(house.packages().get(0).paidAtSetUp() && house.permissions().mayMessageFronts());
+    assertEquals(4, house.permissions().maxTuneIns(), "a default beside a value that is given");
     assertEquals(
         site, SiteFile.parse("again", SiteFile.show(site)), "what is shown reads as the same");
   }
