--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -63,7 +63,7 @@
   private static final Span LATE_WAIT = Span.ofMillis(600);
   private static final Span LEAST_WAIT = Span.ofMillis(250);
   public static final Span ANSWER_MARGIN = Span.ofMillis(60);
-  public static final double MARGIN_PART = 0.1; // of a patience, at the most
+  public static final double ANSWER_MARGIN_SHARE = 0.1; // of a patience, at the most
   private static final Span HOLD = Span.ofMillis(100);
 
   /** How long a request waits for a server to confirm the end of an earlier attempt. */
@@ -88,7 +88,7 @@
    * From a choice until its set-up leaves, at the most: a connection is dialled, the loop reads
    * first.
    */
-  public static final Span UNTIL_SENT = Span.ofMillis(500);
+  public static final Span MAX_SEND_DELAY = Span.ofMillis(500);
 
   private final Deployment house;
   private final Environment outside;
@@ -136,7 +136,7 @@
   }
 
   /** The time of the calls that follow. */
-  public void clock(Moment moment) {
+  public void setTime(Moment moment) {
     now = moment;
     if (started == null) {
       started = moment;
@@ -144,15 +144,15 @@
     }
   }
 
-  public MediaBox box(Environment.BoxPort line) {
+  public MediaBox createBox(Environment.BoxPort line) {
     return new MediaBox(line);
   }
 
-  public Title title(int firstCell, int cellsInRow) {
+  public Title createTitle(int firstCell, int cellsInRow) {
     return new Title(firstCell, cellsInRow, new HashMap<>());
   }
 
-  public Viewing take(
+  public Viewing requestViewing(
       Environment.ViewingPort player,
       PackageSettings terms,
       Title title,
@@ -166,7 +166,7 @@
   }
 
   /** A viewing that plays already; the rung in force is heard with the next news. */
-  public Viewing handOver(
+  public Viewing adoptViewing(
       Environment.ViewingPort player,
       PackageSettings terms,
       Title title,
@@ -389,7 +389,7 @@
   }
 
   public final class MediaBox {
-    private final Environment.BoxPort line;
+    private final Environment.BoxPort port;
     private final Link link = new Link();
 
     /** Viewings with a tune-in out or playing here; each leaves when that ends. */
@@ -435,14 +435,14 @@
     private final ArrayDeque<Moment> sends = new ArrayDeque<>();
 
     private MediaBox(Environment.BoxPort line) {
-      this.line = line;
+      this.port = line;
     }
 
-    public Environment.BoxPort line() {
-      return line;
+    public Environment.BoxPort port() {
+      return port;
     }
 
-    public void serving(double weight, int cell, int kind, int building, Moment startedAt) {
+    public void markServing(double weight, int cell, int kind, int building, Moment startedAt) {
       if (this.startedAt.before(startedAt)) {
         failures = 0;
         avoidUntil = Moment.DISTANT_PAST;
@@ -464,12 +464,12 @@
       counted(true);
     }
 
-    public void draining() {
+    public void markDraining() {
       counted(false);
       list(true);
     }
 
-    public void gone() {
+    public void markGone() {
       counted(false);
       list(false);
     }
@@ -479,7 +479,7 @@
      * comes back to the list with its pace forgotten: what was sent within the window counts if it
      * is cold.
      */
-    public boolean forgotten() {
+    public boolean isDiscardable() {
       prune(sends, now.minus(fallWindow()));
       return !listed && viewings.isEmpty() && sends.isEmpty();
     }
@@ -519,17 +519,18 @@
       sample();
     }
 
-    public void reported(double linkAsked, double uplinkAsked, double streams) {
+    public void loadReported(double linkAsked, double uplinkAsked, double streams) {
       this.streams = streams;
       loads(linkAsked, uplinkAsked, now.minus(REPORT_AGE));
     }
 
-    public void probed(boolean answered) {
-      probed(answered ? Environment.AttemptOutcome.FINISHED : Environment.AttemptOutcome.NO_ANSWER);
+    public void probeEnded(boolean answered) {
+      probeEnded(
+          answered ? Environment.AttemptOutcome.FINISHED : Environment.AttemptOutcome.NO_ANSWER);
     }
 
     /** What came of a probe: FINISHED where it was answered. */
-    public void probed(Environment.AttemptOutcome how) {
+    public void probeEnded(Environment.AttemptOutcome how) {
       if (how != Environment.AttemptOutcome.FINISHED && how != Environment.AttemptOutcome.HELD_UP) {
         failed(how != Environment.AttemptOutcome.UNHEARD);
       }
@@ -556,7 +557,7 @@
         return false;
       }
       probesLeft--;
-      line.probe();
+      port.probe();
       return true;
     }
 
@@ -677,7 +678,7 @@
      * To the keeper from another front, which is answered with what the rest play here and all on
      * the uplink, and the uplink's size.
      */
-    public void frontPlays(int front, int count, double kb, double share) {
+    public void usageReceived(int front, int count, double kb, double share) {
       forgetSilentFronts();
       word(front, count, kb);
       if (share < 1) {
@@ -695,7 +696,7 @@
     }
 
     /** From the keeper. */
-    public void othersPlay(int count, double kb, double rackKb, double rackSizeKb) {
+    public void rackUsageReceived(int count, double kb, double rackKb, double rackSizeKb) {
       othersCount = count;
       link.othersPlay(kb);
       rack.othersPlay(Math.max(0, rackKb - rack.own));
@@ -846,7 +847,8 @@
    * What is watched: where it is held, and the viewings of it here that hold a seat, one row a
    * package; a row leaves with its last viewing.
    */
-  public record Title(int firstCell, int cellsInRow, Map<PackageSettings, Integer> seated) {}
+  public record Title(
+      int firstCell, int cellsInRow, Map<PackageSettings, Integer> viewingsByPackage) {}
 
   public final class Viewing {
     private final Environment.ViewingPort player;
@@ -885,7 +887,7 @@
       this.title = title;
       this.ceiling = Math.max(terms.lowestRung(), Math.min(ceiling, terms.highestRung()));
       this.patienceEnds = patienceEnds;
-      this.margin = ANSWER_MARGIN.orLess(patienceEnds.since(now).times(MARGIN_PART));
+      this.margin = ANSWER_MARGIN.orLess(patienceEnds.since(now).times(ANSWER_MARGIN_SHARE));
       this.target = now.plus(terms.latencyObjective());
       probesLeft =
           Math.min(
@@ -1023,7 +1025,7 @@
       if (barred != null && !asked && house.permissions().mayProbe()) {
         asked = true;
         probesLeft--;
-        player.requestEndConfirmation(barred.line.id());
+        player.requestEndConfirmation(barred.port.id());
       }
     }
 
@@ -1038,7 +1040,7 @@
       }
       for (List<MediaBox> shelf : cells) {
         for (MediaBox b : shelf) {
-          if (unconfirmed.mayBeOutAt(b.line.id()) && mayTuneInButForUnconfirmed(this, b)) {
+          if (unconfirmed.mayBeOutAt(b.port.id()) && mayTuneInButForUnconfirmed(this, b)) {
             return b;
           }
         }
@@ -1115,7 +1117,7 @@
       }
       b.viewings.add(this);
       if (terms.maxViewingsPerTitle() > 0) {
-        title.seated.merge(terms, 1, Integer::sum);
+        title.viewingsByPackage.merge(terms, 1, Integer::sum);
       }
     }
 
@@ -1127,7 +1129,7 @@
         at.tell(1);
       }
       if (terms.maxViewingsPerTitle() > 0) {
-        title.seated.computeIfPresent(terms, (t, n) -> n > 1 ? n - 1 : null);
+        title.viewingsByPackage.computeIfPresent(terms, (t, n) -> n > 1 ? n - 1 : null);
       }
       at = null;
     }
@@ -1163,7 +1165,7 @@
 
     /* ---- end-of-viewing bookkeeping ---- */
 
-    public void playing() {
+    public void playbackStarted() {
       if (at == null) {
         return;
       }
@@ -1185,7 +1187,7 @@
       boolean wasPlaying = playing;
       playing = false;
       if (!confirmed) {
-        unconfirmed.endedUnconfirmed(b.line.id(), tuneIns - 1);
+        unconfirmed.endedUnconfirmed(b.port.id(), tuneIns - 1);
       }
       endedAt = now;
       asked = false;
@@ -1221,7 +1223,7 @@
       }
     }
 
-    public void rungInForce(int inForce) {
+    public void rungReported(int inForce) {
       if (at != null
           && inForce != rung
           && inForce >= 0
@@ -1232,7 +1234,7 @@
     }
 
     /** What the box tells on this viewing of link and uplink; NaN for what it does not. */
-    public void loadsTold(double linkAsked, double uplinkAsked) {
+    public void loadsReported(double linkAsked, double uplinkAsked) {
       if (at != null) {
         Span late = playing ? house.fleet().shareReportDelay() : Span.NONE;
         at.loads(linkAsked, uplinkAsked, now.minus(late));
@@ -1243,7 +1245,7 @@
   /* ---- the gate: every send passes here, and every rule is kept here ---- */
 
   private boolean mayTuneIn(Viewing vw, MediaBox b) {
-    return !vw.unconfirmed.mayBeOutAt(b.line.id()) && mayTuneInButForUnconfirmed(vw, b);
+    return !vw.unconfirmed.mayBeOutAt(b.port.id()) && mayTuneInButForUnconfirmed(vw, b);
   }
 
   private boolean mayTuneInButForUnconfirmed(Viewing vw, MediaBox b) {
@@ -1254,7 +1256,8 @@
         && b.serving
         && b.holds(vw.title) // drains: nothing at all once told, well within the grace
         && (vw.terms.maxViewingsPerTitle() <= 0
-            || vw.title.seated.getOrDefault(vw.terms, 0) < vw.terms.maxViewingsPerTitle())
+            || vw.title.viewingsByPackage.getOrDefault(vw.terms, 0)
+                < vw.terms.maxViewingsPerTitle())
         && (vw.tuneIns == 0 || furtherLeft())
         && coldPaceKept(b);
   }
@@ -1280,8 +1283,8 @@
 
   /** The window is that of the sending, which may come so much later. */
   private void pruneRation() {
-    prune(further, now.minus(house.rules().retryWindow()).minus(UNTIL_SENT));
-    prune(taken, now.minus(house.rules().retryWindow()).plus(UNTIL_SENT));
+    prune(further, now.minus(house.rules().retryWindow()).minus(MAX_SEND_DELAY));
+    prune(taken, now.minus(house.rules().retryWindow()).plus(MAX_SEND_DELAY));
   }
 
   private static void prune(ArrayDeque<Moment> moments, Moment from) {
@@ -1292,7 +1295,7 @@
 
   /** The span over which sends to a cold box are counted. */
   private Span fallWindow() {
-    return house.rules().overloadWindow().plus(UNTIL_SENT);
+    return house.rules().overloadWindow().plus(MAX_SEND_DELAY);
   }
 
   /**
--- a/src/main/java/linengauge/scale/hollow/HollowSample.java
+++ b/src/main/java/linengauge/scale/hollow/HollowSample.java
@@ -16,7 +16,7 @@
  * @param highestFrontBytes on the wire, of any one front since the last sample
  * @param views how many of its fronts hold a set of members, by that set's sum; only where asked
  * @param ownSum the sum of its own fronts, as it would be in a view
- * @param gone numbers that any of its fronts gave up since the last sample
+ * @param markGone numbers that any of its fronts gave up since the last sample
  * @param leader the control machine that leads as this one knows; -1 of fronts
  * @param drops so far, by cause
  */
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -124,7 +124,7 @@
         id,
         n -> {
           Entry e = new Entry(n, prober);
-          e.handle = policy.box(e);
+          e.handle = policy.createBox(e);
           leaving.put(n, e);
           return e;
         });
@@ -154,7 +154,7 @@
         }
       }
     }
-    leaving.values().removeIf(e -> e.kept || e.handle.forgotten() && entries.remove(e.id, e));
+    leaving.values().removeIf(e -> e.kept || e.handle.isDiscardable() && entries.remove(e.id, e));
   }
 
   private void put(Entry e, Row row) {
@@ -163,13 +163,13 @@
         e.row != null && e.row.startedAt().orLater(e.startedTold).before(row.startedAt()) ? 1 : 0;
     switch (row.state()) {
       case SERVING ->
-          e.handle.serving(
+          e.handle.markServing(
               row.weight(),
               row.cell(),
               row.kind(),
               row.building(),
               row.startedAt().orLater(e.startedTold));
-      case DRAINING -> e.handle.draining();
+      case DRAINING -> e.handle.markDraining();
       case GONE -> {
         go(e);
         return;
@@ -200,7 +200,7 @@
   private void go(Entry e) {
     e.state = State.GONE;
     e.kept = false;
-    e.handle.gone();
+    e.handle.markGone();
     leaving.put(e.id, e);
   }
 }
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -93,7 +93,7 @@
     boolean first = now == Moment.DISTANT_PAST;
     now = moment;
     standStill.running(now);
-    policy.clock(now);
+    policy.setTime(now);
     if (first) {
       beat();
     }
@@ -150,7 +150,7 @@
    */
   public Held take(Held.Ask ask, Viewer viewer) {
     Span unseen = standStill.unseen(now);
-    Span margin = bounds.answerMargin().orLess(ask.patience().times(Policy.MARGIN_PART));
+    Span margin = bounds.answerMargin().orLess(ask.patience().times(Policy.ANSWER_MARGIN_SHARE));
     Span patience = ask.patience().minus(unseen).minus(margin);
     Held before = ask.key() == null ? null : byKey.get(ask.key());
     boolean full = held.size() >= bounds.viewings();
@@ -173,7 +173,7 @@
     call(
         () -> {
           vw.handle(
-              policy.take(
+              policy.requestViewing(
                   vw,
                   ask.terms(),
                   titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
@@ -227,7 +227,7 @@
         () ->
             vw.handedOver(
                 at,
-                policy.handOver(
+                policy.adoptViewing(
                     vw,
                     ask.terms(),
                     titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
@@ -305,7 +305,7 @@
 
   /** A box has told of its load, in an answer or to a probe; NaN for what it does not tell. */
   public void reported(BoxTable.Entry box, double linkAsked, double uplinkAsked, double streams) {
-    call(() -> box.handle().reported(linkAsked, uplinkAsked, streams));
+    call(() -> box.handle().loadReported(linkAsked, uplinkAsked, streams));
   }
 
   /** A box has told how long it has been running; its word beats a list that is late. */
@@ -321,17 +321,17 @@
     call(
         () -> {
           box.lostSight();
-          box.handle().probed(false);
+          box.handle().probeEnded(false);
         });
   }
 
   public void probed(BoxTable.Entry box, boolean answered) {
-    call(() -> box.handle().probed(answered));
+    call(() -> box.handle().probeEnded(answered));
   }
 
   /** A probe has come to this: FINISHED where it was answered. */
   public void probed(BoxTable.Entry box, Environment.AttemptOutcome how) {
-    call(() -> box.handle().probed(how));
+    call(() -> box.handle().probeEnded(how));
   }
 
   /* ---- words between fronts ---- */
--- a/src/main/java/linengauge/session/Held.java
+++ b/src/main/java/linengauge/session/Held.java
@@ -136,7 +136,7 @@
 
   @Override
   public void tuneIn(Policy.MediaBox box, Span timeout) {
-    at = (BoxTable.Entry) box.line();
+    at = (BoxTable.Entry) box.port();
     out = true;
     sent = false;
     int n = tuneIns++;
@@ -232,7 +232,7 @@
             && !answered
             && at.state() == BoxTable.State.SERVING
             && desk.now().before(patienceEnds)
-            && desk.now().since(chosenAt).under(Policy.UNTIL_SENT)
+            && desk.now().since(chosenAt).under(Policy.MAX_SEND_DELAY)
             && at.lives() == lifeChosen;
     sent |= may;
     return may;
@@ -268,7 +268,7 @@
           viewer.plays(
               this); // before anything is thought about it: its viewer waits, and may leave at any
           // moment
-          handle.playing(); // passed over where what it said on its way has ended it
+          handle.playbackStarted(); // passed over where what it said on its way has ended it
           if (playing && Span.NONE.under(desk.idle())) {
             nextLook = desk.lookAfter(desk.idle(), this);
           }
@@ -302,7 +302,7 @@
    */
   public void loadsTold(double link, double uplink) {
     if (out) {
-      desk.call(() -> handle.loadsTold(link, uplink));
+      desk.call(() -> handle.loadsReported(link, uplink));
     }
   }
 
@@ -310,7 +310,7 @@
   public void rungInForce(int told) {
     if (playing) {
       rung = told;
-      desk.call(() -> handle.rungInForce(told));
+      desk.call(() -> handle.rungReported(told));
     }
   }
 
--- a/src/main/java/linengauge/session/Words.java
+++ b/src/main/java/linengauge/session/Words.java
@@ -30,7 +30,7 @@
 
   private static ByteBuffer start(int length, Policy.MediaBox box, int viewings, double kb) {
     return ByteBuffer.allocate(length)
-        .putInt((int) ((BoxTable.Entry) box.line()).id())
+        .putInt((int) ((BoxTable.Entry) box.port()).id())
         .put((byte) Math.min(0xff, viewings))
         .putShort(eighths(kb));
   }
@@ -56,13 +56,13 @@
     double kb = 8.0 * Short.toUnsignedInt(bytes.getShort());
     if (word.length == ANSWERED) {
       b.handle()
-          .othersPlay(
+          .rackUsageReceived(
               count,
               kb,
               32.0 * Short.toUnsignedInt(bytes.getShort()),
               32.0 * Short.toUnsignedInt(bytes.getShort()));
     } else {
-      b.handle().frontPlays(from, count, kb, Byte.toUnsignedInt(bytes.get()) / 200.0);
+      b.handle().usageReceived(from, count, kb, Byte.toUnsignedInt(bytes.get()) / 200.0);
     }
     return true;
   }
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -94,7 +94,7 @@
     @Override
     public void tuneIn(Policy.MediaBox box, Span timeout) {
       out = true;
-      act("passOn", id, ((BoxTable.Entry) box.line()).id(), timeout.micros());
+      act("passOn", id, ((BoxTable.Entry) box.port()).id(), timeout.micros());
     }
 
     @Override
@@ -134,7 +134,7 @@
     }
     g = writer;
     try {
-      policy.clock(now);
+      policy.setTime(now);
       deed.run();
     } catch (UncheckedIOException e) {
       throw e.getCause();
@@ -168,7 +168,7 @@
         m.whole("rttUs", 0);
         m.end();
         if (vw != null) {
-          call(now, writer, () -> vw.handle.playing());
+          call(now, writer, () -> vw.handle.playbackStarted());
         }
       }
       case "completed" -> completed(m, now, writer);
@@ -203,7 +203,7 @@
               writer,
               () -> {
                 report(b, load);
-                b.handle().probed(how == 200);
+                b.handle().probeEnded(how == 200);
               });
         }
       }
@@ -245,7 +245,9 @@
         writer,
         () -> {
           WireViewing vw = hold(id, item);
-          vw.handle = policy.take(vw, terms, titles.hold(item, fromCell, cells), ceiling, patience);
+          vw.handle =
+              policy.requestViewing(
+                  vw, terms, titles.hold(item, fromCell, cells), ceiling, patience);
           release(vw);
         });
   }
@@ -271,7 +273,8 @@
           WireViewing vw = hold(id, item);
           vw.out = true;
           vw.handle =
-              policy.handOver(vw, terms, titles.hold(item, fromCell, cells), ceiling, b.handle());
+              policy.adoptViewing(
+                  vw, terms, titles.hold(item, fromCell, cells), ceiling, b.handle());
         });
   }
 
@@ -317,16 +320,16 @@
   private static void note(WireViewing vw, int topic, double level) {
     switch (topic) {
       case 1 -> vw.handle.shareDelivered(level);
-      case 2 -> vw.handle.rungInForce((int) level);
-      case 3 -> vw.handle.loadsTold(level, Double.NaN);
-      case 4 -> vw.handle.loadsTold(Double.NaN, level);
+      case 2 -> vw.handle.rungReported((int) level);
+      case 3 -> vw.handle.loadsReported(level, Double.NaN);
+      case 4 -> vw.handle.loadsReported(Double.NaN, level);
       default -> {}
     }
   }
 
   private static void report(BoxTable.Entry b, Map<?, ?> load) {
     if (!load.isEmpty()) {
-      b.handle().reported(figure(load, "x0"), figure(load, "x1"), figure(load, "outstanding"));
+      b.handle().loadReported(figure(load, "x0"), figure(load, "x1"), figure(load, "outstanding"));
     }
   }
 
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -85,7 +85,7 @@
     private void crowd(int front, PolicyHarness s) {
       s.take(
           s.headend.packages().get(0),
-          s.policy.title(chance.nextInt(BOXES), 1),
+          s.policy.createTitle(chance.nextInt(BOXES), 1),
           Span.ofMillis(900));
       for (PolicyHarness.Viewer v : List.copyOf(s.viewers)) {
         if (v.out != null && !v.playing) {
@@ -99,7 +99,9 @@
       // leave.
       if (!v.out.startedAt.before(startedAt)) {
         Moment at =
-            chance.nextInt(3) == 0 ? now.plus(Policy.UNTIL_SENT.times(chance.nextDouble())) : now;
+            chance.nextInt(3) == 0
+                ? now.plus(Policy.MAX_SEND_DELAY.times(chance.nextDouble()))
+                : now;
         sends.add(new Send(at, s.boxes.indexOf(v.out)));
       }
       v.plays();
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -31,25 +31,25 @@
 
     Box(int cell) {
       this.cell = cell;
-      this.handle = policy.box(this);
+      this.handle = policy.createBox(this);
     }
 
     void serving(Moment startedAt) {
       serving = true;
       this.startedAt = startedAt;
-      handle.serving(1, cell, 0, 0, startedAt);
+      handle.markServing(1, cell, 0, 0, startedAt);
     }
 
     void draining() {
       told = serving ? now : told;
       serving = false;
-      handle.draining();
+      handle.markDraining();
     }
 
     void gone() {
       told = serving ? now : told;
       serving = false;
-      handle.gone();
+      handle.markGone();
     }
 
     @Override
@@ -90,7 +90,7 @@
 
     @Override
     public void tuneIn(Policy.MediaBox at, Span timeout) {
-      Box box = (Box) at.line();
+      Box box = (Box) at.port();
       Deployment.Rules rules = headend.rules();
       assertNull(answer, "sent after the answer");
       assertNull(out, "two tune-ins out");
@@ -175,7 +175,7 @@
     void plays() {
       answered("plays");
       playing = true;
-      handle.playing();
+      handle.playbackStarted();
     }
 
     void ends(AttemptOutcome how) {
@@ -225,7 +225,7 @@
     this.now = begun;
     this.headend = headend;
     this.policy = new Policy(headend, seed, this);
-    policy.clock(now);
+    policy.setTime(now);
     for (int i = 0; i < boxCount; i++) {
       Box b = new Box(i);
       boxes.add(b);
@@ -271,7 +271,7 @@
     taken.add(now);
     Viewer v = new Viewer(terms, title, 4, patience);
     viewers.add(v);
-    v.handle = policy.take(v, terms, title, 4, patience);
+    v.handle = policy.requestViewing(v, terms, title, 4, patience);
     assertNotNull(v.handle);
     return v;
   }
@@ -284,8 +284,8 @@
     v.playing = true;
     v.out = at;
     v.rung = rung;
-    v.handle = policy.handOver(v, terms, title, 4, at.handle);
-    v.handle.rungInForce(rung);
+    v.handle = policy.adoptViewing(v, terms, title, 4, at.handle);
+    v.handle.rungReported(rung);
     return v;
   }
 
@@ -294,12 +294,12 @@
     while (!steps.isEmpty() && !until.before(steps.peek().at)) {
       Step s = steps.poll();
       now = s.at;
-      policy.clock(now);
+      policy.setTime(now);
       s.deed.run();
       checkAnswersOwed();
     }
     now = until;
-    policy.clock(now);
+    policy.setTime(now);
     checkAnswersOwed();
   }
 
@@ -309,7 +309,7 @@
    */
   void standStill(Span span) {
     now = now.plus(span);
-    policy.clock(now);
+    policy.setTime(now);
     for (Viewer v : List.copyOf(viewers)) {
       if (v.answer == null && v.end.before(now)) {
         v.answer = "left";
--- a/src/test/java/linengauge/PolicyTest.java
+++ b/src/test/java/linengauge/PolicyTest.java
@@ -25,14 +25,14 @@
 
   private static void report(PolicyHarness s, double load) {
     for (PolicyHarness.Box b : s.boxes) {
-      b.handle.reported(load, Double.NaN, Double.NaN);
+      b.handle.loadReported(load, Double.NaN, Double.NaN);
     }
   }
 
   @Test
   void highShortAverageStepsTopRungsDownByOwnPartAndIsReset() {
     PolicyHarness s = stage(1, false);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     for (int rung : new int[] {4, 4, 2}) {
       s.plays(PLAIN, t, s.boxes.get(0), rung);
     }
@@ -60,7 +60,7 @@
     for (int seed = 0; seed < 80; seed++) {
       PolicyHarness s =
           new PolicyHarness(PolicyHarness.place(80, false, false, Span.NONE, PLAIN), seed, 1);
-      PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
+      PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 2);
       report(s, 1.2);
       s.pass(Span.ofSeconds(2.5));
       stepped += v.rung < 2 ? 1 : 0;
@@ -73,9 +73,9 @@
   @Test
   void oldNewsOfALinkFades() {
     PolicyHarness s = stage(2, true);
-    s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
-    s.boxes.get(1).handle.frontPlays(1, 6, 600, 1);
-    Policy.Title t = s.policy.title(0, 4);
+    s.boxes.get(0).handle.loadReported(0.9, Double.NaN, Double.NaN);
+    s.boxes.get(1).handle.usageReceived(1, 6, 600, 1);
+    Policy.Title t = s.policy.createTitle(0, 4);
     assertSame(s.boxes.get(1), s.take(PLAIN, t, PATIENCE).out);
     s.viewers.get(0).ends(Environment.AttemptOutcome.NEVER_SENT);
     s.pass(Span.ofSeconds(12));
@@ -85,7 +85,7 @@
   @Test
   void lowLongAverageStepsTheLowestRungUp() {
     PolicyHarness s = stage(1, false);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     PolicyHarness.Viewer high = s.plays(PLAIN, t, s.boxes.get(0), 3);
     PolicyHarness.Viewer low = s.plays(PLAIN, t, s.boxes.get(0), 1);
     report(s, 0.6);
@@ -101,18 +101,18 @@
   @Test
   void aLongGapMovesAnAverageToTheSampleAndNotPastIt() {
     PolicyHarness s = stage(1, false);
-    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
-    s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 2);
+    s.boxes.get(0).handle.loadReported(0.9, Double.NaN, Double.NaN);
     s.now = s.now.plus(Span.ofSeconds(30));
-    s.policy.clock(s.now);
-    s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
+    s.policy.setTime(s.now);
+    s.boxes.get(0).handle.loadReported(0.9, Double.NaN, Double.NaN);
     assertEquals(2, v.rung);
   }
 
   @Test
   void capBoundsTheRungOfASetUp() {
     PolicyHarness s = stage(1, false);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     assertEquals(4, s.take(PLAIN, t, PATIENCE).rung, "an empty link leaves room for the top rung");
     report(s, 0.7);
     s.pass(Span.ofMillis(10));
@@ -123,15 +123,15 @@
   void goesToTheRoomiestHolder() {
     PolicyHarness s = stage(4, false);
     report(s, 0.8);
-    s.boxes.get(2).handle.reported(0.2, Double.NaN, Double.NaN);
-    s.boxes.get(3).handle.reported(0.1, Double.NaN, Double.NaN);
-    assertSame(s.boxes.get(2), s.take(PLAIN, s.policy.title(0, 3), PATIENCE).out);
+    s.boxes.get(2).handle.loadReported(0.2, Double.NaN, Double.NaN);
+    s.boxes.get(3).handle.loadReported(0.1, Double.NaN, Double.NaN);
+    assertSame(s.boxes.get(2), s.take(PLAIN, s.policy.createTitle(0, 3), PATIENCE).out);
   }
 
   @Test
   void afterSilenceAnotherBoxIsTriedAndTheSilentOneAvoided() {
     PolicyHarness s = stage(2, false);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
     PolicyHarness.Box silent = v.out;
     assertTrue(
@@ -145,7 +145,7 @@
   @Test
   void afterAnErrorOthersArePreferred() {
     PolicyHarness s = stage(2, false);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
     PolicyHarness.Box failing = v.out;
     v.ends(Environment.AttemptOutcome.ERROR);
@@ -156,17 +156,17 @@
   @Test
   void whenEveryBoxIsUnderSuspicionOneIsUsedAllTheSame() {
     PolicyHarness s = stage(2, false);
-    s.boxes.forEach(b -> b.handle.probed(false));
+    s.boxes.forEach(b -> b.handle.probeEnded(false));
     s.pass(Span.ofSeconds(3));
-    s.boxes.forEach(b -> b.handle.probed(false));
-    assertNotNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).out);
+    s.boxes.forEach(b -> b.handle.probeEnded(false));
+    assertNotNull(s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).out);
   }
 
   @Test
   void fullToTheFloorBlocksAtOnceAndSaysWhenToComeBack() {
     PolicyHarness s = stage(1, false);
     report(s, 2.5);
-    assertEquals("blocked", s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer);
+    assertEquals("blocked", s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).answer);
   }
 
   @Test
@@ -174,7 +174,7 @@
     PackageSettings paid = PolicyHarness.terms(0, 0, true);
     PolicyHarness s =
         new PolicyHarness(PolicyHarness.place(2, false, false, Span.NONE, paid), 7, 2);
-    PolicyHarness.Viewer v = s.take(paid, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(paid, s.policy.createTitle(0, 4), PATIENCE);
     v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     assertNotNull(v.out, "what provably never ran is sent again");
     v.ends(Environment.AttemptOutcome.ERROR);
@@ -184,7 +184,7 @@
   @Test
   void oneShortBoxDoesNotBlameTheUplink() {
     PolicyHarness s = stage(3, true);
-    Policy.Title t = s.policy.title(0, 4);
+    Policy.Title t = s.policy.createTitle(0, 4);
     PolicyHarness.Viewer hit = s.plays(PLAIN, t, s.boxes.get(0), 3);
     PolicyHarness.Viewer other = s.plays(PLAIN, t, s.boxes.get(1), 3);
     for (int i = 0; i < 4; i++) {
@@ -198,18 +198,18 @@
   @Test
   void whatOtherFrontsPlayFillsTheRoom() {
     PolicyHarness s = stage(2, true);
-    s.boxes.get(0).handle.frontPlays(1, 9, 800, 1);
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    s.boxes.get(0).handle.usageReceived(1, 9, 800, 1);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     assertSame(s.boxes.get(1), v.out);
-    s.boxes.get(0).handle.frontPlays(2, 1, 60, 1);
+    s.boxes.get(0).handle.usageReceived(2, 1, 60, 1);
     assertEquals(List.of(0.0, 800.0), s.answered);
   }
 
   @Test
   void aSilentFrontsLastWordIsForgotten() {
     PolicyHarness s = stage(1, true);
-    s.boxes.get(0).handle.frontPlays(1, 9, 1200, 1);
-    Policy.Title t = s.policy.title(0, 4);
+    s.boxes.get(0).handle.usageReceived(1, 9, 1200, 1);
+    Policy.Title t = s.policy.createTitle(0, 4);
     assertEquals(0, s.take(PLAIN, t, PATIENCE).rung);
     s.viewers.get(0).ends(Environment.AttemptOutcome.NEVER_SENT);
     s.pass(Span.ofSeconds(20));
@@ -220,17 +220,17 @@
   void anUplinkKeepsRoomForEachOfItsBoxes() {
     PolicyHarness s = stage(4, true);
     for (int i = 0; i < 3; i++) {
-      s.boxes.get(i).handle.frontPlays(1, 10, 1150, 1);
+      s.boxes.get(i).handle.usageReceived(1, 10, 1150, 1);
     }
-    s.boxes.get(3).handle.frontPlays(1, 3, 60, 1);
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(3, 1), PATIENCE);
+    s.boxes.get(3).handle.usageReceived(1, 3, 60, 1);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(3, 1), PATIENCE);
     assertTrue(v.rung > 0 && v.rung < 4, "rung " + v.rung);
   }
 
   @Test
   void noMoreTuneInsThanAllowed() {
     PolicyHarness s = stage(4, false);
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     while (v.out != null) {
       v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     }
@@ -242,7 +242,7 @@
   void drainingBoxesGetNothingAndHeldViewingsAreAnswered() {
     PolicyHarness s = stage(1, false);
     s.boxes.get(0).draining();
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     assertNull(v.out);
     s.pass(PATIENCE);
     assertEquals("blocked", v.answer);
@@ -251,7 +251,7 @@
   @Test
   void aViewerWhoLeavesIsNotAnswered() {
     PolicyHarness s = stage(1, false);
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     v.handle.viewerLeft();
     v.answer = "left";
     v.ends(Environment.AttemptOutcome.WITHDRAWN);
@@ -269,21 +269,21 @@
   @Test
   void aNewcomerGoesToTheRoomierOfTheBoxesAsked() {
     PolicyHarness s = probing();
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     assertNull(v.out, "it waits for the answers");
     List<PolicyHarness.Box> asked = s.boxes.stream().filter(b -> b.probes > 0).toList();
     assertEquals(2, asked.size());
-    asked.get(0).handle.reported(0.9, 0.5, Double.NaN);
-    asked.get(0).handle.probed(true);
-    asked.get(1).handle.reported(0.8, 0.5, Double.NaN);
-    asked.get(1).handle.probed(true);
+    asked.get(0).handle.loadReported(0.9, 0.5, Double.NaN);
+    asked.get(0).handle.probeEnded(true);
+    asked.get(1).handle.loadReported(0.8, 0.5, Double.NaN);
+    asked.get(1).handle.probeEnded(true);
     assertSame(asked.get(1), v.out, "heard of, it comes before the third that is only guessed at");
   }
 
   @Test
   void withNoAnswerANewcomerIsSentAllTheSame() {
     PolicyHarness s = probing();
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     assertNull(v.out);
     s.pass(Span.ofMillis(100));
     assertNotNull(v.out);
@@ -292,13 +292,16 @@
   @Test
   void aStepUpAsksFirst() {
     PolicyHarness s = probing();
-    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 1);
-    s.take(PLAIN, s.policy.title(0, 4), PATIENCE); // a viewing more: the price of probes is earned
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 1);
+    s.take(
+        PLAIN,
+        s.policy.createTitle(0, 4),
+        PATIENCE); // a viewing more: the price of probes is earned
     s.pass(Span.ofSeconds(6));
     assertEquals(1, v.rung, "nothing heard, nothing stepped");
     assertTrue(s.boxes.get(0).probes > 0);
     for (int i = 0; i < 12; i++) {
-      s.boxes.get(0).handle.reported(0.1, 0.1, Double.NaN);
+      s.boxes.get(0).handle.loadReported(0.1, 0.1, Double.NaN);
       s.pass(Span.ofMillis(500));
     }
     assertTrue(v.rung > 1);
@@ -307,8 +310,8 @@
   @Test
   void shortNotesThatStillShowWhatWasShedShedNoMore() {
     PolicyHarness s = stage(1, false);
-    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
-    PolicyHarness.Viewer w = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 4);
+    PolicyHarness.Viewer w = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 4);
     s.pass(Span.ofSeconds(4));
     while (v.rung + w.rung == 8) {
       v.handle.shareDelivered(0.75);
@@ -325,9 +328,9 @@
   @Test
   void theKeeperSizesAShortUplinkAndTellsIt() {
     PolicyHarness s = stage(1, true);
-    s.boxes.get(0).handle.frontPlays(1, 9, 3000, 1);
+    s.boxes.get(0).handle.usageReceived(1, 9, 3000, 1);
     s.pass(Span.ofSeconds(4));
-    s.boxes.get(0).handle.frontPlays(1, 9, 3000, 0.8);
+    s.boxes.get(0).handle.usageReceived(1, 9, 3000, 0.8);
     assertEquals(4000, s.sizes.get(0), 1);
     assertEquals(2400, s.sizes.get(1), 60);
   }
@@ -336,18 +339,19 @@
   void aKeeperThatHasJustStartedAnswersNobody() {
     PolicyHarness s =
         new PolicyHarness(PolicyHarness.place(2, true, false, Span.NONE, PLAIN), 7, 1);
-    s.boxes.get(0).handle.frontPlays(1, 9, 800, 1);
+    s.boxes.get(0).handle.usageReceived(1, 9, 800, 1);
     assertTrue(s.answered.isEmpty());
-    assertNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer, "a partial sum blocks nobody");
+    assertNull(
+        s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).answer, "a partial sum blocks nobody");
   }
 
   @Test
   void aNewcomerThatWouldMakeItsBoxShortIsBlocked() {
     PolicyHarness s = stage(1, false);
     report(s, 0.99);
-    assertEquals("blocked", s.take(PLAIN, s.policy.title(0, 4), PATIENCE).answer);
-    s.boxes.get(0).handle.reported(0.9, Double.NaN, Double.NaN);
-    assertNotNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).out);
+    assertEquals("blocked", s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).answer);
+    s.boxes.get(0).handle.loadReported(0.9, Double.NaN, Double.NaN);
+    assertNotNull(s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).out);
   }
 
   @Test
@@ -355,7 +359,7 @@
     PolicyHarness s =
         new PolicyHarness(PolicyHarness.place(2, false, false, Span.ofSeconds(5), PLAIN), 7, 4);
     for (int i = 0; i < 10; i++) {
-      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
       while (v.out != null) {
         v.ends(Environment.AttemptOutcome.TURNED_AWAY);
       }
@@ -383,7 +387,7 @@
   }
 
   private static int refused(PolicyHarness s) {
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     while (v.out != null) {
       v.ends(Environment.AttemptOutcome.TURNED_AWAY);
     }
@@ -395,15 +399,15 @@
     PolicyHarness s =
         new PolicyHarness(PolicyHarness.place(1, false, false, Span.NONE, PLAIN), 7, 1);
     s.boxes.get(0).serving(s.now);
-    assertNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).out);
+    assertNull(s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).out);
     s.pass(Span.ofSeconds(3));
-    assertNotNull(s.take(PLAIN, s.policy.title(0, 4), PATIENCE).out);
+    assertNotNull(s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE).out);
   }
 
   @Test
   void ratesInForceBeforeTheFirstReportAreNoNews() {
     PolicyHarness s = stage(1, false);
-    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 4);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 4);
     report(s, 0.9);
     s.pass(Span.ofSeconds(2));
     assertEquals(4, v.rung, "its 300 kB are in the 900 reported");
@@ -412,12 +416,15 @@
   @Test
   void whenAllWordsAreLostTheGuessAloneShedsNothing() {
     PolicyHarness s = stage(8, true);
-    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.title(0, 4), s.boxes.get(0), 2);
-    s.boxes.get(0).handle.frontPlays(1, 9, 300, 1);
+    PolicyHarness.Viewer v = s.plays(PLAIN, s.policy.createTitle(0, 4), s.boxes.get(0), 2);
+    s.boxes.get(0).handle.usageReceived(1, 9, 300, 1);
     s.pass(Span.ofSeconds(20));
     for (int i = 0; i < 40; i++) {
-      s.boxes.get(1).handle.reported(4, Double.NaN, Double.NaN); // a usual load far over all links
-      s.boxes.get(0).handle.reported(0.5, Double.NaN, Double.NaN);
+      s.boxes
+          .get(1)
+          .handle
+          .loadReported(4, Double.NaN, Double.NaN); // a usual load far over all links
+      s.boxes.get(0).handle.loadReported(0.5, Double.NaN, Double.NaN);
       s.pass(Span.ofMillis(500));
     }
     assertTrue(v.rung >= 2);
@@ -435,7 +442,7 @@
             Environment.AttemptOutcome.UNHEARD,
             Environment.AttemptOutcome.HELD_UP)) {
       PolicyHarness s = stage(1, false);
-      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
       v.ends(how);
       assertTrue(v.out == null, how + ": the first may still be out there");
       v.endConfirmed(0);
@@ -447,10 +454,10 @@
     PolicyHarness s =
         new PolicyHarness(PolicyHarness.place(2, false, true, Span.NONE, PLAIN), 7, 1);
     s.pass(Span.ofSeconds(3));
-    s.boxes.get(0).handle.probed(Environment.AttemptOutcome.HELD_UP);
-    s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    s.boxes.get(0).handle.probeEnded(Environment.AttemptOutcome.HELD_UP);
+    s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     s.pass(Span.ofMillis(100));
-    s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     s.pass(Span.ofMillis(100));
     assertTrue(
         s.viewers.stream().allMatch(v -> v.out != null),
@@ -478,8 +485,8 @@
               7,
               1);
       s.pass(Span.ofSeconds(3));
-      s.boxes.get(0).handle.reported(0.3, 0.95, 10);
-      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      s.boxes.get(0).handle.loadReported(0.3, 0.95, 10);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(
           price > 0.01 ? 2 : 0,
@@ -520,18 +527,19 @@
               5);
       s.pass(Span.ofSeconds(3));
       for (int box = 1; box <= c.plays(); box++) {
-        PolicyHarness.Viewer there = s.plays(PLAIN, s.policy.title(box, 1), s.boxes.get(box), 1);
+        PolicyHarness.Viewer there =
+            s.plays(PLAIN, s.policy.createTitle(box, 1), s.boxes.get(box), 1);
         s.boxes
             .get(box)
             .handle
-            .reported(0.9, 0.1, 1); // it is the link there, not the uplink of all
+            .loadReported(0.9, 0.1, 1); // it is the link there, not the uplink of all
         there.handle.shareDelivered(box <= c.isShort() ? 0.9 : 1);
       }
-      s.boxes.get(0).handle.reported(0.1, 0.1, 1);
-      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 1), PATIENCE);
+      s.boxes.get(0).handle.loadReported(0.1, 0.1, 1);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 1), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(c.low(), v.rung == 0, "rung " + v.rung + " in " + c);
-      PolicyHarness.Viewer beside = s.take(PLAIN, s.policy.title(1, 1), PATIENCE);
+      PolicyHarness.Viewer beside = s.take(PLAIN, s.policy.createTitle(1, 1), PATIENCE);
       s.pass(Span.ofMillis(100));
       assertEquals(
           c.isShort() > 0,
@@ -560,7 +568,7 @@
               7,
               4);
       s.pass(Span.ofSeconds(3));
-      Policy.Title t = s.policy.title(0, 4);
+      Policy.Title t = s.policy.createTitle(0, 4);
       s.plays(PLAIN, t, s.boxes.get(3), 2);
       int there = 0;
       for (int i = 0; i < 4; i++) {
@@ -580,7 +588,7 @@
         continue;
       }
       PolicyHarness s = stage(1, false);
-      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+      PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
       v.ends(how);
       s.pass(Span.ofMillis(200));
       assertTrue(v.out == null && v.answer == null, how + ": it waits for the confirmation");
@@ -593,7 +601,7 @@
   @Test
   void aServerThatLeavesTheListAndComesBackIsStillTheOneThatMayHaveAnAttempt() {
     PolicyHarness s = stage(1, false);
-    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.title(0, 4), PATIENCE);
+    PolicyHarness.Viewer v = s.take(PLAIN, s.policy.createTitle(0, 4), PATIENCE);
     v.ends(Environment.AttemptOutcome.UNHEARD);
     s.boxes.get(0).gone();
     s.boxes.get(0).serving(Moment.DISTANT_PAST);
--- a/src/test/java/linengauge/RulesTest.java
+++ b/src/test/java/linengauge/RulesTest.java
@@ -33,7 +33,7 @@
     PolicyHarness stage = new PolicyHarness(place, seed, 4);
     List<Policy.Title> titles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      titles.add(stage.policy.title(i, 3));
+      titles.add(stage.policy.createTitle(i, 3));
       stage.plays(packages[0], titles.get(i), stage.boxes.get(i), chance.nextInt(5));
     }
     double trouble = chance.nextDouble() * 0.6;
@@ -54,16 +54,16 @@
         case 0 -> box.draining();
         case 1 -> box.gone();
         case 2, 3, 4 -> box.serving(stage.now.minus(Span.ofMillis(chance.nextInt(2000))));
-        case 5 -> box.handle.reported(chance.nextDouble() * 2, Double.NaN, 3);
-        case 6 -> box.handle.reported(Double.NaN, chance.nextDouble() * 2, Double.NaN);
+        case 5 -> box.handle.loadReported(chance.nextDouble() * 2, Double.NaN, 3);
+        case 6 -> box.handle.loadReported(Double.NaN, chance.nextDouble() * 2, Double.NaN);
         case 7 ->
-            box.handle.frontPlays(
+            box.handle.usageReceived(
                 1 + chance.nextInt(8),
                 chance.nextInt(4),
                 chance.nextInt(900),
                 0.5 + chance.nextDouble());
         case 8 -> {
-          box.handle.probed(false);
+          box.handle.probeEnded(false);
           box.witnessed = stage.now;
         }
         default -> {}
@@ -98,7 +98,7 @@
       for (PolicyHarness s : stages) {
         s.pass(Span.ofMillis(100));
         PolicyHarness.Viewer v =
-            s.take(plain, s.policy.title(chance.nextInt(4), 1), Span.ofMillis(900));
+            s.take(plain, s.policy.createTitle(chance.nextInt(4), 1), Span.ofMillis(900));
         if (v.out != null) {
           sends.get(s.boxes.indexOf(v.out)).add(s.now);
           v.plays();
@@ -129,7 +129,7 @@
         case 0, 1, 2 -> v.ends(Environment.AttemptOutcome.FINISHED);
         case 3 -> v.ends(Environment.AttemptOutcome.BROKEN);
         case 4, 5, 6 -> v.handle.shareDelivered(chance.nextDouble());
-        case 7 -> v.handle.loadsTold(chance.nextDouble() * 2, Double.NaN);
+        case 7 -> v.handle.loadsReported(chance.nextDouble() * 2, Double.NaN);
         default -> {}
       }
       return 0;
