--- a/src/main/java/linengauge/Moment.java
+++ b/src/main/java/linengauge/Moment.java
@@ -20,12 +20,12 @@
     return new Span(micros - earlier.micros);
   }
 
-  public boolean before(Moment other) {
+  public boolean isBefore(Moment other) {
     return micros < other.micros;
   }
 
-  public Moment orLater(Moment other) {
-    return before(other) ? other : this;
+  public Moment max(Moment other) {
+    return isBefore(other) ? other : this;
   }
 
   @Override
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -185,8 +185,8 @@
       r.relax();
     }
     for (MediaBox b : List.copyOf(occupied)) {
-      Span pace = b.link.elsewhereAt.before(b.toldAt) ? SETTLED : TELL_ALL;
-      if (Math.abs(b.link.own - b.toldKb) > middleKb / 10 || b.toldAt.plus(pace).before(now)) {
+      Span pace = b.link.elsewhereAt.isBefore(b.toldAt) ? SETTLED : TELL_ALL;
+      if (Math.abs(b.link.own - b.toldKb) > middleKb / 10 || b.toldAt.plus(pace).isBefore(now)) {
         b.tell(1);
       }
       b.sample();
@@ -234,16 +234,16 @@
     void heardOf(double kb) {
       recent.add(new Change(now, kb));
       since += kb;
-      recent.removeIf(c -> c.at().before(now.minus(CHANGE_LIFE)));
+      recent.removeIf(c -> c.at().isBefore(now.minus(CHANGE_LIFE)));
     }
 
     void hear(double load, Moment trueAt) {
-      if (Double.isNaN(load) || trueAt.before(toldTrueAt)) {
+      if (Double.isNaN(load) || trueAt.isBefore(toldTrueAt)) {
         return;
       }
       told = load * size();
       toldTrueAt = trueAt;
-      recent.removeIf(c -> c.at().before(trueAt));
+      recent.removeIf(c -> c.at().isBefore(trueAt));
       since = 0;
       for (Change c : recent) {
         since += c.kb();
@@ -251,7 +251,7 @@
     }
 
     void othersPlay(double kb) {
-      if (now.since(elsewhereAt).under(TELL_ALL.times(3))) {
+      if (now.since(elsewhereAt).isShorterThan(TELL_ALL.times(3))) {
         heardOf(kb - elsewhere);
       }
       elsewhere = kb;
@@ -288,7 +288,7 @@
     private double blend(double guess) {
       double word = wordHolds();
       double otherwise = own + word * elsewhere + (1 - word) * guess;
-      Span stale = now.since(toldTrueAt).minus(NEWS_HOLDS).orMore(Span.NONE);
+      Span stale = now.since(toldTrueAt).minus(NEWS_HOLDS).max(Span.NONE);
       double trust = Math.exp(-stale.seconds() / NEWS_LIFE.seconds());
       return Double.isNaN(told)
           ? otherwise
@@ -443,7 +443,7 @@
     }
 
     public void markServing(double weight, int cell, int kind, int building, Moment startedAt) {
-      if (this.startedAt.before(startedAt)) {
+      if (this.startedAt.isBefore(startedAt)) {
         failures = 0;
         avoidUntil = Moment.DISTANT_PAST;
         link.told = Double.NaN;
@@ -545,7 +545,7 @@
 
     /** Asks for news, by probe or by word. Says whether it has just been asked. */
     private boolean ask() {
-      if (now.since(askedAt).under(FRESH) || !probe() && !tell(1)) {
+      if (now.since(askedAt).isShorterThan(FRESH) || !probe() && !tell(1)) {
         return false;
       }
       askedAt = now;
@@ -586,7 +586,7 @@
     }
 
     private boolean avoided() {
-      return now.before(avoidUntil) || failures > 0 && settingUp() > 0;
+      return now.isBefore(avoidUntil) || failures > 0 && settingUp() > 0;
     }
 
     private int settingUp() {
@@ -598,7 +598,7 @@
     }
 
     private boolean shortNow() {
-      return now.since(shortAt).under(SHORT_NEWS);
+      return now.since(shortAt).isShorterThan(SHORT_NEWS);
     }
 
     /**
@@ -618,7 +618,7 @@
         rack.hear(asked, trueAt);
       } else {
         rack.shortOf(1 / asked);
-        if (SETTLED.under(now.since(toldAt))) {
+        if (SETTLED.isShorterThan(now.since(toldAt))) {
           tell(1 / asked);
         }
       }
@@ -651,7 +651,7 @@
     private void forgetSilentFronts() {
       while (!words.isEmpty()) {
         var oldest = words.entrySet().iterator().next();
-        if (!oldest.getValue().at().plus(TELL_ALL.times(2.2)).before(now)) {
+        if (!oldest.getValue().at().plus(TELL_ALL.times(2.2)).isBefore(now)) {
           return;
         }
         word(oldest.getKey(), 0, 0);
@@ -668,7 +668,7 @@
       wordsCount += count - (old == null ? 0 : old.count());
       rack.wordsKb = Math.max(0, rack.wordsKb + more);
       othersCount = wordsCount;
-      if (SETTLED.under(now.since(started))) {
+      if (SETTLED.isShorterThan(now.since(started))) {
         link.othersPlay(wordsKb);
         rack.othersPlay(rack.wordsKb);
       }
@@ -684,7 +684,7 @@
       if (share < 1) {
         rack.shortOf(share);
       }
-      if (SETTLED.under(now.since(started))) {
+      if (SETTLED.isShorterThan(now.since(started))) {
         outside.sendRackUsage(
             front,
             this,
@@ -728,9 +728,10 @@
     /** One sample of demand over size: both averages move, then a step down, one up, or none. */
     private void sample() {
       // With nothing heard and no probe to ask, own rates alone would look like room.
-      Moment heardAt = reportedAt.orLater(link.elsewhereAt).orLater(link.toldTrueAt);
+      Moment heardAt = reportedAt.max(link.elsewhereAt).max(link.toldTrueAt);
       boolean fresh =
-          now.since(heardAt).under(house.permissions().mayProbe() ? FRESH : TELL_ALL.times(2));
+          now.since(heardAt)
+              .isShorterThan(house.permissions().mayProbe() ? FRESH : TELL_ALL.times(2));
       if (viewings.isEmpty()
           || !fresh && !house.permissions().mayProbe() && house.frontCount() > 1) {
         sampledAt = now;
@@ -743,7 +744,7 @@
       sampledAt = now;
       if (shortAverage >= UPPER_MARK) {
         stepDown(1 - SHED_TO / Math.max(x, SHED_TO));
-      } else if (!now.before(steppedUpAt.plus(STEP_PACE))) {
+      } else if (!now.isBefore(steppedUpAt.plus(STEP_PACE))) {
         Viewing low = next(1);
         double mark = low == null ? 0 : link.fill() - low.added(1) / link.size();
         // A step up wants fresh news: it is asked for first.
@@ -887,7 +888,7 @@
       this.title = title;
       this.ceiling = Math.max(terms.lowestRung(), Math.min(ceiling, terms.highestRung()));
       this.patienceEnds = patienceEnds;
-      this.margin = ANSWER_MARGIN.orLess(patienceEnds.since(now).times(ANSWER_MARGIN_SHARE));
+      this.margin = ANSWER_MARGIN.min(patienceEnds.since(now).times(ANSWER_MARGIN_SHARE));
       this.target = now.plus(terms.latencyObjective());
       probesLeft =
           Math.min(
@@ -984,8 +985,8 @@
               : house.permissions().buildingCrossingPrice() * 10 * middleKb;
       score -= b.streams + b.settingUp() >= b.places ? 1e8 : 0;
       score -= b.avoided() ? 1e9 * (1 + b.failures) : 0;
-      Moment heardAt = b.link.toldTrueAt.orLater(b.link.elsewhereAt);
-      return score - (looked && FRESH.under(now.since(heardAt)) ? 1e7 : 0);
+      Moment heardAt = b.link.toldTrueAt.max(b.link.elsewhereAt);
+      return score - (looked && FRESH.isShorterThan(now.since(heardAt)) ? 1e7 : 0);
     }
 
     /** Sends to the roomiest holder; waits a little where the gate is shut, blocks if it stays. */
@@ -998,8 +999,8 @@
         tuneIn(best);
       } else if (best == null
           && mayStillPlay()
-          && HOLD.under(patienceLeft(this))
-          && (now.plus(HOLD).before(target) || awaitsConfirmation())) {
+          && HOLD.isShorterThan(patienceLeft(this))
+          && (now.plus(HOLD).isBefore(target) || awaitsConfirmation())) {
         askConfirmation();
         hold();
       } else {
@@ -1031,7 +1032,7 @@
 
     /** A server could take it but for an earlier attempt whose end may be confirmed any moment. */
     private boolean awaitsConfirmation() {
-      return barredByUnconfirmed() != null && now.since(endedAt).under(CONFIRM_WAIT);
+      return barredByUnconfirmed() != null && now.since(endedAt).isShorterThan(CONFIRM_WAIT);
     }
 
     private MediaBox barredByUnconfirmed() {
@@ -1097,11 +1098,12 @@
     private void tuneIn(MediaBox b) {
       int fits = fit(b);
       Span toTarget = target.since(now);
-      Span wait = LEAST_WAIT.under(toTarget) ? toTarget.times(0.5).orMore(LEAST_WAIT) : LATE_WAIT;
+      Span wait =
+          LEAST_WAIT.isShorterThan(toTarget) ? toTarget.times(0.5).max(LEAST_WAIT) : LATE_WAIT;
       gatePassed(this, b);
       settle(b, fits);
       player.setRung(rung);
-      player.tuneIn(b, wait.orLess(patienceLeft(this)));
+      player.tuneIn(b, wait.min(patienceLeft(this)));
       b.tell(1);
     }
 
@@ -1141,7 +1143,7 @@
       if (mayHaveRun && terms.paidAtSetUp()) {
         player.fail();
       } else {
-        player.reject(COME_BACK.orLess(house.permissions().maxRetryAfter()), reason);
+        player.reject(COME_BACK.min(house.permissions().maxRetryAfter()), reason);
       }
     }
 
@@ -1152,7 +1154,7 @@
       if (!mayStillPlay()) {
         return Environment.RejectionReason.ATTEMPTS_USED_UP;
       }
-      if (!margin.under(patienceLeft(this))) {
+      if (!margin.isShorterThan(patienceLeft(this))) {
         return Environment.RejectionReason.DEADLINE_TOO_CLOSE;
       }
       if (tuneIns > 0 && !furtherLeft()) {
@@ -1252,7 +1254,8 @@
     return !vw.answered
         && vw.at == null
         && vw.mayStillPlay() // one tune-in out, none twice
-        && vw.margin.under(patienceLeft(vw)) // the answer comes before the viewer's patience ends
+        && vw.margin.isShorterThan(
+            patienceLeft(vw)) // the answer comes before the viewer's patience ends
         && b.serving
         && b.holds(vw.title) // drains: nothing at all once told, well within the grace
         && (vw.terms.maxViewingsPerTitle() <= 0
@@ -1288,7 +1291,7 @@
   }
 
   private static void prune(ArrayDeque<Moment> moments, Moment from) {
-    while (!moments.isEmpty() && moments.peek().before(from)) {
+    while (!moments.isEmpty() && moments.peek().isBefore(from)) {
       moments.poll();
     }
   }
@@ -1306,7 +1309,7 @@
    */
   private boolean coldPaceKept(MediaBox b) {
     Deployment.Rules rules = house.rules();
-    if (!now.before(b.startedAt.orLater(b.lostAt).plus(rules.coldPeriod()))) {
+    if (!now.isBefore(b.startedAt.max(b.lostAt).plus(rules.coldPeriod()))) {
       return true; // neither just started nor lost from sight so lately that it may have
     }
     Span window = fallWindow();
@@ -1318,7 +1321,7 @@
             * rules.coldStartCapacity()
             * rules.overloadWindow().seconds()
             / rules.coldPeriod().seconds();
-    if (now.since(started).under(window)) {
+    if (now.since(started).isShorterThan(window)) {
       return false;
     }
     double part = Math.floor(all / house.frontCount());
--- a/src/main/java/linengauge/Span.java
+++ b/src/main/java/linengauge/Span.java
@@ -28,16 +28,16 @@
     return new Span(Math.round(micros * factor));
   }
 
-  public boolean under(Span other) {
+  public boolean isShorterThan(Span other) {
     return micros < other.micros;
   }
 
-  public Span orLess(Span other) {
-    return under(other) ? this : other;
+  public Span min(Span other) {
+    return isShorterThan(other) ? this : other;
   }
 
-  public Span orMore(Span other) {
-    return under(other) ? other : this;
+  public Span max(Span other) {
+    return isShorterThan(other) ? other : this;
   }
 
   @Override
--- a/src/main/java/linengauge/briefing/Briefing.java
+++ b/src/main/java/linengauge/briefing/Briefing.java
@@ -30,7 +30,7 @@
       for (Object one : classes) {
         if (one instanceof Map<?, ?> c) {
           packages.add(String.valueOf(c.get("name")));
-          patience = patience.orMore(span(c, "deadlineUs"));
+          patience = patience.max(span(c, "deadlineUs"));
         }
       }
     }
--- a/src/main/java/linengauge/consensus/Elections.java
+++ b/src/main/java/linengauge/consensus/Elections.java
@@ -119,7 +119,8 @@
   }
 
   private boolean hearsLeader() {
-    return state.isLeader() || state.now().since(leaderHeardAt).under(state.settings().election());
+    return state.isLeader()
+        || state.now().since(leaderHeardAt).isShorterThan(state.settings().election());
   }
 
   /** Its log is as new as this one's (5.4.1). */
--- a/src/main/java/linengauge/consensus/FollowerReplication.java
+++ b/src/main/java/linengauge/consensus/FollowerReplication.java
@@ -32,7 +32,7 @@
 
   /** How old what is known here may be. */
   Span age() {
-    return state.now().since(currentUntil).orLess(MOST_AGE);
+    return state.now().since(currentUntil).min(MOST_AGE);
   }
 
   /** Entries, a heartbeat or a snapshot of whoever leads, or led. */
@@ -57,7 +57,7 @@
     }
     if (state.commitIndex() >= message.commit() && !node.mayReadQueuedMessages()) {
       Span age = new Span(Math.max(0, message.age()));
-      currentUntil = currentUntil.orLater(state.now().minus(age));
+      currentUntil = currentUntil.max(state.now().minus(age));
     }
   }
 
--- a/src/main/java/linengauge/consensus/LeaderReplication.java
+++ b/src/main/java/linengauge/consensus/LeaderReplication.java
@@ -70,7 +70,8 @@
       return true;
     }
     PeerProgress peer = peers.get(number);
-    return peer != null && state.now().since(peer.heardAt).under(state.settings().election());
+    return peer != null
+        && state.now().since(peer.heardAt).isShorterThan(state.settings().election());
   }
 
   /** For how long at the most no majority may have answered this leader. */
@@ -150,7 +151,7 @@
 
   /** Once an election's time at the most: a snapshot is long, and may be on its way. */
   private void sendSnapshot(int to, PeerProgress peer, long age) {
-    if (peer.snapshotSentAt.plus(state.settings().election()).before(state.now())) {
+    if (peer.snapshotSentAt.plus(state.settings().election()).isBefore(state.now())) {
       peer.snapshotSentAt = state.now();
       outbox.send(to, snapshots.newMessage(RaftMessage.Kind.INSTALL, round, age));
     }
--- a/src/main/java/linengauge/consensus/LogFollower.java
+++ b/src/main/java/linengauge/consensus/LogFollower.java
@@ -196,10 +196,10 @@
     Moment next = askAt;
     if (!proposals.isEmpty()) {
       PendingProposal o = proposals.firstEntry().getValue();
-      next = o.askAt.before(next) ? o.askAt : next;
+      next = o.askAt.isBefore(next) ? o.askAt : next;
     }
     for (PendingRead r : reads) {
-      next = r.askAt.before(next) ? r.askAt : next;
+      next = r.askAt.isBefore(next) ? r.askAt : next;
     }
     return next;
   }
@@ -208,24 +208,24 @@
     now = at;
     follow();
     for (PendingProposal pending : List.copyOf(proposals.values())) {
-      if (!now.before(pending.until)) {
+      if (!now.isBefore(pending.until)) {
         end(pending, false);
       }
     }
     sendOldestProposal();
-    reads.removeIf(read -> !now.before(read.until));
-    readyReads.removeIf(ready -> !now.before(ready.read().until));
+    reads.removeIf(read -> !now.isBefore(read.until));
+    readyReads.removeIf(ready -> !now.isBefore(ready.read().until));
     sendReads();
   }
 
   /** Asks one voter for what has been decided since; another where that one is silent. */
   private void follow() {
-    if (!now.before(freshAt.plus(terms.silent()))) {
+    if (!now.isBefore(freshAt.plus(terms.silent()))) {
       askedVoter = nextVoter();
       freshAt = now;
       askAt = now;
     }
-    if (!now.before(askAt)) {
+    if (!now.isBefore(askAt)) {
       askAt = now.plus(terms.ask());
       request++;
       send(
@@ -240,7 +240,7 @@
    */
   private void sendOldestProposal() {
     PendingProposal oldest = proposals.isEmpty() ? null : proposals.firstEntry().getValue();
-    if (oldest == null || now.before(oldest.askAt)) {
+    if (oldest == null || now.isBefore(oldest.askAt)) {
       return;
     }
     leader = oldest.unanswered ? -1 : leader; // it may be gone: whoever is followed knows better
@@ -254,7 +254,7 @@
 
   private void sendReads() {
     for (PendingRead read : reads) {
-      if (now.before(read.askAt)) {
+      if (now.isBefore(read.askAt)) {
         continue;
       }
       leader = read.unanswered ? -1 : leader;
@@ -381,7 +381,7 @@
     freshAt = message.age() < terms.silent().times(2).micros() ? now : freshAt;
     if (decided.index() >= message.commit()) {
       sureAt =
-          sureAt.orLater(
+          sureAt.max(
               now.minus(
                   new Span(Math.max(0, Math.min(message.age(), Span.ofSeconds(3600).micros())))));
     }
--- a/src/main/java/linengauge/consensus/RaftNode.java
+++ b/src/main/java/linengauge/consensus/RaftNode.java
@@ -171,7 +171,7 @@
   /** The moment at which it wants to be stepped, at the latest. */
   public Moment next() {
     Moment next = state.isLeader() ? leading.heartbeatAt() : elections.deadline();
-    return state.durable().isUnsaved() && nextSaveAt.before(next) ? nextSaveAt : next;
+    return state.durable().isUnsaved() && nextSaveAt.isBefore(next) ? nextSaveAt : next;
   }
 
   /* ---- what happens ---- */
@@ -189,12 +189,12 @@
    * pause, in which nobody is told a fresh word.
    */
   protected boolean stoodStill(Moment due, Moment at) {
-    return due.plus(state.settings().election().times(STAND_STILL)).before(at);
+    return due.plus(state.settings().election().times(STAND_STILL)).isBefore(at);
   }
 
   /** Whether what it reads now may have been sent long ago. */
   boolean mayReadQueuedMessages() {
-    return state.now().since(resumedAt).under(state.settings().election());
+    return state.now().since(resumedAt).isShorterThan(state.settings().election());
   }
 
   public void step(Moment at) {
@@ -203,10 +203,10 @@
       if (checksQuorum() && !leading.hasQuorumContact()) {
         // thesis 6.2: cut off from most of them, or frozen meanwhile, it leads nobody
         becomeFollower(RaftState.NO_LEADER);
-      } else if (!at.before(leading.heartbeatAt())) {
+      } else if (!at.isBefore(leading.heartbeatAt())) {
         leading.sendHeartbeats();
       }
-    } else if (!at.before(elections.deadline())) {
+    } else if (!at.isBefore(elections.deadline())) {
       elections.startPreVote();
     }
     settle();
@@ -392,7 +392,7 @@
    * is not asked all the time.
    */
   protected boolean save() {
-    if (state.now().before(nextSaveAt)) {
+    if (state.now().isBefore(nextSaveAt)) {
       return false;
     }
     try {
--- a/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
@@ -146,7 +146,7 @@
 
   private void runUntil(Moment then) {
     int atOnce = 0;
-    while (time.nextAt() != null && time.nextAt().before(then) && !judge.isDone()) {
+    while (time.nextAt() != null && time.nextAt().isBefore(then) && !judge.isDone()) {
       atOnce = time.nextAt().equals(now()) ? atOnce + 1 : 0;
       if (atOnce > MOST_AT_ONCE) {
         judge.report("no end of things at one moment");
@@ -179,7 +179,7 @@
 
   /** That voter takes itself for the leader. */
   void onLeads(int number) {
-    longestAlone = longestAlone.orMore(faults.deafFor(number, now()));
+    longestAlone = longestAlone.max(faults.deafFor(number, now()));
   }
 
   /* ---- proposals and reads ---- */
@@ -187,7 +187,7 @@
   private void scheduleProposals(SimulatedFollower follower) {
     Moment over = new Moment(end.micros());
     Moment at = new Moment(500_000 + random.nextInt(500_000));
-    while (at.before(over)) {
+    while (at.isBefore(over)) {
       schedule(at, () -> follower.run(() -> propose(follower)));
       at = at.plus(new Span(300_000 + random.nextInt(2_000_000)));
     }
--- a/src/main/java/linengauge/consensus/explore/Fault.java
+++ b/src/main/java/linengauge/consensus/explore/Fault.java
@@ -51,7 +51,7 @@
   }
 
   boolean isOn(Moment now) {
-    return !now.before(from) && now.before(to);
+    return !now.isBefore(from) && now.isBefore(to);
   }
 
   @Override
--- a/src/main/java/linengauge/consensus/explore/FaultPlan.java
+++ b/src/main/java/linengauge/consensus/explore/FaultPlan.java
@@ -48,7 +48,7 @@
     Moment until = now;
     for (Fault fault : faults) {
       if (fault.kind() == Fault.Kind.FREEZE && processOf(fault.a()) == number && fault.isOn(now)) {
-        until = until.orLater(fault.to());
+        until = until.max(fault.to());
       }
     }
     return until;
@@ -59,7 +59,7 @@
     Span longest = Span.NONE;
     for (Fault fault : faults) {
       if (fault.kind() == Fault.Kind.DEAF && fault.a() == number && fault.isOn(now)) {
-        longest = longest.orMore(now.since(fault.from()));
+        longest = longest.max(now.since(fault.from()));
       }
     }
     return longest;
--- a/src/main/java/linengauge/consensus/explore/ModelState.java
+++ b/src/main/java/linengauge/consensus/explore/ModelState.java
@@ -239,7 +239,7 @@
 
   private String wake(Node node) {
     wakes++;
-    node.clock = node.clock.orLater(node.voter.next());
+    node.clock = node.clock.max(node.voter.next());
     return act(node, () -> node.voter.step(node.clock));
   }
 
--- a/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
@@ -56,7 +56,7 @@
 
   private Moment trueTime(Moment ofClock) {
     double micros = Math.ceil((ofClock.micros() - clockOffset) / clockRate);
-    return new Moment((long) micros + 1).orLater(cluster.now());
+    return new Moment((long) micros + 1).max(cluster.now());
   }
 
   /** The moment, by its own clock, at which it wants to be stepped. */
@@ -70,7 +70,7 @@
   /** Sets its timer anew where it is to be stepped sooner than that says. */
   void wake() {
     Moment at = trueTime(next());
-    if (wakesAt != null && !at.before(wakesAt)) {
+    if (wakesAt != null && !at.isBefore(wakesAt)) {
       return;
     }
     wakesAt = at;
@@ -93,7 +93,7 @@
   void run(Runnable task) {
     Moment now = cluster.now();
     Moment until = cluster.faults().frozenUntil(number, now);
-    if (now.before(until)) {
+    if (now.isBefore(until)) {
       int mine = life;
       cluster.schedule(
           until,
--- a/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
+++ b/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
@@ -453,7 +453,7 @@
 
   private void turn() throws IOException {
     Moment next =
-        voter == null || follower.next().before(voter.next()) ? follower.next() : voter.next();
+        voter == null || follower.next().isBefore(voter.next()) ? follower.next() : voter.next();
     long wait = Math.min(LONGEST_WAIT_MS, (next.since(now()).micros() + 999) / 1000);
     if (wait > 0) {
       selector.select(wait);
@@ -472,13 +472,13 @@
       r.run();
     }
     Moment t = now();
-    if (voter != null && !t.before(voter.next())) {
+    if (voter != null && !t.isBefore(voter.next())) {
       voter.step(t);
     }
-    if (!t.before(follower.next())) {
+    if (!t.isBefore(follower.next())) {
       follower.step(t);
     }
-    if (!t.before(tidyAt)) {
+    if (!t.isBefore(tidyAt)) {
       tidyAt = t.plus(TIDY);
       tidy(t);
     }
@@ -515,7 +515,9 @@
    */
   private void tidy(Moment t) {
     for (Link l : List.copyOf(links.values())) {
-      if (l.frames.isProven() ? IDLE.under(t.since(l.usedAt)) : PROVEN.under(t.since(l.openedAt))) {
+      if (l.frames.isProven()
+          ? IDLE.isShorterThan(t.since(l.usedAt))
+          : PROVEN.isShorterThan(t.since(l.openedAt))) {
         l.close();
       }
     }
@@ -528,7 +530,7 @@
     Link l = calls.get(address);
     if (l == null) {
       Moment t = now();
-      if (t.before(again.getOrDefault(address, Moment.DISTANT_PAST))) {
+      if (t.isBefore(again.getOrDefault(address, Moment.DISTANT_PAST))) {
         return; // lost; who speaks will speak again
       }
       if (again.size() >= MOST_ADDRESSES) {
@@ -537,7 +539,7 @@
       }
       Span p = pause.getOrDefault(address, AGAIN);
       again.put(address, t.plus(p));
-      pause.put(address, p.times(2).orLess(AGAIN_AT_MOST));
+      pause.put(address, p.times(2).min(AGAIN_AT_MOST));
       try {
         SocketChannel c = SocketChannel.open();
         l = new Link(c, true);
--- a/src/main/java/linengauge/flow/Account.java
+++ b/src/main/java/linengauge/flow/Account.java
@@ -222,8 +222,8 @@
   /** Slow by evidence, at this moment of the loop's own time. */
   boolean isSlow(Moment own, FlowTerms terms) {
     return least > 0
-        && !own.since(since).under(terms.grace())
-        && !evidence.owed().under(terms.evidence())
+        && !own.since(since).isShorterThan(terms.grace())
+        && !evidence.owed().isShorterThan(terms.evidence())
         && evidence.rate() < least;
   }
 
--- a/src/main/java/linengauge/flow/Allowance.java
+++ b/src/main/java/linengauge/flow/Allowance.java
@@ -49,7 +49,7 @@
 
   /** A span has gone by, up to this moment of the loop's own time. */
   void passed(Span span, Moment own) {
-    movers.values().removeIf(m -> moving.under(own.since(m)));
+    movers.values().removeIf(m -> moving.isShorterThan(own.since(m)));
     passed += span.micros();
     for (int i = 0; passed >= slotMicros && i <= SLOTS; i++) {
       passed -= slotMicros;
--- a/src/main/java/linengauge/flow/DoorBook.java
+++ b/src/main/java/linengauge/flow/DoorBook.java
@@ -119,7 +119,7 @@
       asks.remove(asks.keySet().iterator().next());
     }
     Moment from = now.minus(terms.keyWindow());
-    while (!past.isEmpty() && !from.before(past.peekFirst())) {
+    while (!past.isEmpty() && !from.isBefore(past.peekFirst())) {
       past.removeFirst();
     }
     if (past.size() >= terms.keyAsks()) {
--- a/src/main/java/linengauge/flow/Intake.java
+++ b/src/main/java/linengauge/flow/Intake.java
@@ -43,7 +43,7 @@
         senders.remove(senders.keySet().iterator().next());
       }
     }
-    Span since = now.since(s.heardAt).orMore(Span.NONE);
+    Span since = now.since(s.heardAt).max(Span.NONE);
     s.left = Math.min(perSecond, s.left + since.seconds() * perSecond);
     s.heardAt = now;
     if (s.left < 1) {
--- a/src/main/java/linengauge/flow/Knocks.java
+++ b/src/main/java/linengauge/flow/Knocks.java
@@ -88,7 +88,7 @@
       return;
     }
     List<Knock> over = new ArrayList<>();
-    while (!due.isEmpty() && !time.own().before(due.first().dueAt())) {
+    while (!due.isEmpty() && !time.own().isBefore(due.first().dueAt())) {
       over.add(due.pollFirst());
     }
     for (Knock k : over) {
--- a/src/main/java/linengauge/flow/OwnTime.java
+++ b/src/main/java/linengauge/flow/OwnTime.java
@@ -30,11 +30,11 @@
       wall = now;
       return true;
     }
-    Span since = now.since(wall).orMore(Span.NONE);
+    Span since = now.since(wall).max(Span.NONE);
     Span most = beat.plus(late);
-    wall = wall.orLater(now);
-    own = own.plus(since.orLess(most));
-    if (!most.under(since)) {
+    wall = wall.max(now);
+    own = own.plus(since.min(most));
+    if (!most.isShorterThan(since)) {
       return true;
     }
     stood = stood.plus(since.minus(most));
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/Chores.java
@@ -55,7 +55,7 @@
   private void ask() {
     Moment now = Wall.now();
     // How late this very wake is tells how late the desk is.
-    bench.deskLate(now.since(wakeAt).orMore(Span.NONE));
+    bench.deskLate(now.since(wakeAt).max(Span.NONE));
     wake = null;
     try {
       for (Job j = bench.next(now); j != null; j = bench.next(Wall.now())) {
@@ -68,13 +68,13 @@
 
   private void arm(Moment now) {
     Moment at = bench.askAt();
-    if (at == null || wake != null && !at.before(wakeAt)) {
+    if (at == null || wake != null && !at.isBefore(wakeAt)) {
       return;
     }
     if (wake != null) {
       wake.cancel();
     }
-    wakeAt = at.orLater(now);
+    wakeAt = at.max(now);
     wake = program.wakeAfter(wakeAt.since(now), this::ask);
   }
 
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -140,7 +140,7 @@
           linger,
           () -> {
             closing = false;
-            if (playing.isEmpty() && !new Span(Wall.micros() - usedAt).under(linger)) {
+            if (playing.isEmpty() && !new Span(Wall.micros() - usedAt).isShorterThan(linger)) {
               leave();
             } else {
               closeWhenUnused();
--- a/src/main/java/linengauge/front/Stream.java
+++ b/src/main/java/linengauge/front/Stream.java
@@ -100,7 +100,7 @@
       return;
     }
     Span quiet = new Span(Wall.micros() - heardAt);
-    if (quiet.under(silence)) {
+    if (quiet.isShorterThan(silence)) {
       program.wakeAfter(silence.minus(quiet), this::listen);
     } else {
       end(0, "silent for " + silence.micros() / 1000 + " ms");
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -145,7 +145,7 @@
               HttpHeaders.CONTENT_TYPE,
               status == 200 ? "application/vnd.apple.mpegurl" : "text/plain; charset=utf-8");
           response.putHeader(HttpHeaders.CACHE_CONTROL, "no-store");
-          if (retry != null && Span.NONE.under(retry)) {
+          if (retry != null && Span.NONE.isShorterThan(retry)) {
             response.putHeader(
                 "Retry-After", Long.toString((retry.micros() + 999_999) / 1_000_000));
             response.putHeader("Retry-After-Ms", Long.toString(retry.micros() / 1000));
--- a/src/main/java/linengauge/lease/ByteBudget.java
+++ b/src/main/java/linengauge/lease/ByteBudget.java
@@ -44,7 +44,7 @@
   }
 
   private void forget(Moment now) {
-    while (!spent.isEmpty() && !now.before(spent.peek().at().plus(WINDOW))) {
+    while (!spent.isEmpty() && !now.isBefore(spent.peek().at().plus(WINDOW))) {
       sum -= spent.poll().bytes();
     }
   }
--- a/src/main/java/linengauge/lease/ChangeBatcher.java
+++ b/src/main/java/linengauge/lease/ChangeBatcher.java
@@ -61,7 +61,7 @@
 
   /** What is wanted goes out at that moment at the latest, if nothing is on its way then. */
   void scheduleBy(Moment at) {
-    sendAt = sendAt == null || at.before(sendAt) ? at : sendAt;
+    sendAt = sendAt == null || at.isBefore(sendAt) ? at : sendAt;
   }
 
   boolean isIdle() {
@@ -84,12 +84,12 @@
   }
 
   boolean isDue(Moment now) {
-    return outstanding == null && sendAt != null && !now.before(sendAt);
+    return outstanding == null && sendAt != null && !now.isBefore(sendAt);
   }
 
   /** Gives up a proposal that has taken too long; it may still be decided. */
   void giveUpLate(Moment now) {
-    if (outstanding != null && !now.before(outstanding.until)) {
+    if (outstanding != null && !now.isBefore(outstanding.until)) {
       ended(now);
     }
   }
@@ -156,7 +156,7 @@
     Span lease = settings.lease();
     wanted
         .values()
-        .removeIf(one -> lease.under(now.since(one.askedAt())) || !isNeeded(one.change()));
+        .removeIf(one -> lease.isShorterThan(now.since(one.askedAt())) || !isNeeded(one.change()));
     expiring.entrySet().removeIf(one -> isResolved(one.getKey(), one.getValue()));
   }
 
--- a/src/main/java/linengauge/lease/ControlMachineChoice.java
+++ b/src/main/java/linengauge/lease/ControlMachineChoice.java
@@ -97,7 +97,7 @@
   }
 
   void postponeProbe(Moment until) {
-    probeAt = probeAt == null ? null : probeAt.orLater(until);
+    probeAt = probeAt == null ? null : probeAt.max(until);
   }
 
   /** The earlier machine to try now. */
--- a/src/main/java/linengauge/lease/EvidenceExchange.java
+++ b/src/main/java/linengauge/lease/EvidenceExchange.java
@@ -175,7 +175,7 @@
   /** Whether nothing came from it for so long. */
   boolean silentFor(int machine, Span span, Moment now) {
     Peer peer = peers.get(machine);
-    return peer != null && (peer.lastAt == null || span.under(now.since(peer.lastAt)));
+    return peer != null && (peer.lastAt == null || span.isShorterThan(now.since(peer.lastAt)));
   }
 
   /** Whether it has been heard without a gap for so long. */
@@ -184,6 +184,6 @@
     return peer != null
         && peer.lastAt != null
         && !silentFor(machine, longestGap(), now)
-        && !now.since(peer.runSince).under(span);
+        && !now.since(peer.runSince).isShorterThan(span);
   }
 }
--- a/src/main/java/linengauge/lease/LeaseAgent.java
+++ b/src/main/java/linengauge/lease/LeaseAgent.java
@@ -140,7 +140,7 @@
   }
 
   private static Moment earlier(Moment a, Moment b) {
-    return a.before(b) ? a : b;
+    return a.isBefore(b) ? a : b;
   }
 
   /** Does what is due. */
@@ -151,18 +151,18 @@
     if (stoodStill(dueAt, now)) {
       forgetOutstanding(now);
     }
-    if (!now.before(answerBy)) {
+    if (!now.isBefore(answerBy)) {
       answerBy = NEVER;
       failed(now);
     }
-    if (!now.before(heartbeatAt)) {
+    if (!now.isBefore(heartbeatAt)) {
       regularHeartbeat(now);
     }
-    if (!now.before(pageAt)) {
+    if (!now.isBefore(pageAt)) {
       pageAt = NEVER;
       askForPage(now);
     }
-    if (choice.probeAt() != null && !now.before(choice.probeAt())) {
+    if (choice.probeAt() != null && !now.isBefore(choice.probeAt())) {
       send(now, choice.probe(now), Purpose.PROBE);
     }
     dueAt = next();
@@ -173,7 +173,7 @@
    * pause the answers to what was sent before it say nothing. Hurts little: one heartbeat more.
    */
   protected boolean stoodStill(Moment due, Moment now) {
-    return due.plus(settings.heartbeat().times(0.5)).before(now);
+    return due.plus(settings.heartbeat().times(0.5)).isBefore(now);
   }
 
   private void forgetOutstanding(Moment now) {
@@ -198,7 +198,7 @@
   /** Keeps the rhythm, and begins another where more than one beat was missed. */
   private static Moment following(Moment at, Span period, Moment now) {
     Moment next = at.plus(period);
-    return now.before(next) ? next : now.plus(period);
+    return now.isBefore(next) ? next : now.plus(period);
   }
 
   private int send(Moment now, ControlMachine to, Purpose purpose) {
@@ -301,10 +301,10 @@
    */
   private boolean isUseful(Moment now, Sent sent, LeaseMessage.Acknowledgement ack) {
     Span half = settings.lease().times(0.5);
-    boolean old = half.under(ack.age());
-    boolean hadTime = half.under(now.since(graceFrom)) && sent.purpose() != Purpose.PROBE;
+    boolean old = half.isShorterThan(ack.age());
+    boolean hadTime = half.isShorterThan(now.since(graceFrom)) && sent.purpose() != Purpose.PROBE;
     boolean held = ack.registration() == LeaseMessage.Registration.HELD && !leaving;
-    return !old && !(held && hadTime && ack.remaining().under(half));
+    return !old && !(held && hadTime && ack.remaining().isShorterThan(half));
   }
 
   private void takeLease(Moment now, Sent sent, LeaseMessage.Acknowledgement ack) {
@@ -313,7 +313,7 @@
       return;
     }
     if (ack.registration() == LeaseMessage.Registration.HELD && !leaving) {
-      heldUntil = heldUntil.orLater(sent.at().plus(counted(ack.remaining())));
+      heldUntil = heldUntil.max(sent.at().plus(counted(ack.remaining())));
     }
     if (holdsLease(now)) {
       contest.held(now);
@@ -368,7 +368,7 @@
     }
     if (view.version() == ack.latest() && view.isWhole()) {
       complete = true;
-      currentAsOf = currentAsOf.orLater(sent.at().minus(ack.age()));
+      currentAsOf = currentAsOf.max(sent.at().minus(ack.age()));
     } else if (ack.upTo() < ack.latest() && ack.upTo() > sent.version()) {
       pageAt = now;
     }
@@ -399,11 +399,11 @@
   }
 
   private void askForPage(Moment now) {
-    if (now.before(pageAnswerBy)) {
+    if (now.isBefore(pageAnswerBy)) {
       return; // one page at a time; a lost one is made good by the next regular heartbeat
     }
     Moment allowed = budgetAllows(now);
-    if (now.before(allowed)) {
+    if (now.isBefore(allowed)) {
       pageAt = allowed;
       return;
     }
@@ -429,7 +429,7 @@
 
   /** Whether its lease runs, and so it is listed. */
   public boolean holdsLease(Moment now) {
-    return now.before(heldUntil);
+    return now.isBefore(heldUntil);
   }
 
   /** Its copy of the directory. */
@@ -447,7 +447,7 @@
     if (!complete) {
       return Mode.STARTING;
     }
-    return settings.lease().under(age(now)) ? Mode.STALE : Mode.CURRENT;
+    return settings.lease().isShorterThan(age(now)) ? Mode.STALE : Mode.CURRENT;
   }
 
   /** Which life this is. */
--- a/src/main/java/linengauge/lease/LeaseExpiry.java
+++ b/src/main/java/linengauge/lease/LeaseExpiry.java
@@ -75,9 +75,9 @@
         table
             .of(entry, now)
             .heardAt()
-            .orLater(leasesFrom)
-            .orLater(regions.reachableSince(entry.member().region()));
-    return !now.since(from).under(settings.lease());
+            .max(leasesFrom)
+            .max(regions.reachableSince(entry.member().region()));
+    return !now.since(from).isShorterThan(settings.lease());
   }
 
   private boolean isUnreachable(int region) {
--- a/src/main/java/linengauge/lease/LeaseTable.java
+++ b/src/main/java/linengauge/lease/LeaseTable.java
@@ -61,7 +61,7 @@
   void confirmed(int number, long incarnation, Moment heardHereAt) {
     Lease lease = leases.get(number);
     if (lease != null && lease.incarnation == incarnation) {
-      lease.confirmedAt = lease.confirmedAt.orLater(heardHereAt);
+      lease.confirmedAt = lease.confirmedAt.max(heardHereAt);
     }
   }
 
--- a/src/main/java/linengauge/lease/LifeContest.java
+++ b/src/main/java/linengauge/lease/LifeContest.java
@@ -25,7 +25,7 @@
 
   void held(Moment now) {
     heldSince = heldSince == null ? now : heldSince;
-    if (settings.lease().times(LEASES_HELD).under(now.since(heldSince))) {
+    if (settings.lease().times(LEASES_HELD).isShorterThan(now.since(heldSince))) {
       lost = 0;
     }
   }
--- a/src/main/java/linengauge/lease/RegionWatch.java
+++ b/src/main/java/linengauge/lease/RegionWatch.java
@@ -53,7 +53,7 @@
     Span half = settings.lease().times(0.5);
     for (DirectoryEntry entry : directory.entries()) {
       if (entry.state() == DirectoryEntry.State.PRESENT) {
-        boolean silent = half.under(now.since(table.of(entry, now).heardAt()));
+        boolean silent = half.isShorterThan(now.since(table.of(entry, now).heardAt()));
         counts.merge(
             entry.member().region(), NONE.plus(silent), (count, one) -> count.plus(silent));
       }
--- a/src/main/java/linengauge/lease/Registrar.java
+++ b/src/main/java/linengauge/lease/Registrar.java
@@ -107,16 +107,16 @@
   /** The moment at which it wants to be stepped, at the latest. */
   public Moment next() {
     Moment batch = batcher.next();
-    return batch == null || evidenceAt.before(batch) ? evidenceAt : batch;
+    return batch == null || evidenceAt.isBefore(batch) ? evidenceAt : batch;
   }
 
   /** Does what is due. */
   public void step(Moment at) {
     arrive(at);
     batcher.giveUpLate(now);
-    if (!now.before(evidenceAt)) {
+    if (!now.isBefore(evidenceAt)) {
       Moment following = evidenceAt.plus(settings.evidence());
-      evidenceAt = now.before(following) ? following : now.plus(settings.evidence());
+      evidenceAt = now.isBefore(following) ? following : now.plus(settings.evidence());
       exchangeEvidence();
       judge();
     }
@@ -128,11 +128,11 @@
 
   private void arrive(Moment at) {
     if (stoodStill(dueAt, at)) {
-      leasesFrom = leasesFrom.orLater(at);
+      leasesFrom = leasesFrom.max(at);
       trustsAgeFrom = at.plus(settings.evidence());
     }
     now = at;
-    dueAt = dueAt.orLater(at); // counted once
+    dueAt = dueAt.max(at); // counted once
   }
 
   /**
@@ -140,7 +140,7 @@
    * leases are taken anew. Hurts by a lease more until whoever did fall silent is let go.
    */
   protected boolean stoodStill(Moment due, Moment at) {
-    return due.plus(settings.heartbeat().times(0.5)).before(at);
+    return due.plus(settings.heartbeat().times(0.5)).isBefore(at);
   }
 
   /**
@@ -148,7 +148,7 @@
    * seem to have been sent now. Hurts by half a second in which nothing is granted.
    */
   protected boolean trustsAge() {
-    return !now.before(trustsAgeFrom);
+    return !now.isBefore(trustsAgeFrom);
   }
 
   /**
@@ -161,7 +161,7 @@
     arrive(at);
     controlLeader = leader;
     if (trustsAge()) {
-      sureAt = sureAt.orLater(at.minus(age));
+      sureAt = sureAt.max(at.minus(age));
     }
     dueAt = next();
   }
@@ -182,7 +182,7 @@
     termSeen = directory.term();
     termSeenAt = now;
     if (leads() && !ledBefore) {
-      leasesFrom = leasesFrom.orLater(takeoverUntil(now));
+      leasesFrom = leasesFrom.max(takeoverUntil(now));
     }
     ledBefore = leads();
   }
@@ -209,7 +209,7 @@
    * leader who followed still waits. Hurts where the log has no majority: nothing is granted then.
    */
   protected boolean isFresh() {
-    return !settings.takeover().under(age());
+    return !settings.takeover().isShorterThan(age());
   }
 
   /** A datagram came. */
@@ -300,7 +300,7 @@
     }
     Span elapsed = now.since(leaseFrom(table.of(entry, now)));
     Span counted = elapsed.times(1 / ((1 - settings.drift()) * (1 - settings.drift())));
-    return settings.lease().minus(counted).orMore(Span.NONE);
+    return settings.lease().minus(counted).max(Span.NONE);
   }
 
   /**
@@ -431,7 +431,7 @@
     boolean claims =
         leads()
             ? batcher.needsNewTerm()
-            : ownLog && !now.since(termSeenAt).under(settings.takeover());
+            : ownLog && !now.since(termSeenAt).isShorterThan(settings.takeover());
     if (claims) {
       return List.of(new DirectoryChange.Leads(own, life, directory.term() + 1));
     }
--- a/src/main/java/linengauge/lease/explore/Conditions.java
+++ b/src/main/java/linengauge/lease/explore/Conditions.java
@@ -105,12 +105,12 @@
   }
 
   boolean regionCutSince(int region, Moment since) {
-    return regionCut[region] > 0 || !lastRegionCut[region].before(since);
+    return regionCut[region] > 0 || !lastRegionCut[region].isBefore(since);
   }
 
   /** Anything was wrong with the party itself since then. */
   boolean ailedSince(int party, Moment since) {
-    return faults[party] > 0 || !lastFault[party].before(since);
+    return faults[party] > 0 || !lastFault[party].isBefore(since);
   }
 
   /**
@@ -120,9 +120,9 @@
     Span sum = Span.NONE;
     for (Fault fault : begun.getOrDefault(party, List.of())) {
       boolean ofParty = fault.kind() != Fault.Kind.CUT && fault.kind() != Fault.Kind.REGION_CUT;
-      Moment to = fault.to().before(now) ? fault.to() : now;
-      Moment from = fault.from().orLater(since);
-      sum = ofParty && from.before(to) ? sum.plus(to.since(from)) : sum;
+      Moment to = fault.to().isBefore(now) ? fault.to() : now;
+      Moment from = fault.from().max(since);
+      sum = ofParty && from.isBefore(to) ? sum.plus(to.since(from)) : sum;
     }
     return sum;
   }
@@ -134,7 +134,7 @@
 
   private boolean wayCut(long way, Moment since) {
     Moment last = lastCut.get(way);
-    return last != null && (cuts.getOrDefault(way, 0) > 0 || !last.before(since));
+    return last != null && (cuts.getOrDefault(way, 0) > 0 || !last.isBefore(since));
   }
 
   /** When a fault of a control machine, of a single way or of a region last began or ended. */
--- a/src/main/java/linengauge/lease/explore/Deaths.java
+++ b/src/main/java/linengauge/lease/explore/Deaths.java
@@ -163,10 +163,10 @@
     }
     Moment now = simulation.events().now();
     Moment disturbed = simulation.conditions().lastControlChange();
-    boolean quiet = disturbed.before(death.at.minus(bound()));
+    boolean quiet = disturbed.isBefore(death.at.minus(bound()));
     Span longest = quiet ? bound() : simulation.settings().takeover().plus(ELECTION).plus(bound());
-    Moment latest = (quiet ? death.at : disturbed.orLater(death.at)).plus(longest);
-    if (now.before(latest)) {
+    Moment latest = (quiet ? death.at : disturbed.max(death.at)).plus(longest);
+    if (now.isBefore(latest)) {
       later(death, latest.since(now));
       return;
     }
@@ -194,7 +194,7 @@
     Moment began = beganAt[front.number];
     return starting
         && began != null
-        && simulation.events().now().since(began).under(LONGEST_LOADING);
+        && simulation.events().now().since(began).isShorterThan(LONGEST_LOADING);
   }
 
   private static boolean holds(SimulatedFront front, Death death) {
@@ -222,7 +222,7 @@
             && subject.agent().incarnation() == entry.incarnation()
             && beganAt[front.number] != null;
     if (begun) {
-      beginnings.add(now.since(beganAt[number].orLater(beganAt[front.number])));
+      beginnings.add(now.since(beganAt[number].max(beganAt[front.number])));
     }
   }
 }
--- a/src/main/java/linengauge/lease/explore/DelayHistogram.java
+++ b/src/main/java/linengauge/lease/explore/DelayHistogram.java
@@ -27,7 +27,7 @@
     counts[step]++;
     all++;
     sum += delay.seconds();
-    longest = longest.orMore(delay);
+    longest = longest.max(delay);
   }
 
   /**
@@ -35,7 +35,7 @@
    */
   DetectionFigures figures(int expected) {
     Span mean = Span.ofSeconds(all == 0 ? 0 : sum / all);
-    return new DetectionFigures(expected, all, mean, high().orLess(longest), longest);
+    return new DetectionFigures(expected, all, mean, high().min(longest), longest);
   }
 
   private Span high() {
--- a/src/main/java/linengauge/lease/explore/EventQueue.java
+++ b/src/main/java/linengauge/lease/explore/EventQueue.java
@@ -28,12 +28,12 @@
   }
 
   void at(Moment when, Runnable deed) {
-    events.add(new Event(when.orLater(now), number++, deed));
+    events.add(new Event(when.max(now), number++, deed));
   }
 
   /** Runs all that is due before that moment, and comes to it. */
   void runUntil(Moment end) {
-    while (!events.isEmpty() && events.peek().at.before(end)) {
+    while (!events.isEmpty() && events.peek().at.isBefore(end)) {
       Event event = events.poll();
       atOnce = event.at.equals(now) ? atOnce + 1 : 0;
       if (atOnce > MOST_AT_ONCE) {
--- a/src/main/java/linengauge/lease/explore/Judge.java
+++ b/src/main/java/linengauge/lease/explore/Judge.java
@@ -91,7 +91,7 @@
   /**
    * A replica may have changed.
    *
-   * @param before its version when it was last looked at
+   * @param isBefore its version when it was last looked at
    * @return its version now
    */
   long directory(int control, MemberDirectory directory, long before) {
@@ -158,7 +158,7 @@
   private boolean hasCause(SimulatedFront front) {
     Moment since = events.now().minus(simulation.settings().lease().plus(SLACK));
     Span own = conditions.ailedFor(front.number, since, events.now());
-    return BLIP.under(own) || controlsOutOfReach(front, since) > CONTROLS_BORNE;
+    return BLIP.isShorterThan(own) || controlsOutOfReach(front, since) > CONTROLS_BORNE;
   }
 
   /** Whether anything that it need not bear befell the front within a lease and some slack. */
@@ -278,7 +278,7 @@
     Span missing = events.now().since(missed);
     Span said = front.agent().age(front.clock());
     Span least = missing.times(1 - simulation.settings().drift()).minus(ON_THE_WAY);
-    if (said.under(least)) {
+    if (said.isShorterThan(least)) {
       broken(front.number + " misses what changed " + missing + " ago, and says " + said);
     }
   }
--- a/src/main/java/linengauge/lease/explore/LeaseSchedule.java
+++ b/src/main/java/linengauge/lease/explore/LeaseSchedule.java
@@ -28,7 +28,7 @@
   static LeaseSchedule of(long seed, int fronts, List<Fault> faults) {
     Moment quiet = new Moment(0).plus(SETTLED);
     for (Fault fault : faults) {
-      quiet = quiet.orLater(fault.to());
+      quiet = quiet.max(fault.to());
     }
     return new LeaseSchedule(seed, fronts, List.copyOf(faults), quiet, quiet.plus(ROUND));
   }
--- a/src/main/java/linengauge/lease/explore/SimulatedControl.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedControl.java
@@ -111,20 +111,20 @@
   }
 
   private static Moment earlier(Moment a, Moment b) {
-    return b.before(a) ? b : a;
+    return b.isBefore(a) ? b : a;
   }
 
   @Override
   void step() {
     Moment now = clock();
-    if (voter != null && !now.before(voter.next())) {
+    if (voter != null && !now.isBefore(voter.next())) {
       voter.step(now);
     }
-    if (!now.before(follower.next())) {
+    if (!now.isBefore(follower.next())) {
       follower.step(now);
     }
     tellRegistrar();
-    if (!now.before(registrar.next())) {
+    if (!now.isBefore(registrar.next())) {
       registrar.step(now);
     }
   }
--- a/src/main/java/linengauge/lease/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedProcess.java
@@ -50,7 +50,7 @@
   }
 
   final boolean isFrozen() {
-    return events.now().before(frozenUntil);
+    return events.now().isBefore(frozenUntil);
   }
 
   /** A new life begins; the caller starts what runs in it. */
@@ -73,7 +73,7 @@
       return;
     }
     boolean already = isFrozen();
-    frozenUntil = frozenUntil.orLater(until);
+    frozenUntil = frozenUntil.max(until);
     if (!already) {
       thawAt(frozenUntil);
     }
@@ -123,8 +123,8 @@
     if (!up) {
       return;
     }
-    Moment due = clock.trueTime(next()).orLater(events.now());
-    if (wakesAt != null && !due.before(wakesAt)) {
+    Moment due = clock.trueTime(next()).max(events.now());
+    if (wakesAt != null && !due.isBefore(wakesAt)) {
       return;
     }
     wakesAt = due;
@@ -141,7 +141,7 @@
     if (isFrozen()) {
       return; // it is stepped by itself when it goes on
     }
-    if (!clock().before(next())) {
+    if (!clock().isBefore(next())) {
       perform(this::step);
     } else {
       wake();
--- a/src/main/java/linengauge/membership/FailureDetector.java
+++ b/src/main/java/linengauge/membership/FailureDetector.java
@@ -87,11 +87,11 @@
   }
 
   static Moment earlier(Moment a, Moment b) {
-    return b.before(a) ? b : a;
+    return b.isBefore(a) ? b : a;
   }
 
   boolean isPeriodOver(Moment now) {
-    return !now.before(periodAt);
+    return !now.isBefore(periodAt);
   }
 
   void setPeriodEnd(Moment at) {
@@ -165,7 +165,7 @@
 
   /** Asks helpers to ping the member once it has not answered in time (SWIM, 4.1). */
   void probeIndirectly(Moment now) {
-    if (probe == null || !probe.waitsForDirectAnswer() || now.before(probe.askHelpersAt)) {
+    if (probe == null || !probe.waitsForDirectAnswer() || now.isBefore(probe.askHelpersAt)) {
       return;
     }
     probe.helpersAsked = true;
@@ -223,9 +223,9 @@
     while (entries.hasNext()) {
       Map.Entry<Integer, Relay> entry = entries.next();
       Relay relay = entry.getValue();
-      if (!now.before(relay.goneAt)) {
+      if (!now.isBefore(relay.goneAt)) {
         entries.remove();
-      } else if (!relay.nakSent && !now.before(relay.nakAt)) {
+      } else if (!relay.nakSent && !now.isBefore(relay.nakAt)) {
         entry.setValue(relay.withNakSent());
         dissemination.send(Kind.NAK, relay.asker, relay.askerSequence, 0, List.of());
       }
--- a/src/main/java/linengauge/membership/MemberTable.java
+++ b/src/main/java/linengauge/membership/MemberTable.java
@@ -80,7 +80,7 @@
 
   /** Forgets those that have been gone for longer than that. */
   void forgetGone(Moment now, Span kept) {
-    entries.values().removeIf(e -> !e.isThere() && kept.under(now.since(e.since())));
+    entries.values().removeIf(e -> !e.isThere() && kept.isShorterThan(now.since(e.since())));
   }
 
   /** This front was not there to hear anybody for so long: suspicions last so much longer. */
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -124,7 +124,7 @@
     if (detector.isPeriodOver(now)) {
       startPeriod(now);
     }
-    if (!now.before(reconnection.next())) {
+    if (!now.isBefore(reconnection.next())) {
       reconnection.step(now);
     }
   }
@@ -153,7 +153,7 @@
     health.worse(1);
     detector.restart(now);
     table.holdUpSuspicions(late);
-    reconnection.setNext(now.orLater(reconnection.next()));
+    reconnection.setNext(now.max(reconnection.next()));
   }
 
   /** A datagram has come, proved to be of the fleet, from that address. */
@@ -183,7 +183,7 @@
 
   /** A step that is so late. */
   protected boolean stoodStill(Span late) {
-    return !late.under(settings.answer());
+    return !late.isShorterThan(settings.answer());
   }
 
   /** Whether a death that it has only heard of is a suspicion to it. */
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -65,7 +65,7 @@
    * good: one datagram each such time, until they are forgotten.
    */
   void step(Moment now) {
-    if (!Span.NONE.under(settings.regather())) {
+    if (!Span.NONE.isShorterThan(settings.regather())) {
       nextAt = now.plus(settings.deadKept());
       return;
     }
--- a/src/main/java/linengauge/membership/Suspicion.java
+++ b/src/main/java/linengauge/membership/Suspicion.java
@@ -48,6 +48,6 @@
   Moment endsAt() {
     double share =
         enough == 0 ? own ? 1 : 0 : Math.log(others.size() + 1.0) / Math.log(enough + 1.0);
-    return since.plus(most.minus(most.minus(least).times(share)).orMore(least));
+    return since.plus(most.minus(most.minus(least).times(share)).max(least));
   }
 }
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -90,7 +90,7 @@
       accept(entry, update, now, true);
     } else if (suspected) {
       entry.suspicion().confirmed(update.by());
-      if (!now.before(entry.suspicion().endsAt())) {
+      if (!now.isBefore(entry.suspicion().endsAt())) {
         accept(entry, update, now, true);
       }
     } else {
@@ -112,7 +112,7 @@
   /** Gives up those whose suspicion has run out. */
   void endSuspicions(Moment now) {
     for (MemberEntry entry : List.copyOf(table.all())) {
-      if (entry.suspicion() != null && !now.before(entry.suspicion().endsAt())) {
+      if (entry.suspicion() != null && !now.isBefore(entry.suspicion().endsAt())) {
         MemberUpdate held = entry.update();
         MemberUpdate dead =
             new MemberUpdate(held.member(), held.incarnation(), MemberState.DEAD, own.number());
--- a/src/main/java/linengauge/membership/explore/FaultSchedule.java
+++ b/src/main/java/linengauge/membership/explore/FaultSchedule.java
@@ -31,7 +31,7 @@
       if (kind == Fault.Kind.SICK && all.stream().anyMatch(t -> t.kind() == Fault.Kind.SICK)) {
         continue; // several that lie at once are beyond what is promised
       }
-      quiet = quiet.orLater(to);
+      quiet = quiet.max(to);
       boolean ofZone = kind == Fault.Kind.MUTE || kind == Fault.Kind.DEAF;
       int a = chance.nextInt(ofZone ? zones : fronts);
       all.add(new Fault(kind, a, chance.nextInt(fronts), from, to));
@@ -57,8 +57,8 @@
       if (t.kind() == kind
           && t.a() == a
           && (kind != Fault.Kind.CUT || t.b() == b)
-          && !now.before(t.from())
-          && now.before(t.to())) {
+          && !now.isBefore(t.from())
+          && now.isBefore(t.to())) {
         return true;
       }
     }
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -87,8 +87,8 @@
     }
 
     private void wake() {
-      Moment next = core.next().orLater(now);
-      if (wakesAt != null && !next.before(wakesAt)) {
+      Moment next = core.next().max(now);
+      if (wakesAt != null && !next.isBefore(wakesAt)) {
         return;
       }
       wakesAt = next;
@@ -116,7 +116,7 @@
           Moment goesOn =
               schedule.troubles().stream()
                   .filter(
-                      t -> t.kind() == Fault.Kind.FREEZE && t.a() == number && now.before(t.to()))
+                      t -> t.kind() == Fault.Kind.FREEZE && t.a() == number && now.isBefore(t.to()))
                   .map(Fault::to)
                   .max(Moment::compareTo)
                   .orElse(now);
@@ -275,14 +275,15 @@
     Moment from = now.minus(longestSuspicion());
     long cuts =
         schedule.troubles().stream()
-            .filter(t -> t.kind() == Fault.Kind.CUT && from.before(t.to()) && !now.before(t.from()))
+            .filter(
+                t -> t.kind() == Fault.Kind.CUT && from.isBefore(t.to()) && !now.isBefore(t.from()))
             .count();
     return cuts > 1
         || schedule.troubles().stream()
             .anyMatch(
                 t ->
-                    from.before(t.to())
-                        && !now.before(t.from())
+                    from.isBefore(t.to())
+                        && !now.isBefore(t.from())
                         && switch (t.kind()) {
                           case CUT -> false; // the others reach it
                           case MUTE, DEAF -> true;
@@ -325,7 +326,7 @@
             });
       }
     }
-    while (!due.isEmpty() && due.peek().at.before(schedule.end())) {
+    while (!due.isEmpty() && due.peek().at.isBefore(schedule.end())) {
       Due d = due.poll();
       now = d.at;
       d.deed.run();
--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -153,7 +153,7 @@
       boolean ended = false;
       boolean more = true;
       for (int i = 1;
-          more && !closed && front().now().before(until) && handedOver <= MOST_HANDED_OVER;
+          more && !closed && front().now().isBefore(until) && handedOver <= MOST_HANDED_OVER;
           i++) {
         more = takesMessage();
         ended |= more;
@@ -280,7 +280,7 @@
     begins = false;
     Moment until = front().now().plus(TURN);
     try {
-      while (front().now().before(until) && (!handOvers.isEmpty() || mayBegin())) {
+      while (front().now().isBefore(until) && (!handOvers.isEmpty() || mayBegin())) {
         Map<Long, Queued> from = handOvers.isEmpty() ? setUps : handOvers;
         begin(from, from.keySet().iterator().next());
       }
@@ -403,7 +403,7 @@
     Moment unread = front().now().minus(MAY_BE_UNREAD);
     told.forEach(
         (id, t) -> {
-          if (!t.at().before(unread)) {
+          if (!t.at().isBefore(unread)) {
             listener.release(id, t.cut(), null);
           }
         });
@@ -433,7 +433,7 @@
 
   void answer(ClientSession session, byte[] message) {
     unwait(session);
-    if (session.answerBy().before(front().now())) {
+    if (session.answerBy().isBefore(front().now())) {
       session.answeredLate(front().now().since(session.answerBy()));
     }
     write(message);
@@ -455,7 +455,7 @@
     Moment now = front().now();
     Iterator<Told> oldest = told.values().iterator();
     while (oldest.hasNext()
-        && (oldest.next().at().plus(MAY_BE_UNREAD).before(now) || told.size() >= MOST_TOLD)) {
+        && (oldest.next().at().plus(MAY_BE_UNREAD).isBefore(now) || told.size() >= MOST_TOLD)) {
       oldest.remove();
     }
     told.put(id, new Told(cut, now));
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -166,7 +166,7 @@
 
   void look(Moment now) {
     idle.look(now);
-    while (!releases.isEmpty() && releases.peek().until().before(now)) {
+    while (!releases.isEmpty() && releases.peek().until().isBefore(now)) {
       releases.poll();
     }
   }
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -109,7 +109,7 @@
                     try {
                       if (frames.feed(data) > 0) {
                         heardAt = front.now();
-                        if (LONGEST_PAUSE.under(heardAt.since(connectedAt))) {
+                        if (LONGEST_PAUSE.isShorterThan(heardAt.since(connectedAt))) {
                           pauses.reset();
                         }
                       }
@@ -157,7 +157,7 @@
 
   /** To be called some times a second. */
   void look(Moment now) {
-    if (socket != null && SILENCE.under(now.since(heardAt)) && !front.isBehind()) {
+    if (socket != null && SILENCE.isShorterThan(now.since(heardAt)) && !front.isBehind()) {
       front.log("discovery silent", address, "");
       log("closed: silent");
       connect();
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -115,7 +115,7 @@
         new Desk.Bounds(
             MOST_VIEWINGS,
             Span.NONE,
-            COME_BACK.orLess(posting.briefing().headend().permissions().maxRetryAfter()),
+            COME_BACK.min(posting.briefing().headend().permissions().maxRetryAfter()),
             Span.ofMillis(500),
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
@@ -140,7 +140,7 @@
           now = net.now();
           Span since = lag.beat(now);
           door.beat(now);
-          if (STOOD_STILL.under(since)) {
+          if (STOOD_STILL.isShorterThan(since)) {
             log("stood still", since.micros() / 1000 + " ms", "");
           }
         });
@@ -267,9 +267,9 @@
     turns++;
     Moment begun = net.now();
     while (!unread.isEmpty()
-        && net.now().before(begun.plus(TURN))
+        && net.now().isBefore(begun.plus(TURN))
         && (unread.peek().turn() + EventLoopLag.READS <= turns
-            || !begun.before(unread.peek().since().plus(CROSSING)))) {
+            || !begun.isBefore(unread.peek().since().plus(CROSSING)))) {
       onEvent(unread.poll().deed());
     }
     if (!unread.isEmpty()) {
@@ -346,8 +346,7 @@
     // (docs/protocol/platform.md); where that is
     // short it may come before this end: all is answered by then, and what plays is handed to the
     // next life.
-    Span end =
-        briefing().longestPatience().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
+    Span end = briefing().longestPatience().min(LONGEST_STOP).max(STILL_COMING).plus(BEFORE_KILL);
     // The listener stays: closing it would close every connection that came by it, with what is
     // owed there.
     after(STILL_COMING, desk::stopTaking);
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -214,7 +214,7 @@
   private ServerConnection lastHeard() {
     ServerConnection best = null;
     for (ServerConnection w : connections) {
-      if (usable(w) && (best == null || best.line().heardAt().before(w.line().heardAt()))) {
+      if (usable(w) && (best == null || best.line().heardAt().isBefore(w.line().heardAt()))) {
         best = w;
       }
     }
@@ -228,7 +228,7 @@
     unsent.add(line);
     Moment now = front().now();
     unsentSince = now;
-    nextUnsentTry = nextUnsentTry.orLater(now.plus(UNSENT_TRIED_EVERY));
+    nextUnsentTry = nextUnsentTry.max(now.plus(UNSENT_TRIED_EVERY));
   }
 
   /**
@@ -435,7 +435,7 @@
   /* ---- time ---- */
 
   private void tryUnsent(Moment now) {
-    if (!now.before(nextUnsentTry) && now.since(unsentSince).under(UNSENT_TRIED_FOR)) {
+    if (!now.isBefore(nextUnsentTry) && now.since(unsentSince).isShorterThan(UNSENT_TRIED_FOR)) {
       nextUnsentTry = now.plus(UNSENT_TRIED_EVERY);
       open();
     }
--- a/src/main/java/linengauge/platform/keep/EarlyEnds.java
+++ b/src/main/java/linengauge/platform/keep/EarlyEnds.java
@@ -46,7 +46,7 @@
 
   public void look(Moment now) {
     var oldest = ends.entrySet().iterator();
-    while (oldest.hasNext() && oldest.next().getValue().until().before(now)) {
+    while (oldest.hasNext() && oldest.next().getValue().until().isBefore(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/platform/keep/EventLoopLag.java
+++ b/src/main/java/linengauge/platform/keep/EventLoopLag.java
@@ -36,9 +36,9 @@
   public Span beat(Moment now) {
     before = last;
     last = now;
-    longest = longest.orMore(last.since(before));
+    longest = longest.max(last.since(before));
     beats++;
-    beatOfLongTurn = longTurn.under(last.since(before)) ? beats : beatOfLongTurn;
+    beatOfLongTurn = longTurn.isShorterThan(last.since(before)) ? beats : beatOfLongTurn;
     return last.since(before);
   }
 
@@ -47,7 +47,8 @@
    * beats tell.
    */
   public boolean heldUp(Span least, Moment since, Moment now) {
-    return !now.since(last).under(least) || !last.since(before).under(least) && !last.before(since);
+    return !now.since(last).isShorterThan(least)
+        || !last.since(before).isShorterThan(least) && !last.isBefore(since);
   }
 
   /**
@@ -55,7 +56,7 @@
    * after it.
    */
   public boolean isBehind(Moment now) {
-    return beats - beatOfLongTurn < READS || longTurn.under(now.since(last));
+    return beats - beatOfLongTurn < READS || longTurn.isShorterThan(now.since(last));
   }
 
   /** The longest span between two beats so far: how long anything has had to wait for its turn. */
--- a/src/main/java/linengauge/platform/keep/IdleConnection.java
+++ b/src/main/java/linengauge/platform/keep/IdleConnection.java
@@ -77,7 +77,7 @@
 
   /** It owes a sign of being a viewer, and has not given one in time. */
   private boolean overdue(IdleConnections.Terms terms, Moment now) {
-    return rests() && !proven && !now.before(came.plus(terms.sign()))
-        || midSince != null && !now.before(midSince.plus(terms.sign()));
+    return rests() && !proven && !now.isBefore(came.plus(terms.sign()))
+        || midSince != null && !now.isBefore(midSince.plus(terms.sign()));
   }
 }
--- a/src/main/java/linengauge/platform/keep/IdleConnections.java
+++ b/src/main/java/linengauge/platform/keep/IdleConnections.java
@@ -79,7 +79,7 @@
             && (least == null
                 || least.isProven() && !one.isProven()
                 || least.isProven() == one.isProven()
-                    && one.restsSince().before(least.restsSince()))) {
+                    && one.restsSince().isBefore(least.restsSince()))) {
           least = one;
         }
       }
--- a/src/main/java/linengauge/platform/keep/Line.java
+++ b/src/main/java/linengauge/platform/keep/Line.java
@@ -61,7 +61,7 @@
    * nothing more.
    */
   public void unanswered(Moment writtenAt) {
-    retired |= heardAt.before(writtenAt);
+    retired |= heardAt.isBefore(writtenAt);
   }
 
   /** Viewings set up on it that play, more or less. */
@@ -83,10 +83,11 @@
 
   /** With so many set-ups and tests out on it; a bound of NONE lets it rest for ever. */
   public Verdict verdict(int out, Span rests, Moment now) {
-    if (midSince != null && MID_LINE.under(now.since(midSince))) {
+    if (midSince != null && MID_LINE.isShorterThan(now.since(midSince))) {
       return Verdict.SPOILT;
     }
-    boolean rested = Span.NONE.under(rests) && rests.under(now.since(usedAt.orLater(heardAt)));
+    boolean rested =
+        Span.NONE.isShorterThan(rests) && rests.isShorterThan(now.since(usedAt.max(heardAt)));
     return out == 0 && standing == 0 && (retired || rested) ? Verdict.RESTS : Verdict.STAYS;
   }
 }
--- a/src/main/java/linengauge/platform/keep/ReachabilityDetector.java
+++ b/src/main/java/linengauge/platform/keep/ReachabilityDetector.java
@@ -100,7 +100,7 @@
 
   /** Whether to test it now, on a connection that is open: once in a silence. */
   public boolean wantsTest(Moment now) {
-    boolean wants = !tested && terms.silence().under(now.since(signAt));
+    boolean wants = !tested && terms.silence().isShorterThan(now.since(signAt));
     tested |= wants;
     return wants;
   }
@@ -109,23 +109,23 @@
   public void failed(Moment now) {
     failedSince = failedSince == null ? now : failedSince;
     nextTry = now.plus(pause);
-    pause = pause.times(2).orLess(terms.longestPause());
+    pause = pause.times(2).min(terms.longestPause());
   }
 
   /** Bounded back-off: whether a connection may be tried now for what stands at the box. */
   private boolean mayTry(Moment now) {
-    return !now.before(nextTry);
+    return !now.isBefore(nextTry);
   }
 
   /** It has been silent for so long that a new connection should show whether it is there. */
   private boolean doubtful(Moment now) {
-    return terms.silence().plus(terms.answer()).under(now.since(signAt)) && mayTry(now);
+    return terms.silence().plus(terms.answer()).isShorterThan(now.since(signAt)) && mayTry(now);
   }
 
   public boolean lost(Moment now) {
     return failedSince != null
-        && (!now.before(failedSince.plus(terms.lost()))
-            || !now.before(signAt.plus(terms.latest()))
-                && !now.before(failedSince.plus(terms.least())));
+        && (!now.isBefore(failedSince.plus(terms.lost()))
+            || !now.isBefore(signAt.plus(terms.latest()))
+                && !now.isBefore(failedSince.plus(terms.least())));
   }
 }
--- a/src/main/java/linengauge/platform/keep/ReceiveQueue.java
+++ b/src/main/java/linengauge/platform/keep/ReceiveQueue.java
@@ -46,11 +46,11 @@
 
   /** A piece comes; the loop's beat before the last one was then. */
   public void come(byte[] data, Moment beat, Moment now) {
-    if (floor != null && floorEnds.before(beat)) {
+    if (floor != null && floorEnds.isBefore(beat)) {
       floor = null;
     }
-    last = floor != null && floor.before(beat) ? floor : beat;
-    if (now.before(floorEnds)) {
+    last = floor != null && floor.isBefore(beat) ? floor : beat;
+    if (now.isBefore(floorEnds)) {
       floorEnds = now; // what follows at once has waited as well
     }
     pieces.add(new Piece(data, last));
--- a/src/main/java/linengauge/platform/keep/SpentIds.java
+++ b/src/main/java/linengauge/platform/keep/SpentIds.java
@@ -33,7 +33,7 @@
 
   public boolean has(long id, Moment now) {
     Moment at = ids.get(id);
-    return at != null && !at.plus(kept).before(now);
+    return at != null && !at.plus(kept).isBefore(now);
   }
 
   public int size() {
@@ -42,7 +42,7 @@
 
   private void look(Moment now) {
     var oldest = ids.values().iterator();
-    while (oldest.hasNext() && oldest.next().plus(kept).before(now)) {
+    while (oldest.hasNext() && oldest.next().plus(kept).isBefore(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/platform/keep/TimeoutCause.java
+++ b/src/main/java/linengauge/platform/keep/TimeoutCause.java
@@ -27,7 +27,7 @@
       return AttemptOutcome.HELD_UP;
     }
     for (Line line : lines) {
-      if (line.upAt().before(writtenAt) && writtenAt.before(line.heardAt())) {
+      if (line.upAt().isBefore(writtenAt) && writtenAt.isBefore(line.heardAt())) {
         return AttemptOutcome.UNHEARD;
       }
     }
--- a/src/main/java/linengauge/platform/keep/UnconfirmedEnds.java
+++ b/src/main/java/linengauge/platform/keep/UnconfirmedEnds.java
@@ -81,7 +81,7 @@
     List<Long> ids = new ArrayList<>();
     ends.forEach(
         (id, end) -> {
-          if (!end.writtenAt.before(from)) {
+          if (!end.writtenAt.isBefore(from)) {
             ids.add(id);
           }
         });
@@ -94,7 +94,7 @@
 
   private void look(Moment now) {
     Iterator<End<A>> oldest = ends.values().iterator();
-    while (oldest.hasNext() && oldest.next().writtenAt.plus(kept).before(now)) {
+    while (oldest.hasNext() && oldest.next().writtenAt.plus(kept).isBefore(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -370,7 +370,7 @@
         "key",
         tag);
     ledger.count("set-ups", 1);
-    if (startedAt != null && clock.now().since(startedAt).under(FleetDay.COLD)) {
+    if (startedAt != null && clock.now().since(startedAt).isShorterThan(FleetDay.COLD)) {
       ledger.count("set-ups on cold boxes", 1);
     }
   }
--- a/src/main/java/linengauge/rehearsal/Clockwork.java
+++ b/src/main/java/linengauge/rehearsal/Clockwork.java
@@ -27,7 +27,7 @@
 
   /** Runs everything up to that moment. */
   public void run(Moment until) {
-    while (events.nextAt() != null && !until.before(events.nextAt())) {
+    while (events.nextAt() != null && !until.isBefore(events.nextAt())) {
       events.runNext();
     }
     events.advanceTo(until);
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -398,7 +398,7 @@
     if (s.net == null || s.net.isDead()) {
       return;
     }
-    longestTurn = longestTurn.orMore(s.net.longest());
+    longestTurn = longestTurn.max(s.net.longest());
     s.net.die();
     s.takenIn = false;
     ledger.saw("front-killed", "front", number);
@@ -509,7 +509,7 @@
   }
 
   private void resets(Moment until) {
-    if (clock.now().before(until)) {
+    if (clock.now().isBefore(until)) {
       roads.resetSome(to -> to.startsWith("10.1."), p -> chance.nextInt(60) == 0);
       clock.after(Span.ofMillis(500), () -> resets(until));
     }
@@ -546,7 +546,7 @@
     Map<String, Double> counts = new LinkedHashMap<>(ledger.counts());
     clock.run(until.plus(AFTERWARDS));
     for (SimulatedFront s : simulatedFronts) {
-      longestTurn = longestTurn.orMore(s.net.longest());
+      longestTurn = longestTurn.max(s.net.longest());
     }
     counts.put("left standing", ledger.counts().getOrDefault("left standing", 0.0));
     return new Outcome(
@@ -578,7 +578,7 @@
   }
 
   private void arrive(Moment until) {
-    if (clock.now().before(until)) {
+    if (clock.now().isBefore(until)) {
       viewers.come(drawFront());
       clock.after(
           Span.ofSeconds(-Math.log(1 - chance.nextDouble()) / size.viewersASecond()),
@@ -587,7 +587,7 @@
   }
 
   private void slice(Moment until, int number) {
-    if (clock.now().before(until)) {
+    if (clock.now().isBefore(until)) {
       viewers.want(SLICE);
       boxes.forEach(b -> b.serve(SLICE, number % 4 == 0));
       clock.after(SLICE, () -> slice(until, number + 1));
--- a/src/main/java/linengauge/rehearsal/FrontNet.java
+++ b/src/main/java/linengauge/rehearsal/FrontNet.java
@@ -47,7 +47,7 @@
 
         @Override
         public Moment now() {
-          return atWork ? local : local.orLater(clock.now());
+          return atWork ? local : local.max(clock.now());
         }
       };
 
@@ -87,12 +87,12 @@
     if (dead || deed == null) {
       return;
     }
-    Moment begun = local.orLater(clock.now());
+    Moment begun = local.max(clock.now());
     local = begun;
     atWork = true;
     deed.run();
     atWork = false;
-    longest = longest.orMore(local.since(begun));
+    longest = longest.max(local.since(begun));
     wake();
   }
 
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -186,7 +186,7 @@
 
     /** What is left of it. */
     Span length() {
-      return wantedUntil.since(clock.now()).orMore(Span.ofMillis(1));
+      return wantedUntil.since(clock.now()).max(Span.ofMillis(1));
     }
 
     /** As the record names it: front, life of it, and the viewing. */
@@ -208,7 +208,7 @@
     }
 
     private void ask() {
-      if (done || !clock.now().before(wantedUntil)) {
+      if (done || !clock.now().isBefore(wantedUntil)) {
         done = true;
         return;
       }
@@ -333,7 +333,10 @@
      * close is sent again.
      */
     private void broke() {
-      if (!answered && !sentAgain && clock.now().since(askedAt).under(CROSSES) && day.isUp(front)) {
+      if (!answered
+          && !sentAgain
+          && clock.now().since(askedAt).isShorterThan(CROSSES)
+          && day.isUp(front)) {
         sentAgain = true;
         line = new Line(front);
         lines.get(front).add(line);
@@ -486,7 +489,7 @@
     List<Line> of = lines.get(front);
     for (Line l : List.copyOf(of)) {
       if (l.waiting.isEmpty()
-          && RESTS.under(clock.now().since(l.usedAt))
+          && RESTS.isShorterThan(clock.now().since(l.usedAt))
           && l.end != null
           && watches.values().stream().noneMatch(w -> w.line == l && w.plays)) {
         of.remove(l);
@@ -534,7 +537,7 @@
 
   /** Counts what is wanted over the span. */
   void want(Span span) {
-    wanting.removeIf(w -> !clock.now().before(w.wantedUntil));
+    wanting.removeIf(w -> !clock.now().isBefore(w.wantedUntil));
     wanting.forEach(w -> ledger.count("wanted", span.seconds() * w.worth));
   }
 }
--- a/src/main/java/linengauge/scale/log/LogFollowing.java
+++ b/src/main/java/linengauge/scale/log/LogFollowing.java
@@ -167,7 +167,8 @@
   }
 
   private boolean allFresh() {
-    return nodes.stream().allMatch(node -> node.view() != null && node.view().age().under(FRESH));
+    return nodes.stream()
+        .allMatch(node -> node.view() != null && node.view().age().isShorterThan(FRESH));
   }
 
   private void passTime(long begun) throws InterruptedException, TimeoutException {
--- a/src/main/java/linengauge/session/Backoff.java
+++ b/src/main/java/linengauge/session/Backoff.java
@@ -23,7 +23,7 @@
   /** How long to wait before the next attempt. */
   public Span next() {
     Span whole = next;
-    next = next.times(2).orLess(most);
+    next = next.times(2).min(most);
     return whole.times(0.5 + 0.5 * chance.nextDouble());
   }
 
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -160,7 +160,7 @@
   private void put(Entry e, Row row) {
     e.address = row.address() == null ? e.address : row.address();
     e.lives +=
-        e.row != null && e.row.startedAt().orLater(e.startedTold).before(row.startedAt()) ? 1 : 0;
+        e.row != null && e.row.startedAt().max(e.startedTold).isBefore(row.startedAt()) ? 1 : 0;
     switch (row.state()) {
       case SERVING ->
           e.handle.markServing(
@@ -168,7 +168,7 @@
               row.cell(),
               row.kind(),
               row.building(),
-              row.startedAt().orLater(e.startedTold));
+              row.startedAt().max(e.startedTold));
       case DRAINING -> e.handle.markDraining();
       case GONE -> {
         go(e);
@@ -187,8 +187,8 @@
    * start, told with a little noise.
    */
   void started(Entry e, Moment at, Span slack) {
-    Moment known = e.row == null ? e.startedTold : e.row.startedAt().orLater(e.startedTold);
-    if (known.plus(slack).before(at)) {
+    Moment known = e.row == null ? e.startedTold : e.row.startedAt().max(e.startedTold);
+    if (known.plus(slack).isBefore(at)) {
       e.startedTold = at;
       e.lives++;
       if (e.state == State.SERVING) {
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -150,7 +150,7 @@
    */
   public Held take(Held.Ask ask, Viewer viewer) {
     Span unseen = standStill.unseen(now);
-    Span margin = bounds.answerMargin().orLess(ask.patience().times(Policy.ANSWER_MARGIN_SHARE));
+    Span margin = bounds.answerMargin().min(ask.patience().times(Policy.ANSWER_MARGIN_SHARE));
     Span patience = ask.patience().minus(unseen).minus(margin);
     Held before = ask.key() == null ? null : byKey.get(ask.key());
     boolean full = held.size() >= bounds.viewings();
@@ -200,7 +200,7 @@
     if (full) {
       return RejectionReason.FRONT_FULL;
     }
-    if (!Span.NONE.under(patience)) {
+    if (!Span.NONE.isShorterThan(patience)) {
       return RejectionReason.DEADLINE_TOO_CLOSE;
     }
     return before != null && !before.isPlaying() ? RejectionReason.SAME_KEY_OPEN : null;
--- a/src/main/java/linengauge/session/Held.java
+++ b/src/main/java/linengauge/session/Held.java
@@ -100,7 +100,7 @@
 
   /** How much longer the tune-in that is out is waited for. */
   public Span waitLeft() {
-    return waitEnds.since(desk.now()).orMore(Span.NONE);
+    return waitEnds.since(desk.now()).max(Span.NONE);
   }
 
   public boolean isPlaying() {
@@ -231,8 +231,8 @@
         waitsFor(tuneIn)
             && !answered
             && at.state() == BoxTable.State.SERVING
-            && desk.now().before(patienceEnds)
-            && desk.now().since(chosenAt).under(Policy.MAX_SEND_DELAY)
+            && desk.now().isBefore(patienceEnds)
+            && desk.now().since(chosenAt).isShorterThan(Policy.MAX_SEND_DELAY)
             && at.lives() == lifeChosen;
     sent |= may;
     return may;
@@ -245,13 +245,13 @@
     }
     desk.call(
         () -> {
-          if (!answered && patienceEnds.before(desk.now())) {
+          if (!answered && patienceEnds.isBefore(desk.now())) {
             giveUp(
                 Viewer.Cause
                     .NO_ANSWER); // its viewer has gone, and the timer that says so is late itself
             return;
           }
-          if (!answered && waitEnds.before(desk.now())) {
+          if (!answered && waitEnds.isBefore(desk.now())) {
             // Guards against a front that stood still: its box was told how long it waits, and no
             // longer holds it.
             timedOut(tuneIn);
@@ -269,7 +269,7 @@
               this); // before anything is thought about it: its viewer waits, and may leave at any
           // moment
           handle.playbackStarted(); // passed over where what it said on its way has ended it
-          if (playing && Span.NONE.under(desk.idle())) {
+          if (playing && Span.NONE.isShorterThan(desk.idle())) {
             nextLook = desk.lookAfter(desk.idle(), this);
           }
         });
@@ -435,7 +435,7 @@
     }
     // After a stand-still of the front what the viewer asked meanwhile is still to be read.
     Span left = bound.minus(desk.now().since(viewer.lastAsked())).plus(desk.unseen());
-    if (Span.NONE.under(left)) {
+    if (Span.NONE.isShorterThan(left)) {
       nextLook = desk.lookAfter(left, this);
     } else {
       leave(Viewer.End.IDLE);
--- a/src/main/java/linengauge/session/StandStill.java
+++ b/src/main/java/linengauge/session/StandStill.java
@@ -31,7 +31,7 @@
   public void running(Moment now) {
     if (beaten != null) {
       Span late = now.since(beaten).minus(beat);
-      if (tolerated.under(late)) {
+      if (tolerated.isShorterThan(late)) {
         gap = late;
         noticedAt = now;
       }
@@ -41,6 +41,6 @@
 
   /** How long a request read now may already have waited unseen. */
   public Span unseen(Moment now) {
-    return now.since(noticedAt).under(holds) ? gap : Span.NONE;
+    return now.since(noticedAt).isShorterThan(holds) ? gap : Span.NONE;
   }
 }
--- a/src/main/java/linengauge/udp/DatagramLoop.java
+++ b/src/main/java/linengauge/udp/DatagramLoop.java
@@ -198,7 +198,7 @@
     for (int i = timers.size(); i > 0 && !timers.isEmpty(); i--) {
       Moment now = now();
       Timer first = timers.first();
-      if (now.before(first.due)) {
+      if (now.isBefore(first.due)) {
         return;
       }
       act(first.part, () -> first.part.step(now));
--- a/src/main/java/linengauge/virtualtime/EventQueue.java
+++ b/src/main/java/linengauge/virtualtime/EventQueue.java
@@ -29,7 +29,7 @@
 
   /** Runs the task then; now where that has passed. */
   public void schedule(Moment at, Runnable task) {
-    events.add(new Event(at.orLater(now), scheduled, task));
+    events.add(new Event(at.max(now), scheduled, task));
     scheduled++;
   }
 
@@ -48,6 +48,6 @@
 
   /** Goes on to that moment without running anything; stays where it has passed. */
   public void advanceTo(Moment moment) {
-    now = moment.orLater(now);
+    now = moment.max(now);
   }
 }
--- a/src/main/java/linengauge/vrrp/Fitness.java
+++ b/src/main/java/linengauge/vrrp/Fitness.java
@@ -12,6 +12,7 @@
 public record Fitness(int servingBoxes, Span deskLate, Span mostLate) {
   /** It could only block, or not even that. */
   public boolean isUnwell() {
-    return servingBoxes == 0 || Span.NONE.under(mostLate) && !deskLate.under(mostLate);
+    return servingBoxes == 0
+        || Span.NONE.isShorterThan(mostLate) && !deskLate.isShorterThan(mostLate);
   }
 }
--- a/src/main/java/linengauge/vrrp/FitnessPenalty.java
+++ b/src/main/java/linengauge/vrrp/FitnessPenalty.java
@@ -30,7 +30,7 @@
 
   /** What is taken off the priority now. */
   int minus(Moment now) {
-    if (reported != unwell && !now.since(reportedAt).under(lasts)) {
+    if (reported != unwell && !now.since(reportedAt).isShorterThan(lasts)) {
       unwell = reported;
     }
     return unwell ? minus : 0;
--- a/src/main/java/linengauge/vrrp/Flaps.java
+++ b/src/main/java/linengauge/vrrp/Flaps.java
@@ -23,7 +23,7 @@
   }
 
   private boolean counts() {
-    return Span.NONE.under(halfLife) && mark > 0;
+    return Span.NONE.isShorterThan(halfLife) && mark > 0;
   }
 
   private double at(Moment now) {
--- a/src/main/java/linengauge/vrrp/VirtualRouter.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouter.java
@@ -299,16 +299,16 @@
   public void clock(Moment at) {
     tell(at);
     Moment due = due();
-    if (due == null || now.before(due)) {
+    if (due == null || now.isBefore(due)) {
       return;
     }
     if (state == State.ACTIVE) {
       if (deafTimes > 0
-          && !now.since(worseAt).under(activeDown().times(terms.additions().deafAfter()))) {
+          && !now.since(worseAt).isShorterThan(activeDown().times(terms.additions().deafAfter()))) {
         deafTimes = 0; // it has followed since
       }
       takes(Event.ADVER_TIMER, null);
-    } else if (now.before(takeFrom)) {
+    } else if (now.isBefore(takeFrom)) {
       downAt = takeFrom;
     } else {
       boolean died = deposed;
@@ -358,7 +358,7 @@
   }
 
   private boolean preempts() {
-    return terms.preempt() && !now.before(preemptFrom) && !now.before(followAnyUntil);
+    return terms.preempt() && !now.isBefore(preemptFrom) && !now.isBefore(followAnyUntil);
   }
 
   /**
@@ -372,14 +372,14 @@
     if (times == 0) {
       return false;
     }
-    boolean goesOn = worseSince != null && now.since(worseAt).under(activeDown());
+    boolean goesOn = worseSince != null && now.since(worseAt).isShorterThan(activeDown());
     worseSince = goesOn ? worseSince : now;
     worseAt = now;
-    return !now.since(worseSince).under(terms.interval().times(times));
+    return !now.since(worseSince).isShorterThan(terms.interval().times(times));
   }
 
   private void tell(Moment at) {
-    now = now.orLater(at); // a clock that steps back tells nothing
+    now = now.max(at); // a clock that steps back tells nothing
     Moment due = due();
     if (!terms.additions().frozen() || due == null) {
       return;
@@ -389,7 +389,7 @@
     // has advertisements to read before it may say that none came.
     Span late = now.since(due);
     Span most = state == State.ACTIVE ? terms.interval().times(2) : activeInterval;
-    if (!late.under(most)) {
+    if (!late.isShorterThan(most)) {
       counts.woken++;
       deposed = false;
       takes(Event.WOKEN, null);
--- a/src/main/java/linengauge/vrrp/VirtualRouters.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouters.java
@@ -133,7 +133,7 @@
     Moment first = null;
     for (VirtualRouter r : routers.values()) {
       Moment due = r.due();
-      first = due != null && (first == null || due.before(first)) ? due : first;
+      first = due != null && (first == null || due.isBefore(first)) ? due : first;
     }
     return first;
   }
@@ -206,7 +206,7 @@
   public Span longestDown() {
     Span most = Span.NONE;
     for (VirtualRouter r : routers.values()) {
-      most = most.orMore(r.activeDown());
+      most = most.max(r.activeDown());
     }
     return most;
   }
--- a/src/main/java/linengauge/vrrp/explore/Explorer.java
+++ b/src/main/java/linengauge/vrrp/explore/Explorer.java
@@ -158,8 +158,10 @@
     Moment end = settled.plus(Plan.INTERVAL.times(8));
     List<Integer> then = null;
     String broken = null;
-    for (Moment at = w.nextAt(); broken == null && at != null && at.before(end); at = w.nextAt()) {
-      if (then == null && !at.before(settled)) {
+    for (Moment at = w.nextAt();
+        broken == null && at != null && at.isBefore(end);
+        at = w.nextAt()) {
+      if (then == null && !at.isBefore(settled)) {
         then = w.active();
         broken = wrong(w, then);
       }
--- a/src/main/java/linengauge/vrrp/explore/World.java
+++ b/src/main/java/linengauge/vrrp/explore/World.java
@@ -133,19 +133,19 @@
   Message nextMessage() {
     Message first = null;
     for (Message m : onTheWay) {
-      if (first == null || m.at.before(first.at)) {
+      if (first == null || m.at.isBefore(first.at)) {
         first = m;
       }
     }
     Moment timer = nextTimer();
-    return first != null && (timer == null || !timer.before(first.at)) ? first : null;
+    return first != null && (timer == null || !timer.isBefore(first.at)) ? first : null;
   }
 
   private Moment nextTimer() {
     Moment first = null;
     for (Node n : nodes) {
       Moment at = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.due();
-      first = at != null && (first == null || at.before(first)) ? at : first;
+      first = at != null && (first == null || at.isBefore(first)) ? at : first;
     }
     return first;
   }
@@ -164,7 +164,7 @@
       return arrives(m);
     }
     Moment at = nextTimer();
-    now = now.orLater(at);
+    now = now.max(at);
     for (Node n : nodes) {
       Moment due = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.due();
       if (due != null && due.equals(at)) {
@@ -179,7 +179,7 @@
     boolean overdue =
         thaws
             && n.router.state() == VirtualRouter.State.ACTIVE
-            && !now.before(n.router.servesUntil());
+            && !now.isBefore(n.router.servesUntil());
     n.frozenUntil = null;
     sentInStep = 0;
     n.router.clock(now);
@@ -189,12 +189,12 @@
   }
 
   private String arrives(Message m) {
-    now = now.orLater(m.at);
+    now = now.max(m.at);
     Node n = nodes.get(m.to);
     if (!n.up) {
       return null;
     }
-    String broken = n.frozenUntil != null && !now.before(n.frozenUntil) ? wakes(n) : null;
+    String broken = n.frozenUntil != null && !now.isBefore(n.frozenUntil) ? wakes(n) : null;
     if (broken != null) {
       return broken;
     }
@@ -218,7 +218,7 @@
   /* ---- troubles ---- */
 
   void lose(Message m) {
-    now = now.orLater(m.at);
+    now = now.max(m.at);
     onTheWay.remove(m);
   }
 
--- a/src/main/java/linengauge/vrrp/udp/UdpNode.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNode.java
@@ -265,7 +265,7 @@
     Moment now = now();
     Moment was = routers.due();
     routers.unwell(unwell.getAsBoolean(), now);
-    if (was != null && !now.before(was)) {
+    if (was != null && !now.isBefore(was)) {
       late.recordValue(Math.min(59_000_000L, now.since(was).micros()));
     }
     routers.clock(now);
--- a/src/main/java/linengauge/work/Job.java
+++ b/src/main/java/linengauge/work/Job.java
@@ -75,15 +75,15 @@
    * before all that are not.
    */
   long rank(Moment now, Span ageing) {
-    Span waited = now.since(dueAt).orMore(Span.NONE);
-    boolean late = Span.NONE.under(chore.within()) && !waited.under(chore.within());
+    Span waited = now.since(dueAt).max(Span.NONE);
+    boolean late = Span.NONE.isShorterThan(chore.within()) && !waited.isShorterThan(chore.within());
     return (late ? Long.MIN_VALUE / 2 : 0) + chore.urgency() * ageing.micros() - waited.micros();
   }
 
   void submittedAgain(Moment now) {
     if (state == State.RUNS) {
       again = true;
-    } else if (now.before(dueAt) && failures == 0) {
+    } else if (now.isBefore(dueAt) && failures == 0) {
       dueAt = now; // one that failed keeps its pause: wishing does not make what it needs come back
     }
   }
@@ -114,7 +114,7 @@
     failures = 0;
     pause.reset();
     bench.ended(this, now, took, moved, true);
-    next(now, Span.NONE.under(chore.every()) ? now.plus(chore.every()) : null);
+    next(now, Span.NONE.isShorterThan(chore.every()) ? now.plus(chore.every()) : null);
   }
 
   /** It has failed, and took so much; it is tried again after a pause, as often as it may. */
@@ -153,7 +153,7 @@
    * rather kept than filled.
    */
   private void learn(Span took, long moved) {
-    deskTime = deskTime.under(took) ? took : deskTime.times(0.75).plus(took.times(0.25));
+    deskTime = deskTime.isShorterThan(took) ? took : deskTime.times(0.75).plus(took.times(0.25));
     bytes = Math.max(moved, (long) (0.75 * bytes + 0.25 * moved));
   }
 
--- a/src/main/java/linengauge/work/Spending.java
+++ b/src/main/java/linengauge/work/Spending.java
@@ -39,7 +39,7 @@
 
   void spend(long much, Moment now) {
     passed(now);
-    if (slots.isEmpty() || !now.before(slots.peekLast().from.plus(slot))) {
+    if (slots.isEmpty() || !now.isBefore(slots.peekLast().from.plus(slot))) {
       slots.addLast(new Slot(now));
     }
     slots.peekLast().spent += much;
@@ -61,7 +61,7 @@
   }
 
   private void passed(Moment now) {
-    while (!slots.isEmpty() && !now.before(easesAt())) {
+    while (!slots.isEmpty() && !now.isBefore(easesAt())) {
       sum -= slots.removeFirst().spent;
     }
   }
--- a/src/main/java/linengauge/work/Workbench.java
+++ b/src/main/java/linengauge/work/Workbench.java
@@ -90,10 +90,10 @@
     tell(at);
     Job same = jobs.get(chore.name());
     if (same != null) {
-      same.submittedAgain(from.orLater(now));
+      same.submittedAgain(from.max(now));
       return new Submission(Answer.ONE_WAITS, same);
     }
-    if (terms.deskTime().under(chore.deskTime()) || chore.bytes() > terms.bytes()) {
+    if (terms.deskTime().isShorterThan(chore.deskTime()) || chore.bytes() > terms.bytes()) {
       counts.refused++;
       return new Submission(Answer.TOO_LARGE, null);
     }
@@ -106,7 +106,7 @@
             this,
             chore,
             number++,
-            from.orLater(now),
+            from.max(now),
             new Backoff(terms.firstPause(), terms.mostPause(), chance.split()));
     jobs.put(chore.name(), j);
     return new Submission(Answer.TAKEN, j);
@@ -171,7 +171,7 @@
   private List<Job> due() {
     List<Job> due = new ArrayList<>();
     for (Job j : jobs.values()) {
-      if (j.state() == Job.State.WAITS && !now.before(j.dueAt())) {
+      if (j.state() == Job.State.WAITS && !now.isBefore(j.dueAt())) {
         due.add(j);
       }
     }
@@ -196,7 +196,7 @@
   }
 
   private boolean isLate() {
-    return !late.under(terms.lateFrom());
+    return !late.isShorterThan(terms.lateFrom());
   }
 
   /** When to ask again, where nothing else happens; null: not before something does. */
@@ -205,22 +205,24 @@
     boolean held = false;
     for (Job j : jobs.values()) {
       if (j.state() == Job.State.WAITS) {
-        held |= !now.before(j.dueAt());
+        held |= !now.isBefore(j.dueAt());
         first =
-            now.before(j.dueAt()) && (first == null || j.dueAt().before(first)) ? j.dueAt() : first;
+            now.isBefore(j.dueAt()) && (first == null || j.dueAt().isBefore(first))
+                ? j.dueAt()
+                : first;
       }
     }
     if (held && running < terms.atOnce()) {
       for (Spending s : List.of(desk, bytes)) {
         Moment eases = s.easesAt();
-        first = eases != null && (first == null || eases.before(first)) ? eases : first;
+        first = eases != null && (first == null || eases.isBefore(first)) ? eases : first;
       }
     }
     return first;
   }
 
   private void tell(Moment at) {
-    now = now.orLater(at);
+    now = now.max(at);
   }
 
   /* ---- what jobs tell ---- */
--- a/src/main/java/linengauge/zones/Leaning.java
+++ b/src/main/java/linengauge/zones/Leaning.java
@@ -78,11 +78,11 @@
 
   /** The latest moment at which, as it knows, the council was at work; it never goes back. */
   public void sure(Moment at) {
-    sureAt = sureAt.orLater(at);
+    sureAt = sureAt.max(at);
   }
 
   private boolean isAged(Moment now) {
-    return terms.lease().under(now.since(sureAt));
+    return terms.lease().isShorterThan(now.since(sureAt));
   }
 
   /**
@@ -94,7 +94,7 @@
       double by =
           Math.min(
               1,
-              now.since(lookedAt).orMore(Span.NONE).orLess(terms.over().times(0.25)).seconds()
+              now.since(lookedAt).max(Span.NONE).min(terms.over().times(0.25)).seconds()
                   / terms.over().seconds());
       loose = Math.max(0, Math.min(1, loose + (isAged(now) ? by : -by)));
     }
--- a/src/main/java/linengauge/zones/Weighing.java
+++ b/src/main/java/linengauge/zones/Weighing.java
@@ -67,7 +67,9 @@
   public Map<Integer, Row> look(Moment now) {
     reports
         .values()
-        .forEach(ofPlace -> ofPlace.values().removeIf(t -> terms.holds().under(now.since(t.at()))));
+        .forEach(
+            ofPlace ->
+                ofPlace.values().removeIf(t -> terms.holds().isShorterThan(now.since(t.at()))));
     TreeMap<Integer, Row> next = new TreeMap<>();
     for (int place : rooms.keySet()) {
       Row r = table.row(place);
@@ -80,7 +82,7 @@
     next.entrySet().removeIf(e -> isAlike(table.row(e.getKey()), e.getValue()));
     if (next.entrySet().stream()
             .allMatch(e -> table.row(e.getKey()).standing() == e.getValue().standing())
-        && now.before(sharedAt.plus(terms.step()))) {
+        && now.isBefore(sharedAt.plus(terms.step()))) {
       return Map
           .of(); // demand that rocks is followed at a pace: each change is news to the whole fleet
     }
@@ -114,9 +116,9 @@
               ? new Row(Standing.COMING_BACK, terms.first(), 0, r.relapses(), "", 0)
               : r;
       case COMING_BACK ->
-          c.wellSince == null || now.before(c.steppedAt.plus(terms.step())) ? r : stepBack(r);
+          c.wellSince == null || now.isBefore(c.steppedAt.plus(terms.step())) ? r : stepBack(r);
       default ->
-          terms.rested().under(now.since(c.nearSince))
+          terms.rested().isShorterThan(now.since(c.nearSince))
               ? new Row(r.standing(), r.stays(), r.goes(), 0, "", 0)
               : r;
     };
@@ -139,7 +141,7 @@
   }
 
   private static boolean hasLasted(Moment since, Span span, Moment now) {
-    return since != null && !now.before(since.plus(span));
+    return since != null && !now.isBefore(since.plus(span));
   }
 
   /** The next step of one that comes back: twice as much stays, up to all of it. */
@@ -153,7 +155,7 @@
     return terms
         .back()
         .times(1L << Math.min(10, Math.max(0, relapses - 1)))
-        .orLess(terms.backAtMost());
+        .min(terms.backAtMost());
   }
 
   /**
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -70,8 +70,8 @@
         PolicyHarness s = fronts.get(i);
         s.pass(now.since(s.now));
         if (!toldAt.get(i).equals(Moment.DISTANT_PAST)
-            && !now.before(toldAt.get(i))
-            && s.boxes.get(0).startedAt.before(startedAt)) {
+            && !now.isBefore(toldAt.get(i))
+            && s.boxes.get(0).startedAt.isBefore(startedAt)) {
           tell(i);
         }
         crowd(i, s);
@@ -97,7 +97,7 @@
     private void leaves(PolicyHarness s, PolicyHarness.Viewer v) {
       // What was chosen before the start was heard is chosen again (Held.sendable): it does not
       // leave.
-      if (!v.out.startedAt.before(startedAt)) {
+      if (!v.out.startedAt.isBefore(startedAt)) {
         Moment at =
             chance.nextInt(3) == 0
                 ? now.plus(Policy.MAX_SEND_DELAY.times(chance.nextDouble()))
@@ -145,7 +145,7 @@
         sent += all.size();
         int first = 0;
         for (int i = 0; i < all.size(); i++) {
-          while (!all.get(i).at().before(all.get(first).at().plus(rules.overloadWindow()))) {
+          while (!all.get(i).at().isBefore(all.get(first).at().plus(rules.overloadWindow()))) {
             first++;
           }
           double age = all.get(first).at().since(fleet.startedAt).seconds();
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -97,13 +97,14 @@
       assertFalse(terms.paidAtSetUp() && mayHaveRun, "set up twice");
       assertTrue(++tuneIns <= headend.permissions().maxTuneIns(), "too many tune-ins");
       assertTrue(
-          box.serving || now.since(box.told).under(DRAIN_GRACE), "sent past the drain grace");
+          box.serving || now.since(box.told).isShorterThan(DRAIN_GRACE),
+          "sent past the drain grace");
       assertTrue(
-          timeout.micros() > 0 && !end.before(now.plus(timeout)), "time-out past the patience");
-      Moment coldSince = box.startedAt.orLater(box.witnessed);
+          timeout.micros() > 0 && !end.isBefore(now.plus(timeout)), "time-out past the patience");
+      Moment coldSince = box.startedAt.max(box.witnessed);
       box.sends.add(now);
-      if (now.before(coldSince.plus(rules.coldPeriod()))) {
-        box.sends.removeIf(m -> m.before(now.minus(rules.overloadWindow())));
+      if (now.isBefore(coldSince.plus(rules.coldPeriod()))) {
+        box.sends.removeIf(m -> m.isBefore(now.minus(rules.overloadWindow())));
         double all =
             rules.overloadMultiple()
                 * headend.fleet().streamsByKind()[0]
@@ -117,8 +118,8 @@
       if (tuneIns > 1 && !rules.retryWindow().equals(Span.NONE)) {
         further.add(now);
         Moment from = now.minus(rules.retryWindow());
-        long made = further.stream().filter(m -> !m.before(from)).count();
-        long took = taken.stream().filter(m -> !m.before(from)).count();
+        long made = further.stream().filter(m -> !m.isBefore(from)).count();
+        long took = taken.stream().filter(m -> !m.isBefore(from)).count();
         assertTrue(
             made <= rules.freeRetries() + rules.retriesPerRequest() * took,
             "further tune-ins over budget");
@@ -162,7 +163,7 @@
 
     private void answered(String how) {
       assertNull(answer, "answered twice");
-      assertFalse(end.before(now), "answered too late");
+      assertFalse(end.isBefore(now), "answered too late");
       answer = how;
     }
 
@@ -291,7 +292,7 @@
 
   void pass(Span span) {
     Moment until = now.plus(span);
-    while (!steps.isEmpty() && !until.before(steps.peek().at)) {
+    while (!steps.isEmpty() && !until.isBefore(steps.peek().at)) {
       Step s = steps.poll();
       now = s.at;
       policy.setTime(now);
@@ -311,7 +312,7 @@
     now = now.plus(span);
     policy.setTime(now);
     for (Viewer v : List.copyOf(viewers)) {
-      if (v.answer == null && v.end.before(now)) {
+      if (v.answer == null && v.end.isBefore(now)) {
         v.answer = "left";
         v.handle.viewerLeft();
         if (v.out == null) {
@@ -319,7 +320,7 @@
         }
       }
     }
-    while (!steps.isEmpty() && !now.before(steps.peek().at)) {
+    while (!steps.isEmpty() && !now.isBefore(steps.peek().at)) {
       steps.poll().deed.run();
     }
     checkAnswersOwed();
@@ -328,13 +329,14 @@
   /** A viewing out of patience is answered, or its time-out has just run down. */
   void checkAnswersOwed() {
     for (Viewer v : viewers) {
-      assertTrue(v.answer != null || !v.end.before(now), "no answer before the patience ran out");
+      assertTrue(v.answer != null || !v.end.isBefore(now), "no answer before the patience ran out");
     }
     assertEquals(
         0,
         viewers.stream()
             .filter(
-                v -> v.answer == null && v.out == null && v.end.before(now.plus(Span.ofMillis(1))))
+                v ->
+                    v.answer == null && v.out == null && v.end.isBefore(now.plus(Span.ofMillis(1))))
             .count(),
         "held past its patience");
   }
--- a/src/test/java/linengauge/PolicyTest.java
+++ b/src/test/java/linengauge/PolicyTest.java
@@ -135,7 +135,8 @@
     PolicyHarness.Viewer v = s.take(PLAIN, t, PATIENCE);
     PolicyHarness.Box silent = v.out;
     assertTrue(
-        v.timeout.under(PLAIN.latencyObjective()), "room for another within the join target");
+        v.timeout.isShorterThan(PLAIN.latencyObjective()),
+        "room for another within the join target");
     s.pass(v.timeout);
     assertNotEquals(silent, v.out);
     v.plays();
--- a/src/test/java/linengauge/RulesTest.java
+++ b/src/test/java/linengauge/RulesTest.java
@@ -112,7 +112,7 @@
       for (Moment from : box) {
         long within =
             box.stream()
-                .filter(m -> !m.before(from) && m.before(from.plus(Span.ofSeconds(2))))
+                .filter(m -> !m.isBefore(from) && m.isBefore(from.plus(Span.ofSeconds(2))))
                 .count();
         assertTrue(within <= most, within + " set-ups in a window of " + most);
       }
--- a/src/test/java/linengauge/consensus/RaftNodeTest.java
+++ b/src/test/java/linengauge/consensus/RaftNodeTest.java
@@ -172,8 +172,8 @@
   /** Time goes on, and the voter is stepped whenever it wants to be. */
   private void stepFor(Span span) {
     Moment end = now.plus(span);
-    while (voter.next().before(end)) {
-      now = voter.next().orLater(now);
+    while (voter.next().isBefore(end)) {
+      now = voter.next().max(now);
       voter.step(now);
     }
     now = end;
--- a/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
+++ b/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
@@ -69,11 +69,11 @@
   void aLeaderThatIsCutOffLeadsNobody() {
     ClusterSimulation.Outcome o = play(3, 3, leaderCutOff(), Maker.REAL);
     assertEquals(List.of(), o.broken());
-    assertTrue(o.longestAlone().under(Span.ofSeconds(2)), o.toString());
+    assertTrue(o.longestAlone().isShorterThan(Span.ofSeconds(2)), o.toString());
     assertFalse(
         play(3, 3, leaderCutOff(), Lacking.maker(Guard.MOST))
             .longestAlone()
-            .under(Span.ofSeconds(3)));
+            .isShorterThan(Span.ofSeconds(3)));
   }
 
   /** Every voter mute in turn, so that whoever leads is too; it hears all the same. */
--- a/src/test/java/linengauge/consensus/tcp/ConsensusNodeTest.java
+++ b/src/test/java/linengauge/consensus/tcp/ConsensusNodeTest.java
@@ -80,7 +80,9 @@
   }
 
   private static long fresh(List<ConsensusNode> followers) {
-    return followers.stream().filter(f -> f.view() != null && f.view().age().under(FRESH)).count();
+    return followers.stream()
+        .filter(f -> f.view() != null && f.view().age().isShorterThan(FRESH))
+        .count();
   }
 
   private static void until(BooleanSupplier done) throws InterruptedException {
@@ -102,7 +104,7 @@
     List<ConsensusNode> followers = new ArrayList<>();
     try (ConsensusNode voter = voter(at, most)) {
       voter.start();
-      until(() -> voter.view() != null && voter.view().age().under(FRESH));
+      until(() -> voter.view() != null && voter.view().age().isShorterThan(FRESH));
       // when
       for (int number = 1; number <= most + 4; number++) {
         ConsensusNode follower =
--- a/src/test/java/linengauge/flow/LoopStage.java
+++ b/src/test/java/linengauge/flow/LoopStage.java
@@ -145,7 +145,9 @@
     int most = 0;
     for (int i = 0; i < goneAt.size(); i++) {
       int n = 0;
-      for (int j = i; j < goneAt.size() && goneAt.get(j).since(goneAt.get(i)).under(span); j++) {
+      for (int j = i;
+          j < goneAt.size() && goneAt.get(j).since(goneAt.get(i)).isShorterThan(span);
+          j++) {
         n++;
       }
       most = Math.max(most, n);
--- a/src/test/java/linengauge/flow/WatchTest.java
+++ b/src/test/java/linengauge/flow/WatchTest.java
@@ -103,7 +103,7 @@
     loop.run(6);
     t.rate = 0;
     while (loop.watch.counts().slow == 0
-        && t.account.owed().under(loop.terms.evidence().minus(loop.terms.beat()))) {
+        && t.account.owed().isShorterThan(loop.terms.evidence().minus(loop.terms.beat()))) {
       loop.run(0.1);
     }
     t.rate = 0;
--- a/src/test/java/linengauge/lease/LeaseWorld.java
+++ b/src/test/java/linengauge/lease/LeaseWorld.java
@@ -85,7 +85,7 @@
 
     private void wake() {
       wakeAt = Long.MIN_VALUE;
-      if (up && !clock().before(next())) {
+      if (up && !clock().isBefore(next())) {
         step();
       }
     }
--- a/src/test/java/linengauge/lease/explore/LeaseSimulationTest.java
+++ b/src/test/java/linengauge/lease/explore/LeaseSimulationTest.java
@@ -106,7 +106,7 @@
     SimulationFigures figures = measured(MeasuredEvent.FRONT_KILLED, 60);
     assertEquals(figures.ends().expected(), figures.ends().known());
     Span bound = USUAL.lease().plus(USUAL.heartbeat().times(2));
-    assertTrue(figures.ends().p99().under(bound), figures.ends().toString());
+    assertTrue(figures.ends().p99().isShorterThan(bound), figures.ends().toString());
   }
 
   /** Guards against a death that is not known for as long as a zone and its leader are away. */
@@ -115,7 +115,7 @@
     SimulationFigures figures = measured(MeasuredEvent.LEADERS_ZONE_LOST, 60);
     assertEquals(figures.ends().expected(), figures.ends().known());
     Span bound = USUAL.lease().times(2).plus(USUAL.takeover());
-    assertTrue(figures.ends().last().under(bound), figures.ends().toString());
+    assertTrue(figures.ends().last().isShorterThan(bound), figures.ends().toString());
   }
 
   private static List<Arguments> guards() {
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -189,7 +189,7 @@
     assertTrue(o.foundAfter().size() >= 59, "found by " + o.foundAfter().size());
     Span least = USUAL.period().times(USUAL.suspicion() * Math.log10(60));
     for (Span after : o.foundAfter()) {
-      assertTrue(after.under(least.times(USUAL.longest())), after.toString());
+      assertTrue(after.isShorterThan(least.times(USUAL.longest())), after.toString());
     }
     assertTrue(o.mostBytesASecond() < 64 * 1024, o.mostBytesASecond() + " bytes in one second");
   }
--- a/src/test/java/linengauge/platform/PaperNet.java
+++ b/src/test/java/linengauge/platform/PaperNet.java
@@ -299,7 +299,7 @@
   void passOne() {
     settle();
     Timer t = timers.poll();
-    now = now.orLater(t.at);
+    now = now.max(t.at);
     t.deed.run();
     settle();
   }
@@ -308,13 +308,13 @@
   void pass(Span span) {
     settle();
     Moment until = now.plus(span);
-    while (!timers.isEmpty() && !until.before(timers.peek().at)) {
+    while (!timers.isEmpty() && !until.isBefore(timers.peek().at)) {
       Timer t = timers.poll();
-      now = now.orLater(t.at);
+      now = now.max(t.at);
       t.deed.run();
       settle();
     }
-    now = now.orLater(until);
+    now = now.max(until);
   }
 
   @Override
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -138,7 +138,7 @@
       later(
           after,
           () -> {
-            if (now.before(stoppedUntil)) {
+            if (now.isBefore(stoppedUntil)) {
               on(stoppedUntil.since(now), deed);
             } else {
               desk.clock(now);
@@ -148,7 +148,7 @@
     }
 
     void stopFor(Span span) {
-      if (now.before(stoppedUntil)) {
+      if (now.isBefore(stoppedUntil)) {
         return;
       }
       stoppedUntil = now.plus(span);
@@ -182,7 +182,7 @@
 
     @Override
     public Wake wakeAfter(Span span, Runnable step) {
-      boolean[] off = {span.under(losesWakesUnder)};
+      boolean[] off = {span.isShorterThan(losesWakesUnder)};
       wakes++;
       on(
           span,
@@ -430,9 +430,9 @@
 
   void pass(Span span) {
     Moment until = now.plus(span);
-    while (!queue.isEmpty() && !until.before(queue.peek().at)) {
+    while (!queue.isEmpty() && !until.isBefore(queue.peek().at)) {
       Due d = queue.poll();
-      now = now.orLater(d.at);
+      now = now.max(d.at);
       d.deed.run();
     }
     now = until;
--- a/src/test/java/linengauge/vrrp/VirtualRouterTest.java
+++ b/src/test/java/linengauge/vrrp/VirtualRouterTest.java
@@ -66,7 +66,7 @@
   /** Lets time pass, the router being told whenever it is due. */
   private void pass(double millis) {
     Moment until = now.plus(Span.ofSeconds(millis / 1000));
-    while (r.due() != null && !until.before(r.due())) {
+    while (r.due() != null && !until.isBefore(r.due())) {
       now = r.due();
       r.clock(now);
     }
@@ -233,7 +233,7 @@
     active(200, true, frozen());
     Moment serves = r.servesUntil();
     now = now.plus(Span.ofMillis(2000));
-    assertTrue(serves.before(now));
+    assertTrue(serves.isBefore(now));
     r.clock(now);
     assertEquals(BACKUP, r.state());
     assertEquals(List.of("give up"), done);
--- a/src/test/java/linengauge/work/WorkbenchTest.java
+++ b/src/test/java/linengauge/work/WorkbenchTest.java
@@ -104,7 +104,7 @@
     }
     assertNull(does(), "a fourth would be over 100 ms");
     Moment asks = bench.askAt();
-    assertTrue(now.before(asks) && !now.plus(WINDOW.times(1.1)).before(asks), "ask at " + asks);
+    assertTrue(now.isBefore(asks) && !now.plus(WINDOW.times(1.1)).isBefore(asks), "ask at " + asks);
     now = asks;
     assertNotNull(does());
   }
@@ -179,8 +179,9 @@
       j.failed(now, Span.NONE, 0);
       Span pause = j.dueAt().since(now);
       Span whole = Span.ofMillis(100L << i - 1);
-      assertTrue(!whole.under(pause) && !pause.under(whole.times(0.5)), "pause " + pause);
-      assertTrue(before.times(0.9).under(pause) || i == 1, "shorter than before");
+      assertTrue(
+          !whole.isShorterThan(pause) && !pause.isShorterThan(whole.times(0.5)), "pause " + pause);
+      assertTrue(before.times(0.9).isShorterThan(pause) || i == 1, "shorter than before");
       submit(chore("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
       assertNull(bench.next(now), "wishing does not cut its pause");
       now = bench.askAt();
@@ -295,7 +296,7 @@
         under.add(j);
         begun.addLast(new Begun(at, j.reservedTime(), j.reservedBytes()));
         log.append(j.chore().name()).append(' ');
-        while (!at.minus(WINDOW).before(begun.peekFirst().at)) {
+        while (!at.minus(WINDOW).isBefore(begun.peekFirst().at)) {
           begun.removeFirst();
         }
         long took = begun.stream().mapToLong(b -> b.took.micros()).sum();
--- a/src/test/java/linengauge/zones/LeaningTest.java
+++ b/src/test/java/linengauge/zones/LeaningTest.java
@@ -34,7 +34,7 @@
 
   private void pass(double seconds, boolean sure) {
     for (Moment end = now.plus(Span.ofMillis((long) (seconds * 1000)));
-        now.before(end);
+        now.isBefore(end);
         now = now.plus(Span.ofMillis(100))) {
       if (sure) {
         leaning.sure(now);
--- a/src/test/java/linengauge/zones/ZonesTest.java
+++ b/src/test/java/linengauge/zones/ZonesTest.java
@@ -34,7 +34,7 @@
 
   private void pass(double seconds, IntToDoubleFunction failing) {
     for (Moment end = now.plus(Span.ofMillis((long) (seconds * 1000)));
-        now.before(end);
+        now.isBefore(end);
         now = now.plus(STEP)) {
       if (!wanted.isEmpty()) {
         table.apply(++index, 0, ZoneTable.change(table.number(), wanted));
@@ -198,7 +198,7 @@
   @Test
   void twoFrontsAloneCondemnNobody() {
     weighing.room(0, ROOM);
-    for (; now.before(new Moment(10_000_000)); now = now.plus(STEP)) {
+    for (; now.isBefore(new Moment(10_000_000)); now = now.plus(STEP)) {
       weighing.heard(now, 1, 0, new Evidence(100, 100, 0));
       if (now.micros() > 5_000_000) {
         weighing.heard(now, 2, 0, new Evidence(100, 100, 0));
@@ -250,7 +250,7 @@
   @Test
   void oneSickFrontCondemnsNobodyWhereTheOthersHaveLittleToSay() {
     weighing.room(0, ROOM);
-    for (; now.before(new Moment(10_000_000)); now = now.plus(STEP)) {
+    for (; now.isBefore(new Moment(10_000_000)); now = now.plus(STEP)) {
       for (int front = 0; front < 4; front++) {
         weighing.heard(
             now, front, 0, front == 0 ? new Evidence(100, 100, 0) : new Evidence(2, 0, 0));
