--- a/src/main/java/linengauge/Deployment.java
+++ b/src/main/java/linengauge/Deployment.java
@@ -3,8 +3,12 @@
 import java.util.List;
 
 /**
- * What a front is told of its place when it starts: its neighbours, fleet, ladder, packages and
- * what it may do.
+ * The settings of a front at its start: its number among the fronts, the fleet of media boxes, the
+ * ladder, the packages, and what the front may do.
+ *
+ * @param building number of the building in which the front runs
+ * @param ladderKbPerSecond rate of each rung, from the lowest
+ * @param rungValues value of each rung, from the lowest
  */
 public record Deployment(
     int frontCount,
@@ -17,7 +21,16 @@
     Rules rules,
     Permissions permissions) {
 
-  /** Links and racks as told; linkKbPerWeight is 0 where the list gives no sizes. */
+  /**
+   * Links and racks of the media boxes.
+   *
+   * @param streamsByKind streams that a box of each kind serves
+   * @param totalLinkKbPerSecond capacity of all links together
+   * @param linkKbPerSecondPerWeight capacity of a link for each unit of its weight in the box list;
+   *     0 where the list has no weights
+   * @param uplinkKbPerSecond nominal capacity of a rack's uplink
+   * @param shareReportDelay age of a report of the delivered share when it arrives
+   */
   public record Fleet(
       int cellCount,
       int rackCount,
@@ -27,7 +40,18 @@
       double uplinkKbPerSecond,
       Span shareReportDelay) {}
 
-  /** The figures of the rules; furtherSpan NONE: further tune-ins are not rationed. */
+  /**
+   * The limits for boxes that have just started and for retries.
+   *
+   * @param coldPeriod how long a box is cold after its start
+   * @param coldStartCapacity share of its capacity that a box has at its start
+   * @param overloadMultiple a cold box fails where its set-ups come at this multiple of the rate
+   *     that fills its streams within the cold period
+   * @param overloadWindow how long such a rate lasts until the box fails
+   * @param freeRetries retries within the window that are always allowed
+   * @param retriesPerRequest further retries for each request within the window
+   * @param retryWindow window of the retry budget; {@link Span#NONE}: retries are not limited
+   */
   public record Rules(
       Span coldPeriod,
       double coldStartCapacity,
@@ -38,8 +62,13 @@
       Span retryWindow) {}
 
   /**
-   * What the front may do, and the prices that it weighs: of a probe, a crossing, a new connection
-   * to a box.
+   * What the front may do, and the prices that it weighs: of a probe, of a viewing across buildings
+   * and of a new connection to a box.
+   *
+   * @param maxTuneIns tune-ins for one request, at most
+   * @param mayMessageFronts whether the front may exchange messages with other fronts
+   * @param boxesReportUplink whether load reports of boxes cover the uplink
+   * @param maxRetryAfter longest advice to a viewer on when to retry
    */
   public record Permissions(
       int maxTuneIns,
--- a/src/main/java/linengauge/Environment.java
+++ b/src/main/java/linengauge/Environment.java
@@ -1,67 +1,66 @@
 package linengauge;
 
 /**
- * What the module acts through. Whoever runs it (an adapter, later a real front) gives one Outside
- * to each instance, a Player with each viewing and a Line with each media box; the module answers
- * with handles, and all that happens later is a call on those: see Policy.
+ * The interface through which the module acts. Whoever runs it (an adapter or a real front) passes
+ * one Environment to each instance of {@link Policy}, a {@link ViewingPort} with each viewing and a
+ * {@link BoxPort} with each media box. The module returns handles, and all later events are calls
+ * on those.
  */
 public interface Environment {
-  /**
-   * Runs the given step once, not earlier than after the span and never within the present call.
-   */
-  void schedule(Span span, Runnable step);
+  /** Runs the given task once, not before the delay is over and never within the present call. */
+  void schedule(Span delay, Runnable task);
 
   /**
-   * Tells another front, which keeps it, what this one plays at a box, and the share that the
-   * uplink delivers there.
+   * Sends to the rack owner, another front, what this front plays at a box, and the share of the
+   * rates that the uplink delivers there.
+   *
+   * @param rate of all viewings of this front at the box, in kB per second
    */
-  void sendUsage(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare);
+  void sendUsage(
+      int rackOwner, Policy.MediaBox box, int viewingCount, double rate, double uplinkShare);
 
   /**
-   * Answers such a front with what all others play at the box, what all play on its rack, and the
-   * size of the rack's uplink.
+   * Answers such a report with what all other fronts play at the box, what all fronts play on its
+   * rack, and the capacity of the rack's uplink. Rates and capacity are in kB per second.
    */
   void sendRackUsage(
       int front,
       Policy.MediaBox box,
-      int othersViewings,
-      double othersKb,
-      double rackKb,
-      double rackSizeKb);
+      int otherFrontsViewings,
+      double otherFrontsRate,
+      double rackRate,
+      double rackCapacity);
 
-  /**
-   * The viewer's end of one viewing. Tune-ins are numbered 0, 1, 2 ... in the order in which they
-   * are made.
-   */
+  /** Acts on one viewing. Tune-ins are numbered 0, 1, 2 ... in the order in which they are made. */
   interface ViewingPort {
     void tuneIn(Policy.MediaBox box, Span timeout);
 
     /**
-     * Asks the server to show that it has read the end of that attempt, where it can be asked; told
-     * by {@link Policy.Viewing#endConfirmed}.
+     * Asks the server to confirm that it has read the end of an earlier attempt, where it can be
+     * asked. The confirmation is reported with {@link Policy.Viewing#endConfirmed}.
      */
-    default void requestEndConfirmation(long server) {}
+    default void requestEndConfirmation(long serverId) {}
 
     void setRung(int rung);
 
     /**
-     * Final answer: blocked; a further try is harmless, best after the given span (none: no
+     * Final answer: the request is rejected. A retry is safe, best after the given span (none: no
      * advice). The reason is for the log.
      */
-    void reject(Span comeBackAfter, RejectionReason reason);
+    void reject(Span retryAfter, RejectionReason reason);
 
-    /** Final answer: aborted; says nothing of what may have run. */
+    /** Final answer: the request has failed. An attempt may or may not have run. */
     void fail();
   }
 
-  /** Why a request was refused, as operators read it. */
+  /** Why a request was rejected, as operators read it. */
   enum RejectionReason {
-    /** No server that serves and holds the title may take it now. */
+    /** No server that is in service and holds the title may take the viewing now. */
     NO_SERVER,
-    /** Every server that may take it would be short, even at the lowest rung. */
+    /** Every server that may take the viewing would be overloaded, even at the lowest rung. */
     SERVERS_FULL,
     ATTEMPTS_USED_UP,
-    /** An earlier attempt may still be out at every server that could take one. */
+    /** Every server that could take an attempt may still have an earlier one in progress. */
     EARLIER_ATTEMPT_UNCONFIRMED,
     RETRY_BUDGET_USED_UP,
     DEADLINE_TOO_CLOSE,
@@ -71,7 +70,7 @@
     SAME_KEY_OPEN
   }
 
-  /** The front's line to one media box. */
+  /** The front's access to one media box. */
   interface BoxPort {
     /** The server's id in the list: the same whenever it is listed again. */
     long id();
@@ -80,10 +79,11 @@
   }
 
   /**
-   * How a tune-in that is no longer out has ended. UNHEARD: no answer came, and the box was heard
-   * meanwhile on a connection that it has kept, so it lives and has not started anew; HELD_UP: no
-   * answer was read in time, as the front stood still. BROKEN: its connection closed; RESET: the
-   * server says that it broke on its way; SPOILT: it was answered with what no client can use.
+   * How a tune-in that is no longer in progress has ended. UNHEARD: no answer came, but the box has
+   * sent something else meanwhile on a connection that stayed open, so it runs and has not
+   * restarted. HELD_UP: no answer was read in time because the front itself was paused. BROKEN: its
+   * connection was closed. RESET: the server reports that the attempt broke off on its way. SPOILT:
+   * the answer is of no use to any client.
    */
   enum AttemptOutcome {
     FINISHED(false, true),
@@ -103,7 +103,8 @@
     public final boolean neverRan;
 
     /**
-     * It is certain that nothing of it is out at its server: the server said so, or it never left.
+     * It is certain that the server has nothing of the attempt in progress: the server said so, or
+     * the attempt was never sent.
      */
     public final boolean confirmed;
 
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -9,143 +9,168 @@
 import java.util.SplittableRandom;
 
 /**
- * All decisions of one front. Whoever runs it tells the time with clock() before each round of
- * calls, names boxes with box(), titles with title(), and gives viewings with take() (new) or
- * handOver() (playing already). Boxes and viewings are handles: what is heard of them later is a
- * call on the handle. The module acts through Outside.java; what it is told at its start is in
- * Headend.java. The ordinary path is EVeREst's (docs/design.md); what departs says so.
+ * Takes all decisions of one front: at which media box a viewing is set up, at which rung it plays
+ * and which requests are rejected. The caller sets the time with {@link #setTime} before each round
+ * of calls, creates handles for boxes and titles with {@link #createBox} and {@link #createTitle},
+ * and hands over viewings with {@link #requestViewing} (new ones) or {@link #adoptViewing} (those
+ * that play already). Later events of a box or a viewing are calls on its handle. The module acts
+ * through {@link Environment}; {@link Deployment} holds its settings. The basic algorithm is that
+ * of EVeREst (docs/design.md); each departure from it is described where it occurs.
+ *
+ * <p>Rates, demand, capacities and room are in kB per second; a load is demand over capacity.
  */
 public final class Policy {
-  /* The paired averages of the design. */
-  private static final Span SHORT = Span.ofSeconds(1);
-  private static final Span LONG = Span.ofSeconds(5);
-  private static final Span BEAT = Span.ofMillis(500);
-  private static final double UPPER_MARK = 1.0;
-  private static final double SHORT_RESET = 0.8;
-  private static final double SHED_TO = 0.93;
-  private static final double LONG_RESET = 0.95;
-  private static final Span STEP_PACE = Span.ofSeconds(2);
-  private static final double LEAST_SHARE = 0.5;
+  /* The short and the long average of the load, and the steps that they trigger. */
+  private static final Span SHORT_AVERAGE_SPAN = Span.ofSeconds(1);
+  private static final Span LONG_AVERAGE_SPAN = Span.ofSeconds(5);
+  private static final Span TICK_INTERVAL = Span.ofMillis(500);
+  private static final double STEP_DOWN_LOAD = 1.0;
+  private static final double SHORT_AVERAGE_RESET = 0.8;
+  private static final double STEP_DOWN_TARGET_LOAD = 0.93;
+  private static final double LONG_AVERAGE_RESET = 0.95;
+  private static final Span STEP_UP_INTERVAL = Span.ofSeconds(2);
+  private static final double MIN_DELIVERED_SHARE = 0.5;
 
   /**
-   * Links are filled so far, as true rates lie off the ladder: by probe, by others' word, by guess.
+   * Share of a capacity up to which links and uplinks are filled, since true rates differ from
+   * those of the ladder: where boxes are probed, where the rack owner reports the usage of other
+   * fronts, and where that usage is estimated.
    */
-  private static final double FILL = 0.87;
-
-  private static final double FILL_TOLD = 0.95;
-  private static final double FILL_GUESSED = 0.82;
-
-  /* What is known of boxes and racks. */
-  private static final Span REPORT_AGE = Span.ofMillis(400);
-  private static final Span CHANGE_LIFE = Span.ofSeconds(6);
-  private static final Span RELAX = Span.ofSeconds(10);
-  private static final Span TELL_ALL = Span.ofSeconds(6);
-
-  /** A front that has just started has not heard what all play: it answers nobody yet. */
-  private static final Span SETTLED = Span.ofMillis(1200);
-
-  /** Short notes are smoothed: they still show what has been shed this much longer. */
-  private static final Span SMOOTHED = Span.ofMillis(1600);
-
-  private static final Span SHORT_NEWS = Span.ofMillis(1300);
-  private static final Span NEWS_HOLDS = Span.ofSeconds(3);
-  private static final Span NEWS_LIFE = Span.ofSeconds(6);
-  private static final double PROBE_SPEND = 0.015;
-  private static final double PROBES_HELD = 20;
-  private static final double GUESSED_MOST = 0.9;
-  private static final double USUAL = 0.6;
-  private static final double USUAL_WEIGHT = 0.3;
-
-  /** How long a newcomer waits for news of its first choices. */
-  private static final Span LOOK = Span.ofMillis(80);
-
-  private static final Span FRESH = Span.ofMillis(700);
-  private static final Span LATE_WAIT = Span.ofMillis(600);
-  private static final Span LEAST_WAIT = Span.ofMillis(250);
+  private static final double FILL_LIMIT_PROBED = 0.87;
+
+  private static final double FILL_LIMIT_REPORTED = 0.95;
+  private static final double FILL_LIMIT_ESTIMATED = 0.82;
+
+  /* Reports on boxes and racks. */
+  private static final Span LOAD_REPORT_AGE = Span.ofMillis(400);
+  private static final Span CHANGE_RETENTION = Span.ofSeconds(6);
+  private static final Span UPLINK_RECOVERY_SPAN = Span.ofSeconds(10);
+  private static final Span USAGE_REPORT_INTERVAL = Span.ofSeconds(6);
+
+  /**
+   * A front that has just started has not received the usage of all other fronts: for this long it
+   * neither applies usage reports nor answers them. Reports that have not been answered are
+   * repeated at this interval.
+   */
+  private static final Span SETTLING_SPAN = Span.ofMillis(1200);
+
+  /**
+   * Reports of the delivered share are smoothed: for this long, on top of their delay, they still
+   * show rates that have been lowered since.
+   */
+  private static final Span SHARE_SMOOTHING_SPAN = Span.ofMillis(1600);
+
+  private static final Span SHORTAGE_VALIDITY = Span.ofMillis(1300);
+  private static final Span LOAD_REPORT_VALIDITY = Span.ofSeconds(3);
+  private static final Span LOAD_REPORT_DECAY_SPAN = Span.ofSeconds(6);
+  private static final double PROBE_SPENDING_PER_VIEWING = 0.015;
+  private static final double MAX_SAVED_PROBES = 20;
+  private static final double MAX_ESTIMATED_LOAD = 0.9;
+  private static final double INITIAL_TYPICAL_LOAD = 0.6;
+  private static final double TYPICAL_LOAD_WEIGHT = 0.3;
+
+  /** How long a new viewing waits for reports on its preferred boxes. */
+  private static final Span REPORT_TIMEOUT = Span.ofMillis(80);
+
+  private static final Span FRESH_REPORT_SPAN = Span.ofMillis(700);
+  private static final Span LATE_ATTEMPT_TIMEOUT = Span.ofMillis(600);
+  private static final Span MIN_ATTEMPT_TIMEOUT = Span.ofMillis(250);
   public static final Span ANSWER_MARGIN = Span.ofMillis(60);
-  public static final double ANSWER_MARGIN_SHARE = 0.1; // of a patience, at the most
-  private static final Span HOLD = Span.ofMillis(100);
+  public static final double ANSWER_MARGIN_SHARE = 0.1; // of a time limit, at most
+  private static final Span PLACEMENT_RETRY_INTERVAL = Span.ofMillis(100);
 
   /** How long a request waits for a server to confirm the end of an earlier attempt. */
-  private static final Span CONFIRM_WAIT = Span.ofMillis(250);
+  private static final Span CONFIRMATION_TIMEOUT = Span.ofMillis(250);
 
-  private static final Span COME_BACK = Span.ofMillis(600);
-  private static final Span FIRST_AVOID = Span.ofSeconds(1);
-  private static final int MOST_DOUBLINGS = 3;
+  private static final Span REJECTION_RETRY_AFTER = Span.ofMillis(600);
+  private static final Span INITIAL_AVOIDANCE_SPAN = Span.ofSeconds(1);
+  private static final int MAX_AVOIDANCE_DOUBLINGS = 3;
 
   /**
-   * Left free of an uplink, of its size, where a newcomer takes more than its fair part on old
-   * news.
+   * Share of an uplink's capacity that is left free where a new viewing takes more than its fair
+   * share on the basis of old reports.
    */
-  private static final double KEPT_FREE = 0.2;
+  private static final double UPLINK_RESERVE_SHARE = 0.2;
 
-  /** A point of the price of a connection weighs as much as so many of an uplink's load. */
-  private static final double LOAD_FOR_PRICE = 2;
+  /** Uplink load that weighs as much as one point of the price of a connection. */
+  private static final double UPLINK_LOAD_PER_CONNECTION_PRICE = 2;
 
-  private static final double COLD_PART = 0.8;
+  private static final double COLD_BUDGET_SHARE = 0.8;
 
   /**
-   * From a choice until its set-up leaves, at the most: a connection is dialled, the loop reads
-   * first.
+   * Longest time between the choice of a box and the sending of the set-up: a connection may have
+   * to be opened first, and the event loop reads before it writes.
    */
   public static final Span MAX_SEND_DELAY = Span.ofMillis(500);
 
-  private final Deployment house;
-  private final Environment outside;
-  private final SplittableRandom chance;
-  private final double middleKb;
-  private final double othersPart;
+  private final Deployment deployment;
+  private final Environment environment;
+  private final SplittableRandom random;
+  private final double middleRate;
+  private final double otherFrontsShare;
 
-  /** Fronts may not talk and a probe is too dear for each newcomer: boxes are known by old news. */
-  private final boolean oldNews;
+  /**
+   * Fronts may not exchange messages and a probe costs too much for each new viewing, so boxes are
+   * known by old load reports only.
+   */
+  private final boolean reliesOnOldReports;
 
-  /** Boxes by cell, as listed; and those with viewings of this front, till the last ends. */
-  private final List<List<MediaBox>> cells = new ArrayList<>();
+  /**
+   * Boxes by cell, as listed; below, those with viewings of this front, until the last of these
+   * ends.
+   */
+  private final List<List<MediaBox>> boxesByCell = new ArrayList<>();
 
-  private final List<MediaBox> occupied = new ArrayList<>();
+  private final List<MediaBox> occupiedBoxes = new ArrayList<>();
   private final Rack[] racks;
 
-  /** Moments of takes and of further tune-ins within the ration's window; time empties both. */
-  private final ArrayDeque<Moment> taken = new ArrayDeque<>();
+  /**
+   * Times of requests and of retries within the window of the retry budget. Both are pruned as time
+   * passes.
+   */
+  private final ArrayDeque<Moment> requestTimes = new ArrayDeque<>();
 
-  private final ArrayDeque<Moment> further = new ArrayDeque<>();
+  private final ArrayDeque<Moment> retryTimes = new ArrayDeque<>();
   private Moment now = Moment.DISTANT_PAST;
-  private Moment started;
-  private double allShares; // of all serving boxes
+  private Moment frontStartedAt;
+  private double totalLinkShares; // of all serving boxes
   private double probesLeft = 1;
 
-  /** The load of a link that nothing is known of: the mean of what boxes report. */
-  private double usual = USUAL;
-
-  public Policy(Deployment house, long seed, Environment outside) {
-    this.house = house;
-    this.outside = outside;
-    this.chance = new SplittableRandom(seed);
-    double[] kb = house.ladderKbPerSecond();
-    this.middleKb = Math.sqrt(kb[0] * kb[kb.length - 1]);
-    this.othersPart = 1 - 1.0 / house.frontCount();
-    this.oldNews =
-        !house.permissions().mayMessageFronts() && PROBE_SPEND < house.permissions().probePrice();
-    for (int i = 0; i < Math.max(1, house.fleet().cellCount()); i++) {
-      cells.add(new ArrayList<>());
-    }
-    this.racks = new Rack[house.fleet().rackCount()];
+  /**
+   * Load that is assumed for a link without any report: the moving average of what boxes report.
+   */
+  private double typicalLoad = INITIAL_TYPICAL_LOAD;
+
+  public Policy(Deployment deployment, long seed, Environment environment) {
+    this.deployment = deployment;
+    this.environment = environment;
+    this.random = new SplittableRandom(seed);
+    double[] ladder = deployment.ladderKbPerSecond();
+    this.middleRate = Math.sqrt(ladder[0] * ladder[ladder.length - 1]);
+    this.otherFrontsShare = 1 - 1.0 / deployment.frontCount();
+    this.reliesOnOldReports =
+        !deployment.permissions().mayMessageFronts()
+            && PROBE_SPENDING_PER_VIEWING < deployment.permissions().probePrice();
+    for (int i = 0; i < Math.max(1, deployment.fleet().cellCount()); i++) {
+      boxesByCell.add(new ArrayList<>());
+    }
+    this.racks = new Rack[deployment.fleet().rackCount()];
     for (int i = 0; i < racks.length; i++) {
       racks[i] = new Rack();
     }
   }
 
-  /** The time of the calls that follow. */
+  /** Sets the time of the calls that follow. The first call starts the regular tick. */
   public void setTime(Moment moment) {
     now = moment;
-    if (started == null) {
-      started = moment;
-      outside.schedule(BEAT, this::beat);
+    if (frontStartedAt == null) {
+      frontStartedAt = moment;
+      environment.schedule(TICK_INTERVAL, this::tick);
     }
   }
 
-  public MediaBox createBox(Environment.BoxPort line) {
-    return new MediaBox(line);
+  public MediaBox createBox(Environment.BoxPort port) {
+    return new MediaBox(port);
   }
 
   public Title createTitle(int firstCell, int cellsInRow) {
@@ -153,215 +178,244 @@
   }
 
   public Viewing requestViewing(
-      Environment.ViewingPort player,
-      PackageSettings terms,
+      Environment.ViewingPort port,
+      PackageSettings settings,
       Title title,
-      int ceiling,
-      Span patience) {
-    pruneRation();
-    taken.add(now);
-    Viewing vw = new Viewing(player, terms, title, ceiling, now.plus(patience));
-    vw.look();
-    return vw;
+      int ceilingRung,
+      Span timeLimit) {
+    pruneRetryBudget();
+    requestTimes.add(now);
+    Viewing viewing = new Viewing(port, settings, title, ceilingRung, now.plus(timeLimit));
+    viewing.requestReportsAndPlace();
+    return viewing;
   }
 
-  /** A viewing that plays already; the rung in force is heard with the next news. */
+  /** Adds a viewing that plays already. The rung in force comes with the next report. */
   public Viewing adoptViewing(
-      Environment.ViewingPort player,
-      PackageSettings terms,
+      Environment.ViewingPort port,
+      PackageSettings settings,
       Title title,
-      int ceiling,
-      MediaBox at) {
-    Viewing vw = new Viewing(player, terms, title, ceiling, now);
-    vw.answered = true;
-    vw.playing = true;
-    vw.settle(at, terms.lowestRung());
-    return vw;
+      int ceilingRung,
+      MediaBox box) {
+    Viewing viewing = new Viewing(port, settings, title, ceilingRung, now);
+    viewing.answered = true;
+    viewing.playing = true;
+    viewing.occupy(box, settings.lowestRung());
+    return viewing;
   }
 
-  private void beat() {
-    outside.schedule(BEAT, this::beat);
-    for (Rack r : racks) {
-      r.relax();
-    }
-    for (MediaBox b : List.copyOf(occupied)) {
-      Span pace = b.link.elsewhereAt.isBefore(b.toldAt) ? SETTLED : TELL_ALL;
-      if (Math.abs(b.link.own - b.toldKb) > middleKb / 10 || b.toldAt.plus(pace).isBefore(now)) {
-        b.tell(1);
+  private void tick() {
+    environment.schedule(TICK_INTERVAL, this::tick);
+    for (Rack rack : racks) {
+      rack.recoverCapacity();
+    }
+    for (MediaBox box : List.copyOf(occupiedBoxes)) {
+      Span interval =
+          box.link.otherFrontsRateAt.isBefore(box.usageSentAt)
+              ? SETTLING_SPAN
+              : USAGE_REPORT_INTERVAL;
+      if (Math.abs(box.link.ownRate - box.sentRate) > middleRate / 10
+          || box.usageSentAt.plus(interval).isBefore(now)) {
+        box.sendUsage(1);
       }
-      b.sample();
+      box.sample();
     }
   }
 
-  /* ---- what is known of each box, link and rack ---- */
+  /* ---- state of boxes, links and racks ---- */
 
-  private record Change(Moment at, double kb) {}
+  private record Change(Moment at, double rateDelta) {}
 
-  private record Word(Moment at, int count, double kb) {}
+  private record FrontUsage(Moment receivedAt, int viewingCount, double rate) {}
 
   /**
-   * What is asked of a link or uplink: last reported use plus own changes since that report was
-   * true.
+   * Demand on a link or an uplink: the last reported demand plus this front's own changes since
+   * that report was measured.
    */
   private abstract class Usage {
-    double own;
-    double told = Double.NaN;
-    Moment toldTrueAt = Moment.DISTANT_PAST;
+    double ownRate;
+    double reportedDemand = Double.NaN;
+    Moment reportMeasuredAt = Moment.DISTANT_PAST;
 
-    /** What the other fronts say that they play here, as the rack's keeper last told. */
-    double elsewhere;
+    /** The rate that other fronts play here, as last reported by the rack owner. */
+    double otherFrontsRate;
 
-    Moment elsewhereAt = Moment.DISTANT_PAST;
+    Moment otherFrontsRateAt = Moment.DISTANT_PAST;
 
-    /** All changes since the last report was true. */
-    private double since;
+    /** Sum of all changes since the last report was measured. */
+    private double deltaSinceReport;
 
-    /** Those that a late report may not hold yet; time empties it. */
-    private final ArrayDeque<Change> recent = new ArrayDeque<>();
+    /** Changes that a delayed report may not include yet. They are pruned as time passes. */
+    private final ArrayDeque<Change> recentChanges = new ArrayDeque<>();
 
-    abstract double size();
+    abstract double capacity();
 
-    /** What others may ask of it, where nothing is heard. */
-    abstract double unheard();
+    /** Estimated rate of the other fronts, used where no report is available. */
+    abstract double estimatedOtherFrontsRate();
 
-    void change(double kb, boolean news) {
-      own = Math.max(0, own + kb);
-      if (news) {
-        heardOf(kb);
+    void changeOwnRate(double delta, boolean isUnreported) {
+      ownRate = Math.max(0, ownRate + delta);
+      if (isUnreported) {
+        recordUnreportedChange(delta);
       }
     }
 
-    void heardOf(double kb) {
-      recent.add(new Change(now, kb));
-      since += kb;
-      recent.removeIf(c -> c.at().isBefore(now.minus(CHANGE_LIFE)));
+    void recordUnreportedChange(double delta) {
+      recentChanges.add(new Change(now, delta));
+      deltaSinceReport += delta;
+      recentChanges.removeIf(change -> change.at().isBefore(now.minus(CHANGE_RETENTION)));
     }
 
-    void hear(double load, Moment trueAt) {
-      if (Double.isNaN(load) || trueAt.isBefore(toldTrueAt)) {
+    void applyLoadReport(double load, Moment measuredAt) {
+      if (Double.isNaN(load) || measuredAt.isBefore(reportMeasuredAt)) {
         return;
       }
-      told = load * size();
-      toldTrueAt = trueAt;
-      recent.removeIf(c -> c.at().isBefore(trueAt));
-      since = 0;
-      for (Change c : recent) {
-        since += c.kb();
+      reportedDemand = load * capacity();
+      reportMeasuredAt = measuredAt;
+      recentChanges.removeIf(change -> change.at().isBefore(measuredAt));
+      deltaSinceReport = 0;
+      for (Change change : recentChanges) {
+        deltaSinceReport += change.rateDelta();
       }
     }
 
-    void othersPlay(double kb) {
-      if (now.since(elsewhereAt).isShorterThan(TELL_ALL.times(3))) {
-        heardOf(kb - elsewhere);
+    void applyOtherFrontsRate(double rate) {
+      if (now.since(otherFrontsRateAt).isShorterThan(USAGE_REPORT_INTERVAL.times(3))) {
+        recordUnreportedChange(rate - otherFrontsRate);
       }
-      elsewhere = kb;
-      elsewhereAt = now;
+      otherFrontsRate = rate;
+      otherFrontsRateAt = now;
     }
 
-    /** The keeper's word counts in full for two tellings, then fades. */
-    double wordHolds() {
-      return Math.max(0, Math.min(1, 3 - now.since(elsewhereAt).seconds() / TELL_ALL.seconds()));
+    /** The rack owner's report counts in full for two report intervals, then fades. */
+    double rackOwnerReportWeight() {
+      return Math.max(
+          0,
+          Math.min(
+              1, 3 - now.since(otherFrontsRateAt).seconds() / USAGE_REPORT_INTERVAL.seconds()));
     }
 
-    double fill() {
-      return house.permissions().mayProbe()
-          ? FILL
-          : FILL_GUESSED + (FILL_TOLD - FILL_GUESSED) * wordHolds();
+    double fillLimit() {
+      return deployment.permissions().mayProbe()
+          ? FILL_LIMIT_PROBED
+          : FILL_LIMIT_ESTIMATED
+              + (FILL_LIMIT_REPORTED - FILL_LIMIT_ESTIMATED) * rackOwnerReportWeight();
     }
 
     /**
-     * What is heard. Old news gives way to own rates alone where a probe can ask again, elsewhere
-     * to the keeper's word and then to a guess, which alone sheds nothing.
+     * The demand that reports support. An old load report gives way to this front's own rates alone
+     * where a probe can renew it, and elsewhere to the rack owner's report and then to an estimate.
+     * The estimate is limited so that it never causes a step down by itself.
      */
-    double demand() {
+    double knownDemand() {
       return blend(
-          house.permissions().mayProbe()
+          deployment.permissions().mayProbe()
               ? 0
-              : Math.min(unheard(), Math.max(0, GUESSED_MOST * size() - own)));
+              : Math.min(
+                  estimatedOtherFrontsRate(),
+                  Math.max(0, MAX_ESTIMATED_LOAD * capacity() - ownRate)));
     }
 
-    /** The same with a guess of what is not heard. */
-    double likely() {
-      return blend(unheard());
+    /** The known demand, with an estimate for what no report covers. */
+    double likelyDemand() {
+      return blend(estimatedOtherFrontsRate());
     }
 
-    private double blend(double guess) {
-      double word = wordHolds();
-      double otherwise = own + word * elsewhere + (1 - word) * guess;
-      Span stale = now.since(toldTrueAt).minus(NEWS_HOLDS).max(Span.NONE);
-      double trust = Math.exp(-stale.seconds() / NEWS_LIFE.seconds());
-      return Double.isNaN(told)
-          ? otherwise
-          : Math.max(own, trust * (told + since) + (1 - trust) * otherwise);
+    private double blend(double otherFrontsEstimate) {
+      double ownerReportWeight = rackOwnerReportWeight();
+      double demandWithoutReport =
+          ownRate
+              + ownerReportWeight * otherFrontsRate
+              + (1 - ownerReportWeight) * otherFrontsEstimate;
+      Span overdue = now.since(reportMeasuredAt).minus(LOAD_REPORT_VALIDITY).max(Span.NONE);
+      double reportWeight = Math.exp(-overdue.seconds() / LOAD_REPORT_DECAY_SPAN.seconds());
+      return Double.isNaN(reportedDemand)
+          ? demandWithoutReport
+          : Math.max(
+              ownRate,
+              reportWeight * (reportedDemand + deltaSinceReport)
+                  + (1 - reportWeight) * demandWithoutReport);
     }
 
-    double load() {
-      return demand() / size();
+    double knownLoad() {
+      return knownDemand() / capacity();
     }
 
-    double room() {
-      return fill() * size() - likely();
+    double likelyRoom() {
+      return fillLimit() * capacity() - likelyDemand();
     }
 
-    double spare() {
-      return fill() * size() - demand();
+    double knownRoom() {
+      return fillLimit() * capacity() - knownDemand();
     }
   }
 
-  /** What the list's sizes, or else the streams of the kinds, say of links in kB. */
-  private double kbPerShare() {
-    Deployment.Fleet fleet = house.fleet();
+  /**
+   * Capacity for one unit of {@link MediaBox#linkShare}, by the weights of the box list or else by
+   * the streams that each kind of box serves.
+   */
+  private double linkCapacityPerShare() {
+    Deployment.Fleet fleet = deployment.fleet();
     return fleet.linkKbPerSecondPerWeight() > 0
         ? fleet.linkKbPerSecondPerWeight()
-        : fleet.totalLinkKbPerSecond() / Math.max(1, allShares);
+        : fleet.totalLinkKbPerSecond() / Math.max(1, totalLinkShares);
   }
 
   /** The uplink that a rack's boxes share. */
   private final class Rack extends Usage {
-    private double sizeKb = house.fleet().uplinkKbPerSecond();
-    private Moment sizedAt = Moment.DISTANT_PAST;
+    private double capacity = deployment.fleet().uplinkKbPerSecond();
+    private Moment capacityUpdatedAt = Moment.DISTANT_PAST;
 
     /**
-     * Demand when a short note was true: what was shed since must not make the uplink look small.
+     * Demand at the time to which a shortage report refers. Without it, steps down made since then
+     * would make the uplink look smaller than it is.
      */
-    private double lately;
+    private double laggedDemand;
 
-    private int serving;
-    private double shares;
-    private double wordsKb;
+    private int servingBoxes;
+    private double linkShares;
+    private double reportedFrontsRate;
 
     @Override
-    double size() {
-      return sizeKb;
+    double capacity() {
+      return capacity;
     }
 
     @Override
-    double unheard() {
-      return usual * linksKb() * othersPart;
+    double estimatedOtherFrontsRate() {
+      return typicalLoad * totalLinkCapacity() * otherFrontsShare;
     }
 
-    private double linksKb() {
-      return shares * kbPerShare();
+    private double totalLinkCapacity() {
+      return linkShares * linkCapacityPerShare();
     }
 
-    /** What others may ask of one of its links, where nothing else is known of that. */
-    double othersOn(double linkSize) {
-      return Math.max(0, likely() - own) * linkSize / Math.max(linkSize, linksKb());
+    /** Estimated rate of the other fronts on one of its links, where no report is available. */
+    double estimatedOtherFrontsRateOnLink(double linkCapacity) {
+      return Math.max(0, likelyDemand() - ownRate)
+          * linkCapacity
+          / Math.max(linkCapacity, totalLinkCapacity());
     }
 
-    /** N of the uplink: the front's own viewings, and others' taken to be of the middle rate. */
-    double sharers() {
-      double n = Math.max(0, likely() - own) / middleKb;
-      for (MediaBox b : occupied) {
-        n += b.rack == this ? b.viewings.size() : 0;
+    /**
+     * N of the uplink: this front's viewings, and those of the others, which are assumed to be of
+     * the middle rate.
+     */
+    double viewingsOnUplink() {
+      double viewingCount = Math.max(0, likelyDemand() - ownRate) / middleRate;
+      for (MediaBox box : occupiedBoxes) {
+        viewingCount += box.rack == this ? box.viewings.size() : 0;
       }
-      return n;
+      return viewingCount;
     }
 
-    /** A short uplink is short for all its boxes: one that plays and is not short clears it. */
-    boolean cleared() {
-      for (MediaBox b : occupied) {
-        if (b.rack == this && !b.shortNow() && b.settingUp() < b.viewings.size()) {
+    /**
+     * A shortage of the uplink affects all its boxes, so one box that plays without a shortage
+     * shows that the uplink is not short.
+     */
+    boolean hasUnaffectedBox() {
+      for (MediaBox box : occupiedBoxes) {
+        if (box.rack == this && !box.isShort() && box.viewingsBeingSetUp() < box.viewings.size()) {
           return true;
         }
       }
@@ -369,22 +423,28 @@
     }
 
     /**
-     * Where no report tells of the uplink a short note sizes it; the size drifts back, as uplinks
-     * do.
+     * Derives the capacity from a shortage report where no report covers the uplink. The capacity
+     * returns to its nominal value over time, as that of a real uplink does.
      */
-    void shortOf(double share) {
-      sizeKb = share * Math.max(lately, demand());
-      sizedAt = now;
-    }
-
-    void relax() {
-      double full = house.fleet().uplinkKbPerSecond();
-      double pace = RELAX.seconds() * (wordsKb > 0 ? 1 : 6); // words may be lost: not all at once
-      double weight = Math.min(1, now.since(sizedAt).seconds() / pace);
-      sizeKb += weight * (full - sizeKb);
-      sizedAt = now;
-      double lag = house.fleet().shareReportDelay().plus(SHORT).seconds();
-      lately += Math.min(1, BEAT.seconds() / lag) * (demand() - lately);
+    void lowerCapacity(double deliveredShare) {
+      capacity = deliveredShare * Math.max(laggedDemand, knownDemand());
+      capacityUpdatedAt = now;
+    }
+
+    void recoverCapacity() {
+      double nominalCapacity = deployment.fleet().uplinkKbPerSecond();
+      double recoverySeconds =
+          UPLINK_RECOVERY_SPAN.seconds()
+              * (reportedFrontsRate > 0
+                  ? 1
+                  : 6); // usage reports may have been lost, so the capacity recovers slowly without
+      // them
+      double weight = Math.min(1, now.since(capacityUpdatedAt).seconds() / recoverySeconds);
+      capacity += weight * (nominalCapacity - capacity);
+      capacityUpdatedAt = now;
+      double lagSeconds = deployment.fleet().shareReportDelay().plus(SHORT_AVERAGE_SPAN).seconds();
+      laggedDemand +=
+          Math.min(1, TICK_INTERVAL.seconds() / lagSeconds) * (knownDemand() - laggedDemand);
     }
   }
 
@@ -392,7 +452,7 @@
     private final Environment.BoxPort port;
     private final Link link = new Link();
 
-    /** Viewings with a tune-in out or playing here; each leaves when that ends. */
+    /** Viewings with a tune-in in progress or playing here. Each leaves when that ends. */
     private final List<Viewing> viewings = new ArrayList<>();
 
     private Rack rack = racks[0];
@@ -400,42 +460,42 @@
     private boolean listed;
     private int cell;
     private int building;
-    private double places = 1;
+    private double maxStreams = 1;
     private double weight = 1;
     private Moment startedAt = Moment.DISTANT_PAST;
-    private double streams = Double.NaN;
-    private Moment askedAt = Moment.DISTANT_PAST;
+    private double reportedStreams = Double.NaN;
+    private Moment reportRequestedAt = Moment.DISTANT_PAST;
     private double shortAverage;
     private double longAverage;
     private Moment sampledAt;
-    private Moment shortAt = Moment.DISTANT_PAST;
+    private Moment shortageReportedAt = Moment.DISTANT_PAST;
     private Moment steppedUpAt = Moment.DISTANT_PAST;
     private int failures;
     private Moment avoidUntil = Moment.DISTANT_PAST;
-    private Moment lostAt = Moment.DISTANT_PAST;
+    private Moment lastUnreachableAt = Moment.DISTANT_PAST;
 
     /**
-     * What other fronts say that they play here, at the rack's keeper alone, the oldest first; a
-     * word leaves with its last viewing or, once its front is silent for two tellings, with the
-     * next word.
+     * What other fronts report to play here, kept by the rack owner alone, oldest first. An entry
+     * is removed with the front's last viewing or, after two report intervals without a report, at
+     * the next report of any front.
      */
-    private final LinkedHashMap<Integer, Word> words = new LinkedHashMap<>();
+    private final LinkedHashMap<Integer, FrontUsage> usageByFront = new LinkedHashMap<>();
 
-    private double wordsKb;
-    private int wordsCount;
-    private int othersCount;
-    private Moment reportedAt = Moment.DISTANT_PAST;
-    private double toldKb;
-    private Moment toldAt = Moment.DISTANT_PAST;
+    private double reportedFrontsRate;
+    private int reportedFrontsViewings;
+    private int otherFrontsViewings;
+    private Moment loadReportedAt = Moment.DISTANT_PAST;
+    private double sentRate;
+    private Moment usageSentAt = Moment.DISTANT_PAST;
 
-    /** Newcomers that wait for news; its coming empties it. */
-    private final ArrayDeque<Viewing> askers = new ArrayDeque<>();
+    /** New viewings that wait for a report on this box. The queue is emptied when one arrives. */
+    private final ArrayDeque<Viewing> awaitingReport = new ArrayDeque<>();
 
-    /** Sends within the window in which a cold box may fall; time empties it. */
-    private final ArrayDeque<Moment> sends = new ArrayDeque<>();
+    /** Times of tune-ins within the window of the limit for cold boxes. Pruned as time passes. */
+    private final ArrayDeque<Moment> tuneInTimes = new ArrayDeque<>();
 
-    private MediaBox(Environment.BoxPort line) {
-      this.port = line;
+    private MediaBox(Environment.BoxPort port) {
+      this.port = port;
     }
 
     public Environment.BoxPort port() {
@@ -446,82 +506,82 @@
       if (this.startedAt.isBefore(startedAt)) {
         failures = 0;
         avoidUntil = Moment.DISTANT_PAST;
-        link.told = Double.NaN;
-        streams = Double.NaN;
+        link.reportedDemand = Double.NaN;
+        reportedStreams = Double.NaN;
       }
-      counted(false);
-      list(false);
+      setServing(false);
+      setListed(false);
       this.weight = weight;
       this.cell = cell;
-      int[] byKind = house.fleet().streamsByKind();
-      this.places = kind < byKind.length ? byKind[kind] : 1;
+      int[] streamsByKind = deployment.fleet().streamsByKind();
+      this.maxStreams = kind < streamsByKind.length ? streamsByKind[kind] : 1;
       this.building = building;
       this.startedAt = startedAt;
-      rack.change(-link.own, false);
+      rack.changeOwnRate(-link.ownRate, false);
       rack = racks[Math.floorMod(cell, racks.length)];
-      rack.change(link.own, false);
-      list(true);
-      counted(true);
+      rack.changeOwnRate(link.ownRate, false);
+      setListed(true);
+      setServing(true);
     }
 
     public void markDraining() {
-      counted(false);
-      list(true);
+      setServing(false);
+      setListed(true);
     }
 
     public void markGone() {
-      counted(false);
-      list(false);
+      setServing(false);
+      setListed(false);
     }
 
     /**
-     * Nothing is held here any more and the list no longer names it. Guards against a box that
-     * comes back to the list with its pace forgotten: what was sent within the window counts if it
-     * is cold.
+     * No viewing is held here and the list no longer names the box. Guards against a box that
+     * returns to the list after its recent tune-ins have been discarded: if it is cold, those
+     * within the window count against its limit.
      */
     public boolean isDiscardable() {
-      prune(sends, now.minus(fallWindow()));
-      return !listed && viewings.isEmpty() && sends.isEmpty();
+      prune(tuneInTimes, now.minus(coldLimitWindow()));
+      return !listed && viewings.isEmpty() && tuneInTimes.isEmpty();
     }
 
-    private void list(boolean in) {
-      List<MediaBox> shelf = cells.get(Math.floorMod(cell, cells.size()));
-      shelf.remove(this);
-      listed = in && shelf.add(this);
+    private void setListed(boolean isListed) {
+      List<MediaBox> boxesOfCell = boxesByCell.get(Math.floorMod(cell, boxesByCell.size()));
+      boxesOfCell.remove(this);
+      listed = isListed && boxesOfCell.add(this);
     }
 
-    /** Into or out of the running totals of its rack and of all. */
-    private void counted(boolean in) {
-      if (in != serving) {
-        double share = in ? share() : -share();
-        rack.shares += share;
-        allShares += share;
-        rack.serving += in ? 1 : -1;
-        serving = in;
+    /** Adds the box to the running totals of its rack and of the front, or removes it. */
+    private void setServing(boolean isServing) {
+      if (isServing != serving) {
+        double shareDelta = isServing ? linkShare() : -linkShare();
+        rack.linkShares += shareDelta;
+        totalLinkShares += shareDelta;
+        rack.servingBoxes += isServing ? 1 : -1;
+        serving = isServing;
       }
     }
 
     /**
-     * Its part of all links by the list's sizes or, where it gives none, by the streams of its
-     * kind.
+     * Its part of all link capacity, by the weights of the box list or, where the list gives none,
+     * by the streams that a box of its kind serves.
      */
-    private double share() {
-      return house.fleet().linkKbPerSecondPerWeight() > 0 ? weight : places;
+    private double linkShare() {
+      return deployment.fleet().linkKbPerSecondPerWeight() > 0 ? weight : maxStreams;
     }
 
-    private void loads(double linkAsked, double uplinkAsked, Moment trueAt) {
-      if (!Double.isNaN(linkAsked)) {
-        usual += USUAL_WEIGHT * (linkAsked - usual);
-        reportedAt = now;
+    private void applyLoads(double linkLoad, double uplinkLoad, Moment measuredAt) {
+      if (!Double.isNaN(linkLoad)) {
+        typicalLoad += TYPICAL_LOAD_WEIGHT * (linkLoad - typicalLoad);
+        loadReportedAt = now;
       }
-      link.hear(linkAsked, trueAt);
-      rack.hear(uplinkAsked, trueAt);
+      link.applyLoadReport(linkLoad, measuredAt);
+      rack.applyLoadReport(uplinkLoad, measuredAt);
       sample();
     }
 
-    public void loadReported(double linkAsked, double uplinkAsked, double streams) {
-      this.streams = streams;
-      loads(linkAsked, uplinkAsked, now.minus(REPORT_AGE));
+    public void loadReported(double linkLoad, double uplinkLoad, double reportedStreams) {
+      this.reportedStreams = reportedStreams;
+      applyLoads(linkLoad, uplinkLoad, now.minus(LOAD_REPORT_AGE));
     }
 
     public void probeEnded(boolean answered) {
@@ -529,31 +589,38 @@
           answered ? Environment.AttemptOutcome.FINISHED : Environment.AttemptOutcome.NO_ANSWER);
     }
 
-    /** What came of a probe: FINISHED where it was answered. */
-    public void probeEnded(Environment.AttemptOutcome how) {
-      if (how != Environment.AttemptOutcome.FINISHED && how != Environment.AttemptOutcome.HELD_UP) {
-        failed(how != Environment.AttemptOutcome.UNHEARD);
+    /** Reports the outcome of a probe: FINISHED where it was answered. */
+    public void probeEnded(Environment.AttemptOutcome outcome) {
+      if (outcome != Environment.AttemptOutcome.FINISHED
+          && outcome != Environment.AttemptOutcome.HELD_UP) {
+        recordFailure(outcome != Environment.AttemptOutcome.UNHEARD);
       }
-      answerAskers();
+      resumeAwaitingReport();
     }
 
-    private void answerAskers() {
-      for (Viewing vw = askers.poll(); vw != null; vw = askers.poll()) {
-        vw.heard();
+    private void resumeAwaitingReport() {
+      for (Viewing viewing = awaitingReport.poll();
+          viewing != null;
+          viewing = awaitingReport.poll()) {
+        viewing.reportArrived();
       }
     }
 
-    /** Asks for news, by probe or by word. Says whether it has just been asked. */
-    private boolean ask() {
-      if (now.since(askedAt).isShorterThan(FRESH) || !probe() && !tell(1)) {
+    /**
+     * Requests a report, by a probe or from the rack owner. Returns false where none was requested,
+     * also because the last request is recent.
+     */
+    private boolean requestReport() {
+      if (now.since(reportRequestedAt).isShorterThan(FRESH_REPORT_SPAN)
+          || !sendProbe() && !sendUsage(1)) {
         return false;
       }
-      askedAt = now;
+      reportRequestedAt = now;
       return true;
     }
 
-    private boolean probe() {
-      if (!house.permissions().mayProbe() || probesLeft < 1) {
+    private boolean sendProbe() {
+      if (!deployment.permissions().mayProbe() || probesLeft < 1) {
         return false;
       }
       probesLeft--;
@@ -562,487 +629,557 @@
     }
 
     private boolean holds(Title title) {
-      int off = Math.floorMod(cell - title.firstCell, cells.size());
-      return title.cellsInRow <= 0 || off < title.cellsInRow;
+      int offset = Math.floorMod(cell - title.firstCell, boxesByCell.size());
+      return title.cellsInRow <= 0 || offset < title.cellsInRow;
     }
 
     /**
-     * Guards against boxes that fail set-ups in whatever way: silence, errors, being full, slow or
-     * out of reach. A failure doubles the time for which others are preferred, a success halves it.
-     * It could harm where one moment hits many boxes: with no other left an avoided box is still
-     * used.
+     * Guards against boxes that fail set-ups in any way: no answer, errors, being full, slow or out
+     * of reach. Each failure doubles the time for which other boxes are preferred, up to a limit; a
+     * success halves the failure count and ends the avoidance. An event that hits many boxes at
+     * once could make all of them avoided; an avoided box is still used where there is no other.
      */
-    private void failed(boolean silent) {
-      avoidUntil = now.plus(FIRST_AVOID.times(1 << Math.min(failures, MOST_DOUBLINGS)));
-      failures = Math.min(failures + 1, MOST_DOUBLINGS + 1);
-      if (silent) {
-        lostAt = now;
+    private void recordFailure(boolean mayHaveRestarted) {
+      avoidUntil =
+          now.plus(INITIAL_AVOIDANCE_SPAN.times(1 << Math.min(failures, MAX_AVOIDANCE_DOUBLINGS)));
+      failures = Math.min(failures + 1, MAX_AVOIDANCE_DOUBLINGS + 1);
+      if (mayHaveRestarted) {
+        lastUnreachableAt = now;
       }
     }
 
-    private void succeeded() {
+    private void recordSuccess() {
       failures = Math.max(0, failures / 2);
       avoidUntil = Moment.DISTANT_PAST;
     }
 
-    private boolean avoided() {
-      return now.isBefore(avoidUntil) || failures > 0 && settingUp() > 0;
+    private boolean isAvoided() {
+      return now.isBefore(avoidUntil) || failures > 0 && viewingsBeingSetUp() > 0;
     }
 
-    private int settingUp() {
-      int n = 0;
-      for (Viewing vw : viewings) {
-        n += vw.playing ? 0 : 1;
+    private int viewingsBeingSetUp() {
+      int count = 0;
+      for (Viewing viewing : viewings) {
+        count += viewing.playing ? 0 : 1;
       }
-      return n;
+      return count;
     }
 
-    private boolean shortNow() {
-      return now.since(shortAt).isShorterThan(SHORT_NEWS);
+    private boolean isShort() {
+      return now.since(shortageReportedAt).isShorterThan(SHORTAGE_VALIDITY);
     }
 
     /**
-     * A share of the rates is heard as a load of one over it, of whichever is fuller, link or
-     * uplink.
+     * Treats a delivered share of the rates as a load of its reciprocal, on the link or the uplink,
+     * whichever is fuller.
      */
-    private void heardShare(double share) {
-      if (share >= 0.98) {
+    private void applyDeliveredShare(double deliveredShare) {
+      if (deliveredShare >= 0.98) {
         return;
       }
-      shortAt = now;
-      Moment trueAt = now.minus(house.fleet().shareReportDelay()).minus(SMOOTHED);
-      double asked = 1 / Math.max(LEAST_SHARE, share);
-      if (rack.cleared() || link.load() >= rack.load()) {
-        link.hear(asked, trueAt);
-      } else if (house.permissions().boxesReportUplink() || rack.wordHolds() < 0.5) {
-        rack.hear(asked, trueAt);
+      shortageReportedAt = now;
+      Moment measuredAt =
+          now.minus(deployment.fleet().shareReportDelay()).minus(SHARE_SMOOTHING_SPAN);
+      double load = 1 / Math.max(MIN_DELIVERED_SHARE, deliveredShare);
+      if (rack.hasUnaffectedBox() || link.knownLoad() >= rack.knownLoad()) {
+        link.applyLoadReport(load, measuredAt);
+      } else if (deployment.permissions().boxesReportUplink()
+          || rack.rackOwnerReportWeight() < 0.5) {
+        rack.applyLoadReport(load, measuredAt);
       } else {
-        rack.shortOf(1 / asked);
-        if (SETTLED.isShorterThan(now.since(toldAt))) {
-          tell(1 / asked);
+        rack.lowerCapacity(1 / load);
+        if (SETTLING_SPAN.isShorterThan(now.since(usageSentAt))) {
+          sendUsage(1 / load);
         }
       }
       sample();
     }
 
-    /** The share of its size that a box which has just started is sure to give. */
-    private double warmth() {
-      double age = now.since(startedAt).seconds();
-      double whole = house.rules().coldPeriod().seconds();
-      double start = house.rules().coldStartCapacity();
-      return age >= whole || whole <= 0 ? 1 : start + (1 - start) * Math.max(0, age) / whole;
+    /** The share of its capacity that a box that has just started provides at least. */
+    private double warmCapacityShare() {
+      double ageSeconds = now.since(startedAt).seconds();
+      double coldSeconds = deployment.rules().coldPeriod().seconds();
+      double startShare = deployment.rules().coldStartCapacity();
+      return ageSeconds >= coldSeconds || coldSeconds <= 0
+          ? 1
+          : startShare + (1 - startShare) * Math.max(0, ageSeconds) / coldSeconds;
     }
 
     private final class Link extends Usage {
       @Override
-      double size() {
-        return Math.max(1, share() * kbPerShare()) * warmth();
+      double capacity() {
+        return Math.max(1, linkShare() * linkCapacityPerShare()) * warmCapacityShare();
       }
 
       @Override
-      double unheard() {
-        return rack.othersOn(size());
+      double estimatedOtherFrontsRate() {
+        return rack.estimatedOtherFrontsRateOnLink(capacity());
       }
     }
 
     /**
-     * Guards against the last word of a front that is gone: it counts no longer than two tellings.
+     * Guards against the last report of a front that no longer runs: it counts for no longer than
+     * about two report intervals.
      */
-    private void forgetSilentFronts() {
-      while (!words.isEmpty()) {
-        var oldest = words.entrySet().iterator().next();
-        if (!oldest.getValue().at().plus(TELL_ALL.times(2.2)).isBefore(now)) {
+    private void dropSilentFronts() {
+      while (!usageByFront.isEmpty()) {
+        var oldest = usageByFront.entrySet().iterator().next();
+        if (!oldest.getValue().receivedAt().plus(USAGE_REPORT_INTERVAL.times(2.2)).isBefore(now)) {
           return;
         }
-        word(oldest.getKey(), 0, 0);
+        recordUsage(oldest.getKey(), 0, 0);
       }
     }
 
-    private void word(int front, int count, double kb) {
-      Word old = words.remove(front);
-      if (count > 0) {
-        words.put(front, new Word(now, count, kb));
+    private void recordUsage(int front, int viewingCount, double rate) {
+      FrontUsage previous = usageByFront.remove(front);
+      if (viewingCount > 0) {
+        usageByFront.put(front, new FrontUsage(now, viewingCount, rate));
       }
-      double more = (count > 0 ? kb : 0) - (old == null ? 0 : old.kb());
-      wordsKb = Math.max(0, wordsKb + more);
-      wordsCount += count - (old == null ? 0 : old.count());
-      rack.wordsKb = Math.max(0, rack.wordsKb + more);
-      othersCount = wordsCount;
-      if (SETTLED.isShorterThan(now.since(started))) {
-        link.othersPlay(wordsKb);
-        rack.othersPlay(rack.wordsKb);
+      double rateDelta = (viewingCount > 0 ? rate : 0) - (previous == null ? 0 : previous.rate());
+      reportedFrontsRate = Math.max(0, reportedFrontsRate + rateDelta);
+      reportedFrontsViewings += viewingCount - (previous == null ? 0 : previous.viewingCount());
+      rack.reportedFrontsRate = Math.max(0, rack.reportedFrontsRate + rateDelta);
+      otherFrontsViewings = reportedFrontsViewings;
+      if (SETTLING_SPAN.isShorterThan(now.since(frontStartedAt))) {
+        link.applyOtherFrontsRate(reportedFrontsRate);
+        rack.applyOtherFrontsRate(rack.reportedFrontsRate);
       }
     }
 
     /**
-     * To the keeper from another front, which is answered with what the rest play here and all on
-     * the uplink, and the uplink's size.
+     * Called on the rack owner when another front reports what it plays here. The answer holds what
+     * all other fronts play here, what all play on the uplink, and the uplink's capacity.
      */
-    public void usageReceived(int front, int count, double kb, double share) {
-      forgetSilentFronts();
-      word(front, count, kb);
-      if (share < 1) {
-        rack.shortOf(share);
+    public void usageReceived(int front, int viewingCount, double rate, double uplinkShare) {
+      dropSilentFronts();
+      recordUsage(front, viewingCount, rate);
+      if (uplinkShare < 1) {
+        rack.lowerCapacity(uplinkShare);
       }
-      if (SETTLED.isShorterThan(now.since(started))) {
-        outside.sendRackUsage(
+      if (SETTLING_SPAN.isShorterThan(now.since(frontStartedAt))) {
+        environment.sendRackUsage(
             front,
             this,
-            wordsCount - count + viewings.size(),
-            wordsKb - kb + link.own,
-            rack.wordsKb + rack.own,
-            rack.sizeKb);
+            reportedFrontsViewings - viewingCount + viewings.size(),
+            reportedFrontsRate - rate + link.ownRate,
+            rack.reportedFrontsRate + rack.ownRate,
+            rack.capacity);
       }
     }
 
-    /** From the keeper. */
-    public void rackUsageReceived(int count, double kb, double rackKb, double rackSizeKb) {
-      othersCount = count;
-      link.othersPlay(kb);
-      rack.othersPlay(Math.max(0, rackKb - rack.own));
-      rack.sizeKb = rackSizeKb;
+    /** Called when the rack owner reports what all other fronts play here and on the rack. */
+    public void rackUsageReceived(
+        int viewingCount, double rate, double rackRate, double rackCapacity) {
+      otherFrontsViewings = viewingCount;
+      link.applyOtherFrontsRate(rate);
+      rack.applyOtherFrontsRate(Math.max(0, rackRate - rack.ownRate));
+      rack.capacity = rackCapacity;
       sample();
-      answerAskers();
+      resumeAwaitingReport();
     }
 
     /**
-     * Where fronts may talk, one keeps for each rack what all play there. Telling it is asking it;
-     * returns whether an answer is to come.
+     * Where fronts may exchange messages, one front per rack, the rack owner, collects what all of
+     * them play there. Sending it the own usage also requests its answer. Returns whether an answer
+     * is to come.
      */
-    private boolean tell(double uplinkShare) {
-      if (!house.permissions().mayMessageFronts() || house.frontCount() < 2) {
+    private boolean sendUsage(double uplinkShare) {
+      if (!deployment.permissions().mayMessageFronts() || deployment.frontCount() < 2) {
         return false;
       }
-      toldKb = link.own;
-      toldAt = now;
-      int keeper = Math.floorMod(cell, racks.length) % house.frontCount();
-      if (keeper == house.frontNumber()) {
+      sentRate = link.ownRate;
+      usageSentAt = now;
+      int rackOwner = Math.floorMod(cell, racks.length) % deployment.frontCount();
+      if (rackOwner == deployment.frontNumber()) {
         return false;
       }
-      outside.sendUsage(keeper, this, viewings.size(), link.own, uplinkShare);
+      environment.sendUsage(rackOwner, this, viewings.size(), link.ownRate, uplinkShare);
       return true;
     }
 
-    /* ---- the paired averages and the cap ---- */
+    /* ---- the short and long averages and the cap ---- */
 
-    /** One sample of demand over size: both averages move, then a step down, one up, or none. */
+    /**
+     * Samples the load and moves both averages, then steps down, steps up once, or leaves the rungs
+     * as they are.
+     */
     private void sample() {
-      // With nothing heard and no probe to ask, own rates alone would look like room.
-      Moment heardAt = reportedAt.max(link.elsewhereAt).max(link.toldTrueAt);
-      boolean fresh =
-          now.since(heardAt)
-              .isShorterThan(house.permissions().mayProbe() ? FRESH : TELL_ALL.times(2));
+      // Without reports and without a probe to request one, own rates alone would look like room.
+      Moment newestReportAt = loadReportedAt.max(link.otherFrontsRateAt).max(link.reportMeasuredAt);
+      boolean isFresh =
+          now.since(newestReportAt)
+              .isShorterThan(
+                  deployment.permissions().mayProbe()
+                      ? FRESH_REPORT_SPAN
+                      : USAGE_REPORT_INTERVAL.times(2));
       if (viewings.isEmpty()
-          || !fresh && !house.permissions().mayProbe() && house.frontCount() > 1) {
+          || !isFresh && !deployment.permissions().mayProbe() && deployment.frontCount() > 1) {
         sampledAt = now;
         return;
       }
-      double x = Math.max(link.load(), rack.load());
-      double passed = now.since(sampledAt).seconds();
-      shortAverage += Math.min(1, passed / SHORT.seconds()) * (x - shortAverage);
-      longAverage += Math.min(1, passed / LONG.seconds()) * (x - longAverage);
+      double load = Math.max(link.knownLoad(), rack.knownLoad());
+      double elapsedSeconds = now.since(sampledAt).seconds();
+      shortAverage +=
+          Math.min(1, elapsedSeconds / SHORT_AVERAGE_SPAN.seconds()) * (load - shortAverage);
+      longAverage +=
+          Math.min(1, elapsedSeconds / LONG_AVERAGE_SPAN.seconds()) * (load - longAverage);
       sampledAt = now;
-      if (shortAverage >= UPPER_MARK) {
-        stepDown(1 - SHED_TO / Math.max(x, SHED_TO));
-      } else if (!now.isBefore(steppedUpAt.plus(STEP_PACE))) {
-        Viewing low = next(1);
-        double mark = low == null ? 0 : link.fill() - low.added(1) / link.size();
-        // A step up wants fresh news: it is asked for first.
-        if (longAverage < mark && x < mark && !ask() && fresh) {
-          stepUp(low, link.fill() / Math.max(x, 0.1) - 1);
+      if (shortAverage >= STEP_DOWN_LOAD) {
+        stepDown(1 - STEP_DOWN_TARGET_LOAD / Math.max(load, STEP_DOWN_TARGET_LOAD));
+      } else if (!now.isBefore(steppedUpAt.plus(STEP_UP_INTERVAL))) {
+        Viewing lowest = nextToStep(1);
+        double stepUpLoad =
+            lowest == null ? 0 : link.fillLimit() - lowest.rateDelta(1) / link.capacity();
+        // A step up needs a fresh report, which is requested first.
+        if (longAverage < stepUpLoad && load < stepUpLoad && !requestReport() && isFresh) {
+          stepUp(lowest, link.fillLimit() / Math.max(load, 0.1) - 1);
         }
       }
     }
 
     /**
-     * Every front on a link hears the same news. Each steps for its own part of the shortage, or of
-     * the room, the last step by chance, so that all together meet it: one front alone as well as
-     * hundreds with a viewing each. It harms where others do not hear: then the next sample steps
-     * again.
+     * All fronts on a link act on the same report. Each one sheds only its own part of the
+     * shortage, or adds only its own part of the room, and takes the last step with a probability,
+     * so that the sum over all fronts meets the target: with a single front as well as with
+     * hundreds that have one viewing each. Where the other fronts do not receive the report too
+     * little is shed, and the next sample steps again.
      */
-    private void stepDown(double over) {
-      Viewing top = next(-1);
-      shortAverage = top == null ? shortAverage : SHORT_RESET;
-      double part = over * link.own;
-      othersAlike(-over);
+    private void stepDown(double excessShare) {
+      Viewing highest = nextToStep(-1);
+      shortAverage = highest == null ? shortAverage : SHORT_AVERAGE_RESET;
+      double rateToShed = excessShare * link.ownRate;
+      assumeOtherFrontsStep(-excessShare);
       List<Viewing> lowered = new ArrayList<>();
-      while (top != null && chance.nextDouble() < part / -top.added(-1)) {
-        part += top.added(-1);
-        top.shift(-1);
-        lowered.remove(top);
-        lowered.add(top);
-        top = next(-1);
+      while (highest != null && random.nextDouble() < rateToShed / -highest.rateDelta(-1)) {
+        rateToShed += highest.rateDelta(-1);
+        highest.moveRung(-1);
+        lowered.remove(highest);
+        lowered.add(highest);
+        highest = nextToStep(-1);
       }
-      lowered.forEach(vw -> vw.player.setRung(vw.rung)); // each change costs: one for several steps
+      lowered.forEach(
+          viewing ->
+              viewing.port.setRung(
+                  viewing
+                      .rung)); // one call for several steps, since each change of rung has a cost
     }
 
-    private void stepUp(Viewing low, double under) {
-      longAverage = LONG_RESET;
+    private void stepUp(Viewing lowest, double spareShare) {
+      longAverage = LONG_AVERAGE_RESET;
       steppedUpAt = now;
-      double part = under * link.own;
-      for (; low != null && chance.nextDouble() < part / low.added(1); low = next(1)) {
-        part -= low.added(1);
-        low.shift(1);
-        low.player.setRung(low.rung);
+      double rateToAdd = spareShare * link.ownRate;
+      for (;
+          lowest != null && random.nextDouble() < rateToAdd / lowest.rateDelta(1);
+          lowest = nextToStep(1)) {
+        rateToAdd -= lowest.rateDelta(1);
+        lowest.moveRung(1);
+        lowest.port.setRung(lowest.rung);
       }
     }
 
     /**
-     * The viewing that steps next: the top rung down, the lowest up within the cap; among equals
-     * the least value lost or most won for a kB.
+     * The viewing that steps next: the one on the highest rung steps down, the one on the lowest
+     * rung steps up within the cap. Among equals it is the one that loses the least or gains the
+     * most value per kB.
      */
-    private Viewing next(int by) {
+    private Viewing nextToStep(int direction) {
       Viewing best = null;
-      for (Viewing vw : viewings) {
-        if (vw.playing
-            && vw.mayStep(by)
+      for (Viewing viewing : viewings) {
+        if (viewing.playing
+            && viewing.mayStep(direction)
             && (best == null
-                || by * (best.rung - vw.rung) > 0
-                || best.rung == vw.rung && by * (vw.gain(by) - best.gain(by)) > 0)) {
-          best = vw;
+                || direction * (best.rung - viewing.rung) > 0
+                || best.rung == viewing.rung
+                    && direction * (viewing.valuePerKb(direction) - best.valuePerKb(direction))
+                        > 0)) {
+          best = viewing;
         }
       }
       return best;
     }
 
     /**
-     * The other fronts' parts of what this one now does about a load of its link or of its uplink.
+     * Records what the other fronts are expected to do about the same load of the link or the
+     * uplink.
      */
-    private void othersAlike(double by) {
-      if (house.permissions().mayMessageFronts()) {
-        return; // told soon
+    private void assumeOtherFrontsStep(double relativeChange) {
+      if (deployment.permissions().mayMessageFronts()) {
+        return; // they report it soon
       }
-      double onLink = by * Math.max(0, link.demand() - link.own);
-      double onRack = by * Math.max(0, rack.demand() - rack.own) * link.own / Math.max(1, rack.own);
-      boolean uplink = rack.load() > link.load();
-      link.heardOf(onLink);
-      rack.heardOf(uplink ? onRack : onLink);
+      double linkDelta = relativeChange * Math.max(0, link.knownDemand() - link.ownRate);
+      double rackDelta =
+          relativeChange
+              * Math.max(0, rack.knownDemand() - rack.ownRate)
+              * link.ownRate
+              / Math.max(1, rack.ownRate);
+      boolean isUplinkFuller = rack.knownLoad() > link.knownLoad();
+      link.recordUnreportedChange(linkDelta);
+      rack.recordUnreportedChange(isUplinkFuller ? rackDelta : linkDelta);
     }
 
     /**
-     * N: the link's viewings, by own account and what others or reports say beyond it; where they
-     * say nothing, others' are taken to be of the middle rate.
+     * N of the link: this front's viewings plus those of others, from the box's load report or the
+     * rack owner's report. Where neither is available the others' viewings are assumed to be of the
+     * middle rate.
      */
-    private double sharers() {
+    private double viewingsOnLink() {
       return viewings.size()
           + Math.max(
               0,
-              !Double.isNaN(streams)
-                  ? streams - viewings.size()
-                  : house.permissions().mayMessageFronts()
-                      ? othersCount
-                      : (link.likely() - link.own) / middleKb);
+              !Double.isNaN(reportedStreams)
+                  ? reportedStreams - viewings.size()
+                  : deployment.permissions().mayMessageFronts()
+                      ? otherFrontsViewings
+                      : (link.likelyDemand() - link.ownRate) / middleRate);
     }
 
-    private boolean capped(double rate, double linkRoom, double rackRoom) {
-      return rate <= link.size() / (sharers() + 1)
-          || rate + middleKb <= linkRoom && rate + rack.serving * middleKb <= rackRoom;
+    private boolean isWithinCap(double rate, double linkRoom, double rackRoom) {
+      return rate <= link.capacity() / (viewingsOnLink() + 1)
+          || rate + middleRate <= linkRoom && rate + rack.servingBoxes * middleRate <= rackRoom;
     }
 
-    private double room() {
-      return Math.min(link.room(), rack.room());
+    private double likelyRoom() {
+      return Math.min(link.likelyRoom(), rack.likelyRoom());
     }
   }
 
   /**
-   * What is watched: where it is held, and the viewings of it here that hold a seat, one row a
-   * package; a row leaves with its last viewing.
+   * A title: the cells that hold it, and the number of this front's viewings of it for each package
+   * with a limit. An entry is removed with its last viewing.
    */
   public record Title(
       int firstCell, int cellsInRow, Map<PackageSettings, Integer> viewingsByPackage) {}
 
   public final class Viewing {
-    private final Environment.ViewingPort player;
-    private final PackageSettings terms;
+    private final Environment.ViewingPort port;
+    private final PackageSettings settings;
     private final Title title;
-    private final int ceiling;
-    private final Moment target;
-    private final Moment patienceEnds;
-    private final Span margin;
-    private MediaBox at;
+    private final int ceilingRung;
+    private final Moment latencyDeadline;
+    private final Moment deadline;
+    private final Span answerMargin;
+    private MediaBox currentBox;
     private int rung;
-    private int tuneIns;
+    private int tuneInCount;
 
-    /** Answers that it waits for. */
-    private int unheard;
+    /** Reports that it still waits for. */
+    private int awaitedReports;
 
-    private boolean looked;
+    private boolean hasRequestedReports;
     private boolean playing;
     private boolean answered;
     private boolean mayHaveRun;
     private final UnconfirmedAttempts unconfirmed = new UnconfirmedAttempts();
-    private Moment endedAt = Moment.DISTANT_PAST;
-    private boolean holding;
+    private Moment attemptEndedAt = Moment.DISTANT_PAST;
+    private boolean isPlacementScheduled;
 
-    /** Asked for a confirmation since its last attempt. */
-    private boolean asked;
+    /** A confirmation has been requested since its last attempt. */
+    private boolean hasRequestedConfirmation;
 
     private Viewing(
-        Environment.ViewingPort player,
-        PackageSettings terms,
+        Environment.ViewingPort port,
+        PackageSettings settings,
         Title title,
-        int ceiling,
-        Moment patienceEnds) {
-      this.player = player;
-      this.terms = terms;
+        int ceilingRung,
+        Moment deadline) {
+      this.port = port;
+      this.settings = settings;
       this.title = title;
-      this.ceiling = Math.max(terms.lowestRung(), Math.min(ceiling, terms.highestRung()));
-      this.patienceEnds = patienceEnds;
-      this.margin = ANSWER_MARGIN.min(patienceEnds.since(now).times(ANSWER_MARGIN_SHARE));
-      this.target = now.plus(terms.latencyObjective());
+      this.ceilingRung =
+          Math.max(settings.lowestRung(), Math.min(ceilingRung, settings.highestRung()));
+      this.deadline = deadline;
+      this.answerMargin = ANSWER_MARGIN.min(deadline.since(now).times(ANSWER_MARGIN_SHARE));
+      this.latencyDeadline = now.plus(settings.latencyObjective());
       probesLeft =
           Math.min(
-              PROBES_HELD,
-              probesLeft + PROBE_SPEND / Math.max(0.001, house.permissions().probePrice()));
+              MAX_SAVED_PROBES,
+              probesLeft
+                  + PROBE_SPENDING_PER_VIEWING
+                      / Math.max(0.001, deployment.permissions().probePrice()));
     }
 
-    private double rate(int r) {
-      return terms.rateFactor() * house.ladderKbPerSecond()[r];
+    private double rate(int rungIndex) {
+      return settings.rateFactor() * deployment.ladderKbPerSecond()[rungIndex];
     }
 
-    private boolean mayStep(int by) {
-      double present = rate(rung);
-      return by < 0
-          ? rung > terms.lowestRung()
-          : rung < ceiling
-              && at.capped(rate(rung + 1), at.link.spare() + present, at.rack.spare() + present);
+    private boolean mayStep(int direction) {
+      double currentRate = rate(rung);
+      return direction < 0
+          ? rung > settings.lowestRung()
+          : rung < ceilingRung
+              && currentBox.isWithinCap(
+                  rate(rung + 1),
+                  currentBox.link.knownRoom() + currentRate,
+                  currentBox.rack.knownRoom() + currentRate);
     }
 
-    /** What a step adds to the rate: less than nothing for one down. */
-    private double added(int by) {
-      return rate(rung + by) - rate(rung);
+    /** Change of the rate when the viewing moves by so many rungs; negative for a step down. */
+    private double rateDelta(int rungs) {
+      return rate(rung + rungs) - rate(rung);
     }
 
-    /** Value won or lost for each kB of the step. */
-    private double gain(int by) {
-      return terms.value() * (house.rungValues()[rung + by] - house.rungValues()[rung]) / added(by);
+    /** Value gained or lost for each kB of the step. */
+    private double valuePerKb(int rungs) {
+      return settings.value()
+          * (deployment.rungValues()[rung + rungs] - deployment.rungValues()[rung])
+          / rateDelta(rungs);
     }
 
-    private void shift(int by) {
-      change(added(by), true);
-      rung += by;
+    private void moveRung(int rungs) {
+      changeRate(rateDelta(rungs), true);
+      rung += rungs;
     }
 
-    /** A change of own rates; no news where it has been in force already. */
-    private void change(double kb, boolean news) {
-      at.link.change(kb, news);
-      at.rack.change(kb, news);
+    /**
+     * Changes this front's rates. A change that has been in force already is not recorded as
+     * unreported.
+     */
+    private void changeRate(double delta, boolean isUnreported) {
+      currentBox.link.changeOwnRate(delta, isUnreported);
+      currentBox.rack.changeOwnRate(delta, isUnreported);
     }
 
     /* ---- placement ---- */
 
-    /** Where probes or words are allowed, the two holders that look best are asked first. */
-    private void look() {
-      MediaBox first = roomiest(null);
-      ask(first);
-      ask(first == null ? null : roomiest(first));
-      if (unheard > 0) {
-        outside.schedule(LOOK, this::place);
+    /**
+     * Where probes or messages are allowed, reports on the two boxes that look best are requested
+     * before the placement.
+     */
+    private void requestReportsAndPlace() {
+      MediaBox first = roomiestBox(null);
+      requestReport(first);
+      requestReport(first == null ? null : roomiestBox(first));
+      if (awaitedReports > 0) {
+        environment.schedule(REPORT_TIMEOUT, this::place);
       } else {
         place();
       }
     }
 
-    private void ask(MediaBox b) {
-      if (b != null && b.ask()) {
-        b.askers.add(this);
-        looked = true;
-        unheard++;
+    private void requestReport(MediaBox box) {
+      if (box != null && box.requestReport()) {
+        box.awaitingReport.add(this);
+        hasRequestedReports = true;
+        awaitedReports++;
       }
     }
 
-    private void heard() {
-      if (--unheard == 0) {
+    private void reportArrived() {
+      if (--awaitedReports == 0) {
         place();
       }
     }
 
-    private MediaBox roomiest(MediaBox but) {
+    private MediaBox roomiestBox(MediaBox excluded) {
       MediaBox best = null;
-      double most = Double.NEGATIVE_INFINITY;
-      int row = title.cellsInRow <= 0 ? cells.size() : Math.min(cells.size(), title.cellsInRow);
-      for (int i = 0; i < row; i++) {
-        for (MediaBox b : cells.get(Math.floorMod(title.firstCell + i, cells.size()))) {
-          double score = b != but && mayTuneIn(this, b) ? score(b) : Double.NEGATIVE_INFINITY;
-          if (score > most) {
-            most = score;
-            best = b;
+      double bestScore = Double.NEGATIVE_INFINITY;
+      int cellCount =
+          title.cellsInRow <= 0
+              ? boxesByCell.size()
+              : Math.min(boxesByCell.size(), title.cellsInRow);
+      for (int i = 0; i < cellCount; i++) {
+        for (MediaBox box :
+            boxesByCell.get(Math.floorMod(title.firstCell + i, boxesByCell.size()))) {
+          double score =
+              box != excluded && mayTuneIn(this, box) ? score(box) : Double.NEGATIVE_INFINITY;
+          if (score > bestScore) {
+            bestScore = score;
+            best = box;
           }
         }
       }
       return best;
     }
 
-    private double score(MediaBox b) {
-      double score = b.room() + 0.2 * b.link.room() + middleKb * chance.nextDouble();
-      // Others of this front's play there: it is connected, and what is heard is heard for all of
-      // them.
-      double connected = house.permissions().connectionPrice() * LOAD_FOR_PRICE * b.rack.size();
-      score += b.viewings.isEmpty() ? 0 : connected;
+    private double score(MediaBox box) {
+      double score =
+          box.likelyRoom() + 0.2 * box.link.likelyRoom() + middleRate * random.nextDouble();
+      // The front is already connected to a box that plays its viewings, and one report covers all
+      // of them.
+      double connectionBonus =
+          deployment.permissions().connectionPrice()
+              * UPLINK_LOAD_PER_CONNECTION_PRICE
+              * box.rack.capacity();
+      score += box.viewings.isEmpty() ? 0 : connectionBonus;
       score -=
-          b.building == house.building()
+          box.building == deployment.building()
               ? 0
-              : house.permissions().buildingCrossingPrice() * 10 * middleKb;
-      score -= b.streams + b.settingUp() >= b.places ? 1e8 : 0;
-      score -= b.avoided() ? 1e9 * (1 + b.failures) : 0;
-      Moment heardAt = b.link.toldTrueAt.max(b.link.elsewhereAt);
-      return score - (looked && FRESH.isShorterThan(now.since(heardAt)) ? 1e7 : 0);
+              : deployment.permissions().buildingCrossingPrice() * 10 * middleRate;
+      score -= box.reportedStreams + box.viewingsBeingSetUp() >= box.maxStreams ? 1e8 : 0;
+      score -= box.isAvoided() ? 1e9 * (1 + box.failures) : 0;
+      Moment newestReportAt = box.link.reportMeasuredAt.max(box.link.otherFrontsRateAt);
+      return score
+          - (hasRequestedReports && FRESH_REPORT_SPAN.isShorterThan(now.since(newestReportAt))
+              ? 1e7
+              : 0);
     }
 
-    /** Sends to the roomiest holder; waits a little where the gate is shut, blocks if it stays. */
+    /**
+     * Sends a tune-in to the box with the most room that holds the title. Where no box may take one
+     * now it waits a little, and gives the final answer if that does not change.
+     */
     private void place() {
-      if (answered || at != null) {
+      if (answered || currentBox != null) {
         return;
       }
-      MediaBox best = roomiest(null);
-      if (best != null && !crowdedOut(best)) {
+      MediaBox best = roomiestBox(null);
+      if (best != null && !wouldOverload(best)) {
         tuneIn(best);
       } else if (best == null
-          && mayStillPlay()
-          && HOLD.isShorterThan(patienceLeft(this))
-          && (now.plus(HOLD).isBefore(target) || awaitsConfirmation())) {
-        askConfirmation();
-        hold();
+          && mayMakeAttempt()
+          && PLACEMENT_RETRY_INTERVAL.isShorterThan(timeUntilAnswer(this))
+          && (now.plus(PLACEMENT_RETRY_INTERVAL).isBefore(latencyDeadline)
+              || awaitsConfirmation())) {
+        requestConfirmation();
+        schedulePlacement();
       } else {
-        giveUp(best);
+        rejectOrFail(best);
       }
     }
 
-    private void hold() {
-      if (!holding) {
-        holding = true;
-        outside.schedule(
-            HOLD,
+    private void schedulePlacement() {
+      if (!isPlacementScheduled) {
+        isPlacementScheduled = true;
+        environment.schedule(
+            PLACEMENT_RETRY_INTERVAL,
             () -> {
-              holding = false;
+              isPlacementScheduled = false;
               place();
             });
       }
     }
 
-    /** Asks once after each attempt, where nothing else is left; later probes pay for it. */
-    private void askConfirmation() {
-      MediaBox barred = barredByUnconfirmed();
-      if (barred != null && !asked && house.permissions().mayProbe()) {
-        asked = true;
+    /**
+     * Requests a confirmation once after each attempt, where no other box is left. The probe is
+     * taken from the budget of later ones.
+     */
+    private void requestConfirmation() {
+      MediaBox awaited = boxAwaitingConfirmation();
+      if (awaited != null && !hasRequestedConfirmation && deployment.permissions().mayProbe()) {
+        hasRequestedConfirmation = true;
         probesLeft--;
-        player.requestEndConfirmation(barred.port.id());
+        port.requestEndConfirmation(awaited.port.id());
       }
     }
 
-    /** A server could take it but for an earlier attempt whose end may be confirmed any moment. */
+    /**
+     * A server could take the viewing but for an earlier attempt, whose end may be confirmed at any
+     * moment.
+     */
     private boolean awaitsConfirmation() {
-      return barredByUnconfirmed() != null && now.since(endedAt).isShorterThan(CONFIRM_WAIT);
+      return boxAwaitingConfirmation() != null
+          && now.since(attemptEndedAt).isShorterThan(CONFIRMATION_TIMEOUT);
     }
 
-    private MediaBox barredByUnconfirmed() {
+    private MediaBox boxAwaitingConfirmation() {
       if (unconfirmed.isEmpty()) {
         return null;
       }
-      for (List<MediaBox> shelf : cells) {
-        for (MediaBox b : shelf) {
-          if (unconfirmed.mayBeOutAt(b.port.id()) && mayTuneInButForUnconfirmed(this, b)) {
-            return b;
+      for (List<MediaBox> boxesOfCell : boxesByCell) {
+        for (MediaBox box : boxesOfCell) {
+          if (unconfirmed.mayBeOutAt(box.port.id()) && mayTuneInIgnoringUnconfirmed(this, box)) {
+            return box;
           }
         }
       }
@@ -1050,288 +1187,315 @@
     }
 
     /**
-     * Even on its lowest rung it would make its best box short, which costs all that play there
-     * more than it is worth. Should hold against any crowd; it harms where those could still step
-     * down.
+     * Even at its lowest rung the viewing would overload its best box, which costs the viewings
+     * there more than it is worth. This protects against bursts of any size. The drawback: it also
+     * rejects where the viewings there could still step down.
      */
-    private boolean crowdedOut(MediaBox b) {
-      double least = rate(terms.lowestRung());
-      return b.link.likely() + least > b.link.size() || b.rack.likely() + least > b.rack.size();
+    private boolean wouldOverload(MediaBox box) {
+      double lowestRate = rate(settings.lowestRung());
+      return box.link.likelyDemand() + lowestRate > box.link.capacity()
+          || box.rack.likelyDemand() + lowestRate > box.rack.capacity();
     }
 
-    private boolean mayStillPlay() {
-      return tuneIns < house.permissions().maxTuneIns() && (!mayHaveRun || !terms.paidAtSetUp());
+    private boolean mayMakeAttempt() {
+      return tuneInCount < deployment.permissions().maxTuneIns()
+          && (!mayHaveRun || !settings.paidAtSetUp());
     }
 
     /**
-     * The highest rung that fits cap and room, or the lowest: so too on old news where it or any
-     * two boxes played on are short: what steps down looks like room to all. It harms if others are
-     * not.
+     * The highest rung that fits the cap and the room, or the lowest. On old reports it is also the
+     * lowest where this box, or any two boxes with viewings of this front, are short: the room that
+     * a step down leaves is seen by all fronts at once. The drawback: where the other boxes are not
+     * short the rung is lower than necessary.
      */
-    private int fit(MediaBox b) {
-      boolean crowded =
-          oldNews && (b.shortNow() || 1 < occupied.stream().filter(MediaBox::shortNow).count());
-      for (int r = ceiling; r > terms.lowestRung() && !crowded; r--) {
-        double kept = oldNews ? KEPT_FREE * b.rack.size() : 0;
-        if (rate(r) <= b.room() && b.capped(rate(r), b.link.room(), b.rack.room() - kept)
-            || oldNews && fairlyFits(b, r)) {
-          return r;
+    private int highestFittingRung(MediaBox box) {
+      boolean isShortage =
+          reliesOnOldReports
+              && (box.isShort() || 1 < occupiedBoxes.stream().filter(MediaBox::isShort).count());
+      for (int candidateRung = ceilingRung;
+          candidateRung > settings.lowestRung() && !isShortage;
+          candidateRung--) {
+        double uplinkReserve = reliesOnOldReports ? UPLINK_RESERVE_SHARE * box.rack.capacity() : 0;
+        if (rate(candidateRung) <= box.likelyRoom()
+                && box.isWithinCap(
+                    rate(candidateRung),
+                    box.link.likelyRoom(),
+                    box.rack.likelyRoom() - uplinkReserve)
+            || reliesOnOldReports && fitsFairShare(box, candidateRung)) {
+          return candidateRung;
         }
       }
-      return terms.lowestRung();
+      return settings.lowestRung();
     }
 
     /**
-     * On old news all fronts see the same room and take it at once, or none and start at the
-     * lowest. There a newcomer takes the rung nearest to its fair part of the uplink, up to the
-     * brim: the more already play, the less. It harms where one front alone fills an uplink: it
-     * could have had all.
+     * On old reports all fronts see the same room and either take it at once, or all start at the
+     * lowest rung. A new viewing therefore takes the rung nearest to its fair share of the uplink,
+     * as long as there is free capacity: the more viewings play already, the lower the rung. The
+     * drawback: a front that fills an uplink alone could have used all of it.
      */
-    private boolean fairlyFits(MediaBox b, int r) {
-      double brim = Math.min(b.link.size() - b.link.likely(), b.rack.size() - b.rack.likely());
-      double part = b.rack.size() / (b.rack.sharers() + 1);
-      return rate(r) <= brim
-          && rate(r) * rate(r - 1) <= part * part
-          && b.capped(rate(r), b.link.room(), Double.POSITIVE_INFINITY);
-    }
-
-    private void tuneIn(MediaBox b) {
-      int fits = fit(b);
-      Span toTarget = target.since(now);
-      Span wait =
-          LEAST_WAIT.isShorterThan(toTarget) ? toTarget.times(0.5).max(LEAST_WAIT) : LATE_WAIT;
-      gatePassed(this, b);
-      settle(b, fits);
-      player.setRung(rung);
-      player.tuneIn(b, wait.min(patienceLeft(this)));
-      b.tell(1);
-    }
-
-    private void settle(MediaBox b, int r) {
-      at = b;
-      rung = r;
-      change(rate(r), !playing);
-      if (b.viewings.isEmpty()) {
-        occupied.add(b);
-        b.shortAverage = SHORT_RESET;
-        b.longAverage = LONG_RESET;
-        b.sampledAt = now;
+    private boolean fitsFairShare(MediaBox box, int candidateRung) {
+      double freeCapacity =
+          Math.min(
+              box.link.capacity() - box.link.likelyDemand(),
+              box.rack.capacity() - box.rack.likelyDemand());
+      double fairShare = box.rack.capacity() / (box.rack.viewingsOnUplink() + 1);
+      return rate(candidateRung) <= freeCapacity
+          && rate(candidateRung) * rate(candidateRung - 1) <= fairShare * fairShare
+          && box.isWithinCap(rate(candidateRung), box.link.likelyRoom(), Double.POSITIVE_INFINITY);
+    }
+
+    private void tuneIn(MediaBox box) {
+      int startRung = highestFittingRung(box);
+      Span timeToObjective = latencyDeadline.since(now);
+      Span timeout =
+          MIN_ATTEMPT_TIMEOUT.isShorterThan(timeToObjective)
+              ? timeToObjective.times(0.5).max(MIN_ATTEMPT_TIMEOUT)
+              : LATE_ATTEMPT_TIMEOUT;
+      recordTuneIn(this, box);
+      occupy(box, startRung);
+      port.setRung(rung);
+      port.tuneIn(box, timeout.min(timeUntilAnswer(this)));
+      box.sendUsage(1);
+    }
+
+    private void occupy(MediaBox box, int startRung) {
+      currentBox = box;
+      rung = startRung;
+      changeRate(rate(startRung), !playing);
+      if (box.viewings.isEmpty()) {
+        occupiedBoxes.add(box);
+        box.shortAverage = SHORT_AVERAGE_RESET;
+        box.longAverage = LONG_AVERAGE_RESET;
+        box.sampledAt = now;
       }
-      b.viewings.add(this);
-      if (terms.maxViewingsPerTitle() > 0) {
-        title.viewingsByPackage.merge(terms, 1, Integer::sum);
+      box.viewings.add(this);
+      if (settings.maxViewingsPerTitle() > 0) {
+        title.viewingsByPackage.merge(settings, 1, Integer::sum);
       }
     }
 
-    private void leave() {
-      change(-rate(rung), true);
-      at.viewings.remove(this);
-      if (at.viewings.isEmpty()) {
-        occupied.remove(at);
-        at.tell(1);
+    private void vacate() {
+      changeRate(-rate(rung), true);
+      currentBox.viewings.remove(this);
+      if (currentBox.viewings.isEmpty()) {
+        occupiedBoxes.remove(currentBox);
+        currentBox.sendUsage(1);
       }
-      if (terms.maxViewingsPerTitle() > 0) {
-        title.viewingsByPackage.computeIfPresent(terms, (t, n) -> n > 1 ? n - 1 : null);
+      if (settings.maxViewingsPerTitle() > 0) {
+        title.viewingsByPackage.computeIfPresent(
+            settings, (key, count) -> count > 1 ? count - 1 : null);
       }
-      at = null;
+      currentBox = null;
     }
 
-    /** The final answer, at once: blocked where that is safe to say, else aborted. */
-    private void giveUp(MediaBox best) {
-      Environment.RejectionReason reason = refusal(best);
+    /** Gives the final answer at once: a rejection where a retry is safe, a failure otherwise. */
+    private void rejectOrFail(MediaBox best) {
+      Environment.RejectionReason reason = rejectionReason(best);
       answered = true;
-      if (mayHaveRun && terms.paidAtSetUp()) {
-        player.fail();
+      if (mayHaveRun && settings.paidAtSetUp()) {
+        port.fail();
       } else {
-        player.reject(COME_BACK.min(house.permissions().maxRetryAfter()), reason);
+        port.reject(REJECTION_RETRY_AFTER.min(deployment.permissions().maxRetryAfter()), reason);
       }
     }
 
-    private Environment.RejectionReason refusal(MediaBox best) {
+    private Environment.RejectionReason rejectionReason(MediaBox best) {
       if (best != null) {
         return Environment.RejectionReason.SERVERS_FULL;
       }
-      if (!mayStillPlay()) {
+      if (!mayMakeAttempt()) {
         return Environment.RejectionReason.ATTEMPTS_USED_UP;
       }
-      if (!margin.isShorterThan(patienceLeft(this))) {
+      if (!answerMargin.isShorterThan(timeUntilAnswer(this))) {
         return Environment.RejectionReason.DEADLINE_TOO_CLOSE;
       }
-      if (tuneIns > 0 && !furtherLeft()) {
+      if (tuneInCount > 0 && !hasRetryBudget()) {
         return Environment.RejectionReason.RETRY_BUDGET_USED_UP;
       }
-      return barredByUnconfirmed() != null
+      return boxAwaitingConfirmation() != null
           ? Environment.RejectionReason.EARLIER_ATTEMPT_UNCONFIRMED
           : Environment.RejectionReason.NO_SERVER;
     }
 
-    /* ---- end-of-viewing bookkeeping ---- */
+    /* ---- events of a viewing ---- */
 
     public void playbackStarted() {
-      if (at == null) {
+      if (currentBox == null) {
         return;
       }
       playing = true;
       answered = true;
-      at.succeeded();
-      at.sample();
+      currentBox.recordSuccess();
+      currentBox.sample();
     }
 
     /**
-     * The tune-in is no longer out; over says that the viewing has ended with it or before,
-     * confirmed that it is over at its server too.
+     * The tune-in is no longer in progress. {@code viewingEnded}: the viewing has ended with it or
+     * before; {@code confirmed}: the tune-in has ended at its server too.
      */
-    public void tuneInEnded(Environment.AttemptOutcome how, boolean over, boolean confirmed) {
-      if (at == null) {
+    public void tuneInEnded(
+        Environment.AttemptOutcome outcome, boolean viewingEnded, boolean confirmed) {
+      if (currentBox == null) {
         return;
       }
-      MediaBox b = at;
+      MediaBox box = currentBox;
       boolean wasPlaying = playing;
       playing = false;
       if (!confirmed) {
-        unconfirmed.endedUnconfirmed(b.port.id(), tuneIns - 1);
+        unconfirmed.add(box.port.id(), tuneInCount - 1);
       }
-      endedAt = now;
-      asked = false;
-      leave();
-      mayHaveRun |= !how.neverRan;
-      switch (how) {
-        case ERROR, SPOILT, TURNED_AWAY, UNHEARD -> b.failed(false);
-        case NO_ANSWER, NOT_REACHED, BROKEN, RESET -> b.failed(true);
+      attemptEndedAt = now;
+      hasRequestedConfirmation = false;
+      vacate();
+      mayHaveRun |= !outcome.neverRan;
+      switch (outcome) {
+        case ERROR, SPOILT, TURNED_AWAY, UNHEARD -> box.recordFailure(false);
+        case NO_ANSWER, NOT_REACHED, BROKEN, RESET -> box.recordFailure(true);
         default -> {}
       }
-      b.sample();
-      answered |= over || wasPlaying;
+      box.sample();
+      answered |= viewingEnded || wasPlaying;
       if (!answered) {
         place();
       }
     }
 
-    /** That attempt, which ended unconfirmed, is over at its server too. */
+    /** That attempt, whose end was unconfirmed, has ended at its server too. */
     public void endConfirmed(int attempt) {
-      if (unconfirmed.confirm(attempt) && holding) {
+      if (unconfirmed.confirm(attempt) && isPlacementScheduled) {
         place();
       }
     }
 
-    /** The viewer has gone; a tune-in that is out still ends by itself. */
+    /** The viewer has left. A tune-in in progress still ends by itself. */
     public void viewerLeft() {
       answered = true;
     }
 
     public void shareDelivered(double share) {
-      if (at != null) {
-        at.heardShare(share);
+      if (currentBox != null) {
+        currentBox.applyDeliveredShare(share);
       }
     }
 
-    public void rungReported(int inForce) {
-      if (at != null
-          && inForce != rung
-          && inForce >= 0
-          && inForce < house.ladderKbPerSecond().length) {
-        change(added(inForce - rung), false);
-        rung = inForce;
+    public void rungReported(int reportedRung) {
+      if (currentBox != null
+          && reportedRung != rung
+          && reportedRung >= 0
+          && reportedRung < deployment.ladderKbPerSecond().length) {
+        changeRate(rateDelta(reportedRung - rung), false);
+        rung = reportedRung;
       }
     }
 
-    /** What the box tells on this viewing of link and uplink; NaN for what it does not. */
-    public void loadsReported(double linkAsked, double uplinkAsked) {
-      if (at != null) {
-        Span late = playing ? house.fleet().shareReportDelay() : Span.NONE;
-        at.loads(linkAsked, uplinkAsked, now.minus(late));
+    /**
+     * The box reports the load of its link and uplink along with this viewing; NaN for what it does
+     * not report.
+     */
+    public void loadsReported(double linkLoad, double uplinkLoad) {
+      if (currentBox != null) {
+        Span reportDelay = playing ? deployment.fleet().shareReportDelay() : Span.NONE;
+        currentBox.applyLoads(linkLoad, uplinkLoad, now.minus(reportDelay));
       }
     }
   }
 
-  /* ---- the gate: every send passes here, and every rule is kept here ---- */
+  /* ---- admission: every tune-in is checked here against every rule ---- */
 
-  private boolean mayTuneIn(Viewing vw, MediaBox b) {
-    return !vw.unconfirmed.mayBeOutAt(b.port.id()) && mayTuneInButForUnconfirmed(vw, b);
+  private boolean mayTuneIn(Viewing viewing, MediaBox box) {
+    return !viewing.unconfirmed.mayBeOutAt(box.port.id())
+        && mayTuneInIgnoringUnconfirmed(viewing, box);
   }
 
-  private boolean mayTuneInButForUnconfirmed(Viewing vw, MediaBox b) {
-    return !vw.answered
-        && vw.at == null
-        && vw.mayStillPlay() // one tune-in out, none twice
-        && vw.margin.isShorterThan(
-            patienceLeft(vw)) // the answer comes before the viewer's patience ends
-        && b.serving
-        && b.holds(vw.title) // drains: nothing at all once told, well within the grace
-        && (vw.terms.maxViewingsPerTitle() <= 0
-            || vw.title.viewingsByPackage.getOrDefault(vw.terms, 0)
-                < vw.terms.maxViewingsPerTitle())
-        && (vw.tuneIns == 0 || furtherLeft())
-        && coldPaceKept(b);
+  private boolean mayTuneInIgnoringUnconfirmed(Viewing viewing, MediaBox box) {
+    return !viewing.answered
+        && viewing.currentBox == null
+        && viewing.mayMakeAttempt() // one tune-in at a time, and none again that was paid for
+        && viewing.answerMargin.isShorterThan(
+            timeUntilAnswer(viewing)) // the answer comes before the viewer's deadline
+        && box.serving
+        && box.holds(viewing.title) // no tune-in once it drains, well within the grace period
+        && (viewing.settings.maxViewingsPerTitle() <= 0
+            || viewing.title.viewingsByPackage.getOrDefault(viewing.settings, 0)
+                < viewing.settings.maxViewingsPerTitle())
+        && (viewing.tuneInCount == 0 || hasRetryBudget())
+        && isWithinColdLimit(box);
   }
 
-  private Span patienceLeft(Viewing vw) {
-    return vw.patienceEnds.since(now).minus(vw.margin);
+  private Span timeUntilAnswer(Viewing viewing) {
+    return viewing.deadline.since(now).minus(viewing.answerMargin);
   }
 
-  private void gatePassed(Viewing vw, MediaBox b) {
-    if (vw.tuneIns++ > 0) {
-      further.add(now);
+  private void recordTuneIn(Viewing viewing, MediaBox box) {
+    if (viewing.tuneInCount++ > 0) {
+      retryTimes.add(now);
     }
-    prune(b.sends, now.minus(fallWindow()));
-    b.sends.add(now);
+    prune(box.tuneInTimes, now.minus(coldLimitWindow()));
+    box.tuneInTimes.add(now);
   }
 
-  private boolean furtherLeft() {
-    Deployment.Rules rules = house.rules();
-    pruneRation();
+  private boolean hasRetryBudget() {
+    Deployment.Rules rules = deployment.rules();
+    pruneRetryBudget();
     return rules.retryWindow().equals(Span.NONE)
-        || further.size() + 1 <= rules.freeRetries() + rules.retriesPerRequest() * taken.size();
+        || retryTimes.size() + 1
+            <= rules.freeRetries() + rules.retriesPerRequest() * requestTimes.size();
   }
 
-  /** The window is that of the sending, which may come so much later. */
-  private void pruneRation() {
-    prune(further, now.minus(house.rules().retryWindow()).minus(MAX_SEND_DELAY));
-    prune(taken, now.minus(house.rules().retryWindow()).plus(MAX_SEND_DELAY));
+  /**
+   * The budget applies to the time of sending, which may be this much later than the choice of the
+   * box.
+   */
+  private void pruneRetryBudget() {
+    prune(retryTimes, now.minus(deployment.rules().retryWindow()).minus(MAX_SEND_DELAY));
+    prune(requestTimes, now.minus(deployment.rules().retryWindow()).plus(MAX_SEND_DELAY));
   }
 
-  private static void prune(ArrayDeque<Moment> moments, Moment from) {
-    while (!moments.isEmpty() && moments.peek().isBefore(from)) {
+  private static void prune(ArrayDeque<Moment> moments, Moment earliest) {
+    while (!moments.isEmpty() && moments.peek().isBefore(earliest)) {
       moments.poll();
     }
   }
 
-  /** The span over which sends to a cold box are counted. */
-  private Span fallWindow() {
-    return house.rules().overloadWindow().plus(MAX_SEND_DELAY);
+  /** The window within which tune-ins to a cold box are counted. */
+  private Span coldLimitWindow() {
+    return deployment.rules().overloadWindow().plus(MAX_SEND_DELAY);
   }
 
   /**
    * A cold box gets this front's part of what all fronts together may send it in any window,
-   * reckoned at the capacity that it surely has at its start. Where a part is less than one set-up
-   * the fronts take turns by their numbers, so that they keep it with no word between them. A front
-   * that has itself just started may have sent before: it waits.
+   * computed with the capacity that it is sure to have at its start. Where that part is less than
+   * one set-up the fronts take turns by their numbers, so that they stay within the limit without
+   * messages. A front that has just started itself may have sent tune-ins before its start, so it
+   * waits.
    */
-  private boolean coldPaceKept(MediaBox b) {
-    Deployment.Rules rules = house.rules();
-    if (!now.isBefore(b.startedAt.max(b.lostAt).plus(rules.coldPeriod()))) {
-      return true; // neither just started nor lost from sight so lately that it may have
-    }
-    Span window = fallWindow();
-    prune(b.sends, now.minus(window));
-    double all =
-        COLD_PART
+  private boolean isWithinColdLimit(MediaBox box) {
+    Deployment.Rules rules = deployment.rules();
+    if (!now.isBefore(box.startedAt.max(box.lastUnreachableAt).plus(rules.coldPeriod()))) {
+      return true; // it neither started nor became unreachable so recently that it may be cold
+    }
+    Span window = coldLimitWindow();
+    prune(box.tuneInTimes, now.minus(window));
+    double fleetBudget =
+        COLD_BUDGET_SHARE
             * rules.overloadMultiple()
-            * b.places
+            * box.maxStreams
             * rules.coldStartCapacity()
             * rules.overloadWindow().seconds()
             / rules.coldPeriod().seconds();
-    if (now.since(started).isShorterThan(window)) {
+    if (now.since(frontStartedAt).isShorterThan(window)) {
       return false;
     }
-    double part = Math.floor(all / house.frontCount());
-    if (part >= 1) {
-      return b.sends.size() < part;
+    double ownBudget = Math.floor(fleetBudget / deployment.frontCount());
+    if (ownBudget >= 1) {
+      return box.tuneInTimes.size() < ownBudget;
     }
-    double turns = Math.floor(all) - 1;
-    long turn = Math.floorDiv(now.micros(), Math.max(1, Math.round(window.micros() / turns)));
-    return turns >= 1
-        && b.sends.isEmpty()
-        && Math.floorMod(turn, house.frontCount()) == house.frontNumber();
+    double turnsPerWindow = Math.floor(fleetBudget) - 1;
+    long currentTurn =
+        Math.floorDiv(now.micros(), Math.max(1, Math.round(window.micros() / turnsPerWindow)));
+    return turnsPerWindow >= 1
+        && box.tuneInTimes.isEmpty()
+        && Math.floorMod(currentTurn, deployment.frontCount()) == deployment.frontNumber();
   }
 }
