--- a/src/main/java/linengauge/Moment.java
+++ b/src/main/java/linengauge/Moment.java
@@ -1,8 +1,8 @@
 package linengauge;
 
 /**
- * A point in time on the front's clock. Moments and spans meet only through the methods here and in
- * Span.
+ * A point in time on the front's clock, in microseconds. Moments and spans are combined only by the
+ * methods here and in {@link Span}.
  */
 public record Moment(long micros) implements Comparable<Moment> {
   public static final Moment DISTANT_PAST = new Moment(Long.MIN_VALUE / 4);
@@ -15,7 +15,7 @@
     return new Moment(micros - span.micros());
   }
 
-  /** The span from an earlier moment to this one; negative if it lies later. */
+  /** The span from an earlier moment to this one; negative if that moment is later. */
   public Span since(Moment earlier) {
     return new Span(micros - earlier.micros);
   }
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -23,12 +23,24 @@
   /* The short and the long average of the load, and the steps that they trigger. */
   private static final Span SHORT_AVERAGE_SPAN = Span.ofSeconds(1);
   private static final Span LONG_AVERAGE_SPAN = Span.ofSeconds(5);
+
+  /** Interval at which boxes are sampled and usage reports are checked for being due. */
   private static final Span TICK_INTERVAL = Span.ofMillis(500);
+
+  /** Rungs step down once the short average reaches this load. */
   private static final double STEP_DOWN_LOAD = 1.0;
+
   private static final double SHORT_AVERAGE_RESET = 0.8;
+
+  /** Load that a step down aims at. */
   private static final double STEP_DOWN_TARGET_LOAD = 0.93;
+
   private static final double LONG_AVERAGE_RESET = 0.95;
+
+  /** Shortest time between two steps up on a box. */
   private static final Span STEP_UP_INTERVAL = Span.ofSeconds(2);
+
+  /** Smaller delivered shares are treated as this one. */
   private static final double MIN_DELIVERED_SHARE = 0.5;
 
   /**
@@ -42,9 +54,17 @@
   private static final double FILL_LIMIT_ESTIMATED = 0.82;
 
   /* Reports on boxes and racks. */
+
+  /** Age of a box's load report when it arrives. */
   private static final Span LOAD_REPORT_AGE = Span.ofMillis(400);
+
+  /** How long a change is kept that load reports may not include yet. */
   private static final Span CHANGE_RETENTION = Span.ofSeconds(6);
+
+  /** Time in which a lowered uplink capacity returns to its nominal value. */
   private static final Span UPLINK_RECOVERY_SPAN = Span.ofSeconds(10);
+
+  /** Interval at which usage is reported to the rack owner where it does not change much. */
   private static final Span USAGE_REPORT_INTERVAL = Span.ofSeconds(6);
 
   /**
@@ -60,30 +80,58 @@
    */
   private static final Span SHARE_SMOOTHING_SPAN = Span.ofMillis(1600);
 
+  /** How long a box counts as short after a report of a delivered share below one. */
   private static final Span SHORTAGE_VALIDITY = Span.ofMillis(1300);
+
+  /** How long a load report counts in full; after that its weight decays exponentially. */
   private static final Span LOAD_REPORT_VALIDITY = Span.ofSeconds(3);
+
+  /** Time constant of that decay. */
   private static final Span LOAD_REPORT_DECAY_SPAN = Span.ofSeconds(6);
+
+  /** What probes may cost for each viewing, in the unit of the price of a probe. */
   private static final double PROBE_SPENDING_PER_VIEWING = 0.015;
+
+  /** Unused probes that are saved for later, at most. */
   private static final double MAX_SAVED_PROBES = 20;
+
+  /** Load up to which an estimate counts as known demand. */
   private static final double MAX_ESTIMATED_LOAD = 0.9;
+
   private static final double INITIAL_TYPICAL_LOAD = 0.6;
+
+  /** Weight of one load report in the moving average of the typical load. */
   private static final double TYPICAL_LOAD_WEIGHT = 0.3;
 
   /** How long a new viewing waits for reports on its preferred boxes. */
   private static final Span REPORT_TIMEOUT = Span.ofMillis(80);
 
+  /** Age up to which a report is fresh; a new one is not requested within this time. */
   private static final Span FRESH_REPORT_SPAN = Span.ofMillis(700);
+
+  /** Time limit of an attempt that starts too late for the latency objective. */
   private static final Span LATE_ATTEMPT_TIMEOUT = Span.ofMillis(600);
+
   private static final Span MIN_ATTEMPT_TIMEOUT = Span.ofMillis(250);
+
+  /** How long before a viewer's deadline the answer is given. */
   public static final Span ANSWER_MARGIN = Span.ofMillis(60);
-  public static final double ANSWER_MARGIN_SHARE = 0.1; // of a time limit, at most
+
+  /** The answer margin as a share of the time limit, at most. */
+  public static final double ANSWER_MARGIN_SHARE = 0.1;
+
+  /** How long a request waits before it is placed again, where no box may take it now. */
   private static final Span PLACEMENT_RETRY_INTERVAL = Span.ofMillis(100);
 
   /** How long a request waits for a server to confirm the end of an earlier attempt. */
   private static final Span CONFIRMATION_TIMEOUT = Span.ofMillis(250);
 
+  /** Advice to rejected viewers on when to retry. */
   private static final Span REJECTION_RETRY_AFTER = Span.ofMillis(600);
+
+  /** How long other boxes are preferred after a first failure. */
   private static final Span INITIAL_AVOIDANCE_SPAN = Span.ofSeconds(1);
+
   private static final int MAX_AVOIDANCE_DOUBLINGS = 3;
 
   /**
@@ -95,6 +143,7 @@
   /** Uplink load that weighs as much as one point of the price of a connection. */
   private static final double UPLINK_LOAD_PER_CONNECTION_PRICE = 2;
 
+  /** Share of the limit for a cold box that is used. */
   private static final double COLD_BUDGET_SHARE = 0.8;
 
   /**
@@ -106,7 +155,11 @@
   private final Deployment deployment;
   private final Environment environment;
   private final SplittableRandom random;
+
+  /** Geometric mean of the lowest and the highest rate of the ladder. */
   private final double middleRate;
+
+  /** Share of all fronts that the other fronts are. */
   private final double otherFrontsShare;
 
   /**
@@ -115,22 +168,20 @@
    */
   private final boolean reliesOnOldReports;
 
-  /**
-   * Boxes by cell, as listed; below, those with viewings of this front, until the last of these
-   * ends.
-   */
+  /** The listed boxes of each cell. */
   private final List<List<MediaBox>> boxesByCell = new ArrayList<>();
 
+  /** Boxes with viewings of this front, until the last of these ends. */
   private final List<MediaBox> occupiedBoxes = new ArrayList<>();
+
   private final Rack[] racks;
 
-  /**
-   * Times of requests and of retries within the window of the retry budget. Both are pruned as time
-   * passes.
-   */
+  /** Times of requests within the window of the retry budget. Pruned as time passes. */
   private final ArrayDeque<Moment> requestTimes = new ArrayDeque<>();
 
+  /** Times of retries within the same window. */
   private final ArrayDeque<Moment> retryTimes = new ArrayDeque<>();
+
   private Moment now = Moment.DISTANT_PAST;
   private Moment frontStartedAt;
   private double totalLinkShares; // of all serving boxes
@@ -177,6 +228,7 @@
     return new Title(firstCell, cellsInRow, new HashMap<>());
   }
 
+  /** Takes a request for a new viewing, which is answered within the time limit. */
   public Viewing requestViewing(
       Environment.ViewingPort port,
       PackageSettings settings,
@@ -433,12 +485,8 @@
 
     void recoverCapacity() {
       double nominalCapacity = deployment.fleet().uplinkKbPerSecond();
-      double recoverySeconds =
-          UPLINK_RECOVERY_SPAN.seconds()
-              * (reportedFrontsRate > 0
-                  ? 1
-                  : 6); // usage reports may have been lost, so the capacity recovers slowly without
-      // them
+      // Without usage reports, which may have been lost, the capacity recovers more slowly.
+      double recoverySeconds = UPLINK_RECOVERY_SPAN.seconds() * (reportedFrontsRate > 0 ? 1 : 6);
       double weight = Math.min(1, now.since(capacityUpdatedAt).seconds() / recoverySeconds);
       capacity += weight * (nominalCapacity - capacity);
       capacityUpdatedAt = now;
@@ -448,6 +496,7 @@
     }
   }
 
+  /** The handle of one media box. */
   public final class MediaBox {
     private final Environment.BoxPort port;
     private final Link link = new Link();
@@ -579,6 +628,7 @@
       sample();
     }
 
+    /** The box reports its loads and its streams; NaN for what it does not report. */
     public void loadReported(double linkLoad, double uplinkLoad, double reportedStreams) {
       this.reportedStreams = reportedStreams;
       applyLoads(linkLoad, uplinkLoad, now.minus(LOAD_REPORT_AGE));
@@ -858,11 +908,8 @@
         lowered.add(highest);
         highest = nextToStep(-1);
       }
-      lowered.forEach(
-          viewing ->
-              viewing.port.setRung(
-                  viewing
-                      .rung)); // one call for several steps, since each change of rung has a cost
+      // One call for several steps, since each change of rung has a cost.
+      lowered.forEach(viewing -> viewing.port.setRung(viewing.rung));
     }
 
     private void stepUp(Viewing lowest, double spareShare) {
@@ -951,6 +998,7 @@
   public record Title(
       int firstCell, int cellsInRow, Map<PackageSettings, Integer> viewingsByPackage) {}
 
+  /** The handle of one viewing. */
   public final class Viewing {
     private final Environment.ViewingPort port;
     private final PackageSettings settings;
@@ -1019,7 +1067,7 @@
       return rate(rung + rungs) - rate(rung);
     }
 
-    /** Value gained or lost for each kB of the step. */
+    /** Value gained or lost for each kB per second of the step. */
     private double valuePerKb(int rungs) {
       return settings.value()
           * (deployment.rungValues()[rung + rungs] - deployment.rungValues()[rung])
@@ -1373,12 +1421,14 @@
       answered = true;
     }
 
+    /** The box reports the share of the viewing's rate that it delivers. */
     public void shareDelivered(double share) {
       if (currentBox != null) {
         currentBox.applyDeliveredShare(share);
       }
     }
 
+    /** The box reports the rung in force. */
     public void rungReported(int reportedRung) {
       if (currentBox != null
           && reportedRung != rung
--- a/src/main/java/linengauge/Span.java
+++ b/src/main/java/linengauge/Span.java
@@ -1,6 +1,6 @@
 package linengauge;
 
-/** A length of time. */
+/** A length of time, in microseconds. */
 public record Span(long micros) implements Comparable<Span> {
   public static final Span NONE = new Span(0);
 
