--- a/src/test/java/linengauge/ArchitectureTest.java
+++ b/src/test/java/linengauge/ArchitectureTest.java
@@ -12,12 +12,12 @@
 import java.net.URISyntaxException;
 
 /**
- * What decides or keeps state is free of sockets, threads, files and clocks, and arrows point down
- * only.
+ * Code that makes decisions or keeps state uses no sockets, threads, files or clocks, and packages
+ * depend on lower layers only.
  */
 @AnalyzeClasses(packages = "linengauge", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
-  private static final String[] CORES = {
+  private static final String[] CORE_PACKAGES = {
     "linengauge",
     "linengauge.session",
     "linengauge.hls",
@@ -45,7 +45,7 @@
   static final ArchRule CORES_DO_NO_IO =
       noClasses()
           .that()
-          .resideInAnyPackage(CORES)
+          .resideInAnyPackage(CORE_PACKAGES)
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -64,13 +64,13 @@
                   .and(
                       DescribedPredicate.not(
                           JavaClass.Predicates.belongToAnyOf(URI.class, URISyntaxException.class))))
-          .as("cores hold no sockets, files or threads");
+          .as("core packages use no sockets, files or threads");
 
   @ArchTest
   static final ArchRule CORES_READ_NO_CLOCK =
       noClasses()
           .that()
-          .resideInAnyPackage(CORES)
+          .resideInAnyPackage(CORE_PACKAGES)
           .should()
           .callMethod(System.class, "nanoTime")
           .orShould()
@@ -82,7 +82,7 @@
           .callMethod(Math.class, "random");
 
   @ArchTest
-  static final ArchRule THE_JUDGE_KNOWS_NO_FRONT =
+  static final ArchRule THE_RULE_CHECKER_DOES_NOT_DEPEND_ON_THE_FRONT =
       noClasses()
           .that()
           .resideInAPackage("linengauge.rules")
@@ -97,7 +97,7 @@
               "linengauge.drill..");
 
   @ArchTest
-  static final ArchRule THE_FRONT_KNOWS_NO_STAND_IN =
+  static final ArchRule THE_FRONT_DOES_NOT_DEPEND_ON_STAND_INS =
       noClasses()
           .that()
           .resideInAnyPackage(
@@ -114,11 +114,11 @@
               "linengauge.rules..");
 
   /**
-   * Started in little memory: neither the site file's schema nor HTTP, playlists, VRRP, stores or
-   * members come with it.
+   * The platform front has to start in little memory, so it loads neither the schema of the site
+   * file nor HTTP, playlists, VRRP, stores or membership.
    */
   @ArchTest
-  static final ArchRule THE_PLATFORM_IS_LIGHT =
+  static final ArchRule THE_PLATFORM_HAS_FEW_DEPENDENCIES =
       noClasses()
           .that()
           .resideInAnyPackage("linengauge.platform..", "linengauge.briefing", "linengauge.carry")
@@ -146,11 +146,11 @@
               "io.vertx.core.http..");
 
   /**
-   * The front of the platform acts through its port alone; the port's sockets and the process round
-   * it are named here.
+   * The platform front does all input and output through its port. The exceptions are the classes
+   * that implement the port and run the process.
    */
   @ArchTest
-  static final ArchRule THE_PLATFORM_ACTS_THROUGH_ITS_PORT =
+  static final ArchRule THE_PLATFORM_DOES_IO_THROUGH_ITS_PORT =
       noClasses()
           .that()
           .resideInAPackage("linengauge.platform..")
@@ -179,7 +179,7 @@
           .callMethod(System.class, "currentTimeMillis");
 
   @ArchTest
-  static final ArchRule THE_REHEARSAL_IS_IN_VIRTUAL_TIME =
+  static final ArchRule THE_REHEARSAL_RUNS_IN_VIRTUAL_TIME =
       noClasses()
           .that()
           .resideInAPackage("linengauge.rehearsal")
@@ -201,7 +201,7 @@
           .callMethod(Math.class, "random");
 
   @ArchTest
-  static final ArchRule STAND_INS_KNOW_NO_FRONT =
+  static final ArchRule STAND_INS_DO_NOT_DEPEND_ON_THE_FRONT =
       noClasses()
           .that()
           .resideInAPackage("linengauge.standin")
@@ -210,7 +210,7 @@
           .resideInAnyPackage("linengauge", "linengauge.front..", "linengauge.session..");
 
   @ArchTest
-  static final ArchRule THE_ADAPTER_LOADS_NO_LIBRARY_OF_THE_PROGRAM =
+  static final ArchRule THE_WIRE_ADAPTER_USES_NO_SERVER_LIBRARIES =
       noClasses()
           .that()
           .resideInAnyPackage(
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -5,166 +5,185 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import linengauge.Environment.AttemptOutcome;
+import linengauge.PolicyHarness.Viewer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * What a whole fleet sends to boxes that have just started, over a hundred seeds: fronts with a
- * crowd at each door and no word between them, some told late, some started anew with no memory of
- * what they sent, and set-ups that leave some while after their choice. Beyond the budget N of any
- * window only 2 root N + 2 is chance.
+ * What a whole fleet of fronts sends to boxes that have just started, over many seeds. Each front
+ * has a burst of requests and exchanges no messages; some learn late of the start, some restart
+ * without memory of what they sent, and some set-ups are sent a while after their box was chosen. A
+ * window may exceed its budget N by 2 * sqrt(N) + 2 by chance.
  */
 class ColdRampTest {
-  private static final int BOXES = 2;
-  private static final Span STEP = Span.ofMillis(100);
-  private static final int SEEDS = 100;
+  private static final int BOX_COUNT = 2;
+  private static final Span STEP_SPAN = Span.ofMillis(100);
+  private static final int SEED_COUNT = 100;
 
-  private record Send(Moment at, int box) {}
+  private record SentTuneIn(Moment at, int boxIndex) {}
 
-  private static Deployment place(int fronts, int streams) {
-    Deployment p =
-        PolicyHarness.place(fronts, false, false, Span.NONE, PolicyHarness.terms(0, 0, false));
-    var f = p.fleet();
+  private static Deployment deployment(int frontCount, int streamsPerBox) {
+    Deployment small =
+        PolicyHarness.smallDeployment(
+            frontCount, false, false, Span.NONE, PolicyHarness.packageSettings(0, 0, false));
+    var fleet = small.fleet();
     return new Deployment(
-        fronts,
+        frontCount,
         0,
         0,
-        p.packages(),
-        p.ladderKbPerSecond(),
-        p.rungValues(),
+        small.packages(),
+        small.ladderKbPerSecond(),
+        small.rungValues(),
         new Deployment.Fleet(
-            f.cellCount(), f.rackCount(), new int[] {streams}, 4e8, 2e8, 4e8, f.shareReportDelay()),
-        p.rules(),
-        p.permissions());
+            fleet.cellCount(),
+            fleet.rackCount(),
+            new int[] {streamsPerBox},
+            4e8,
+            2e8,
+            4e8,
+            fleet.shareReportDelay()),
+        small.rules(),
+        small.permissions());
   }
 
-  private final class Fleet {
-    private final Deployment place;
-    private final SplittableRandom chance;
+  private final class SimulatedFleet {
+    private final Deployment deployment;
+    private final SplittableRandom random;
     private final List<PolicyHarness> fronts = new ArrayList<>();
-    private final List<Moment> toldAt = new ArrayList<>();
-    private final List<Send> sends = new ArrayList<>();
+    private final List<Moment> restartReportedAt = new ArrayList<>();
+    private final List<SentTuneIn> sentTuneIns = new ArrayList<>();
     private Moment now = new Moment(1_000_000_000L);
-    private Moment startedAt = Moment.DISTANT_PAST;
+    private Moment boxesStartedAt = Moment.DISTANT_PAST;
 
-    private Fleet(Deployment place, long seed) {
-      this.place = place;
-      this.chance = new SplittableRandom(seed);
-      for (int i = 0; i < place.frontCount(); i++) {
+    private SimulatedFleet(Deployment deployment, long seed) {
+      this.deployment = deployment;
+      this.random = new SplittableRandom(seed);
+      for (int i = 0; i < deployment.frontCount(); i++) {
         fronts.add(
-            new PolicyHarness(PolicyHarness.numbered(place, i), seed * 1000 + i, BOXES, now));
-        toldAt.add(Moment.DISTANT_PAST);
+            new PolicyHarness(
+                PolicyHarness.withFrontNumber(deployment, i), seed * 1000 + i, BOX_COUNT, now));
+        restartReportedAt.add(Moment.DISTANT_PAST);
       }
     }
 
-    private void step(boolean restarts) {
-      now = now.plus(STEP);
+    private void step(boolean withFrontRestarts) {
+      now = now.plus(STEP_SPAN);
       for (int i = 0; i < fronts.size(); i++) {
-        if (restarts && chance.nextInt(200) == 0) {
+        if (withFrontRestarts && random.nextInt(200) == 0) {
           fronts.set(
               i,
               new PolicyHarness(
-                  PolicyHarness.numbered(place, i), chance.nextLong(), BOXES, now.minus(STEP)));
-          tell(i); // the list of its start says so
+                  PolicyHarness.withFrontNumber(deployment, i),
+                  random.nextLong(),
+                  BOX_COUNT,
+                  now.minus(STEP_SPAN)));
+          // The box list that the front reads at its start includes the restart of the boxes.
+          reportRestart(i);
         }
-        PolicyHarness s = fronts.get(i);
-        s.pass(now.since(s.now));
-        if (!toldAt.get(i).equals(Moment.DISTANT_PAST)
-            && !now.isBefore(toldAt.get(i))
-            && s.boxes.get(0).startedAt.isBefore(startedAt)) {
-          tell(i);
+        PolicyHarness harness = fronts.get(i);
+        harness.advance(now.since(harness.now));
+        if (!restartReportedAt.get(i).equals(Moment.DISTANT_PAST)
+            && !now.isBefore(restartReportedAt.get(i))
+            && harness.boxes.get(0).startedAt.isBefore(boxesStartedAt)) {
+          reportRestart(i);
         }
-        crowd(i, s);
+        requestViewing(i, harness);
       }
     }
 
-    private void tell(int front) {
-      fronts.get(front).boxes.forEach(b -> b.serving(startedAt));
+    private void reportRestart(int front) {
+      fronts.get(front).boxes.forEach(box -> box.markServing(boxesStartedAt));
     }
 
-    private void crowd(int front, PolicyHarness s) {
-      s.take(
-          s.headend.packages().get(0),
-          s.policy.createTitle(chance.nextInt(BOXES), 1),
+    private void requestViewing(int front, PolicyHarness harness) {
+      harness.request(
+          harness.deployment.packages().get(0),
+          harness.policy.createTitle(random.nextInt(BOX_COUNT), 1),
           Span.ofMillis(900));
-      for (PolicyHarness.Viewer v : List.copyOf(s.viewers)) {
-        if (v.out != null && !v.playing) {
-          leaves(s, v);
+      for (Viewer viewer : List.copyOf(harness.viewers)) {
+        if (viewer.box != null && !viewer.playing) {
+          sendTuneIn(harness, viewer);
         }
       }
     }
 
-    private void leaves(PolicyHarness s, PolicyHarness.Viewer v) {
-      // What was chosen before the start was heard is chosen again (Held.sendable): it does not
-      // leave.
-      if (!v.out.startedAt.isBefore(startedAt)) {
-        Moment at =
-            chance.nextInt(3) == 0
-                ? now.plus(Policy.MAX_SEND_DELAY.times(chance.nextDouble()))
+    private void sendTuneIn(PolicyHarness harness, Viewer viewer) {
+      // A set-up whose box was chosen before the front learned of the box's start is not sent: the
+      // session checks this and the box is chosen again.
+      if (!viewer.box.startedAt.isBefore(boxesStartedAt)) {
+        Moment sentAt =
+            random.nextInt(3) == 0
+                ? now.plus(Policy.MAX_SEND_DELAY.times(random.nextDouble()))
                 : now;
-        sends.add(new Send(at, s.boxes.indexOf(v.out)));
+        sentTuneIns.add(new SentTuneIn(sentAt, harness.boxes.indexOf(viewer.box)));
       }
-      v.plays();
-      v.ends(Environment.AttemptOutcome.FINISHED);
+      viewer.startPlaying();
+      viewer.endAttempt(AttemptOutcome.FINISHED);
     }
   }
 
   @ParameterizedTest
   @CsvSource({"20,24", "20,240", "30,24", "30,240", "100,24", "100,240", "100,1000", "3,24"})
-  void allFrontsTogetherStayWithinTheBudgetOfAColdBox(int fronts, int streams) {
-    Deployment place = place(fronts, streams);
-    Deployment.Rules rules = place.rules();
-    double worst = Double.NEGATIVE_INFINITY;
+  void allFrontsTogetherStayWithinTheBudgetOfAColdBox(int frontCount, int streamsPerBox) {
+    Deployment deployment = deployment(frontCount, streamsPerBox);
+    Deployment.Rules rules = deployment.rules();
+    double worstExcess = Double.NEGATIVE_INFINITY;
     long sent = 0;
-    int seeds = SEEDS * 20 / Math.max(20, fronts);
-    for (long seed = 1; seed <= seeds; seed++) {
-      Fleet fleet = new Fleet(place, seed);
+    int seedCount = SEED_COUNT * 20 / Math.max(20, frontCount);
+    for (long seed = 1; seed <= seedCount; seed++) {
+      SimulatedFleet fleet = new SimulatedFleet(deployment, seed);
       for (int i = 0; i < 30; i++) {
         fleet.step(false);
       }
-      fleet.startedAt = fleet.now;
-      fleet.sends.clear();
-      for (int i = 0; i < fronts; i++) {
-        fleet.toldAt.set(
+      fleet.boxesStartedAt = fleet.now;
+      fleet.sentTuneIns.clear();
+      for (int i = 0; i < frontCount; i++) {
+        fleet.restartReportedAt.set(
             i,
             fleet.now.plus(
-                fleet.chance.nextInt(3) == 0
-                    ? Span.ofMillis(fleet.chance.nextInt(2000))
+                fleet.random.nextInt(3) == 0
+                    ? Span.ofMillis(fleet.random.nextInt(2000))
                     : Span.NONE));
       }
       for (int i = 0; i < 80; i++) {
         fleet.step(true);
       }
-      for (int box = 0; box < BOXES; box++) {
-        int of = box;
-        List<Send> all =
-            fleet.sends.stream()
-                .filter(x -> x.box() == of)
+      for (int box = 0; box < BOX_COUNT; box++) {
+        int boxIndex = box;
+        List<SentTuneIn> tuneIns =
+            fleet.sentTuneIns.stream()
+                .filter(tuneIn -> tuneIn.boxIndex() == boxIndex)
                 .sorted((a, b) -> a.at().compareTo(b.at()))
                 .toList();
-        sent += all.size();
+        sent += tuneIns.size();
         int first = 0;
-        for (int i = 0; i < all.size(); i++) {
-          while (!all.get(i).at().isBefore(all.get(first).at().plus(rules.overloadWindow()))) {
+        for (int i = 0; i < tuneIns.size(); i++) {
+          while (!tuneIns
+              .get(i)
+              .at()
+              .isBefore(tuneIns.get(first).at().plus(rules.overloadWindow()))) {
             first++;
           }
-          double age = all.get(first).at().since(fleet.startedAt).seconds();
-          double warmth =
+          double ageSeconds = tuneIns.get(first).at().since(fleet.boxesStartedAt).seconds();
+          double warmCapacityShare =
               Math.min(
                   1,
                   rules.coldStartCapacity()
-                      + (1 - rules.coldStartCapacity()) * age / rules.coldPeriod().seconds());
-          double n =
+                      + (1 - rules.coldStartCapacity())
+                          * ageSeconds
+                          / rules.coldPeriod().seconds());
+          double budget =
               rules.overloadMultiple()
-                  * streams
-                  * warmth
+                  * streamsPerBox
+                  * warmCapacityShare
                   * rules.overloadWindow().seconds()
                   / rules.coldPeriod().seconds();
-          worst = Math.max(worst, i - first + 1 - (n + 2 * Math.sqrt(n) + 2));
+          worstExcess = Math.max(worstExcess, i - first + 1 - (budget + 2 * Math.sqrt(budget) + 2));
         }
       }
     }
-    assertTrue(worst <= 0, worst + " over the budget and what chance may add");
-    assertTrue(sent > seeds, "hardly anything was sent to them: " + sent);
+    assertTrue(worstExcess <= 0, worstExcess + " over the budget and the allowance for chance");
+    assertTrue(sent > seedCount, "too few tune-ins were sent: " + sent);
   }
 }
--- a/src/test/java/linengauge/KnownRed.java
+++ b/src/test/java/linengauge/KnownRed.java
@@ -15,15 +15,16 @@
 import org.opentest4j.TestAbortedException;
 
 /**
- * Tests that fail for a real fault which is not mended yet: KNOWN-RED.txt at the root, one line
- * each: `class#method | cause | issue`, three at most. They still run; each is printed with its
- * cause and let fail. One that passes in all its invocations fails the build, but for one whose
- * cause begins with "intermittent": its fault shows in some runs alone. So does a list that names
- * none or too many ({@link KnownRedTest}). No file: no exceptions.
+ * Tolerates tests that fail because of a real fault that is not fixed yet. KNOWN-RED.txt in the
+ * root folder lists them, one per line as `class#method | cause | issue`, three at most. They still
+ * run; a failure is printed with its cause and does not fail the build. A listed test that passes
+ * in all its invocations fails the build, unless its cause begins with "intermittent" because the
+ * fault shows only in some runs. A list that names a test that does not exist, or has too many
+ * entries, also fails the build ({@link KnownRedTest}). Without the file there are no exceptions.
  */
 public final class KnownRed implements InvocationInterceptor, AfterAllCallback {
   static final Path FILE = Path.of("KNOWN-RED.txt");
-  static final int MOST = 3;
+  static final int MAX_ENTRIES = 3;
   private static final String INTERMITTENT = "intermittent";
 
   /** One line of the list. */
@@ -33,30 +34,32 @@
     }
   }
 
-  /** What became of the listed tests that have run: whether any invocation failed. */
+  /** Whether any invocation failed, for each listed test that has run. */
   static final class Outcomes {
-    private final Map<String, Entry> listed = new LinkedHashMap<>();
-    private final Map<String, Boolean> failed = new TreeMap<>();
+    private final Map<String, Entry> entriesByTest = new LinkedHashMap<>();
+    private final Map<String, Boolean> hasFailedByTest = new TreeMap<>();
 
     Outcomes(List<Entry> entries) {
-      entries.forEach(e -> listed.put(e.test(), e));
+      entries.forEach(entry -> entriesByTest.put(entry.test(), entry));
     }
 
     Entry entry(String test) {
-      return listed.get(test);
+      return entriesByTest.get(test);
     }
 
-    synchronized void ran(String test, boolean hasFailed) {
-      failed.merge(test, hasFailed, Boolean::logicalOr);
+    synchronized void record(String test, boolean hasFailed) {
+      hasFailedByTest.merge(test, hasFailed, Boolean::logicalOr);
     }
 
-    /** Throws where a listed test of that class has run and never failed. */
-    synchronized void checkClass(String type) {
-      failed.forEach(
-          (test, any) -> {
-            if (test.startsWith(type + "#") && !any && !listed.get(test).isIntermittent()) {
+    /** Throws where a listed test of that class has run and has not failed. */
+    synchronized void checkListedTestsFailed(String className) {
+      hasFailedByTest.forEach(
+          (test, hasFailed) -> {
+            if (test.startsWith(className + "#")
+                && !hasFailed
+                && !entriesByTest.get(test).isIntermittent()) {
               throw new AssertionError(
-                  test + " is listed in " + FILE + " and passes: take it off the list");
+                  test + " is listed in " + FILE + " and passes: remove it from the list");
             }
           });
     }
@@ -64,17 +67,20 @@
 
   private static final Outcomes OUTCOMES = new Outcomes(read(FILE));
 
-  /** The list; an absent file is an empty one. Throws at a line that is not of the form. */
+  /** Reads the list; a missing file is an empty list. Throws where a line is malformed. */
   static List<Entry> read(Path file) {
     if (!Files.exists(file)) {
       return List.of();
     }
     try {
       List<Entry> entries =
-          Files.readAllLines(file).stream().filter(l -> !l.isBlank()).map(KnownRed::entry).toList();
-      if (entries.size() > MOST) {
+          Files.readAllLines(file).stream()
+              .filter(line -> !line.isBlank())
+              .map(KnownRed::parseEntry)
+              .toList();
+      if (entries.size() > MAX_ENTRIES) {
         throw new IllegalStateException(
-            entries.size() + " lines in " + file + ", " + MOST + " at most");
+            entries.size() + " lines in " + file + ", " + MAX_ENTRIES + " at most");
       }
       return entries;
     } catch (IOException e) {
@@ -82,7 +88,7 @@
     }
   }
 
-  private static Entry entry(String line) {
+  private static Entry parseEntry(String line) {
     String[] parts = line.split("\\|", -1);
     if (parts.length != 3
         || !parts[0].strip().matches("[\\w.]+#\\w+")
@@ -93,25 +99,25 @@
     return new Entry(parts[0].strip(), parts[1].strip(), parts[2].strip());
   }
 
-  /** Throws where no such test is there. */
-  static void checkKnown(Entry entry) {
-    String type = entry.test().substring(0, entry.test().indexOf('#'));
-    String name = entry.test().substring(type.length() + 1);
+  /** Throws where the test does not exist. */
+  static void checkExists(Entry entry) {
+    String className = entry.test().substring(0, entry.test().indexOf('#'));
+    String name = entry.test().substring(className.length() + 1);
     try {
-      for (Method m : Class.forName(type).getDeclaredMethods()) {
-        if (m.getName().equals(name)) {
+      for (Method method : Class.forName(className).getDeclaredMethods()) {
+        if (method.getName().equals(name)) {
           return;
         }
       }
     } catch (ClassNotFoundException e) {
-      // said below
+      // Reported below.
     }
     throw new IllegalStateException("no such test: " + entry.test());
   }
 
   /**
-   * Runs an invocation of a test: as it is where it is not listed, else its failure is printed and
-   * borne.
+   * Runs an invocation of a test. The failure of a listed test is printed and turned into an
+   * aborted test.
    */
   static void run(Outcomes outcomes, String test, InvocationInterceptor.Invocation<Void> invocation)
       throws Throwable {
@@ -125,7 +131,7 @@
     } catch (TestAbortedException e) {
       throw e;
     } catch (Throwable e) {
-      outcomes.ran(test, true);
+      outcomes.record(test, true);
       System.out.println(
           "KNOWN RED: "
               + test
@@ -137,10 +143,10 @@
               + e);
       throw new TestAbortedException("known red: " + entry.cause(), e);
     }
-    outcomes.ran(test, false);
+    outcomes.record(test, false);
   }
 
-  private static String name(ReflectiveInvocationContext<Method> context) {
+  private static String testName(ReflectiveInvocationContext<Method> context) {
     return context.getTargetClass().getName() + "#" + context.getExecutable().getName();
   }
 
@@ -150,7 +156,7 @@
       ReflectiveInvocationContext<Method> context,
       ExtensionContext extension)
       throws Throwable {
-    run(OUTCOMES, name(context), invocation);
+    run(OUTCOMES, testName(context), invocation);
   }
 
   @Override
@@ -159,11 +165,11 @@
       ReflectiveInvocationContext<Method> context,
       ExtensionContext extension)
       throws Throwable {
-    run(OUTCOMES, name(context), invocation);
+    run(OUTCOMES, testName(context), invocation);
   }
 
   @Override
   public void afterAll(ExtensionContext context) {
-    OUTCOMES.checkClass(context.getRequiredTestClass().getName());
+    OUTCOMES.checkListedTestsFailed(context.getRequiredTestClass().getName());
   }
 }
--- a/src/test/java/linengauge/KnownRedTest.java
+++ b/src/test/java/linengauge/KnownRedTest.java
@@ -13,13 +13,13 @@
 import org.opentest4j.TestAbortedException;
 
 class KnownRedTest {
-  private static final String LISTED =
+  private static final String LISTED_TEST =
       "linengauge.KnownRedTest#theListOfTheProjectNamesTestsThatAreThere";
   @TempDir private Path dir;
 
   @Test
   void theListOfTheProjectNamesTestsThatAreThere() {
-    KnownRed.read(KnownRed.FILE).forEach(KnownRed::checkKnown);
+    KnownRed.read(KnownRed.FILE).forEach(KnownRed::checkExists);
   }
 
   private List<KnownRed.Entry> list(String... lines) throws Exception {
@@ -27,34 +27,34 @@
   }
 
   @Test
-  void noFileIsNoException() {
+  void aMissingFileIsAnEmptyList() {
     assertEquals(List.of(), KnownRed.read(dir.resolve("none")));
   }
 
   @Test
-  void aListOfMoreThanThreeOrOfAnotherFormIsRefused() throws Exception {
-    String line = LISTED + " | it is so | issue 30";
-    assertEquals(new KnownRed.Entry(LISTED, "it is so", "issue 30"), list(line).get(0));
+  void aListThatIsTooLongOrMalformedIsRejected() throws Exception {
+    String line = LISTED_TEST + " | it is so | issue 30";
+    assertEquals(new KnownRed.Entry(LISTED_TEST, "it is so", "issue 30"), list(line).get(0));
     assertEquals(3, list(line, line, line, "").size());
     assertThrows(IllegalStateException.class, () -> list(line, line, line, line));
-    assertThrows(IllegalStateException.class, () -> list(LISTED + " | no issue"));
+    assertThrows(IllegalStateException.class, () -> list(LISTED_TEST + " | no issue"));
     assertThrows(IllegalStateException.class, () -> list("a test in words | cause | issue"));
   }
 
   @Test
-  void aTestThatIsNotThereIsRefused() throws Exception {
-    assertDoesNotThrow(() -> list(LISTED + " | c | i").forEach(KnownRed::checkKnown));
+  void aListedTestThatDoesNotExistIsRejected() throws Exception {
+    assertDoesNotThrow(() -> list(LISTED_TEST + " | c | i").forEach(KnownRed::checkExists));
     assertThrows(
         IllegalStateException.class,
-        () -> list("linengauge.KnownRedTest#none | c | i").forEach(KnownRed::checkKnown));
+        () -> list("linengauge.KnownRedTest#none | c | i").forEach(KnownRed::checkExists));
     assertThrows(
         IllegalStateException.class,
-        () -> list("linengauge.NoTest#none | c | i").forEach(KnownRed::checkKnown));
+        () -> list("linengauge.NoTest#none | c | i").forEach(KnownRed::checkExists));
   }
 
   @Test
-  void aListedTestIsLetFailAndOneThatPassesFailsItsClass() throws Exception {
-    var outcomes = new KnownRed.Outcomes(list(LISTED + " | c | i"));
+  void aListedTestMayFailAndOneThatPassesFailsItsClass() throws Exception {
+    var outcomes = new KnownRed.Outcomes(list(LISTED_TEST + " | c | i"));
     AssertionError fault = new AssertionError("the fault");
     var aborted =
         assertThrows(
@@ -62,46 +62,49 @@
             () ->
                 KnownRed.run(
                     outcomes,
-                    LISTED,
+                    LISTED_TEST,
                     () -> {
                       throw fault;
                     }));
     assertSame(fault, aborted.getCause());
-    assertDoesNotThrow(() -> KnownRed.run(outcomes, LISTED, () -> null));
+    assertDoesNotThrow(() -> KnownRed.run(outcomes, LISTED_TEST, () -> null));
     assertDoesNotThrow(
-        () -> outcomes.checkClass("linengauge.KnownRedTest"), "one of its invocations failed");
-    var mended = new KnownRed.Outcomes(list(LISTED + " | c | i"));
-    assertDoesNotThrow(() -> KnownRed.run(mended, LISTED, () -> null));
-    assertThrows(AssertionError.class, () -> mended.checkClass("linengauge.KnownRedTest"));
-    assertDoesNotThrow(() -> mended.checkClass("linengauge.OtherTest"));
+        () -> outcomes.checkListedTestsFailed("linengauge.KnownRedTest"),
+        "one of its invocations failed");
+    var fixedOutcomes = new KnownRed.Outcomes(list(LISTED_TEST + " | c | i"));
+    assertDoesNotThrow(() -> KnownRed.run(fixedOutcomes, LISTED_TEST, () -> null));
+    assertThrows(
+        AssertionError.class,
+        () -> fixedOutcomes.checkListedTestsFailed("linengauge.KnownRedTest"));
+    assertDoesNotThrow(() -> fixedOutcomes.checkListedTestsFailed("linengauge.OtherTest"));
   }
 
-  /** Guards against a fault that shows in some runs alone failing the build in the others. */
+  /** Guards against a fault that shows only in some runs failing the build in the others. */
   @Test
-  void anIntermittentOneIsLetFailAndLetPass() throws Exception {
-    var outcomes = new KnownRed.Outcomes(list(LISTED + " | intermittent: seen once | i"));
-    assertDoesNotThrow(() -> KnownRed.run(outcomes, LISTED, () -> null));
-    assertDoesNotThrow(() -> outcomes.checkClass("linengauge.KnownRedTest"));
+  void anIntermittentTestMayFailOrPass() throws Exception {
+    var outcomes = new KnownRed.Outcomes(list(LISTED_TEST + " | intermittent: seen once | i"));
+    assertDoesNotThrow(() -> KnownRed.run(outcomes, LISTED_TEST, () -> null));
+    assertDoesNotThrow(() -> outcomes.checkListedTestsFailed("linengauge.KnownRedTest"));
     assertThrows(
         TestAbortedException.class,
         () ->
             KnownRed.run(
                 outcomes,
-                LISTED,
+                LISTED_TEST,
                 () -> {
                   throw new AssertionError("the fault");
                 }));
   }
 
   @Test
-  void aTestThatIsNotListedFailsAsEver() throws Exception {
+  void aTestThatIsNotListedFailsAsUsual() throws Exception {
     var outcomes = new KnownRed.Outcomes(List.of());
     assertThrows(
         AssertionError.class,
         () ->
             KnownRed.run(
                 outcomes,
-                LISTED,
+                LISTED_TEST,
                 () -> {
                   throw new AssertionError("a fault");
                 }));
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -13,19 +13,19 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** One front with its boxes and viewers, and the six rules checked at every send and answer. */
+/** A front with its boxes and viewers. Checks the six rules at every tune-in and every answer. */
 final class PolicyHarness implements Environment {
   private static final Span DRAIN_GRACE = Span.ofMillis(1000);
 
   final class Box implements BoxPort {
     final Policy.MediaBox handle;
     int cell;
-    boolean serving;
-    Moment told = Moment.DISTANT_PAST;
+    boolean isServing;
+    Moment stopReportedAt = Moment.DISTANT_PAST;
     Moment startedAt = Moment.DISTANT_PAST;
-    Moment witnessed = Moment.DISTANT_PAST;
-    int probes;
-    final List<Moment> sends = new ArrayList<>();
+    Moment lastUnreachableAt = Moment.DISTANT_PAST;
+    int probeCount;
+    final List<Moment> tuneInTimes = new ArrayList<>();
 
     final long id = nextBoxId++;
 
@@ -34,21 +34,21 @@
       this.handle = policy.createBox(this);
     }
 
-    void serving(Moment startedAt) {
-      serving = true;
+    void markServing(Moment startedAt) {
+      isServing = true;
       this.startedAt = startedAt;
       handle.markServing(1, cell, 0, 0, startedAt);
     }
 
-    void draining() {
-      told = serving ? now : told;
-      serving = false;
+    void markDraining() {
+      stopReportedAt = isServing ? now : stopReportedAt;
+      isServing = false;
       handle.markDraining();
     }
 
-    void gone() {
-      told = serving ? now : told;
-      serving = false;
+    void markGone() {
+      stopReportedAt = isServing ? now : stopReportedAt;
+      isServing = false;
       handle.markGone();
     }
 
@@ -59,308 +59,334 @@
 
     @Override
     public void probe() {
-      assertTrue(headend.permissions().mayProbe(), "probed where it may not");
-      probes++;
+      assertTrue(deployment.permissions().mayProbe(), "probed without permission");
+      probeCount++;
     }
   }
 
   final class Viewer implements ViewingPort {
-    /** Attempts that ended here without a word of their servers. */
+    /** Attempts that have ended here without a confirmation of their servers. */
     final Map<Integer, Box> unconfirmed = new HashMap<>();
 
-    final PackageSettings terms;
+    final PackageSettings settings;
     final Policy.Title title;
-    final int ceiling;
-    final Moment end;
+    final int ceilingRung;
+    final Moment deadline;
     Policy.Viewing handle;
-    Box out;
-    int tuneIns;
+    Box box;
+    int tuneInCount;
     int rung;
     boolean playing;
     boolean mayHaveRun;
     String answer;
     Span timeout;
 
-    Viewer(PackageSettings terms, Policy.Title title, int ceiling, Span patience) {
-      this.terms = terms;
+    Viewer(PackageSettings settings, Policy.Title title, int ceilingRung, Span timeLimit) {
+      this.settings = settings;
       this.title = title;
-      this.ceiling = ceiling;
-      this.end = now.plus(patience);
+      this.ceilingRung = ceilingRung;
+      this.deadline = now.plus(timeLimit);
     }
 
     @Override
-    public void tuneIn(Policy.MediaBox at, Span timeout) {
-      Box box = (Box) at.port();
-      Deployment.Rules rules = headend.rules();
+    public void tuneIn(Policy.MediaBox mediaBox, Span timeout) {
+      Box target = (Box) mediaBox.port();
+      Deployment.Rules rules = deployment.rules();
       assertNull(answer, "sent after the answer");
-      assertNull(out, "two tune-ins out");
-      assertFalse(terms.paidAtSetUp() && mayHaveRun, "set up twice");
-      assertTrue(++tuneIns <= headend.permissions().maxTuneIns(), "too many tune-ins");
+      assertNull(box, "two tune-ins in progress");
+      assertFalse(settings.paidAtSetUp() && mayHaveRun, "a paid set-up is repeated");
+      assertTrue(++tuneInCount <= deployment.permissions().maxTuneIns(), "too many tune-ins");
       assertTrue(
-          box.serving || now.since(box.told).isShorterThan(DRAIN_GRACE),
-          "sent past the drain grace");
+          target.isServing || now.since(target.stopReportedAt).isShorterThan(DRAIN_GRACE),
+          "sent after the drain grace period");
       assertTrue(
-          timeout.micros() > 0 && !end.isBefore(now.plus(timeout)), "time-out past the patience");
-      Moment coldSince = box.startedAt.max(box.witnessed);
-      box.sends.add(now);
+          timeout.micros() > 0 && !deadline.isBefore(now.plus(timeout)),
+          "time limit of the attempt exceeds the deadline");
+      Moment coldSince = target.startedAt.max(target.lastUnreachableAt);
+      target.tuneInTimes.add(now);
       if (now.isBefore(coldSince.plus(rules.coldPeriod()))) {
-        box.sends.removeIf(m -> m.isBefore(now.minus(rules.overloadWindow())));
-        double all =
+        target.tuneInTimes.removeIf(moment -> moment.isBefore(now.minus(rules.overloadWindow())));
+        double fleetBudget =
             rules.overloadMultiple()
-                * headend.fleet().streamsByKind()[0]
+                * deployment.fleet().streamsByKind()[0]
                 * rules.coldStartCapacity()
                 * rules.overloadWindow().seconds()
                 / rules.coldPeriod().seconds();
-        int fair = Math.max(1, (int) Math.floor(all / headend.frontCount()));
+        int ownBudget = Math.max(1, (int) Math.floor(fleetBudget / deployment.frontCount()));
         assertTrue(
-            box.sends.size() <= fair, "cold box pushed: " + box.sends.size() + " of " + fair);
+            target.tuneInTimes.size() <= ownBudget,
+            "cold box over its limit: " + target.tuneInTimes.size() + " of " + ownBudget);
       }
-      if (tuneIns > 1 && !rules.retryWindow().equals(Span.NONE)) {
-        further.add(now);
-        Moment from = now.minus(rules.retryWindow());
-        long made = further.stream().filter(m -> !m.isBefore(from)).count();
-        long took = taken.stream().filter(m -> !m.isBefore(from)).count();
+      if (tuneInCount > 1 && !rules.retryWindow().equals(Span.NONE)) {
+        retryTimes.add(now);
+        Moment windowStart = now.minus(rules.retryWindow());
+        long retries = retryTimes.stream().filter(moment -> !moment.isBefore(windowStart)).count();
+        long requests =
+            requestTimes.stream().filter(moment -> !moment.isBefore(windowStart)).count();
         assertTrue(
-            made <= rules.freeRetries() + rules.retriesPerRequest() * took,
-            "further tune-ins over budget");
+            retries <= rules.freeRetries() + rules.retriesPerRequest() * requests,
+            "retries over budget");
       }
-      assertFalse(unconfirmed.containsValue(box), "sent where an earlier attempt may still be out");
-      out = box;
+      assertFalse(
+          unconfirmed.containsValue(target),
+          "sent where an earlier attempt may still be in progress");
+      box = target;
       this.timeout = timeout;
-      int sent = tuneIns;
+      int attempt = tuneInCount;
       schedule(
           timeout,
           () -> {
-            if (out != null && !playing && tuneIns == sent) {
-              ends(AttemptOutcome.NO_ANSWER);
+            if (box != null && !playing && tuneInCount == attempt) {
+              endAttempt(AttemptOutcome.NO_ANSWER);
             }
           });
-      if (terms.maxViewingsPerTitle() > 0) {
-        long held =
+      if (settings.maxViewingsPerTitle() > 0) {
+        long openViewings =
             viewers.stream()
-                .filter(v -> v.out != null && v.title == title && v.terms == terms)
+                .filter(
+                    viewer ->
+                        viewer.box != null && viewer.title == title && viewer.settings == settings)
                 .count();
-        assertTrue(held <= terms.maxViewingsPerTitle(), "more viewings than seats");
+        assertTrue(
+            openViewings <= settings.maxViewingsPerTitle(),
+            "more viewings of a title than allowed");
       }
     }
 
     @Override
     public void setRung(int rung) {
-      assertTrue(rung >= terms.lowestRung() && rung <= ceiling, "rung " + rung + " not allowed");
+      assertTrue(
+          rung >= settings.lowestRung() && rung <= ceilingRung, "rung " + rung + " not allowed");
       this.rung = rung;
     }
 
     @Override
-    public void reject(Span comeBackAfter, Environment.RejectionReason reason) {
-      assertFalse(terms.paidAtSetUp() && mayHaveRun, "blocked though it may have run");
-      answered("blocked");
+    public void reject(Span retryAfter, Environment.RejectionReason reason) {
+      assertFalse(settings.paidAtSetUp() && mayHaveRun, "rejected though an attempt may have run");
+      recordAnswer("blocked");
     }
 
     @Override
     public void fail() {
-      answered("aborted");
+      recordAnswer("aborted");
     }
 
-    private void answered(String how) {
+    private void recordAnswer(String given) {
       assertNull(answer, "answered twice");
-      assertFalse(end.isBefore(now), "answered too late");
-      answer = how;
+      assertFalse(deadline.isBefore(now), "answered too late");
+      answer = given;
     }
 
-    /** The server shows that it has read the end of that attempt. */
+    /** The server confirms that it has read the end of that attempt. */
     void endConfirmed(int attempt) {
       unconfirmed.remove(attempt);
       handle.endConfirmed(attempt);
     }
 
-    void plays() {
-      answered("plays");
+    void startPlaying() {
+      recordAnswer("plays");
       playing = true;
       handle.playbackStarted();
     }
 
-    void ends(AttemptOutcome how) {
-      boolean over = playing;
-      if (how == AttemptOutcome.NO_ANSWER
-          || how == AttemptOutcome.NOT_REACHED
-          || how == AttemptOutcome.BROKEN) {
-        out.witnessed = now;
+    void endAttempt(AttemptOutcome outcome) {
+      boolean wasPlaying = playing;
+      if (outcome == AttemptOutcome.NO_ANSWER
+          || outcome == AttemptOutcome.NOT_REACHED
+          || outcome == AttemptOutcome.BROKEN) {
+        box.lastUnreachableAt = now;
       }
       playing = false;
-      mayHaveRun |= !how.neverRan;
-      Box at = out;
-      out = null;
-      if (over || answer != null) {
+      mayHaveRun |= !outcome.neverRan;
+      Box target = box;
+      box = null;
+      if (wasPlaying || answer != null) {
         viewers.remove(this);
       }
-      if (!how.confirmed) {
-        unconfirmed.put(tuneIns - 1, at);
+      if (!outcome.confirmed) {
+        unconfirmed.put(tuneInCount - 1, target);
       }
-      handle.tuneInEnded(how, over, how.confirmed);
+      handle.tuneInEnded(outcome, wasPlaying, outcome.confirmed);
     }
   }
 
-  private record Step(Moment at, long number, Runnable deed) {}
+  private record ScheduledTask(Moment at, long number, Runnable task) {}
 
-  final Deployment headend;
+  final Deployment deployment;
   final Policy policy;
   final List<Box> boxes = new ArrayList<>();
   final List<Viewer> viewers = new ArrayList<>();
-  final List<Double> answered = new ArrayList<>();
-  final List<Double> sizes = new ArrayList<>();
-  private final ArrayDeque<Moment> taken = new ArrayDeque<>();
-  private final ArrayDeque<Moment> further = new ArrayDeque<>();
-  private final PriorityQueue<Step> steps =
+  final List<Double> reportedRates = new ArrayList<>();
+  final List<Double> reportedCapacities = new ArrayList<>();
+  private final ArrayDeque<Moment> requestTimes = new ArrayDeque<>();
+  private final ArrayDeque<Moment> retryTimes = new ArrayDeque<>();
+  private final PriorityQueue<ScheduledTask> scheduledTasks =
       new PriorityQueue<>(
           (a, b) -> a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
-  private long number;
+  private long nextTaskNumber;
   private long nextBoxId;
   Moment now;
 
-  PolicyHarness(Deployment headend, long seed, int boxCount) {
-    this(headend, seed, boxCount, new Moment(1_000_000_000L));
+  PolicyHarness(Deployment deployment, long seed, int boxCount) {
+    this(deployment, seed, boxCount, new Moment(1_000_000_000L));
   }
 
-  /** One that starts at that moment. */
-  PolicyHarness(Deployment headend, long seed, int boxCount, Moment begun) {
-    this.now = begun;
-    this.headend = headend;
-    this.policy = new Policy(headend, seed, this);
+  /** A front that starts at the given moment. */
+  PolicyHarness(Deployment deployment, long seed, int boxCount, Moment start) {
+    this.now = start;
+    this.deployment = deployment;
+    this.policy = new Policy(deployment, seed, this);
     policy.setTime(now);
     for (int i = 0; i < boxCount; i++) {
-      Box b = new Box(i);
-      boxes.add(b);
-      b.serving(Moment.DISTANT_PAST);
+      Box box = new Box(i);
+      boxes.add(box);
+      box.markServing(Moment.DISTANT_PAST);
     }
   }
 
   /**
-   * A small place: five rungs, links of 1000 kB, one rack of 4000 kB, nothing rationed unless said.
+   * A small deployment: five rungs, links of 1000 kB per second, one rack with an uplink of 4000 kB
+   * per second.
+   *
+   * @param retryWindow {@link Span#NONE}: retries are not limited
    */
-  static Deployment place(
-      int fronts, boolean messages, boolean probes, Span ration, PackageSettings... packages) {
+  static Deployment smallDeployment(
+      int frontCount,
+      boolean mayMessageFronts,
+      boolean mayProbe,
+      Span retryWindow,
+      PackageSettings... packages) {
     return new Deployment(
-        fronts,
+        frontCount,
         0,
         0,
         List.of(packages),
         new double[] {30, 60, 100, 170, 300},
         new double[] {0.25, 0.45, 0.65, 0.82, 1},
         new Deployment.Fleet(4, 1, new int[] {24}, 4000, 1000, 4000, Span.ofMillis(800)),
-        new Deployment.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
-        new Deployment.Permissions(4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
+        new Deployment.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, retryWindow),
+        new Deployment.Permissions(
+            4, mayMessageFronts, mayProbe, mayProbe, 0.008, 0.01, 0, Span.ofSeconds(2)));
   }
 
-  static PackageSettings terms(int floor, int seats, boolean paid) {
-    return new PackageSettings(1, Span.ofMillis(800), 1, floor, 4, seats, paid);
+  static PackageSettings packageSettings(
+      int lowestRung, int maxViewingsPerTitle, boolean paidAtSetUp) {
+    return new PackageSettings(
+        1, Span.ofMillis(800), 1, lowestRung, 4, maxViewingsPerTitle, paidAtSetUp);
   }
 
-  static Deployment numbered(Deployment p, int own) {
+  static Deployment withFrontNumber(Deployment deployment, int frontNumber) {
     return new Deployment(
-        p.frontCount(),
-        own,
-        p.building(),
-        p.packages(),
-        p.ladderKbPerSecond(),
-        p.rungValues(),
-        p.fleet(),
-        p.rules(),
-        p.permissions());
+        deployment.frontCount(),
+        frontNumber,
+        deployment.building(),
+        deployment.packages(),
+        deployment.ladderKbPerSecond(),
+        deployment.rungValues(),
+        deployment.fleet(),
+        deployment.rules(),
+        deployment.permissions());
   }
 
-  Viewer take(PackageSettings terms, Policy.Title title, Span patience) {
-    taken.add(now);
-    Viewer v = new Viewer(terms, title, 4, patience);
-    viewers.add(v);
-    v.handle = policy.requestViewing(v, terms, title, 4, patience);
-    assertNotNull(v.handle);
-    return v;
+  Viewer request(PackageSettings settings, Policy.Title title, Span timeLimit) {
+    requestTimes.add(now);
+    Viewer viewer = new Viewer(settings, title, 4, timeLimit);
+    viewers.add(viewer);
+    viewer.handle = policy.requestViewing(viewer, settings, title, 4, timeLimit);
+    assertNotNull(viewer.handle);
+    return viewer;
   }
 
-  /** A viewing that has played at the box since before. */
-  Viewer plays(PackageSettings terms, Policy.Title title, Box at, int rung) {
-    Viewer v = new Viewer(terms, title, 4, Span.NONE);
-    viewers.add(v);
-    v.answer = "plays";
-    v.playing = true;
-    v.out = at;
-    v.rung = rung;
-    v.handle = policy.adoptViewing(v, terms, title, 4, at.handle);
-    v.handle.rungReported(rung);
-    return v;
+  /** Adds a viewing that plays at the box already. */
+  Viewer addPlaying(PackageSettings settings, Policy.Title title, Box box, int rung) {
+    Viewer viewer = new Viewer(settings, title, 4, Span.NONE);
+    viewers.add(viewer);
+    viewer.answer = "plays";
+    viewer.playing = true;
+    viewer.box = box;
+    viewer.rung = rung;
+    viewer.handle = policy.adoptViewing(viewer, settings, title, 4, box.handle);
+    viewer.handle.rungReported(rung);
+    return viewer;
   }
 
-  void pass(Span span) {
+  void advance(Span span) {
     Moment until = now.plus(span);
-    while (!steps.isEmpty() && !until.isBefore(steps.peek().at)) {
-      Step s = steps.poll();
-      now = s.at;
+    while (!scheduledTasks.isEmpty() && !until.isBefore(scheduledTasks.peek().at)) {
+      ScheduledTask next = scheduledTasks.poll();
+      now = next.at;
       policy.setTime(now);
-      s.deed.run();
-      checkAnswersOwed();
+      next.task.run();
+      checkDeadlines();
     }
     now = until;
     policy.setTime(now);
-    checkAnswersOwed();
+    checkDeadlines();
   }
 
   /**
-   * The front stands still: what fell due meanwhile it finds all at once, and some viewers are
-   * gone.
+   * The front's process is paused: afterwards all tasks that became due run at once, and some
+   * viewers have left.
    */
-  void standStill(Span span) {
+  void pauseProcess(Span span) {
     now = now.plus(span);
     policy.setTime(now);
-    for (Viewer v : List.copyOf(viewers)) {
-      if (v.answer == null && v.end.isBefore(now)) {
-        v.answer = "left";
-        v.handle.viewerLeft();
-        if (v.out == null) {
-          viewers.remove(v);
+    for (Viewer viewer : List.copyOf(viewers)) {
+      if (viewer.answer == null && viewer.deadline.isBefore(now)) {
+        viewer.answer = "left";
+        viewer.handle.viewerLeft();
+        if (viewer.box == null) {
+          viewers.remove(viewer);
         }
       }
     }
-    while (!steps.isEmpty() && !now.isBefore(steps.peek().at)) {
-      steps.poll().deed.run();
+    while (!scheduledTasks.isEmpty() && !now.isBefore(scheduledTasks.peek().at)) {
+      scheduledTasks.poll().task.run();
     }
-    checkAnswersOwed();
+    checkDeadlines();
   }
 
-  /** A viewing out of patience is answered, or its time-out has just run down. */
-  void checkAnswersOwed() {
-    for (Viewer v : viewers) {
-      assertTrue(v.answer != null || !v.end.isBefore(now), "no answer before the patience ran out");
+  /**
+   * Checks that each viewing past its deadline has been answered, or that its attempt is just
+   * timing out.
+   */
+  void checkDeadlines() {
+    for (Viewer viewer : viewers) {
+      assertTrue(
+          viewer.answer != null || !viewer.deadline.isBefore(now), "no answer before the deadline");
     }
     assertEquals(
         0,
         viewers.stream()
             .filter(
-                v ->
-                    v.answer == null && v.out == null && v.end.isBefore(now.plus(Span.ofMillis(1))))
+                viewer ->
+                    viewer.answer == null
+                        && viewer.box == null
+                        && viewer.deadline.isBefore(now.plus(Span.ofMillis(1))))
             .count(),
-        "held past its patience");
+        "still waiting at its deadline");
   }
 
   @Override
-  public void schedule(Span span, Runnable step) {
-    steps.add(new Step(now.plus(span), number++, step));
+  public void schedule(Span delay, Runnable task) {
+    scheduledTasks.add(new ScheduledTask(now.plus(delay), nextTaskNumber++, task));
   }
 
   @Override
   public void sendUsage(
-      int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
-    assertTrue(headend.permissions().mayMessageFronts(), "talked where it may not");
+      int rackOwner, Policy.MediaBox box, int viewingCount, double rate, double uplinkShare) {
+    assertTrue(deployment.permissions().mayMessageFronts(), "sent a message without permission");
   }
 
   @Override
   public void sendRackUsage(
       int front,
       Policy.MediaBox box,
-      int othersViewings,
-      double othersKb,
-      double rackKb,
-      double rackSizeKb) {
-    answered.add(othersKb);
-    sizes.add(rackSizeKb);
+      int otherFrontsViewings,
+      double otherFrontsRate,
+      double rackRate,
+      double rackCapacity) {
+    reportedRates.add(otherFrontsRate);
+    reportedCapacities.add(rackCapacity);
   }
 }
--- a/src/test/java/linengauge/RulesTest.java
+++ b/src/test/java/linengauge/RulesTest.java
@@ -5,10 +5,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
+import linengauge.Environment.AttemptOutcome;
+import linengauge.PolicyHarness.Box;
+import linengauge.PolicyHarness.Viewer;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Seeded random days; Stage checks the six rules at every step of them. */
+/** Random sequences of events by seed. {@link PolicyHarness} checks the six rules at every step. */
 class RulesTest {
   @ParameterizedTest
   @ValueSource(
@@ -16,135 +19,145 @@
         1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24
       })
   void rulesHoldAfterEveryStep(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     PackageSettings[] packages = {
-      PolicyHarness.terms(0, 0, false),
-      PolicyHarness.terms(2, 2, false),
-      PolicyHarness.terms(0, 0, true)
+      PolicyHarness.packageSettings(0, 0, false),
+      PolicyHarness.packageSettings(2, 2, false),
+      PolicyHarness.packageSettings(0, 0, true)
     };
-    Span ration = chance.nextBoolean() ? Span.ofSeconds(5) : Span.NONE;
-    Deployment place =
-        PolicyHarness.place(
-            1 + chance.nextInt(seed % 2 == 0 ? 6 : 300),
-            chance.nextBoolean(),
-            chance.nextBoolean(),
-            ration,
+    Span retryWindow = random.nextBoolean() ? Span.ofSeconds(5) : Span.NONE;
+    Deployment deployment =
+        PolicyHarness.smallDeployment(
+            1 + random.nextInt(seed % 2 == 0 ? 6 : 300),
+            random.nextBoolean(),
+            random.nextBoolean(),
+            retryWindow,
             packages);
-    PolicyHarness stage = new PolicyHarness(place, seed, 4);
+    PolicyHarness harness = new PolicyHarness(deployment, seed, 4);
     List<Policy.Title> titles = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      titles.add(stage.policy.createTitle(i, 3));
-      stage.plays(packages[0], titles.get(i), stage.boxes.get(i), chance.nextInt(5));
+      titles.add(harness.policy.createTitle(i, 3));
+      harness.addPlaying(packages[0], titles.get(i), harness.boxes.get(i), random.nextInt(5));
     }
-    double trouble = chance.nextDouble() * 0.6;
-    int plays = 0;
+    double faultRate = random.nextDouble() * 0.6;
+    int playedCount = 0;
     for (int i = 0; i < 3000; i++) {
-      stage.pass(Span.ofMillis(10 + chance.nextInt(40)));
-      if (chance.nextInt(8) == 0) {
-        stage.take(
-            packages[chance.nextInt(3)],
-            titles.get(chance.nextInt(3)),
-            Span.ofMillis(300 + chance.nextInt(3000)));
+      harness.advance(Span.ofMillis(10 + random.nextInt(40)));
+      if (random.nextInt(8) == 0) {
+        harness.request(
+            packages[random.nextInt(3)],
+            titles.get(random.nextInt(3)),
+            Span.ofMillis(300 + random.nextInt(3000)));
       }
-      for (PolicyHarness.Viewer v : List.copyOf(stage.viewers)) {
-        plays += outcome(stage, v, chance, trouble);
+      for (Viewer viewer : List.copyOf(harness.viewers)) {
+        playedCount += simulateOutcome(harness, viewer, random, faultRate);
       }
-      PolicyHarness.Box box = stage.boxes.get(chance.nextInt(4));
-      switch (chance.nextInt(120)) {
-        case 0 -> box.draining();
-        case 1 -> box.gone();
-        case 2, 3, 4 -> box.serving(stage.now.minus(Span.ofMillis(chance.nextInt(2000))));
-        case 5 -> box.handle.loadReported(chance.nextDouble() * 2, Double.NaN, 3);
-        case 6 -> box.handle.loadReported(Double.NaN, chance.nextDouble() * 2, Double.NaN);
+      Box box = harness.boxes.get(random.nextInt(4));
+      switch (random.nextInt(120)) {
+        case 0 -> box.markDraining();
+        case 1 -> box.markGone();
+        case 2, 3, 4 -> box.markServing(harness.now.minus(Span.ofMillis(random.nextInt(2000))));
+        case 5 -> box.handle.loadReported(random.nextDouble() * 2, Double.NaN, 3);
+        case 6 -> box.handle.loadReported(Double.NaN, random.nextDouble() * 2, Double.NaN);
         case 7 ->
             box.handle.usageReceived(
-                1 + chance.nextInt(8),
-                chance.nextInt(4),
-                chance.nextInt(900),
-                0.5 + chance.nextDouble());
+                1 + random.nextInt(8),
+                random.nextInt(4),
+                random.nextInt(900),
+                0.5 + random.nextDouble());
         case 8 -> {
           box.handle.probeEnded(false);
-          box.witnessed = stage.now;
+          box.lastUnreachableAt = harness.now;
         }
         default -> {}
       }
-      if (chance.nextInt(200) == 0) {
-        stage.standStill(Span.ofMillis(300 + chance.nextInt(1700)));
+      if (random.nextInt(200) == 0) {
+        harness.pauseProcess(Span.ofMillis(300 + random.nextInt(1700)));
       }
-      stage.checkAnswersOwed();
+      harness.checkDeadlines();
     }
-    assertTrue(plays > 2, "hardly anything played: " + plays);
+    assertTrue(playedCount > 2, "too few viewings played: " + playedCount);
   }
 
   /**
-   * Every front with a crowd at the door, four boxes all just started, and no word between the
-   * fronts.
+   * Each front has a burst of requests, all four boxes have just started, and the fronts exchange
+   * no messages.
    */
   @ParameterizedTest
   @ValueSource(ints = {1, 3, 20, 240})
-  void allFrontsTogetherNeverPushAColdBoxOver(int fronts) {
-    SplittableRandom chance = new SplittableRandom(fronts);
-    PackageSettings plain = PolicyHarness.terms(0, 0, false);
-    Deployment place = PolicyHarness.place(fronts, false, false, Span.NONE, plain);
-    List<PolicyHarness> stages = new ArrayList<>();
-    for (int i = 0; i < fronts; i++) {
-      stages.add(new PolicyHarness(PolicyHarness.numbered(place, i), i, 4));
-      stages.get(i).pass(Span.ofSeconds(3));
-      stages.get(i).boxes.forEach(b -> b.serving(stages.get(0).now));
+  void allFrontsTogetherNeverOverloadAColdBox(int frontCount) {
+    SplittableRandom random = new SplittableRandom(frontCount);
+    PackageSettings plain = PolicyHarness.packageSettings(0, 0, false);
+    Deployment deployment =
+        PolicyHarness.smallDeployment(frontCount, false, false, Span.NONE, plain);
+    List<PolicyHarness> harnesses = new ArrayList<>();
+    for (int i = 0; i < frontCount; i++) {
+      harnesses.add(new PolicyHarness(PolicyHarness.withFrontNumber(deployment, i), i, 4));
+      harnesses.get(i).advance(Span.ofSeconds(3));
+      harnesses.get(i).boxes.forEach(box -> box.markServing(harnesses.get(0).now));
     }
-    List<List<Moment>> sends =
+    List<List<Moment>> tuneInTimesByBox =
         List.of(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new ArrayList<>());
     for (int step = 0; step < 90; step++) {
-      for (PolicyHarness s : stages) {
-        s.pass(Span.ofMillis(100));
-        PolicyHarness.Viewer v =
-            s.take(plain, s.policy.createTitle(chance.nextInt(4), 1), Span.ofMillis(900));
-        if (v.out != null) {
-          sends.get(s.boxes.indexOf(v.out)).add(s.now);
-          v.plays();
+      for (PolicyHarness harness : harnesses) {
+        harness.advance(Span.ofMillis(100));
+        Viewer viewer =
+            harness.request(
+                plain, harness.policy.createTitle(random.nextInt(4), 1), Span.ofMillis(900));
+        if (viewer.box != null) {
+          tuneInTimesByBox.get(harness.boxes.indexOf(viewer.box)).add(harness.now);
+          viewer.startPlaying();
         }
       }
     }
-    double most =
-        place.rules().overloadMultiple() * 24 * place.rules().coldStartCapacity() * 2 / 10;
-    for (List<Moment> box : sends) {
-      assertTrue(fronts > 20 || !box.isEmpty(), "a cold box is never used");
-      for (Moment from : box) {
-        long within =
-            box.stream()
-                .filter(m -> !m.isBefore(from) && m.isBefore(from.plus(Span.ofSeconds(2))))
+    double maxTuneIns =
+        deployment.rules().overloadMultiple()
+            * 24
+            * deployment.rules().coldStartCapacity()
+            * 2
+            / 10;
+    for (List<Moment> tuneInTimes : tuneInTimesByBox) {
+      assertTrue(frontCount > 20 || !tuneInTimes.isEmpty(), "a cold box is never used");
+      for (Moment from : tuneInTimes) {
+        long tuneInsInWindow =
+            tuneInTimes.stream()
+                .filter(
+                    moment ->
+                        !moment.isBefore(from) && moment.isBefore(from.plus(Span.ofSeconds(2))))
                 .count();
-        assertTrue(within <= most, within + " set-ups in a window of " + most);
+        assertTrue(
+            tuneInsInWindow <= maxTuneIns,
+            tuneInsInWindow + " set-ups in a window of " + maxTuneIns);
       }
     }
   }
 
-  private static int outcome(
-      PolicyHarness stage, PolicyHarness.Viewer v, SplittableRandom chance, double trouble) {
-    if (v.out == null) {
+  private static int simulateOutcome(
+      PolicyHarness harness, Viewer viewer, SplittableRandom random, double faultRate) {
+    if (viewer.box == null) {
       return 0;
     }
-    if (v.playing) {
-      switch (chance.nextInt(400)) {
-        case 0, 1, 2 -> v.ends(Environment.AttemptOutcome.FINISHED);
-        case 3 -> v.ends(Environment.AttemptOutcome.BROKEN);
-        case 4, 5, 6 -> v.handle.shareDelivered(chance.nextDouble());
-        case 7 -> v.handle.loadsReported(chance.nextDouble() * 2, Double.NaN);
+    if (viewer.playing) {
+      switch (random.nextInt(400)) {
+        case 0, 1, 2 -> viewer.endAttempt(AttemptOutcome.FINISHED);
+        case 3 -> viewer.endAttempt(AttemptOutcome.BROKEN);
+        case 4, 5, 6 -> viewer.handle.shareDelivered(random.nextDouble());
+        case 7 -> viewer.handle.loadsReported(random.nextDouble() * 2, Double.NaN);
         default -> {}
       }
       return 0;
     }
-    if (chance.nextDouble() < trouble / 10) {
-      Environment.AttemptOutcome[] ends = {
-        Environment.AttemptOutcome.ERROR,
-        Environment.AttemptOutcome.TURNED_AWAY,
-        Environment.AttemptOutcome.NOT_REACHED,
-        Environment.AttemptOutcome.BROKEN,
-        Environment.AttemptOutcome.NEVER_SENT
+    if (random.nextDouble() < faultRate / 10) {
+      AttemptOutcome[] outcomes = {
+        AttemptOutcome.ERROR,
+        AttemptOutcome.TURNED_AWAY,
+        AttemptOutcome.NOT_REACHED,
+        AttemptOutcome.BROKEN,
+        AttemptOutcome.NEVER_SENT
       };
-      v.ends(ends[chance.nextInt(ends.length)]);
-    } else if (chance.nextDouble() > trouble && chance.nextInt(4) == 0) {
-      v.plays();
+      viewer.endAttempt(outcomes[random.nextInt(outcomes.length)]);
+    } else if (random.nextDouble() > faultRate && random.nextInt(4) == 0) {
+      viewer.startPlaying();
       return 1;
     }
     return 0;
