--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -11,13 +11,13 @@
 import java.util.List;
 import java.util.Map;
 import linengauge.Moment;
-import linengauge.briefing.BadBriefing;
-import linengauge.briefing.Briefing;
-import linengauge.briefing.JsonTree;
 import linengauge.platform.codec.JournalFrames;
 import linengauge.platform.codec.Texts;
 import linengauge.session.BoxTable;
 import linengauge.session.BoxTable.Row;
+import linengauge.settings.BadBriefing;
+import linengauge.settings.Briefing;
+import linengauge.settings.JsonTree;
 
 /**
  * Where and as what the platform posts this front: the configuration that it is started with
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -5,11 +5,11 @@
 import linengauge.Moment;
 import linengauge.Policy;
 import linengauge.Span;
-import linengauge.briefing.Briefing;
 import linengauge.platform.keep.DescriptorBudget;
 import linengauge.platform.keep.EventLoopLag;
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Desk;
+import linengauge.settings.Briefing;
 
 /**
  * A front in the operators' platform (docs/protocol/platform.md): viewers, boxes, the journal
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
-import linengauge.briefing.BadBriefing;
 import linengauge.carry.EventWriter;
 import linengauge.carry.Sparse;
+import linengauge.settings.BadBriefing;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -12,12 +12,12 @@
 import java.util.stream.IntStream;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.briefing.BadBriefing;
 import linengauge.platform.Configuration;
 import linengauge.platform.PlatformFront;
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
+import linengauge.settings.BadBriefing;
 
 /**
  * A fleet of the platform's fronts in virtual time, all of it from a seed: fronts as they run
--- a/src/main/java/linengauge/briefing/BadBriefing.java
+++ b/src/main/java/linengauge/settings/BadBriefing.java
@@ -1,4 +1,4 @@
-package linengauge.briefing;
+package linengauge.settings;
 
 /** What a front was told at its start cannot be used; the message names the key. */
 public final class BadBriefing extends Exception {
--- a/src/main/java/linengauge/briefing/Briefing.java
+++ b/src/main/java/linengauge/settings/Briefing.java
@@ -1,4 +1,4 @@
-package linengauge.briefing;
+package linengauge.settings;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/linengauge/briefing/JsonTree.java
+++ b/src/main/java/linengauge/settings/JsonTree.java
@@ -1,4 +1,4 @@
-package linengauge.briefing;
+package linengauge.settings;
 
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
--- a/src/main/java/linengauge/wire/Message.java
+++ b/src/main/java/linengauge/wire/Message.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonToken;
 import java.io.IOException;
 import java.util.Map;
-import linengauge.briefing.JsonTree;
+import linengauge.settings.JsonTree;
 import linengauge.wire.WireHost.Wrong;
 
 /**
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -16,12 +16,12 @@
 import linengauge.PackageTerms;
 import linengauge.Policy;
 import linengauge.Span;
-import linengauge.briefing.BadBriefing;
-import linengauge.briefing.Briefing;
 import linengauge.session.BoxTable;
 import linengauge.session.BoxTable.Row;
 import linengauge.session.TitleTable;
 import linengauge.session.Words;
+import linengauge.settings.BadBriefing;
+import linengauge.settings.Briefing;
 import linengauge.wire.WireHost.Wrong;
 
 /** One front: turns ids into the module's handles and its decisions into actions. */
--- a/src/test/java/linengauge/ArchitectureTest.java
+++ b/src/test/java/linengauge/ArchitectureTest.java
@@ -27,7 +27,7 @@
     "linengauge.vrrp.explore",
     "linengauge.work",
     "linengauge.memory",
-    "linengauge.briefing",
+    "linengauge.settings",
     "linengauge.platform.codec",
     "linengauge.platform.keep",
     "linengauge.membership",
@@ -121,7 +121,7 @@
   static final ArchRule THE_PLATFORM_IS_LIGHT =
       noClasses()
           .that()
-          .resideInAnyPackage("linengauge.platform..", "linengauge.briefing", "linengauge.carry")
+          .resideInAnyPackage("linengauge.platform..", "linengauge.settings", "linengauge.carry")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -214,7 +214,7 @@
       noClasses()
           .that()
           .resideInAnyPackage(
-              "linengauge.wire", "linengauge", "linengauge.session", "linengauge.briefing")
+              "linengauge.wire", "linengauge", "linengauge.session", "linengauge.settings")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
--- a/src/test/java/linengauge/platform/ServeProcessesTest.java
+++ b/src/test/java/linengauge/platform/ServeProcessesTest.java
@@ -259,7 +259,7 @@
     packages.removeAll(
         List.of(
             "linengauge",
-            "linengauge.briefing",
+            "linengauge.settings",
             "linengauge.carry",
             "linengauge.cli",
             "linengauge.platform",
