--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -174,9 +174,9 @@
   /* ---- what viewers say ---- */
 
   void setUp(ClientConnection line, long id, SetUpForm form) {
-    int pack = front.briefing().packages().indexOf(form.pack());
-    int cells = front.briefing().headend().fleet().cells();
-    int rungs = front.briefing().headend().ladderKb().length;
+    int pack = front.briefing().packageNames().indexOf(form.pack());
+    int cells = front.briefing().deployment().fleet().cells();
+    int rungs = front.briefing().deployment().ladderKb().length;
     boolean handedOver = form.at() != null;
     if (pack < 0
         || !within(form.firstCell(), cells)
@@ -205,7 +205,7 @@
       again(line, before, handedOver);
       return;
     }
-    PackageTerms terms = front.briefing().headend().packages().get(pack);
+    PackageTerms terms = front.briefing().deployment().packages().get(pack);
     int ceiling = form.ceiling() < 0 ? terms.highestRung() : (int) form.ceiling();
     var ask =
         new Held.Ask(
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -15,9 +15,9 @@
 import linengauge.platform.codec.Texts;
 import linengauge.session.BoxTable;
 import linengauge.session.BoxTable.Row;
-import linengauge.settings.BadBriefing;
-import linengauge.settings.Briefing;
+import linengauge.settings.InvalidSettingsException;
 import linengauge.settings.JsonTree;
+import linengauge.settings.Settings;
 
 /**
  * Where and as what the platform posts this front: the configuration that it is started with
@@ -29,37 +29,37 @@
     String journal,
     long seed,
     int descriptors,
-    Briefing briefing,
+    Settings briefing,
     List<Piece> known) {
   /** One event of the box list. */
   public record Piece(long number, boolean whole, List<Row> rows) {}
 
   /** Reads and checks the whole file; throws with one line that says what is wrong with it. */
-  static Configuration read(Path file) throws BadBriefing {
+  static Configuration read(Path file) throws InvalidSettingsException {
     try {
       return read(Files.readAllBytes(file));
     } catch (IOException e) {
-      throw new BadBriefing("it cannot be read: " + e);
+      throw new InvalidSettingsException("it cannot be read: " + e);
     }
   }
 
   /** The same of what stands in such a file. */
-  public static Configuration read(byte[] text) throws BadBriefing {
+  public static Configuration read(byte[] text) throws InvalidSettingsException {
     try (JsonParser p = new JsonFactory().createParser(text)) {
       JsonToken first = p.nextToken();
       if (first != JsonToken.START_OBJECT
           || !(JsonTree.read(p, first) instanceof Map<?, ?> all)
           || p.nextToken() != null) {
-        throw new BadBriefing("it should hold one object");
+        throw new InvalidSettingsException("it should hold one object");
       }
       if (!(all.get("settings") instanceof Map<?, ?> settings)
           || !(all.get("limits") instanceof Map<?, ?> limits)
           || !(all.get("known") instanceof Map<?, ?> known)) {
-        throw new BadBriefing("'settings', 'limits' and 'known' should be objects");
+        throw new InvalidSettingsException("'settings', 'limits' and 'known' should be objects");
       }
-      Briefing briefing = Briefing.read(settings);
-      if (briefing.packages().isEmpty() || briefing.headend().ladderKb().length == 0) {
-        throw new BadBriefing("'settings' name no packages or no ladder");
+      Settings briefing = Settings.read(settings);
+      if (briefing.packageNames().isEmpty() || briefing.deployment().ladderKb().length == 0) {
+        throw new InvalidSettingsException("'settings' name no packages or no ladder");
       }
       return new Configuration(
           address(all, "listen"),
@@ -69,17 +69,17 @@
           briefing,
           known(known, briefing));
     } catch (JsonProcessingException e) {
-      throw new BadBriefing("it is no JSON: " + e.getOriginalMessage());
+      throw new InvalidSettingsException("it is no JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadBriefing("it cannot be read: " + e);
+      throw new InvalidSettingsException("it cannot be read: " + e);
     }
   }
 
-  private static String address(Map<?, ?> from, String key) throws BadBriefing {
+  private static String address(Map<?, ?> from, String key) throws InvalidSettingsException {
     if (from.get(key) instanceof String s && port(s) > 0 && !host(s).isEmpty()) {
       return s;
     }
-    throw new BadBriefing("'" + key + "' should be host:port");
+    throw new InvalidSettingsException("'" + key + "' should be host:port");
   }
 
   static String host(String address) {
@@ -92,7 +92,7 @@
     return port > 0 && port < 65536 ? (int) port : -1;
   }
 
-  private static long seed(Object given) throws BadBriefing {
+  private static long seed(Object given) throws InvalidSettingsException {
     if (given instanceof String s) {
       try {
         return Long.parseUnsignedLong(s, 16);
@@ -100,10 +100,11 @@
         // said below
       }
     }
-    throw new BadBriefing("'seed' should be up to 16 hex digits");
+    throw new InvalidSettingsException("'seed' should be up to 16 hex digits");
   }
 
-  private static long whole(Map<?, ?> from, String key, long absent) throws BadBriefing {
+  private static long whole(Map<?, ?> from, String key, long absent)
+      throws InvalidSettingsException {
     Object v = from.get(key);
     if (v == null) {
       return absent;
@@ -111,17 +112,19 @@
     if (v instanceof Double d && d == Math.rint(d)) {
       return d.longValue();
     }
-    throw new BadBriefing("'" + key + "' should be a whole number");
+    throw new InvalidSettingsException("'" + key + "' should be a whole number");
   }
 
-  private static List<Piece> known(Map<?, ?> known, Briefing briefing) throws BadBriefing {
+  private static List<Piece> known(Map<?, ?> known, Settings briefing)
+      throws InvalidSettingsException {
     List<Piece> pieces = new ArrayList<>();
     if (known.get("entries") instanceof List<?> entries) {
       for (Object one : entries) {
         if (!(one instanceof Map<?, ?> entry)
             || !(entry.get("hosts") instanceof Map<?, ?> hosts)
             || !(hosts.get("targets") instanceof List<?> targets)) {
-          throw new BadBriefing("an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
+          throw new InvalidSettingsException(
+              "an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
         }
         List<Row> rows = new ArrayList<>();
         for (Object t : targets) {
@@ -133,18 +136,18 @@
     return pieces;
   }
 
-  private static Row row(Object target, Briefing briefing) throws BadBriefing {
+  private static Row row(Object target, Settings briefing) throws InvalidSettingsException {
     if (!(target instanceof Map<?, ?> t)
         || !(t.get("uid") instanceof String uid)
         || Texts.box(uid) < 0) {
-      throw new BadBriefing("a box of 'known' should be an object with 'uid'");
+      throw new InvalidSettingsException("a box of 'known' should be an object with 'uid'");
     }
     BoxTable.State state =
         switch (String.valueOf(t.get("state"))) {
           case "up" -> BoxTable.State.SERVING;
           case "draining" -> BoxTable.State.DRAINING;
           case "removed" -> BoxTable.State.GONE;
-          default -> throw new BadBriefing("box " + uid + " is in no known state");
+          default -> throw new InvalidSettingsException("box " + uid + " is in no known state");
         };
     Moment started = JournalFrames.startedAt(whole(t, "boot_ms", 0));
     String address = t.get("endpoint") instanceof String s ? s : null;
@@ -154,9 +157,9 @@
         address,
         weight,
         (int) whole(t, "pod_group", 0),
-        Math.max(0, briefing.kinds().indexOf(t.get("model"))),
+        Math.max(0, briefing.kindNames().indexOf(t.get("model"))),
         state,
-        Math.max(0, briefing.buildings().indexOf(t.get("az"))),
+        Math.max(0, briefing.buildingNames().indexOf(t.get("az"))),
         started);
   }
 }
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -9,7 +9,7 @@
 import linengauge.platform.keep.EventLoopLag;
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Desk;
-import linengauge.settings.Briefing;
+import linengauge.settings.Settings;
 
 /**
  * A front in the operators' platform (docs/protocol/platform.md): viewers, boxes, the journal
@@ -115,13 +115,13 @@
         new Desk.Bounds(
             MOST_VIEWINGS,
             Span.NONE,
-            COME_BACK.orLess(posting.briefing().headend().permits().longestAdvice()),
+            COME_BACK.orLess(posting.briefing().deployment().permits().longestAdvice()),
             Span.ofMillis(500),
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
     this.desk =
         new Desk(
-            posting.briefing().headend(),
+            posting.briefing().deployment(),
             bounds,
             posting.seed(),
             Long.toString(now.micros(), 36),
@@ -301,7 +301,7 @@
     return door;
   }
 
-  Briefing briefing() {
+  Settings briefing() {
     return posting.briefing();
   }
 
@@ -347,7 +347,7 @@
     // short it may come before this end: all is answered by then, and what plays is handed to the
     // next life.
     Span end =
-        briefing().longestPatience().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
+        briefing().longestTimeLimit().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
     // The listener stays: closing it would close every connection that came by it, with what is
     // owed there.
     after(STILL_COMING, desk::stopTaking);
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -254,7 +254,7 @@
         id,
         front()
             .after(
-                front().briefing().dial(),
+                front().briefing().dialTimeout(),
                 () -> {
                   if (tests.remove(id) != null) {
                     line.unanswered(asked);
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -458,7 +458,7 @@
       w.look(
           now,
           usable == 0
-              ? front().briefing().restingClosed().times(0.8)
+              ? front().briefing().idleCloseAfter().times(0.8)
               : spareRests ? SPARE_RESTS : Span.NONE);
       usable += w.isRetired() ? 0 : 1;
       coming |= !w.isUp();
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import linengauge.carry.EventWriter;
 import linengauge.carry.Sparse;
-import linengauge.settings.BadBriefing;
+import linengauge.settings.InvalidSettingsException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -30,7 +30,7 @@
   Service(Path file, Configuration posting) {
     this.file = file;
     this.posting = posting;
-    this.net = new VertxNet(posting.briefing().dial());
+    this.net = new VertxNet(posting.briefing().dialTimeout());
   }
 
   /** Runs a front until it is told to stop; returns the process's exit code. */
@@ -51,7 +51,7 @@
     Service service;
     try {
       service = new Service(Path.of(config), Configuration.read(Path.of(config)));
-    } catch (BadBriefing e) {
+    } catch (InvalidSettingsException e) {
       System.err.println("linengauge: " + config + ": " + e.getMessage());
       return 1;
     }
@@ -120,7 +120,7 @@
       try {
         Configuration anew = Configuration.read(file);
         net.onLoop(() -> front.postedAnew(anew));
-      } catch (BadBriefing e) {
+      } catch (InvalidSettingsException e) {
         net.onLoop(() -> warn("new configuration not used", file.getFileName(), e.getMessage()));
       }
     }
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -17,7 +17,7 @@
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
-import linengauge.settings.BadBriefing;
+import linengauge.settings.InvalidSettingsException;
 
 /**
  * A fleet of the platform's fronts in virtual time, all of it from a seed: fronts as they run
@@ -349,7 +349,7 @@
                               configuration(number).getBytes(StandardCharsets.UTF_8)),
                           net,
                           new Log(number));
-                } catch (BadBriefing e) {
+                } catch (InvalidSettingsException e) {
                   throw new IllegalStateException(e);
                 }
                 s.front.start(failed -> viewers.test(number));
--- a/src/main/java/linengauge/settings/Briefing.java
+++ b/src/main/java/linengauge/settings/Settings.java
@@ -12,17 +12,17 @@
  * asks for is dropped. Names of packages, buildings and kinds are for carriers that hear names
  * where the simulator gives numbers.
  */
-public record Briefing(
-    Headend headend,
-    List<String> packages,
-    List<String> buildings,
-    List<String> kinds,
-    Span dial,
-    Span restingClosed,
-    Span longestPatience) {
+public record Settings(
+    Headend deployment,
+    List<String> packageNames,
+    List<String> buildingNames,
+    List<String> kindNames,
+    Span dialTimeout,
+    Span idleCloseAfter,
+    Span longestTimeLimit) {
 
   /** Throws where a value has the wrong type; absent ones mean none. */
-  public static Briefing read(Map<?, ?> conf) throws BadBriefing {
+  public static Settings read(Map<?, ?> conf) throws InvalidSettingsException {
     Map<?, ?> limits = map(conf, "policyLimits");
     Span patience = Span.NONE;
     List<String> packages = new ArrayList<>();
@@ -34,8 +34,8 @@
         }
       }
     }
-    return new Briefing(
-        headend(conf),
+    return new Settings(
+        deployment(conf),
         List.copyOf(packages),
         names(conf, "localities"),
         names(conf, "kinds"),
@@ -52,7 +52,7 @@
     return List.copyOf(names);
   }
 
-  private static Headend headend(Map<?, ?> conf) throws BadBriefing {
+  private static Headend deployment(Map<?, ?> conf) throws InvalidSettingsException {
     Map<?, ?> domain = map(conf, "domain");
     Map<?, ?> limits = map(conf, "policyLimits");
     Map<?, ?> rules = map(conf, "guarantees");
@@ -65,11 +65,11 @@
     double[] seats = numbers(domain, "licenceCap");
     List<PackageTerms> packages = new ArrayList<>();
     if (!(conf.get("requestClasses") instanceof List<?> classes)) {
-      throw new BadBriefing("conf: 'requestClasses' should be a list");
+      throw new InvalidSettingsException("conf: 'requestClasses' should be a list");
     }
     for (Object one : classes) {
       if (!(one instanceof Map<?, ?> c)) {
-        throw new BadBriefing("conf: a request class should be an object");
+        throw new InvalidSettingsException("conf: a request class should be an object");
       }
       int i = packages.size();
       packages.add(
@@ -129,7 +129,8 @@
     return from.get(key) instanceof Map<?, ?> m ? m : Map.of();
   }
 
-  private static double number(Map<?, ?> from, String key, double absent) throws BadBriefing {
+  private static double number(Map<?, ?> from, String key, double absent)
+      throws InvalidSettingsException {
     Object v = from.get(key);
     if (v == null) {
       return absent;
@@ -137,10 +138,10 @@
     if (v instanceof Double d) {
       return d;
     }
-    throw new BadBriefing("conf: '" + key + "' should be a number");
+    throw new InvalidSettingsException("conf: '" + key + "' should be a number");
   }
 
-  private static Span span(Map<?, ?> from, String key) throws BadBriefing {
+  private static Span span(Map<?, ?> from, String key) throws InvalidSettingsException {
     return new Span(Math.round(number(from, key, 0)));
   }
 
@@ -148,14 +149,14 @@
     return i < values.length ? values[i] : absent;
   }
 
-  private static double[] numbers(Map<?, ?> from, String key) throws BadBriefing {
+  private static double[] numbers(Map<?, ?> from, String key) throws InvalidSettingsException {
     if (!(from.get(key) instanceof List<?> list)) {
       return new double[0];
     }
     double[] values = new double[list.size()];
     for (int i = 0; i < values.length; i++) {
       if (!(list.get(i) instanceof Double d)) {
-        throw new BadBriefing("conf: '" + key + "' should hold numbers");
+        throw new InvalidSettingsException("conf: '" + key + "' should hold numbers");
       }
       values[i] = d;
     }
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -20,8 +20,8 @@
 import linengauge.session.BoxTable.Row;
 import linengauge.session.TitleTable;
 import linengauge.session.Words;
-import linengauge.settings.BadBriefing;
-import linengauge.settings.Briefing;
+import linengauge.settings.InvalidSettingsException;
+import linengauge.settings.Settings;
 import linengauge.wire.WireHost.Wrong;
 
 /** One front: turns ids into the module's handles and its decisions into actions. */
@@ -65,8 +65,8 @@
     this.complaints = complaints;
     Headend headend;
     try {
-      headend = Briefing.read(conf).headend();
-    } catch (BadBriefing e) {
+      headend = Settings.read(conf).deployment();
+    } catch (InvalidSettingsException e) {
       throw new Wrong(e.getMessage());
     }
     this.packages = headend.packages();
--- a/src/test/java/linengauge/platform/ServiceTest.java
+++ b/src/test/java/linengauge/platform/ServiceTest.java
@@ -304,7 +304,7 @@
       Files.writeString(file, bad);
       var e =
           org.junit.jupiter.api.Assertions.assertThrows(
-              linengauge.settings.BadBriefing.class, () -> Configuration.read(file));
+              linengauge.settings.InvalidSettingsException.class, () -> Configuration.read(file));
       assertTrue(e.getMessage().lines().count() == 1, e.getMessage());
     }
   }
