--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -43,7 +43,7 @@
 
   /** Carries nothing: set-ups are answered by the benchmark, wakes are never due. */
   private static final class Mute implements Carrier {
-    private final ArrayDeque<Held> out = new ArrayDeque<>();
+    private final ArrayDeque<Session> out = new ArrayDeque<>();
 
     @Override
     public Wake wakeAfter(Span span, Runnable step) {
@@ -51,15 +51,15 @@
     }
 
     @Override
-    public void setUp(Held vw, int tuneIn) {
+    public void setUp(Session vw, int tuneIn) {
       out.add(vw);
     }
 
     @Override
-    public void rung(Held vw) {}
+    public void rung(Session vw) {}
 
     @Override
-    public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {}
+    public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {}
 
     @Override
     public void probe(BoxTable.Entry box) {}
@@ -75,7 +75,7 @@
 
   private static final class Nobody implements Viewer {
     @Override
-    public void plays(Held vw) {}
+    public void plays(Session vw) {}
 
     @Override
     public void blocked(Span comeBackAfter, Outside.Refusal reason) {
@@ -98,7 +98,7 @@
 
   private final Mute carrier = new Mute();
   private final Viewer nobody = new Nobody();
-  private final ArrayDeque<Held> playing = new ArrayDeque<>();
+  private final ArrayDeque<Session> playing = new ArrayDeque<>();
   private final SplittableRandom chance = new SplittableRandom(1);
   private Desk desk;
   private long now = 1_000_000_000L;
@@ -152,14 +152,15 @@
     now += 1000;
     desk.clock(new Moment(now));
     int title = chance.nextInt(200);
-    Held vw =
+    Session vw =
         desk.take(
-            new Held.Ask("t" + title, title * 5 % boxes, 4, 0, TERMS, 4, Span.ofSeconds(3), null),
+            new Session.SessionRequest(
+                "t" + title, title * 5 % boxes, 4, 0, TERMS, 4, Span.ofSeconds(3), null),
             nobody);
     while (!carrier.out.isEmpty()) {
-      Held one = carrier.out.poll();
-      one.sendable(0);
-      one.plays(0);
+      Session one = carrier.out.poll();
+      one.tryBeginSend(0);
+      one.setUpSucceeded(0);
     }
     playing.add(vw);
   }
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -25,7 +25,7 @@
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.site.Site;
 import org.slf4j.LoggerFactory;
 
@@ -72,13 +72,13 @@
   private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxCalls.class));
 
   /** Set-ups out; each leaves with its outcome or when it is withdrawn. */
-  private final Map<Held, Out> out = new HashMap<>();
+  private final Map<Session, Out> out = new HashMap<>();
 
   /**
    * Rungs being told, one call a viewing; each leaves when the box has the latest or the tries are
    * used up.
    */
-  private final Map<Held, Integer> rungs = new HashMap<>();
+  private final Map<Session, Integer> rungs = new HashMap<>();
 
   /** Ends that boxes are still to hear of; bounded by the site file. */
   private int ends;
@@ -132,7 +132,7 @@
 
   /* ---- set-ups ---- */
 
-  void setUp(Held vw, int tuneIn) {
+  void setUp(Session vw, int tuneIn) {
     BoxTable.Entry box = vw.box();
     Out o = new Out(box, tuneIn, program.viewerOf(vw).base());
     out.put(vw, o);
@@ -140,21 +140,21 @@
         setUps,
         to(box, HttpMethod.PUT, "/viewings/" + vw.id(), site.boxes().connectMs()),
         request -> {
-          if (o.over || !vw.sendable(tuneIn)) {
+          if (o.over || !vw.tryBeginSend(tuneIn)) {
             request.reset();
             ended(vw, o, Ending.NEVER_SENT);
             return;
           }
           o.request = request;
           o.sent = true;
-          int rung = vw.rungNow();
+          int rung = vw.currentRung();
           String body =
               JSON.createObjectNode()
-                  .put("key", vw.ask().key())
+                  .put("key", vw.request().key())
                   .put("front", site.front().number())
                   .put("tuneIn", tuneIn)
-                  .put("title", vw.ask().title())
-                  .put("package", site.packages().get(vw.ask().pack()).name())
+                  .put("title", vw.request().title())
+                  .put("package", site.packages().get(vw.request().packageIndex()).name())
                   .put("rung", rung)
                   .toString();
           request.putHeader("Content-Type", "application/json");
@@ -209,7 +209,7 @@
     }
   }
 
-  private void ended(Held vw, Out o, Ending how) {
+  private void ended(Session vw, Out o, Ending how) {
     program.onDesk(
         () -> {
           if (!o.over) {
@@ -218,7 +218,7 @@
             if (how == Ending.BROKEN) {
               tellEnd(vw, o.box, o.tuneIn); // it may run there
             }
-            vw.failed(o.tuneIn, how);
+            vw.setUpFailed(o.tuneIn, how);
           }
         });
   }
@@ -227,7 +227,7 @@
    * On the loop of the call: reads the answer and rewrites the playlist; the desk hears the
    * outcome.
    */
-  private void read(Held vw, Out o, BoxTable.Entry box, int rung, HttpClientResponse r) {
+  private void read(Session vw, Out o, BoxTable.Entry box, int rung, HttpClientResponse r) {
     int status = r.statusCode();
     program.onDesk(() -> told(box, r));
     if (status != 201) {
@@ -263,15 +263,15 @@
         });
   }
 
-  private void plays(Held vw, Out o, BoxTable.Entry box, String playlist) {
+  private void plays(Session vw, Out o, BoxTable.Entry box, String playlist) {
     if (o.over) {
       return;
     }
     o.over = true;
     out.remove(vw, o);
     program.viewerOf(vw).playlist(playlist);
-    program.viewerOf(vw).rungBytes(site.bytesOf(vw.ask().pack(), vw.rungNow()));
-    vw.plays(o.tuneIn);
+    program.viewerOf(vw).rungBytes(site.bytesOf(vw.request().packageIndex(), vw.currentRung()));
+    vw.setUpSucceeded(o.tuneIn);
     if (vw.isPlaying()) {
       program.notes().playing(vw, box);
     }
@@ -284,13 +284,13 @@
   }
 
   /** The box answered with what no player can use: the viewing may run there and must end there. */
-  private void broken(Held vw, Out o, BoxTable.Entry box, String what) {
+  private void broken(Session vw, Out o, BoxTable.Entry box, String what) {
     program.onDesk(
         () -> {
           if (!o.over) {
             log.warn("broken playlist", box.toString(), what);
             withdraw(vw, box, o.tuneIn);
-            vw.failed(o.tuneIn, Ending.SPOILT);
+            vw.setUpFailed(o.tuneIn, Ending.SPOILT);
           }
         });
   }
@@ -301,7 +301,7 @@
    * Ends a viewing or tune-in at its box; tried again a bounded number of times, then left to the
    * box's lease.
    */
-  void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+  void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
     Out o = out.remove(vw);
     if (o != null && !o.over) {
       o.over = true;
@@ -316,7 +316,7 @@
     tellEnd(vw, box, tuneIn);
   }
 
-  private void tellEnd(Held vw, BoxTable.Entry box, int tuneIn) {
+  private void tellEnd(Session vw, BoxTable.Entry box, int tuneIn) {
     if (ends >= site.boxes().waitingEnds()) {
       endsGivenUp++;
       log.warn("end not told", box.toString(), "too many wait");
@@ -363,14 +363,14 @@
 
   /* ---- rungs ---- */
 
-  void rung(Held vw) {
-    if (rungs.put(vw, vw.rungNow()) == null) {
+  void rung(Session vw) {
+    if (rungs.put(vw, vw.currentRung()) == null) {
       tellRung(vw, vw.box(), site.boxes().rungTries());
     }
   }
 
-  private void tellRung(Held vw, BoxTable.Entry box, int tries) {
-    int told = vw.rungNow();
+  private void tellRung(Session vw, BoxTable.Entry box, int tries) {
+    int told = vw.currentRung();
     String body = JSON.createObjectNode().put("rung", told).toString();
     call(
         HttpMethod.PATCH,
@@ -384,7 +384,7 @@
           } else if (status == 404 || status == 410) {
             rungs.remove(vw);
             vw.boxLost();
-          } else if (status == 200 && vw.rungNow() == told || tries <= 1) {
+          } else if (status == 200 && vw.currentRung() == told || tries <= 1) {
             rungs.remove(vw);
           } else {
             tellRung(vw, box, status == 200 ? site.boxes().rungTries() : tries - 1);
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/Caller.java
@@ -143,7 +143,7 @@
     if (takes != null) {
       ViewerEnd viewer = takes;
       log.warn("viewer let go", viewer.held().id(), figures(a));
-      program.onDesk(() -> viewer.held().letGo());
+      program.onDesk(() -> viewer.held().dropSlowViewer());
     }
     // What waits is thrown away, here and in the system: a viewer that reads nothing would keep it
     // for ever.
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -21,7 +21,7 @@
 import linengauge.carry.Wall;
 import linengauge.flow.DoorBook;
 import linengauge.hls.Paths;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.session.Viewer;
 import linengauge.site.Site;
 import linengauge.vrrp.RouterTerms;
@@ -224,7 +224,7 @@
   }
 
   private void join(HttpServerRequest r, Caller c, String title) {
-    Held.Ask ask = readAsk(r, title);
+    Session.SessionRequest ask = readAsk(r, title);
     if (ask == null) {
       return; // refused
     }
@@ -237,7 +237,7 @@
             loop,
             r.response(),
             program.routes(),
-            site.bytesOf(ask.pack(), 0),
+            site.bytesOf(ask.packageIndex(), 0),
             c.lease() == null ? "" : "http://" + site.front().viewers());
     r.response().exceptionHandler(e -> {});
     if (!program.askOnDesk(() -> end.held(program.core().take(ask, end)))) {
@@ -247,14 +247,14 @@
     c.waits(() -> program.onDesk(() -> leaveUnlessPlaying(end.held())));
   }
 
-  private static void leaveUnlessPlaying(Held held) {
+  private static void leaveUnlessPlaying(Session held) {
     if (held != null && !held.isPlaying()) {
       held.viewerLeft();
     }
   }
 
   /** What is asked for; null where that was refused. */
-  private Held.Ask readAsk(HttpServerRequest r, String title) {
+  private Session.SessionRequest readAsk(HttpServerRequest r, String title) {
     String pack = r.getParam("package");
     Integer number = pack == null ? null : packages.get(pack);
     String key = r.getParam("key");
@@ -278,7 +278,7 @@
       refuse(r, 404, "no such title");
       return null;
     }
-    return new Held.Ask(
+    return new Session.SessionRequest(
         title,
         where == null ? 0 : where.first(),
         where == null ? 0 : where.inRow(),
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -26,8 +26,8 @@
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
 import linengauge.session.Desk;
-import linengauge.session.Held;
 import linengauge.session.ListFollower;
+import linengauge.session.Session;
 import linengauge.site.Site;
 import linengauge.vrrp.Fitness;
 import linengauge.vrrp.udp.Lease;
@@ -147,7 +147,7 @@
     return vrrp.lease(vrid);
   }
 
-  ViewerEnd viewerOf(Held vw) {
+  ViewerEnd viewerOf(Session vw) {
     return (ViewerEnd) vw.viewer();
   }
 
@@ -408,18 +408,18 @@
   }
 
   @Override
-  public void setUp(Held vw, int tuneIn) {
+  public void setUp(Session vw, int tuneIn) {
     calls.setUp(vw, tuneIn);
   }
 
   @Override
-  public void rung(Held vw) {
-    viewerOf(vw).rungBytes(site.bytesOf(vw.ask().pack(), vw.rungNow()));
+  public void rung(Session vw) {
+    viewerOf(vw).rungBytes(site.bytesOf(vw.request().packageIndex(), vw.currentRung()));
     calls.rung(vw);
   }
 
   @Override
-  public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+  public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
     calls.withdraw(vw, box, tuneIn);
   }
 
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -15,7 +15,7 @@
 import linengauge.carry.Wall;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.site.Site;
 import org.slf4j.LoggerFactory;
 
@@ -39,7 +39,7 @@
     private final BoxTable.Entry entry;
 
     /** Viewings that play here, by id; each leaves as it ends. */
-    private final Map<String, Held> playing = new LinkedHashMap<>();
+    private final Map<String, Session> playing = new LinkedHashMap<>();
 
     private final Backoff pause;
     private Stream stream;
@@ -123,7 +123,7 @@
     }
 
     private void lose() {
-      for (Held vw : List.copyOf(playing.values())) {
+      for (Session vw : List.copyOf(playing.values())) {
         vw.boxLost();
       }
       playing.clear();
@@ -184,24 +184,24 @@
           note.path("ageMs").canConvertToLong() && note.path("ageMs").asLong() >= 0
               ? Span.ofMillis(Math.min(note.path("ageMs").asLong(), LONGEST_AGE_MS))
               : null);
-      Held gone = note.has("ended") ? playing.get(note.path("ended").asText()) : null;
+      Session gone = note.has("ended") ? playing.get(note.path("ended").asText()) : null;
       if (gone != null) {
         gone.boxLost();
       }
       if (playing.isEmpty()) {
         return;
       }
-      Held one = playing.values().iterator().next();
+      Session one = playing.values().iterator().next();
       if (note.path("share").isNumber()) {
         double share = note.path("share").asDouble();
         if (share >= 0 && share <= 1) {
-          one.shareDelivered(share);
+          one.deliveredShareReported(share);
         }
       }
       double link = told(note.path("link"));
       double uplink = told(note.path("uplink"));
       if (!Double.isNaN(link) || !Double.isNaN(uplink)) {
-        one.loadsTold(link, uplink);
+        one.loadsReported(link, uplink);
       }
     }
 
@@ -226,7 +226,7 @@
   }
 
   /** A viewing plays at a box. */
-  void playing(Held vw, BoxTable.Entry entry) {
+  void playing(Session vw, BoxTable.Entry entry) {
     Box b = boxes.computeIfAbsent(entry, Box::new);
     b.usedAt = Wall.micros();
     b.playing.put(vw.id(), vw);
@@ -236,7 +236,7 @@
   }
 
   /** A viewing no longer plays at a box. */
-  void over(Held vw, BoxTable.Entry entry) {
+  void over(Session vw, BoxTable.Entry entry) {
     Box b = boxes.get(entry);
     if (b != null && b.playing.remove(vw.id()) != null) {
       b.usedAt = Wall.micros();
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -8,7 +8,7 @@
 import linengauge.Outside;
 import linengauge.Span;
 import linengauge.carry.Wall;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.session.Viewer;
 
 /**
@@ -35,7 +35,7 @@
   private final double lowestBytes;
 
   private final String base;
-  private Held held;
+  private Session held;
   private String playlist;
 
   ViewerEnd(
@@ -72,11 +72,11 @@
     this.playlist = text;
   }
 
-  Held held() {
+  Session held() {
     return held;
   }
 
-  void held(Held taken) {
+  void held(Session taken) {
     this.held = taken;
   }
 
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void plays(Held vw) {
+  public void plays(Session vw) {
     lastAsked = Wall.micros();
     var at = linengauge.site.Site.Address.of(vw.box().address());
     route = new Route(at.host(), at.port());
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -13,7 +13,7 @@
 import linengauge.platform.keep.AcceptBacklog;
 import linengauge.platform.keep.IdleConnection;
 import linengauge.platform.keep.IdleConnections;
-import linengauge.session.Held;
+import linengauge.session.Session;
 
 /**
  * Where viewers connect: ids to viewings, and what is owed to viewers whose connection has gone.
@@ -208,7 +208,7 @@
     PackageTerms terms = front.briefing().deployment().packages().get(pack);
     int ceiling = form.ceiling() < 0 ? terms.highestRung() : (int) form.ceiling();
     var ask =
-        new Held.Ask(
+        new Session.SessionRequest(
             form.title(),
             (int) Math.max(0, form.firstCell()),
             (int) Math.max(0, form.cellsInRow()),
@@ -230,10 +230,10 @@
     }
     ClientSession seat =
         new ClientSession(
-            this, id, form.pack(), form.description(), line, front.now().plus(ask.patience()));
+            this, id, form.pack(), form.description(), line, front.now().plus(ask.timeLimit()));
     seats.put(id, seat);
     line.waits(seat);
-    Held held = front.desk().take(ask, seat);
+    Session held = front.desk().take(ask, seat);
     seat.held(held);
   }
 
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -6,7 +6,7 @@
 import linengauge.platform.LogEvent.Kind;
 import linengauge.platform.codec.ViewerMessages;
 import linengauge.session.BoxTable;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.session.Viewer;
 
 /**
@@ -25,7 +25,7 @@
   private ClientConnection asker;
 
   private final int length;
-  private Held held;
+  private Session held;
 
   /** What the box answered; written to the viewer as it came. */
   private byte[] answer;
@@ -132,11 +132,11 @@
     return length;
   }
 
-  Held held() {
+  Session held() {
     return held;
   }
 
-  void held(Held given) {
+  void held(Session given) {
     held = given;
   }
 
@@ -156,7 +156,7 @@
   }
 
   @Override
-  public void plays(Held vw) {
+  public void plays(Session vw) {
     stands = true;
     asker.home(this);
     settle(ViewerMessages.plays(id, answer));
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -14,7 +14,7 @@
 import linengauge.platform.keep.SpentIds;
 import linengauge.platform.keep.UnconfirmedEnds;
 import linengauge.session.Carrier.Wake;
-import linengauge.session.Held;
+import linengauge.session.Session;
 
 /** One connection to a media box, from being tried until it has closed. */
 final class ServerConnection implements BoxLines.Heard {
@@ -39,12 +39,12 @@
 
   /** A set-up that is out on it, or waits for it to come up. */
   private static final class Out {
-    private final Held held;
+    private final Session held;
     private final int tuneIn;
     private boolean written;
     private Moment writtenAt;
 
-    private Out(Held held, int tuneIn) {
+    private Out(Session held, int tuneIn) {
       this.held = held;
       this.tuneIn = tuneIn;
     }
@@ -59,7 +59,7 @@
   private final SpentIds spent = new SpentIds(MOST_SPENT, SPENT_KEPT);
 
   /** An attempt whose end was written here; none where it is that of a session that stood. */
-  private record GivenUp(Held held, int attempt) {}
+  private record GivenUp(Session held, int attempt) {}
 
   private final UnconfirmedEnds<GivenUp> unconfirmed =
       new UnconfirmedEnds<>(MOST_SPENT, SPENT_KEPT);
@@ -105,7 +105,7 @@
   }
 
   /** When that set-up was written here; null where it was not. */
-  Moment writtenAt(Held vw, int tuneIn) {
+  Moment writtenAt(Session vw, int tuneIn) {
     Out out = outs.get(((ClientSession) vw.viewer()).id());
     return out != null && out.held == vw && out.tuneIn == tuneIn ? out.writtenAt : null;
   }
@@ -208,7 +208,7 @@
     return spent.has(id, front().now());
   }
 
-  void setUp(Held vw, int tuneIn) {
+  void setUp(Session vw, int tuneIn) {
     Out out = new Out(vw, tuneIn);
     outs.put(((ClientSession) vw.viewer()).id(), out);
     if (isUp()) {
@@ -228,23 +228,23 @@
   }
 
   private void leave(long id, Out out) {
-    if (!out.held.sendable(out.tuneIn)) {
+    if (!out.held.tryBeginSend(out.tuneIn)) {
       outs.remove(id, out);
-      front().later(() -> out.held.failed(out.tuneIn, Ending.NEVER_SENT));
+      front().later(() -> out.held.setUpFailed(out.tuneIn, Ending.NEVER_SENT));
       return;
     }
     out.written = true;
     out.writtenAt = front().now();
     spent.add(id, out.writtenAt);
     ClientSession seat = (ClientSession) out.held.viewer();
-    seat.attemptSent(out.tuneIn, link.box(), number, out.held.waitLeft());
+    seat.attemptSent(out.tuneIn, link.box(), number, out.held.remainingWait());
     write(
         BoxLines.setUp(
             id,
             seat.pack(),
-            out.held.ask().title(),
-            Math.max(1, out.held.waitLeft().micros() / 1000),
-            out.held.rungNow(),
+            out.held.request().title(),
+            Math.max(1, out.held.remainingWait().micros() / 1000),
+            out.held.currentRung(),
             seat.description()));
   }
 
@@ -273,7 +273,7 @@
 
   /**
    * Asks whether the box is there at all: any answer is a sign, none is judged by {@link
-   * ServerLink#look}.
+   * ServerLink#checkIdle}.
    */
   void ask(long id) {
     writeTest(id);
@@ -290,7 +290,7 @@
   }
 
   /** Takes back a set-up that is out here; false where it is not. */
-  boolean withdraw(Held vw, int tuneIn) {
+  boolean withdraw(Session vw, int tuneIn) {
     long id = ((ClientSession) vw.viewer()).id();
     Out out = outs.get(id);
     if (out == null || out.held != vw || out.tuneIn != tuneIn) {
@@ -300,7 +300,7 @@
     if (out.written) {
       ((ClientSession) vw.viewer()).logged(Kind.GIVE_UP_SENT, link.box(), tuneIn, number, "");
       end(id, new GivenUp(vw, tuneIn));
-      if (vw.waitLeft().equals(Span.NONE)) {
+      if (vw.remainingWait().equals(Span.NONE)) {
         line.unanswered(out.writtenAt);
       }
     }
@@ -319,7 +319,7 @@
     seat.answered(description);
     seat.logged(Kind.ATTEMPT_ANSWERED, link.box(), out.tuneIn, number, "");
     front().tick();
-    out.held.plays(out.tuneIn);
+    out.held.setUpSucceeded(out.tuneIn);
     // Where the core did not want it any more it has been taken back meanwhile, on this very
     // connection.
     if (outs.remove(id, out)) {
@@ -339,7 +339,7 @@
     outs.remove(id);
     ((ClientSession) out.held.viewer())
         .logged(Kind.ATTEMPT_ANSWERED, link.box(), out.tuneIn, number, "cause " + cause);
-    out.held.failed(out.tuneIn, BoxLines.unanswered(cause));
+    out.held.setUpFailed(out.tuneIn, BoxLines.unanswered(cause));
   }
 
   /** An end of that id has been written here and not been confirmed. */
@@ -373,25 +373,25 @@
 
   @Override
   public void shareDelivered(long id, double share) {
-    Held vw = link.playing(id);
+    Session vw = link.playing(id);
     if (vw != null) {
-      vw.shareDelivered(share);
+      vw.deliveredShareReported(share);
     }
   }
 
   @Override
   public void rungInForce(long id, int rung) {
-    Held vw = link.playing(id);
+    Session vw = link.playing(id);
     if (vw != null) {
-      vw.rungInForce(rung);
+      vw.rungReported(rung);
     }
   }
 
   @Override
   public void loadsTold(long id, double linkAsked, double uplinkAsked) {
-    Held vw = link.playing(id);
+    Session vw = link.playing(id);
     if (vw != null) {
-      vw.loadsTold(linkAsked, uplinkAsked);
+      vw.loadsReported(linkAsked, uplinkAsked);
     }
   }
 
@@ -446,7 +446,7 @@
           out.written && link.silence(out.writtenAt, this) == Ending.UNHEARD
               ? Ending.UNHEARD
               : Ending.BROKEN;
-      out.held.failed(out.tuneIn, out.written ? broken : Ending.NOT_REACHED);
+      out.held.setUpFailed(out.tuneIn, out.written ? broken : Ending.NOT_REACHED);
     }
     for (Wake timer : ServerLinks.taken(tests)) {
       timer.cancel();
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -14,7 +14,7 @@
 import linengauge.platform.keep.ReachabilityDetector;
 import linengauge.platform.keep.TimeoutCause;
 import linengauge.session.BoxTable;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.session.Viewer;
 
 /** One media box: its connections, and the viewings that stand there. */
@@ -75,11 +75,11 @@
 
   /* ---- what the core wants ---- */
 
-  void setUp(Held vw, int tuneIn) {
+  void setUp(Session vw, int tuneIn) {
     long id = ((ClientSession) vw.viewer()).id();
     ServerConnection w = connection(id);
     if (w == null || w.hasSpent(id)) {
-      front().later(() -> vw.failed(tuneIn, Ending.NEVER_SENT));
+      front().later(() -> vw.setUpFailed(tuneIn, Ending.NEVER_SENT));
     } else {
       w.setUp(vw, tuneIn);
     }
@@ -107,7 +107,7 @@
     send(seat, BoxLines.rung(seat.id(), rung));
   }
 
-  void withdraw(Held vw, int tuneIn) {
+  void withdraw(Session vw, int tuneIn) {
     ClientSession seat = (ClientSession) vw.viewer();
     for (ServerConnection w : List.copyOf(connections)) {
       if (w.withdraw(vw, tuneIn)) {
@@ -292,7 +292,7 @@
   /**
    * A connection has closed, or did not come up. One that this front closed since it rested leaves
    * nothing unsaid: nothing that plays was set up on it, and what has no connection of its own
-   * keeps all open ({@link #look}).
+   * keeps all open ({@link #checkIdle}).
    */
   void closed(ServerConnection w, boolean wasUp, boolean refused, boolean rested) {
     connections.remove(w);
@@ -381,7 +381,7 @@
     }
   }
 
-  Ending unanswered(Held vw, int tuneIn) {
+  Ending unanswered(Session vw, int tuneIn) {
     for (ServerConnection w : connections) {
       Moment writtenAt = w.writtenAt(vw, tuneIn);
       if (writtenAt != null) {
@@ -407,7 +407,7 @@
   }
 
   /** The viewing of that id that plays here, or null. */
-  Held playing(long id) {
+  Session playing(long id) {
     ClientSession seat = standing.get(id);
     return seat == null ? null : seat.held();
   }
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -8,7 +8,7 @@
 import linengauge.Span;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
-import linengauge.session.Held;
+import linengauge.session.Session;
 
 /**
  * All media boxes' connections, by the box's id: a successor may have the address of one that has
@@ -21,7 +21,9 @@
   private long tests;
   private int connectionNumber;
 
-  /** Emptied by {@link #look}: a link leaves once its box has gone and nothing of it is left. */
+  /**
+   * Emptied by {@link #checkIdle}: a link leaves once its box has gone and nothing of it is left.
+   */
   private final Map<Long, ServerLink> links = new LinkedHashMap<>();
 
   ServerLinks(PlatformFront front, int places) {
@@ -98,7 +100,7 @@
   }
 
   @Override
-  public void setUp(Held vw, int tuneIn) {
+  public void setUp(Session vw, int tuneIn) {
     BoxTable.Entry box = vw.box();
     // Guards against two out at once: what ends the one before may have been written while its
     // connection was being read,
@@ -107,29 +109,29 @@
     // for a viewer whose end has come with what is being read now.
     front.later(
         () -> {
-          if (vw.waitsFor(tuneIn)) {
+          if (vw.isAwaiting(tuneIn)) {
             link(box).setUp(vw, tuneIn);
           }
         });
   }
 
   @Override
-  public void rung(Held vw) {
-    link(vw.box()).rung((ClientSession) vw.viewer(), vw.rungNow());
+  public void rung(Session vw) {
+    link(vw.box()).rung((ClientSession) vw.viewer(), vw.currentRung());
   }
 
   @Override
-  public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+  public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
     link(box).withdraw(vw, tuneIn);
   }
 
   @Override
-  public Outside.Ending unanswered(Held vw, int tuneIn) {
+  public Outside.Ending unanswered(Session vw, int tuneIn) {
     return link(vw.box()).unanswered(vw, tuneIn);
   }
 
   @Override
-  public void askConfirmation(Held vw, long box) {
+  public void askConfirmation(Session vw, long box) {
     ServerLink link = links.get(box);
     if (link != null) {
       link.askConfirmation(((ClientSession) vw.viewer()).id());
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -19,27 +19,27 @@
   Wake wakeAfter(Span span, Runnable step);
 
   /**
-   * Sends a set-up to the viewing's box, if {@link Held#sendable} still says so when it can be
-   * written. Its outcome is told once by {@link Held#plays} or {@link Held#failed}.
+   * Sends a set-up to the viewing's box, if {@link Held#tryBeginSend} still says so when it can be
+   * written. Its outcome is told once by {@link Held#setUpSucceeded} or {@link Held#setUpFailed}.
    */
-  void setUp(Held vw, int tuneIn);
+  void setUp(Session vw, int tuneIn);
 
   /** Asks the box for the viewing's present rung. */
-  void rung(Held vw);
+  void rung(Session vw);
 
   /**
    * Ends a viewing or tune-in at a box, heard or not; a tune-in that is still out there is no
    * longer waited for, and what comes of it is told to nobody, but for {@link Held#endConfirmed}
    * once the box has shown that it is over there.
    */
-  void withdraw(Held vw, BoxTable.Entry box, int tuneIn);
+  void withdraw(Session vw, BoxTable.Entry box, int tuneIn);
 
   /**
    * What to make of a set-up that has been sent and not answered in its time, asked before it is
    * withdrawn: NO_ANSWER where nothing else is known, UNHEARD or HELD_UP where there is evidence of
    * these.
    */
-  default Outside.Ending unanswered(Held vw, int tuneIn) {
+  default Outside.Ending unanswered(Session vw, int tuneIn) {
     return Outside.Ending.NO_ANSWER;
   }
 
@@ -47,7 +47,7 @@
    * Asks that box to show that it has read the ends of that viewing's attempts, where they can
    * still be asked for on the connections that carried them.
    */
-  default void askConfirmation(Held vw, long box) {}
+  default void askConfirmation(Session vw, long box) {}
 
   /** Asks a box for its load; the outcome is told by {@link Desk#probed}. */
   void probe(BoxTable.Entry box);
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -65,10 +65,10 @@
    * Viewings whose answer is owed or which have a tune-in out or playing; bounded; each leaves when
    * neither holds.
    */
-  private final Set<Held> held = new LinkedHashSet<>();
+  private final Set<Session> held = new LinkedHashSet<>();
 
   /** Those of them whose viewer gave a key. */
-  private final Map<String, Held> byKey = new HashMap<>();
+  private final Map<String, Session> byKey = new HashMap<>();
 
   private Moment now = Moment.DISTANT_PAST;
   private long number;
@@ -148,11 +148,11 @@
    * Takes a request for a viewing; the viewer gets its one answer within the patience asked for.
    * Null where the answer, blocked, has been given already.
    */
-  public Held take(Held.Ask ask, Viewer viewer) {
+  public Session take(Session.SessionRequest ask, Viewer viewer) {
     Span unseen = standStill.unseen(now);
-    Span margin = bounds.answerMargin().orLess(ask.patience().times(Policy.MARGIN_PART));
-    Span patience = ask.patience().minus(unseen).minus(margin);
-    Held before = ask.key() == null ? null : byKey.get(ask.key());
+    Span margin = bounds.answerMargin().orLess(ask.timeLimit().times(Policy.MARGIN_PART));
+    Span patience = ask.timeLimit().minus(unseen).minus(margin);
+    Session before = ask.key() == null ? null : byKey.get(ask.key());
     boolean full = held.size() >= bounds.viewings();
     Refusal refusal = refusal(full, patience, before);
     if (refusal != null) {
@@ -162,35 +162,35 @@
       return null;
     }
     if (before != null) {
-      call(() -> before.leave(Viewer.End.REPLACED)); // the same viewer has come again
+      call(() -> before.terminate(Viewer.End.REPLACED)); // the same viewer has come again
     }
     counts.taken++;
-    Held vw = new Held(this, viewer, ask, prefix + number++, now.plus(patience));
+    Session vw = new Session(this, viewer, ask, prefix + number++, now.plus(patience));
     held.add(vw);
     if (ask.key() != null) {
       byKey.put(ask.key(), vw);
     }
     call(
         () -> {
-          vw.handle(
+          vw.setViewing(
               policy.take(
                   vw,
-                  ask.terms(),
+                  ask.packageSettings(),
                   titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
-                  ask.ceiling(),
+                  ask.ceilingRung(),
                   patience));
-          if (vw.done()) {
+          if (vw.isComplete()) {
             release(vw);
           }
         });
     if (!vw.isAnswered()) {
-      vw.answerBy(wake(patience, () -> overdue(vw)));
+      vw.setDeadlineTimer(wake(patience, () -> overdue(vw)));
     }
     return vw;
   }
 
   /** Why a request is not taken; null where it is. */
-  private Refusal refusal(boolean full, Span patience, Held before) {
+  private Refusal refusal(boolean full, Span patience, Session before) {
     if (broken) {
       return Refusal.FRONT_FAILED;
     }
@@ -211,7 +211,7 @@
    * (the box is not known here or gone, or the front is full or stopping): the viewer has been told
    * that it is over.
    */
-  public Held handOver(Held.Ask ask, long box, Viewer viewer) {
+  public Session handOver(Session.SessionRequest ask, long box, Viewer viewer) {
     BoxTable.Entry at = boxes.get(box);
     if (stopping
         || broken
@@ -221,17 +221,17 @@
       viewer.ended(Viewer.End.BOX_LOST);
       return null;
     }
-    Held vw = new Held(this, viewer, ask, prefix + number++, now);
+    Session vw = new Session(this, viewer, ask, prefix + number++, now);
     held.add(vw);
     call(
         () ->
-            vw.handedOver(
+            vw.adopted(
                 at,
                 policy.handOver(
                     vw,
-                    ask.terms(),
+                    ask.packageSettings(),
                     titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
-                    ask.ceiling(),
+                    ask.ceilingRung(),
                     at.handle())));
     return vw;
   }
@@ -240,25 +240,25 @@
    * Guards against any way in which an answer was not given in time, also by the module; a last
    * resort.
    */
-  private void overdue(Held vw) {
+  private void overdue(Session vw) {
     if (!vw.isAnswered()) {
-      vw.giveUp(Viewer.Cause.NO_ANSWER);
+      vw.failAndCancel(Viewer.Cause.NO_ANSWER);
     }
   }
 
   /** Takes a viewing out of the registry where its answer is given and nothing of it is out. */
-  void release(Held vw) {
-    if (vw.done() && held.remove(vw)) {
-      titles.release(vw.ask().title());
-      if (vw.ask().key() != null) {
-        byKey.remove(vw.ask().key(), vw);
+  void release(Session vw) {
+    if (vw.isComplete() && held.remove(vw)) {
+      titles.release(vw.request().title());
+      if (vw.request().key() != null) {
+        byKey.remove(vw.request().key(), vw);
       }
     }
   }
 
   /** The next look at whether a viewing that plays is still asked for. */
-  Carrier.Wake lookAfter(Span span, Held vw) {
-    return wake(span, () -> vw.look(bounds.idle()));
+  Carrier.Wake lookAfter(Span span, Session vw) {
+    return wake(span, () -> vw.checkIdle(bounds.idle()));
   }
 
   /** How long the front stood still just now. */
@@ -408,8 +408,8 @@
       deed.run();
     } catch (RuntimeException e) {
       broken = true;
-      for (Held vw : List.copyOf(held)) {
-        vw.frontFailed();
+      for (Session vw : List.copyOf(held)) {
+        vw.abandon();
       }
       held.clear();
       byKey.clear();
@@ -425,8 +425,8 @@
   /** Ends every viewing: those that wait are aborted, those that play are told so. */
   public void endAll() {
     stopping = true;
-    for (Held vw : List.copyOf(held)) {
-      call(() -> vw.frontStops());
+    for (Session vw : List.copyOf(held)) {
+      call(() -> vw.shutDown());
     }
   }
 }
--- a/src/main/java/linengauge/session/Held.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -11,12 +11,12 @@
  * playing. What happens to it is a call on this handle; every call may come at any time and in any
  * order, and is passed over where it no longer fits.
  */
-public final class Held implements Outside.Player {
+public final class Session implements Outside.Player {
   private final Desk desk;
   private final Viewer viewer;
-  private final Ask ask;
+  private final SessionRequest request;
   private final String id;
-  private final Moment patienceEnds;
+  private final Moment deadline;
   private Policy.Viewing handle;
 
   /** Until when the tune-in that is out is waited for. */
@@ -52,26 +52,26 @@
    * What was asked for: title and where it is held (cells from the first, 0: all), package, highest
    * rung, key.
    */
-  public record Ask(
+  public record SessionRequest(
       String title,
       int firstCell,
       int cellsInRow,
-      int pack,
-      PackageTerms terms,
-      int ceiling,
-      Span patience,
+      int packageIndex,
+      PackageTerms packageSettings,
+      int ceilingRung,
+      Span timeLimit,
       String key) {}
 
-  Held(Desk desk, Viewer viewer, Ask ask, String id, Moment patienceEnds) {
+  Session(Desk desk, Viewer viewer, SessionRequest ask, String id, Moment patienceEnds) {
     this.desk = desk;
     this.viewer = viewer;
-    this.ask = ask;
+    this.request = ask;
     this.id = id;
-    this.patienceEnds = patienceEnds;
+    this.deadline = patienceEnds;
   }
 
   /** The module's handle; the module may have decided before this is known. */
-  void handle(Policy.Viewing given) {
+  void setViewing(Policy.Viewing given) {
     this.handle = given;
   }
 
@@ -80,8 +80,8 @@
     return id;
   }
 
-  public Ask ask() {
-    return ask;
+  public SessionRequest request() {
+    return request;
   }
 
   public Viewer viewer() {
@@ -94,12 +94,12 @@
   }
 
   /** The rung in force, or the one to set up at. */
-  public int rungNow() {
+  public int currentRung() {
     return rung;
   }
 
   /** How much longer the tune-in that is out is waited for. */
-  public Span waitLeft() {
+  public Span remainingWait() {
     return waitEnds.since(desk.now()).orMore(Span.NONE);
   }
 
@@ -107,15 +107,15 @@
     return playing;
   }
 
-  Moment patienceEnds() {
-    return patienceEnds;
+  Moment deadline() {
+    return deadline;
   }
 
   boolean isAnswered() {
     return answered;
   }
 
-  boolean done() {
+  boolean isComplete() {
     return answered && !out;
   }
 
@@ -123,7 +123,7 @@
    * It plays already, at a box that another told this front of; from here on all is as if it had
    * been set up here.
    */
-  void handedOver(BoxTable.Entry box, Policy.Viewing given) {
+  void adopted(BoxTable.Entry box, Policy.Viewing given) {
     at = box;
     handle = given;
     tuneIns = 1;
@@ -148,7 +148,7 @@
         desk.wake(
             timeout,
             () -> {
-              if (waitsFor(n)) {
+              if (isAwaiting(n)) {
                 timedOut(n);
               }
             });
@@ -185,7 +185,7 @@
 
   @Override
   public void abort() {
-    abort(
+    fail(
         last == Outside.Ending.NO_ANSWER
                 || last == Outside.Ending.UNHEARD
                 || last == Outside.Ending.HELD_UP
@@ -193,7 +193,7 @@
             : Viewer.Cause.FAILED);
   }
 
-  void abort(Viewer.Cause cause) {
+  void fail(Viewer.Cause cause) {
     if (answer()) {
       desk.counts().aborted++;
       viewer.aborted(cause);
@@ -214,7 +214,7 @@
   /* ---- what the carrier tells ---- */
 
   /** That tune-in is out, or is to be sent, and has not been answered. */
-  public boolean waitsFor(int tuneIn) {
+  public boolean isAwaiting(int tuneIn) {
     return out && !playing && tuneIn == tuneIns - 1;
   }
 
@@ -225,12 +225,12 @@
    * and sending, where what was chosen before would leave together with what is chosen after, and
    * for a box that was warm then and has been heard to start since. After a yes it counts as sent.
    */
-  public boolean sendable(int tuneIn) {
+  public boolean tryBeginSend(int tuneIn) {
     boolean may =
-        waitsFor(tuneIn)
+        isAwaiting(tuneIn)
             && !answered
             && at.state() == BoxTable.State.SERVING
-            && desk.now().before(patienceEnds)
+            && desk.now().before(deadline)
             && desk.now().since(chosenAt).under(Policy.UNTIL_SENT)
             && at.lives() == lifeChosen;
     sent |= may;
@@ -238,14 +238,14 @@
   }
 
   /** The box has set it up. Late, or no longer wanted: it is ended there. */
-  public void plays(int tuneIn) {
-    if (!waitsFor(tuneIn)) {
+  public void setUpSucceeded(int tuneIn) {
+    if (!isAwaiting(tuneIn)) {
       return; // given back when it was no longer waited for
     }
     desk.call(
         () -> {
-          if (!answered && patienceEnds.before(desk.now())) {
-            giveUp(
+          if (!answered && deadline.before(desk.now())) {
+            failAndCancel(
                 Viewer.Cause
                     .NO_ANSWER); // its viewer has gone, and the timer that says so is late itself
             return;
@@ -275,8 +275,8 @@
   }
 
   /** A tune-in that is out has failed. */
-  public void failed(int tuneIn, Outside.Ending how) {
-    if (waitsFor(tuneIn)) {
+  public void setUpFailed(int tuneIn, Outside.Ending how) {
+    if (isAwaiting(tuneIn)) {
       desk.call(() -> end(how, false));
     }
   }
@@ -289,7 +289,7 @@
   }
 
   /** The box has told the share delivered. */
-  public void shareDelivered(double share) {
+  public void deliveredShareReported(double share) {
     if (playing) {
       desk.call(() -> handle.shareDelivered(share));
     }
@@ -299,14 +299,14 @@
    * The box has told what is asked of link and uplink over what they give; NaN for what it does not
    * tell.
    */
-  public void loadsTold(double link, double uplink) {
+  public void loadsReported(double link, double uplink) {
     if (out) {
       desk.call(() -> handle.loadsTold(link, uplink));
     }
   }
 
   /** The box has told the rung in force. */
-  public void rungInForce(int told) {
+  public void rungReported(int told) {
     if (playing) {
       rung = told;
       desk.call(() -> handle.rungInForce(told));
@@ -334,22 +334,22 @@
   /**
    * The viewer takes less than it is owed and is let go: box, stream and seat are given back now.
    */
-  public void letGo() {
+  public void dropSlowViewer() {
     desk.call(
         () -> {
           if (playing) {
             desk.counts().letGo++;
-            leave(Viewer.End.LET_GO);
+            terminate(Viewer.End.LET_GO);
           }
         });
   }
 
   /** The viewer has gone, asked for its end, or broke the connection on which it waited. */
   public void viewerLeft() {
-    desk.call(() -> leave(Viewer.End.LEFT));
+    desk.call(() -> terminate(Viewer.End.LEFT));
   }
 
-  void leave(Viewer.End how) {
+  void terminate(Viewer.End how) {
     if (playing) {
       giveBack(tuneIns - 1);
       stop(Outside.Ending.FINISHED, how);
@@ -371,17 +371,17 @@
    * The front ends in order: a viewing that plays is told so; one that waits is aborted, as it may
    * have run.
    */
-  void frontStops() {
+  void shutDown() {
     if (playing) {
-      leave(Viewer.End.STOPPED);
+      terminate(Viewer.End.STOPPED);
     } else if (!answered) {
-      giveUp(Viewer.Cause.FRONT_FAILED);
+      failAndCancel(Viewer.Cause.FRONT_FAILED);
     }
   }
 
   /** The answer is given in the module's place; what is out is taken back. */
-  void giveUp(Viewer.Cause cause) {
-    abort(cause);
+  void failAndCancel(Viewer.Cause cause) {
+    fail(cause);
     handle.viewerLeft();
     if (out) {
       giveBack(tuneIns - 1);
@@ -390,7 +390,7 @@
   }
 
   /** The module has failed: nothing is asked of it any more. */
-  void frontFailed() {
+  void abandon() {
     if (out) {
       giveBack(tuneIns - 1);
       out = false;
@@ -401,7 +401,7 @@
       playing = false;
       viewer.ended(Viewer.End.STOPPED);
     }
-    abort(Viewer.Cause.FRONT_FAILED);
+    fail(Viewer.Cause.FRONT_FAILED);
   }
 
   private void stop(Outside.Ending ending, Viewer.End how) {
@@ -428,7 +428,7 @@
   }
 
   /** Ended where nothing was asked of it for the bound; else looked at again when that could be. */
-  void look(Span bound) {
+  void checkIdle(Span bound) {
     if (!playing) {
       return;
     }
@@ -437,12 +437,12 @@
     if (Span.NONE.under(left)) {
       nextLook = desk.lookAfter(left, this);
     } else {
-      leave(Viewer.End.IDLE);
+      terminate(Viewer.End.IDLE);
     }
   }
 
   /** The last resort by which the answer is given. */
-  void answerBy(Carrier.Wake wake) {
+  void setDeadlineTimer(Carrier.Wake wake) {
     answerBy = wake;
   }
 
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -27,7 +27,7 @@
     LET_GO
   }
 
-  void plays(Held vw);
+  void plays(Session vw);
 
   /** A further try is harmless, best after the span (none: no advice). */
   void blocked(Span comeBackAfter, Outside.Refusal reason);
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -62,7 +62,7 @@
     final String ask;
     final int front;
     final Moment asked = now;
-    Held held;
+    Session held;
     String answer;
     Span advice;
     End end;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void plays(Held vw) {
+    public void plays(Session vw) {
       answered("plays", vw.id());
       if (leavesAsItPlays) {
         vw.viewerLeft();
@@ -165,7 +165,7 @@
           () ->
               w.held =
                   desk.take(
-                      new Held.Ask(
+                      new Session.SessionRequest(
                           title,
                           title.hashCode() % 4,
                           3,
@@ -197,17 +197,17 @@
     }
 
     @Override
-    public void setUp(Held vw, int tuneIn) {
+    public void setUp(Session vw, int tuneIn) {
       Box box = boxes.get((int) vw.box().id());
       on(
           Span.ofMillis(holdBack ? 300 : 1),
           () -> {
-            if (!vw.sendable(tuneIn)) {
-              vw.failed(tuneIn, Outside.Ending.NEVER_SENT);
+            if (!vw.tryBeginSend(tuneIn)) {
+              vw.setUpFailed(tuneIn, Outside.Ending.NEVER_SENT);
               return;
             }
             if (box.mood == Mood.REFUSES) {
-              vw.failed(tuneIn, Outside.Ending.NOT_REACHED);
+              vw.setUpFailed(tuneIn, Outside.Ending.NOT_REACHED);
               return;
             }
             saw(
@@ -217,10 +217,10 @@
                 vw.id(),
                 number,
                 tuneIn,
-                vw.ask().title(),
-                NAMES[vw.ask().pack()],
-                vw.rungNow(),
-                vw.ask().key());
+                vw.request().title(),
+                NAMES[vw.request().packageIndex()],
+                vw.currentRung(),
+                vw.request().key());
             switch (box.mood) {
               case WELL, LATE -> {
                 long ms = box.mood == Mood.LATE ? 1500 : 20 + chance.nextInt(40);
@@ -232,7 +232,7 @@
                       }
                       heard(box, vw, tuneIn, "plays");
                       box.runs.add(vw.id());
-                      on(Span.ofMillis(1), () -> vw.plays(tuneIn));
+                      on(Span.ofMillis(1), () -> vw.setUpSucceeded(tuneIn));
                     });
               }
               case ERRORS -> ends(box, vw, tuneIn, "error", Outside.Ending.ERROR);
@@ -241,31 +241,33 @@
                 saw(
                     "'what':'set-up-broken','box':%d,'viewing':'%s','tuneIn':%d",
                     box.id, vw.id(), tuneIn);
-                on(Span.ofMillis(1), () -> vw.failed(tuneIn, Outside.Ending.BROKEN));
+                on(Span.ofMillis(1), () -> vw.setUpFailed(tuneIn, Outside.Ending.BROKEN));
               }
               default -> {}
             }
           });
     }
 
-    private void ends(Box box, Held vw, int tuneIn, String how, Outside.Ending ending) {
+    private void ends(Box box, Session vw, int tuneIn, String how, Outside.Ending ending) {
       heard(box, vw, tuneIn, how);
-      on(Span.ofMillis(1), () -> vw.failed(tuneIn, ending));
+      on(Span.ofMillis(1), () -> vw.setUpFailed(tuneIn, ending));
     }
 
-    private void heard(Box box, Held vw, int tuneIn, String how) {
+    private void heard(Box box, Session vw, int tuneIn, String how) {
       saw(
           "'what':'set-up-answered','box':%d,'viewing':'%s','tuneIn':%d,'how':'%s'",
           box.id, vw.id(), tuneIn, how);
     }
 
     @Override
-    public void rung(Held vw) {
-      saw("'what':'rung','box':%d,'viewing':'%s','rung':%d", vw.box().id(), vw.id(), vw.rungNow());
+    public void rung(Session vw) {
+      saw(
+          "'what':'rung','box':%d,'viewing':'%s','rung':%d",
+          vw.box().id(), vw.id(), vw.currentRung());
     }
 
     @Override
-    public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+    public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
       saw("'what':'ended','box':%d,'viewing':'%s','why':'asked'", box.id(), vw.id());
       boxes.get((int) box.id()).runs.remove(vw.id());
       boxes.get((int) box.id()).ended.add(vw.id() + tuneIn);
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -69,7 +69,7 @@
         } else if (w.held.isPlaying() && draw < 90) {
           w.lastAsked = s.now;
         } else if (w.held.isPlaying() && draw < 92) {
-          f.on(Span.NONE, () -> w.held.shareDelivered(0.7));
+          f.on(Span.NONE, () -> w.held.deliveredShareReported(0.7));
         }
         played += w.held != null && w.held.isPlaying() ? 1 : 0;
       }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -17,7 +17,7 @@
  */
 class LateAnswerTest {
   private final List<String> done = new ArrayList<>();
-  private Held out;
+  private Session out;
 
   private final Carrier carrier =
       new Carrier() {
@@ -27,16 +27,16 @@
         }
 
         @Override
-        public void setUp(Held vw, int tuneIn) {
+        public void setUp(Session vw, int tuneIn) {
           done.add("set-up " + tuneIn);
           out = vw;
         }
 
         @Override
-        public void rung(Held vw) {}
+        public void rung(Session vw) {}
 
         @Override
-        public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+        public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
           done.add("withdrawn " + tuneIn);
         }
 
@@ -55,7 +55,7 @@
   private final Viewer viewer =
       new Viewer() {
         @Override
-        public void plays(Held vw) {
+        public void plays(Session vw) {
           done.add("plays");
         }
 
@@ -106,9 +106,9 @@
         1,
         List.of(
             new BoxTable.Row(1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
-    desk.take(new Held.Ask("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
+    desk.take(new Session.SessionRequest("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
     desk.clock(new Moment(ms * 1000));
-    out.plays(0);
+    out.setUpSucceeded(0);
     return done;
   }
 
