--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -100,7 +100,7 @@
   private final Viewer nobody = new Nobody();
   private final ArrayDeque<Session> playing = new ArrayDeque<>();
   private final SplittableRandom chance = new SplittableRandom(1);
-  private Desk desk;
+  private SessionManager desk;
   private long now = 1_000_000_000L;
 
   @Setup
@@ -124,9 +124,9 @@
             new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 0, 0, Span.NONE),
             new Headend.Permits(4, false, false, false, 0.01, 0.01, 0, Span.ofSeconds(2)));
     desk =
-        new Desk(
+        new SessionManager(
             house,
-            new Desk.Bounds(
+            new SessionManager.Limits(
                 100_000,
                 Span.ofSeconds(60),
                 Span.NONE,
@@ -136,13 +136,13 @@
             1,
             "bench",
             carrier);
-    desk.clock(new Moment(now));
+    desk.updateTime(new Moment(now));
     List<BoxTable.Row> rows = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
       rows.add(
           new BoxTable.Row(i + 1, "h:1", 1, i, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST));
     }
-    desk.listed(1, rows);
+    desk.applyDiscovery(1, rows);
     for (int i = 0; i < held; i++) {
       join();
     }
@@ -150,10 +150,10 @@
 
   private void join() {
     now += 1000;
-    desk.clock(new Moment(now));
+    desk.updateTime(new Moment(now));
     int title = chance.nextInt(200);
     Session vw =
-        desk.take(
+        desk.accept(
             new Session.SessionRequest(
                 "t" + title, title * 5 % boxes, 4, 0, TERMS, 4, Span.ofSeconds(3), null),
             nobody);
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -396,7 +396,7 @@
 
   void probe(BoxTable.Entry box) {
     if (box.address() == null) {
-      program.wakeAfter(Span.ofMillis(1), () -> program.core().probed(box, false));
+      program.wakeAfter(Span.ofMillis(1), () -> program.core().probeCompleted(box, false));
       return;
     }
     call(
@@ -409,7 +409,7 @@
           if (status == 200) {
             told(box, r);
           }
-          program.core().probed(box, status == 200);
+          program.core().probeCompleted(box, status == 200);
         });
   }
 
@@ -496,7 +496,7 @@
         figures[i] = figure(part.substring(equals + 1).strip());
       }
     }
-    program.core().reported(box, figures[0], figures[1], figures[2]);
+    program.core().loadReported(box, figures[0], figures[1], figures[2]);
   }
 
   /** A figure that a box told; what is no sensible one counts as not told. */
--- a/src/main/java/linengauge/front/DeskLoop.java
+++ b/src/main/java/linengauge/front/DeskLoop.java
@@ -6,7 +6,7 @@
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.Carrier;
-import linengauge.session.Desk;
+import linengauge.session.SessionManager;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -16,7 +16,7 @@
 
   private final Wakes wakes;
   private Context context;
-  private Desk core;
+  private SessionManager core;
 
   /** A step of the core is running; read and written on the desk, where alone it is true. */
   private volatile boolean within;
@@ -36,7 +36,7 @@
   }
 
   /** The core that is told the time; before any step runs. */
-  void setCore(Desk desk) {
+  void setCore(SessionManager desk) {
     core = desk;
   }
 
@@ -57,7 +57,7 @@
     try {
       Moment now = Wall.now();
       ranAt = now.micros();
-      core.clock(now);
+      core.updateTime(now);
       step.run();
     } finally {
       within = false;
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -240,7 +240,7 @@
             site.bytesOf(ask.packageIndex(), 0),
             c.lease() == null ? "" : "http://" + site.front().viewers());
     r.response().exceptionHandler(e -> {});
-    if (!program.askOnDesk(() -> end.held(program.core().take(ask, end)))) {
+    if (!program.askOnDesk(() -> end.held(program.core().accept(ask, end)))) {
       blocked(r, "blocked: too many ask at once");
       return;
     }
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -25,9 +25,9 @@
 import linengauge.carry.Wall;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
-import linengauge.session.Desk;
 import linengauge.session.ListFollower;
 import linengauge.session.Session;
+import linengauge.session.SessionManager;
 import linengauge.site.Site;
 import linengauge.vrrp.Fitness;
 import linengauge.vrrp.udp.Lease;
@@ -83,7 +83,7 @@
   private final AtomicLong asksTurnedAway = new AtomicLong();
   private final CompletableFuture<String> over = new CompletableFuture<>();
   private final List<Door> doors = new CopyOnWriteArrayList<>();
-  private Desk core;
+  private SessionManager core;
   private BoxCalls calls;
   private Notes notes;
   private ListFeed feed;
@@ -122,7 +122,7 @@
     return routes;
   }
 
-  Desk core() {
+  SessionManager core() {
     return core;
   }
 
@@ -193,16 +193,16 @@
       @Override
       public Future<?> start() {
         desk.begin(context);
-        core = new Desk(house, site.bounds(), seeds.nextLong(), epoch, FrontProgram.this);
+        core = new SessionManager(house, site.bounds(), seeds.nextLong(), epoch, FrontProgram.this);
         desk.setCore(core);
         chores = new Chores(FrontProgram.this, site.work().terms(), seeds.nextLong());
         calls = new BoxCalls(callLoops, site, seeds.nextLong(), FrontProgram.this);
         notes = new Notes(callLoops, site, seeds.nextLong(), FrontProgram.this);
         feed = new ListFeed(callLoops, site, seeds.nextLong(), FrontProgram.this);
-        core.clock(Wall.now());
+        core.updateTime(Wall.now());
         feed.open();
         return datagrams
-            .open(bytes -> onDesk(() -> core.heard(bytes)))
+            .open(bytes -> onDesk(() -> core.datagramReceived(bytes)))
             .compose(v -> controlListener().open());
       }
     };
@@ -236,7 +236,7 @@
       serving += box.state() == BoxTable.State.SERVING ? 1 : 0;
     }
     servingBoxes = serving;
-    if (!ready && core.listRevision() != ListFollower.NONE) {
+    if (!ready && core.discoveryRevision() != ListFollower.NONE) {
       ready = true;
       vrrp.start();
       members.start();
@@ -284,17 +284,17 @@
   }
 
   private JsonObject state() {
-    Desk.Counts c = core.counts();
+    SessionManager.Counters c = core.counters();
     Runtime heap = Runtime.getRuntime();
     return new JsonObject()
         .put("front", site.front().number())
         .put("ready", ready)
         .put("stopping", stopping)
-        .put("listRevision", core.listRevision())
+        .put("listRevision", core.discoveryRevision())
         .put("boxes", core.boxes().size())
-        .put("held", core.viewings())
-        .put("keys", core.keys())
-        .put("titles", core.titlesHeld())
+        .put("held", core.sessionCount())
+        .put("keys", core.keyCount())
+        .put("titles", core.titleCount())
         .put("routes", routes.size())
         .put("noteStreams", notes.open())
         .put("noteStreamsInUse", notes.inUse())
@@ -307,18 +307,18 @@
                 .put("asksWaiting", asksWaiting.get())
                 .put("asksTurnedAway", asksTurnedAway.get()))
         .put("flow", Loops.sum(loops))
-        .put("letGo", c.letGo)
+        .put("letGo", c.slowViewersDropped)
         .put("endsGivenUp", calls.endsGivenUp())
         .put("listBreaks", feed.breaks())
-        .put("taken", c.taken)
+        .put("taken", c.accepted)
         .put("played", c.played)
-        .put("blocked", c.blocked)
-        .put("aborted", c.aborted)
+        .put("blocked", c.rejected)
+        .put("aborted", c.failed)
         .put("left", c.left)
-        .put("full", c.turnedAwayFull)
-        .put("listGaps", c.listGaps)
-        .put("wordsHeard", c.wordsHeard)
-        .put("wordsPassedOver", c.wordsPassedOver)
+        .put("full", c.rejectedFull)
+        .put("listGaps", c.discoveryGaps)
+        .put("wordsHeard", c.messagesReceived)
+        .put("wordsPassedOver", c.messagesIgnored)
         .put("wordsTooMany", datagrams.passedOver())
         .put("work", chores.state())
         .put("vrrp", vrrp.state())
@@ -350,14 +350,14 @@
     lease.leave();
     onDesk(
         () -> {
-          LOG.info("stopping {}", StructuredArguments.kv("held", core.viewings()));
-          core.stopTaking();
+          LOG.info("stopping {}", StructuredArguments.kv("held", core.sessionCount()));
+          core.stopAccepting();
           awaitQuiet(Wall.micros() + 1000L * site.stop().playingMs());
         });
   }
 
   private void awaitQuiet(long until) {
-    if (core.viewings() == 0 || Wall.micros() >= until) {
+    if (core.sessionCount() == 0 || Wall.micros() >= until) {
       core.endAll();
       awaitEnds(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
     } else {
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -59,7 +59,7 @@
     if (closed) {
       return;
     }
-    long from = program.core().listRevision();
+    long from = program.core().discoveryRevision();
     Site.Address at = Site.Address.of(site.list().address());
     stream =
         new Stream(
@@ -96,7 +96,7 @@
     breaks++;
     sparse.warn("box list broke", site.list().address(), why);
     if (status == 410) {
-      program.core().forgetList();
+      program.core().resetDiscovery();
     }
     again();
   }
@@ -132,7 +132,7 @@
     } catch (JacksonException | IllegalArgumentException e) {
       // One row that cannot be read spoils the line: half of a change is worse than none.
       sparse.warn("bad box list", site.list().address(), e.getMessage());
-      program.core().forgetList();
+      program.core().resetDiscovery();
       followed = false;
     }
     if (followed) {
@@ -154,10 +154,10 @@
       rows.add(row(box));
     }
     if (piece.path("whole").asBoolean()) {
-      program.core().listed(whole(piece, "revision"), rows);
+      program.core().applyDiscovery(whole(piece, "revision"), rows);
       return true;
     }
-    return program.core().listChanged(whole(piece, "from"), whole(piece, "to"), rows);
+    return program.core().applyDiscoveryChanges(whole(piece, "from"), whole(piece, "to"), rows);
   }
 
   private static long whole(JsonNode from, String key) {
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -84,7 +84,7 @@
 
     private void broke(String why) {
       if (failures++ > 0) {
-        program.core().lostSight(entry);
+        program.core().contactLost(entry);
       }
       if (failures >= site.boxes().notesTries()) {
         log.warn("box lost", entry.toString(), why);
@@ -164,7 +164,7 @@
       boolean anew = told != null && life != null && !life.equals(told);
       life = told == null ? life : told;
       if (age != null) {
-        program.core().ageTold(entry, age);
+        program.core().ageReported(entry, age);
       }
       if (anew) {
         lose();
@@ -254,7 +254,7 @@
     if (b != null) {
       b.lives(life, age);
     } else if (age != null) {
-      program.core().ageTold(entry, age);
+      program.core().ageReported(entry, age);
     }
   }
 
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -156,7 +156,7 @@
 
   /** One is turned away before it is taken; returns when to come back. */
   Span turnedAway() {
-    return front.desk().turnedAway();
+    return front.desk().rejectForCapacity();
   }
 
   /** The loop's beat. */
@@ -222,7 +222,7 @@
       ClientSession seat = new ClientSession(this, id, form.pack(), null, null, front.now());
       seats.put(id, seat);
       line.home(seat);
-      seat.held(front.desk().handOver(ask, Texts.box(form.at()), seat));
+      seat.held(front.desk().adopt(ask, Texts.box(form.at()), seat));
       if (seat.held() != null) {
         front.boxes().stands(seat);
       }
@@ -233,7 +233,7 @@
             this, id, form.pack(), form.description(), line, front.now().plus(ask.timeLimit()));
     seats.put(id, seat);
     line.waits(seat);
-    Session held = front.desk().take(ask, seat);
+    Session held = front.desk().accept(ask, seat);
     seat.held(held);
   }
 
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -175,9 +175,9 @@
     last = number;
     logEvent(number, whole, rows);
     if (whole) {
-      front.desk().listed(number, rows);
+      front.desk().applyDiscovery(number, rows);
     } else {
-      front.desk().listChanged(number - 1, number, rows);
+      front.desk().applyDiscoveryChanges(number - 1, number, rows);
     }
     front.boxes().listed();
   }
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -8,7 +8,7 @@
 import linengauge.platform.keep.DescriptorBudget;
 import linengauge.platform.keep.EventLoopLag;
 import linengauge.session.Carrier.Wake;
-import linengauge.session.Desk;
+import linengauge.session.SessionManager;
 import linengauge.settings.Settings;
 
 /**
@@ -82,7 +82,7 @@
   private final EventLog events;
   private final ServerLinks boxes;
   private final ClientListener door;
-  private final Desk desk;
+  private final SessionManager desk;
   private final DiscoveryWatch journal;
 
   /** What waits until the loop has read what may have come meanwhile; the next turns empty it. */
@@ -112,7 +112,7 @@
     // No idle bound; and no stand-still of the core's own noticing: each request says how long it
     // may have lain.
     var bounds =
-        new Desk.Bounds(
+        new SessionManager.Limits(
             MOST_VIEWINGS,
             Span.NONE,
             COME_BACK.orLess(posting.briefing().deployment().permits().longestAdvice()),
@@ -120,7 +120,7 @@
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
     this.desk =
-        new Desk(
+        new SessionManager(
             posting.briefing().deployment(),
             bounds,
             posting.seed(),
@@ -131,7 +131,7 @@
 
   /** Begins to serve; the outcome is told once: null, or why it cannot. */
   public void start(Consumer<String> outcome) {
-    desk.clock(now);
+    desk.updateTime(now);
     posting.known().forEach(journal::known);
     journal.connect();
     net.every(
@@ -195,7 +195,7 @@
    */
   void tick() {
     now = net.now();
-    desk.clock(now);
+    desk.updateTime(now);
   }
 
   /** Tries a connection; what comes of it enters as an event of its own. */
@@ -289,7 +289,7 @@
     return now;
   }
 
-  Desk desk() {
+  SessionManager desk() {
     return desk;
   }
 
@@ -315,14 +315,14 @@
 
   public Figures figures() {
     return new Figures(
-        desk.viewings(),
+        desk.sessionCount(),
         door.viewings(),
         door.connections(),
         door.untold(),
         desk.boxes().size(),
         boxes.linked(),
         boxes.connections(),
-        desk.titlesHeld());
+        desk.titleCount());
   }
 
   /** A new configuration: of it the address of the journal service counts. */
@@ -350,7 +350,7 @@
         briefing().longestTimeLimit().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
     // The listener stays: closing it would close every connection that came by it, with what is
     // owed there.
-    after(STILL_COMING, desk::stopTaking);
+    after(STILL_COMING, desk::stopAccepting);
     after(
         end,
         () -> {
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -258,7 +258,7 @@
                 () -> {
                   if (tests.remove(id) != null) {
                     line.unanswered(asked);
-                    front().desk().probed(link.box(), link.silence(asked, null));
+                    front().desk().probeCompleted(link.box(), link.silence(asked, null));
                   }
                 }));
     if (isUp()) {
@@ -367,7 +367,7 @@
     Wake timer = tests.remove(id);
     if (timer != null) {
       timer.cancel();
-      front().desk().probed(link.box(), passed);
+      front().desk().probeCompleted(link.box(), passed);
     }
   }
 
@@ -450,7 +450,7 @@
     }
     for (Wake timer : ServerLinks.taken(tests)) {
       timer.cancel();
-      front().desk().probed(link.box(), false);
+      front().desk().probeCompleted(link.box(), false);
     }
     link.closed(this, wasUp || how == Gone.CLOSED, how == Gone.REFUSED, rested);
   }
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -97,7 +97,7 @@
   void probe() {
     ServerConnection w = connection(0);
     if (w == null) {
-      front().later(() -> front().desk().probed(box, false));
+      front().later(() -> front().desk().probeCompleted(box, false));
     } else {
       w.test(links.testId());
     }
@@ -329,7 +329,7 @@
         seat.held().boxLost(); // taken back at the box, which ends it here
         over(seat.id());
       }
-      front().desk().lostSight(box);
+      front().desk().contactLost(box);
     }
   }
 
@@ -428,7 +428,7 @@
 
   void reported(BoxLines.Load load) {
     if (load != null) {
-      front().desk().reported(box, load.linkAsked(), load.uplinkAsked(), load.streams());
+      front().desk().loadReported(box, load.linkAsked(), load.uplinkAsked(), load.streams());
     }
   }
 
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -49,7 +49,7 @@
    */
   default void askConfirmation(Session vw, long box) {}
 
-  /** Asks a box for its load; the outcome is told by {@link Desk#probed}. */
+  /** Asks a box for its load; the outcome is told by {@link SessionManager#probeCompleted}. */
   void probe(BoxTable.Entry box);
 
   /** Sends a datagram to another front; it may be lost. */
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -12,7 +12,7 @@
  * order, and is passed over where it no longer fits.
  */
 public final class Session implements Outside.Player {
-  private final Desk desk;
+  private final SessionManager desk;
   private final Viewer viewer;
   private final SessionRequest request;
   private final String id;
@@ -62,7 +62,7 @@
       Span timeLimit,
       String key) {}
 
-  Session(Desk desk, Viewer viewer, SessionRequest ask, String id, Moment patienceEnds) {
+  Session(SessionManager desk, Viewer viewer, SessionRequest ask, String id, Moment patienceEnds) {
     this.desk = desk;
     this.viewer = viewer;
     this.request = ask;
@@ -145,7 +145,7 @@
     waitEnds = chosenAt.plus(timeout);
     desk.carrier().setUp(this, n);
     timeOut =
-        desk.wake(
+        desk.startTimer(
             timeout,
             () -> {
               if (isAwaiting(n)) {
@@ -177,9 +177,9 @@
   @Override
   public void block(Span comeBackAfter, Outside.Refusal reason) {
     if (answer()) {
-      desk.counts().blocked++;
+      desk.counters().rejected++;
       viewer.blocked(comeBackAfter, reason);
-      desk.release(this);
+      desk.removeIfComplete(this);
     }
   }
 
@@ -195,9 +195,9 @@
 
   void fail(Viewer.Cause cause) {
     if (answer()) {
-      desk.counts().aborted++;
+      desk.counters().failed++;
       viewer.aborted(cause);
-      desk.release(this);
+      desk.removeIfComplete(this);
     }
   }
 
@@ -242,7 +242,7 @@
     if (!isAwaiting(tuneIn)) {
       return; // given back when it was no longer waited for
     }
-    desk.call(
+    desk.runGuarded(
         () -> {
           if (!answered && deadline.before(desk.now())) {
             failAndCancel(
@@ -262,14 +262,14 @@
             return;
           }
           playing = true;
-          desk.counts().played++;
+          desk.counters().played++;
           callOff(timeOut);
           viewer.plays(
               this); // before anything is thought about it: its viewer waits, and may leave at any
           // moment
           handle.playing(); // passed over where what it said on its way has ended it
-          if (playing && Span.NONE.under(desk.idle())) {
-            nextLook = desk.lookAfter(desk.idle(), this);
+          if (playing && Span.NONE.under(desk.idleTimeout())) {
+            nextLook = desk.scheduleIdleCheck(desk.idleTimeout(), this);
           }
         });
   }
@@ -277,21 +277,21 @@
   /** A tune-in that is out has failed. */
   public void setUpFailed(int tuneIn, Outside.Ending how) {
     if (isAwaiting(tuneIn)) {
-      desk.call(() -> end(how, false));
+      desk.runGuarded(() -> end(how, false));
     }
   }
 
   /** That attempt, which has ended here, is over at its server too: the server has shown it. */
   public void endConfirmed(int attempt) {
     if (!answered) {
-      desk.call(() -> handle.endConfirmed(attempt));
+      desk.runGuarded(() -> handle.endConfirmed(attempt));
     }
   }
 
   /** The box has told the share delivered. */
   public void deliveredShareReported(double share) {
     if (playing) {
-      desk.call(() -> handle.shareDelivered(share));
+      desk.runGuarded(() -> handle.shareDelivered(share));
     }
   }
 
@@ -301,7 +301,7 @@
    */
   public void loadsReported(double link, double uplink) {
     if (out) {
-      desk.call(() -> handle.loadsTold(link, uplink));
+      desk.runGuarded(() -> handle.loadsTold(link, uplink));
     }
   }
 
@@ -309,21 +309,21 @@
   public void rungReported(int told) {
     if (playing) {
       rung = told;
-      desk.call(() -> handle.rungInForce(told));
+      desk.runGuarded(() -> handle.rungInForce(told));
     }
   }
 
   /** The box itself has told that it no longer plays, and how that came. */
   public void boxEnded(Outside.Ending ending, Viewer.End how) {
     if (playing) {
-      desk.call(() -> stop(ending, how));
+      desk.runGuarded(() -> stop(ending, how));
     }
   }
 
   /** The box has ended it, restarted, or is lost. */
   public void boxLost() {
     if (playing) {
-      desk.call(
+      desk.runGuarded(
           () -> {
             giveBack(tuneIns - 1); // it may live on at a box that this front alone cannot hear
             stop(Outside.Ending.BROKEN, Viewer.End.BOX_LOST);
@@ -335,10 +335,10 @@
    * The viewer takes less than it is owed and is let go: box, stream and seat are given back now.
    */
   public void dropSlowViewer() {
-    desk.call(
+    desk.runGuarded(
         () -> {
           if (playing) {
-            desk.counts().letGo++;
+            desk.counters().slowViewersDropped++;
             terminate(Viewer.End.LET_GO);
           }
         });
@@ -346,7 +346,7 @@
 
   /** The viewer has gone, asked for its end, or broke the connection on which it waited. */
   public void viewerLeft() {
-    desk.call(() -> terminate(Viewer.End.LEFT));
+    desk.runGuarded(() -> terminate(Viewer.End.LEFT));
   }
 
   void terminate(Viewer.End how) {
@@ -356,13 +356,13 @@
     } else if (!answered) {
       answered = true; // nobody waits for it any more
       callOff(answerBy);
-      desk.counts().left++;
+      desk.counters().left++;
       handle.viewerLeft();
       if (out) {
         giveBack(tuneIns - 1);
         end(Outside.Ending.WITHDRAWN, true);
       } else {
-        desk.release(this);
+        desk.removeIfComplete(this);
       }
     }
   }
@@ -423,7 +423,7 @@
     handle.tuneInEnded(how, over, how.confirmed);
     if (!out) {
       at = null;
-      desk.release(this);
+      desk.removeIfComplete(this);
     }
   }
 
@@ -433,9 +433,9 @@
       return;
     }
     // After a stand-still of the front what the viewer asked meanwhile is still to be read.
-    Span left = bound.minus(desk.now().since(viewer.lastAsked())).plus(desk.unseen());
+    Span left = bound.minus(desk.now().since(viewer.lastAsked())).plus(desk.recentPause());
     if (Span.NONE.under(left)) {
-      nextLook = desk.lookAfter(left, this);
+      nextLook = desk.scheduleIdleCheck(left, this);
     } else {
       terminate(Viewer.End.IDLE);
     }
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/SessionManager.java
@@ -19,7 +19,7 @@
  * carries words between fronts and drives the module. It holds no clock, thread or socket: whoever
  * runs it tells the time with clock() before each round of calls and acts through {@link Carrier}.
  */
-public final class Desk implements Outside {
+public final class SessionManager implements Outside {
   /** First byte of every datagram between fronts. */
   private static final byte DATAGRAM = 0x4c;
 
@@ -33,25 +33,30 @@
    * than that it may come; and how long before a viewer's patience ends the answer is given at the
    * latest.
    */
-  public record Bounds(
-      int viewings, Span idle, Span advice, Span beat, Span lateBeat, Span answerMargin) {}
+  public record Limits(
+      int sessions,
+      Span idleTimeout,
+      Span retryAfter,
+      Span tickInterval,
+      Span tickTolerance,
+      Span answerMargin) {}
 
   /** Counts since the start. */
-  public static final class Counts {
-    public long taken;
+  public static final class Counters {
+    public long accepted;
     public long played;
-    public long blocked;
-    public long aborted;
+    public long rejected;
+    public long failed;
     public long left;
-    public long letGo;
-    public long turnedAwayFull;
-    public long listGaps;
-    public long wordsHeard;
-    public long wordsPassedOver;
+    public long slowViewersDropped;
+    public long rejectedFull;
+    public long discoveryGaps;
+    public long messagesReceived;
+    public long messagesIgnored;
   }
 
   private final Headend house;
-  private final Bounds bounds;
+  private final Limits bounds;
   private final Carrier carrier;
   private final String prefix;
   private final Policy policy;
@@ -59,7 +64,7 @@
   private final TitleTable titles;
   private final ListFollower list;
   private final StandStill standStill;
-  private final Counts counts = new Counts();
+  private final Counters counters = new Counters();
 
   /**
    * Viewings whose answer is owed or which have a tune-in out or playing; bounded; each leaves when
@@ -76,7 +81,7 @@
   private boolean broken;
 
   /** The epoch tells this life of the front from earlier ones in the ids of viewings. */
-  public Desk(Headend house, Bounds bounds, long seed, String epoch, Carrier carrier) {
+  public SessionManager(Headend house, Limits bounds, long seed, String epoch, Carrier carrier) {
     this.house = house;
     this.bounds = bounds;
     this.carrier = carrier;
@@ -85,11 +90,13 @@
     this.boxes = new BoxTable(policy, carrier::probe);
     this.titles = new TitleTable(policy);
     this.list = new ListFollower(boxes);
-    this.standStill = new StandStill(bounds.beat(), bounds.lateBeat(), bounds.beat().times(4));
+    this.standStill =
+        new StandStill(
+            bounds.tickInterval(), bounds.tickTolerance(), bounds.tickInterval().times(4));
   }
 
   /** Tells the time of the calls that follow; the first one starts the core. */
-  public void clock(Moment moment) {
+  public void updateTime(Moment moment) {
     boolean first = now == Moment.DISTANT_PAST;
     now = moment;
     standStill.running(now);
@@ -100,7 +107,7 @@
   }
 
   private void beat() {
-    carrier.wakeAfter(bounds.beat(), this::beat);
+    carrier.wakeAfter(bounds.tickInterval(), this::beat);
   }
 
   Moment now() {
@@ -115,19 +122,19 @@
     return boxes;
   }
 
-  public Counts counts() {
-    return counts;
+  public Counters counters() {
+    return counters;
   }
 
-  public int viewings() {
+  public int sessionCount() {
     return held.size();
   }
 
-  public int keys() {
+  public int keyCount() {
     return byKey.size();
   }
 
-  public int titlesHeld() {
+  public int titleCount() {
     return titles.size();
   }
 
@@ -138,39 +145,39 @@
   /* ---- viewers ---- */
 
   /** A request is turned away before it is taken, for want of room; returns when to come back. */
-  public Span turnedAway() {
-    counts.turnedAwayFull++;
-    counts.blocked++;
-    return bounds.advice();
+  public Span rejectForCapacity() {
+    counters.rejectedFull++;
+    counters.rejected++;
+    return bounds.retryAfter();
   }
 
   /**
    * Takes a request for a viewing; the viewer gets its one answer within the patience asked for.
    * Null where the answer, blocked, has been given already.
    */
-  public Session take(Session.SessionRequest ask, Viewer viewer) {
+  public Session accept(Session.SessionRequest ask, Viewer viewer) {
     Span unseen = standStill.unseen(now);
     Span margin = bounds.answerMargin().orLess(ask.timeLimit().times(Policy.MARGIN_PART));
     Span patience = ask.timeLimit().minus(unseen).minus(margin);
     Session before = ask.key() == null ? null : byKey.get(ask.key());
-    boolean full = held.size() >= bounds.viewings();
+    boolean full = held.size() >= bounds.sessions();
     Refusal refusal = refusal(full, patience, before);
     if (refusal != null) {
-      counts.turnedAwayFull += full ? 1 : 0;
-      counts.blocked++;
-      viewer.blocked(bounds.advice(), refusal);
+      counters.rejectedFull += full ? 1 : 0;
+      counters.rejected++;
+      viewer.blocked(bounds.retryAfter(), refusal);
       return null;
     }
     if (before != null) {
-      call(() -> before.terminate(Viewer.End.REPLACED)); // the same viewer has come again
+      runGuarded(() -> before.terminate(Viewer.End.REPLACED)); // the same viewer has come again
     }
-    counts.taken++;
+    counters.accepted++;
     Session vw = new Session(this, viewer, ask, prefix + number++, now.plus(patience));
     held.add(vw);
     if (ask.key() != null) {
       byKey.put(ask.key(), vw);
     }
-    call(
+    runGuarded(
         () -> {
           vw.setViewing(
               policy.take(
@@ -180,11 +187,11 @@
                   ask.ceilingRung(),
                   patience));
           if (vw.isComplete()) {
-            release(vw);
+            removeIfComplete(vw);
           }
         });
     if (!vw.isAnswered()) {
-      vw.setDeadlineTimer(wake(patience, () -> overdue(vw)));
+      vw.setDeadlineTimer(startTimer(patience, () -> failOverdue(vw)));
     }
     return vw;
   }
@@ -211,11 +218,11 @@
    * (the box is not known here or gone, or the front is full or stopping): the viewer has been told
    * that it is over.
    */
-  public Session handOver(Session.SessionRequest ask, long box, Viewer viewer) {
+  public Session adopt(Session.SessionRequest ask, long box, Viewer viewer) {
     BoxTable.Entry at = boxes.get(box);
     if (stopping
         || broken
-        || held.size() >= bounds.viewings()
+        || held.size() >= bounds.sessions()
         || at == null
         || at.state() == BoxTable.State.GONE) {
       viewer.ended(Viewer.End.BOX_LOST);
@@ -223,7 +230,7 @@
     }
     Session vw = new Session(this, viewer, ask, prefix + number++, now);
     held.add(vw);
-    call(
+    runGuarded(
         () ->
             vw.adopted(
                 at,
@@ -240,14 +247,14 @@
    * Guards against any way in which an answer was not given in time, also by the module; a last
    * resort.
    */
-  private void overdue(Session vw) {
+  private void failOverdue(Session vw) {
     if (!vw.isAnswered()) {
       vw.failAndCancel(Viewer.Cause.NO_ANSWER);
     }
   }
 
   /** Takes a viewing out of the registry where its answer is given and nothing of it is out. */
-  void release(Session vw) {
+  void removeIfComplete(Session vw) {
     if (vw.isComplete() && held.remove(vw)) {
       titles.release(vw.request().title());
       if (vw.request().key() != null) {
@@ -257,33 +264,33 @@
   }
 
   /** The next look at whether a viewing that plays is still asked for. */
-  Carrier.Wake lookAfter(Span span, Session vw) {
-    return wake(span, () -> vw.checkIdle(bounds.idle()));
+  Carrier.Wake scheduleIdleCheck(Span span, Session vw) {
+    return startTimer(span, () -> vw.checkIdle(bounds.idleTimeout()));
   }
 
   /** How long the front stood still just now. */
-  Span unseen() {
+  Span recentPause() {
     return standStill.unseen(now);
   }
 
-  Span idle() {
-    return bounds.idle();
+  Span idleTimeout() {
+    return bounds.idleTimeout();
   }
 
   /* ---- boxes ---- */
 
   /** A whole box list. */
-  public void listed(long revision, List<BoxTable.Row> rows) {
-    call(() -> list.whole(revision, rows));
+  public void applyDiscovery(long revision, List<BoxTable.Row> rows) {
+    runGuarded(() -> list.whole(revision, rows));
   }
 
   /** Changes of the box list; false where the whole list must be asked for. */
-  public boolean listChanged(long from, long to, List<BoxTable.Row> rows) {
+  public boolean applyDiscoveryChanges(long from, long to, List<BoxTable.Row> rows) {
     boolean[] whole = {false};
-    call(
+    runGuarded(
         () -> {
           whole[0] = list.changes(from, to, rows) == ListFollower.Heard.GAP;
-          counts.listGaps += whole[0] ? 1 : 0;
+          counters.discoveryGaps += whole[0] ? 1 : 0;
         });
     if (whole[0]) {
       list.forget();
@@ -294,44 +301,45 @@
   /**
    * The revision from which changes may be asked for; {@link ListFollower#NONE}: the whole list.
    */
-  public long listRevision() {
+  public long discoveryRevision() {
     return list.revision();
   }
 
   /** The list cannot say what changed since the revision known: the whole one is wanted next. */
-  public void forgetList() {
+  public void resetDiscovery() {
     list.forget();
   }
 
   /** A box has told of its load, in an answer or to a probe; NaN for what it does not tell. */
-  public void reported(BoxTable.Entry box, double linkAsked, double uplinkAsked, double streams) {
-    call(() -> box.handle().reported(linkAsked, uplinkAsked, streams));
+  public void loadReported(
+      BoxTable.Entry box, double linkAsked, double uplinkAsked, double streams) {
+    runGuarded(() -> box.handle().reported(linkAsked, uplinkAsked, streams));
   }
 
   /** A box has told how long it has been running; its word beats a list that is late. */
-  public void ageTold(BoxTable.Entry box, Span age) {
-    call(() -> boxes.started(box, now.minus(age), AGE_SLACK));
+  public void ageReported(BoxTable.Entry box, Span age) {
+    runGuarded(() -> boxes.started(box, now.minus(age), AGE_SLACK));
   }
 
   /**
    * A box with which this front was in touch cannot be reached: it may come back cold before the
    * list says so.
    */
-  public void lostSight(BoxTable.Entry box) {
-    call(
+  public void contactLost(BoxTable.Entry box) {
+    runGuarded(
         () -> {
           box.lostSight();
           box.handle().probed(false);
         });
   }
 
-  public void probed(BoxTable.Entry box, boolean answered) {
-    call(() -> box.handle().probed(answered));
+  public void probeCompleted(BoxTable.Entry box, boolean answered) {
+    runGuarded(() -> box.handle().probed(answered));
   }
 
   /** A probe has come to this: FINISHED where it was answered. */
-  public void probed(BoxTable.Entry box, Outside.Ending how) {
-    call(() -> box.handle().probed(how));
+  public void probeCompleted(BoxTable.Entry box, Outside.Ending how) {
+    runGuarded(() -> box.handle().probed(how));
   }
 
   /* ---- words between fronts ---- */
@@ -366,8 +374,8 @@
    * A datagram from the address of another front; what is no word of one is passed over and
    * counted.
    */
-  public void heard(byte[] datagram) {
-    call(
+  public void datagramReceived(byte[] datagram) {
+    runGuarded(
         () -> {
           int from =
               datagram.length < 3 || datagram[0] != DATAGRAM
@@ -377,9 +385,9 @@
               || from >= house.fronts()
               || from == house.ownNumber()
               || !Words.hear(boxes, from, Arrays.copyOfRange(datagram, 3, datagram.length))) {
-            counts.wordsPassedOver++;
+            counters.messagesIgnored++;
           } else {
-            counts.wordsHeard++;
+            counters.messagesReceived++;
           }
         });
   }
@@ -388,11 +396,11 @@
 
   @Override
   public void wakeAfter(Span span, Runnable step) {
-    wake(span, step);
+    startTimer(span, step);
   }
 
-  Carrier.Wake wake(Span span, Runnable step) {
-    return carrier.wakeAfter(span, () -> call(step));
+  Carrier.Wake startTimer(Span span, Runnable step) {
+    return carrier.wakeAfter(span, () -> runGuarded(step));
   }
 
   /**
@@ -400,7 +408,7 @@
    * a change: the core answers what it owes, ends what plays, takes nothing more and says so to the
    * carrier.
    */
-  void call(Runnable deed) {
+  void runGuarded(Runnable deed) {
     if (broken) {
       return;
     }
@@ -418,7 +426,7 @@
   }
 
   /** Takes nothing more; what plays goes on until {@link #endAll}. */
-  public void stopTaking() {
+  public void stopAccepting() {
     stopping = true;
   }
 
@@ -426,7 +434,7 @@
   public void endAll() {
     stopping = true;
     for (Session vw : List.copyOf(held)) {
-      call(() -> vw.shutDown());
+      runGuarded(() -> vw.shutDown());
     }
   }
 }
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -11,7 +11,7 @@
 import linengauge.Span;
 import linengauge.flow.DoorTerms;
 import linengauge.flow.FlowTerms;
-import linengauge.session.Desk;
+import linengauge.session.SessionManager;
 import linengauge.vrrp.NodeAddress;
 import linengauge.vrrp.RouterTerms;
 import linengauge.work.WorkTerms;
@@ -342,8 +342,8 @@
   }
 
   /** What the core is bounded by. */
-  public Desk.Bounds bounds() {
-    return new Desk.Bounds(
+  public SessionManager.Limits bounds() {
+    return new SessionManager.Limits(
         desk.viewings,
         Span.ofMillis(desk.idleMs),
         Span.ofMillis(desk.adviceMs),
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -24,8 +24,8 @@
   static final PackageTerms PAID = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, true);
   static final List<PackageTerms> PACKAGES = List.of(PLAIN, SEATED, PAID);
   private static final String[] NAMES = {"plain", "seated", "paid"};
-  static final Desk.Bounds BOUNDS =
-      new Desk.Bounds(
+  static final SessionManager.Limits BOUNDS =
+      new SessionManager.Limits(
           20,
           Span.ofSeconds(6),
           Span.ofMillis(700),
@@ -113,7 +113,7 @@
 
   final class Front implements Carrier {
     final int number;
-    final Desk desk;
+    final SessionManager desk;
     final List<Watcher> viewers = new ArrayList<>();
     final List<byte[]> said = new ArrayList<>();
     Moment stoppedUntil = Moment.DISTANT_PAST;
@@ -126,9 +126,9 @@
 
     Front(int number, Headend house, long seed) {
       this.number = number;
-      this.desk = new Desk(house, BOUNDS, seed, "a", this);
+      this.desk = new SessionManager(house, BOUNDS, seed, "a", this);
       saw("'what':'front-started','front':%d", number);
-      desk.clock(now);
+      desk.updateTime(now);
     }
 
     /** Runs a call on the desk as soon as the front runs. */
@@ -139,7 +139,7 @@
             if (now.before(stoppedUntil)) {
               on(stoppedUntil.since(now), deed);
             } else {
-              desk.clock(now);
+              desk.updateTime(now);
               deed.run();
             }
           });
@@ -164,7 +164,7 @@
           Span.NONE,
           () ->
               w.held =
-                  desk.take(
+                  desk.accept(
                       new Session.SessionRequest(
                           title,
                           title.hashCode() % 4,
@@ -278,8 +278,8 @@
       on(
           Span.ofMillis(3),
           () -> {
-            desk.reported(box, chance.nextDouble(), chance.nextDouble(), 3);
-            desk.probed(box, boxes.get((int) box.id()).mood != Mood.SILENT);
+            desk.loadReported(box, chance.nextDouble(), chance.nextDouble(), 3);
+            desk.probeCompleted(box, boxes.get((int) box.id()).mood != Mood.SILENT);
           });
     }
 
@@ -288,7 +288,7 @@
       said.add(datagram);
       Front to = fronts.get(front);
       if (chance.nextInt(5) > 0) {
-        to.on(Span.ofMillis(5), () -> to.desk.heard(datagram));
+        to.on(Span.ofMillis(5), () -> to.desk.datagramReceived(datagram));
       }
     }
 
@@ -377,8 +377,8 @@
       rows.add(row(b.id, BoxTable.State.SERVING, Moment.DISTANT_PAST));
       told(front, b.id, "serving");
     }
-    front.desk.clock(now);
-    front.desk.listed(1, rows);
+    front.desk.updateTime(now);
+    front.desk.applyDiscovery(1, rows);
   }
 
   private void told(Front front, long box, String state) {
@@ -392,9 +392,9 @@
       f.on(
           Span.NONE,
           () ->
-              f.desk.listChanged(
-                  f.desk.listRevision(),
-                  f.desk.listRevision() + 1,
+              f.desk.applyDiscoveryChanges(
+                  f.desk.discoveryRevision(),
+                  f.desk.discoveryRevision() + 1,
                   List.of(row(box, state, boxes.get((int) box).startedAt))));
     }
   }
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -81,7 +81,7 @@
       assertNull(f.failure);
       assertEquals(
           0,
-          f.desk.viewings() + f.desk.keys() + f.desk.titlesHeld(),
+          f.desk.sessionCount() + f.desk.keyCount() + f.desk.titleCount(),
           "something is left in the registry");
     }
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()), "something is left at a box");
@@ -97,8 +97,8 @@
     }
     s.pass(Span.ofMillis(1));
     assertEquals("blocked", last.answer);
-    assertEquals(CoreStage.BOUNDS.advice(), last.advice);
-    assertEquals(1, s.fronts.get(0).desk.counts().turnedAwayFull);
+    assertEquals(CoreStage.BOUNDS.retryAfter(), last.advice);
+    assertEquals(1, s.fronts.get(0).desk.counters().rejectedFull);
   }
 
   /** What was chosen before a stand-still would leave together with what is chosen after it. */
@@ -149,7 +149,7 @@
     w.leavesAsItPlays = true;
     s.pass(Span.ofSeconds(3));
     assertEquals("plays", w.answer);
-    assertEquals(0, f.desk.viewings() + f.desk.titlesHeld());
+    assertEquals(0, f.desk.sessionCount() + f.desk.titleCount());
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
     CoreStage.Watcher next = f.ask(1, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(3));
@@ -165,7 +165,7 @@
     CoreStage.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(8));
     assertTrue(List.of("blocked", "aborted").contains(w.answer), w.answer);
-    assertEquals(0, s.fronts.get(0).desk.viewings());
+    assertEquals(0, s.fronts.get(0).desk.sessionCount());
     assertEquals(List.of(), s.judged().breaches());
   }
 
@@ -192,8 +192,8 @@
     s.pass(Span.ofMillis(500));
     assertEquals(Viewer.End.REPLACED, first.end);
     assertEquals("plays", third.answer);
-    assertEquals(1, f.desk.viewings());
-    assertEquals(1, f.desk.keys());
+    assertEquals(1, f.desk.sessionCount());
+    assertEquals(1, f.desk.keyCount());
   }
 
   @Test
@@ -205,7 +205,7 @@
     f.on(Span.NONE, w.held::viewerLeft);
     s.pass(Span.ofSeconds(1));
     assertNull(w.answer);
-    assertEquals(0, f.desk.viewings() + f.desk.keys() + f.desk.titlesHeld());
+    assertEquals(0, f.desk.sessionCount() + f.desk.keyCount() + f.desk.titleCount());
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
   }
 
@@ -244,7 +244,7 @@
     CoreStage.Watcher w = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(2990));
     assertEquals("aborted", w.answer);
-    assertEquals(0, f.desk.viewings());
+    assertEquals(0, f.desk.sessionCount());
   }
 
   @Test
@@ -280,7 +280,7 @@
     CoreStage.Front f = s.fronts.get(0);
     CoreStage.Watcher plays = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(1));
-    f.desk.stopTaking();
+    f.desk.stopAccepting();
     CoreStage.Watcher late = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(10));
     assertEquals("blocked", late.answer);
@@ -288,7 +288,7 @@
     f.desk.endAll();
     assertEquals(Viewer.End.STOPPED, plays.end);
     s.pass(Span.ofSeconds(1));
-    assertEquals(0, f.desk.viewings());
+    assertEquals(0, f.desk.sessionCount());
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
   }
 
@@ -301,7 +301,7 @@
     s.boxes.forEach(b -> b.mood = CoreStage.Mood.SILENT);
     CoreStage.Watcher waits = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(100));
-    f.desk.call(
+    f.desk.runGuarded(
         () -> {
           throw new IllegalStateException("a fault in the module");
         });
@@ -320,18 +320,19 @@
   @Test
   void changesOfTheListAreTakenInOrderAndAGapWantsTheWholeList() {
     CoreStage s = stage();
-    Desk desk = s.fronts.get(0).desk;
+    SessionManager desk = s.fronts.get(0).desk;
     List<BoxTable.Row> drained = List.of(s.row(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
-    assertTrue(desk.listChanged(1, 2, drained));
+    assertTrue(desk.applyDiscoveryChanges(1, 2, drained));
     assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
     assertTrue(
-        desk.listChanged(0, 1, List.of(s.row(0, BoxTable.State.SERVING, Moment.DISTANT_PAST))),
+        desk.applyDiscoveryChanges(
+            0, 1, List.of(s.row(0, BoxTable.State.SERVING, Moment.DISTANT_PAST))),
         "old news");
     assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
-    assertFalse(desk.listChanged(3, 4, drained), "one was missed");
-    assertEquals(ListFollower.NONE, desk.listRevision());
-    desk.listed(9, List.of(s.row(1, BoxTable.State.SERVING, Moment.DISTANT_PAST)));
-    assertEquals(9, desk.listRevision());
+    assertFalse(desk.applyDiscoveryChanges(3, 4, drained), "one was missed");
+    assertEquals(ListFollower.NONE, desk.discoveryRevision());
+    desk.applyDiscovery(9, List.of(s.row(1, BoxTable.State.SERVING, Moment.DISTANT_PAST)));
+    assertEquals(9, desk.discoveryRevision());
     assertEquals(
         1, desk.boxes().size(), "boxes not named are gone, and with no viewing there forgotten");
   }
@@ -360,8 +361,8 @@
   void datagramsOfStrangersArePassedOver() {
     CoreStage s = new CoreStage(2, 4, true, false, false, 3);
     s.pass(Span.ofSeconds(3));
-    Desk desk = s.fronts.get(0).desk;
-    long heard = desk.counts().wordsHeard;
+    SessionManager desk = s.fronts.get(0).desk;
+    long heard = desk.counters().messagesReceived;
     for (byte[] d :
         new byte[][] {
           {},
@@ -372,13 +373,13 @@
           {0x4c, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0},
           {0x4c, 0, 1, 0, 0, 0, 99, 1, 0, 0, 0}
         }) {
-      long before = desk.counts().wordsPassedOver;
-      desk.heard(d);
-      assertEquals(before + 1, desk.counts().wordsPassedOver);
+      long before = desk.counters().messagesIgnored;
+      desk.datagramReceived(d);
+      assertEquals(before + 1, desk.counters().messagesIgnored);
     }
-    assertEquals(heard, desk.counts().wordsHeard);
-    desk.heard(new byte[] {0x4c, 0, 1, 0, 0, 0, 2, 1, 0, 9, (byte) 200});
-    assertEquals(heard + 1, desk.counts().wordsHeard);
+    assertEquals(heard, desk.counters().messagesReceived);
+    desk.datagramReceived(new byte[] {0x4c, 0, 1, 0, 0, 0, 2, 1, 0, 9, (byte) 200});
+    assertEquals(heard + 1, desk.counters().messagesReceived);
   }
 
   @Test
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -93,21 +93,22 @@
             new Headend.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
             new Headend.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
             new Headend.Permits(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
-    Desk desk =
-        new Desk(
+    SessionManager desk =
+        new SessionManager(
             house,
-            new Desk.Bounds(
+            new SessionManager.Limits(
                 10, Span.NONE, Span.NONE, Span.ofMillis(500), Span.ofSeconds(5), Span.NONE),
             1,
             "e",
             carrier);
-    desk.clock(new Moment(0));
-    desk.listed(
+    desk.updateTime(new Moment(0));
+    desk.applyDiscovery(
         1,
         List.of(
             new BoxTable.Row(1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
-    desk.take(new Session.SessionRequest("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
-    desk.clock(new Moment(ms * 1000));
+    desk.accept(
+        new Session.SessionRequest("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
+    desk.updateTime(new Moment(ms * 1000));
     out.setUpSucceeded(0);
     return done;
   }
