--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -42,11 +42,11 @@
       new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
 
   /** Carries nothing: set-ups are answered by the benchmark, wakes are never due. */
-  private static final class Mute implements Carrier {
+  private static final class Mute implements Transport {
     private final ArrayDeque<Session> out = new ArrayDeque<>();
 
     @Override
-    public Wake wakeAfter(Span span, Runnable step) {
+    public Timer schedule(Span span, Runnable step) {
       return () -> {};
     }
 
@@ -56,10 +56,10 @@
     }
 
     @Override
-    public void rung(Session vw) {}
+    public void changeRung(Session vw) {}
 
     @Override
-    public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {}
+    public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {}
 
     @Override
     public void probe(BoxTable.Entry box) {}
@@ -68,7 +68,7 @@
     public void send(int front, byte[] datagram) {}
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void coreFailed(RuntimeException cause) {
       throw cause;
     }
   }
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -24,8 +24,8 @@
 import linengauge.hls.Playlists;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
-import linengauge.session.Carrier;
 import linengauge.session.Session;
+import linengauge.session.Transport;
 import linengauge.site.Site;
 import org.slf4j.LoggerFactory;
 
@@ -351,7 +351,7 @@
             ends--;
             confirmed.run();
           } else if (tries > 1 && (status != 0 || box.state() != BoxTable.State.GONE)) {
-            program.wakeAfter(pause.next(), () -> end(box, uri, tries - 1, pause, confirmed));
+            program.schedule(pause.next(), () -> end(box, uri, tries - 1, pause, confirmed));
           } else {
             ends--;
             endsGivenUp++;
@@ -396,7 +396,7 @@
 
   void probe(BoxTable.Entry box) {
     if (box.address() == null) {
-      program.wakeAfter(Span.ofMillis(1), () -> program.core().probeCompleted(box, false));
+      program.schedule(Span.ofMillis(1), () -> program.core().probeCompleted(box, false));
       return;
     }
     call(
@@ -421,13 +421,13 @@
   /** One call, answered once, on the desk. Its fields are read and written there alone. */
   private final class Call {
     private final Answered then;
-    private final Carrier.Wake limit;
+    private final Transport.Timer limit;
     private HttpClientRequest request;
     private boolean done;
 
     private Call(int ms, Answered then) {
       this.then = then;
-      this.limit = program.wakeAfter(Span.ofMillis(ms), this::giveUp);
+      this.limit = program.schedule(Span.ofMillis(ms), this::giveUp);
     }
 
     private void giveUp() {
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/Chores.java
@@ -4,7 +4,7 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.carry.Wall;
-import linengauge.session.Carrier;
+import linengauge.session.Transport;
 import linengauge.work.Chore;
 import linengauge.work.Job;
 import linengauge.work.WorkTerms;
@@ -17,7 +17,7 @@
 final class Chores {
   private final FrontProgram program;
   private final Workbench bench;
-  private Carrier.Wake wake;
+  private Transport.Timer wake;
   private Moment wakeAt;
 
   Chores(FrontProgram program, WorkTerms terms, long seed) {
@@ -75,7 +75,7 @@
       wake.cancel();
     }
     wakeAt = at.orLater(now);
-    wake = program.wakeAfter(wakeAt.since(now), this::ask);
+    wake = program.schedule(wakeAt.since(now), this::ask);
   }
 
   JsonObject state() {
--- a/src/main/java/linengauge/front/DeskLoop.java
+++ b/src/main/java/linengauge/front/DeskLoop.java
@@ -5,8 +5,8 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.carry.Wall;
-import linengauge.session.Carrier;
 import linengauge.session.SessionManager;
+import linengauge.session.Transport;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -65,7 +65,7 @@
   }
 
   /** Runs a step of the core after that span, unless it is called off. */
-  Carrier.Wake runAfter(Span span, Runnable step) {
+  Transport.Timer runAfter(Span span, Runnable step) {
     return wakes.after(span.micros(), () -> run(step));
   }
 
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -24,10 +24,10 @@
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.BoxTable;
-import linengauge.session.Carrier;
 import linengauge.session.ListFollower;
 import linengauge.session.Session;
 import linengauge.session.SessionManager;
+import linengauge.session.Transport;
 import linengauge.site.Site;
 import linengauge.vrrp.Fitness;
 import linengauge.vrrp.udp.Lease;
@@ -39,7 +39,7 @@
  * One running front: the core on one event loop, the desk, and round it the sockets. It turns what
  * happens on them into calls of the core and carries out what that decides.
  */
-public final class FrontProgram implements Carrier {
+public final class FrontProgram implements Transport {
   static {
     // The library's newer allocator keeps a whole chunk for the last buffer in it: bytes that wait
     // for slow viewers took five times their size. The older one shares chunks out again.
@@ -361,14 +361,14 @@
       core.endAll();
       awaitEnds(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
     } else {
-      wakeAfter(QUIET_CHECK, () -> awaitQuiet(until));
+      schedule(QUIET_CHECK, () -> awaitQuiet(until));
     }
   }
 
   /** Boxes hear of the last ends, within a short bound; then the sockets close. */
   private void awaitEnds(long until) {
     if (calls.waiting() > 0 && Wall.micros() < until) {
-      wakeAfter(ENDS_CHECK, () -> awaitEnds(until));
+      schedule(ENDS_CHECK, () -> awaitEnds(until));
       return;
     }
     feed.close();
@@ -403,7 +403,7 @@
   /* ---- what the core acts through ---- */
 
   @Override
-  public Wake wakeAfter(Span span, Runnable step) {
+  public Timer schedule(Span span, Runnable step) {
     return desk.runAfter(span, step);
   }
 
@@ -413,13 +413,13 @@
   }
 
   @Override
-  public void rung(Session vw) {
+  public void changeRung(Session vw) {
     viewerOf(vw).rungBytes(site.bytesOf(vw.request().packageIndex(), vw.currentRung()));
     calls.rung(vw);
   }
 
   @Override
-  public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
+  public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
     calls.withdraw(vw, box, tuneIn);
   }
 
@@ -434,7 +434,7 @@
   }
 
   @Override
-  public void failed(RuntimeException cause) {
+  public void coreFailed(RuntimeException cause) {
     LOG.error("the core has failed: the front ends", cause);
     ready = false;
     vrrp.leave();
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -115,7 +115,7 @@
                 open();
               }
             })) {
-      program.wakeAfter(
+      program.schedule(
           after,
           () -> {
             if (stream == null) {
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -94,7 +94,7 @@
         if (failures == 1) {
           // At once, and no background work: a box that restarts is found out before the next
           // set-up goes there.
-          program.wakeAfter(Span.NONE, this::openAgain);
+          program.schedule(Span.NONE, this::openAgain);
         } else {
           tryLater();
         }
@@ -106,7 +106,7 @@
       if (!program
           .chores()
           .submit("notes of " + entry, RETRIES, after, ListFeed.OPENING, this::openAgain)) {
-        program.wakeAfter(
+        program.schedule(
             after,
             () -> {
               if (stream == null && boxes.get(entry) == this) {
@@ -136,7 +136,7 @@
       }
       closing = true;
       Span linger = Span.ofMillis(site.boxes().notesLingerMs());
-      program.wakeAfter(
+      program.schedule(
           linger,
           () -> {
             closing = false;
--- a/src/main/java/linengauge/front/Stream.java
+++ b/src/main/java/linengauge/front/Stream.java
@@ -52,7 +52,7 @@
               }
             },
             () -> end(200, "a line longer than " + longest + " bytes"));
-    program.wakeAfter(silence, this::listen);
+    program.schedule(silence, this::listen);
     client
         .request(options)
         .onComplete(
@@ -101,7 +101,7 @@
     }
     Span quiet = new Span(Wall.micros() - heardAt);
     if (quiet.under(silence)) {
-      program.wakeAfter(silence.minus(quiet), this::listen);
+      program.schedule(silence.minus(quiet), this::listen);
     } else {
       end(0, "silent for " + silence.micros() / 1000 + " ms");
     }
--- a/src/main/java/linengauge/front/Wakes.java
+++ b/src/main/java/linengauge/front/Wakes.java
@@ -3,7 +3,7 @@
 import io.vertx.core.Vertx;
 import java.util.Arrays;
 import linengauge.carry.Wall;
-import linengauge.session.Carrier;
+import linengauge.session.Transport;
 
 /**
  * Wake-ups of the desk on one timer of the library: viewings ask for several each, most of which
@@ -12,7 +12,7 @@
  * leaves when it is due or called off.
  */
 final class Wakes {
-  private final class Due implements Carrier.Wake {
+  private final class Due implements Transport.Timer {
     private final long at;
     private final long number;
     private final Runnable step;
@@ -47,7 +47,7 @@
   }
 
   /** Runs the step once, not earlier than after so many microseconds and never within this call. */
-  Carrier.Wake after(long micros, Runnable step) {
+  Transport.Timer after(long micros, Runnable step) {
     Due d = new Due(Wall.micros() + Math.max(0, micros), number++, step);
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
--- a/src/main/java/linengauge/platform/Net.java
+++ b/src/main/java/linengauge/platform/Net.java
@@ -3,7 +3,7 @@
 import java.util.function.Consumer;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.session.Carrier.Wake;
+import linengauge.session.Transport.Timer;
 
 /**
  * What a front of the platform is carried by: connections, timers and the time. On the platform
@@ -66,7 +66,7 @@
   void listen(String address, int mostUnread, Listener listener);
 
   /** Runs the step once, not earlier than after the span. */
-  Wake after(Span span, Runnable step);
+  Timer after(Span span, Runnable step);
 
   /** Runs the step again and again, so far apart. */
   void every(Span span, Runnable step);
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -7,8 +7,8 @@
 import linengauge.Span;
 import linengauge.platform.keep.DescriptorBudget;
 import linengauge.platform.keep.EventLoopLag;
-import linengauge.session.Carrier.Wake;
 import linengauge.session.SessionManager;
+import linengauge.session.Transport.Timer;
 import linengauge.settings.Settings;
 
 /**
@@ -222,7 +222,7 @@
   }
 
   /** Runs it once, after the span and never within the present event. */
-  Wake after(Span span, Runnable deed) {
+  Timer after(Span span, Runnable deed) {
     return net.after(span, () -> onEvent(deed));
   }
 
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -13,8 +13,8 @@
 import linengauge.platform.keep.Line;
 import linengauge.platform.keep.SpentIds;
 import linengauge.platform.keep.UnconfirmedEnds;
-import linengauge.session.Carrier.Wake;
 import linengauge.session.Session;
+import linengauge.session.Transport.Timer;
 
 /** One connection to a media box, from being tried until it has closed. */
 final class ServerConnection implements BoxLines.Heard {
@@ -65,7 +65,7 @@
       new UnconfirmedEnds<>(MOST_SPENT, SPENT_KEPT);
 
   /** Tests whose result is waited for, with their timers. */
-  private final Map<Long, Wake> tests = new LinkedHashMap<>();
+  private final Map<Long, Timer> tests = new LinkedHashMap<>();
 
   private Net.Connection socket;
   private boolean closed;
@@ -364,7 +364,7 @@
   public void tested(long id, boolean passed, BoxLines.Load load) {
     link.reported(load);
     unconfirmed.testAnswered(id).forEach(this::confirmed);
-    Wake timer = tests.remove(id);
+    Timer timer = tests.remove(id);
     if (timer != null) {
       timer.cancel();
       front().desk().probeCompleted(link.box(), passed);
@@ -448,7 +448,7 @@
               : Ending.BROKEN;
       out.held.setUpFailed(out.tuneIn, out.written ? broken : Ending.NOT_REACHED);
     }
-    for (Wake timer : ServerLinks.taken(tests)) {
+    for (Timer timer : ServerLinks.taken(tests)) {
       timer.cancel();
       front().desk().probeCompleted(link.box(), false);
     }
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -7,14 +7,14 @@
 import linengauge.Outside;
 import linengauge.Span;
 import linengauge.session.BoxTable;
-import linengauge.session.Carrier;
 import linengauge.session.Session;
+import linengauge.session.Transport;
 
 /**
  * All media boxes' connections, by the box's id: a successor may have the address of one that has
  * gone.
  */
-final class ServerLinks implements Carrier {
+final class ServerLinks implements Transport {
   private final PlatformFront front;
   private final int places;
   private int wires;
@@ -95,7 +95,7 @@
   }
 
   @Override
-  public Wake wakeAfter(Span span, Runnable step) {
+  public Timer schedule(Span span, Runnable step) {
     return front.after(span, step);
   }
 
@@ -116,22 +116,22 @@
   }
 
   @Override
-  public void rung(Session vw) {
+  public void changeRung(Session vw) {
     link(vw.box()).rung((ClientSession) vw.viewer(), vw.currentRung());
   }
 
   @Override
-  public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
+  public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
     link(box).withdraw(vw, tuneIn);
   }
 
   @Override
-  public Outside.Ending unanswered(Session vw, int tuneIn) {
+  public Outside.Ending classifyTimeout(Session vw, int tuneIn) {
     return link(vw.box()).unanswered(vw, tuneIn);
   }
 
   @Override
-  public void askConfirmation(Session vw, long box) {
+  public void requestEndConfirmation(Session vw, long box) {
     ServerLink link = links.get(box);
     if (link != null) {
       link.askConfirmation(((ClientSession) vw.viewer()).id());
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public void failed(RuntimeException cause) {
+  public void coreFailed(RuntimeException cause) {
     front.failed(cause);
   }
 
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -15,7 +15,7 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.carry.Wall;
-import linengauge.session.Carrier.Wake;
+import linengauge.session.Transport.Timer;
 
 /** Sockets and timers on one event loop. */
 final class VertxNet implements Net {
@@ -107,7 +107,7 @@
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
+  public Timer after(Span span, Runnable step) {
     long timer = vertx.setTimer(ms(span), t -> step.run());
     return () -> vertx.cancelTimer(timer);
   }
--- a/src/main/java/linengauge/rehearsal/FrontNet.java
+++ b/src/main/java/linengauge/rehearsal/FrontNet.java
@@ -4,7 +4,7 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.platform.Net;
-import linengauge.session.Carrier.Wake;
+import linengauge.session.Transport.Timer;
 
 /**
  * What carries one life of a front in virtual time. Its clock moves on by the processor time it
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
+  public Timer after(Span span, Runnable step) {
     boolean[] off = {false};
     clock.at(
         host.now().plus(span),
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -42,10 +42,10 @@
   private boolean answered;
 
   /** Called off as soon as what they wait for has come. */
-  private Carrier.Wake answerBy;
+  private Transport.Timer answerBy;
 
-  private Carrier.Wake timeOut;
-  private Carrier.Wake nextLook;
+  private Transport.Timer timeOut;
+  private Transport.Timer nextLook;
   private Outside.Ending last = Outside.Ending.NEVER_SENT;
 
   /**
@@ -156,12 +156,13 @@
 
   @Override
   public void askConfirmation(long server) {
-    desk.carrier().askConfirmation(this, server);
+    desk.carrier().requestEndConfirmation(this, server);
   }
 
   private void timedOut(int n) {
     // One that still waits for its connection never ran: that is no secret from the module.
-    Outside.Ending how = sent ? desk.carrier().unanswered(this, n) : Outside.Ending.NOT_REACHED;
+    Outside.Ending how =
+        sent ? desk.carrier().classifyTimeout(this, n) : Outside.Ending.NOT_REACHED;
     giveBack(n);
     end(how, false);
   }
@@ -170,7 +171,7 @@
   public void rung(int to) {
     rung = to;
     if (playing) {
-      desk.carrier().rung(this);
+      desk.carrier().changeRung(this);
     }
   }
 
@@ -411,7 +412,7 @@
   }
 
   private void giveBack(int tuneIn) {
-    desk.carrier().withdraw(this, at, tuneIn);
+    desk.carrier().cancelAtBox(this, at, tuneIn);
   }
 
   private void end(Outside.Ending how, boolean over) {
@@ -442,11 +443,11 @@
   }
 
   /** The last resort by which the answer is given. */
-  void setDeadlineTimer(Carrier.Wake wake) {
+  void setDeadlineTimer(Transport.Timer wake) {
     answerBy = wake;
   }
 
-  private static void callOff(Carrier.Wake wake) {
+  private static void callOff(Transport.Timer wake) {
     if (wake != null) {
       wake.cancel();
     }
--- a/src/main/java/linengauge/session/SessionManager.java
+++ b/src/main/java/linengauge/session/SessionManager.java
@@ -17,7 +17,8 @@
 /**
  * The front's core: keeps the registry of viewings, owes each one answer, follows the box list,
  * carries words between fronts and drives the module. It holds no clock, thread or socket: whoever
- * runs it tells the time with clock() before each round of calls and acts through {@link Carrier}.
+ * runs it tells the time with clock() before each round of calls and acts through {@link
+ * Transport}.
  */
 public final class SessionManager implements Outside {
   /** First byte of every datagram between fronts. */
@@ -57,7 +58,7 @@
 
   private final Headend house;
   private final Limits bounds;
-  private final Carrier carrier;
+  private final Transport carrier;
   private final String prefix;
   private final Policy policy;
   private final BoxTable boxes;
@@ -81,7 +82,7 @@
   private boolean broken;
 
   /** The epoch tells this life of the front from earlier ones in the ids of viewings. */
-  public SessionManager(Headend house, Limits bounds, long seed, String epoch, Carrier carrier) {
+  public SessionManager(Headend house, Limits bounds, long seed, String epoch, Transport carrier) {
     this.house = house;
     this.bounds = bounds;
     this.carrier = carrier;
@@ -107,14 +108,14 @@
   }
 
   private void beat() {
-    carrier.wakeAfter(bounds.tickInterval(), this::beat);
+    carrier.schedule(bounds.tickInterval(), this::beat);
   }
 
   Moment now() {
     return now;
   }
 
-  Carrier carrier() {
+  Transport carrier() {
     return carrier;
   }
 
@@ -264,7 +265,7 @@
   }
 
   /** The next look at whether a viewing that plays is still asked for. */
-  Carrier.Wake scheduleIdleCheck(Span span, Session vw) {
+  Transport.Timer scheduleIdleCheck(Span span, Session vw) {
     return startTimer(span, () -> vw.checkIdle(bounds.idleTimeout()));
   }
 
@@ -399,8 +400,8 @@
     startTimer(span, step);
   }
 
-  Carrier.Wake startTimer(Span span, Runnable step) {
-    return carrier.wakeAfter(span, () -> runGuarded(step));
+  Transport.Timer startTimer(Span span, Runnable step) {
+    return carrier.schedule(span, () -> runGuarded(step));
   }
 
   /**
@@ -421,7 +422,7 @@
       }
       held.clear();
       byKey.clear();
-      carrier.failed(e);
+      carrier.coreFailed(e);
     }
   }
 
--- a/src/test/java/linengauge/platform/PaperNet.java
+++ b/src/test/java/linengauge/platform/PaperNet.java
@@ -15,7 +15,7 @@
 import java.util.function.UnaryOperator;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.session.Carrier.Wake;
+import linengauge.session.Transport.Timer;
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformViewers;
 
@@ -45,7 +45,7 @@
   final List<String> refusing = new ArrayList<>();
 
   private final ArrayDeque<Runnable> later = new ArrayDeque<>();
-  private final PriorityQueue<Timer> timers =
+  private final PriorityQueue<ScheduledCall> timers =
       new PriorityQueue<>(
           (a, b) -> a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
   boolean boxesAnswerTests = true;
@@ -70,7 +70,7 @@
   private final List<Runnable> dialled = new ArrayList<>();
   private final Map<String, List<Moment>> tried = new HashMap<>();
 
-  private record Timer(Moment at, long number, Runnable deed) {}
+  private record ScheduledCall(Moment at, long number, Runnable deed) {}
 
   final class Line implements Connection {
     final String to;
@@ -298,7 +298,7 @@
   /** The next timer that is due runs, with what it puts off. */
   void passOne() {
     settle();
-    Timer t = timers.poll();
+    ScheduledCall t = timers.poll();
     now = now.orLater(t.at);
     t.deed.run();
     settle();
@@ -309,7 +309,7 @@
     settle();
     Moment until = now.plus(span);
     while (!timers.isEmpty() && !until.before(timers.peek().at)) {
-      Timer t = timers.poll();
+      ScheduledCall t = timers.poll();
       now = now.orLater(t.at);
       t.deed.run();
       settle();
@@ -349,10 +349,10 @@
   }
 
   @Override
-  public Wake after(Span span, Runnable deed) {
+  public Timer after(Span span, Runnable deed) {
     boolean[] off = {false};
     timers.add(
-        new Timer(
+        new ScheduledCall(
             now.plus(span),
             number++,
             () -> {
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -111,7 +111,7 @@
     }
   }
 
-  final class Front implements Carrier {
+  final class Front implements Transport {
     final int number;
     final SessionManager desk;
     final List<Watcher> viewers = new ArrayList<>();
@@ -179,7 +179,7 @@
     }
 
     @Override
-    public Wake wakeAfter(Span span, Runnable step) {
+    public Timer schedule(Span span, Runnable step) {
       boolean[] off = {span.under(losesWakesUnder)};
       wakes++;
       on(
@@ -260,14 +260,14 @@
     }
 
     @Override
-    public void rung(Session vw) {
+    public void changeRung(Session vw) {
       saw(
           "'what':'rung','box':%d,'viewing':'%s','rung':%d",
           vw.box().id(), vw.id(), vw.currentRung());
     }
 
     @Override
-    public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
+    public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
       saw("'what':'ended','box':%d,'viewing':'%s','why':'asked'", box.id(), vw.id());
       boxes.get((int) box.id()).runs.remove(vw.id());
       boxes.get((int) box.id()).ended.add(vw.id() + tuneIn);
@@ -293,7 +293,7 @@
     }
 
     @Override
-    public void failed(RuntimeException cause) {
+    public void coreFailed(RuntimeException cause) {
       failure = cause;
     }
   }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -19,10 +19,10 @@
   private final List<String> done = new ArrayList<>();
   private Session out;
 
-  private final Carrier carrier =
-      new Carrier() {
+  private final Transport carrier =
+      new Transport() {
         @Override
-        public Wake wakeAfter(Span span, Runnable step) {
+        public Timer schedule(Span span, Runnable step) {
           return () -> {};
         }
 
@@ -33,10 +33,10 @@
         }
 
         @Override
-        public void rung(Session vw) {}
+        public void changeRung(Session vw) {}
 
         @Override
-        public void withdraw(Session vw, BoxTable.Entry box, int tuneIn) {
+        public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
           done.add("withdrawn " + tuneIn);
         }
 
@@ -47,7 +47,7 @@
         public void send(int front, byte[] datagram) {}
 
         @Override
-        public void failed(RuntimeException cause) {
+        public void coreFailed(RuntimeException cause) {
           throw cause;
         }
       };
