--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -75,23 +75,23 @@
 
   private static final class Nobody implements Viewer {
     @Override
-    public void plays(Session vw) {}
+    public void started(Session vw) {}
 
     @Override
-    public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+    public void rejected(Span comeBackAfter, Outside.Refusal reason) {
       throw new IllegalStateException("blocked");
     }
 
     @Override
-    public void aborted(Cause cause) {
+    public void failed(FailureCause cause) {
       throw new IllegalStateException("aborted");
     }
 
     @Override
-    public void ended(End how) {}
+    public void ended(EndReason how) {}
 
     @Override
-    public Moment lastAsked() {
+    public Moment lastRequestAt() {
       return Moment.DISTANT_PAST;
     }
   }
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -310,7 +310,7 @@
   private void viewing(HttpServerRequest r, Caller c, String id, String rest) {
     ViewerEnd viewer = program.routes().get(id);
     if (viewer == null) {
-      Viewer.End how = program.routes().howEnded(id);
+      Viewer.EndReason how = program.routes().howEnded(id);
       refuse(r, how == null ? 404 : 410, how == null ? "no such viewing" : "ended: " + how);
       return;
     }
--- a/src/main/java/linengauge/front/Routes.java
+++ b/src/main/java/linengauge/front/Routes.java
@@ -11,12 +11,12 @@
   private static final int REMEMBERED = 1000;
 
   private final Map<String, ViewerEnd> playing = new ConcurrentHashMap<>();
-  private final Map<String, Viewer.End> ended =
+  private final Map<String, Viewer.EndReason> ended =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, Viewer.End> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, Viewer.EndReason> eldest) {
           return size() > REMEMBERED;
         }
       };
@@ -25,7 +25,7 @@
     playing.put(id, viewer);
   }
 
-  void remove(String id, Viewer.End how) {
+  void remove(String id, Viewer.EndReason how) {
     playing.remove(id);
     synchronized (ended) {
       ended.put(id, how);
@@ -37,7 +37,7 @@
   }
 
   /** How a viewing ended, or null where that is not remembered. */
-  Viewer.End howEnded(String id) {
+  Viewer.EndReason howEnded(String id) {
     synchronized (ended) {
       return ended.get(id);
     }
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -93,7 +93,7 @@
   }
 
   @Override
-  public void plays(Session vw) {
+  public void started(Session vw) {
     lastAsked = Wall.micros();
     var at = linengauge.site.Site.Address.of(vw.box().address());
     route = new Route(at.host(), at.port());
@@ -104,14 +104,14 @@
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void rejected(Span comeBackAfter, Outside.Refusal reason) {
     answer(503, "blocked: come again\n", comeBackAfter);
   }
 
   @Override
-  public void aborted(Cause cause) {
+  public void failed(FailureCause cause) {
     answer(
-        cause == Cause.NO_ANSWER ? 504 : 502,
+        cause == FailureCause.NO_ANSWER ? 504 : 502,
         "aborted: "
             + switch (cause) {
               case FAILED -> "the set-up failed\n";
@@ -122,7 +122,7 @@
   }
 
   @Override
-  public void ended(End how) {
+  public void ended(EndReason how) {
     route = null;
     if (held != null) {
       routes.remove(held.id(), how);
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public Moment lastAsked() {
+  public Moment lastRequestAt() {
     return new Moment(lastAsked);
   }
 
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -156,7 +156,7 @@
   }
 
   @Override
-  public void plays(Session vw) {
+  public void started(Session vw) {
     stands = true;
     asker.home(this);
     settle(ViewerMessages.plays(id, answer));
@@ -166,14 +166,14 @@
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void rejected(Span comeBackAfter, Outside.Refusal reason) {
     log(Kind.REQUEST_REFUSED, reason.name(), true);
     settle(ViewerMessages.blocked(id, comeBackAfter.micros() / 1000));
     door.over(this);
   }
 
   @Override
-  public void aborted(Cause cause) {
+  public void failed(FailureCause cause) {
     log(Kind.REQUEST_FAILED, cause.name(), true);
     settle(ViewerMessages.aborted(id));
     door.over(this);
@@ -188,10 +188,10 @@
   }
 
   @Override
-  public void ended(End how) {
+  public void ended(EndReason how) {
     door.over(this);
-    if (how != End.LEFT) {
-      door.release(id, how != End.OVER, home);
+    if (how != EndReason.LEFT) {
+      door.release(id, how != EndReason.OVER, home);
     }
   }
 
@@ -219,7 +219,7 @@
   }
 
   @Override
-  public Moment lastAsked() {
+  public Moment lastRequestAt() {
     return Moment
         .DISTANT_PAST; // viewers here ask for nothing while they play; no idle bound is set
   }
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -374,9 +374,9 @@
           .boxEnded(
               how,
               switch (how) {
-                case FINISHED -> Viewer.End.OVER;
-                case WITHDRAWN -> Viewer.End.LEFT;
-                default -> Viewer.End.BOX_LOST;
+                case FINISHED -> Viewer.EndReason.OVER;
+                case WITHDRAWN -> Viewer.EndReason.LEFT;
+                default -> Viewer.EndReason.BOX_LOST;
               });
     }
   }
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -179,7 +179,7 @@
   public void block(Span comeBackAfter, Outside.Refusal reason) {
     if (answer()) {
       desk.counters().rejected++;
-      viewer.blocked(comeBackAfter, reason);
+      viewer.rejected(comeBackAfter, reason);
       desk.removeIfComplete(this);
     }
   }
@@ -190,14 +190,14 @@
         last == Outside.Ending.NO_ANSWER
                 || last == Outside.Ending.UNHEARD
                 || last == Outside.Ending.HELD_UP
-            ? Viewer.Cause.NO_ANSWER
-            : Viewer.Cause.FAILED);
+            ? Viewer.FailureCause.NO_ANSWER
+            : Viewer.FailureCause.FAILED);
   }
 
-  void fail(Viewer.Cause cause) {
+  void fail(Viewer.FailureCause cause) {
     if (answer()) {
       desk.counters().failed++;
-      viewer.aborted(cause);
+      viewer.failed(cause);
       desk.removeIfComplete(this);
     }
   }
@@ -247,7 +247,7 @@
         () -> {
           if (!answered && deadline.before(desk.now())) {
             failAndCancel(
-                Viewer.Cause
+                Viewer.FailureCause
                     .NO_ANSWER); // its viewer has gone, and the timer that says so is late itself
             return;
           }
@@ -265,7 +265,7 @@
           playing = true;
           desk.counters().played++;
           callOff(timeOut);
-          viewer.plays(
+          viewer.started(
               this); // before anything is thought about it: its viewer waits, and may leave at any
           // moment
           handle.playing(); // passed over where what it said on its way has ended it
@@ -315,7 +315,7 @@
   }
 
   /** The box itself has told that it no longer plays, and how that came. */
-  public void boxEnded(Outside.Ending ending, Viewer.End how) {
+  public void boxEnded(Outside.Ending ending, Viewer.EndReason how) {
     if (playing) {
       desk.runGuarded(() -> stop(ending, how));
     }
@@ -327,7 +327,7 @@
       desk.runGuarded(
           () -> {
             giveBack(tuneIns - 1); // it may live on at a box that this front alone cannot hear
-            stop(Outside.Ending.BROKEN, Viewer.End.BOX_LOST);
+            stop(Outside.Ending.BROKEN, Viewer.EndReason.BOX_LOST);
           });
     }
   }
@@ -340,17 +340,17 @@
         () -> {
           if (playing) {
             desk.counters().slowViewersDropped++;
-            terminate(Viewer.End.LET_GO);
+            terminate(Viewer.EndReason.LET_GO);
           }
         });
   }
 
   /** The viewer has gone, asked for its end, or broke the connection on which it waited. */
   public void viewerLeft() {
-    desk.runGuarded(() -> terminate(Viewer.End.LEFT));
+    desk.runGuarded(() -> terminate(Viewer.EndReason.LEFT));
   }
 
-  void terminate(Viewer.End how) {
+  void terminate(Viewer.EndReason how) {
     if (playing) {
       giveBack(tuneIns - 1);
       stop(Outside.Ending.FINISHED, how);
@@ -374,14 +374,14 @@
    */
   void shutDown() {
     if (playing) {
-      terminate(Viewer.End.STOPPED);
+      terminate(Viewer.EndReason.STOPPED);
     } else if (!answered) {
-      failAndCancel(Viewer.Cause.FRONT_FAILED);
+      failAndCancel(Viewer.FailureCause.FRONT_FAILED);
     }
   }
 
   /** The answer is given in the module's place; what is out is taken back. */
-  void failAndCancel(Viewer.Cause cause) {
+  void failAndCancel(Viewer.FailureCause cause) {
     fail(cause);
     handle.viewerLeft();
     if (out) {
@@ -400,12 +400,12 @@
     callOff(nextLook);
     if (playing) {
       playing = false;
-      viewer.ended(Viewer.End.STOPPED);
+      viewer.ended(Viewer.EndReason.STOPPED);
     }
-    fail(Viewer.Cause.FRONT_FAILED);
+    fail(Viewer.FailureCause.FRONT_FAILED);
   }
 
-  private void stop(Outside.Ending ending, Viewer.End how) {
+  private void stop(Outside.Ending ending, Viewer.EndReason how) {
     playing = false;
     end(ending, true);
     viewer.ended(how);
@@ -434,11 +434,11 @@
       return;
     }
     // After a stand-still of the front what the viewer asked meanwhile is still to be read.
-    Span left = bound.minus(desk.now().since(viewer.lastAsked())).plus(desk.recentPause());
+    Span left = bound.minus(desk.now().since(viewer.lastRequestAt())).plus(desk.recentPause());
     if (Span.NONE.under(left)) {
       nextLook = desk.scheduleIdleCheck(left, this);
     } else {
-      terminate(Viewer.End.IDLE);
+      terminate(Viewer.EndReason.IDLE);
     }
   }
 
--- a/src/main/java/linengauge/session/SessionManager.java
+++ b/src/main/java/linengauge/session/SessionManager.java
@@ -166,11 +166,12 @@
     if (refusal != null) {
       counters.rejectedFull += full ? 1 : 0;
       counters.rejected++;
-      viewer.blocked(bounds.retryAfter(), refusal);
+      viewer.rejected(bounds.retryAfter(), refusal);
       return null;
     }
     if (before != null) {
-      runGuarded(() -> before.terminate(Viewer.End.REPLACED)); // the same viewer has come again
+      runGuarded(
+          () -> before.terminate(Viewer.EndReason.REPLACED)); // the same viewer has come again
     }
     counters.accepted++;
     Session vw = new Session(this, viewer, ask, prefix + number++, now.plus(patience));
@@ -226,7 +227,7 @@
         || held.size() >= bounds.sessions()
         || at == null
         || at.state() == BoxTable.State.GONE) {
-      viewer.ended(Viewer.End.BOX_LOST);
+      viewer.ended(Viewer.EndReason.BOX_LOST);
       return null;
     }
     Session vw = new Session(this, viewer, ask, prefix + number++, now);
@@ -250,7 +251,7 @@
    */
   private void failOverdue(Session vw) {
     if (!vw.isAnswered()) {
-      vw.failAndCancel(Viewer.Cause.NO_ANSWER);
+      vw.failAndCancel(Viewer.FailureCause.NO_ANSWER);
     }
   }
 
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -10,14 +10,14 @@
  */
 public interface Viewer {
   /** Why a viewing was aborted. */
-  enum Cause {
+  enum FailureCause {
     FAILED,
     NO_ANSWER,
     FRONT_FAILED
   }
 
   /** How a viewing that played has ended; OVER: its box says that it has come to its end. */
-  enum End {
+  enum EndReason {
     OVER,
     LEFT,
     IDLE,
@@ -27,18 +27,18 @@
     LET_GO
   }
 
-  void plays(Session vw);
+  void started(Session vw);
 
   /** A further try is harmless, best after the span (none: no advice). */
-  void blocked(Span comeBackAfter, Outside.Refusal reason);
+  void rejected(Span comeBackAfter, Outside.Refusal reason);
 
   /** An attempt is no longer out, or what it set up no longer plays; for the log. */
   default void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {}
 
-  void aborted(Cause cause);
+  void failed(FailureCause cause);
 
-  void ended(End how);
+  void ended(EndReason how);
 
   /** When the viewer last asked for anything of a viewing that plays. */
-  Moment lastAsked();
+  Moment lastRequestAt();
 }
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -65,7 +65,7 @@
     Session held;
     String answer;
     Span advice;
-    End end;
+    EndReason end;
     Moment lastAsked = now;
     boolean leavesAsItPlays;
 
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public void plays(Session vw) {
+    public void started(Session vw) {
       answered("plays", vw.id());
       if (leavesAsItPlays) {
         vw.viewerLeft();
@@ -90,23 +90,23 @@
     }
 
     @Override
-    public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+    public void rejected(Span comeBackAfter, Outside.Refusal reason) {
       advice = comeBackAfter;
       answered("blocked", "");
     }
 
     @Override
-    public void aborted(Cause cause) {
+    public void failed(FailureCause cause) {
       answered("aborted", "");
     }
 
     @Override
-    public void ended(End how) {
+    public void ended(EndReason how) {
       end = how;
     }
 
     @Override
-    public Moment lastAsked() {
+    public Moment lastRequestAt() {
       return lastAsked;
     }
   }
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -190,7 +190,7 @@
     assertEquals("blocked", second.answer);
     CoreStage.Watcher third = f.ask(0, "t", PATIENCE, "me");
     s.pass(Span.ofMillis(500));
-    assertEquals(Viewer.End.REPLACED, first.end);
+    assertEquals(Viewer.EndReason.REPLACED, first.end);
     assertEquals("plays", third.answer);
     assertEquals(1, f.desk.sessionCount());
     assertEquals(1, f.desk.keyCount());
@@ -218,7 +218,7 @@
       s.pass(Span.ofSeconds(1));
       busy.lastAsked = s.now;
     }
-    assertEquals(Viewer.End.IDLE, idle.end);
+    assertEquals(Viewer.EndReason.IDLE, idle.end);
     assertNull(busy.end);
     assertTrue(busy.held.isPlaying());
   }
@@ -286,7 +286,7 @@
     assertEquals("blocked", late.answer);
     assertTrue(plays.held.isPlaying());
     f.desk.endAll();
-    assertEquals(Viewer.End.STOPPED, plays.end);
+    assertEquals(Viewer.EndReason.STOPPED, plays.end);
     s.pass(Span.ofSeconds(1));
     assertEquals(0, f.desk.sessionCount());
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
@@ -307,7 +307,7 @@
         });
     assertNotNull(f.failure);
     assertEquals("aborted", waits.answer);
-    assertEquals(Viewer.End.STOPPED, plays.end);
+    assertEquals(Viewer.EndReason.STOPPED, plays.end);
     assertEquals("blocked", answerOf(s, f));
   }
 
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -55,27 +55,27 @@
   private final Viewer viewer =
       new Viewer() {
         @Override
-        public void plays(Session vw) {
+        public void started(Session vw) {
           done.add("plays");
         }
 
         @Override
-        public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+        public void rejected(Span comeBackAfter, Outside.Refusal reason) {
           done.add("blocked");
         }
 
         @Override
-        public void aborted(Cause cause) {
+        public void failed(FailureCause cause) {
           done.add("aborted");
         }
 
         @Override
-        public void ended(End how) {
+        public void ended(EndReason how) {
           done.add("ended");
         }
 
         @Override
-        public Moment lastAsked() {
+        public Moment lastRequestAt() {
           return Moment.DISTANT_PAST;
         }
       };
