--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/DeskBench.java
@@ -137,10 +137,11 @@
             "bench",
             carrier);
     desk.updateTime(new Moment(now));
-    List<BoxTable.Row> rows = new ArrayList<>();
+    List<BoxTable.ListedBox> rows = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
       rows.add(
-          new BoxTable.Row(i + 1, "h:1", 1, i, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST));
+          new BoxTable.ListedBox(
+              i + 1, "h:1", 1, i, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST));
     }
     desk.applyDiscovery(1, rows);
     for (int i = 0; i < held; i++) {
--- a/src/main/java/linengauge/consensus/explore/Schedule.java
+++ b/src/main/java/linengauge/consensus/explore/Schedule.java
@@ -11,7 +11,7 @@
  * @param faults crashes, stand-stills and emptied folders, at the most
  * @param proposals decisions that are wanted of whoever takes itself for the leader
  * @param reads questions of how far all is decided
- * @param changes of voters that are wanted: one goes, a fourth comes
+ * @param applyChanges of voters that are wanted: one goes, a fourth comes
  * @param prelude what has happened before, in the words of a schedule
  * @param states after which the exploration is given up as too large
  */
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -351,7 +351,7 @@
             ends--;
             confirmed.run();
           } else if (tries > 1 && (status != 0 || box.state() != BoxTable.State.GONE)) {
-            program.schedule(pause.next(), () -> end(box, uri, tries - 1, pause, confirmed));
+            program.schedule(pause.nextDelay(), () -> end(box, uri, tries - 1, pause, confirmed));
           } else {
             ends--;
             endsGivenUp++;
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -24,7 +24,7 @@
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.BoxTable;
-import linengauge.session.ListFollower;
+import linengauge.session.DiscoveryCache;
 import linengauge.session.Session;
 import linengauge.session.SessionManager;
 import linengauge.session.Transport;
@@ -236,7 +236,7 @@
       serving += box.state() == BoxTable.State.SERVING ? 1 : 0;
     }
     servingBoxes = serving;
-    if (!ready && core.discoveryRevision() != ListFollower.NONE) {
+    if (!ready && core.discoveryRevision() != DiscoveryCache.NO_REVISION) {
       ready = true;
       vrrp.start();
       members.start();
--- a/src/main/java/linengauge/front/KeyFile.java
+++ b/src/main/java/linengauge/front/KeyFile.java
@@ -15,7 +15,7 @@
   /**
    * The key that the file holds, without white space round it.
    *
-   * @param named the site file's name for the file, to say what is wrong
+   * @param getOrAdd the site file's name for the file, to say what is wrong
    */
   static byte[] read(String file, String named) throws IOException {
     String text;
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -15,7 +15,7 @@
 import linengauge.carry.Sparse;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
-import linengauge.session.ListFollower;
+import linengauge.session.DiscoveryCache;
 import linengauge.site.Site;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -71,8 +71,8 @@
                 .setPort(at.port())
                 .setURI(
                     "/boxes"
-                        + (from == ListFollower.NONE ? "" : "?since=" + from)
-                        + (from == ListFollower.NONE ? "?" : "&")
+                        + (from == DiscoveryCache.NO_REVISION ? "" : "?since=" + from)
+                        + (from == DiscoveryCache.NO_REVISION ? "?" : "&")
                         + "front="
                         + site.front().number())
                 .setConnectTimeout(site.boxes().connectMs()),
@@ -102,7 +102,7 @@
   }
 
   private void again() {
-    Span after = pause.next();
+    Span after = pause.nextDelay();
     if (!program
         .chores()
         .submit(
@@ -149,7 +149,7 @@
     if (!piece.path("boxes").isArray()) {
       throw new IllegalArgumentException("a line without boxes");
     }
-    List<BoxTable.Row> rows = new ArrayList<>();
+    List<BoxTable.ListedBox> rows = new ArrayList<>();
     for (JsonNode box : piece.path("boxes")) {
       rows.add(row(box));
     }
@@ -168,14 +168,15 @@
     return v.asLong();
   }
 
-  private BoxTable.Row row(JsonNode box) {
+  private BoxTable.ListedBox row(JsonNode box) {
     long id = whole(box, "id");
     BoxTable.State state;
     switch (box.path("state").asText().toLowerCase(Locale.ROOT)) {
       case "serving" -> state = BoxTable.State.SERVING;
       case "draining" -> state = BoxTable.State.DRAINING;
       case "gone" -> {
-        return new BoxTable.Row(id, null, 0, 0, 0, BoxTable.State.GONE, 0, Moment.DISTANT_PAST);
+        return new BoxTable.ListedBox(
+            id, null, 0, 0, 0, BoxTable.State.GONE, 0, Moment.DISTANT_PAST);
       }
       default -> throw new IllegalArgumentException("box " + id + ": unknown state");
     }
@@ -194,7 +195,7 @@
     }
     Moment started =
         box.has("startedAt") ? new Moment(whole(box, "startedAt") * 1000) : Moment.DISTANT_PAST;
-    return new BoxTable.Row(
+    return new BoxTable.ListedBox(
         id,
         address,
         weight,
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -102,7 +102,7 @@
     }
 
     private void tryLater() {
-      Span after = pause.next();
+      Span after = pause.nextDelay();
       if (!program
           .chores()
           .submit("notes of " + entry, RETRIES, after, ListFeed.OPENING, this::openAgain)) {
--- a/src/main/java/linengauge/lease/Registrar.java
+++ b/src/main/java/linengauge/lease/Registrar.java
@@ -25,7 +25,7 @@
    * What it has done so far.
    *
    * @param evidence datagrams of evidence sent
-   * @param changes proposed, however often each
+   * @param applyChanges proposed, however often each
    * @param refused heartbeats of members that cannot be
    */
   public record Figures(
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -9,10 +9,10 @@
 /**
  * Who of the fleet is there, as one front holds it: SWIM's pings, indirect pings, suspicion and
  * updates sent on with them (Das and others 2002), made aware of its own slowness (Lifeguard,
- * Dadgar and others 2017). It is told the time, has its next timer read by {@link #next}, and acts
- * through {@link Port}. Added to the papers, each at its place: a front that stood still takes its
- * waits anew; word of a death is a suspicion to whoever has not suspected; those gone are called on
- * again.
+ * Dadgar and others 2017). It is told the time, has its next timer read by {@link #nextDelay}, and
+ * acts through {@link Port}. Added to the papers, each at its place: a front that stood still takes
+ * its waits anew; word of a death is a suspicion to whoever has not suspected; those gone are
+ * called on again.
  *
  * <p>Split by concern: {@link MemberTable} is what is held, {@link FailureDetector} pings, {@link
  * UpdateHandler} weighs updates, {@link Dissemination} sends them on, {@link Reconnection} calls on
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -14,7 +14,7 @@
 import linengauge.platform.codec.JournalFrames;
 import linengauge.platform.codec.Texts;
 import linengauge.session.BoxTable;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
 import linengauge.settings.InvalidSettingsException;
 import linengauge.settings.JsonTree;
 import linengauge.settings.Settings;
@@ -32,7 +32,7 @@
     Settings briefing,
     List<Piece> known) {
   /** One event of the box list. */
-  public record Piece(long number, boolean whole, List<Row> rows) {}
+  public record Piece(long number, boolean whole, List<ListedBox> rows) {}
 
   /** Reads and checks the whole file; throws with one line that says what is wrong with it. */
   static Configuration read(Path file) throws InvalidSettingsException {
@@ -126,7 +126,7 @@
           throw new InvalidSettingsException(
               "an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
         }
-        List<Row> rows = new ArrayList<>();
+        List<ListedBox> rows = new ArrayList<>();
         for (Object t : targets) {
           rows.add(row(t, briefing));
         }
@@ -136,7 +136,7 @@
     return pieces;
   }
 
-  private static Row row(Object target, Settings briefing) throws InvalidSettingsException {
+  private static ListedBox row(Object target, Settings briefing) throws InvalidSettingsException {
     if (!(target instanceof Map<?, ?> t)
         || !(t.get("uid") instanceof String uid)
         || Texts.box(uid) < 0) {
@@ -152,7 +152,7 @@
     Moment started = JournalFrames.startedAt(whole(t, "boot_ms", 0));
     String address = t.get("endpoint") instanceof String s ? s : null;
     double weight = t.get("capacity_hint") instanceof Double d ? d : 1;
-    return new Row(
+    return new ListedBox(
         Texts.box(uid),
         address,
         weight,
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -8,7 +8,7 @@
 import linengauge.platform.codec.BadMessage;
 import linengauge.platform.codec.JournalFrames;
 import linengauge.session.Backoff;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
 
 /**
  * Follows the journal service. A stream that breaks, skips an event, or brings no whole frame for
@@ -134,7 +134,7 @@
       socket = null;
     }
     front.after(
-        pauses.next(),
+        pauses.nextDelay(),
         () -> {
           if (mine + 1 == turn) {
             connect();
@@ -146,10 +146,10 @@
     front.events().ofFront(Kind.DISCOVERY, reason);
   }
 
-  private void logEvent(long number, boolean whole, List<Row> rows) {
+  private void logEvent(long number, boolean whole, List<ListedBox> rows) {
     log("event " + number + (whole ? ", whole list of " : ", changes: ") + rows.size());
     if (!whole) {
-      for (Row row : rows) {
+      for (ListedBox row : rows) {
         front.events().ofServer(Kind.SERVER_STATE, row.id(), row.state().name());
       }
     }
@@ -164,7 +164,7 @@
     }
   }
 
-  private void event(long number, boolean whole, List<Row> rows) {
+  private void event(long number, boolean whole, List<ListedBox> rows) {
     if (number <= last) {
       return; // told before
     }
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -6,7 +6,7 @@
 
 /**
  * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
- * platform writes them, and why. Figures that do not apply are {@link #NONE}.
+ * platform writes them, and why. Figures that do not apply are {@link #NO_REVISION}.
  *
  * @param at when it happened, which may be long before its line is written
  * @param request the id of the set-up on the wire
--- a/src/main/java/linengauge/platform/codec/JournalFrames.java
+++ b/src/main/java/linengauge/platform/codec/JournalFrames.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.session.BoxTable;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
 
 /**
  * Frames of the journal service (docs/protocol/platform.md, "The journal service"): events of the
@@ -19,7 +19,7 @@
 
   /** What the connection tells; nothing new is a sign of life alone. */
   public interface Heard {
-    void event(long number, boolean whole, List<Row> rows);
+    void event(long number, boolean whole, List<ListedBox> rows);
   }
 
   private final Heard heard;
@@ -68,14 +68,14 @@
     if (kind != 1 && kind != 2 || f.remaining() % RECORD != 0 || number <= 0) {
       throw new BadMessage("a frame of kind " + kind + " with " + f.remaining() + " bytes");
     }
-    List<Row> rows = new ArrayList<>();
+    List<ListedBox> rows = new ArrayList<>();
     while (f.hasRemaining()) {
       rows.add(record(f));
     }
     heard.event(number, kind == 1, rows);
   }
 
-  private static Row record(ByteBuffer f) throws BadMessage {
+  private static ListedBox record(ByteBuffer f) throws BadMessage {
     long id = f.getInt() & 0xffffffffL;
     String address =
         (f.get() & 0xff)
@@ -96,7 +96,7 @@
     if (state < 0 || state > 2) {
       throw new BadMessage("a box in state " + state);
     }
-    return new Row(
+    return new ListedBox(
         id,
         address,
         weight,
--- a/src/main/java/linengauge/session/Backoff.java
+++ b/src/main/java/linengauge/session/Backoff.java
@@ -21,7 +21,7 @@
   }
 
   /** How long to wait before the next attempt. */
-  public Span next() {
+  public Span nextDelay() {
     Span whole = next;
     next = next.times(2).orLess(most);
     return whole.times(0.5 + 0.5 * chance.nextDouble());
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -27,7 +27,7 @@
   /**
    * One line of the list. The address is null where something else than a carrier reaches the box.
    */
-  public record Row(
+  public record ListedBox(
       long id,
       String address,
       double weight,
@@ -41,11 +41,11 @@
   public static final class Entry implements Outside.Line {
     private final long id;
     private final Consumer<Entry> prober;
-    private Policy.MediaBox handle;
+    private Policy.MediaBox mediaBox;
     private State state = State.GONE;
     private String address;
     private boolean kept;
-    private Row row;
+    private ListedBox row;
 
     /** When the box itself says that it started; later than the list's word where that is late. */
     private Moment startedTold = Moment.DISTANT_PAST;
@@ -54,7 +54,7 @@
      * How often it was heard to have started anew, or lost from sight: what was chosen before is
      * chosen again.
      */
-    private int lives;
+    private int incarnation;
 
     private Entry(long id, Consumer<Entry> prober) {
       this.id = id;
@@ -66,8 +66,8 @@
       return id;
     }
 
-    public Policy.MediaBox handle() {
-      return handle;
+    public Policy.MediaBox mediaBox() {
+      return mediaBox;
     }
 
     public String address() {
@@ -78,13 +78,13 @@
       return state;
     }
 
-    int lives() {
-      return lives;
+    int incarnation() {
+      return incarnation;
     }
 
     /** It may have started anew. */
-    void lostSight() {
-      lives++;
+    void contactLost() {
+      incarnation++;
     }
 
     @Override
@@ -119,12 +119,12 @@
   }
 
   /** The box of that id, made known where a viewing names it before the list does. */
-  public Entry named(long id) {
+  public Entry getOrAdd(long id) {
     return entries.computeIfAbsent(
         id,
         n -> {
           Entry e = new Entry(n, prober);
-          e.handle = policy.box(e);
+          e.mediaBox = policy.box(e);
           leaving.put(n, e);
           return e;
         });
@@ -140,11 +140,11 @@
   }
 
   /** Applies changes, or a whole list: what that does not name is gone. */
-  public void apply(boolean whole, List<Row> rows) {
+  public void apply(boolean whole, List<ListedBox> rows) {
     Set<Long> rest = new HashSet<>();
-    for (Row row : rows) {
+    for (ListedBox row : rows) {
       rest.add(row.id());
-      Entry e = named(row.id());
+      Entry e = getOrAdd(row.id());
       put(e, row);
     }
     if (whole) {
@@ -154,22 +154,22 @@
         }
       }
     }
-    leaving.values().removeIf(e -> e.kept || e.handle.forgotten() && entries.remove(e.id, e));
+    leaving.values().removeIf(e -> e.kept || e.mediaBox.forgotten() && entries.remove(e.id, e));
   }
 
-  private void put(Entry e, Row row) {
+  private void put(Entry e, ListedBox row) {
     e.address = row.address() == null ? e.address : row.address();
-    e.lives +=
+    e.incarnation +=
         e.row != null && e.row.startedAt().orLater(e.startedTold).before(row.startedAt()) ? 1 : 0;
     switch (row.state()) {
       case SERVING ->
-          e.handle.serving(
+          e.mediaBox.serving(
               row.weight(),
               row.cell(),
               row.kind(),
               row.building(),
               row.startedAt().orLater(e.startedTold));
-      case DRAINING -> e.handle.draining();
+      case DRAINING -> e.mediaBox.draining();
       case GONE -> {
         go(e);
         return;
@@ -186,11 +186,11 @@
    * meanwhile would be taken for warm. Moments that differ by less than the slack are the same
    * start, told with a little noise.
    */
-  void started(Entry e, Moment at, Span slack) {
+  void startReported(Entry e, Moment at, Span slack) {
     Moment known = e.row == null ? e.startedTold : e.row.startedAt().orLater(e.startedTold);
     if (known.plus(slack).before(at)) {
       e.startedTold = at;
-      e.lives++;
+      e.incarnation++;
       if (e.state == State.SERVING) {
         put(e, e.row);
       }
@@ -200,7 +200,7 @@
   private void go(Entry e) {
     e.state = State.GONE;
     e.kept = false;
-    e.handle.gone();
+    e.mediaBox.gone();
     leaving.put(e.id, e);
   }
 }
--- a/src/main/java/linengauge/session/ListFollower.java
+++ b/src/main/java/linengauge/session/DiscoveryCache.java
@@ -7,9 +7,9 @@
  * they start from; after a gap, a break too long or a list that started anew, the whole list is
  * wanted.
  */
-public final class ListFollower {
+public final class DiscoveryCache {
   /** What became of a piece of the list. */
-  public enum Heard {
+  public enum UpdateResult {
     APPLIED,
     /** Heard before; nothing was done. */
     OLD,
@@ -21,12 +21,12 @@
   }
 
   /** No list has been heard: the whole one is wanted. */
-  public static final long NONE = -1;
+  public static final long NO_REVISION = -1;
 
   private final BoxTable boxes;
-  private long revision = NONE;
+  private long revision = NO_REVISION;
 
-  public ListFollower(BoxTable boxes) {
+  public DiscoveryCache(BoxTable boxes) {
     this.boxes = boxes;
   }
 
@@ -41,30 +41,30 @@
   /**
    * A whole list; one older than what is known is from a list that started anew, and holds as well.
    */
-  public Heard whole(long at, List<BoxTable.Row> rows) {
+  public UpdateResult applyFull(long at, List<BoxTable.ListedBox> rows) {
     boxes.apply(true, rows);
     revision = at;
-    return Heard.APPLIED;
+    return UpdateResult.APPLIED;
   }
 
   /** Changes that lead from one revision to another. */
-  public Heard changes(long from, long to, List<BoxTable.Row> rows) {
-    if (revision == NONE || from > revision) {
-      return Heard.GAP;
+  public UpdateResult applyChanges(long from, long to, List<BoxTable.ListedBox> rows) {
+    if (revision == NO_REVISION || from > revision) {
+      return UpdateResult.GAP;
     }
     if (to <= revision) {
-      return Heard.OLD;
+      return UpdateResult.OLD;
     }
     if (from < revision) {
-      return Heard.GAP; // part of it is known, part not: rows of both cannot be told apart
+      return UpdateResult.GAP; // part of it is known, part not: rows of both cannot be told apart
     }
     boxes.apply(false, rows);
     revision = to;
-    return Heard.APPLIED;
+    return UpdateResult.APPLIED;
   }
 
   /** The list cannot answer for the revision known: the next one must be whole. */
-  public void forget() {
-    revision = NONE;
+  public void reset() {
+    revision = NO_REVISION;
   }
 }
--- a/src/main/java/linengauge/session/StandStill.java
+++ b/src/main/java/linengauge/session/PauseDetector.java
@@ -9,7 +9,7 @@
  * in the first moments after a gap may have waited for all of it. It could hurt where the gap was
  * the desk's alone and requests came after it: they are answered sooner than they need be.
  */
-public final class StandStill {
+public final class PauseDetector {
   private final Span beat;
   private final Span tolerated;
   private final Span holds;
@@ -21,14 +21,14 @@
    * Gaps up to the tolerated span are no news; one over it counts for requests read within `holds`
    * after it.
    */
-  public StandStill(Span beat, Span tolerated, Span holds) {
+  public PauseDetector(Span beat, Span tolerated, Span holds) {
     this.beat = beat;
     this.tolerated = tolerated;
     this.holds = holds;
   }
 
   /** Any sign that the front runs. */
-  public void running(Moment now) {
+  public void recordActivity(Moment now) {
     if (beaten != null) {
       Span late = now.since(beaten).minus(beat);
       if (tolerated.under(late)) {
@@ -40,7 +40,7 @@
   }
 
   /** How long a request read now may already have waited unseen. */
-  public Span unseen(Moment now) {
+  public Span recentPause(Moment now) {
     return now.since(noticedAt).under(holds) ? gap : Span.NONE;
   }
 }
--- a/src/main/java/linengauge/session/Words.java
+++ b/src/main/java/linengauge/session/PeerMessages.java
@@ -8,19 +8,20 @@
  * and the answer of the one that keeps its rack. Ids are of 32 bits; rates go in steps of 8 kB a
  * second, rack figures in steps of 32, the uplink's share in steps of a 200th; counts stop at 255.
  */
-public final class Words {
+public final class PeerMessages {
   private static final int TOLD = 8;
   private static final int ANSWERED = 11;
 
-  private Words() {}
+  private PeerMessages() {}
 
   /** A word to the keeper of a box's rack. */
-  public static byte[] told(Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
+  public static byte[] encodeReport(
+      Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
     return start(TOLD, box, viewings, kb).put((byte) Math.round(200 * uplinkShare)).array();
   }
 
   /** The keeper's answer: the same of all others, and the rack's kB and size. */
-  public static byte[] answered(
+  public static byte[] encodeReply(
       Policy.MediaBox box, int othersViewings, double othersKb, double rackKb, double rackSizeKb) {
     return start(ANSWERED, box, othersViewings, othersKb)
         .putShort(eighths(rackKb / 4))
@@ -43,7 +44,7 @@
    * Hands a word on to the box that it is about; false where it is none or names no box that is
    * known here.
    */
-  public static boolean hear(BoxTable boxes, int from, byte[] word) {
+  public static boolean deliver(BoxTable boxes, int from, byte[] word) {
     if (word.length != TOLD && word.length != ANSWERED) {
       return false;
     }
@@ -55,14 +56,14 @@
     int count = Byte.toUnsignedInt(bytes.get());
     double kb = 8.0 * Short.toUnsignedInt(bytes.getShort());
     if (word.length == ANSWERED) {
-      b.handle()
+      b.mediaBox()
           .othersPlay(
               count,
               kb,
               32.0 * Short.toUnsignedInt(bytes.getShort()),
               32.0 * Short.toUnsignedInt(bytes.getShort()));
     } else {
-      b.handle().frontPlays(from, count, kb, Byte.toUnsignedInt(bytes.get()) / 200.0);
+      b.mediaBox().frontPlays(from, count, kb, Byte.toUnsignedInt(bytes.get()) / 200.0);
     }
     return true;
   }
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -141,7 +141,7 @@
     sent = false;
     int n = tuneIns++;
     chosenAt = desk.now();
-    lifeChosen = at.lives();
+    lifeChosen = at.incarnation();
     waitEnds = chosenAt.plus(timeout);
     desk.carrier().setUp(this, n);
     timeOut =
@@ -233,7 +233,7 @@
             && at.state() == BoxTable.State.SERVING
             && desk.now().before(deadline)
             && desk.now().since(chosenAt).under(Policy.UNTIL_SENT)
-            && at.lives() == lifeChosen;
+            && at.incarnation() == lifeChosen;
     sent |= may;
     return may;
   }
--- a/src/main/java/linengauge/session/SessionManager.java
+++ b/src/main/java/linengauge/session/SessionManager.java
@@ -63,8 +63,8 @@
   private final Policy policy;
   private final BoxTable boxes;
   private final TitleTable titles;
-  private final ListFollower list;
-  private final StandStill standStill;
+  private final DiscoveryCache list;
+  private final PauseDetector standStill;
   private final Counters counters = new Counters();
 
   /**
@@ -90,9 +90,9 @@
     this.policy = new Policy(house, seed, this);
     this.boxes = new BoxTable(policy, carrier::probe);
     this.titles = new TitleTable(policy);
-    this.list = new ListFollower(boxes);
+    this.list = new DiscoveryCache(boxes);
     this.standStill =
-        new StandStill(
+        new PauseDetector(
             bounds.tickInterval(), bounds.tickTolerance(), bounds.tickInterval().times(4));
   }
 
@@ -100,7 +100,7 @@
   public void updateTime(Moment moment) {
     boolean first = now == Moment.DISTANT_PAST;
     now = moment;
-    standStill.running(now);
+    standStill.recordActivity(now);
     policy.clock(now);
     if (first) {
       beat();
@@ -157,7 +157,7 @@
    * Null where the answer, blocked, has been given already.
    */
   public Session accept(Session.SessionRequest ask, Viewer viewer) {
-    Span unseen = standStill.unseen(now);
+    Span unseen = standStill.recentPause(now);
     Span margin = bounds.answerMargin().orLess(ask.timeLimit().times(Policy.MARGIN_PART));
     Span patience = ask.timeLimit().minus(unseen).minus(margin);
     Session before = ask.key() == null ? null : byKey.get(ask.key());
@@ -185,7 +185,7 @@
               policy.take(
                   vw,
                   ask.packageSettings(),
-                  titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
+                  titles.acquire(ask.title(), ask.firstCell(), ask.cellsInRow()),
                   ask.ceilingRung(),
                   patience));
           if (vw.isComplete()) {
@@ -239,9 +239,9 @@
                 policy.handOver(
                     vw,
                     ask.packageSettings(),
-                    titles.hold(ask.title(), ask.firstCell(), ask.cellsInRow()),
+                    titles.acquire(ask.title(), ask.firstCell(), ask.cellsInRow()),
                     ask.ceilingRung(),
-                    at.handle())));
+                    at.mediaBox())));
     return vw;
   }
 
@@ -272,7 +272,7 @@
 
   /** How long the front stood still just now. */
   Span recentPause() {
-    return standStill.unseen(now);
+    return standStill.recentPause(now);
   }
 
   Span idleTimeout() {
@@ -282,26 +282,27 @@
   /* ---- boxes ---- */
 
   /** A whole box list. */
-  public void applyDiscovery(long revision, List<BoxTable.Row> rows) {
-    runGuarded(() -> list.whole(revision, rows));
+  public void applyDiscovery(long revision, List<BoxTable.ListedBox> rows) {
+    runGuarded(() -> list.applyFull(revision, rows));
   }
 
   /** Changes of the box list; false where the whole list must be asked for. */
-  public boolean applyDiscoveryChanges(long from, long to, List<BoxTable.Row> rows) {
+  public boolean applyDiscoveryChanges(long from, long to, List<BoxTable.ListedBox> rows) {
     boolean[] whole = {false};
     runGuarded(
         () -> {
-          whole[0] = list.changes(from, to, rows) == ListFollower.Heard.GAP;
+          whole[0] = list.applyChanges(from, to, rows) == DiscoveryCache.UpdateResult.GAP;
           counters.discoveryGaps += whole[0] ? 1 : 0;
         });
     if (whole[0]) {
-      list.forget();
+      list.reset();
     }
     return !whole[0];
   }
 
   /**
-   * The revision from which changes may be asked for; {@link ListFollower#NONE}: the whole list.
+   * The revision from which changes may be asked for; {@link DiscoveryCache#NO_REVISION}: the whole
+   * list.
    */
   public long discoveryRevision() {
     return list.revision();
@@ -309,18 +310,18 @@
 
   /** The list cannot say what changed since the revision known: the whole one is wanted next. */
   public void resetDiscovery() {
-    list.forget();
+    list.reset();
   }
 
   /** A box has told of its load, in an answer or to a probe; NaN for what it does not tell. */
   public void loadReported(
       BoxTable.Entry box, double linkAsked, double uplinkAsked, double streams) {
-    runGuarded(() -> box.handle().reported(linkAsked, uplinkAsked, streams));
+    runGuarded(() -> box.mediaBox().reported(linkAsked, uplinkAsked, streams));
   }
 
   /** A box has told how long it has been running; its word beats a list that is late. */
   public void ageReported(BoxTable.Entry box, Span age) {
-    runGuarded(() -> boxes.started(box, now.minus(age), AGE_SLACK));
+    runGuarded(() -> boxes.startReported(box, now.minus(age), AGE_SLACK));
   }
 
   /**
@@ -330,25 +331,25 @@
   public void contactLost(BoxTable.Entry box) {
     runGuarded(
         () -> {
-          box.lostSight();
-          box.handle().probed(false);
+          box.contactLost();
+          box.mediaBox().probed(false);
         });
   }
 
   public void probeCompleted(BoxTable.Entry box, boolean answered) {
-    runGuarded(() -> box.handle().probed(answered));
+    runGuarded(() -> box.mediaBox().probed(answered));
   }
 
   /** A probe has come to this: FINISHED where it was answered. */
   public void probeCompleted(BoxTable.Entry box, Outside.Ending how) {
-    runGuarded(() -> box.handle().probed(how));
+    runGuarded(() -> box.mediaBox().probed(how));
   }
 
   /* ---- words between fronts ---- */
 
   @Override
   public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
-    send(front, Words.told(box, viewings, kb, uplinkShare));
+    send(front, PeerMessages.encodeReport(box, viewings, kb, uplinkShare));
   }
 
   @Override
@@ -359,7 +360,7 @@
       double othersKb,
       double rackKb,
       double rackSizeKb) {
-    send(front, Words.answered(box, othersViewings, othersKb, rackKb, rackSizeKb));
+    send(front, PeerMessages.encodeReply(box, othersViewings, othersKb, rackKb, rackSizeKb));
   }
 
   private void send(int front, byte[] word) {
@@ -386,7 +387,8 @@
           if (from < 0
               || from >= house.fronts()
               || from == house.ownNumber()
-              || !Words.hear(boxes, from, Arrays.copyOfRange(datagram, 3, datagram.length))) {
+              || !PeerMessages.deliver(
+                  boxes, from, Arrays.copyOfRange(datagram, 3, datagram.length))) {
             counters.messagesIgnored++;
           } else {
             counters.messagesReceived++;
--- a/src/main/java/linengauge/session/TitleTable.java
+++ b/src/main/java/linengauge/session/TitleTable.java
@@ -23,7 +23,7 @@
   }
 
   /** The handle of a title, for one more viewing of it. */
-  public Policy.Title hold(String name, int firstCell, int cellsInRow) {
+  public Policy.Title acquire(String name, int firstCell, int cellsInRow) {
     Row r = rows.computeIfAbsent(name, n -> new Row(policy.title(firstCell, cellsInRow)));
     r.viewings++;
     return r.title;
--- a/src/main/java/linengauge/vrrp/RouterTerms.java
+++ b/src/main/java/linengauge/vrrp/RouterTerms.java
@@ -37,8 +37,8 @@
   }
 
   /**
-   * What the standard does not have; each acts under its own condition, and {@link #NONE} is the
-   * standard alone.
+   * What the standard does not have; each acts under its own condition, and {@link #NO_REVISION} is
+   * the standard alone.
    *
    * @param perInterval advertisements in each interval that they name, 1 in the standard: partners
    *     lose some and still hear enough, and take over no later
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -17,9 +17,9 @@
 import linengauge.Policy;
 import linengauge.Span;
 import linengauge.session.BoxTable;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
+import linengauge.session.PeerMessages;
 import linengauge.session.TitleTable;
-import linengauge.session.Words;
 import linengauge.settings.InvalidSettingsException;
 import linengauge.settings.Settings;
 import linengauge.wire.WireHost.Wrong;
@@ -146,7 +146,7 @@
     }
   }
 
-  void listed(String mode, List<Row> rows, Moment now, JsonGenerator writer)
+  void listed(String mode, List<ListedBox> rows, Moment now, JsonGenerator writer)
       throws IOException, Wrong {
     if (mode.equals("refused")) {
       return;
@@ -203,7 +203,7 @@
               writer,
               () -> {
                 report(b, load);
-                b.handle().probed(how == 200);
+                b.mediaBox().probed(how == 200);
               });
         }
       }
@@ -245,7 +245,8 @@
         writer,
         () -> {
           WireViewing vw = hold(id, item);
-          vw.handle = policy.take(vw, terms, titles.hold(item, fromCell, cells), ceiling, patience);
+          vw.handle =
+              policy.take(vw, terms, titles.acquire(item, fromCell, cells), ceiling, patience);
           release(vw);
         });
   }
@@ -262,7 +263,7 @@
     int cells = m.integer("cellsInRow", 0);
     int ceiling = m.integer("ceilingRung", terms.highestRung());
     m.skip();
-    BoxTable.Entry b = boxes.named(m.whole("server"));
+    BoxTable.Entry b = boxes.getOrAdd(m.whole("server"));
     m.end();
     call(
         now,
@@ -271,7 +272,8 @@
           WireViewing vw = hold(id, item);
           vw.out = true;
           vw.handle =
-              policy.handOver(vw, terms, titles.hold(item, fromCell, cells), ceiling, b.handle());
+              policy.handOver(
+                  vw, terms, titles.acquire(item, fromCell, cells), ceiling, b.mediaBox());
         });
   }
 
@@ -326,7 +328,7 @@
 
   private static void report(BoxTable.Entry b, Map<?, ?> load) {
     if (!load.isEmpty()) {
-      b.handle().reported(figure(load, "x0"), figure(load, "x1"), figure(load, "outstanding"));
+      b.mediaBox().reported(figure(load, "x0"), figure(load, "x1"), figure(load, "outstanding"));
     }
   }
 
@@ -362,7 +364,7 @@
 
   @Override
   public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
-    say(front, Words.told(box, viewings, kb, uplinkShare));
+    say(front, PeerMessages.encodeReport(box, viewings, kb, uplinkShare));
   }
 
   @Override
@@ -373,7 +375,7 @@
       double othersKb,
       double rackKb,
       double rackSizeKb) {
-    say(front, Words.answered(box, othersViewings, othersKb, rackKb, rackSizeKb));
+    say(front, PeerMessages.encodeReply(box, othersViewings, othersKb, rackKb, rackSizeKb));
   }
 
   private void say(int front, byte[] word) {
@@ -387,7 +389,7 @@
     } catch (IllegalArgumentException e) {
       throw new Wrong("'octets' should be base64");
     }
-    Words.hear(boxes, peer, word);
+    PeerMessages.deliver(boxes, peer, word);
   }
 
   private void act(String name, Object... values) {
--- a/src/main/java/linengauge/wire/WireHost.java
+++ b/src/main/java/linengauge/wire/WireHost.java
@@ -20,7 +20,7 @@
 import java.util.Map;
 import linengauge.Moment;
 import linengauge.session.BoxTable;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
 
 /**
  * The adapter: reads one batch a line, hands what happened to the fronts that it hosts, and writes
@@ -33,7 +33,7 @@
   private final JsonFactory json = new JsonFactory();
   private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
   private final Map<Integer, WireFront> fronts = new HashMap<>();
-  private final Map<Integer, List<Row>> pools = new HashMap<>();
+  private final Map<Integer, List<ListedBox>> pools = new HashMap<>();
 
   /** Hosts on standard input and output until that ends; returns the process's exit code. */
   public static int onStandardStreams() {
@@ -153,7 +153,7 @@
       m.whole("revision", 0);
       String mode = m.text("mode");
       m.end();
-      List<Row> rows = pools.get(bank);
+      List<ListedBox> rows = pools.get(bank);
       if (rows == null && !mode.equals("refused")) {
         throw new Wrong("backendsChanged names pool " + bank + ", which was not given");
       }
@@ -163,12 +163,12 @@
     }
   }
 
-  private static List<Row> rows(Message m) throws IOException, Wrong {
-    List<Row> rows = new ArrayList<>();
+  private static List<ListedBox> rows(Message m) throws IOException, Wrong {
+    List<ListedBox> rows = new ArrayList<>();
     m.array("rowsIn");
     while (m.nextRow()) {
       rows.add(
-          new Row(
+          new ListedBox(
               m.whole("server"),
               null,
               m.number("powerHint", 1),
--- a/src/main/java/linengauge/work/Job.java
+++ b/src/main/java/linengauge/work/Job.java
@@ -131,7 +131,7 @@
       return;
     }
     again = false;
-    next(now, now.plus(pause.next()));
+    next(now, now.plus(pause.nextDelay()));
   }
 
   private void next(Moment now, Moment then) {
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -366,13 +366,13 @@
     queue.add(new Due(now.plus(span), number++, deed));
   }
 
-  BoxTable.Row row(long id, BoxTable.State state, Moment startedAt) {
-    return new BoxTable.Row(id, "h:1", 1, (int) id, 0, state, 0, startedAt);
+  BoxTable.ListedBox row(long id, BoxTable.State state, Moment startedAt) {
+    return new BoxTable.ListedBox(id, "h:1", 1, (int) id, 0, state, 0, startedAt);
   }
 
   /** The whole list to one front, as boxes that have run for long. */
   void tellAll(Front front) {
-    List<BoxTable.Row> rows = new ArrayList<>();
+    List<BoxTable.ListedBox> rows = new ArrayList<>();
     for (Box b : boxes) {
       rows.add(row(b.id, BoxTable.State.SERVING, Moment.DISTANT_PAST));
       told(front, b.id, "serving");
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -321,7 +321,8 @@
   void changesOfTheListAreTakenInOrderAndAGapWantsTheWholeList() {
     CoreStage s = stage();
     SessionManager desk = s.fronts.get(0).desk;
-    List<BoxTable.Row> drained = List.of(s.row(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
+    List<BoxTable.ListedBox> drained =
+        List.of(s.row(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
     assertTrue(desk.applyDiscoveryChanges(1, 2, drained));
     assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
     assertTrue(
@@ -330,7 +331,7 @@
         "old news");
     assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
     assertFalse(desk.applyDiscoveryChanges(3, 4, drained), "one was missed");
-    assertEquals(ListFollower.NONE, desk.discoveryRevision());
+    assertEquals(DiscoveryCache.NO_REVISION, desk.discoveryRevision());
     desk.applyDiscovery(9, List.of(s.row(1, BoxTable.State.SERVING, Moment.DISTANT_PAST)));
     assertEquals(9, desk.discoveryRevision());
     assertEquals(
@@ -386,10 +387,10 @@
   void pausesDoubleUpToTheMost() {
     Backoff b = new Backoff(Span.ofMillis(100), Span.ofMillis(300), new SplittableRandom(1));
     for (long whole : new long[] {100, 200, 300, 300}) {
-      Span p = b.next();
+      Span p = b.nextDelay();
       assertTrue(p.micros() >= whole * 500 && p.micros() <= whole * 1000, p.toString());
     }
     b.reset();
-    assertTrue(b.next().micros() <= 100_000);
+    assertTrue(b.nextDelay().micros() <= 100_000);
   }
 }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -105,7 +105,8 @@
     desk.applyDiscovery(
         1,
         List.of(
-            new BoxTable.Row(1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
+            new BoxTable.ListedBox(
+                1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
     desk.accept(
         new Session.SessionRequest("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
     desk.updateTime(new Moment(ms * 1000));
