--- a/src/main/java/linengauge/wire/BadLine.java
+++ b/src/main/java/linengauge/wire/MalformedLineException.java
@@ -1,10 +1,10 @@
 package linengauge.wire;
 
 /** A line of input that cannot be read; its message names the line and what is wrong. */
-public final class BadLine extends Exception {
+public final class MalformedLineException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  BadLine(long line, String what) {
+  MalformedLineException(long line, String what) {
     super("line " + line + ": " + what);
   }
 }
--- a/src/main/java/linengauge/wire/Message.java
+++ b/src/main/java/linengauge/wire/Message.java
@@ -5,7 +5,7 @@
 import java.io.IOException;
 import java.util.Map;
 import linengauge.settings.JsonTree;
-import linengauge.wire.WireHost.Wrong;
+import linengauge.wire.WireHost.MalformedBatchException;
 
 /**
  * Walks the values of one message in their order; null and a value left out at the end mean the
@@ -15,14 +15,14 @@
   private final JsonParser p;
   private boolean over;
 
-  Message(JsonParser p) throws Wrong {
+  Message(JsonParser p) throws MalformedBatchException {
     this.p = p;
     if (p.currentToken() != JsonToken.START_ARRAY) {
-      throw new Wrong("an event must be an array");
+      throw new MalformedBatchException("an event must be an array");
     }
   }
 
-  String name() throws IOException, Wrong {
+  String name() throws IOException, MalformedBatchException {
     return text("event name");
   }
 
@@ -38,18 +38,18 @@
     return t;
   }
 
-  private static Wrong wrongType(String what, String wanted) {
-    return new Wrong("'" + what + "' should be " + wanted);
+  private static MalformedBatchException wrongType(String what, String wanted) {
+    return new MalformedBatchException("'" + what + "' should be " + wanted);
   }
 
-  long whole(String what) throws IOException, Wrong {
+  long whole(String what) throws IOException, MalformedBatchException {
     if (next() != JsonToken.VALUE_NUMBER_INT) {
       throw wrongType(what, "a whole number");
     }
     return exact(what);
   }
 
-  long whole(String what, long absent) throws IOException, Wrong {
+  long whole(String what, long absent) throws IOException, MalformedBatchException {
     JsonToken t = next();
     if (t == JsonToken.VALUE_NULL) {
       return absent;
@@ -60,7 +60,7 @@
     return exact(what);
   }
 
-  private long exact(String what) throws IOException, Wrong {
+  private long exact(String what) throws IOException, MalformedBatchException {
     if (p.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
       var big = p.getBigIntegerValue();
       if (big.bitLength() > 64) {
@@ -71,22 +71,22 @@
     return p.getLongValue();
   }
 
-  int integer(String what) throws IOException, Wrong {
+  int integer(String what) throws IOException, MalformedBatchException {
     return narrow(what, whole(what));
   }
 
-  int integer(String what, int absent) throws IOException, Wrong {
+  int integer(String what, int absent) throws IOException, MalformedBatchException {
     return narrow(what, whole(what, absent));
   }
 
-  private static int narrow(String what, long value) throws Wrong {
+  private static int narrow(String what, long value) throws MalformedBatchException {
     if (value != (int) value) {
       throw wrongType(what, "a small number");
     }
     return (int) value;
   }
 
-  double number(String what, double absent) throws IOException, Wrong {
+  double number(String what, double absent) throws IOException, MalformedBatchException {
     JsonToken t = next();
     if (t == JsonToken.VALUE_NULL) {
       return absent;
@@ -97,7 +97,7 @@
     return p.getDoubleValue();
   }
 
-  String text(String what) throws IOException, Wrong {
+  String text(String what) throws IOException, MalformedBatchException {
     if (next() != JsonToken.VALUE_STRING) {
       throw wrongType(what, "text");
     }
@@ -111,7 +111,7 @@
     }
   }
 
-  boolean flag(String what) throws IOException, Wrong {
+  boolean flag(String what) throws IOException, MalformedBatchException {
     JsonToken t = next();
     if (t == JsonToken.VALUE_NULL) {
       return false;
@@ -123,7 +123,7 @@
   }
 
   /** The object that comes next as nested maps and lists; empty where it is absent. */
-  Map<?, ?> object(String what) throws IOException, Wrong {
+  Map<?, ?> object(String what) throws IOException, MalformedBatchException {
     JsonToken t = next();
     if (t == JsonToken.VALUE_NULL) {
       return Map.of();
@@ -134,7 +134,7 @@
     return (Map<?, ?>) JsonTree.read(p, t);
   }
 
-  void array(String what) throws IOException, Wrong {
+  void array(String what) throws IOException, MalformedBatchException {
     if (next() != JsonToken.START_ARRAY) {
       throw wrongType(what, "an array");
     }
@@ -144,14 +144,14 @@
    * Steps into the next row of the array just entered; false at its end, and then back among the
    * outer values.
    */
-  boolean nextRow() throws IOException, Wrong {
+  boolean nextRow() throws IOException, MalformedBatchException {
     JsonToken t = p.nextToken();
     over = false;
     if (t == JsonToken.END_ARRAY) {
       return false;
     }
     if (t != JsonToken.START_ARRAY) {
-      throw new Wrong("a row of a pool must be an array");
+      throw new MalformedBatchException("a row of a pool must be an array");
     }
     return true;
   }
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -22,7 +22,7 @@
 import linengauge.session.TitleTable;
 import linengauge.settings.InvalidSettingsException;
 import linengauge.settings.Settings;
-import linengauge.wire.WireHost.Wrong;
+import linengauge.wire.WireHost.MalformedBatchException;
 
 /** One front: turns ids into the module's handles and its decisions into actions. */
 final class WireFront implements Outside {
@@ -60,14 +60,15 @@
   private JsonGenerator g;
   private boolean broken;
 
-  WireFront(int number, long seed, Map<?, ?> conf, PrintStream complaints) throws Wrong {
+  WireFront(int number, long seed, Map<?, ?> conf, PrintStream complaints)
+      throws MalformedBatchException {
     this.number = number;
     this.complaints = complaints;
     Headend headend;
     try {
       headend = Settings.read(conf).deployment();
     } catch (InvalidSettingsException e) {
-      throw new Wrong(e.getMessage());
+      throw new MalformedBatchException(e.getMessage());
     }
     this.packages = headend.packages();
     this.policy = new Policy(headend, seed, this);
@@ -121,14 +122,15 @@
   }
 
   private interface Deed {
-    void run() throws IOException, Wrong;
+    void run() throws IOException, MalformedBatchException;
   }
 
   /**
    * Runs one call into the module; what the module throws ends the front with the wire's fault
    * action.
    */
-  private void call(Moment now, JsonGenerator writer, Deed deed) throws IOException, Wrong {
+  private void call(Moment now, JsonGenerator writer, Deed deed)
+      throws IOException, MalformedBatchException {
     if (broken) {
       return;
     }
@@ -147,18 +149,18 @@
   }
 
   void listed(String mode, List<ListedBox> rows, Moment now, JsonGenerator writer)
-      throws IOException, Wrong {
+      throws IOException, MalformedBatchException {
     if (mode.equals("refused")) {
       return;
     }
     if (!mode.equals("changes") && !mode.equals("all") && !mode.equals("remembered")) {
-      throw new Wrong("unknown mode '" + mode + "'");
+      throw new MalformedBatchException("unknown mode '" + mode + "'");
     }
     call(now, writer, () -> boxes.apply(!mode.equals("changes"), rows));
   }
 
   void happened(String name, Message m, Moment now, JsonGenerator writer)
-      throws IOException, Wrong {
+      throws IOException, MalformedBatchException {
     switch (name) {
       case "demand" -> demand(m, now, writer);
       case "resumed" -> resumed(m, now, writer);
@@ -228,7 +230,8 @@
     touched.clear();
   }
 
-  private void demand(Message m, Moment now, JsonGenerator writer) throws IOException, Wrong {
+  private void demand(Message m, Moment now, JsonGenerator writer)
+      throws IOException, MalformedBatchException {
     long id = m.whole("job");
     String item = m.text("item");
     Span patience = new Span(m.whole("budgetUs"));
@@ -251,7 +254,8 @@
         });
   }
 
-  private void resumed(Message m, Moment now, JsonGenerator writer) throws IOException, Wrong {
+  private void resumed(Message m, Moment now, JsonGenerator writer)
+      throws IOException, MalformedBatchException {
     long id = m.whole("job");
     PackageTerms terms = terms(m.integer("type"));
     m.skip();
@@ -277,7 +281,8 @@
         });
   }
 
-  private void completed(Message m, Moment now, JsonGenerator writer) throws IOException, Wrong {
+  private void completed(Message m, Moment now, JsonGenerator writer)
+      throws IOException, MalformedBatchException {
     WireViewing vw = viewings.get(m.whole("job"));
     m.skip();
     boolean over = m.flag("terminal");
@@ -296,7 +301,7 @@
           case 520 -> Ending.BROKEN;
           case 444 -> Ending.WITHDRAWN;
           case 409 -> Ending.NEVER_SENT;
-          default -> throw new Wrong("unknown outcome " + how);
+          default -> throw new MalformedBatchException("unknown outcome " + how);
         };
     BoxTable.Entry b = boxes.get(server);
     call(
@@ -336,9 +341,9 @@
     return load.get(key) instanceof Double d ? d : Double.NaN;
   }
 
-  private PackageTerms terms(int type) throws Wrong {
+  private PackageTerms terms(int type) throws MalformedBatchException {
     if (type < 0 || type >= packages.size()) {
-      throw new Wrong("'type' names no package: " + type);
+      throw new MalformedBatchException("'type' names no package: " + type);
     }
     return packages.get(type);
   }
@@ -382,12 +387,12 @@
     act("say", front, Base64.getEncoder().encodeToString(word));
   }
 
-  private void mail(int peer, String octets) throws Wrong {
+  private void mail(int peer, String octets) throws MalformedBatchException {
     byte[] word;
     try {
       word = Base64.getDecoder().decode(octets);
     } catch (IllegalArgumentException e) {
-      throw new Wrong("'octets' should be base64");
+      throw new MalformedBatchException("'octets' should be base64");
     }
     PeerMessages.deliver(boxes, peer, word);
   }
--- a/src/main/java/linengauge/wire/WireHost.java
+++ b/src/main/java/linengauge/wire/WireHost.java
@@ -41,7 +41,7 @@
         var out = new FileOutputStream(FileDescriptor.out)) {
       new WireHost(in, out, System.err).run();
       return 0;
-    } catch (BadLine e) {
+    } catch (MalformedLineException e) {
       System.err.println("linengauge: " + e.getMessage());
     } catch (IOException e) {
       System.err.println("linengauge: standard input or output broke: " + e.getMessage());
@@ -55,7 +55,7 @@
     this.complaints = complaints;
   }
 
-  public void run() throws IOException, BadLine {
+  public void run() throws IOException, MalformedLineException {
     byte[] line = new byte[1 << 16];
     for (long number = 1; ; number++) {
       int length = 0;
@@ -72,19 +72,19 @@
       try {
         answer(line, length);
       } catch (JsonProcessingException e) {
-        throw new BadLine(number, "not a batch: " + e.getOriginalMessage());
-      } catch (Wrong e) {
-        throw new BadLine(number, e.getMessage());
+        throw new MalformedLineException(number, "not a batch: " + e.getOriginalMessage());
+      } catch (MalformedBatchException e) {
+        throw new MalformedLineException(number, e.getMessage());
       }
     }
   }
 
-  private void answer(byte[] line, int length) throws IOException, Wrong {
+  private void answer(byte[] line, int length) throws IOException, MalformedBatchException {
     reply.reset();
     try (JsonParser p = json.createParser(line, 0, length);
         JsonGenerator g = json.createGenerator(reply)) {
       if (p.nextToken() != JsonToken.START_OBJECT) {
-        throw new Wrong("not a batch: an object was expected");
+        throw new MalformedBatchException("not a batch: an object was expected");
       }
       g.writeStartObject();
       g.writeArrayFieldStart("out");
@@ -101,16 +101,17 @@
             event(new Message(p), now, g);
           }
         } else if (key.equals("simTimeUs") || key.equals("happened")) {
-          throw new Wrong("not a batch: '" + key + "' out of place or of the wrong type");
+          throw new MalformedBatchException(
+              "not a batch: '" + key + "' out of place or of the wrong type");
         } else {
           p.skipChildren();
         }
       }
       if (now == null || !any) {
-        throw new Wrong("not a batch: simTimeUs and happened were expected");
+        throw new MalformedBatchException("not a batch: simTimeUs and happened were expected");
       }
       if (p.nextToken() != null) {
-        throw new Wrong("not a batch: more than one value on the line");
+        throw new MalformedBatchException("not a batch: more than one value on the line");
       }
       g.writeEndArray();
       g.writeEndObject();
@@ -120,7 +121,8 @@
     out.flush();
   }
 
-  private void event(Message m, Moment now, JsonGenerator g) throws IOException, Wrong {
+  private void event(Message m, Moment now, JsonGenerator g)
+      throws IOException, MalformedBatchException {
     String name = m.name();
     if (name.equals("pool")) {
       int bank = m.integer("bank");
@@ -142,7 +144,7 @@
     }
     WireFront front = fronts.get(number);
     if (!WireFront.knows(name)) {
-      throw new Wrong("unknown event '" + name + "'");
+      throw new MalformedBatchException("unknown event '" + name + "'");
     }
     if (front == null) {
       m.end();
@@ -155,7 +157,8 @@
       m.end();
       List<ListedBox> rows = pools.get(bank);
       if (rows == null && !mode.equals("refused")) {
-        throw new Wrong("backendsChanged names pool " + bank + ", which was not given");
+        throw new MalformedBatchException(
+            "backendsChanged names pool " + bank + ", which was not given");
       }
       front.listed(mode, rows, now, g);
     } else {
@@ -163,7 +166,7 @@
     }
   }
 
-  private static List<ListedBox> rows(Message m) throws IOException, Wrong {
+  private static List<ListedBox> rows(Message m) throws IOException, MalformedBatchException {
     List<ListedBox> rows = new ArrayList<>();
     m.array("rowsIn");
     while (m.nextRow()) {
@@ -182,12 +185,12 @@
     return rows;
   }
 
-  private static BoxTable.State state(String health) throws Wrong {
+  private static BoxTable.State state(String health) throws MalformedBatchException {
     return switch (health) {
       case "SERVING" -> BoxTable.State.SERVING;
       case "DRAINING" -> BoxTable.State.DRAINING;
       case "DELETED" -> BoxTable.State.GONE;
-      default -> throw new Wrong("unknown health '" + health + "'");
+      default -> throw new MalformedBatchException("unknown health '" + health + "'");
     };
   }
 
@@ -196,10 +199,10 @@
   }
 
   /** What is wrong with a line; the line number is added where it is known. */
-  static final class Wrong extends Exception {
+  static final class MalformedBatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Wrong(String what) {
+    MalformedBatchException(String what) {
       super(what);
     }
   }
--- a/src/test/java/linengauge/wire/WireHostTest.java
+++ b/src/test/java/linengauge/wire/WireHostTest.java
@@ -106,7 +106,8 @@
         "{\"simTimeUs\":5,\"happened\":[[\"reminder\",3,\"a\"]|line 2: not a batch"
       })
   void aBadLineIsNamed(String line, String complaint) {
-    BadLine e = assertThrows(BadLine.class, () -> run(batch(1, START) + line + "\n"));
+    MalformedLineException e =
+        assertThrows(MalformedLineException.class, () -> run(batch(1, START) + line + "\n"));
     assertTrue(
         e.getMessage().startsWith("line 2: ") && e.getMessage().contains(complaint),
         e.getMessage());
