--- a/src/bench/java/linengauge/session/DeskBench.java
+++ b/src/bench/java/linengauge/session/SessionManagerBench.java
@@ -31,7 +31,7 @@
 @Warmup(iterations = 4, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(2)
-public class DeskBench {
+public class SessionManagerBench {
   @Param({"30", "300"})
   public int boxes;
 
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/SessionManagerTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class DeskTest {
+class SessionManagerTest {
   private static final Span PATIENCE = Span.ofSeconds(3);
 
-  private static CoreStage stage() {
-    CoreStage s = new CoreStage(1, 4, false, false, false, 3);
+  private static SessionSimulation stage() {
+    SessionSimulation s = new SessionSimulation(1, 4, false, false, false, 3);
     s.pass(Span.ofSeconds(3));
     return s;
   }
@@ -32,13 +32,14 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
   void rulesHoldThroughSeededDays(long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    CoreStage s =
-        new CoreStage(1 + (int) (seed % 3), 4, seed % 2 == 0, seed % 4 == 1, seed % 5 != 0, seed);
+    SessionSimulation s =
+        new SessionSimulation(
+            1 + (int) (seed % 3), 4, seed % 2 == 0, seed % 4 == 1, seed % 5 != 0, seed);
     s.pass(Span.ofSeconds(3));
     int played = 0;
     for (int step = 0; step < 2500; step++) {
       s.pass(Span.ofMillis(5 + chance.nextInt(40)));
-      CoreStage.Front f = s.fronts.get(chance.nextInt(s.fronts.size()));
+      SessionSimulation.Front f = s.fronts.get(chance.nextInt(s.fronts.size()));
       if (chance.nextInt(5) == 0) {
         f.ask(
             chance.nextInt(3),
@@ -46,11 +47,13 @@
             Span.ofMillis(500 + chance.nextInt(2500)),
             "key" + chance.nextInt(400));
       }
-      CoreStage.Box box = s.boxes.get(chance.nextInt(4));
+      SessionSimulation.Box box = s.boxes.get(chance.nextInt(4));
       switch (chance.nextInt(90)) {
         case 0 ->
-            box.mood = CoreStage.Mood.values()[chance.nextInt(CoreStage.Mood.values().length)];
-        case 1, 2, 3 -> box.mood = CoreStage.Mood.WELL;
+            box.mood =
+                SessionSimulation.Mood.values()[
+                    chance.nextInt(SessionSimulation.Mood.values().length)];
+        case 1, 2, 3 -> box.mood = SessionSimulation.Mood.WELL;
         case 4 -> s.change(box.id, BoxTable.State.DRAINING);
         case 5, 6 -> s.change(box.id, BoxTable.State.SERVING);
         case 7 -> s.restart(box);
@@ -58,7 +61,7 @@
         case 9 -> f.stopFor(Span.ofMillis(chance.nextInt(2000)));
         default -> {}
       }
-      for (CoreStage.Watcher w : List.copyOf(f.viewers)) {
+      for (SessionSimulation.Watcher w : List.copyOf(f.viewers)) {
         int draw = chance.nextInt(200);
         if (w.end != null || w.answer != null && !w.answer.equals("plays")) {
           f.viewers.remove(w);
@@ -77,7 +80,7 @@
     s.pass(Span.ofSeconds(20));
     assertEquals(List.of(), s.judged().breaches());
     assertTrue(s.judged().checked("one-answer") > 100 && played > 20, "hardly anything happened");
-    for (CoreStage.Front f : s.fronts) {
+    for (SessionSimulation.Front f : s.fronts) {
       assertNull(f.failure);
       assertEquals(
           0,
@@ -89,15 +92,15 @@
 
   @Test
   void aFullRegistryBlocksAtOnceWithAdvice() {
-    CoreStage s = stage();
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.SILENT);
-    CoreStage.Watcher last = null;
+    SessionSimulation s = stage();
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
+    SessionSimulation.Watcher last = null;
     for (int i = 0; i <= 20; i++) {
       last = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     }
     s.pass(Span.ofMillis(1));
     assertEquals("blocked", last.answer);
-    assertEquals(CoreStage.BOUNDS.retryAfter(), last.advice);
+    assertEquals(SessionSimulation.BOUNDS.retryAfter(), last.advice);
     assertEquals(1, s.fronts.get(0).desk.counters().rejectedFull);
   }
 
@@ -105,8 +108,8 @@
   @Test
   void aSetUpChosenLongBeforeItCouldLeaveIsChosenAgain() {
     for (boolean stands : new boolean[] {false, true}) {
-      CoreStage s = stage();
-      CoreStage.Front f = s.fronts.get(0);
+      SessionSimulation s = stage();
+      SessionSimulation.Front f = s.fronts.get(0);
       f.holdBack = true; // as a dial does: it leaves 0.3 s after its choice
       f.ask(0, "t", PATIENCE, null);
       s.pass(Span.ofMillis(100));
@@ -121,10 +124,10 @@
 
   @Test
   void aDrainHeardWhileASetUpWaitsForItsConnectionKeepsItBack() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
     f.holdBack = true;
-    CoreStage.Watcher w = f.ask(2, "t", PATIENCE, null);
+    SessionSimulation.Watcher w = f.ask(2, "t", PATIENCE, null);
     s.pass(Span.ofMillis(100));
     long first = w.held.box().id();
     s.change(first, BoxTable.State.DRAINING);
@@ -143,15 +146,15 @@
    */
   @Test
   void whoeverLeavesAsItIsToldThatItPlaysLeavesNothingBehind() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    CoreStage.Watcher w = f.ask(1, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    SessionSimulation.Watcher w = f.ask(1, "t", PATIENCE, null);
     w.leavesAsItPlays = true;
     s.pass(Span.ofSeconds(3));
     assertEquals("plays", w.answer);
     assertEquals(0, f.desk.sessionCount() + f.desk.titleCount());
     assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
-    CoreStage.Watcher next = f.ask(1, "t", PATIENCE, null);
+    SessionSimulation.Watcher next = f.ask(1, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(3));
     assertEquals("plays", next.answer);
     assertTrue(next.held.isPlaying(), "its seat was given back");
@@ -160,9 +163,9 @@
 
   @Test
   void aLateAnswerPlaysNoSecondTimeAndIsEndedAtItsBox() {
-    CoreStage s = stage();
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.LATE);
-    CoreStage.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.LATE);
+    SessionSimulation.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(8));
     assertTrue(List.of("blocked", "aborted").contains(w.answer), w.answer);
     assertEquals(0, s.fronts.get(0).desk.sessionCount());
@@ -171,9 +174,9 @@
 
   @Test
   void aPaidSetUpThatBreaksIsAbortedAndNeverSentAgain() {
-    CoreStage s = stage();
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.RESETS);
-    CoreStage.Watcher w = s.fronts.get(0).ask(2, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.RESETS);
+    SessionSimulation.Watcher w = s.fronts.get(0).ask(2, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(4));
     assertEquals("aborted", w.answer);
     assertEquals(1, s.judged().checked("no-double-set-up"));
@@ -181,14 +184,14 @@
 
   @Test
   void aKeyAskedForTwiceWhileItWaitsIsBlockedAndOneThatPlaysIsReplaced() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    CoreStage.Watcher first = f.ask(0, "t", PATIENCE, "me");
-    CoreStage.Watcher second = f.ask(0, "t", PATIENCE, "me");
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    SessionSimulation.Watcher first = f.ask(0, "t", PATIENCE, "me");
+    SessionSimulation.Watcher second = f.ask(0, "t", PATIENCE, "me");
     s.pass(Span.ofMillis(500));
     assertEquals("plays", first.answer);
     assertEquals("blocked", second.answer);
-    CoreStage.Watcher third = f.ask(0, "t", PATIENCE, "me");
+    SessionSimulation.Watcher third = f.ask(0, "t", PATIENCE, "me");
     s.pass(Span.ofMillis(500));
     assertEquals(Viewer.EndReason.REPLACED, first.end);
     assertEquals("plays", third.answer);
@@ -198,9 +201,9 @@
 
   @Test
   void aViewerThatLeavesWhileItsSetUpIsOutLeavesNothing() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    CoreStage.Watcher w = f.ask(1, "t", PATIENCE, "me");
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    SessionSimulation.Watcher w = f.ask(1, "t", PATIENCE, "me");
     s.pass(Span.ofMillis(5));
     f.on(Span.NONE, w.held::viewerLeft);
     s.pass(Span.ofSeconds(1));
@@ -211,9 +214,9 @@
 
   @Test
   void anIdleViewingEndsAndOneThatIsAskedForDoesNot() {
-    CoreStage s = stage();
-    CoreStage.Watcher idle = s.fronts.get(0).ask(0, "t", PATIENCE, null);
-    CoreStage.Watcher busy = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    SessionSimulation.Watcher idle = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+    SessionSimulation.Watcher busy = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     for (int i = 0; i < 14; i++) {
       s.pass(Span.ofSeconds(1));
       busy.lastAsked = s.now;
@@ -225,23 +228,23 @@
 
   @Test
   void whatIsReadAfterAStandStillCountsItAgainstThePatience() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.SILENT);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
     f.stopFor(Span.ofMillis(2000));
     s.pass(Span.ofMillis(10));
-    CoreStage.Watcher w = f.ask(0, "t", PATIENCE, null);
+    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(2990));
     assertNotNull(w.answer, "three seconds after it was asked the viewer is gone");
   }
 
   @Test
   void aViewerIsAnsweredInTimeEvenIfEveryOtherWakeIsLost() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.SILENT);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
     f.losesWakesUnder = Span.ofSeconds(2);
-    CoreStage.Watcher w = f.ask(0, "t", PATIENCE, null);
+    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(2990));
     assertEquals("aborted", w.answer);
     assertEquals(0, f.desk.sessionCount());
@@ -249,8 +252,8 @@
 
   @Test
   void whatIsAnsweredIsNeverAnsweredAgain() {
-    CoreStage s = stage();
-    CoreStage.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    SessionSimulation.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(200));
     assertEquals("plays", w.answer);
     w.held.abort();
@@ -261,11 +264,11 @@
 
   @Test
   void aViewingThatIsOverLeavesNoWakeBehind() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
     int before = f.wakes;
     for (int i = 0; i < 10; i++) {
-      CoreStage.Watcher w = f.ask(0, "t", PATIENCE, null);
+      SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
       s.pass(Span.ofMillis(200));
       assertEquals("plays", w.answer);
       f.on(Span.NONE, w.held::viewerLeft);
@@ -276,12 +279,12 @@
 
   @Test
   void anOrderlyStopBlocksNewcomersAndEndsThoseThatPlay() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    CoreStage.Watcher plays = f.ask(0, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    SessionSimulation.Watcher plays = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(1));
     f.desk.stopAccepting();
-    CoreStage.Watcher late = f.ask(0, "t", PATIENCE, null);
+    SessionSimulation.Watcher late = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(10));
     assertEquals("blocked", late.answer);
     assertTrue(plays.held.isPlaying());
@@ -294,12 +297,12 @@
 
   @Test
   void aModuleThatFailsLeavesNobodyUnanswered() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
-    CoreStage.Watcher plays = f.ask(0, "t", PATIENCE, null);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
+    SessionSimulation.Watcher plays = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(1));
-    s.boxes.forEach(b -> b.mood = CoreStage.Mood.SILENT);
-    CoreStage.Watcher waits = f.ask(0, "t", PATIENCE, null);
+    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
+    SessionSimulation.Watcher waits = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(100));
     f.desk.runGuarded(
         () -> {
@@ -311,15 +314,15 @@
     assertEquals("blocked", answerOf(s, f));
   }
 
-  private static String answerOf(CoreStage s, CoreStage.Front f) {
-    CoreStage.Watcher w = f.ask(0, "t", PATIENCE, null);
+  private static String answerOf(SessionSimulation s, SessionSimulation.Front f) {
+    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
     s.pass(Span.ofMillis(10));
     return w.answer;
   }
 
   @Test
   void changesOfTheListAreTakenInOrderAndAGapWantsTheWholeList() {
-    CoreStage s = stage();
+    SessionSimulation s = stage();
     SessionManager desk = s.fronts.get(0).desk;
     List<BoxTable.ListedBox> drained =
         List.of(s.row(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
@@ -340,12 +343,12 @@
 
   @Test
   void aColdBoxThatLeavesTheListAndComesBackKeepsItsPace() {
-    CoreStage s = stage();
-    CoreStage.Front f = s.fronts.get(0);
+    SessionSimulation s = stage();
+    SessionSimulation.Front f = s.fronts.get(0);
     s.restart(s.boxes.get(0));
     s.boxes.forEach(b -> s.change(b.id, b.id == 0 ? BoxTable.State.SERVING : BoxTable.State.GONE));
     s.pass(Span.ofMillis(3100));
-    s.boxes.get(0).mood = CoreStage.Mood.ERRORS;
+    s.boxes.get(0).mood = SessionSimulation.Mood.ERRORS;
     for (int i = 0; i < 12; i++) {
       f.ask(0, "t", Span.ofMillis(300), null);
       s.pass(Span.ofMillis(50));
@@ -360,7 +363,7 @@
 
   @Test
   void datagramsOfStrangersArePassedOver() {
-    CoreStage s = new CoreStage(2, 4, true, false, false, 3);
+    SessionSimulation s = new SessionSimulation(2, 4, true, false, false, 3);
     s.pass(Span.ofSeconds(3));
     SessionManager desk = s.fronts.get(0).desk;
     long heard = desk.counters().messagesReceived;
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/SessionSimulation.java
@@ -18,7 +18,7 @@
  * Several fronts' cores round model boxes and viewers in virtual time; what passes is written down
  * for the judge.
  */
-final class CoreStage {
+final class SessionSimulation {
   static final PackageTerms PLAIN = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
   static final PackageTerms SEATED = new PackageTerms(2, Span.ofMillis(1000), 1, 1, 4, 2, false);
   static final PackageTerms PAID = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, true);
@@ -311,7 +311,7 @@
   private final Moment origin = now;
   private final int count;
 
-  CoreStage(
+  SessionSimulation(
       int fronts, int boxCount, boolean messages, boolean probes, boolean rationed, long seed) {
     this.chance = new SplittableRandom(seed);
     this.count = fronts;
