--- a/src/bench/java/linengauge/session/SessionManagerBench.java
+++ b/src/bench/java/linengauge/session/SessionManagerBench.java
@@ -23,7 +23,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The core's cost of one viewing from request to end, beside how many boxes and viewings it holds.
+ * The time that the core spends on one viewing from request to end, by the number of boxes and of
+ * viewings that it holds.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -38,12 +39,12 @@
   @Param({"100", "1000"})
   public int held;
 
-  private static final PackageTerms TERMS =
+  private static final PackageTerms PACKAGE =
       new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
 
-  /** Carries nothing: set-ups are answered by the benchmark, wakes are never due. */
-  private static final class Mute implements Transport {
-    private final ArrayDeque<Session> out = new ArrayDeque<>();
+  /** Sends nothing: set-ups are answered by the benchmark, and timers never run. */
+  private static final class QueueingTransport implements Transport {
+    private final ArrayDeque<Session> pending = new ArrayDeque<>();
 
     @Override
     public Timer schedule(Span span, Runnable step) {
@@ -51,15 +52,15 @@
     }
 
     @Override
-    public void setUp(Session vw, int tuneIn) {
-      out.add(vw);
+    public void setUp(Session session, int tuneIn) {
+      pending.add(session);
     }
 
     @Override
-    public void changeRung(Session vw) {}
+    public void changeRung(Session session) {}
 
     @Override
-    public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {}
+    public void cancelAtBox(Session session, BoxTable.Entry box, int tuneIn) {}
 
     @Override
     public void probe(BoxTable.Entry box) {}
@@ -73,22 +74,22 @@
     }
   }
 
-  private static final class Nobody implements Viewer {
+  private static final class SilentViewer implements Viewer {
     @Override
-    public void started(Session vw) {}
+    public void started(Session session) {}
 
     @Override
-    public void rejected(Span comeBackAfter, Outside.Refusal reason) {
-      throw new IllegalStateException("blocked");
+    public void rejected(Span retryAfter, Outside.Refusal reason) {
+      throw new IllegalStateException("request rejected");
     }
 
     @Override
     public void failed(FailureCause cause) {
-      throw new IllegalStateException("aborted");
+      throw new IllegalStateException("request failed");
     }
 
     @Override
-    public void ended(EndReason how) {}
+    public void ended(EndReason reason) {}
 
     @Override
     public Moment lastRequestAt() {
@@ -96,21 +97,21 @@
     }
   }
 
-  private final Mute carrier = new Mute();
-  private final Viewer nobody = new Nobody();
+  private final QueueingTransport transport = new QueueingTransport();
+  private final Viewer viewer = new SilentViewer();
   private final ArrayDeque<Session> playing = new ArrayDeque<>();
-  private final SplittableRandom chance = new SplittableRandom(1);
-  private SessionManager desk;
-  private long now = 1_000_000_000L;
+  private final SplittableRandom random = new SplittableRandom(1);
+  private SessionManager manager;
+  private long nowMicros = 1_000_000_000L;
 
   @Setup
-  public void open() {
-    Headend house =
+  public void setUp() {
+    Headend deployment =
         new Headend(
             1,
             0,
             0,
-            List.of(TERMS),
+            List.of(PACKAGE),
             new double[] {30, 60, 100, 170, 300},
             new double[] {0.25, 0.45, 0.65, 0.82, 1},
             new Headend.Fleet(
@@ -123,9 +124,9 @@
                 Span.ofMillis(800)),
             new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 0, 0, Span.NONE),
             new Headend.Permits(4, false, false, false, 0.01, 0.01, 0, Span.ofSeconds(2)));
-    desk =
+    manager =
         new SessionManager(
-            house,
+            deployment,
             new SessionManager.Limits(
                 100_000,
                 Span.ofSeconds(60),
@@ -135,41 +136,41 @@
                 Span.ofMillis(40)),
             1,
             "bench",
-            carrier);
-    desk.updateTime(new Moment(now));
-    List<BoxTable.ListedBox> rows = new ArrayList<>();
+            transport);
+    manager.updateTime(new Moment(nowMicros));
+    List<BoxTable.ListedBox> listings = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
-      rows.add(
+      listings.add(
           new BoxTable.ListedBox(
               i + 1, "h:1", 1, i, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST));
     }
-    desk.applyDiscovery(1, rows);
+    manager.applyDiscovery(1, listings);
     for (int i = 0; i < held; i++) {
-      join();
+      startSession();
     }
   }
 
-  private void join() {
-    now += 1000;
-    desk.updateTime(new Moment(now));
-    int title = chance.nextInt(200);
-    Session vw =
-        desk.accept(
+  private void startSession() {
+    nowMicros += 1000;
+    manager.updateTime(new Moment(nowMicros));
+    int title = random.nextInt(200);
+    Session session =
+        manager.accept(
             new Session.SessionRequest(
-                "t" + title, title * 5 % boxes, 4, 0, TERMS, 4, Span.ofSeconds(3), null),
-            nobody);
-    while (!carrier.out.isEmpty()) {
-      Session one = carrier.out.poll();
-      one.tryBeginSend(0);
-      one.setUpSucceeded(0);
+                "t" + title, title * 5 % boxes, 4, 0, PACKAGE, 4, Span.ofSeconds(3), null),
+            viewer);
+    while (!transport.pending.isEmpty()) {
+      Session waiting = transport.pending.poll();
+      waiting.tryBeginSend(0);
+      waiting.setUpSucceeded(0);
     }
-    playing.add(vw);
+    playing.add(session);
   }
 
-  /** Taken, placed, played; the viewing that has played longest ends. */
+  /** Accepts a viewing, places it and lets it play; the viewing that has played longest ends. */
   @Benchmark
   public void fromRequestToEnd() {
-    join();
+    startSession();
     playing.poll().viewerLeft();
   }
 }
--- a/src/main/java/linengauge/session/Backoff.java
+++ b/src/main/java/linengauge/session/Backoff.java
@@ -4,31 +4,31 @@
 import linengauge.Span;
 
 /**
- * Spans between repeated attempts: doubling from the first to the most, each drawn from its upper
- * half.
+ * Delays between retries. Each delay is drawn at random from the upper half of a bound, which
+ * starts at the initial delay and doubles up to the maximum.
  */
 public final class Backoff {
-  private final Span first;
-  private final Span most;
-  private final SplittableRandom chance;
-  private Span next;
+  private final Span initialDelay;
+  private final Span maxDelay;
+  private final SplittableRandom random;
+  private Span upperBound;
 
-  public Backoff(Span first, Span most, SplittableRandom chance) {
-    this.first = first;
-    this.most = most;
-    this.chance = chance;
-    this.next = first;
+  public Backoff(Span initialDelay, Span maxDelay, SplittableRandom random) {
+    this.initialDelay = initialDelay;
+    this.maxDelay = maxDelay;
+    this.random = random;
+    this.upperBound = initialDelay;
   }
 
-  /** How long to wait before the next attempt. */
+  /** The delay before the next attempt. */
   public Span nextDelay() {
-    Span whole = next;
-    next = next.times(2).orLess(most);
-    return whole.times(0.5 + 0.5 * chance.nextDouble());
+    Span bound = upperBound;
+    upperBound = upperBound.times(2).orLess(maxDelay);
+    return bound.times(0.5 + 0.5 * random.nextDouble());
   }
 
-  /** An attempt went well. */
+  /** Starts again at the initial delay, after an attempt that succeeded. */
   public void reset() {
-    next = first;
+    upperBound = initialDelay;
   }
 }
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -13,11 +13,12 @@
 import linengauge.Span;
 
 /**
- * The box list as this front last heard it: ids to the module's handles. A box leaves once the list
- * no longer names it and no viewing is held there.
+ * The media boxes known to this front, by id: what discovery last reported of each, and the
+ * module's handle. A box is removed once discovery no longer lists it and it holds no viewing of
+ * this front.
  */
 public final class BoxTable {
-  /** What the list says of a box; GONE: removed, or no longer named by a whole list. */
+  /** The state of a box in discovery. GONE: removed, or no longer named by a full list. */
   public enum State {
     SERVING,
     DRAINING,
@@ -25,7 +26,8 @@
   }
 
   /**
-   * One line of the list. The address is null where something else than a carrier reaches the box.
+   * One box as discovery lists it. The address is null where the box is not reached through a
+   * {@link Transport}.
    */
   public record ListedBox(
       long id,
@@ -37,22 +39,28 @@
       int building,
       Moment startedAt) {}
 
-  /** One media box: the module's line to it and what the carrier needs to reach it. */
+  /**
+   * One media box: the port through which the module probes it, and what the transport needs to
+   * reach it.
+   */
   public static final class Entry implements Outside.Line {
     private final long id;
     private final Consumer<Entry> prober;
     private Policy.MediaBox mediaBox;
     private State state = State.GONE;
     private String address;
-    private boolean kept;
-    private ListedBox row;
+    private boolean listed;
+    private ListedBox listing;
 
-    /** When the box itself says that it started; later than the list's word where that is late. */
-    private Moment startedTold = Moment.DISTANT_PAST;
+    /**
+     * The start time that the box itself reported; later than the listed one while discovery is out
+     * of date.
+     */
+    private Moment reportedStart = Moment.DISTANT_PAST;
 
     /**
-     * How often it was heard to have started anew, or lost from sight: what was chosen before is
-     * chosen again.
+     * Counts the restarts that were reported, and the losses of contact after which the box may
+     * have restarted. A choice of box made under an earlier number is made again.
      */
     private int incarnation;
 
@@ -82,7 +90,7 @@
       return incarnation;
     }
 
-    /** It may have started anew. */
+    /** Contact with the box is lost, so it may have restarted. */
     void contactLost() {
       incarnation++;
     }
@@ -103,30 +111,30 @@
   private final Map<Long, Entry> entries = new LinkedHashMap<>();
 
   /**
-   * Boxes no longer listed that still held viewings when they left; the next list empties what has
-   * ended.
+   * Boxes that are not listed: they still held viewings when they left discovery, or a viewing
+   * named them before discovery did. The next update removes those without viewings.
    */
-  private final Map<Long, Entry> leaving = new HashMap<>();
+  private final Map<Long, Entry> unlisted = new HashMap<>();
 
   public BoxTable(Policy policy, Consumer<Entry> prober) {
     this.policy = policy;
     this.prober = prober;
   }
 
-  /** The box of that id, or null where none is known. */
+  /** The box of that id, or null where it is not known. */
   public Entry get(long id) {
     return entries.get(id);
   }
 
-  /** The box of that id, made known where a viewing names it before the list does. */
+  /** The box of that id; it is added where a viewing names it before discovery does. */
   public Entry getOrAdd(long id) {
     return entries.computeIfAbsent(
         id,
-        n -> {
-          Entry e = new Entry(n, prober);
-          e.mediaBox = policy.box(e);
-          leaving.put(n, e);
-          return e;
+        newId -> {
+          Entry entry = new Entry(newId, prober);
+          entry.mediaBox = policy.box(entry);
+          unlisted.put(newId, entry);
+          return entry;
         });
   }
 
@@ -134,73 +142,86 @@
     return entries.size();
   }
 
-  /** The boxes known, in the order in which they were first heard of. */
+  /** The known boxes, in the order in which they were added. */
   public Iterable<Entry> all() {
     return entries.values();
   }
 
-  /** Applies changes, or a whole list: what that does not name is gone. */
-  public void apply(boolean whole, List<ListedBox> rows) {
-    Set<Long> rest = new HashSet<>();
-    for (ListedBox row : rows) {
-      rest.add(row.id());
-      Entry e = getOrAdd(row.id());
-      put(e, row);
+  /** Applies changes or a full list. Boxes that a full list does not name are gone. */
+  public void apply(boolean full, List<ListedBox> listings) {
+    Set<Long> listedIds = new HashSet<>();
+    for (ListedBox listing : listings) {
+      listedIds.add(listing.id());
+      Entry entry = getOrAdd(listing.id());
+      update(entry, listing);
     }
-    if (whole) {
-      for (Entry e : entries.values()) {
-        if (e.kept && !rest.contains(e.id)) {
-          go(e);
+    if (full) {
+      for (Entry entry : entries.values()) {
+        if (entry.listed && !listedIds.contains(entry.id)) {
+          remove(entry);
         }
       }
     }
-    leaving.values().removeIf(e -> e.kept || e.mediaBox.forgotten() && entries.remove(e.id, e));
+    unlisted
+        .values()
+        .removeIf(
+            entry -> entry.listed || entry.mediaBox.forgotten() && entries.remove(entry.id, entry));
   }
 
-  private void put(Entry e, ListedBox row) {
-    e.address = row.address() == null ? e.address : row.address();
-    e.incarnation +=
-        e.row != null && e.row.startedAt().orLater(e.startedTold).before(row.startedAt()) ? 1 : 0;
-    switch (row.state()) {
+  private void update(Entry entry, ListedBox listing) {
+    entry.address = listing.address() == null ? entry.address : listing.address();
+    entry.incarnation +=
+        entry.listing != null
+                && entry
+                    .listing
+                    .startedAt()
+                    .orLater(entry.reportedStart)
+                    .before(listing.startedAt())
+            ? 1
+            : 0;
+    switch (listing.state()) {
       case SERVING ->
-          e.mediaBox.serving(
-              row.weight(),
-              row.cell(),
-              row.kind(),
-              row.building(),
-              row.startedAt().orLater(e.startedTold));
-      case DRAINING -> e.mediaBox.draining();
+          entry.mediaBox.serving(
+              listing.weight(),
+              listing.cell(),
+              listing.kind(),
+              listing.building(),
+              listing.startedAt().orLater(entry.reportedStart));
+      case DRAINING -> entry.mediaBox.draining();
       case GONE -> {
-        go(e);
+        remove(entry);
         return;
       }
     }
-    e.state = row.state();
-    e.row = row;
-    e.kept = true;
-    leaving.remove(e.id);
+    entry.state = listing.state();
+    entry.listing = listing;
+    entry.listed = true;
+    unlisted.remove(entry.id);
   }
 
   /**
-   * A box has told when it started. Guards against a list that is late: a box that came back
-   * meanwhile would be taken for warm. Moments that differ by less than the slack are the same
-   * start, told with a little noise.
+   * A box has reported when it started. Without this, a box that restarted meanwhile would pass as
+   * warm while discovery is out of date. Moments that differ by no more than the tolerance are the
+   * same start, reported with a little noise.
    */
-  void startReported(Entry e, Moment at, Span slack) {
-    Moment known = e.row == null ? e.startedTold : e.row.startedAt().orLater(e.startedTold);
-    if (known.plus(slack).before(at)) {
-      e.startedTold = at;
-      e.incarnation++;
-      if (e.state == State.SERVING) {
-        put(e, e.row);
+  void startReported(Entry entry, Moment startedAt, Span tolerance) {
+    Moment knownStart =
+        entry.listing == null
+            ? entry.reportedStart
+            : entry.listing.startedAt().orLater(entry.reportedStart);
+    if (knownStart.plus(tolerance).before(startedAt)) {
+      entry.reportedStart = startedAt;
+      entry.incarnation++;
+      if (entry.state == State.SERVING) {
+        update(entry, entry.listing);
       }
     }
   }
 
-  private void go(Entry e) {
-    e.state = State.GONE;
-    e.kept = false;
-    e.mediaBox.gone();
-    leaving.put(e.id, e);
+  private void remove(Entry entry) {
+    entry.state = State.GONE;
+    entry.listed = false;
+    entry.mediaBox.gone();
+    unlisted.put(entry.id, entry);
   }
 }
--- a/src/main/java/linengauge/session/DiscoveryCache.java
+++ b/src/main/java/linengauge/session/DiscoveryCache.java
@@ -3,24 +3,24 @@
 import java.util.List;
 
 /**
- * Keeps the box list in the order of its revisions. Changes are applied only on the revision that
- * they start from; after a gap, a break too long or a list that started anew, the whole list is
- * wanted.
+ * Applies discovery lists in the order of their revisions. Changes are applied only on the revision
+ * that they start from; after a gap, too long a break or a list that started anew, the full list is
+ * needed.
  */
 public final class DiscoveryCache {
-  /** What became of a piece of the list. */
+  /** The outcome of an update. */
   public enum UpdateResult {
     APPLIED,
-    /** Heard before; nothing was done. */
+    /** Known already; nothing was done. */
     OLD,
     /**
-     * Something before it was missed: the whole list is wanted, and the present one stands till it
+     * An earlier update was missed: the full list is needed, and the present one is kept until it
      * comes.
      */
     GAP
   }
 
-  /** No list has been heard: the whole one is wanted. */
+  /** No list is known: the full one is needed. */
   public static final long NO_REVISION = -1;
 
   private final BoxTable boxes;
@@ -31,24 +31,25 @@
   }
 
   /**
-   * The revision that the boxes are at, from which changes may be asked; NONE: the whole list is
-   * wanted.
+   * The revision of the boxes, from which changes may be requested; NO_REVISION: the full list is
+   * needed.
    */
   public long revision() {
     return revision;
   }
 
   /**
-   * A whole list; one older than what is known is from a list that started anew, and holds as well.
+   * Applies a full list. One that is older than the known revision comes from a list that started
+   * anew, and is applied as well.
    */
-  public UpdateResult applyFull(long at, List<BoxTable.ListedBox> rows) {
-    boxes.apply(true, rows);
-    revision = at;
+  public UpdateResult applyFull(long newRevision, List<BoxTable.ListedBox> listings) {
+    boxes.apply(true, listings);
+    revision = newRevision;
     return UpdateResult.APPLIED;
   }
 
-  /** Changes that lead from one revision to another. */
-  public UpdateResult applyChanges(long from, long to, List<BoxTable.ListedBox> rows) {
+  /** Applies changes that lead from one revision to another. */
+  public UpdateResult applyChanges(long from, long to, List<BoxTable.ListedBox> listings) {
     if (revision == NO_REVISION || from > revision) {
       return UpdateResult.GAP;
     }
@@ -56,14 +57,15 @@
       return UpdateResult.OLD;
     }
     if (from < revision) {
-      return UpdateResult.GAP; // part of it is known, part not: rows of both cannot be told apart
+      // Some of the changes are known and some are not, and their listings cannot be distinguished.
+      return UpdateResult.GAP;
     }
-    boxes.apply(false, rows);
+    boxes.apply(false, listings);
     revision = to;
     return UpdateResult.APPLIED;
   }
 
-  /** The list cannot answer for the revision known: the next one must be whole. */
+  /** Discovery cannot answer for the known revision: the next list must be full. */
   public void reset() {
     revision = NO_REVISION;
   }
--- a/src/main/java/linengauge/session/PauseDetector.java
+++ b/src/main/java/linengauge/session/PauseDetector.java
@@ -4,43 +4,43 @@
 import linengauge.Span;
 
 /**
- * Notices that this front itself stood still (stopped, swapped out, a long pause), from a beat that
- * comes late. Guards against counting a viewer's patience from the moment of reading: what is read
- * in the first moments after a gap may have waited for all of it. It could hurt where the gap was
- * the desk's alone and requests came after it: they are answered sooner than they need be.
+ * Detects a process pause of this front (stopped, swapped out, held up for long) from a tick that
+ * comes late. Without it a viewer's time limit would count from the moment of reading, though a
+ * request read in the first moments after a pause may have waited for all of it. Where only the
+ * core was paused and requests came afterwards, they are answered earlier than they need be.
  */
 public final class PauseDetector {
-  private final Span beat;
-  private final Span tolerated;
-  private final Span holds;
-  private Moment beaten;
-  private Span gap = Span.NONE;
-  private Moment noticedAt = Moment.DISTANT_PAST;
+  private final Span tickInterval;
+  private final Span tolerance;
+  private final Span effectSpan;
+  private Moment lastActivity;
+  private Span pause = Span.NONE;
+  private Moment detectedAt = Moment.DISTANT_PAST;
 
   /**
-   * Gaps up to the tolerated span are no news; one over it counts for requests read within `holds`
-   * after it.
+   * Pauses up to the tolerance are ignored; a longer one counts for requests read within the effect
+   * span after it.
    */
-  public PauseDetector(Span beat, Span tolerated, Span holds) {
-    this.beat = beat;
-    this.tolerated = tolerated;
-    this.holds = holds;
+  public PauseDetector(Span tickInterval, Span tolerance, Span effectSpan) {
+    this.tickInterval = tickInterval;
+    this.tolerance = tolerance;
+    this.effectSpan = effectSpan;
   }
 
-  /** Any sign that the front runs. */
+  /** Records a sign that the front runs. */
   public void recordActivity(Moment now) {
-    if (beaten != null) {
-      Span late = now.since(beaten).minus(beat);
-      if (tolerated.under(late)) {
-        gap = late;
-        noticedAt = now;
+    if (lastActivity != null) {
+      Span late = now.since(lastActivity).minus(tickInterval);
+      if (tolerance.under(late)) {
+        pause = late;
+        detectedAt = now;
       }
     }
-    beaten = now;
+    lastActivity = now;
   }
 
-  /** How long a request read now may already have waited unseen. */
+  /** How long a request read now may already have waited unread. */
   public Span recentPause(Moment now) {
-    return now.since(noticedAt).under(holds) ? gap : Span.NONE;
+    return now.since(detectedAt).under(effectSpan) ? pause : Span.NONE;
   }
 }
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -7,50 +7,50 @@
 import linengauge.Span;
 
 /**
- * One viewing in the registry, from being taken until its answer is given and no tune-in is out or
- * playing. What happens to it is a call on this handle; every call may come at any time and in any
- * order, and is passed over where it no longer fits.
+ * One viewing in the registry, from its acceptance until its answer is given and no tune-in is open
+ * or playing. Events are reported by calls on it, which may come at any time and in any order; a
+ * call that no longer applies has no effect.
  */
 public final class Session implements Outside.Player {
-  private final SessionManager desk;
+  private final SessionManager manager;
   private final Viewer viewer;
   private final SessionRequest request;
   private final String id;
   private final Moment deadline;
-  private Policy.Viewing handle;
+  private Policy.Viewing viewing;
 
-  /** Until when the tune-in that is out is waited for. */
-  private Moment waitEnds = Moment.DISTANT_PAST;
+  /** Until when the open tune-in is awaited. */
+  private Moment tuneInDeadline = Moment.DISTANT_PAST;
 
-  /** When the module chose the box of the tune-in that is out. */
-  private Moment chosenAt = Moment.DISTANT_PAST;
+  /** When the module chose the box of the open tune-in. */
+  private Moment boxChosenAt = Moment.DISTANT_PAST;
 
-  /** Which life of it, as heard then. */
-  private int lifeChosen;
+  /** The incarnation of that box, as known when it was chosen. */
+  private int chosenIncarnation;
 
-  private BoxTable.Entry at;
+  private BoxTable.Entry currentBox;
   private int rung;
-  private int tuneIns;
+  private int tuneInCount;
 
-  /** A tune-in is out, or plays. */
-  private boolean out;
+  /** A tune-in is open, or plays. */
+  private boolean tuneInActive;
 
-  /** The tune-in that is out has been written to its box, or is about to be. */
+  /** The open tune-in has been written to its box, or is about to be. */
   private boolean sent;
 
   private boolean playing;
   private boolean answered;
 
-  /** Called off as soon as what they wait for has come. */
-  private Transport.Timer answerBy;
+  /** Timers; each is cancelled as soon as what it waits for has happened. */
+  private Transport.Timer deadlineTimer;
 
-  private Transport.Timer timeOut;
-  private Transport.Timer nextLook;
-  private Outside.Ending last = Outside.Ending.NEVER_SENT;
+  private Transport.Timer tuneInTimer;
+  private Transport.Timer idleTimer;
+  private Outside.Ending lastOutcome = Outside.Ending.NEVER_SENT;
 
   /**
-   * What was asked for: title and where it is held (cells from the first, 0: all), package, highest
-   * rung, key.
+   * What was requested: the title and where it is held (cellsInRow cells from firstCell on; 0:
+   * all), the package, the highest rung, the time limit and the viewer's key.
    */
   public record SessionRequest(
       String title,
@@ -62,17 +62,18 @@
       Span timeLimit,
       String key) {}
 
-  Session(SessionManager desk, Viewer viewer, SessionRequest ask, String id, Moment patienceEnds) {
-    this.desk = desk;
+  Session(
+      SessionManager manager, Viewer viewer, SessionRequest request, String id, Moment deadline) {
+    this.manager = manager;
     this.viewer = viewer;
-    this.request = ask;
+    this.request = request;
     this.id = id;
-    this.deadline = patienceEnds;
+    this.deadline = deadline;
   }
 
-  /** The module's handle; the module may have decided before this is known. */
-  void setViewing(Policy.Viewing given) {
-    this.handle = given;
+  /** Sets the module's handle; the module may have decided before it is known here. */
+  void setViewing(Policy.Viewing newViewing) {
+    this.viewing = newViewing;
   }
 
   /** Unique over all fronts and their restarts. */
@@ -88,9 +89,9 @@
     return viewer;
   }
 
-  /** The box of the tune-in that is out or plays; null where there is none. */
+  /** The box of the tune-in that is open or plays; null where there is none. */
   public BoxTable.Entry box() {
-    return at;
+    return currentBox;
   }
 
   /** The rung in force, or the one to set up at. */
@@ -98,9 +99,9 @@
     return rung;
   }
 
-  /** How much longer the tune-in that is out is waited for. */
+  /** How much longer the open tune-in is awaited. */
   public Span remainingWait() {
-    return waitEnds.since(desk.now()).orMore(Span.NONE);
+    return tuneInDeadline.since(manager.now()).orMore(Span.NONE);
   }
 
   public boolean isPlaying() {
@@ -116,261 +117,264 @@
   }
 
   boolean isComplete() {
-    return answered && !out;
+    return answered && !tuneInActive;
   }
 
   /**
-   * It plays already, at a box that another told this front of; from here on all is as if it had
-   * been set up here.
+   * It plays already, at a box that was named to this front; from here on it is treated as if it
+   * had been set up here.
    */
-  void adopted(BoxTable.Entry box, Policy.Viewing given) {
-    at = box;
-    handle = given;
-    tuneIns = 1;
-    out = true;
+  void adopted(BoxTable.Entry box, Policy.Viewing newViewing) {
+    currentBox = box;
+    viewing = newViewing;
+    tuneInCount = 1;
+    tuneInActive = true;
     answered = true;
     playing = true;
   }
 
-  /* ---- what the module decides ---- */
+  /* ---- decisions of the module ---- */
 
   @Override
   public void tuneIn(Policy.MediaBox box, Span timeout) {
-    at = (BoxTable.Entry) box.line();
-    out = true;
+    currentBox = (BoxTable.Entry) box.line();
+    tuneInActive = true;
     sent = false;
-    int n = tuneIns++;
-    chosenAt = desk.now();
-    lifeChosen = at.incarnation();
-    waitEnds = chosenAt.plus(timeout);
-    desk.carrier().setUp(this, n);
-    timeOut =
-        desk.startTimer(
+    int tuneIn = tuneInCount++;
+    boxChosenAt = manager.now();
+    chosenIncarnation = currentBox.incarnation();
+    tuneInDeadline = boxChosenAt.plus(timeout);
+    manager.transport().setUp(this, tuneIn);
+    tuneInTimer =
+        manager.startTimer(
             timeout,
             () -> {
-              if (isAwaiting(n)) {
-                timedOut(n);
+              if (isAwaiting(tuneIn)) {
+                tuneInTimedOut(tuneIn);
               }
             });
   }
 
   @Override
   public void askConfirmation(long server) {
-    desk.carrier().requestEndConfirmation(this, server);
+    manager.transport().requestEndConfirmation(this, server);
   }
 
-  private void timedOut(int n) {
-    // One that still waits for its connection never ran: that is no secret from the module.
-    Outside.Ending how =
-        sent ? desk.carrier().classifyTimeout(this, n) : Outside.Ending.NOT_REACHED;
-    giveBack(n);
-    end(how, false);
+  private void tuneInTimedOut(int tuneIn) {
+    // A set-up that still waits for its connection never ran, and its outcome says so to the
+    // module.
+    Outside.Ending outcome =
+        sent ? manager.transport().classifyTimeout(this, tuneIn) : Outside.Ending.NOT_REACHED;
+    cancelAtBox(tuneIn);
+    endTuneIn(outcome, false);
   }
 
   @Override
-  public void rung(int to) {
-    rung = to;
+  public void rung(int newRung) {
+    rung = newRung;
     if (playing) {
-      desk.carrier().changeRung(this);
+      manager.transport().changeRung(this);
     }
   }
 
   @Override
-  public void block(Span comeBackAfter, Outside.Refusal reason) {
-    if (answer()) {
-      desk.counters().rejected++;
-      viewer.rejected(comeBackAfter, reason);
-      desk.removeIfComplete(this);
+  public void block(Span retryAfter, Outside.Refusal reason) {
+    if (markAnswered()) {
+      manager.counters().rejected++;
+      viewer.rejected(retryAfter, reason);
+      manager.removeIfComplete(this);
     }
   }
 
   @Override
   public void abort() {
     fail(
-        last == Outside.Ending.NO_ANSWER
-                || last == Outside.Ending.UNHEARD
-                || last == Outside.Ending.HELD_UP
+        lastOutcome == Outside.Ending.NO_ANSWER
+                || lastOutcome == Outside.Ending.UNHEARD
+                || lastOutcome == Outside.Ending.HELD_UP
             ? Viewer.FailureCause.NO_ANSWER
             : Viewer.FailureCause.FAILED);
   }
 
   void fail(Viewer.FailureCause cause) {
-    if (answer()) {
-      desk.counters().failed++;
+    if (markAnswered()) {
+      manager.counters().failed++;
       viewer.failed(cause);
-      desk.removeIfComplete(this);
+      manager.removeIfComplete(this);
     }
   }
 
-  /** The one place that gives a viewing's answer: true the first time, and never again. */
-  private boolean answer() {
+  /**
+   * The only place that decides whether an answer is given: true the first time, false ever after.
+   */
+  private boolean markAnswered() {
     if (answered) {
       return false;
     }
     answered = true;
-    callOff(answerBy);
+    cancelTimer(deadlineTimer);
     return true;
   }
 
-  /* ---- what the carrier tells ---- */
+  /* ---- events from the transport ---- */
 
-  /** That tune-in is out, or is to be sent, and has not been answered. */
+  /** That tune-in is open, or is still to be sent, and has not been answered. */
   public boolean isAwaiting(int tuneIn) {
-    return out && !playing && tuneIn == tuneIns - 1;
+    return tuneInActive && !playing && tuneIn == tuneInCount - 1;
   }
 
   /**
-   * The last gate, to be asked at once before a set-up is written: it is still waited for, the box
-   * has not been heard to drain or be gone while it waited for a connection, and the viewer is
-   * still there. And it was chosen lately: guards against a front that stood still between choice
-   * and sending, where what was chosen before would leave together with what is chosen after, and
-   * for a box that was warm then and has been heard to start since. After a yes it counts as sent.
+   * The last check, made directly before a set-up is written; once it has returned true the tune-in
+   * counts as sent. It must still be awaited, its box must not have been reported as draining or
+   * gone while it waited for a connection, and its viewer must still be there. The choice of the
+   * box must be recent too: after a pause of the front between choice and sending, what was chosen
+   * before it would leave together with what is chosen after it; and a box that was warm at the
+   * choice may have been reported to have restarted since.
    */
   public boolean tryBeginSend(int tuneIn) {
-    boolean may =
+    boolean sendable =
         isAwaiting(tuneIn)
             && !answered
-            && at.state() == BoxTable.State.SERVING
-            && desk.now().before(deadline)
-            && desk.now().since(chosenAt).under(Policy.UNTIL_SENT)
-            && at.incarnation() == lifeChosen;
-    sent |= may;
-    return may;
+            && currentBox.state() == BoxTable.State.SERVING
+            && manager.now().before(deadline)
+            && manager.now().since(boxChosenAt).under(Policy.UNTIL_SENT)
+            && currentBox.incarnation() == chosenIncarnation;
+    sent |= sendable;
+    return sendable;
   }
 
-  /** The box has set it up. Late, or no longer wanted: it is ended there. */
+  /** The box has set it up. Where that is late or no longer wanted, it is ended there. */
   public void setUpSucceeded(int tuneIn) {
     if (!isAwaiting(tuneIn)) {
-      return; // given back when it was no longer waited for
+      return; // cancelled when it was no longer awaited
     }
-    desk.runGuarded(
+    manager.runGuarded(
         () -> {
-          if (!answered && deadline.before(desk.now())) {
-            failAndCancel(
-                Viewer.FailureCause
-                    .NO_ANSWER); // its viewer has gone, and the timer that says so is late itself
+          if (!answered && deadline.before(manager.now())) {
+            // The viewer no longer waits, and the timer of the deadline is late itself.
+            failAndCancel(Viewer.FailureCause.NO_ANSWER);
             return;
           }
-          if (!answered && waitEnds.before(desk.now())) {
-            // Guards against a front that stood still: its box was told how long it waits, and no
-            // longer holds it.
-            timedOut(tuneIn);
+          if (!answered && tuneInDeadline.before(manager.now())) {
+            // After a process pause: the box was sent the time limit of the tune-in and no longer
+            // holds it.
+            tuneInTimedOut(tuneIn);
             return;
           }
-          if (answered || !answer()) {
-            giveBack(tuneIn);
-            end(Outside.Ending.WITHDRAWN, true);
+          if (answered || !markAnswered()) {
+            cancelAtBox(tuneIn);
+            endTuneIn(Outside.Ending.WITHDRAWN, true);
             return;
           }
           playing = true;
-          desk.counters().played++;
-          callOff(timeOut);
-          viewer.started(
-              this); // before anything is thought about it: its viewer waits, and may leave at any
-          // moment
-          handle.playing(); // passed over where what it said on its way has ended it
-          if (playing && Span.NONE.under(desk.idleTimeout())) {
-            nextLook = desk.scheduleIdleCheck(desk.idleTimeout(), this);
+          manager.counters().played++;
+          cancelTimer(tuneInTimer);
+          // The viewer waits, so it is notified before the module; it may leave in this call.
+          viewer.started(this);
+          viewing.playing(); // without effect where the viewer has left in the call above
+          if (playing && Span.NONE.under(manager.idleTimeout())) {
+            idleTimer = manager.scheduleIdleCheck(manager.idleTimeout(), this);
           }
         });
   }
 
-  /** A tune-in that is out has failed. */
-  public void setUpFailed(int tuneIn, Outside.Ending how) {
+  /** The open tune-in has failed. */
+  public void setUpFailed(int tuneIn, Outside.Ending outcome) {
     if (isAwaiting(tuneIn)) {
-      desk.runGuarded(() -> end(how, false));
+      manager.runGuarded(() -> endTuneIn(outcome, false));
     }
   }
 
-  /** That attempt, which has ended here, is over at its server too: the server has shown it. */
+  /** That attempt, which has ended here, is over at its server too, as the server has confirmed. */
   public void endConfirmed(int attempt) {
     if (!answered) {
-      desk.runGuarded(() -> handle.endConfirmed(attempt));
+      manager.runGuarded(() -> viewing.endConfirmed(attempt));
     }
   }
 
-  /** The box has told the share delivered. */
+  /** The box has reported the share that it delivers. */
   public void deliveredShareReported(double share) {
     if (playing) {
-      desk.runGuarded(() -> handle.shareDelivered(share));
+      manager.runGuarded(() -> viewing.shareDelivered(share));
     }
   }
 
   /**
-   * The box has told what is asked of link and uplink over what they give; NaN for what it does not
-   * tell.
+   * The box has reported the demand on its link and uplink, over their capacity; NaN for what it
+   * does not report.
    */
   public void loadsReported(double link, double uplink) {
-    if (out) {
-      desk.runGuarded(() -> handle.loadsTold(link, uplink));
+    if (tuneInActive) {
+      manager.runGuarded(() -> viewing.loadsTold(link, uplink));
     }
   }
 
-  /** The box has told the rung in force. */
-  public void rungReported(int told) {
+  /** The box has reported the rung in force. */
+  public void rungReported(int reportedRung) {
     if (playing) {
-      rung = told;
-      desk.runGuarded(() -> handle.rungInForce(told));
+      rung = reportedRung;
+      manager.runGuarded(() -> viewing.rungInForce(reportedRung));
     }
   }
 
-  /** The box itself has told that it no longer plays, and how that came. */
-  public void boxEnded(Outside.Ending ending, Viewer.EndReason how) {
+  /** The box itself has reported that it no longer plays, and why. */
+  public void boxEnded(Outside.Ending outcome, Viewer.EndReason reason) {
     if (playing) {
-      desk.runGuarded(() -> stop(ending, how));
+      manager.runGuarded(() -> stopPlaying(outcome, reason));
     }
   }
 
   /** The box has ended it, restarted, or is lost. */
   public void boxLost() {
     if (playing) {
-      desk.runGuarded(
+      manager.runGuarded(
           () -> {
-            giveBack(tuneIns - 1); // it may live on at a box that this front alone cannot hear
-            stop(Outside.Ending.BROKEN, Viewer.EndReason.BOX_LOST);
+            // It may live on at a box that only this front cannot reach.
+            cancelAtBox(tuneInCount - 1);
+            stopPlaying(Outside.Ending.BROKEN, Viewer.EndReason.BOX_LOST);
           });
     }
   }
 
   /**
-   * The viewer takes less than it is owed and is let go: box, stream and seat are given back now.
+   * The viewer reads less than it is due and is dropped: box, stream and seat are freed at once.
    */
   public void dropSlowViewer() {
-    desk.runGuarded(
+    manager.runGuarded(
         () -> {
           if (playing) {
-            desk.counters().slowViewersDropped++;
+            manager.counters().slowViewersDropped++;
             terminate(Viewer.EndReason.LET_GO);
           }
         });
   }
 
-  /** The viewer has gone, asked for its end, or broke the connection on which it waited. */
+  /** The viewer has gone, asked for its end, or closed the connection on which it waited. */
   public void viewerLeft() {
-    desk.runGuarded(() -> terminate(Viewer.EndReason.LEFT));
+    manager.runGuarded(() -> terminate(Viewer.EndReason.LEFT));
   }
 
-  void terminate(Viewer.EndReason how) {
+  void terminate(Viewer.EndReason reason) {
     if (playing) {
-      giveBack(tuneIns - 1);
-      stop(Outside.Ending.FINISHED, how);
+      cancelAtBox(tuneInCount - 1);
+      stopPlaying(Outside.Ending.FINISHED, reason);
     } else if (!answered) {
-      answered = true; // nobody waits for it any more
-      callOff(answerBy);
-      desk.counters().left++;
-      handle.viewerLeft();
-      if (out) {
-        giveBack(tuneIns - 1);
-        end(Outside.Ending.WITHDRAWN, true);
+      answered = true; // nobody waits for the answer any more
+      cancelTimer(deadlineTimer);
+      manager.counters().left++;
+      viewing.viewerLeft();
+      if (tuneInActive) {
+        cancelAtBox(tuneInCount - 1);
+        endTuneIn(Outside.Ending.WITHDRAWN, true);
       } else {
-        desk.removeIfComplete(this);
+        manager.removeIfComplete(this);
       }
     }
   }
 
   /**
-   * The front ends in order: a viewing that plays is told so; one that waits is aborted, as it may
-   * have run.
+   * The front shuts down in order: a viewing that plays is notified; one that waits is answered as
+   * failed, as it may have run.
    */
   void shutDown() {
     if (playing) {
@@ -380,24 +384,24 @@
     }
   }
 
-  /** The answer is given in the module's place; what is out is taken back. */
+  /** Answers in the module's place and cancels what is open. */
   void failAndCancel(Viewer.FailureCause cause) {
     fail(cause);
-    handle.viewerLeft();
-    if (out) {
-      giveBack(tuneIns - 1);
-      end(Outside.Ending.WITHDRAWN, true);
+    viewing.viewerLeft();
+    if (tuneInActive) {
+      cancelAtBox(tuneInCount - 1);
+      endTuneIn(Outside.Ending.WITHDRAWN, true);
     }
   }
 
-  /** The module has failed: nothing is asked of it any more. */
+  /** The module has failed and is not called any more. */
   void abandon() {
-    if (out) {
-      giveBack(tuneIns - 1);
-      out = false;
+    if (tuneInActive) {
+      cancelAtBox(tuneInCount - 1);
+      tuneInActive = false;
     }
-    callOff(timeOut);
-    callOff(nextLook);
+    cancelTimer(tuneInTimer);
+    cancelTimer(idleTimer);
     if (playing) {
       playing = false;
       viewer.ended(Viewer.EndReason.STOPPED);
@@ -405,51 +409,55 @@
     fail(Viewer.FailureCause.FRONT_FAILED);
   }
 
-  private void stop(Outside.Ending ending, Viewer.EndReason how) {
+  private void stopPlaying(Outside.Ending outcome, Viewer.EndReason reason) {
     playing = false;
-    end(ending, true);
-    viewer.ended(how);
+    endTuneIn(outcome, true);
+    viewer.ended(reason);
   }
 
-  private void giveBack(int tuneIn) {
-    desk.carrier().cancelAtBox(this, at, tuneIn);
+  private void cancelAtBox(int tuneIn) {
+    manager.transport().cancelAtBox(this, currentBox, tuneIn);
   }
 
-  private void end(Outside.Ending how, boolean over) {
-    callOff(timeOut);
-    callOff(nextLook);
-    out = false;
-    last = how;
-    viewer.attemptEnded(tuneIns - 1, at, how);
-    handle.tuneInEnded(how, over, how.confirmed);
-    if (!out) {
-      at = null;
-      desk.removeIfComplete(this);
+  private void endTuneIn(Outside.Ending outcome, boolean viewingOver) {
+    cancelTimer(tuneInTimer);
+    cancelTimer(idleTimer);
+    tuneInActive = false;
+    lastOutcome = outcome;
+    viewer.attemptEnded(tuneInCount - 1, currentBox, outcome);
+    viewing.tuneInEnded(outcome, viewingOver, outcome.confirmed);
+    if (!tuneInActive) {
+      currentBox = null;
+      manager.removeIfComplete(this);
     }
   }
 
-  /** Ended where nothing was asked of it for the bound; else looked at again when that could be. */
-  void checkIdle(Span bound) {
+  /**
+   * Ends the session where no request has come for the idle timeout; else checks again at the
+   * earliest moment at which that can be so.
+   */
+  void checkIdle(Span idleTimeout) {
     if (!playing) {
       return;
     }
-    // After a stand-still of the front what the viewer asked meanwhile is still to be read.
-    Span left = bound.minus(desk.now().since(viewer.lastRequestAt())).plus(desk.recentPause());
-    if (Span.NONE.under(left)) {
-      nextLook = desk.scheduleIdleCheck(left, this);
+    // After a pause of the front, what the viewer requested meanwhile is still to be read.
+    Span remaining =
+        idleTimeout.minus(manager.now().since(viewer.lastRequestAt())).plus(manager.recentPause());
+    if (Span.NONE.under(remaining)) {
+      idleTimer = manager.scheduleIdleCheck(remaining, this);
     } else {
       terminate(Viewer.EndReason.IDLE);
     }
   }
 
-  /** The last resort by which the answer is given. */
-  void setDeadlineTimer(Transport.Timer wake) {
-    answerBy = wake;
+  /** Sets the timer by which the answer is given as a last resort. */
+  void setDeadlineTimer(Transport.Timer timer) {
+    deadlineTimer = timer;
   }
 
-  private static void callOff(Transport.Timer wake) {
-    if (wake != null) {
-      wake.cancel();
+  private static void cancelTimer(Transport.Timer timer) {
+    if (timer != null) {
+      timer.cancel();
     }
   }
 }
--- a/src/main/java/linengauge/session/SessionManager.java
+++ b/src/main/java/linengauge/session/SessionManager.java
@@ -15,24 +15,27 @@
 import linengauge.Span;
 
 /**
- * The front's core: keeps the registry of viewings, owes each one answer, follows the box list,
- * carries words between fronts and drives the module. It holds no clock, thread or socket: whoever
- * runs it tells the time with clock() before each round of calls and acts through {@link
- * Transport}.
+ * The front's core: keeps the registry of sessions, gives each request exactly one answer, applies
+ * discovery, exchanges messages with other fronts and drives the module. It has no clock, thread or
+ * socket: its caller sets the time with {@link #updateTime} before each round of calls, and it acts
+ * through {@link Transport}.
  */
 public final class SessionManager implements Outside {
   /** First byte of every datagram between fronts. */
-  private static final byte DATAGRAM = 0x4c;
+  private static final byte DATAGRAM_MARKER = 0x4c;
 
-  /** Ages told of one start differ by what answers wait and clocks round. */
-  private static final Span AGE_SLACK = Span.ofSeconds(1);
+  /**
+   * Ages reported for the same start differ by the time that answers wait and by the rounding of
+   * clocks.
+   */
+  private static final Span START_TOLERANCE = Span.ofSeconds(1);
 
   /**
-   * What the core is bounded by: viewings held at once; how long one that plays may ask for nothing
-   * (NONE: for ever, where its box or its viewer tells of its end); advice to those turned away at
-   * the door; the beat by which a stand-still of the front itself is noticed, and how much later
-   * than that it may come; and how long before a viewer's patience ends the answer is given at the
-   * latest.
+   * The limits of the core: sessions held at once; how long a playing session may go without a
+   * request (NONE: for ever, where its box or its viewer reports its end); the retry advice given
+   * with requests that are not accepted; the interval of the tick by which a pause of the front
+   * itself is detected, and how late a tick may come; and how long before a request's deadline the
+   * answer is given at the latest.
    */
   public record Limits(
       int sessions,
@@ -56,67 +59,71 @@
     public long messagesIgnored;
   }
 
-  private final Headend house;
-  private final Limits bounds;
-  private final Transport carrier;
-  private final String prefix;
+  private final Headend deployment;
+  private final Limits limits;
+  private final Transport transport;
+  private final String idPrefix;
   private final Policy policy;
   private final BoxTable boxes;
   private final TitleTable titles;
-  private final DiscoveryCache list;
-  private final PauseDetector standStill;
+  private final DiscoveryCache discovery;
+  private final PauseDetector pauseDetector;
   private final Counters counters = new Counters();
 
   /**
-   * Viewings whose answer is owed or which have a tune-in out or playing; bounded; each leaves when
-   * neither holds.
+   * Sessions whose answer is owed or which have a tune-in open or playing. Bounded by {@link
+   * Limits#sessions}; each is removed when neither holds.
    */
-  private final Set<Session> held = new LinkedHashSet<>();
+  private final Set<Session> sessions = new LinkedHashSet<>();
 
-  /** Those of them whose viewer gave a key. */
-  private final Map<String, Session> byKey = new HashMap<>();
+  /** The sessions whose viewer gave a key. */
+  private final Map<String, Session> sessionsByKey = new HashMap<>();
 
   private Moment now = Moment.DISTANT_PAST;
-  private long number;
+  private long nextNumber;
   private boolean stopping;
-  private boolean broken;
-
-  /** The epoch tells this life of the front from earlier ones in the ids of viewings. */
-  public SessionManager(Headend house, Limits bounds, long seed, String epoch, Transport carrier) {
-    this.house = house;
-    this.bounds = bounds;
-    this.carrier = carrier;
-    this.prefix = house.ownNumber() + "-" + epoch + "-";
-    this.policy = new Policy(house, seed, this);
-    this.boxes = new BoxTable(policy, carrier::probe);
+  private boolean failed;
+
+  /**
+   * The epoch distinguishes the session ids of this process from those of earlier starts of the
+   * front.
+   */
+  public SessionManager(
+      Headend deployment, Limits limits, long seed, String epoch, Transport transport) {
+    this.deployment = deployment;
+    this.limits = limits;
+    this.transport = transport;
+    this.idPrefix = deployment.ownNumber() + "-" + epoch + "-";
+    this.policy = new Policy(deployment, seed, this);
+    this.boxes = new BoxTable(policy, transport::probe);
     this.titles = new TitleTable(policy);
-    this.list = new DiscoveryCache(boxes);
-    this.standStill =
+    this.discovery = new DiscoveryCache(boxes);
+    this.pauseDetector =
         new PauseDetector(
-            bounds.tickInterval(), bounds.tickTolerance(), bounds.tickInterval().times(4));
+            limits.tickInterval(), limits.tickTolerance(), limits.tickInterval().times(4));
   }
 
-  /** Tells the time of the calls that follow; the first one starts the core. */
+  /** Sets the time of the calls that follow; the first call starts the core. */
   public void updateTime(Moment moment) {
     boolean first = now == Moment.DISTANT_PAST;
     now = moment;
-    standStill.recordActivity(now);
+    pauseDetector.recordActivity(now);
     policy.clock(now);
     if (first) {
-      beat();
+      scheduleTick();
     }
   }
 
-  private void beat() {
-    carrier.schedule(bounds.tickInterval(), this::beat);
+  private void scheduleTick() {
+    transport.schedule(limits.tickInterval(), this::scheduleTick);
   }
 
   Moment now() {
     return now;
   }
 
-  Transport carrier() {
-    return carrier;
+  Transport transport() {
+    return transport;
   }
 
   public BoxTable boxes() {
@@ -128,11 +135,11 @@
   }
 
   public int sessionCount() {
-    return held.size();
+    return sessions.size();
   }
 
   public int keyCount() {
-    return byKey.size();
+    return sessionsByKey.size();
   }
 
   public int titleCount() {
@@ -140,67 +147,71 @@
   }
 
   public boolean hasFailed() {
-    return broken;
+    return failed;
   }
 
   /* ---- viewers ---- */
 
-  /** A request is turned away before it is taken, for want of room; returns when to come back. */
+  /**
+   * Counts a request that is rejected for want of capacity before it gets here; returns the advised
+   * delay before a retry.
+   */
   public Span rejectForCapacity() {
     counters.rejectedFull++;
     counters.rejected++;
-    return bounds.retryAfter();
+    return limits.retryAfter();
   }
 
   /**
-   * Takes a request for a viewing; the viewer gets its one answer within the patience asked for.
-   * Null where the answer, blocked, has been given already.
+   * Accepts a request for a viewing; the viewer gets its one answer within the time limit that it
+   * asked for. Null where it has already been answered as rejected.
    */
-  public Session accept(Session.SessionRequest ask, Viewer viewer) {
-    Span unseen = standStill.recentPause(now);
-    Span margin = bounds.answerMargin().orLess(ask.timeLimit().times(Policy.MARGIN_PART));
-    Span patience = ask.timeLimit().minus(unseen).minus(margin);
-    Session before = ask.key() == null ? null : byKey.get(ask.key());
-    boolean full = held.size() >= bounds.sessions();
-    Refusal refusal = refusal(full, patience, before);
-    if (refusal != null) {
+  public Session accept(Session.SessionRequest request, Viewer viewer) {
+    Span pause = pauseDetector.recentPause(now);
+    Span margin = limits.answerMargin().orLess(request.timeLimit().times(Policy.MARGIN_PART));
+    Span timeLeft = request.timeLimit().minus(pause).minus(margin);
+    Session previous = request.key() == null ? null : sessionsByKey.get(request.key());
+    boolean full = sessions.size() >= limits.sessions();
+    Refusal reason = rejectionReason(full, timeLeft, previous);
+    if (reason != null) {
       counters.rejectedFull += full ? 1 : 0;
       counters.rejected++;
-      viewer.rejected(bounds.retryAfter(), refusal);
+      viewer.rejected(limits.retryAfter(), reason);
       return null;
     }
-    if (before != null) {
-      runGuarded(
-          () -> before.terminate(Viewer.EndReason.REPLACED)); // the same viewer has come again
+    if (previous != null) {
+      // The same viewer asks again.
+      runGuarded(() -> previous.terminate(Viewer.EndReason.REPLACED));
     }
     counters.accepted++;
-    Session vw = new Session(this, viewer, ask, prefix + number++, now.plus(patience));
-    held.add(vw);
-    if (ask.key() != null) {
-      byKey.put(ask.key(), vw);
+    Session session =
+        new Session(this, viewer, request, idPrefix + nextNumber++, now.plus(timeLeft));
+    sessions.add(session);
+    if (request.key() != null) {
+      sessionsByKey.put(request.key(), session);
     }
     runGuarded(
         () -> {
-          vw.setViewing(
+          session.setViewing(
               policy.take(
-                  vw,
-                  ask.packageSettings(),
-                  titles.acquire(ask.title(), ask.firstCell(), ask.cellsInRow()),
-                  ask.ceilingRung(),
-                  patience));
-          if (vw.isComplete()) {
-            removeIfComplete(vw);
+                  session,
+                  request.packageSettings(),
+                  titles.acquire(request.title(), request.firstCell(), request.cellsInRow()),
+                  request.ceilingRung(),
+                  timeLeft));
+          if (session.isComplete()) {
+            removeIfComplete(session);
           }
         });
-    if (!vw.isAnswered()) {
-      vw.setDeadlineTimer(startTimer(patience, () -> failOverdue(vw)));
+    if (!session.isAnswered()) {
+      session.setDeadlineTimer(startTimer(timeLeft, () -> failOverdue(session)));
     }
-    return vw;
+    return session;
   }
 
-  /** Why a request is not taken; null where it is. */
-  private Refusal refusal(boolean full, Span patience, Session before) {
-    if (broken) {
+  /** Why a request is not accepted; null where it is. */
+  private Refusal rejectionReason(boolean full, Span timeLeft, Session previous) {
+    if (failed) {
       return Refusal.FRONT_FAILED;
     }
     if (stopping) {
@@ -209,124 +220,128 @@
     if (full) {
       return Refusal.FRONT_FULL;
     }
-    if (!Span.NONE.under(patience)) {
+    if (!Span.NONE.under(timeLeft)) {
       return Refusal.DEADLINE_TOO_CLOSE;
     }
-    return before != null && !before.isPlaying() ? Refusal.SAME_KEY_OPEN : null;
+    return previous != null && !previous.isPlaying() ? Refusal.SAME_KEY_OPEN : null;
   }
 
   /**
-   * A viewing that plays already at a box, handed over to this front. Null where it cannot be held
-   * (the box is not known here or gone, or the front is full or stopping): the viewer has been told
+   * Adopts a viewing that plays already at a box. Null where it cannot be held (the box is not
+   * known here or is gone, or the front is full or stopping): the viewer has then been notified
    * that it is over.
    */
-  public Session adopt(Session.SessionRequest ask, long box, Viewer viewer) {
-    BoxTable.Entry at = boxes.get(box);
+  public Session adopt(Session.SessionRequest request, long boxId, Viewer viewer) {
+    BoxTable.Entry box = boxes.get(boxId);
     if (stopping
-        || broken
-        || held.size() >= bounds.sessions()
-        || at == null
-        || at.state() == BoxTable.State.GONE) {
+        || failed
+        || sessions.size() >= limits.sessions()
+        || box == null
+        || box.state() == BoxTable.State.GONE) {
       viewer.ended(Viewer.EndReason.BOX_LOST);
       return null;
     }
-    Session vw = new Session(this, viewer, ask, prefix + number++, now);
-    held.add(vw);
+    Session session = new Session(this, viewer, request, idPrefix + nextNumber++, now);
+    sessions.add(session);
     runGuarded(
         () ->
-            vw.adopted(
-                at,
+            session.adopted(
+                box,
                 policy.handOver(
-                    vw,
-                    ask.packageSettings(),
-                    titles.acquire(ask.title(), ask.firstCell(), ask.cellsInRow()),
-                    ask.ceilingRung(),
-                    at.mediaBox())));
-    return vw;
+                    session,
+                    request.packageSettings(),
+                    titles.acquire(request.title(), request.firstCell(), request.cellsInRow()),
+                    request.ceilingRung(),
+                    box.mediaBox())));
+    return session;
   }
 
   /**
-   * Guards against any way in which an answer was not given in time, also by the module; a last
-   * resort.
+   * A last resort against every way in which an answer is not given in time, also by the module.
    */
-  private void failOverdue(Session vw) {
-    if (!vw.isAnswered()) {
-      vw.failAndCancel(Viewer.FailureCause.NO_ANSWER);
+  private void failOverdue(Session session) {
+    if (!session.isAnswered()) {
+      session.failAndCancel(Viewer.FailureCause.NO_ANSWER);
     }
   }
 
-  /** Takes a viewing out of the registry where its answer is given and nothing of it is out. */
-  void removeIfComplete(Session vw) {
-    if (vw.isComplete() && held.remove(vw)) {
-      titles.release(vw.request().title());
-      if (vw.request().key() != null) {
-        byKey.remove(vw.request().key(), vw);
+  /**
+   * Removes a session from the registry once its answer is given and no tune-in is open or playing.
+   */
+  void removeIfComplete(Session session) {
+    if (session.isComplete() && sessions.remove(session)) {
+      titles.release(session.request().title());
+      if (session.request().key() != null) {
+        sessionsByKey.remove(session.request().key(), session);
       }
     }
   }
 
-  /** The next look at whether a viewing that plays is still asked for. */
-  Transport.Timer scheduleIdleCheck(Span span, Session vw) {
-    return startTimer(span, () -> vw.checkIdle(bounds.idleTimeout()));
+  /** Schedules the next check whether the viewer of a playing session still makes requests. */
+  Transport.Timer scheduleIdleCheck(Span span, Session session) {
+    return startTimer(span, () -> session.checkIdle(limits.idleTimeout()));
   }
 
-  /** How long the front stood still just now. */
+  /** How long a request read now may have waited unread while the front was paused. */
   Span recentPause() {
-    return standStill.recentPause(now);
+    return pauseDetector.recentPause(now);
   }
 
   Span idleTimeout() {
-    return bounds.idleTimeout();
+    return limits.idleTimeout();
   }
 
-  /* ---- boxes ---- */
+  /* ---- discovery and boxes ---- */
 
-  /** A whole box list. */
-  public void applyDiscovery(long revision, List<BoxTable.ListedBox> rows) {
-    runGuarded(() -> list.applyFull(revision, rows));
+  /** Applies a full discovery list. */
+  public void applyDiscovery(long revision, List<BoxTable.ListedBox> listings) {
+    runGuarded(() -> discovery.applyFull(revision, listings));
   }
 
-  /** Changes of the box list; false where the whole list must be asked for. */
-  public boolean applyDiscoveryChanges(long from, long to, List<BoxTable.ListedBox> rows) {
-    boolean[] whole = {false};
+  /** Applies changes of the discovery list; false where the full list must be requested. */
+  public boolean applyDiscoveryChanges(long from, long to, List<BoxTable.ListedBox> listings) {
+    boolean[] gap = {false};
     runGuarded(
         () -> {
-          whole[0] = list.applyChanges(from, to, rows) == DiscoveryCache.UpdateResult.GAP;
-          counters.discoveryGaps += whole[0] ? 1 : 0;
+          gap[0] = discovery.applyChanges(from, to, listings) == DiscoveryCache.UpdateResult.GAP;
+          counters.discoveryGaps += gap[0] ? 1 : 0;
         });
-    if (whole[0]) {
-      list.reset();
+    if (gap[0]) {
+      discovery.reset();
     }
-    return !whole[0];
+    return !gap[0];
   }
 
   /**
-   * The revision from which changes may be asked for; {@link DiscoveryCache#NO_REVISION}: the whole
-   * list.
+   * The revision from which changes may be requested; {@link DiscoveryCache#NO_REVISION}: the full
+   * list is needed.
    */
   public long discoveryRevision() {
-    return list.revision();
+    return discovery.revision();
   }
 
-  /** The list cannot say what changed since the revision known: the whole one is wanted next. */
+  /** Discovery cannot report the changes since the known revision: the full list is needed next. */
   public void resetDiscovery() {
-    list.reset();
+    discovery.reset();
   }
 
-  /** A box has told of its load, in an answer or to a probe; NaN for what it does not tell. */
+  /** A box has reported its load, in an answer or to a probe; NaN for what it does not report. */
   public void loadReported(
       BoxTable.Entry box, double linkAsked, double uplinkAsked, double streams) {
     runGuarded(() -> box.mediaBox().reported(linkAsked, uplinkAsked, streams));
   }
 
-  /** A box has told how long it has been running; its word beats a list that is late. */
+  /**
+   * A box has reported how long it has been running. This takes precedence over discovery, which
+   * may be out of date.
+   */
   public void ageReported(BoxTable.Entry box, Span age) {
-    runGuarded(() -> boxes.startReported(box, now.minus(age), AGE_SLACK));
+    runGuarded(() -> boxes.startReported(box, now.minus(age), START_TOLERANCE));
   }
 
   /**
-   * A box with which this front was in touch cannot be reached: it may come back cold before the
-   * list says so.
+   * A box with which this front was in contact cannot be reached: it may restart cold before
+   * discovery reports it.
    */
   public void contactLost(BoxTable.Entry box) {
     runGuarded(
@@ -340,12 +355,12 @@
     runGuarded(() -> box.mediaBox().probed(answered));
   }
 
-  /** A probe has come to this: FINISHED where it was answered. */
-  public void probeCompleted(BoxTable.Entry box, Outside.Ending how) {
-    runGuarded(() -> box.mediaBox().probed(how));
+  /** The outcome of a probe: FINISHED where it was answered. */
+  public void probeCompleted(BoxTable.Entry box, Outside.Ending outcome) {
+    runGuarded(() -> box.mediaBox().probed(outcome));
   }
 
-  /* ---- words between fronts ---- */
+  /* ---- messages between fronts ---- */
 
   @Override
   public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
@@ -363,30 +378,30 @@
     send(front, PeerMessages.encodeReply(box, othersViewings, othersKb, rackKb, rackSizeKb));
   }
 
-  private void send(int front, byte[] word) {
-    carrier.send(
+  private void send(int front, byte[] message) {
+    transport.send(
         front,
-        ByteBuffer.allocate(3 + word.length)
-            .put(DATAGRAM)
-            .putShort((short) house.ownNumber())
-            .put(word)
+        ByteBuffer.allocate(3 + message.length)
+            .put(DATAGRAM_MARKER)
+            .putShort((short) deployment.ownNumber())
+            .put(message)
             .array());
   }
 
   /**
-   * A datagram from the address of another front; what is no word of one is passed over and
+   * A datagram from the address of another front. What is not a valid message of one is ignored and
    * counted.
    */
   public void datagramReceived(byte[] datagram) {
     runGuarded(
         () -> {
           int from =
-              datagram.length < 3 || datagram[0] != DATAGRAM
+              datagram.length < 3 || datagram[0] != DATAGRAM_MARKER
                   ? -1
                   : Short.toUnsignedInt(ByteBuffer.wrap(datagram).getShort(1));
           if (from < 0
-              || from >= house.fronts()
-              || from == house.ownNumber()
+              || from >= deployment.fronts()
+              || from == deployment.ownNumber()
               || !PeerMessages.deliver(
                   boxes, from, Arrays.copyOfRange(datagram, 3, datagram.length))) {
             counters.messagesIgnored++;
@@ -396,7 +411,7 @@
         });
   }
 
-  /* ---- time and order ---- */
+  /* ---- timers and shutdown ---- */
 
   @Override
   public void wakeAfter(Span span, Runnable step) {
@@ -404,41 +419,41 @@
   }
 
   Transport.Timer startTimer(Span span, Runnable step) {
-    return carrier.schedule(span, () -> runGuarded(step));
+    return transport.schedule(span, () -> runGuarded(step));
   }
 
   /**
-   * Every call that may reach the module passes here. A module that throws may be half way through
-   * a change: the core answers what it owes, ends what plays, takes nothing more and says so to the
-   * carrier.
+   * Every call that may reach the module passes through here. A module that throws may be half way
+   * through a change, so the core answers all open requests, ends what plays, accepts nothing more
+   * and reports the failure to the transport.
    */
-  void runGuarded(Runnable deed) {
-    if (broken) {
+  void runGuarded(Runnable action) {
+    if (failed) {
       return;
     }
     try {
-      deed.run();
+      action.run();
     } catch (RuntimeException e) {
-      broken = true;
-      for (Session vw : List.copyOf(held)) {
-        vw.abandon();
+      failed = true;
+      for (Session session : List.copyOf(sessions)) {
+        session.abandon();
       }
-      held.clear();
-      byKey.clear();
-      carrier.coreFailed(e);
+      sessions.clear();
+      sessionsByKey.clear();
+      transport.coreFailed(e);
     }
   }
 
-  /** Takes nothing more; what plays goes on until {@link #endAll}. */
+  /** Accepts nothing more; what plays goes on until {@link #endAll}. */
   public void stopAccepting() {
     stopping = true;
   }
 
-  /** Ends every viewing: those that wait are aborted, those that play are told so. */
+  /** Ends every session: those that wait are answered as failed, those that play are notified. */
   public void endAll() {
     stopping = true;
-    for (Session vw : List.copyOf(held)) {
-      runGuarded(() -> vw.shutDown());
+    for (Session session : List.copyOf(sessions)) {
+      runGuarded(() -> session.shutDown());
     }
   }
 }
--- a/src/main/java/linengauge/session/TitleTable.java
+++ b/src/main/java/linengauge/session/TitleTable.java
@@ -4,37 +4,38 @@
 import java.util.Map;
 import linengauge.Policy;
 
-/** Titles with a viewing here; a title leaves with its last one. */
+/** The titles with a viewing at this front; a title is removed with its last viewing. */
 public final class TitleTable {
-  private static final class Row {
+  private static final class UsedTitle {
     private final Policy.Title title;
     private int viewings;
 
-    private Row(Policy.Title title) {
+    private UsedTitle(Policy.Title title) {
       this.title = title;
     }
   }
 
   private final Policy policy;
-  private final Map<String, Row> rows = new HashMap<>();
+  private final Map<String, UsedTitle> titles = new HashMap<>();
 
   public TitleTable(Policy policy) {
     this.policy = policy;
   }
 
-  /** The handle of a title, for one more viewing of it. */
+  /** The module's handle of a title, for one more viewing of it. */
   public Policy.Title acquire(String name, int firstCell, int cellsInRow) {
-    Row r = rows.computeIfAbsent(name, n -> new Row(policy.title(firstCell, cellsInRow)));
-    r.viewings++;
-    return r.title;
+    UsedTitle used =
+        titles.computeIfAbsent(name, key -> new UsedTitle(policy.title(firstCell, cellsInRow)));
+    used.viewings++;
+    return used.title;
   }
 
-  /** One viewing of it less. */
+  /** Gives up the title for one viewing. */
   public void release(String name) {
-    rows.computeIfPresent(name, (n, r) -> --r.viewings > 0 ? r : null);
+    titles.computeIfPresent(name, (key, used) -> --used.viewings > 0 ? used : null);
   }
 
   public int size() {
-    return rows.size();
+    return titles.size();
   }
 }
--- a/src/main/java/linengauge/session/Transport.java
+++ b/src/main/java/linengauge/session/Transport.java
@@ -4,12 +4,13 @@
 import linengauge.Span;
 
 /**
- * What the core acts through: sockets, files and timers, or their models. No call here may lead to
- * a call of the core before it has returned.
+ * What the core acts through: sockets, files and timers, or models of them. No call here may lead
+ * to a call of the core before it has returned.
  */
 public interface Transport {
   /**
-   * A step that is to run once, unless it is called off before; calling it off later does nothing.
+   * A scheduled step, which runs once unless it is cancelled before. Cancelling it later has no
+   * effect.
    */
   interface Timer {
     void cancel();
@@ -19,42 +20,45 @@
   Timer schedule(Span span, Runnable step);
 
   /**
-   * Sends a set-up to the viewing's box, if {@link Held#tryBeginSend} still says so when it can be
-   * written. Its outcome is told once by {@link Held#setUpSucceeded} or {@link Held#setUpFailed}.
+   * Sends a set-up to the session's box, if {@link Session#tryBeginSend} allows it at the moment
+   * when it can be written. Its outcome is reported once, by {@link Session#setUpSucceeded} or
+   * {@link Session#setUpFailed}.
    */
-  void setUp(Session vw, int tuneIn);
+  void setUp(Session session, int tuneIn);
 
-  /** Asks the box for the viewing's present rung. */
-  void changeRung(Session vw);
+  /** Asks the box to deliver the session's current rung. */
+  void changeRung(Session session);
 
   /**
-   * Ends a viewing or tune-in at a box, heard or not; a tune-in that is still out there is no
-   * longer waited for, and what comes of it is told to nobody, but for {@link Held#endConfirmed}
-   * once the box has shown that it is over there.
+   * Ends a session or tune-in at a box, whether or not the box has received it. A tune-in that is
+   * still open is no longer awaited, and its outcome is not reported, except by {@link
+   * Session#endConfirmed} once the box has shown that it is over there.
    */
-  void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn);
+  void cancelAtBox(Session session, BoxTable.Entry box, int tuneIn);
 
   /**
-   * What to make of a set-up that has been sent and not answered in its time, asked before it is
-   * withdrawn: NO_ANSWER where nothing else is known, UNHEARD or HELD_UP where there is evidence of
-   * these.
+   * Classifies a set-up that has been sent and not answered in time. Called before it is cancelled.
+   * NO_ANSWER where nothing else is known, UNHEARD or HELD_UP where there is evidence of these.
    */
-  default Outside.Ending classifyTimeout(Session vw, int tuneIn) {
+  default Outside.Ending classifyTimeout(Session session, int tuneIn) {
     return Outside.Ending.NO_ANSWER;
   }
 
   /**
-   * Asks that box to show that it has read the ends of that viewing's attempts, where they can
-   * still be asked for on the connections that carried them.
+   * Asks the box to confirm that it has read the ends of the session's attempts, where this can
+   * still be asked on the connections that carried them.
    */
-  default void requestEndConfirmation(Session vw, long box) {}
+  default void requestEndConfirmation(Session session, long box) {}
 
-  /** Asks a box for its load; the outcome is told by {@link SessionManager#probeCompleted}. */
+  /** Asks a box for its load; the outcome is reported by {@link SessionManager#probeCompleted}. */
   void probe(BoxTable.Entry box);
 
   /** Sends a datagram to another front; it may be lost. */
   void send(int front, byte[] datagram);
 
-  /** The module or the core has failed: the front cannot go on. What it held has been answered. */
+  /**
+   * The module or the core has failed and the front cannot go on. All open requests have been
+   * answered.
+   */
   void coreFailed(RuntimeException cause);
 }
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -5,18 +5,18 @@
 import linengauge.Span;
 
 /**
- * The viewer's end of one viewing. Exactly one of plays, blocked and aborted is called, once; after
- * plays, ended is called once.
+ * The viewer's side of one viewing. Exactly one of started, rejected and failed is called, once;
+ * after started, ended is called once.
  */
 public interface Viewer {
-  /** Why a viewing was aborted. */
+  /** Why a viewing failed. */
   enum FailureCause {
     FAILED,
     NO_ANSWER,
     FRONT_FAILED
   }
 
-  /** How a viewing that played has ended; OVER: its box says that it has come to its end. */
+  /** Why a viewing that played has ended; OVER: its box reports that it has come to its end. */
   enum EndReason {
     OVER,
     LEFT,
@@ -27,18 +27,18 @@
     LET_GO
   }
 
-  void started(Session vw);
+  void started(Session session);
 
-  /** A further try is harmless, best after the span (none: no advice). */
-  void rejected(Span comeBackAfter, Outside.Refusal reason);
+  /** A retry is harmless, best after the span (none: no advice). */
+  void rejected(Span retryAfter, Outside.Refusal reason);
 
-  /** An attempt is no longer out, or what it set up no longer plays; for the log. */
-  default void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {}
+  /** An attempt is no longer open, or what it set up no longer plays; for the log. */
+  default void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending outcome) {}
 
   void failed(FailureCause cause);
 
-  void ended(EndReason how);
+  void ended(EndReason reason);
 
-  /** When the viewer last asked for anything of a viewing that plays. */
+  /** When the viewer last made a request of a viewing that plays. */
   Moment lastRequestAt();
 }
--- a/src/main/java/linengauge/settings/JsonTree.java
+++ b/src/main/java/linengauge/settings/JsonTree.java
@@ -8,32 +8,37 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON value as nested maps and lists, numbers as doubles: for what is read once and small. */
+/**
+ * Reads a JSON value as nested maps and lists, with numbers as doubles; meant for small documents
+ * that are read once.
+ */
 public final class JsonTree {
   private JsonTree() {}
 
-  /** The value whose first token is given. Bad JSON, also one that ends too soon, throws. */
-  public static Object read(JsonParser p, JsonToken first) throws IOException {
-    if (first == JsonToken.START_OBJECT) {
+  /** Reads the value whose first token is given. Throws on malformed or truncated JSON. */
+  public static Object read(JsonParser parser, JsonToken firstToken) throws IOException {
+    if (firstToken == JsonToken.START_OBJECT) {
       Map<String, Object> map = new LinkedHashMap<>();
-      while (p.nextToken() == JsonToken.FIELD_NAME) {
-        String key = p.currentName();
-        map.put(key, read(p, p.nextToken()));
+      while (parser.nextToken() == JsonToken.FIELD_NAME) {
+        String key = parser.currentName();
+        map.put(key, read(parser, parser.nextToken()));
       }
       return map;
     }
-    if (first == JsonToken.START_ARRAY) {
+    if (firstToken == JsonToken.START_ARRAY) {
       List<Object> list = new ArrayList<>();
-      for (JsonToken e = p.nextToken(); e != JsonToken.END_ARRAY; e = p.nextToken()) {
-        list.add(read(p, e));
+      for (JsonToken token = parser.nextToken();
+          token != JsonToken.END_ARRAY;
+          token = parser.nextToken()) {
+        list.add(read(parser, token));
       }
       return list;
     }
-    if (first.isNumeric()) {
-      return p.getDoubleValue();
+    if (firstToken.isNumeric()) {
+      return parser.getDoubleValue();
     }
-    return first == JsonToken.VALUE_NULL
+    return firstToken == JsonToken.VALUE_NULL
         ? null
-        : first.isBoolean() ? (Object) p.getBooleanValue() : p.getText();
+        : firstToken.isBoolean() ? (Object) parser.getBooleanValue() : parser.getText();
   }
 }
--- a/src/main/java/linengauge/settings/Settings.java
+++ b/src/main/java/linengauge/settings/Settings.java
@@ -8,9 +8,9 @@
 import linengauge.Span;
 
 /**
- * What a front is told at its start, in the simulator's names and units, read once; what nobody
- * asks for is dropped. Names of packages, buildings and kinds are for carriers that hear names
- * where the simulator gives numbers.
+ * The settings that a front is given when it starts, in the simulator's names and units, read once;
+ * values that are not used are dropped. The names of packages, buildings and kinds serve transports
+ * that receive names where the simulator gives numbers.
  */
 public record Settings(
     Headend deployment,
@@ -21,27 +21,27 @@
     Span idleCloseAfter,
     Span longestTimeLimit) {
 
-  /** Throws where a value has the wrong type; absent ones mean none. */
-  public static Settings read(Map<?, ?> conf) throws InvalidSettingsException {
-    Map<?, ?> limits = map(conf, "policyLimits");
-    Span patience = Span.NONE;
-    List<String> packages = new ArrayList<>();
-    if (conf.get("requestClasses") instanceof List<?> classes) {
+  /** Throws where a value has the wrong type; an absent value means none. */
+  public static Settings read(Map<?, ?> config) throws InvalidSettingsException {
+    Map<?, ?> limits = map(config, "policyLimits");
+    Span longestTimeLimit = Span.NONE;
+    List<String> packageNames = new ArrayList<>();
+    if (config.get("requestClasses") instanceof List<?> classes) {
       for (Object one : classes) {
-        if (one instanceof Map<?, ?> c) {
-          packages.add(String.valueOf(c.get("name")));
-          patience = patience.orMore(span(c, "deadlineUs"));
+        if (one instanceof Map<?, ?> requestClass) {
+          packageNames.add(String.valueOf(requestClass.get("name")));
+          longestTimeLimit = longestTimeLimit.orMore(span(requestClass, "deadlineUs"));
         }
       }
     }
     return new Settings(
-        deployment(conf),
-        List.copyOf(packages),
-        names(conf, "localities"),
-        names(conf, "kinds"),
+        deployment(config),
+        List.copyOf(packageNames),
+        names(config, "localities"),
+        names(config, "kinds"),
         span(limits, "dialTimeoutUs"),
         span(limits, "idleCloseUs"),
-        patience);
+        longestTimeLimit);
   }
 
   private static List<String> names(Map<?, ?> from, String key) {
@@ -52,47 +52,47 @@
     return List.copyOf(names);
   }
 
-  private static Headend deployment(Map<?, ?> conf) throws InvalidSettingsException {
-    Map<?, ?> domain = map(conf, "domain");
-    Map<?, ?> limits = map(conf, "policyLimits");
-    Map<?, ?> rules = map(conf, "guarantees");
-    Map<?, ?> charges = map(conf, "charges");
-    Map<?, ?> loads = map(conf, "loadReport");
+  private static Headend deployment(Map<?, ?> config) throws InvalidSettingsException {
+    Map<?, ?> domain = map(config, "domain");
+    Map<?, ?> limits = map(config, "policyLimits");
+    Map<?, ?> rules = map(config, "guarantees");
+    Map<?, ?> charges = map(config, "charges");
+    Map<?, ?> loads = map(config, "loadReport");
     double[] ladder = numbers(domain, "ladderKb");
-    double[] rates = numbers(domain, "rateFactor");
-    double[] floors = numbers(domain, "floorByClass");
-    double[] tops = numbers(domain, "highestRung");
-    double[] seats = numbers(domain, "licenceCap");
+    double[] rateFactors = numbers(domain, "rateFactor");
+    double[] lowestRungs = numbers(domain, "floorByClass");
+    double[] highestRungs = numbers(domain, "highestRung");
+    double[] seatLimits = numbers(domain, "licenceCap");
     List<PackageTerms> packages = new ArrayList<>();
-    if (!(conf.get("requestClasses") instanceof List<?> classes)) {
+    if (!(config.get("requestClasses") instanceof List<?> classes)) {
       throw new InvalidSettingsException("conf: 'requestClasses' should be a list");
     }
     for (Object one : classes) {
-      if (!(one instanceof Map<?, ?> c)) {
+      if (!(one instanceof Map<?, ?> requestClass)) {
         throw new InvalidSettingsException("conf: a request class should be an object");
       }
       int i = packages.size();
       packages.add(
           new PackageTerms(
-              number(c, "worth", 1),
-              span(c, "aimUs"),
-              at(rates, i, 1),
-              (int) at(floors, i, 0),
-              (int) Math.min(at(tops, i, ladder.length - 1), ladder.length - 1),
-              (int) at(seats, i, 0),
-              !"safe".equals(c.get("idempotency"))));
+              number(requestClass, "worth", 1),
+              span(requestClass, "aimUs"),
+              at(rateFactors, i, 1),
+              (int) at(lowestRungs, i, 0),
+              (int) Math.min(at(highestRungs, i, ladder.length - 1), ladder.length - 1),
+              (int) at(seatLimits, i, 0),
+              !"safe".equals(requestClass.get("idempotency"))));
     }
-    boolean sized = !"silent".equals(conf.get("weights"));
+    boolean listsSizes = !"silent".equals(config.get("weights"));
     var fleet =
         new Headend.Fleet(
             (int) number(domain, "places", 1),
             (int) Math.max(1, number(domain, "shelves", 1)),
-            whole(numbers(domain, "placesByKind")),
+            toInts(numbers(domain, "placesByKind")),
             number(domain, "linksKb", 0),
-            sized ? number(domain, "weightKb", 0) : 0,
+            listsSizes ? number(domain, "weightKb", 0) : 0,
             number(domain, "uplinkKb", 0),
             span(domain, "seeUs"));
-    var figures =
+    var ruleFigures =
         new Headend.Rules(
             span(rules, "coldUs"),
             number(rules, "startCapacity", 1),
@@ -101,42 +101,42 @@
             number(rules, "freeResends", 0),
             number(rules, "furtherRatio", 0),
             span(rules, "ratioSpanUs"));
-    boolean uplink = loads.get("fields") instanceof List<?> fields && fields.contains("x1");
-    boolean advice = !Boolean.FALSE.equals(limits.get("retryAfter"));
+    boolean reportsUplink = loads.get("fields") instanceof List<?> fields && fields.contains("x1");
+    boolean givesRetryAdvice = !Boolean.FALSE.equals(limits.get("retryAfter"));
     var permits =
         new Headend.Permits(
             (int) number(limits, "maxAttempts", 1),
             Boolean.TRUE.equals(limits.get("peers")),
             Boolean.TRUE.equals(limits.get("probing")),
-            uplink,
+            reportsUplink,
             number(charges, "probe", 0),
             number(charges, "crossZone", 0),
             number(charges, "handshake", 0),
-            advice ? span(limits, "maxRetryAfterUs") : Span.NONE);
+            givesRetryAdvice ? span(limits, "maxRetryAfterUs") : Span.NONE);
     return new Headend(
-        (int) Math.max(1, number(conf, "balancers", 1)),
-        (int) number(conf, "me", 0),
-        (int) number(conf, "zone", 0),
+        (int) Math.max(1, number(config, "balancers", 1)),
+        (int) number(config, "me", 0),
+        (int) number(config, "zone", 0),
         List.copyOf(packages),
         ladder,
         numbers(domain, "worthByRung"),
         fleet,
-        figures,
+        ruleFigures,
         permits);
   }
 
   private static Map<?, ?> map(Map<?, ?> from, String key) {
-    return from.get(key) instanceof Map<?, ?> m ? m : Map.of();
+    return from.get(key) instanceof Map<?, ?> nested ? nested : Map.of();
   }
 
-  private static double number(Map<?, ?> from, String key, double absent)
+  private static double number(Map<?, ?> from, String key, double defaultValue)
       throws InvalidSettingsException {
-    Object v = from.get(key);
-    if (v == null) {
-      return absent;
+    Object value = from.get(key);
+    if (value == null) {
+      return defaultValue;
     }
-    if (v instanceof Double d) {
-      return d;
+    if (value instanceof Double decimal) {
+      return decimal;
     }
     throw new InvalidSettingsException("conf: '" + key + "' should be a number");
   }
@@ -145,8 +145,8 @@
     return new Span(Math.round(number(from, key, 0)));
   }
 
-  private static double at(double[] values, int i, double absent) {
-    return i < values.length ? values[i] : absent;
+  private static double at(double[] values, int i, double defaultValue) {
+    return i < values.length ? values[i] : defaultValue;
   }
 
   private static double[] numbers(Map<?, ?> from, String key) throws InvalidSettingsException {
@@ -155,19 +155,19 @@
     }
     double[] values = new double[list.size()];
     for (int i = 0; i < values.length; i++) {
-      if (!(list.get(i) instanceof Double d)) {
+      if (!(list.get(i) instanceof Double decimal)) {
         throw new InvalidSettingsException("conf: '" + key + "' should hold numbers");
       }
-      values[i] = d;
+      values[i] = decimal;
     }
     return values;
   }
 
-  private static int[] whole(double[] values) {
-    int[] whole = new int[values.length];
-    for (int i = 0; i < whole.length; i++) {
-      whole[i] = (int) values[i];
+  private static int[] toInts(double[] values) {
+    int[] integers = new int[values.length];
+    for (int i = 0; i < integers.length; i++) {
+      integers[i] = (int) values[i];
     }
-    return whole;
+    return integers;
   }
 }
--- a/src/main/java/linengauge/wire/Message.java
+++ b/src/main/java/linengauge/wire/Message.java
@@ -7,158 +7,155 @@
 import linengauge.settings.JsonTree;
 import linengauge.wire.WireHost.MalformedBatchException;
 
-/**
- * Walks the values of one message in their order; null and a value left out at the end mean the
- * same.
- */
+/** Reads the values of one message in order; null and a value left out at the end mean the same. */
 final class Message {
-  private final JsonParser p;
-  private boolean over;
+  private final JsonParser parser;
+  private boolean atEnd;
 
-  Message(JsonParser p) throws MalformedBatchException {
-    this.p = p;
-    if (p.currentToken() != JsonToken.START_ARRAY) {
+  Message(JsonParser parser) throws MalformedBatchException {
+    this.parser = parser;
+    if (parser.currentToken() != JsonToken.START_ARRAY) {
       throw new MalformedBatchException("an event must be an array");
     }
   }
 
-  String name() throws IOException, MalformedBatchException {
-    return text("event name");
+  String readName() throws IOException, MalformedBatchException {
+    return readText("event name");
   }
 
-  private JsonToken next() throws IOException {
-    if (over) {
+  private JsonToken nextToken() throws IOException {
+    if (atEnd) {
       return JsonToken.VALUE_NULL;
     }
-    JsonToken t = p.nextToken();
-    if (t == JsonToken.END_ARRAY) {
-      over = true;
+    JsonToken token = parser.nextToken();
+    if (token == JsonToken.END_ARRAY) {
+      atEnd = true;
       return JsonToken.VALUE_NULL;
     }
-    return t;
+    return token;
   }
 
-  private static MalformedBatchException wrongType(String what, String wanted) {
-    return new MalformedBatchException("'" + what + "' should be " + wanted);
+  private static MalformedBatchException typeMismatch(String field, String expected) {
+    return new MalformedBatchException("'" + field + "' should be " + expected);
   }
 
-  long whole(String what) throws IOException, MalformedBatchException {
-    if (next() != JsonToken.VALUE_NUMBER_INT) {
-      throw wrongType(what, "a whole number");
+  long readLong(String field) throws IOException, MalformedBatchException {
+    if (nextToken() != JsonToken.VALUE_NUMBER_INT) {
+      throw typeMismatch(field, "a whole number");
     }
-    return exact(what);
+    return currentLong(field);
   }
 
-  long whole(String what, long absent) throws IOException, MalformedBatchException {
-    JsonToken t = next();
-    if (t == JsonToken.VALUE_NULL) {
-      return absent;
+  long readLong(String field, long defaultValue) throws IOException, MalformedBatchException {
+    JsonToken token = nextToken();
+    if (token == JsonToken.VALUE_NULL) {
+      return defaultValue;
     }
-    if (t != JsonToken.VALUE_NUMBER_INT) {
-      throw wrongType(what, "a whole number");
+    if (token != JsonToken.VALUE_NUMBER_INT) {
+      throw typeMismatch(field, "a whole number");
     }
-    return exact(what);
+    return currentLong(field);
   }
 
-  private long exact(String what) throws IOException, MalformedBatchException {
-    if (p.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
-      var big = p.getBigIntegerValue();
-      if (big.bitLength() > 64) {
-        throw wrongType(what, "a whole number of 64 bits");
+  private long currentLong(String field) throws IOException, MalformedBatchException {
+    if (parser.getNumberType() == JsonParser.NumberType.BIG_INTEGER) {
+      var bigValue = parser.getBigIntegerValue();
+      if (bigValue.bitLength() > 64) {
+        throw typeMismatch(field, "a whole number of 64 bits");
       }
-      return big.longValue();
+      return bigValue.longValue();
     }
-    return p.getLongValue();
+    return parser.getLongValue();
   }
 
-  int integer(String what) throws IOException, MalformedBatchException {
-    return narrow(what, whole(what));
+  int readInt(String field) throws IOException, MalformedBatchException {
+    return toInt(field, readLong(field));
   }
 
-  int integer(String what, int absent) throws IOException, MalformedBatchException {
-    return narrow(what, whole(what, absent));
+  int readInt(String field, int defaultValue) throws IOException, MalformedBatchException {
+    return toInt(field, readLong(field, defaultValue));
   }
 
-  private static int narrow(String what, long value) throws MalformedBatchException {
+  private static int toInt(String field, long value) throws MalformedBatchException {
     if (value != (int) value) {
-      throw wrongType(what, "a small number");
+      throw typeMismatch(field, "a small number");
     }
     return (int) value;
   }
 
-  double number(String what, double absent) throws IOException, MalformedBatchException {
-    JsonToken t = next();
-    if (t == JsonToken.VALUE_NULL) {
-      return absent;
+  double readDouble(String field, double defaultValue) throws IOException, MalformedBatchException {
+    JsonToken token = nextToken();
+    if (token == JsonToken.VALUE_NULL) {
+      return defaultValue;
     }
-    if (!t.isNumeric()) {
-      throw wrongType(what, "a number");
+    if (!token.isNumeric()) {
+      throw typeMismatch(field, "a number");
     }
-    return p.getDoubleValue();
+    return parser.getDoubleValue();
   }
 
-  String text(String what) throws IOException, MalformedBatchException {
-    if (next() != JsonToken.VALUE_STRING) {
-      throw wrongType(what, "text");
+  String readText(String field) throws IOException, MalformedBatchException {
+    if (nextToken() != JsonToken.VALUE_STRING) {
+      throw typeMismatch(field, "text");
     }
-    return p.getText();
+    return parser.getText();
   }
 
   void skip() throws IOException {
-    next();
-    if (!over) {
-      p.skipChildren();
+    nextToken();
+    if (!atEnd) {
+      parser.skipChildren();
     }
   }
 
-  boolean flag(String what) throws IOException, MalformedBatchException {
-    JsonToken t = next();
-    if (t == JsonToken.VALUE_NULL) {
+  boolean readBoolean(String field) throws IOException, MalformedBatchException {
+    JsonToken token = nextToken();
+    if (token == JsonToken.VALUE_NULL) {
       return false;
     }
-    if (!t.isBoolean()) {
-      throw wrongType(what, "true or false");
+    if (!token.isBoolean()) {
+      throw typeMismatch(field, "true or false");
     }
-    return t == JsonToken.VALUE_TRUE;
+    return token == JsonToken.VALUE_TRUE;
   }
 
-  /** The object that comes next as nested maps and lists; empty where it is absent. */
-  Map<?, ?> object(String what) throws IOException, MalformedBatchException {
-    JsonToken t = next();
-    if (t == JsonToken.VALUE_NULL) {
+  /** Reads an object as nested maps and lists; empty where it is absent. */
+  Map<?, ?> readObject(String field) throws IOException, MalformedBatchException {
+    JsonToken token = nextToken();
+    if (token == JsonToken.VALUE_NULL) {
       return Map.of();
     }
-    if (t != JsonToken.START_OBJECT) {
-      throw wrongType(what, "an object");
+    if (token != JsonToken.START_OBJECT) {
+      throw typeMismatch(field, "an object");
     }
-    return (Map<?, ?>) JsonTree.read(p, t);
+    return (Map<?, ?>) JsonTree.read(parser, token);
   }
 
-  void array(String what) throws IOException, MalformedBatchException {
-    if (next() != JsonToken.START_ARRAY) {
-      throw wrongType(what, "an array");
+  void enterArray(String field) throws IOException, MalformedBatchException {
+    if (nextToken() != JsonToken.START_ARRAY) {
+      throw typeMismatch(field, "an array");
     }
   }
 
   /**
-   * Steps into the next row of the array just entered; false at its end, and then back among the
-   * outer values.
+   * Enters the next row of the array just entered; false at its end, after which the outer values
+   * follow.
    */
-  boolean nextRow() throws IOException, MalformedBatchException {
-    JsonToken t = p.nextToken();
-    over = false;
-    if (t == JsonToken.END_ARRAY) {
+  boolean enterNextRow() throws IOException, MalformedBatchException {
+    JsonToken token = parser.nextToken();
+    atEnd = false;
+    if (token == JsonToken.END_ARRAY) {
       return false;
     }
-    if (t != JsonToken.START_ARRAY) {
+    if (token != JsonToken.START_ARRAY) {
       throw new MalformedBatchException("a row of a pool must be an array");
     }
     return true;
   }
 
-  /** Passes over what is left of the message or row. */
-  void end() throws IOException {
-    while (!over) {
+  /** Skips what is left of the message or row. */
+  void skipRest() throws IOException {
+    while (!atEnd) {
       skip();
     }
   }
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -24,7 +24,7 @@
 import linengauge.settings.Settings;
 import linengauge.wire.WireHost.MalformedBatchException;
 
-/** One front: turns ids into the module's handles and its decisions into actions. */
+/** One hosted front: maps ids to the module's handles and the module's decisions to actions. */
 final class WireFront implements Outside {
   private static final Set<String> EVENTS =
       Set.of(
@@ -40,51 +40,51 @@
           "statusNote");
 
   private final int number;
-  private final PrintStream complaints;
+  private final PrintStream errors;
   private final List<PackageTerms> packages;
   private final Policy policy;
   private final BoxTable boxes;
 
-  /** Emptied as viewings end: an id stays while its answer is owed or a tune-in is out. */
+  /** The viewings by id; each is removed once its answer is given and no tune-in is open. */
   private final Map<Long, WireViewing> viewings = new HashMap<>();
 
   private final TitleTable titles;
 
-  /** Steps that wait for their reminder; each leaves when it comes. */
-  private final Map<String, Runnable> steps = new HashMap<>();
+  /** Scheduled steps by the token of their reminder; each is removed when its reminder comes. */
+  private final Map<String, Runnable> pendingSteps = new HashMap<>();
 
-  /** Viewings answered by the module within the present event; emptied after it. */
-  private final List<WireViewing> touched = new ArrayList<>();
+  /** Viewings that the module has answered within the present event; cleared after it. */
+  private final List<WireViewing> answeredViewings = new ArrayList<>();
 
-  private long stepNumber;
-  private JsonGenerator g;
-  private boolean broken;
+  private long nextStepNumber;
+  private JsonGenerator generator;
+  private boolean failed;
 
-  WireFront(int number, long seed, Map<?, ?> conf, PrintStream complaints)
+  WireFront(int number, long seed, Map<?, ?> config, PrintStream errors)
       throws MalformedBatchException {
     this.number = number;
-    this.complaints = complaints;
-    Headend headend;
+    this.errors = errors;
+    Headend deployment;
     try {
-      headend = Settings.read(conf).deployment();
+      deployment = Settings.read(config).deployment();
     } catch (InvalidSettingsException e) {
       throw new MalformedBatchException(e.getMessage());
     }
-    this.packages = headend.packages();
-    this.policy = new Policy(headend, seed, this);
-    this.boxes = new BoxTable(policy, box -> act("inspect", box.id()));
+    this.packages = deployment.packages();
+    this.policy = new Policy(deployment, seed, this);
+    this.boxes = new BoxTable(policy, box -> writeAction("inspect", box.id()));
     this.titles = new TitleTable(policy);
   }
 
-  static boolean knows(String event) {
+  static boolean isKnownEvent(String event) {
     return EVENTS.contains(event);
   }
 
   private final class WireViewing implements Player {
     final long id;
     final String titleName;
-    Policy.Viewing handle;
-    boolean out;
+    Policy.Viewing policyViewing;
+    boolean tuneInActive;
     boolean answered;
 
     WireViewing(long id, String titleName) {
@@ -94,61 +94,61 @@
 
     @Override
     public void tuneIn(Policy.MediaBox box, Span timeout) {
-      out = true;
-      act("passOn", id, ((BoxTable.Entry) box.line()).id(), timeout.micros());
+      tuneInActive = true;
+      writeAction("passOn", id, ((BoxTable.Entry) box.line()).id(), timeout.micros());
     }
 
     @Override
     public void rung(int rung) {
-      act("setRung", id, rung);
+      writeAction("setRung", id, rung);
     }
 
     @Override
-    public void block(Span comeBackAfter, Refusal reason) {
-      act("bounce", id, comeBackAfter.micros());
-      answered();
+    public void block(Span retryAfter, Refusal reason) {
+      writeAction("bounce", id, retryAfter.micros());
+      markAnswered();
     }
 
     @Override
     public void abort() {
-      act("reportFailure", id);
-      answered();
+      writeAction("reportFailure", id);
+      markAnswered();
     }
 
-    private void answered() {
+    private void markAnswered() {
       answered = true;
-      touched.add(this);
+      answeredViewings.add(this);
     }
   }
 
-  private interface Deed {
+  private interface ModuleCall {
     void run() throws IOException, MalformedBatchException;
   }
 
   /**
-   * Runs one call into the module; what the module throws ends the front with the wire's fault
-   * action.
+   * Runs one call into the module. An exception thrown by the module ends the front with the wire's
+   * fault action.
    */
-  private void call(Moment now, JsonGenerator writer, Deed deed)
+  private void call(Moment now, JsonGenerator writer, ModuleCall moduleCall)
       throws IOException, MalformedBatchException {
-    if (broken) {
+    if (failed) {
       return;
     }
-    g = writer;
+    generator = writer;
     try {
       policy.clock(now);
-      deed.run();
+      moduleCall.run();
     } catch (UncheckedIOException e) {
       throw e.getCause();
     } catch (RuntimeException e) {
-      broken = true;
-      complaints.println("linengauge: the module of front " + number + " failed");
-      e.printStackTrace(complaints);
-      act("exception", e.toString());
+      failed = true;
+      errors.println("linengauge: the module of front " + number + " failed");
+      e.printStackTrace(errors);
+      writeAction("exception", e.toString());
     }
   }
 
-  void listed(String mode, List<ListedBox> rows, Moment now, JsonGenerator writer)
+  void applyPool(String mode, List<ListedBox> listings, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
     if (mode.equals("refused")) {
       return;
@@ -156,143 +156,152 @@
     if (!mode.equals("changes") && !mode.equals("all") && !mode.equals("remembered")) {
       throw new MalformedBatchException("unknown mode '" + mode + "'");
     }
-    call(now, writer, () -> boxes.apply(!mode.equals("changes"), rows));
+    call(now, writer, () -> boxes.apply(!mode.equals("changes"), listings));
   }
 
-  void happened(String name, Message m, Moment now, JsonGenerator writer)
+  void handleEvent(String name, Message message, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
     switch (name) {
-      case "demand" -> demand(m, now, writer);
-      case "resumed" -> resumed(m, now, writer);
+      case "demand" -> demand(message, now, writer);
+      case "resumed" -> resumed(message, now, writer);
       case "headers" -> {
-        WireViewing vw = viewings.get(m.whole("job"));
-        m.skip();
-        m.whole("rttUs", 0);
-        m.end();
-        if (vw != null) {
-          call(now, writer, () -> vw.handle.playing());
+        WireViewing viewing = viewings.get(message.readLong("job"));
+        message.skip();
+        message.readLong("rttUs", 0);
+        message.skipRest();
+        if (viewing != null) {
+          call(now, writer, () -> viewing.policyViewing.playing());
         }
       }
-      case "completed" -> completed(m, now, writer);
+      case "completed" -> completed(message, now, writer);
       case "cancelledByClient" -> {
-        WireViewing vw = viewings.get(m.whole("job"));
-        m.end();
-        if (vw != null) {
-          vw.answered = true;
-          call(now, writer, () -> vw.handle.viewerLeft());
-          release(vw);
+        WireViewing viewing = viewings.get(message.readLong("job"));
+        message.skipRest();
+        if (viewing != null) {
+          viewing.answered = true;
+          call(now, writer, () -> viewing.policyViewing.viewerLeft());
+          removeIfComplete(viewing);
         }
       }
       case "statusNote" -> {
-        WireViewing vw = viewings.get(m.whole("job"));
-        m.skip();
-        double level = m.number("level", Double.NaN);
-        int topic = m.integer("topic", 0);
-        m.end();
-        if (vw != null && !Double.isNaN(level)) {
-          call(now, writer, () -> note(vw, topic, level));
+        WireViewing viewing = viewings.get(message.readLong("job"));
+        message.skip();
+        double level = message.readDouble("level", Double.NaN);
+        int topic = message.readInt("topic", 0);
+        message.skipRest();
+        if (viewing != null && !Double.isNaN(level)) {
+          call(now, writer, () -> applyNote(viewing, topic, level));
         }
       }
       case "sampled" -> {
-        BoxTable.Entry b = boxes.get(m.whole("server"));
-        int how = m.integer("how");
-        m.whole("rttUs", 0);
-        Map<?, ?> load = m.object("feedback");
-        m.end();
-        if (b != null) {
+        BoxTable.Entry box = boxes.get(message.readLong("server"));
+        int status = message.readInt("how");
+        message.readLong("rttUs", 0);
+        Map<?, ?> load = message.readObject("feedback");
+        message.skipRest();
+        if (box != null) {
           call(
               now,
               writer,
               () -> {
-                report(b, load);
-                b.mediaBox().probed(how == 200);
+                applyLoad(box, load);
+                box.mediaBox().probed(status == 200);
               });
         }
       }
       case "reminder" -> {
-        Runnable step = steps.remove(m.text("nonce"));
-        m.end();
+        Runnable step = pendingSteps.remove(message.readText("nonce"));
+        message.skipRest();
         if (step != null) {
           call(now, writer, step::run);
         }
       }
       case "mail" -> {
-        int peer = m.integer("neighbour");
-        String octets = m.text("octets");
-        m.end();
-        call(now, writer, () -> mail(peer, octets));
+        int peer = message.readInt("neighbour");
+        String octets = message.readText("octets");
+        message.skipRest();
+        call(now, writer, () -> deliverMail(peer, octets));
       }
-      default -> m.end();
+      default -> message.skipRest();
     }
-    for (WireViewing vw : touched) {
-      release(vw);
+    for (WireViewing viewing : answeredViewings) {
+      removeIfComplete(viewing);
     }
-    touched.clear();
+    answeredViewings.clear();
   }
 
-  private void demand(Message m, Moment now, JsonGenerator writer)
+  private void demand(Message message, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
-    long id = m.whole("job");
-    String item = m.text("item");
-    Span patience = new Span(m.whole("budgetUs"));
-    m.skip();
-    PackageTerms terms = terms(m.integer("type"));
-    int fromCell = m.integer("fromCell", 0);
-    m.skip();
-    m.skip();
-    int cells = m.integer("cellsInRow", 0);
-    int ceiling = m.integer("ceilingRung", terms.highestRung());
-    m.end();
+    long id = message.readLong("job");
+    String title = message.readText("item");
+    Span timeLimit = new Span(message.readLong("budgetUs"));
+    message.skip();
+    PackageTerms packageSettings = packageSettings(message.readInt("type"));
+    int fromCell = message.readInt("fromCell", 0);
+    message.skip();
+    message.skip();
+    int cells = message.readInt("cellsInRow", 0);
+    int ceiling = message.readInt("ceilingRung", packageSettings.highestRung());
+    message.skipRest();
     call(
         now,
         writer,
         () -> {
-          WireViewing vw = hold(id, item);
-          vw.handle =
-              policy.take(vw, terms, titles.acquire(item, fromCell, cells), ceiling, patience);
-          release(vw);
+          WireViewing viewing = addViewing(id, title);
+          viewing.policyViewing =
+              policy.take(
+                  viewing,
+                  packageSettings,
+                  titles.acquire(title, fromCell, cells),
+                  ceiling,
+                  timeLimit);
+          removeIfComplete(viewing);
         });
   }
 
-  private void resumed(Message m, Moment now, JsonGenerator writer)
+  private void resumed(Message message, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
-    long id = m.whole("job");
-    PackageTerms terms = terms(m.integer("type"));
-    m.skip();
-    m.skip();
-    String item = m.text("title");
-    m.skip();
-    m.skip();
-    int fromCell = m.integer("fromCell", 0);
-    int cells = m.integer("cellsInRow", 0);
-    int ceiling = m.integer("ceilingRung", terms.highestRung());
-    m.skip();
-    BoxTable.Entry b = boxes.getOrAdd(m.whole("server"));
-    m.end();
+    long id = message.readLong("job");
+    PackageTerms packageSettings = packageSettings(message.readInt("type"));
+    message.skip();
+    message.skip();
+    String title = message.readText("title");
+    message.skip();
+    message.skip();
+    int fromCell = message.readInt("fromCell", 0);
+    int cells = message.readInt("cellsInRow", 0);
+    int ceiling = message.readInt("ceilingRung", packageSettings.highestRung());
+    message.skip();
+    BoxTable.Entry box = boxes.getOrAdd(message.readLong("server"));
+    message.skipRest();
     call(
         now,
         writer,
         () -> {
-          WireViewing vw = hold(id, item);
-          vw.out = true;
-          vw.handle =
+          WireViewing viewing = addViewing(id, title);
+          viewing.tuneInActive = true;
+          viewing.policyViewing =
               policy.handOver(
-                  vw, terms, titles.acquire(item, fromCell, cells), ceiling, b.mediaBox());
+                  viewing,
+                  packageSettings,
+                  titles.acquire(title, fromCell, cells),
+                  ceiling,
+                  box.mediaBox());
         });
   }
 
-  private void completed(Message m, Moment now, JsonGenerator writer)
+  private void completed(Message message, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
-    WireViewing vw = viewings.get(m.whole("job"));
-    m.skip();
-    boolean over = m.flag("terminal");
-    int how = m.integer("how");
-    m.whole("rttUs", 0);
-    Long server = m.whole("server", -1);
-    Map<?, ?> load = m.object("feedback");
-    m.end();
-    Ending ending =
-        switch (how) {
+    WireViewing viewing = viewings.get(message.readLong("job"));
+    message.skip();
+    boolean viewingOver = message.readBoolean("terminal");
+    int status = message.readInt("how");
+    message.readLong("rttUs", 0);
+    Long server = message.readLong("server", -1);
+    Map<?, ?> load = message.readObject("feedback");
+    message.skipRest();
+    Ending outcome =
+        switch (status) {
           case 200 -> Ending.FINISHED;
           case 502 -> Ending.ERROR;
           case 429 -> Ending.TURNED_AWAY;
@@ -301,75 +310,76 @@
           case 520 -> Ending.BROKEN;
           case 444 -> Ending.WITHDRAWN;
           case 409 -> Ending.NEVER_SENT;
-          default -> throw new MalformedBatchException("unknown outcome " + how);
+          default -> throw new MalformedBatchException("unknown outcome " + status);
         };
-    BoxTable.Entry b = boxes.get(server);
+    BoxTable.Entry box = boxes.get(server);
     call(
         now,
         writer,
         () -> {
-          if (b != null) {
-            report(b, load);
+          if (box != null) {
+            applyLoad(box, load);
           }
-          if (vw != null) {
-            vw.out = false;
-            vw.answered |= over;
-            // The simulator tells how an attempt has ended once it is over at its server.
-            vw.handle.tuneInEnded(ending, over, true);
-            release(vw);
+          if (viewing != null) {
+            viewing.tuneInActive = false;
+            viewing.answered |= viewingOver;
+            // The simulator reports the end of an attempt once it is over at its server.
+            viewing.policyViewing.tuneInEnded(outcome, viewingOver, true);
+            removeIfComplete(viewing);
           }
         });
   }
 
-  private static void note(WireViewing vw, int topic, double level) {
+  private static void applyNote(WireViewing viewing, int topic, double level) {
     switch (topic) {
-      case 1 -> vw.handle.shareDelivered(level);
-      case 2 -> vw.handle.rungInForce((int) level);
-      case 3 -> vw.handle.loadsTold(level, Double.NaN);
-      case 4 -> vw.handle.loadsTold(Double.NaN, level);
+      case 1 -> viewing.policyViewing.shareDelivered(level);
+      case 2 -> viewing.policyViewing.rungInForce((int) level);
+      case 3 -> viewing.policyViewing.loadsTold(level, Double.NaN);
+      case 4 -> viewing.policyViewing.loadsTold(Double.NaN, level);
       default -> {}
     }
   }
 
-  private static void report(BoxTable.Entry b, Map<?, ?> load) {
+  private static void applyLoad(BoxTable.Entry box, Map<?, ?> load) {
     if (!load.isEmpty()) {
-      b.mediaBox().reported(figure(load, "x0"), figure(load, "x1"), figure(load, "outstanding"));
+      box.mediaBox()
+          .reported(loadValue(load, "x0"), loadValue(load, "x1"), loadValue(load, "outstanding"));
     }
   }
 
-  private static double figure(Map<?, ?> load, String key) {
-    return load.get(key) instanceof Double d ? d : Double.NaN;
+  private static double loadValue(Map<?, ?> load, String key) {
+    return load.get(key) instanceof Double number ? number : Double.NaN;
   }
 
-  private PackageTerms terms(int type) throws MalformedBatchException {
+  private PackageTerms packageSettings(int type) throws MalformedBatchException {
     if (type < 0 || type >= packages.size()) {
       throw new MalformedBatchException("'type' names no package: " + type);
     }
     return packages.get(type);
   }
 
-  private WireViewing hold(long id, String titleName) {
-    WireViewing vw = new WireViewing(id, titleName);
-    viewings.put(id, vw);
-    return vw;
+  private WireViewing addViewing(long id, String titleName) {
+    WireViewing viewing = new WireViewing(id, titleName);
+    viewings.put(id, viewing);
+    return viewing;
   }
 
-  private void release(WireViewing vw) {
-    if (vw.answered && !vw.out && viewings.remove(vw.id, vw)) {
-      titles.release(vw.titleName);
+  private void removeIfComplete(WireViewing viewing) {
+    if (viewing.answered && !viewing.tuneInActive && viewings.remove(viewing.id, viewing)) {
+      titles.release(viewing.titleName);
     }
   }
 
   @Override
   public void wakeAfter(Span span, Runnable step) {
-    String token = Long.toString(stepNumber++, 36);
-    steps.put(token, step);
-    act("notifyMe", span.micros(), token);
+    String token = Long.toString(nextStepNumber++, 36);
+    pendingSteps.put(token, step);
+    writeAction("notifyMe", span.micros(), token);
   }
 
   @Override
   public void tell(int front, Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
-    say(front, PeerMessages.encodeReport(box, viewings, kb, uplinkShare));
+    sendToPeer(front, PeerMessages.encodeReport(box, viewings, kb, uplinkShare));
   }
 
   @Override
@@ -380,36 +390,36 @@
       double othersKb,
       double rackKb,
       double rackSizeKb) {
-    say(front, PeerMessages.encodeReply(box, othersViewings, othersKb, rackKb, rackSizeKb));
+    sendToPeer(front, PeerMessages.encodeReply(box, othersViewings, othersKb, rackKb, rackSizeKb));
   }
 
-  private void say(int front, byte[] word) {
-    act("say", front, Base64.getEncoder().encodeToString(word));
+  private void sendToPeer(int front, byte[] bytes) {
+    writeAction("say", front, Base64.getEncoder().encodeToString(bytes));
   }
 
-  private void mail(int peer, String octets) throws MalformedBatchException {
-    byte[] word;
+  private void deliverMail(int peer, String octets) throws MalformedBatchException {
+    byte[] bytes;
     try {
-      word = Base64.getDecoder().decode(octets);
+      bytes = Base64.getDecoder().decode(octets);
     } catch (IllegalArgumentException e) {
       throw new MalformedBatchException("'octets' should be base64");
     }
-    PeerMessages.deliver(boxes, peer, word);
+    PeerMessages.deliver(boxes, peer, bytes);
   }
 
-  private void act(String name, Object... values) {
+  private void writeAction(String name, Object... values) {
     try {
-      g.writeStartArray();
-      g.writeString(name);
-      g.writeNumber(number);
-      for (Object v : values) {
-        if (v instanceof String s) {
-          g.writeString(s);
+      generator.writeStartArray();
+      generator.writeString(name);
+      generator.writeNumber(number);
+      for (Object value : values) {
+        if (value instanceof String text) {
+          generator.writeString(text);
         } else {
-          g.writeNumber(((Number) v).longValue());
+          generator.writeNumber(((Number) value).longValue());
         }
       }
-      g.writeEndArray();
+      generator.writeEndArray();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/main/java/linengauge/wire/WireHost.java
+++ b/src/main/java/linengauge/wire/WireHost.java
@@ -23,19 +23,20 @@
 import linengauge.session.BoxTable.ListedBox;
 
 /**
- * The adapter: reads one batch a line, hands what happened to the fronts that it hosts, and writes
- * what they decide, one reply a line. It decides nothing; the fronts share nothing but this door.
+ * The adapter: reads one batch per line, passes its events to the fronts that it hosts, and writes
+ * their decisions, one reply per line. It decides nothing itself; the fronts share nothing but this
+ * input and output.
  */
 public final class WireHost {
   private final InputStream in;
   private final OutputStream out;
-  private final PrintStream complaints;
+  private final PrintStream errors;
   private final JsonFactory json = new JsonFactory();
   private final ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
   private final Map<Integer, WireFront> fronts = new HashMap<>();
   private final Map<Integer, List<ListedBox>> pools = new HashMap<>();
 
-  /** Hosts on standard input and output until that ends; returns the process's exit code. */
+  /** Serves standard input and output until the input ends; returns the process's exit code. */
   public static int onStandardStreams() {
     try (var in = new FileInputStream(FileDescriptor.in);
         var out = new FileOutputStream(FileDescriptor.out)) {
@@ -44,33 +45,33 @@
     } catch (MalformedLineException e) {
       System.err.println("linengauge: " + e.getMessage());
     } catch (IOException e) {
-      System.err.println("linengauge: standard input or output broke: " + e.getMessage());
+      System.err.println("linengauge: standard input or output failed: " + e.getMessage());
     }
     return 1;
   }
 
-  public WireHost(InputStream in, OutputStream out, PrintStream complaints) {
+  public WireHost(InputStream in, OutputStream out, PrintStream errors) {
     this.in = new BufferedInputStream(in, 1 << 16);
     this.out = out;
-    this.complaints = complaints;
+    this.errors = errors;
   }
 
   public void run() throws IOException, MalformedLineException {
     byte[] line = new byte[1 << 16];
     for (long number = 1; ; number++) {
       int length = 0;
-      int c;
-      while ((c = in.read()) >= 0 && c != '\n') {
+      int next;
+      while ((next = in.read()) >= 0 && next != '\n') {
         if (length == line.length) {
           line = java.util.Arrays.copyOf(line, 2 * length);
         }
-        line[length++] = (byte) c;
+        line[length++] = (byte) next;
       }
-      if (c < 0 && length == 0) {
+      if (next < 0 && length == 0) {
         return;
       }
       try {
-        answer(line, length);
+        answerBatch(line, length);
       } catch (JsonProcessingException e) {
         throw new MalformedLineException(number, "not a batch: " + e.getOriginalMessage());
       } catch (MalformedBatchException e) {
@@ -79,113 +80,114 @@
     }
   }
 
-  private void answer(byte[] line, int length) throws IOException, MalformedBatchException {
+  private void answerBatch(byte[] line, int length) throws IOException, MalformedBatchException {
     reply.reset();
-    try (JsonParser p = json.createParser(line, 0, length);
-        JsonGenerator g = json.createGenerator(reply)) {
-      if (p.nextToken() != JsonToken.START_OBJECT) {
+    try (JsonParser parser = json.createParser(line, 0, length);
+        JsonGenerator generator = json.createGenerator(reply)) {
+      if (parser.nextToken() != JsonToken.START_OBJECT) {
         throw new MalformedBatchException("not a batch: an object was expected");
       }
-      g.writeStartObject();
-      g.writeArrayFieldStart("out");
+      generator.writeStartObject();
+      generator.writeArrayFieldStart("out");
       Moment now = null;
-      boolean any = false;
-      while (p.nextToken() == JsonToken.FIELD_NAME) {
-        String key = p.currentName();
-        JsonToken value = p.nextToken();
+      boolean hasEvents = false;
+      while (parser.nextToken() == JsonToken.FIELD_NAME) {
+        String key = parser.currentName();
+        JsonToken value = parser.nextToken();
         if (key.equals("simTimeUs") && value == JsonToken.VALUE_NUMBER_INT) {
-          now = new Moment(p.getLongValue());
+          now = new Moment(parser.getLongValue());
         } else if (key.equals("happened") && value == JsonToken.START_ARRAY && now != null) {
-          any = true;
-          while (p.nextToken() != JsonToken.END_ARRAY) {
-            event(new Message(p), now, g);
+          hasEvents = true;
+          while (parser.nextToken() != JsonToken.END_ARRAY) {
+            dispatch(new Message(parser), now, generator);
           }
         } else if (key.equals("simTimeUs") || key.equals("happened")) {
           throw new MalformedBatchException(
               "not a batch: '" + key + "' out of place or of the wrong type");
         } else {
-          p.skipChildren();
+          parser.skipChildren();
         }
       }
-      if (now == null || !any) {
+      if (now == null || !hasEvents) {
         throw new MalformedBatchException("not a batch: simTimeUs and happened were expected");
       }
-      if (p.nextToken() != null) {
+      if (parser.nextToken() != null) {
         throw new MalformedBatchException("not a batch: more than one value on the line");
       }
-      g.writeEndArray();
-      g.writeEndObject();
+      generator.writeEndArray();
+      generator.writeEndObject();
     }
     reply.write('\n');
     reply.writeTo(out);
     out.flush();
   }
 
-  private void event(Message m, Moment now, JsonGenerator g)
+  private void dispatch(Message message, Moment now, JsonGenerator generator)
       throws IOException, MalformedBatchException {
-    String name = m.name();
+    String name = message.readName();
     if (name.equals("pool")) {
-      int bank = m.integer("bank");
-      pools.put(bank, rows(m));
-      m.end();
+      int poolNumber = message.readInt("bank");
+      pools.put(poolNumber, readListings(message));
+      message.skipRest();
       return;
     }
-    int number = m.integer("front");
+    int number = message.readInt("front");
     if (name.equals("attach")) {
-      long seed = m.whole("prng");
-      fronts.put(number, new WireFront(number, seed, m.object("conf"), complaints));
-      m.end();
+      long seed = message.readLong("prng");
+      fronts.put(number, new WireFront(number, seed, message.readObject("conf"), errors));
+      message.skipRest();
       return;
     }
     if (name.equals("kill")) {
       fronts.remove(number);
-      m.end();
+      message.skipRest();
       return;
     }
     WireFront front = fronts.get(number);
-    if (!WireFront.knows(name)) {
+    if (!WireFront.isKnownEvent(name)) {
       throw new MalformedBatchException("unknown event '" + name + "'");
     }
     if (front == null) {
-      m.end();
+      message.skipRest();
       return;
     }
     if (name.equals("backendsChanged")) {
-      int bank = m.integer("bank", -1);
-      m.whole("revision", 0);
-      String mode = m.text("mode");
-      m.end();
-      List<ListedBox> rows = pools.get(bank);
-      if (rows == null && !mode.equals("refused")) {
+      int poolNumber = message.readInt("bank", -1);
+      message.readLong("revision", 0);
+      String mode = message.readText("mode");
+      message.skipRest();
+      List<ListedBox> listings = pools.get(poolNumber);
+      if (listings == null && !mode.equals("refused")) {
         throw new MalformedBatchException(
-            "backendsChanged names pool " + bank + ", which was not given");
+            "backendsChanged names pool " + poolNumber + ", which was not given");
       }
-      front.listed(mode, rows, now, g);
+      front.applyPool(mode, listings, now, generator);
     } else {
-      front.happened(name, m, now, g);
+      front.handleEvent(name, message, now, generator);
     }
   }
 
-  private static List<ListedBox> rows(Message m) throws IOException, MalformedBatchException {
-    List<ListedBox> rows = new ArrayList<>();
-    m.array("rowsIn");
-    while (m.nextRow()) {
-      rows.add(
+  private static List<ListedBox> readListings(Message message)
+      throws IOException, MalformedBatchException {
+    List<ListedBox> listings = new ArrayList<>();
+    message.enterArray("rowsIn");
+    while (message.enterNextRow()) {
+      listings.add(
           new ListedBox(
-              m.whole("server"),
+              message.readLong("server"),
               null,
-              m.number("powerHint", 1),
-              m.integer("cell", 0),
-              m.integer("type", 0),
-              state(m.text("health")),
-              m.integer("locality", 0),
-              started(m.whole("lastStartUs", 0))));
-      m.end();
+              message.readDouble("powerHint", 1),
+              message.readInt("cell", 0),
+              message.readInt("type", 0),
+              boxState(message.readText("health")),
+              message.readInt("locality", 0),
+              startMoment(message.readLong("lastStartUs", 0))));
+      message.skipRest();
     }
-    return rows;
+    return listings;
   }
 
-  private static BoxTable.State state(String health) throws MalformedBatchException {
+  private static BoxTable.State boxState(String health) throws MalformedBatchException {
     return switch (health) {
       case "SERVING" -> BoxTable.State.SERVING;
       case "DRAINING" -> BoxTable.State.DRAINING;
@@ -194,16 +196,16 @@
     };
   }
 
-  private static Moment started(long micros) {
+  private static Moment startMoment(long micros) {
     return micros <= 0 ? Moment.DISTANT_PAST : new Moment(micros);
   }
 
-  /** What is wrong with a line; the line number is added where it is known. */
+  /** The problem of a line; the line number is added where it is known. */
   static final class MalformedBatchException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    MalformedBatchException(String what) {
-      super(what);
+    MalformedBatchException(String problem) {
+      super(problem);
     }
   }
 }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -12,14 +12,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A front that stood still reads an answer after the wait that it told the box, before its own
- * timer has run.
+ * After a process pause, a front reads an answer that came later than the wait that it sent to the
+ * box, before its own timer has run.
  */
 class LateAnswerTest {
   private final List<String> done = new ArrayList<>();
-  private Session out;
+  private Session sentSession;
 
-  private final Transport carrier =
+  private final Transport transport =
       new Transport() {
         @Override
         public Timer schedule(Span span, Runnable step) {
@@ -27,16 +27,16 @@
         }
 
         @Override
-        public void setUp(Session vw, int tuneIn) {
+        public void setUp(Session session, int tuneIn) {
           done.add("set-up " + tuneIn);
-          out = vw;
+          sentSession = session;
         }
 
         @Override
-        public void changeRung(Session vw) {}
+        public void changeRung(Session session) {}
 
         @Override
-        public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
+        public void cancelAtBox(Session session, BoxTable.Entry box, int tuneIn) {
           done.add("withdrawn " + tuneIn);
         }
 
@@ -55,12 +55,12 @@
   private final Viewer viewer =
       new Viewer() {
         @Override
-        public void started(Session vw) {
+        public void started(Session session) {
           done.add("plays");
         }
 
         @Override
-        public void rejected(Span comeBackAfter, Outside.Refusal reason) {
+        public void rejected(Span retryAfter, Outside.Refusal reason) {
           done.add("blocked");
         }
 
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public void ended(EndReason how) {
+        public void ended(EndReason reason) {
           done.add("ended");
         }
 
@@ -80,37 +80,38 @@
         }
       };
 
-  private List<String> answeredAfter(long ms) {
-    PackageTerms pack = new PackageTerms(1, Span.ofMillis(800), 1, 0, 1, 0, false);
-    Headend house =
+  private List<String> answeredAfter(long millis) {
+    PackageTerms packageSettings = new PackageTerms(1, Span.ofMillis(800), 1, 0, 1, 0, false);
+    Headend deployment =
         new Headend(
             1,
             0,
             0,
-            List.of(pack),
+            List.of(packageSettings),
             new double[] {100, 200},
             new double[] {0.5, 1},
             new Headend.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
             new Headend.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
             new Headend.Permits(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
-    SessionManager desk =
+    SessionManager manager =
         new SessionManager(
-            house,
+            deployment,
             new SessionManager.Limits(
                 10, Span.NONE, Span.NONE, Span.ofMillis(500), Span.ofSeconds(5), Span.NONE),
             1,
             "e",
-            carrier);
-    desk.updateTime(new Moment(0));
-    desk.applyDiscovery(
+            transport);
+    manager.updateTime(new Moment(0));
+    manager.applyDiscovery(
         1,
         List.of(
             new BoxTable.ListedBox(
                 1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
-    desk.accept(
-        new Session.SessionRequest("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
-    desk.updateTime(new Moment(ms * 1000));
-    out.setUpSucceeded(0);
+    manager.accept(
+        new Session.SessionRequest("t", 0, 0, 0, packageSettings, 1, Span.ofMillis(1000), null),
+        viewer);
+    manager.updateTime(new Moment(millis * 1000));
+    sentSession.setUpSucceeded(0);
     return done;
   }
 
@@ -120,12 +121,12 @@
   }
 
   @Test
-  void oneAfterTheWaitToldToTheBoxIsTakenBackAndDoesNotPlay() {
+  void anAnswerAfterTheTuneInTimeoutIsCancelledAndDoesNotPlay() {
     assertEquals(List.of("set-up 0", "withdrawn 0"), answeredAfter(500));
   }
 
   @Test
-  void oneAfterTheViewersPatienceIsTakenBackAndTheAnswerIsNo() {
+  void anAnswerAfterTheDeadlineIsCancelledAndTheRequestFails() {
     assertEquals(List.of("set-up 0", "aborted", "withdrawn 0"), answeredAfter(1100));
   }
 }
--- a/src/test/java/linengauge/session/SessionManagerTest.java
+++ b/src/test/java/linengauge/session/SessionManagerTest.java
@@ -16,358 +16,382 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class SessionManagerTest {
-  private static final Span PATIENCE = Span.ofSeconds(3);
+  private static final Span TIME_LIMIT = Span.ofSeconds(3);
 
-  private static SessionSimulation stage() {
-    SessionSimulation s = new SessionSimulation(1, 4, false, false, false, 3);
-    s.pass(Span.ofSeconds(3));
-    return s;
+  private static SessionSimulation simulation() {
+    SessionSimulation simulation = new SessionSimulation(1, 4, false, false, false, 3);
+    simulation.advance(Span.ofSeconds(3));
+    return simulation;
   }
 
   /**
-   * Thousands of steps of several fronts with boxes and fronts failing in every way; judged from
-   * the record alone.
+   * Runs thousands of random steps of several fronts, with boxes and fronts failing in every way;
+   * judged from the record alone.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16})
-  void rulesHoldThroughSeededDays(long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    SessionSimulation s =
+  void rulesHoldInSeededRandomRuns(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    SessionSimulation simulation =
         new SessionSimulation(
             1 + (int) (seed % 3), 4, seed % 2 == 0, seed % 4 == 1, seed % 5 != 0, seed);
-    s.pass(Span.ofSeconds(3));
+    simulation.advance(Span.ofSeconds(3));
     int played = 0;
     for (int step = 0; step < 2500; step++) {
-      s.pass(Span.ofMillis(5 + chance.nextInt(40)));
-      SessionSimulation.Front f = s.fronts.get(chance.nextInt(s.fronts.size()));
-      if (chance.nextInt(5) == 0) {
-        f.ask(
-            chance.nextInt(3),
-            "t" + chance.nextInt(3),
-            Span.ofMillis(500 + chance.nextInt(2500)),
-            "key" + chance.nextInt(400));
+      simulation.advance(Span.ofMillis(5 + random.nextInt(40)));
+      SessionSimulation.Front front =
+          simulation.fronts.get(random.nextInt(simulation.fronts.size()));
+      if (random.nextInt(5) == 0) {
+        front.request(
+            random.nextInt(3),
+            "t" + random.nextInt(3),
+            Span.ofMillis(500 + random.nextInt(2500)),
+            "key" + random.nextInt(400));
       }
-      SessionSimulation.Box box = s.boxes.get(chance.nextInt(4));
-      switch (chance.nextInt(90)) {
+      SessionSimulation.Box box = simulation.boxes.get(random.nextInt(4));
+      switch (random.nextInt(90)) {
         case 0 ->
-            box.mood =
-                SessionSimulation.Mood.values()[
-                    chance.nextInt(SessionSimulation.Mood.values().length)];
-        case 1, 2, 3 -> box.mood = SessionSimulation.Mood.WELL;
-        case 4 -> s.change(box.id, BoxTable.State.DRAINING);
-        case 5, 6 -> s.change(box.id, BoxTable.State.SERVING);
-        case 7 -> s.restart(box);
-        case 8 -> s.change(box.id, BoxTable.State.GONE);
-        case 9 -> f.stopFor(Span.ofMillis(chance.nextInt(2000)));
+            box.behaviour =
+                SessionSimulation.BoxBehaviour.values()[
+                    random.nextInt(SessionSimulation.BoxBehaviour.values().length)];
+        case 1, 2, 3 -> box.behaviour = SessionSimulation.BoxBehaviour.HEALTHY;
+        case 4 -> simulation.changeListing(box.id, BoxTable.State.DRAINING);
+        case 5, 6 -> simulation.changeListing(box.id, BoxTable.State.SERVING);
+        case 7 -> simulation.restart(box);
+        case 8 -> simulation.changeListing(box.id, BoxTable.State.GONE);
+        case 9 -> front.pauseFor(Span.ofMillis(random.nextInt(2000)));
         default -> {}
       }
-      for (SessionSimulation.Watcher w : List.copyOf(f.viewers)) {
-        int draw = chance.nextInt(200);
-        if (w.end != null || w.answer != null && !w.answer.equals("plays")) {
-          f.viewers.remove(w);
-        } else if (w.held == null) {
+      for (SessionSimulation.RecordingViewer viewer : List.copyOf(front.viewers)) {
+        int draw = random.nextInt(200);
+        if (viewer.endReason != null || viewer.answer != null && !viewer.answer.equals("plays")) {
+          front.viewers.remove(viewer);
+        } else if (viewer.session == null) {
           continue;
-        } else if (w.held.isPlaying() && draw < 12) {
-          f.on(Span.NONE, w.held::viewerLeft);
-        } else if (w.held.isPlaying() && draw < 90) {
-          w.lastAsked = s.now;
-        } else if (w.held.isPlaying() && draw < 92) {
-          f.on(Span.NONE, () -> w.held.deliveredShareReported(0.7));
+        } else if (viewer.session.isPlaying() && draw < 12) {
+          front.runAfter(Span.NONE, viewer.session::viewerLeft);
+        } else if (viewer.session.isPlaying() && draw < 90) {
+          viewer.lastRequestAt = simulation.now;
+        } else if (viewer.session.isPlaying() && draw < 92) {
+          front.runAfter(Span.NONE, () -> viewer.session.deliveredShareReported(0.7));
         }
-        played += w.held != null && w.held.isPlaying() ? 1 : 0;
+        played += viewer.session != null && viewer.session.isPlaying() ? 1 : 0;
       }
     }
-    s.pass(Span.ofSeconds(20));
-    assertEquals(List.of(), s.judged().breaches());
-    assertTrue(s.judged().checked("one-answer") > 100 && played > 20, "hardly anything happened");
-    for (SessionSimulation.Front f : s.fronts) {
-      assertNull(f.failure);
+    simulation.advance(Span.ofSeconds(20));
+    assertEquals(List.of(), simulation.judge().breaches());
+    assertTrue(
+        simulation.judge().checked("one-answer") > 100 && played > 20,
+        "too few requests and viewings in this run");
+    for (SessionSimulation.Front front : simulation.fronts) {
+      assertNull(front.failure);
       assertEquals(
           0,
-          f.desk.sessionCount() + f.desk.keyCount() + f.desk.titleCount(),
-          "something is left in the registry");
+          front.manager.sessionCount() + front.manager.keyCount() + front.manager.titleCount(),
+          "the registry must be empty at the end");
     }
-    assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()), "something is left at a box");
+    assertTrue(
+        simulation.boxes.stream().allMatch(box -> box.running.isEmpty()),
+        "no box may still run a viewing at the end");
   }
 
   @Test
-  void aFullRegistryBlocksAtOnceWithAdvice() {
-    SessionSimulation s = stage();
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
-    SessionSimulation.Watcher last = null;
+  void aFullRegistryRejectsAtOnceWithRetryAdvice() {
+    SessionSimulation simulation = simulation();
+    simulation.boxes.forEach(box -> box.behaviour = SessionSimulation.BoxBehaviour.SILENT);
+    SessionSimulation.RecordingViewer last = null;
     for (int i = 0; i <= 20; i++) {
-      last = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+      last = simulation.fronts.get(0).request(0, "t", TIME_LIMIT, null);
     }
-    s.pass(Span.ofMillis(1));
+    simulation.advance(Span.ofMillis(1));
     assertEquals("blocked", last.answer);
-    assertEquals(SessionSimulation.BOUNDS.retryAfter(), last.advice);
-    assertEquals(1, s.fronts.get(0).desk.counters().rejectedFull);
+    assertEquals(SessionSimulation.LIMITS.retryAfter(), last.retryAfter);
+    assertEquals(1, simulation.fronts.get(0).manager.counters().rejectedFull);
   }
 
-  /** What was chosen before a stand-still would leave together with what is chosen after it. */
+  /**
+   * Guards against a burst after a pause: what was chosen before it would leave together with what
+   * is chosen after it.
+   */
   @Test
-  void aSetUpChosenLongBeforeItCouldLeaveIsChosenAgain() {
-    for (boolean stands : new boolean[] {false, true}) {
-      SessionSimulation s = stage();
-      SessionSimulation.Front f = s.fronts.get(0);
-      f.holdBack = true; // as a dial does: it leaves 0.3 s after its choice
-      f.ask(0, "t", PATIENCE, null);
-      s.pass(Span.ofMillis(100));
-      if (stands) {
-        f.stopFor(Span.ofMillis(600));
+  void aSetUpDelayedByAPauseIsChosenAgain() {
+    for (boolean pauses : new boolean[] {false, true}) {
+      SessionSimulation simulation = simulation();
+      SessionSimulation.Front front = simulation.fronts.get(0);
+      front.delaysSending = true; // as dialling does: it leaves 0.3 s after its choice
+      front.request(0, "t", TIME_LIMIT, null);
+      simulation.advance(Span.ofMillis(100));
+      if (pauses) {
+        front.pauseFor(Span.ofMillis(600));
       }
-      s.pass(Span.ofMillis(1500));
-      assertEquals(stands ? 0 : 1, s.setUpsLeft(0));
-      assertEquals(stands ? 1 : 0, s.setUpsLeft(1), "chosen again, with what is known then");
+      simulation.advance(Span.ofMillis(1500));
+      assertEquals(pauses ? 0 : 1, simulation.setUpsSent(0));
+      assertEquals(
+          pauses ? 1 : 0, simulation.setUpsSent(1), "the box must be chosen again after the pause");
     }
   }
 
   @Test
-  void aDrainHeardWhileASetUpWaitsForItsConnectionKeepsItBack() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    f.holdBack = true;
-    SessionSimulation.Watcher w = f.ask(2, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(100));
-    long first = w.held.box().id();
-    s.change(first, BoxTable.State.DRAINING);
-    s.pass(Span.ofMillis(210));
+  void aBoxThatDrainsBeforeTheSetUpIsSentDoesNotGetIt() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    front.delaysSending = true;
+    SessionSimulation.RecordingViewer viewer = front.request(2, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(100));
+    long first = viewer.session.box().id();
+    simulation.changeListing(first, BoxTable.State.DRAINING);
+    simulation.advance(Span.ofMillis(210));
     assertTrue(
-        w.held.box() != null && w.held.box().id() != first,
-        "paid, yet free to go elsewhere: it never ran");
-    s.pass(Span.ofSeconds(2));
-    assertEquals("plays", w.answer);
-    assertEquals(0, s.judged().broken("drains"));
+        viewer.session.box() != null && viewer.session.box().id() != first,
+        "a paid set-up that never ran may go to another box");
+    simulation.advance(Span.ofSeconds(2));
+    assertEquals("plays", viewer.answer);
+    assertEquals(0, simulation.judge().broken("drains"));
   }
 
   /**
-   * Its viewer is told before the module is: nothing of one that leaves in that very call is left,
-   * here or there.
+   * The viewer is notified before the module is. Where it leaves within that very call, nothing of
+   * it remains at the front or at the box.
    */
   @Test
-  void whoeverLeavesAsItIsToldThatItPlaysLeavesNothingBehind() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    SessionSimulation.Watcher w = f.ask(1, "t", PATIENCE, null);
-    w.leavesAsItPlays = true;
-    s.pass(Span.ofSeconds(3));
-    assertEquals("plays", w.answer);
-    assertEquals(0, f.desk.sessionCount() + f.desk.titleCount());
-    assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
-    SessionSimulation.Watcher next = f.ask(1, "t", PATIENCE, null);
-    s.pass(Span.ofSeconds(3));
+  void aViewerThatLeavesOnStartLeavesNothingBehind() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    SessionSimulation.RecordingViewer viewer = front.request(1, "t", TIME_LIMIT, null);
+    viewer.leavesOnStart = true;
+    simulation.advance(Span.ofSeconds(3));
+    assertEquals("plays", viewer.answer);
+    assertEquals(0, front.manager.sessionCount() + front.manager.titleCount());
+    assertTrue(simulation.boxes.stream().allMatch(box -> box.running.isEmpty()));
+    SessionSimulation.RecordingViewer next = front.request(1, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofSeconds(3));
     assertEquals("plays", next.answer);
-    assertTrue(next.held.isPlaying(), "its seat was given back");
-    assertEquals(List.of(), s.judged().breaches());
+    assertTrue(next.session.isPlaying(), "the seat of the first viewing must be free again");
+    assertEquals(List.of(), simulation.judge().breaches());
   }
 
   @Test
-  void aLateAnswerPlaysNoSecondTimeAndIsEndedAtItsBox() {
-    SessionSimulation s = stage();
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.LATE);
-    SessionSimulation.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofSeconds(8));
-    assertTrue(List.of("blocked", "aborted").contains(w.answer), w.answer);
-    assertEquals(0, s.fronts.get(0).desk.sessionCount());
-    assertEquals(List.of(), s.judged().breaches());
+  void aLateAnswerDoesNotPlayAndIsEndedAtItsBox() {
+    SessionSimulation simulation = simulation();
+    simulation.boxes.forEach(box -> box.behaviour = SessionSimulation.BoxBehaviour.ANSWERS_LATE);
+    SessionSimulation.RecordingViewer viewer =
+        simulation.fronts.get(0).request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofSeconds(8));
+    assertTrue(List.of("blocked", "aborted").contains(viewer.answer), viewer.answer);
+    assertEquals(0, simulation.fronts.get(0).manager.sessionCount());
+    assertEquals(List.of(), simulation.judge().breaches());
   }
 
   @Test
-  void aPaidSetUpThatBreaksIsAbortedAndNeverSentAgain() {
-    SessionSimulation s = stage();
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.RESETS);
-    SessionSimulation.Watcher w = s.fronts.get(0).ask(2, "t", PATIENCE, null);
-    s.pass(Span.ofSeconds(4));
-    assertEquals("aborted", w.answer);
-    assertEquals(1, s.judged().checked("no-double-set-up"));
+  void aPaidSetUpThatBreaksFailsAndIsNotRetried() {
+    SessionSimulation simulation = simulation();
+    simulation.boxes.forEach(
+        box -> box.behaviour = SessionSimulation.BoxBehaviour.RESETS_CONNECTIONS);
+    SessionSimulation.RecordingViewer viewer =
+        simulation.fronts.get(0).request(2, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofSeconds(4));
+    assertEquals("aborted", viewer.answer);
+    assertEquals(1, simulation.judge().checked("no-double-set-up"));
   }
 
   @Test
-  void aKeyAskedForTwiceWhileItWaitsIsBlockedAndOneThatPlaysIsReplaced() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    SessionSimulation.Watcher first = f.ask(0, "t", PATIENCE, "me");
-    SessionSimulation.Watcher second = f.ask(0, "t", PATIENCE, "me");
-    s.pass(Span.ofMillis(500));
+  void aRepeatedKeyIsRejectedWhileTheFirstWaitsAndReplacesOneThatPlays() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    SessionSimulation.RecordingViewer first = front.request(0, "t", TIME_LIMIT, "me");
+    SessionSimulation.RecordingViewer second = front.request(0, "t", TIME_LIMIT, "me");
+    simulation.advance(Span.ofMillis(500));
     assertEquals("plays", first.answer);
     assertEquals("blocked", second.answer);
-    SessionSimulation.Watcher third = f.ask(0, "t", PATIENCE, "me");
-    s.pass(Span.ofMillis(500));
-    assertEquals(Viewer.EndReason.REPLACED, first.end);
+    SessionSimulation.RecordingViewer third = front.request(0, "t", TIME_LIMIT, "me");
+    simulation.advance(Span.ofMillis(500));
+    assertEquals(Viewer.EndReason.REPLACED, first.endReason);
     assertEquals("plays", third.answer);
-    assertEquals(1, f.desk.sessionCount());
-    assertEquals(1, f.desk.keyCount());
+    assertEquals(1, front.manager.sessionCount());
+    assertEquals(1, front.manager.keyCount());
   }
 
   @Test
-  void aViewerThatLeavesWhileItsSetUpIsOutLeavesNothing() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    SessionSimulation.Watcher w = f.ask(1, "t", PATIENCE, "me");
-    s.pass(Span.ofMillis(5));
-    f.on(Span.NONE, w.held::viewerLeft);
-    s.pass(Span.ofSeconds(1));
-    assertNull(w.answer);
-    assertEquals(0, f.desk.sessionCount() + f.desk.keyCount() + f.desk.titleCount());
-    assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
+  void aViewerThatLeavesDuringItsSetUpLeavesNothingBehind() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    SessionSimulation.RecordingViewer viewer = front.request(1, "t", TIME_LIMIT, "me");
+    simulation.advance(Span.ofMillis(5));
+    front.runAfter(Span.NONE, viewer.session::viewerLeft);
+    simulation.advance(Span.ofSeconds(1));
+    assertNull(viewer.answer);
+    assertEquals(
+        0, front.manager.sessionCount() + front.manager.keyCount() + front.manager.titleCount());
+    assertTrue(simulation.boxes.stream().allMatch(box -> box.running.isEmpty()));
   }
 
   @Test
-  void anIdleViewingEndsAndOneThatIsAskedForDoesNot() {
-    SessionSimulation s = stage();
-    SessionSimulation.Watcher idle = s.fronts.get(0).ask(0, "t", PATIENCE, null);
-    SessionSimulation.Watcher busy = s.fronts.get(0).ask(0, "t", PATIENCE, null);
+  void anIdleSessionEndsAndAnActiveOneDoesNot() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.RecordingViewer idle =
+        simulation.fronts.get(0).request(0, "t", TIME_LIMIT, null);
+    SessionSimulation.RecordingViewer busy =
+        simulation.fronts.get(0).request(0, "t", TIME_LIMIT, null);
     for (int i = 0; i < 14; i++) {
-      s.pass(Span.ofSeconds(1));
-      busy.lastAsked = s.now;
+      simulation.advance(Span.ofSeconds(1));
+      busy.lastRequestAt = simulation.now;
     }
-    assertEquals(Viewer.EndReason.IDLE, idle.end);
-    assertNull(busy.end);
-    assertTrue(busy.held.isPlaying());
+    assertEquals(Viewer.EndReason.IDLE, idle.endReason);
+    assertNull(busy.endReason);
+    assertTrue(busy.session.isPlaying());
   }
 
   @Test
-  void whatIsReadAfterAStandStillCountsItAgainstThePatience() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
-    f.stopFor(Span.ofMillis(2000));
-    s.pass(Span.ofMillis(10));
-    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(2990));
-    assertNotNull(w.answer, "three seconds after it was asked the viewer is gone");
+  void aPauseCountsAgainstTheDeadlineOfRequestsReadAfterIt() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    simulation.boxes.forEach(box -> box.behaviour = SessionSimulation.BoxBehaviour.SILENT);
+    front.pauseFor(Span.ofMillis(2000));
+    simulation.advance(Span.ofMillis(10));
+    SessionSimulation.RecordingViewer viewer = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(2990));
+    assertNotNull(viewer.answer, "the viewer waits for three seconds from its request only");
   }
 
   @Test
-  void aViewerIsAnsweredInTimeEvenIfEveryOtherWakeIsLost() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
-    f.losesWakesUnder = Span.ofSeconds(2);
-    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(2990));
-    assertEquals("aborted", w.answer);
-    assertEquals(0, f.desk.sessionCount());
+  void aViewerIsAnsweredInTimeEvenIfEveryOtherTimerIsLost() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    simulation.boxes.forEach(box -> box.behaviour = SessionSimulation.BoxBehaviour.SILENT);
+    front.losesTimersUnder = Span.ofSeconds(2);
+    SessionSimulation.RecordingViewer viewer = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(2990));
+    assertEquals("aborted", viewer.answer);
+    assertEquals(0, front.manager.sessionCount());
   }
 
   @Test
-  void whatIsAnsweredIsNeverAnsweredAgain() {
-    SessionSimulation s = stage();
-    SessionSimulation.Watcher w = s.fronts.get(0).ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(200));
-    assertEquals("plays", w.answer);
-    w.held.abort();
-    w.held.block(Span.NONE, Outside.Refusal.NO_SERVER);
-    assertEquals("plays", w.answer);
-    assertEquals(0, s.judged().broken("one-answer"));
+  void aSessionIsAnsweredOnlyOnce() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.RecordingViewer viewer =
+        simulation.fronts.get(0).request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(200));
+    assertEquals("plays", viewer.answer);
+    viewer.session.abort();
+    viewer.session.block(Span.NONE, Outside.Refusal.NO_SERVER);
+    assertEquals("plays", viewer.answer);
+    assertEquals(0, simulation.judge().broken("one-answer"));
   }
 
   @Test
-  void aViewingThatIsOverLeavesNoWakeBehind() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    int before = f.wakes;
+  void aSessionThatIsOverLeavesNoTimerBehind() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    int before = front.openTimers;
     for (int i = 0; i < 10; i++) {
-      SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
-      s.pass(Span.ofMillis(200));
-      assertEquals("plays", w.answer);
-      f.on(Span.NONE, w.held::viewerLeft);
-      s.pass(Span.ofMillis(1));
+      SessionSimulation.RecordingViewer viewer = front.request(0, "t", TIME_LIMIT, null);
+      simulation.advance(Span.ofMillis(200));
+      assertEquals("plays", viewer.answer);
+      front.runAfter(Span.NONE, viewer.session::viewerLeft);
+      simulation.advance(Span.ofMillis(1));
     }
-    assertEquals(before, f.wakes, "all called off, though the longest would have come in seconds");
+    assertEquals(
+        before,
+        front.openTimers,
+        "all timers must be cancelled, also those that are due in seconds only");
   }
 
   @Test
-  void anOrderlyStopBlocksNewcomersAndEndsThoseThatPlay() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    SessionSimulation.Watcher plays = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofSeconds(1));
-    f.desk.stopAccepting();
-    SessionSimulation.Watcher late = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(10));
+  void anOrderlyStopRejectsNewRequestsAndEndsPlayingSessions() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    SessionSimulation.RecordingViewer plays = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofSeconds(1));
+    front.manager.stopAccepting();
+    SessionSimulation.RecordingViewer late = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(10));
     assertEquals("blocked", late.answer);
-    assertTrue(plays.held.isPlaying());
-    f.desk.endAll();
-    assertEquals(Viewer.EndReason.STOPPED, plays.end);
-    s.pass(Span.ofSeconds(1));
-    assertEquals(0, f.desk.sessionCount());
-    assertTrue(s.boxes.stream().allMatch(b -> b.runs.isEmpty()));
+    assertTrue(plays.session.isPlaying());
+    front.manager.endAll();
+    assertEquals(Viewer.EndReason.STOPPED, plays.endReason);
+    simulation.advance(Span.ofSeconds(1));
+    assertEquals(0, front.manager.sessionCount());
+    assertTrue(simulation.boxes.stream().allMatch(box -> box.running.isEmpty()));
   }
 
   @Test
-  void aModuleThatFailsLeavesNobodyUnanswered() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    SessionSimulation.Watcher plays = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofSeconds(1));
-    s.boxes.forEach(b -> b.mood = SessionSimulation.Mood.SILENT);
-    SessionSimulation.Watcher waits = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(100));
-    f.desk.runGuarded(
+  void aFailureOfTheModuleLeavesNoRequestUnanswered() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    SessionSimulation.RecordingViewer plays = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofSeconds(1));
+    simulation.boxes.forEach(box -> box.behaviour = SessionSimulation.BoxBehaviour.SILENT);
+    SessionSimulation.RecordingViewer waits = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(100));
+    front.manager.runGuarded(
         () -> {
           throw new IllegalStateException("a fault in the module");
         });
-    assertNotNull(f.failure);
+    assertNotNull(front.failure);
     assertEquals("aborted", waits.answer);
-    assertEquals(Viewer.EndReason.STOPPED, plays.end);
-    assertEquals("blocked", answerOf(s, f));
+    assertEquals(Viewer.EndReason.STOPPED, plays.endReason);
+    assertEquals("blocked", answerToNewRequest(simulation, front));
   }
 
-  private static String answerOf(SessionSimulation s, SessionSimulation.Front f) {
-    SessionSimulation.Watcher w = f.ask(0, "t", PATIENCE, null);
-    s.pass(Span.ofMillis(10));
-    return w.answer;
+  private static String answerToNewRequest(
+      SessionSimulation simulation, SessionSimulation.Front front) {
+    SessionSimulation.RecordingViewer viewer = front.request(0, "t", TIME_LIMIT, null);
+    simulation.advance(Span.ofMillis(10));
+    return viewer.answer;
   }
 
   @Test
-  void changesOfTheListAreTakenInOrderAndAGapWantsTheWholeList() {
-    SessionSimulation s = stage();
-    SessionManager desk = s.fronts.get(0).desk;
+  void discoveryChangesApplyInOrderAndAGapNeedsTheFullList() {
+    SessionSimulation simulation = simulation();
+    SessionManager manager = simulation.fronts.get(0).manager;
     List<BoxTable.ListedBox> drained =
-        List.of(s.row(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
-    assertTrue(desk.applyDiscoveryChanges(1, 2, drained));
-    assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
+        List.of(simulation.listing(0, BoxTable.State.DRAINING, Moment.DISTANT_PAST));
+    assertTrue(manager.applyDiscoveryChanges(1, 2, drained));
+    assertEquals(BoxTable.State.DRAINING, manager.boxes().get(0).state());
     assertTrue(
-        desk.applyDiscoveryChanges(
-            0, 1, List.of(s.row(0, BoxTable.State.SERVING, Moment.DISTANT_PAST))),
-        "old news");
-    assertEquals(BoxTable.State.DRAINING, desk.boxes().get(0).state());
-    assertFalse(desk.applyDiscoveryChanges(3, 4, drained), "one was missed");
-    assertEquals(DiscoveryCache.NO_REVISION, desk.discoveryRevision());
-    desk.applyDiscovery(9, List.of(s.row(1, BoxTable.State.SERVING, Moment.DISTANT_PAST)));
-    assertEquals(9, desk.discoveryRevision());
+        manager.applyDiscoveryChanges(
+            0, 1, List.of(simulation.listing(0, BoxTable.State.SERVING, Moment.DISTANT_PAST))),
+        "changes that are known already");
+    assertEquals(BoxTable.State.DRAINING, manager.boxes().get(0).state());
+    assertFalse(manager.applyDiscoveryChanges(3, 4, drained), "changes after a missed update");
+    assertEquals(DiscoveryCache.NO_REVISION, manager.discoveryRevision());
+    manager.applyDiscovery(
+        9, List.of(simulation.listing(1, BoxTable.State.SERVING, Moment.DISTANT_PAST)));
+    assertEquals(9, manager.discoveryRevision());
     assertEquals(
-        1, desk.boxes().size(), "boxes not named are gone, and with no viewing there forgotten");
+        1, manager.boxes().size(), "boxes that are not listed and hold no viewing must be removed");
   }
 
   @Test
-  void aColdBoxThatLeavesTheListAndComesBackKeepsItsPace() {
-    SessionSimulation s = stage();
-    SessionSimulation.Front f = s.fronts.get(0);
-    s.restart(s.boxes.get(0));
-    s.boxes.forEach(b -> s.change(b.id, b.id == 0 ? BoxTable.State.SERVING : BoxTable.State.GONE));
-    s.pass(Span.ofMillis(3100));
-    s.boxes.get(0).mood = SessionSimulation.Mood.ERRORS;
+  void aColdBoxThatIsListedAgainKeepsItsRampLimit() {
+    SessionSimulation simulation = simulation();
+    SessionSimulation.Front front = simulation.fronts.get(0);
+    simulation.restart(simulation.boxes.get(0));
+    simulation.boxes.forEach(
+        box ->
+            simulation.changeListing(
+                box.id, box.id == 0 ? BoxTable.State.SERVING : BoxTable.State.GONE));
+    simulation.advance(Span.ofMillis(3100));
+    simulation.boxes.get(0).behaviour = SessionSimulation.BoxBehaviour.ANSWERS_ERROR;
     for (int i = 0; i < 12; i++) {
-      f.ask(0, "t", Span.ofMillis(300), null);
-      s.pass(Span.ofMillis(50));
-      s.change(0, BoxTable.State.GONE);
-      s.pass(Span.ofMillis(50));
-      s.change(0, BoxTable.State.SERVING);
+      front.request(0, "t", Span.ofMillis(300), null);
+      simulation.advance(Span.ofMillis(50));
+      simulation.changeListing(0, BoxTable.State.GONE);
+      simulation.advance(Span.ofMillis(50));
+      simulation.changeListing(0, BoxTable.State.SERVING);
     }
-    s.pass(Span.ofSeconds(1));
-    assertTrue(s.judged().checked("cold-boxes") > 0);
-    assertEquals(0, s.judged().broken("cold-boxes"));
+    simulation.advance(Span.ofSeconds(1));
+    assertTrue(simulation.judge().checked("cold-boxes") > 0);
+    assertEquals(0, simulation.judge().broken("cold-boxes"));
   }
 
   @Test
-  void datagramsOfStrangersArePassedOver() {
-    SessionSimulation s = new SessionSimulation(2, 4, true, false, false, 3);
-    s.pass(Span.ofSeconds(3));
-    SessionManager desk = s.fronts.get(0).desk;
-    long heard = desk.counters().messagesReceived;
-    for (byte[] d :
+  void malformedAndForeignDatagramsAreIgnored() {
+    SessionSimulation simulation = new SessionSimulation(2, 4, true, false, false, 3);
+    simulation.advance(Span.ofSeconds(3));
+    SessionManager manager = simulation.fronts.get(0).manager;
+    long received = manager.counters().messagesReceived;
+    for (byte[] datagram :
         new byte[][] {
           {},
           {0x4c},
@@ -377,23 +401,25 @@
           {0x4c, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0},
           {0x4c, 0, 1, 0, 0, 0, 99, 1, 0, 0, 0}
         }) {
-      long before = desk.counters().messagesIgnored;
-      desk.datagramReceived(d);
-      assertEquals(before + 1, desk.counters().messagesIgnored);
+      long before = manager.counters().messagesIgnored;
+      manager.datagramReceived(datagram);
+      assertEquals(before + 1, manager.counters().messagesIgnored);
     }
-    assertEquals(heard, desk.counters().messagesReceived);
-    desk.datagramReceived(new byte[] {0x4c, 0, 1, 0, 0, 0, 2, 1, 0, 9, (byte) 200});
-    assertEquals(heard + 1, desk.counters().messagesReceived);
+    assertEquals(received, manager.counters().messagesReceived);
+    manager.datagramReceived(new byte[] {0x4c, 0, 1, 0, 0, 0, 2, 1, 0, 9, (byte) 200});
+    assertEquals(received + 1, manager.counters().messagesReceived);
   }
 
   @Test
-  void pausesDoubleUpToTheMost() {
-    Backoff b = new Backoff(Span.ofMillis(100), Span.ofMillis(300), new SplittableRandom(1));
-    for (long whole : new long[] {100, 200, 300, 300}) {
-      Span p = b.nextDelay();
-      assertTrue(p.micros() >= whole * 500 && p.micros() <= whole * 1000, p.toString());
+  void delaysDoubleUpToTheMaximum() {
+    Backoff backoff = new Backoff(Span.ofMillis(100), Span.ofMillis(300), new SplittableRandom(1));
+    for (long boundMillis : new long[] {100, 200, 300, 300}) {
+      Span delay = backoff.nextDelay();
+      assertTrue(
+          delay.micros() >= boundMillis * 500 && delay.micros() <= boundMillis * 1000,
+          delay.toString());
     }
-    b.reset();
-    assertTrue(b.nextDelay().micros() <= 100_000);
+    backoff.reset();
+    assertTrue(backoff.nextDelay().micros() <= 100_000);
   }
 }
--- a/src/test/java/linengauge/session/SessionSimulation.java
+++ b/src/test/java/linengauge/session/SessionSimulation.java
@@ -15,16 +15,16 @@
 import linengauge.rules.Verdict;
 
 /**
- * Several fronts' cores round model boxes and viewers in virtual time; what passes is written down
- * for the judge.
+ * Simulates the cores of several fronts with model boxes and viewers in virtual time, and records
+ * what happens for the judge.
  */
 final class SessionSimulation {
   static final PackageTerms PLAIN = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, false);
   static final PackageTerms SEATED = new PackageTerms(2, Span.ofMillis(1000), 1, 1, 4, 2, false);
   static final PackageTerms PAID = new PackageTerms(1, Span.ofMillis(800), 1, 0, 4, 0, true);
   static final List<PackageTerms> PACKAGES = List.of(PLAIN, SEATED, PAID);
-  private static final String[] NAMES = {"plain", "seated", "paid"};
-  static final SessionManager.Limits BOUNDS =
+  private static final String[] PACKAGE_NAMES = {"plain", "seated", "paid"};
+  static final SessionManager.Limits LIMITS =
       new SessionManager.Limits(
           20,
           Span.ofSeconds(6),
@@ -33,24 +33,24 @@
           Span.ofMillis(200),
           Span.ofMillis(40));
 
-  private record Due(Moment at, long number, Runnable deed) {}
+  private record ScheduledAction(Moment at, long number, Runnable action) {}
 
-  /** What becomes of set-ups at a box. */
-  enum Mood {
-    WELL,
-    ERRORS,
+  /** How a box treats set-ups. */
+  enum BoxBehaviour {
+    HEALTHY,
+    ANSWERS_ERROR,
     SILENT,
-    TURNS_AWAY,
-    REFUSES,
-    RESETS,
-    LATE
+    TURNS_SET_UPS_AWAY,
+    REFUSES_CONNECTIONS,
+    RESETS_CONNECTIONS,
+    ANSWERS_LATE
   }
 
   static final class Box {
     final long id;
-    Mood mood = Mood.WELL;
+    BoxBehaviour behaviour = BoxBehaviour.HEALTHY;
     Moment startedAt = Moment.DISTANT_PAST;
-    final List<String> runs = new ArrayList<>();
+    final List<String> running = new ArrayList<>();
     final java.util.Set<String> ended = new java.util.HashSet<>();
 
     Box(long id) {
@@ -58,40 +58,40 @@
     }
   }
 
-  final class Watcher implements Viewer {
-    final String ask;
+  final class RecordingViewer implements Viewer {
+    final String requestId;
     final int front;
-    final Moment asked = now;
-    Session held;
+    final Moment requestedAt = now;
+    Session session;
     String answer;
-    Span advice;
-    EndReason end;
-    Moment lastAsked = now;
-    boolean leavesAsItPlays;
+    Span retryAfter;
+    EndReason endReason;
+    Moment lastRequestAt = now;
+    boolean leavesOnStart;
 
-    Watcher(String ask, int front) {
-      this.ask = ask;
+    RecordingViewer(String requestId, int front) {
+      this.requestId = requestId;
       this.front = front;
     }
 
-    private void answered(String how, String viewing) {
-      answer = how;
-      saw(
+    private void answered(String outcome, String viewing) {
+      answer = outcome;
+      record(
           "'what':'answered','ask':'%s','front':%d,'how':'%s','status':0,'viewing':'%s'",
-          ask, front, how, viewing);
+          requestId, front, outcome, viewing);
     }
 
     @Override
-    public void started(Session vw) {
-      answered("plays", vw.id());
-      if (leavesAsItPlays) {
-        vw.viewerLeft();
+    public void started(Session session) {
+      answered("plays", session.id());
+      if (leavesOnStart) {
+        session.viewerLeft();
       }
     }
 
     @Override
-    public void rejected(Span comeBackAfter, Outside.Refusal reason) {
-      advice = comeBackAfter;
+    public void rejected(Span advisedDelay, Outside.Refusal reason) {
+      retryAfter = advisedDelay;
       answered("blocked", "");
     }
 
@@ -101,194 +101,205 @@
     }
 
     @Override
-    public void ended(EndReason how) {
-      end = how;
+    public void ended(EndReason reason) {
+      endReason = reason;
     }
 
     @Override
     public Moment lastRequestAt() {
-      return lastAsked;
+      return lastRequestAt;
     }
   }
 
   final class Front implements Transport {
     final int number;
-    final SessionManager desk;
-    final List<Watcher> viewers = new ArrayList<>();
-    final List<byte[]> said = new ArrayList<>();
-    Moment stoppedUntil = Moment.DISTANT_PAST;
+    final SessionManager manager;
+    final List<RecordingViewer> viewers = new ArrayList<>();
+    final List<byte[]> sentDatagrams = new ArrayList<>();
+    Moment pausedUntil = Moment.DISTANT_PAST;
     RuntimeException failure;
-    boolean holdBack;
-    int wakes;
+    boolean delaysSending;
+    int openTimers;
 
-    /** Wakes sooner than this are lost. */
-    Span losesWakesUnder = Span.NONE;
+    /** Timers shorter than this are lost. */
+    Span losesTimersUnder = Span.NONE;
 
-    Front(int number, Headend house, long seed) {
+    Front(int number, Headend deployment, long seed) {
       this.number = number;
-      this.desk = new SessionManager(house, BOUNDS, seed, "a", this);
-      saw("'what':'front-started','front':%d", number);
-      desk.updateTime(now);
+      this.manager = new SessionManager(deployment, LIMITS, seed, "a", this);
+      record("'what':'front-started','front':%d", number);
+      manager.updateTime(now);
     }
 
-    /** Runs a call on the desk as soon as the front runs. */
-    void on(Span after, Runnable deed) {
-      later(
+    /**
+     * Runs an action on the session manager after the span, or once the front is no longer paused.
+     */
+    void runAfter(Span after, Runnable action) {
+      runLater(
           after,
           () -> {
-            if (now.before(stoppedUntil)) {
-              on(stoppedUntil.since(now), deed);
+            if (now.before(pausedUntil)) {
+              runAfter(pausedUntil.since(now), action);
             } else {
-              desk.updateTime(now);
-              deed.run();
+              manager.updateTime(now);
+              action.run();
             }
           });
     }
 
-    void stopFor(Span span) {
-      if (now.before(stoppedUntil)) {
+    void pauseFor(Span span) {
+      if (now.before(pausedUntil)) {
         return;
       }
-      stoppedUntil = now.plus(span);
-      saw("'what':'front-stopped','front':%d", number);
-      later(span, () -> saw("'what':'front-continued','front':%d", number));
+      pausedUntil = now.plus(span);
+      record("'what':'front-stopped','front':%d", number);
+      runLater(span, () -> record("'what':'front-continued','front':%d", number));
     }
 
-    Watcher ask(int pack, String title, Span patience, String key) {
-      Watcher w = new Watcher("k" + asks++, number);
-      viewers.add(w);
-      saw(
+    RecordingViewer request(int packageIndex, String title, Span timeLimit, String key) {
+      RecordingViewer viewer = new RecordingViewer("k" + requestCount++, number);
+      viewers.add(viewer);
+      record(
           "'what':'asked','ask':'%s','front':%d,'key':'%s','title':'%s','package':'%s','patienceMs':%d",
-          w.ask, number, key, title, NAMES[pack], patience.micros() / 1000);
-      on(
+          viewer.requestId,
+          number,
+          key,
+          title,
+          PACKAGE_NAMES[packageIndex],
+          timeLimit.micros() / 1000);
+      runAfter(
           Span.NONE,
           () ->
-              w.held =
-                  desk.accept(
+              viewer.session =
+                  manager.accept(
                       new Session.SessionRequest(
                           title,
                           title.hashCode() % 4,
                           3,
-                          pack,
-                          PACKAGES.get(pack),
+                          packageIndex,
+                          PACKAGES.get(packageIndex),
                           4,
-                          patience,
+                          timeLimit,
                           key),
-                      w));
-      return w;
+                      viewer));
+      return viewer;
     }
 
     @Override
     public Timer schedule(Span span, Runnable step) {
-      boolean[] off = {span.under(losesWakesUnder)};
-      wakes++;
-      on(
+      boolean[] done = {span.under(losesTimersUnder)};
+      openTimers++;
+      runAfter(
           span,
           () -> {
-            wakes -= off[0] ? 0 : 1;
-            if (!off[0]) {
+            openTimers -= done[0] ? 0 : 1;
+            if (!done[0]) {
               step.run();
             }
           });
       return () -> {
-        wakes -= off[0] ? 0 : 1;
-        off[0] = true;
+        openTimers -= done[0] ? 0 : 1;
+        done[0] = true;
       };
     }
 
     @Override
-    public void setUp(Session vw, int tuneIn) {
-      Box box = boxes.get((int) vw.box().id());
-      on(
-          Span.ofMillis(holdBack ? 300 : 1),
+    public void setUp(Session session, int tuneIn) {
+      Box box = boxes.get((int) session.box().id());
+      runAfter(
+          Span.ofMillis(delaysSending ? 300 : 1),
           () -> {
-            if (!vw.tryBeginSend(tuneIn)) {
-              vw.setUpFailed(tuneIn, Outside.Ending.NEVER_SENT);
+            if (!session.tryBeginSend(tuneIn)) {
+              session.setUpFailed(tuneIn, Outside.Ending.NEVER_SENT);
               return;
             }
-            if (box.mood == Mood.REFUSES) {
-              vw.setUpFailed(tuneIn, Outside.Ending.NOT_REACHED);
+            if (box.behaviour == BoxBehaviour.REFUSES_CONNECTIONS) {
+              session.setUpFailed(tuneIn, Outside.Ending.NOT_REACHED);
               return;
             }
-            saw(
+            record(
                 "'what':'set-up','box':%d,'viewing':'%s','front':%d,'tuneIn':%d,'title':'%s','package':'%s','rung':%d,"
                     + "'key':'%s'",
                 box.id,
-                vw.id(),
+                session.id(),
                 number,
                 tuneIn,
-                vw.request().title(),
-                NAMES[vw.request().packageIndex()],
-                vw.currentRung(),
-                vw.request().key());
-            switch (box.mood) {
-              case WELL, LATE -> {
-                long ms = box.mood == Mood.LATE ? 1500 : 20 + chance.nextInt(40);
-                later(
-                    Span.ofMillis(ms),
+                session.request().title(),
+                PACKAGE_NAMES[session.request().packageIndex()],
+                session.currentRung(),
+                session.request().key());
+            switch (box.behaviour) {
+              case HEALTHY, ANSWERS_LATE -> {
+                long answerMillis =
+                    box.behaviour == BoxBehaviour.ANSWERS_LATE ? 1500 : 20 + random.nextInt(40);
+                runLater(
+                    Span.ofMillis(answerMillis),
                     () -> {
-                      if (box.ended.contains(vw.id() + tuneIn)) {
+                      if (box.ended.contains(session.id() + tuneIn)) {
                         return;
                       }
-                      heard(box, vw, tuneIn, "plays");
-                      box.runs.add(vw.id());
-                      on(Span.ofMillis(1), () -> vw.setUpSucceeded(tuneIn));
+                      recordAnswer(box, session, tuneIn, "plays");
+                      box.running.add(session.id());
+                      runAfter(Span.ofMillis(1), () -> session.setUpSucceeded(tuneIn));
                     });
               }
-              case ERRORS -> ends(box, vw, tuneIn, "error", Outside.Ending.ERROR);
-              case TURNS_AWAY -> ends(box, vw, tuneIn, "turned-away", Outside.Ending.TURNED_AWAY);
-              case RESETS -> {
-                saw(
+              case ANSWERS_ERROR -> failSetUp(box, session, tuneIn, "error", Outside.Ending.ERROR);
+              case TURNS_SET_UPS_AWAY ->
+                  failSetUp(box, session, tuneIn, "turned-away", Outside.Ending.TURNED_AWAY);
+              case RESETS_CONNECTIONS -> {
+                record(
                     "'what':'set-up-broken','box':%d,'viewing':'%s','tuneIn':%d",
-                    box.id, vw.id(), tuneIn);
-                on(Span.ofMillis(1), () -> vw.setUpFailed(tuneIn, Outside.Ending.BROKEN));
+                    box.id, session.id(), tuneIn);
+                runAfter(
+                    Span.ofMillis(1), () -> session.setUpFailed(tuneIn, Outside.Ending.BROKEN));
               }
               default -> {}
             }
           });
     }
 
-    private void ends(Box box, Session vw, int tuneIn, String how, Outside.Ending ending) {
-      heard(box, vw, tuneIn, how);
-      on(Span.ofMillis(1), () -> vw.setUpFailed(tuneIn, ending));
+    private void failSetUp(
+        Box box, Session session, int tuneIn, String outcome, Outside.Ending attemptOutcome) {
+      recordAnswer(box, session, tuneIn, outcome);
+      runAfter(Span.ofMillis(1), () -> session.setUpFailed(tuneIn, attemptOutcome));
     }
 
-    private void heard(Box box, Session vw, int tuneIn, String how) {
-      saw(
+    private void recordAnswer(Box box, Session session, int tuneIn, String outcome) {
+      record(
           "'what':'set-up-answered','box':%d,'viewing':'%s','tuneIn':%d,'how':'%s'",
-          box.id, vw.id(), tuneIn, how);
+          box.id, session.id(), tuneIn, outcome);
     }
 
     @Override
-    public void changeRung(Session vw) {
-      saw(
+    public void changeRung(Session session) {
+      record(
           "'what':'rung','box':%d,'viewing':'%s','rung':%d",
-          vw.box().id(), vw.id(), vw.currentRung());
+          session.box().id(), session.id(), session.currentRung());
     }
 
     @Override
-    public void cancelAtBox(Session vw, BoxTable.Entry box, int tuneIn) {
-      saw("'what':'ended','box':%d,'viewing':'%s','why':'asked'", box.id(), vw.id());
-      boxes.get((int) box.id()).runs.remove(vw.id());
-      boxes.get((int) box.id()).ended.add(vw.id() + tuneIn);
+    public void cancelAtBox(Session session, BoxTable.Entry box, int tuneIn) {
+      record("'what':'ended','box':%d,'viewing':'%s','why':'asked'", box.id(), session.id());
+      boxes.get((int) box.id()).running.remove(session.id());
+      boxes.get((int) box.id()).ended.add(session.id() + tuneIn);
     }
 
     @Override
     public void probe(BoxTable.Entry box) {
-      on(
+      runAfter(
           Span.ofMillis(3),
           () -> {
-            desk.loadReported(box, chance.nextDouble(), chance.nextDouble(), 3);
-            desk.probeCompleted(box, boxes.get((int) box.id()).mood != Mood.SILENT);
+            manager.loadReported(box, random.nextDouble(), random.nextDouble(), 3);
+            manager.probeCompleted(box, boxes.get((int) box.id()).behaviour != BoxBehaviour.SILENT);
           });
     }
 
     @Override
     public void send(int front, byte[] datagram) {
-      said.add(datagram);
-      Front to = fronts.get(front);
-      if (chance.nextInt(5) > 0) {
-        to.on(Span.ofMillis(5), () -> to.desk.datagramReceived(datagram));
+      sentDatagrams.add(datagram);
+      Front receiver = fronts.get(front);
+      if (random.nextInt(5) > 0) {
+        receiver.runAfter(Span.ofMillis(5), () -> receiver.manager.datagramReceived(datagram));
       }
     }
 
@@ -298,38 +309,43 @@
     }
   }
 
-  final SplittableRandom chance;
+  final SplittableRandom random;
   final List<Front> fronts = new ArrayList<>();
   final List<Box> boxes = new ArrayList<>();
-  private final List<String> record = new ArrayList<>();
-  private final PriorityQueue<Due> queue =
+  private final List<String> records = new ArrayList<>();
+  private final PriorityQueue<ScheduledAction> scheduled =
       new PriorityQueue<>(
           (a, b) -> a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
-  private long number;
-  private int asks;
+  private long nextNumber;
+  private int requestCount;
   Moment now = new Moment(5_000_000_000L);
   private final Moment origin = now;
-  private final int count;
+  private final int frontCount;
 
   SessionSimulation(
-      int fronts, int boxCount, boolean messages, boolean probes, boolean rationed, long seed) {
-    this.chance = new SplittableRandom(seed);
-    this.count = fronts;
-    Span ration = rationed ? Span.ofSeconds(10) : Span.NONE;
-    record.add(
+      int fronts,
+      int boxCount,
+      boolean messages,
+      boolean probing,
+      boolean retriesLimited,
+      long seed) {
+    this.random = new SplittableRandom(seed);
+    this.frontCount = fronts;
+    Span retrySpan = retriesLimited ? Span.ofSeconds(10) : Span.NONE;
+    records.add(
         ("{'at':0,'what':'terms','packages':[{'name':'plain','lowestRung':0,'highestRung':4,'seats':0,"
                 + "'paidAtSetUp':false},{'name':'seated','lowestRung':1,'highestRung':4,'seats':2,'paidAtSetUp':false},"
                 + "{'name':'paid','lowestRung':0,'highestRung':4,'seats':0,'paidAtSetUp':true}],'drainGraceMs':100,"
                 + "'coldMs':10000,'startCapacity':0.4,'fallMultiple':2.5,'fallAfterMs':2000,'furtherFree':3,'furtherShare':0.2,"
                 + "'furtherMs':"
-                + ration.micros() / 1000
+                + retrySpan.micros() / 1000
                 + ",'slackMs':10}")
             .replace('\'', '"'));
     for (int i = 0; i < boxCount; i++) {
       boxes.add(new Box(i));
     }
     for (int i = 0; i < fronts; i++) {
-      Headend house =
+      Headend deployment =
           new Headend(
               fronts,
               i,
@@ -339,15 +355,16 @@
               new double[] {0.25, 0.45, 0.65, 0.82, 1},
               new Headend.Fleet(
                   4, 2, new int[] {24}, 1000.0 * boxCount, 1000, 1700, Span.ofMillis(800)),
-              new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, ration),
-              new Headend.Permits(4, messages, probes, probes, 0.008, 0.01, 0, Span.ofSeconds(2)));
-      this.fronts.add(new Front(i, house, seed + i));
-      tellAll(this.fronts.get(i));
+              new Headend.Rules(Span.ofSeconds(10), 0.4, 2.5, Span.ofSeconds(2), 3, 0.2, retrySpan),
+              new Headend.Permits(
+                  4, messages, probing, probing, 0.008, 0.01, 0, Span.ofSeconds(2)));
+      this.fronts.add(new Front(i, deployment, seed + i));
+      sendFullList(this.fronts.get(i));
     }
   }
 
-  void saw(String fields, Object... values) {
-    record.add(
+  void record(String fields, Object... values) {
+    records.add(
         "{\"at\":"
             + now.since(origin).micros()
             + ","
@@ -355,90 +372,90 @@
             + "}");
   }
 
-  /** Set-ups that left for boxes with that number among their viewing's. */
-  long setUpsLeft(int tuneIn) {
-    return record.stream()
-        .filter(l -> l.contains("\"set-up\"") && l.contains("\"tuneIn\":" + tuneIn + ","))
+  /** Counts the set-ups that were sent to boxes with that tune-in number. */
+  long setUpsSent(int tuneIn) {
+    return records.stream()
+        .filter(line -> line.contains("\"set-up\"") && line.contains("\"tuneIn\":" + tuneIn + ","))
         .count();
   }
 
-  void later(Span span, Runnable deed) {
-    queue.add(new Due(now.plus(span), number++, deed));
+  void runLater(Span span, Runnable action) {
+    scheduled.add(new ScheduledAction(now.plus(span), nextNumber++, action));
   }
 
-  BoxTable.ListedBox row(long id, BoxTable.State state, Moment startedAt) {
+  BoxTable.ListedBox listing(long id, BoxTable.State state, Moment startedAt) {
     return new BoxTable.ListedBox(id, "h:1", 1, (int) id, 0, state, 0, startedAt);
   }
 
-  /** The whole list to one front, as boxes that have run for long. */
-  void tellAll(Front front) {
-    List<BoxTable.ListedBox> rows = new ArrayList<>();
-    for (Box b : boxes) {
-      rows.add(row(b.id, BoxTable.State.SERVING, Moment.DISTANT_PAST));
-      told(front, b.id, "serving");
+  /** Sends one front the full list, with boxes that have been running for long. */
+  void sendFullList(Front front) {
+    List<BoxTable.ListedBox> listings = new ArrayList<>();
+    for (Box box : boxes) {
+      listings.add(listing(box.id, BoxTable.State.SERVING, Moment.DISTANT_PAST));
+      recordListing(front, box.id, "serving");
     }
-    front.desk.updateTime(now);
-    front.desk.applyDiscovery(1, rows);
+    front.manager.updateTime(now);
+    front.manager.applyDiscovery(1, listings);
   }
 
-  private void told(Front front, long box, String state) {
-    saw("'what':'told','front':%d,'box':%d,'state':'%s'", front.number, box, state);
+  private void recordListing(Front front, long box, String state) {
+    record("'what':'told','front':%d,'box':%d,'state':'%s'", front.number, box, state);
   }
 
-  /** A change of the list to all fronts, each when it runs. */
-  void change(long box, BoxTable.State state) {
-    for (Front f : fronts) {
-      told(f, box, state.name().toLowerCase(Locale.ROOT));
-      f.on(
+  /** Sends a change of the list to all fronts; each applies it when it runs. */
+  void changeListing(long box, BoxTable.State state) {
+    for (Front front : fronts) {
+      recordListing(front, box, state.name().toLowerCase(Locale.ROOT));
+      front.runAfter(
           Span.NONE,
           () ->
-              f.desk.applyDiscoveryChanges(
-                  f.desk.discoveryRevision(),
-                  f.desk.discoveryRevision() + 1,
-                  List.of(row(box, state, boxes.get((int) box).startedAt))));
+              front.manager.applyDiscoveryChanges(
+                  front.manager.discoveryRevision(),
+                  front.manager.discoveryRevision() + 1,
+                  List.of(listing(box, state, boxes.get((int) box).startedAt))));
     }
   }
 
   /**
-   * A box is lost with all that it runs, is taken off the list, and starts cold after longer than a
-   * front stands still.
+   * A box is lost with all that it runs, is removed from the list, and starts cold after a time
+   * longer than any pause of a front.
    */
   void restart(Box box) {
-    saw("'what':'box-lost','box':%d", box.id);
-    List<String> lost = List.copyOf(box.runs);
-    box.runs.clear();
-    box.mood = Mood.REFUSES;
-    for (Front f : fronts) {
-      for (Watcher w : f.viewers) {
-        if (w.held != null && lost.contains(w.held.id())) {
-          f.on(Span.ofMillis(5), w.held::boxLost);
+    record("'what':'box-lost','box':%d", box.id);
+    List<String> lost = List.copyOf(box.running);
+    box.running.clear();
+    box.behaviour = BoxBehaviour.REFUSES_CONNECTIONS;
+    for (Front front : fronts) {
+      for (RecordingViewer viewer : front.viewers) {
+        if (viewer.session != null && lost.contains(viewer.session.id())) {
+          front.runAfter(Span.ofMillis(5), viewer.session::boxLost);
         }
       }
     }
-    change(box.id, BoxTable.State.GONE);
-    later(
+    changeListing(box.id, BoxTable.State.GONE);
+    runLater(
         Span.ofSeconds(3),
         () -> {
-          saw("'what':'box-started','box':%d,'cold':true,'streams':24", box.id);
-          box.mood = Mood.WELL;
+          record("'what':'box-started','box':%d,'cold':true,'streams':24", box.id);
+          box.behaviour = BoxBehaviour.HEALTHY;
           box.startedAt = now;
-          change(box.id, BoxTable.State.SERVING);
+          changeListing(box.id, BoxTable.State.SERVING);
         });
   }
 
-  void pass(Span span) {
+  void advance(Span span) {
     Moment until = now.plus(span);
-    while (!queue.isEmpty() && !until.before(queue.peek().at)) {
-      Due d = queue.poll();
-      now = now.orLater(d.at);
-      d.deed.run();
+    while (!scheduled.isEmpty() && !until.before(scheduled.peek().at)) {
+      ScheduledAction next = scheduled.poll();
+      now = now.orLater(next.at);
+      next.action.run();
     }
     now = until;
   }
 
-  Verdict judged() {
+  Verdict judge() {
     try {
-      return Judge.judge(record);
+      return Judge.judge(records);
     } catch (BadRecord e) {
       throw new AssertionError(e);
     }
--- a/src/test/java/linengauge/wire/WireHostTest.java
+++ b/src/test/java/linengauge/wire/WireHostTest.java
@@ -38,8 +38,8 @@
     return out.toString(StandardCharsets.UTF_8);
   }
 
-  private static String batch(long at, String events) {
-    return "{\"simTimeUs\":" + at + ",\"happened\":[" + events + "]}\n";
+  private static String batch(long simTimeMicros, String events) {
+    return "{\"simTimeUs\":" + simTimeMicros + ",\"happened\":[" + events + "]}\n";
   }
 
   private static String demand(int id) {
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void aDemandGoesToAHolderAndItsEndIsTakenIn() throws Exception {
+  void aDemandIsPassedToAHolderAndItsEndIsHandled() throws Exception {
     String[] replies =
         run(batch(10, START)
                 + batch(20, demand(9))
@@ -64,15 +64,16 @@
   }
 
   @Test
-  void poolsAreFoundInTheOrderOfEvents() throws Exception {
-    String gone =
+  void poolsApplyInTheOrderOfEvents() throws Exception {
+    String changes =
         "[\"pool\",0,[[70,1,0,0,\"DELETED\"]]],[\"backendsChanged\",3,0,2,\"changes\"],"
             + "[\"pool\",0,[[80,1,0,0,\"SERVING\"]]],[\"backendsChanged\",3,0,3,\"changes\"],";
-    assertTrue(run(batch(10, START) + batch(20, gone + demand(9))).contains("[\"passOn\",3,9,80,"));
+    assertTrue(
+        run(batch(10, START) + batch(20, changes + demand(9))).contains("[\"passOn\",3,9,80,"));
   }
 
   @Test
-  void aKilledFrontIsDroppedWhole() throws Exception {
+  void aKilledFrontIsRemovedWithItsState() throws Exception {
     String[] replies =
         run(batch(10, START)
                 + batch(20, demand(9))
@@ -84,13 +85,13 @@
 
   @Test
   void frontsActOnlyOnTheirOwnEvents() throws Exception {
-    String both =
+    String bothFronts =
         START
             + ","
             + START
                 .replace("\"attach\",3", "\"attach\",4")
                 .replace("\"backendsChanged\",3", "\"backendsChanged\",4");
-    assertTrue(!run(batch(10, both) + batch(20, demand(9))).split("\n")[1].contains(",4,"));
+    assertTrue(!run(batch(10, bothFronts) + batch(20, demand(9))).split("\n")[1].contains(",4,"));
   }
 
   @ParameterizedTest
@@ -105,11 +106,11 @@
         "{\"simTimeUs\":5,\"happened\":[[\"reminder\",3,7]]}|'nonce' should be text",
         "{\"simTimeUs\":5,\"happened\":[[\"reminder\",3,\"a\"]|line 2: not a batch"
       })
-  void aBadLineIsNamed(String line, String complaint) {
-    MalformedLineException e =
+  void aMalformedLineIsReportedWithItsNumber(String line, String problem) {
+    MalformedLineException exception =
         assertThrows(MalformedLineException.class, () -> run(batch(1, START) + line + "\n"));
     assertTrue(
-        e.getMessage().startsWith("line 2: ") && e.getMessage().contains(complaint),
-        e.getMessage());
+        exception.getMessage().startsWith("line 2: ") && exception.getMessage().contains(problem),
+        exception.getMessage());
   }
 }
