--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -100,7 +100,7 @@
     this.listener = listener;
     this.socket = socket;
     this.received = new ReceiveQueue(cameAfter, front().now());
-    socket.hears(
+    socket.setHandlers(
         data -> front().onEvent(() -> read(data)),
         () -> front().onEvent(() -> gone("by the client")));
   }
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -72,9 +72,9 @@
     front.connect(
         address,
         MOST_UNREAD,
-        new Net.Tried() {
+        new Net.ConnectHandler() {
           @Override
-          public void up(Net.Connection connection) {
+          public void connected(Net.Connection connection) {
             if (mine == turn) {
               follow(connection, mine);
             } else {
@@ -101,7 +101,7 @@
                 event(number, whole, rows);
               }
             });
-    s.hears(
+    s.setHandlers(
         data ->
             front.onEvent(
                 () -> {
--- a/src/main/java/linengauge/platform/Net.java
+++ b/src/main/java/linengauge/platform/Net.java
@@ -16,7 +16,7 @@
     /**
      * Whoever hears it from here on; the second is told once, as it has closed, whoever closed it.
      */
-    void hears(Consumer<byte[]> data, Runnable closed);
+    void setHandlers(Consumer<byte[]> data, Runnable closed);
 
     void write(byte[] message);
 
@@ -35,8 +35,8 @@
   }
 
   /** What comes of trying a connection: one of both, once. */
-  interface Tried {
-    void up(Connection connection);
+  interface ConnectHandler {
+    void connected(Connection connection);
 
     /** Refused: nothing listens there. Else it did not come up in its time, or is not to be had. */
     void failed(boolean refused, String why);
@@ -46,12 +46,12 @@
    * Listens for viewers; told when it does so (null), or why it cannot, and later of connections
    * not taken.
    */
-  interface Listener {
-    void listens(String failed);
+  interface AcceptHandler {
+    void listening(String failed);
 
-    void arrived(Connection connection);
+    void accepted(Connection connection);
 
-    void notTaken(String why);
+    void acceptFailed(String why);
   }
 
   Moment now();
@@ -60,25 +60,25 @@
    * Tries a connection to host:port, no longer than the dialling time; so many bytes may wait on
    * it.
    */
-  void connect(String address, int mostUnread, Tried then);
+  void connect(String address, int mostUnread, ConnectHandler then);
 
   /** Listens at host:port; so many bytes may wait on each connection. */
-  void listen(String address, int mostUnread, Listener listener);
+  void listen(String address, int mostUnread, AcceptHandler listener);
 
   /** Runs the step once, not earlier than after the span. */
-  Wake after(Span span, Runnable step);
+  Wake schedule(Span span, Runnable step);
 
   /** Runs the step again and again, so far apart. */
-  void every(Span span, Runnable step);
+  void scheduleEvery(Span span, Runnable step);
 
   /**
    * Runs the step as soon as what is under way is over, and what has come with it has been read.
    */
-  void later(Runnable step);
+  void defer(Runnable step);
 
   /**
    * Runs the step once all that has been written so far has left the process, or cannot any more;
    * and after the span at the latest, whoever does not read.
    */
-  void written(Span atMost, Runnable step);
+  void whenFlushed(Span atMost, Runnable step);
 }
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -134,7 +134,7 @@
     desk.clock(now);
     posting.known().forEach(journal::known);
     journal.connect();
-    net.every(
+    net.scheduleEvery(
         TICK,
         () -> {
           now = net.now();
@@ -144,7 +144,7 @@
             log("stood still", since.micros() / 1000 + " ms", "");
           }
         });
-    net.every(
+    net.scheduleEvery(
         SWEEP,
         () ->
             onEvent(
@@ -156,9 +156,9 @@
     net.listen(
         posting.listen(),
         ClientListener.MOST_UNREAD,
-        new Net.Listener() {
+        new Net.AcceptHandler() {
           @Override
-          public void listens(String failed) {
+          public void listening(String failed) {
             if (failed == null) {
               told.info(
                   "serving on "
@@ -172,12 +172,12 @@
           }
 
           @Override
-          public void arrived(Net.Connection connection) {
+          public void accepted(Net.Connection connection) {
             onEvent(() -> door.arrived(connection));
           }
 
           @Override
-          public void notTaken(String why) {
+          public void acceptFailed(String why) {
             log("connection not taken", null, why);
           }
         });
@@ -199,14 +199,14 @@
   }
 
   /** Tries a connection; what comes of it enters as an event of its own. */
-  void connect(String address, int mostUnread, Net.Tried then) {
+  void connect(String address, int mostUnread, Net.ConnectHandler then) {
     net.connect(
         address,
         mostUnread,
-        new Net.Tried() {
+        new Net.ConnectHandler() {
           @Override
-          public void up(Net.Connection connection) {
-            onEvent(() -> then.up(connection));
+          public void connected(Net.Connection connection) {
+            onEvent(() -> then.connected(connection));
           }
 
           @Override
@@ -218,12 +218,12 @@
 
   /** Runs it as an event of its own, once the present one is over. */
   void later(Runnable deed) {
-    net.later(() -> onEvent(deed));
+    net.defer(() -> onEvent(deed));
   }
 
   /** Runs it once, after the span and never within the present event. */
   Wake after(Span span, Runnable deed) {
-    return net.after(span, () -> onEvent(deed));
+    return net.schedule(span, () -> onEvent(deed));
   }
 
   /** How long what is read now may have lain unread. */
@@ -256,7 +256,7 @@
   private void turnForUnread() {
     if (!turnComes) {
       turnComes = true;
-      net.after(
+      net.schedule(
           NEXT_TURN,
           this::runUnread); // by a timer: what is merely put off runs before the loop reads
     }
@@ -375,7 +375,8 @@
                   + " connections, "
                   + door.untold()
                   + " ends untold");
-          net.written(LAST_WORDS, () -> net.after(AFTER_LAST_WORD, () -> told.over("", null)));
+          net.whenFlushed(
+              LAST_WORDS, () -> net.schedule(AFTER_LAST_WORD, () -> told.over("", null)));
         });
   }
 }
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -130,9 +130,9 @@
         .connect(
             address,
             MOST_UNREAD,
-            new Net.Tried() {
+            new Net.ConnectHandler() {
               @Override
-              public void up(Net.Connection connection) {
+              public void connected(Net.Connection connection) {
                 if (closed) {
                   connection.close();
                 } else {
@@ -151,7 +151,7 @@
     socket = s;
     line.up(front().now());
     log(Kind.CONNECTION_UP, "");
-    s.hears(
+    s.setHandlers(
         data -> front().onEvent(() -> read(data)),
         () -> front().onEvent(() -> gone(Gone.CLOSED, "by the server")));
     link.up(this);
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -77,13 +77,13 @@
   }
 
   @Override
-  public void connect(String address, int mostUnread, Tried then) {
+  public void connect(String address, int mostUnread, ConnectHandler then) {
     client
         .connect(Configuration.port(address), Configuration.host(address))
         .onComplete(
             done -> {
               if (done.succeeded()) {
-                then.up(new Socket(done.result(), mostUnread));
+                then.connected(new Socket(done.result(), mostUnread));
               } else {
                 Throwable cause = done.cause();
                 boolean timeOut = cause.getClass().getSimpleName().contains("Timeout");
@@ -95,35 +95,35 @@
   }
 
   @Override
-  public void listen(String address, int mostUnread, Listener listener) {
-    server.connectHandler(socket -> listener.arrived(new Socket(socket, mostUnread)));
-    server.exceptionHandler(e -> listener.notTaken(String.valueOf(e.getMessage())));
+  public void listen(String address, int mostUnread, AcceptHandler listener) {
+    server.connectHandler(socket -> listener.accepted(new Socket(socket, mostUnread)));
+    server.exceptionHandler(e -> listener.acceptFailed(String.valueOf(e.getMessage())));
     server
         .listen(Configuration.port(address), Configuration.host(address))
         .onComplete(
             done ->
-                listener.listens(
+                listener.listening(
                     done.succeeded() ? null : String.valueOf(done.cause().getMessage())));
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
+  public Wake schedule(Span span, Runnable step) {
     long timer = vertx.setTimer(ms(span), t -> step.run());
     return () -> vertx.cancelTimer(timer);
   }
 
   @Override
-  public void every(Span span, Runnable step) {
+  public void scheduleEvery(Span span, Runnable step) {
     vertx.setPeriodic(ms(span), t -> step.run());
   }
 
   @Override
-  public void later(Runnable step) {
+  public void defer(Runnable step) {
     vertx.runOnContext(v -> step.run());
   }
 
   @Override
-  public void written(Span atMost, Runnable step) {
+  public void whenFlushed(Span atMost, Runnable step) {
     boolean[] done = {false};
     Runnable once =
         () -> {
@@ -133,8 +133,8 @@
           }
         };
     onceWritten = once;
-    after(atMost, once);
-    later(this::leftOne);
+    schedule(atMost, once);
+    defer(this::leftOne);
   }
 
   private void leftOne() {
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void hears(Consumer<byte[]> data, Runnable closed) {
+    public void setHandlers(Consumer<byte[]> data, Runnable closed) {
       socket.handler(b -> data.accept(b.getBytes()));
       socket.closeHandler(v -> closed.run());
     }
--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -181,7 +181,7 @@
     }
     ends.add(end);
     StringBuilder part = new StringBuilder();
-    end.hears(
+    end.setHandlers(
         data -> {
           part.append(new String(data, StandardCharsets.UTF_8));
           for (int nl = part.indexOf("\n"); nl >= 0; nl = part.indexOf("\n")) {
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -340,7 +340,7 @@
                   new FrontNet.Pace(size.firstStep(), size.warmStep(), size.stepsToWarm()),
                   ledger);
           s.net = net;
-          net.later(
+          net.defer(
               () -> {
                 try {
                   s.front =
@@ -429,7 +429,7 @@
   public void restart(int number) {
     SimulatedFront s = simulatedFronts.get(number);
     FrontNet net = s.net;
-    net.later(() -> s.front.stop());
+    net.defer(() -> s.front.stop());
     clock.after(Span.ofMillis(300), () -> s.takenIn = false);
     clock.after(
         Span.ofSeconds(3.7),
--- a/src/main/java/linengauge/rehearsal/FrontNet.java
+++ b/src/main/java/linengauge/rehearsal/FrontNet.java
@@ -105,13 +105,13 @@
   }
 
   @Override
-  public void connect(String address, int mostUnread, Tried then) {
+  public void connect(String address, int mostUnread, ConnectHandler then) {
     ledger.connected(address);
     roads.connect(name, host, address, then);
   }
 
   @Override
-  public void listen(String address, int mostUnread, Listener listener) {
+  public void listen(String address, int mostUnread, AcceptHandler listener) {
     roads.open(
         address,
         new Roads.Place() {
@@ -122,15 +122,15 @@
 
           @Override
           public boolean takes(Pipe.End end) {
-            host.event(() -> listener.arrived(end));
+            host.event(() -> listener.accepted(end));
             return !dead;
           }
         });
-    later(() -> listener.listens(null));
+    defer(() -> listener.listening(null));
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
+  public Wake schedule(Span span, Runnable step) {
     boolean[] off = {false};
     clock.at(
         host.now().plus(span),
@@ -145,22 +145,22 @@
   }
 
   @Override
-  public void every(Span span, Runnable step) {
-    after(
+  public void scheduleEvery(Span span, Runnable step) {
+    schedule(
         span,
         () -> {
           step.run();
-          every(span, step);
+          scheduleEvery(span, step);
         });
   }
 
   @Override
-  public void later(Runnable step) {
+  public void defer(Runnable step) {
     host.event(step);
   }
 
   @Override
-  public void written(Span atMost, Runnable step) {
-    later(step); // what is written here leaves at once
+  public void whenFlushed(Span atMost, Runnable step) {
+    defer(step); // what is written here leaves at once
   }
 }
--- a/src/main/java/linengauge/rehearsal/ListModel.java
+++ b/src/main/java/linengauge/rehearsal/ListModel.java
@@ -60,7 +60,7 @@
 
   @Override
   public boolean takes(Pipe.End end) {
-    end.hears(
+    end.setHandlers(
         data -> {
           if (data.length != 8) {
             return;
--- a/src/main/java/linengauge/rehearsal/Pipe.java
+++ b/src/main/java/linengauge/rehearsal/Pipe.java
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void hears(Consumer<byte[]> d, Runnable c) {
+    public void setHandlers(Consumer<byte[]> d, Runnable c) {
       data = d;
       closed = c;
       flow();
--- a/src/main/java/linengauge/rehearsal/Roads.java
+++ b/src/main/java/linengauge/rehearsal/Roads.java
@@ -76,7 +76,7 @@
   }
 
   /** Tries a connection from a process to an address. */
-  void connect(String from, Host host, String to, Net.Tried then) {
+  void connect(String from, Host host, String to, Net.ConnectHandler then) {
     if (isCut(from, to)) {
       clock.at(host.now().plus(dial), () -> host.event(() -> then.failed(false, "Timeout")));
       return;
@@ -91,7 +91,7 @@
             return;
           }
           pipes.computeIfAbsent(from + " " + to, k -> new ArrayList<>()).add(pipe);
-          clock.after(LATENCY, () -> host.event(() -> then.up(pipe.near())));
+          clock.after(LATENCY, () -> host.event(() -> then.connected(pipe.near())));
         });
   }
 
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -53,11 +53,11 @@
               "v" + front,
               host,
               day.address(front),
-              new Net.Tried() {
+              new Net.ConnectHandler() {
                 @Override
-                public void up(Net.Connection connection) {
+                public void connected(Net.Connection connection) {
                   end = (Pipe.End) connection;
-                  end.hears(Line.this::heard, Line.this::gone);
+                  end.setHandlers(Line.this::heard, Line.this::gone);
                   first.forEach(end::write);
                   first.clear();
                 }
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/CrossingSocketsTest.java
@@ -415,13 +415,13 @@
               net.connect(
                   "127.0.0.1:" + door.getLocalPort(),
                   1024,
-                  new Net.Tried() {
+                  new Net.ConnectHandler() {
                     @Override
-                    public void up(Net.Connection connection) {
-                      connection.hears(data -> {}, () -> {});
+                    public void connected(Net.Connection connection) {
+                      connection.setHandlers(data -> {}, () -> {});
                       connection.write(new byte[MUCH]);
                       long at = System.nanoTime();
-                      net.written(bound, () -> written.complete(System.nanoTime() - at));
+                      net.whenFlushed(bound, () -> written.complete(System.nanoTime() - at));
                       begun.complete(null);
                     }
 
--- a/src/test/java/linengauge/platform/PaperNet.java
+++ b/src/test/java/linengauge/platform/PaperNet.java
@@ -58,7 +58,7 @@
 
   private Moment now = new Moment(1_000_000_000L);
   private long number;
-  private Listener listener;
+  private AcceptHandler listener;
   PlatformFront front;
 
   /** When the process ended; null before. */
@@ -101,7 +101,7 @@
     }
 
     @Override
-    public void hears(Consumer<byte[]> d, Runnable c) {
+    public void setHandlers(Consumer<byte[]> d, Runnable c) {
       data = d;
       closed = c;
     }
@@ -116,7 +116,7 @@
       }
       if (line.contains("ECHO") && boxesAnswerTests) {
         String tag = line.replaceFirst("(?s).*\"tag\":\"([0-9a-f]{16})\".*", "$1");
-        later(
+        defer(
             () ->
                 comes(
                     "{\"verb\":\"ECHOED\",\"tag\":\""
@@ -211,7 +211,7 @@
   Line viewers() {
     Line line = new Line("viewer");
     viewersLines.add(line);
-    listener.arrived(line);
+    listener.accepted(line);
     return line;
   }
 
@@ -324,32 +324,32 @@
   }
 
   @Override
-  public void connect(String address, int mostUnread, Tried then) {
+  public void connect(String address, int mostUnread, ConnectHandler then) {
     tried.computeIfAbsent(address, a -> new ArrayList<>()).add(now);
     if (unreachable.contains(address)) {
-      later(() -> then.failed(false, "Timeout"));
+      defer(() -> then.failed(false, "Timeout"));
       return;
     }
     if (refusing.contains(address)) {
-      later(() -> then.failed(true, "refused"));
+      defer(() -> then.failed(true, "refused"));
       return;
     }
     Line line = new Line(address);
     lines.add(line);
     if (dialsHang) {
-      dialled.add(() -> then.up(line));
+      dialled.add(() -> then.connected(line));
     } else {
-      later(() -> then.up(line));
+      defer(() -> then.connected(line));
     }
   }
 
   @Override
-  public void listen(String address, int mostUnread, Listener l) {
+  public void listen(String address, int mostUnread, AcceptHandler l) {
     listener = l;
   }
 
   @Override
-  public Wake after(Span span, Runnable deed) {
+  public Wake schedule(Span span, Runnable deed) {
     boolean[] off = {false};
     timers.add(
         new Timer(
@@ -364,23 +364,23 @@
   }
 
   @Override
-  public void every(Span span, Runnable deed) {
-    after(
+  public void scheduleEvery(Span span, Runnable deed) {
+    schedule(
         span,
         () -> {
           deed.run();
-          every(span, deed);
+          scheduleEvery(span, deed);
         });
   }
 
   @Override
-  public void later(Runnable deed) {
+  public void defer(Runnable deed) {
     later.add(deed);
   }
 
   @Override
-  public void written(Span atMost, Runnable deed) {
-    after(writesLeave ? Span.NONE : atMost, deed);
+  public void whenFlushed(Span atMost, Runnable deed) {
+    schedule(writesLeave ? Span.NONE : atMost, deed);
   }
 
   @Override
