--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -50,7 +50,7 @@
   private static final int MOST_VIEWINGS = 8000;
 
   /** Where it tells what operators should know. */
-  public interface Told {
+  public interface Observer {
     /** Something that may come by the thousand: what kind, of whom, and more. */
     void warn(String kind, Object about, String detail);
 
@@ -61,23 +61,23 @@
     default void event(LogEvent event) {}
 
     /** It has ended: in order (empty, null), or by a failure, which is named. */
-    void over(String failed, RuntimeException cause);
+    void stopped(String failed, RuntimeException cause);
   }
 
   /** How full its tables are. */
-  public record Figures(
-      int viewings,
-      int ids,
-      int viewersConnections,
-      int endsUntold,
-      int boxes,
-      int boxesLinked,
-      int boxConnections,
+  public record TableSizes(
+      int sessions,
+      int clientSessions,
+      int clientConnections,
+      int pendingReleases,
+      int servers,
+      int linkedServers,
+      int serverConnections,
       int titles) {}
 
   private final Configuration posting;
   private final Net net;
-  private final Told told;
+  private final Observer told;
   private final EventLoopLag lag;
   private final EventLog events;
   private final ServerLinks boxes;
@@ -99,7 +99,7 @@
   private record Unread(long turn, Moment since, Runnable deed) {}
 
   /** To be made and used where the net's calls run. */
-  public PlatformFront(Configuration posting, Net net, Told told) {
+  public PlatformFront(Configuration posting, Net net, Observer told) {
     this.posting = posting;
     this.net = net;
     this.told = told;
@@ -310,11 +310,11 @@
   }
 
   void failed(RuntimeException cause) {
-    told.over("the module failed: " + cause, cause);
+    told.stopped("the module failed: " + cause, cause);
   }
 
-  public Figures figures() {
-    return new Figures(
+  public TableSizes tableSizes() {
+    return new TableSizes(
         desk.viewings(),
         door.viewings(),
         door.connections(),
@@ -326,7 +326,7 @@
   }
 
   /** A new configuration: of it the address of the journal service counts. */
-  public void postedAnew(Configuration anew) {
+  public void reconfigure(Configuration anew) {
     onEvent(() -> journal.moved(anew.journal()));
   }
 
@@ -376,7 +376,7 @@
                   + door.untold()
                   + " ends untold");
           net.whenFlushed(
-              LAST_WORDS, () -> net.schedule(AFTER_LAST_WORD, () -> told.over("", null)));
+              LAST_WORDS, () -> net.schedule(AFTER_LAST_WORD, () -> told.stopped("", null)));
         });
   }
 }
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -14,7 +14,7 @@
  * The process of a front in the platform: its configuration file, its signals, its log, and sockets
  * that carry it.
  */
-public final class Service implements PlatformFront.Told {
+public final class Service implements PlatformFront.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("linengauge.platform");
 
   private final Path file;
@@ -23,7 +23,7 @@
   private final Sparse sparse = new Sparse(LOG);
   private final EventWriter<LogEvent> events = new EventWriter<>(LOG, LogEvent::line);
   private final CompletableFuture<String> over = new CompletableFuture<>();
-  private final Object reload = new Object();
+  private final Object reloadLock = new Object();
   private final AtomicBoolean reloadWaits = new AtomicBoolean();
   private PlatformFront front;
 
@@ -37,9 +37,9 @@
   public static int run(Map<String, String> environment) {
     // Signals may come before anything else is ready: they are remembered.
     var early = new CompletableFuture<Service>();
-    if (!Signals.on("HUP", () -> early.thenAcceptAsync(Service::postedAnew, Service::aside))
-        || !Signals.on("TERM", () -> early.thenAccept(Service::tellToStop))
-        || !Signals.on("INT", () -> early.thenAccept(Service::tellToStop))) {
+    if (!Signals.on("HUP", () -> early.thenAcceptAsync(Service::reload, Service::aside))
+        || !Signals.on("TERM", () -> early.thenAccept(Service::stop))
+        || !Signals.on("INT", () -> early.thenAccept(Service::stop))) {
       System.err.println("linengauge: this virtual machine hands no signals on");
       return 1;
     }
@@ -55,7 +55,7 @@
       System.err.println("linengauge: " + config + ": " + e.getMessage());
       return 1;
     }
-    service.begin().whenComplete((v, e) -> early.complete(service));
+    service.start().whenComplete((v, e) -> early.complete(service));
     String failed = service.over.join();
     service.events.flush();
     if (!failed.isEmpty()) {
@@ -65,10 +65,10 @@
   }
 
   /** Begins; the future is done once it listens. */
-  CompletableFuture<Void> begin() {
+  CompletableFuture<Void> start() {
     var listening = new CompletableFuture<Void>();
     events.start();
-    net.onLoop(
+    net.runOnLoop(
         () -> {
           front = new PlatformFront(posting, net, this);
           front.start(
@@ -85,15 +85,15 @@
   }
 
   /** Waits for the end; empty, or what it failed by. Everything that it held is closed. */
-  String await() {
+  String awaitStop() {
     String failed = over.join();
     net.close();
     return failed;
   }
 
   /** Tells it to stop in order; from any thread. */
-  void tellToStop() {
-    net.onLoop(() -> front.stop());
+  void stop() {
+    net.runOnLoop(() -> front.stop());
   }
 
   /**
@@ -111,24 +111,24 @@
    * of its own; one reads at a time and hands over what it read before the next one reads, so that
    * what is applied last was read last. One that waits for that reads for all that came meanwhile.
    */
-  void postedAnew() {
+  void reload() {
     if (reloadWaits.getAndSet(true)) {
       return;
     }
-    synchronized (reload) {
+    synchronized (reloadLock) {
       reloadWaits.set(false);
       try {
         Configuration anew = Configuration.read(file);
-        net.onLoop(() -> front.postedAnew(anew));
+        net.runOnLoop(() -> front.reconfigure(anew));
       } catch (BadBriefing e) {
-        net.onLoop(() -> warn("new configuration not used", file.getFileName(), e.getMessage()));
+        net.runOnLoop(() -> warn("new configuration not used", file.getFileName(), e.getMessage()));
       }
     }
   }
 
   /** Runs it on the front's loop, which does nothing else meanwhile. */
-  void onLoop(Runnable deed) {
-    net.onLoop(deed);
+  void runOnLoop(Runnable deed) {
+    net.runOnLoop(deed);
   }
 
   @Override
@@ -147,7 +147,7 @@
   }
 
   @Override
-  public void over(String failed, RuntimeException cause) {
+  public void stopped(String failed, RuntimeException cause) {
     if (cause != null) {
       LOG.error(failed, cause);
     }
--- a/src/main/java/linengauge/platform/TryOut.java
+++ b/src/main/java/linengauge/platform/TryOut.java
@@ -52,11 +52,11 @@
     try {
       Files.writeString(file, configuration(port, journal, boxes));
       Service service = new Service(file, Configuration.read(file));
-      service.begin().join();
+      service.start().join();
       boolean good = play.call();
-      service.postedAnew();
-      service.tellToStop();
-      return good && service.await().isEmpty() ? 0 : 1;
+      service.reload();
+      service.stop();
+      return good && service.awaitStop().isEmpty() ? 0 : 1;
     } finally {
       Files.delete(file);
     }
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -62,7 +62,7 @@
   }
 
   /** From any thread: runs it on the loop. */
-  void onLoop(Runnable deed) {
+  void runOnLoop(Runnable deed) {
     loop.runOnContext(v -> deed.run());
   }
 
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -87,9 +87,9 @@
       Map<String, Double> counts,
       Span longestTurn,
       List<String> record,
-      List<PlatformFront.Figures> halfWay,
-      List<PlatformFront.Figures> atTheEnd,
-      List<PlatformFront.Figures> afterwards) {
+      List<PlatformFront.TableSizes> halfWay,
+      List<PlatformFront.TableSizes> atTheEnd,
+      List<PlatformFront.TableSizes> afterwards) {
     public double count(String what) {
       return counts.getOrDefault(what, 0.0);
     }
@@ -357,7 +357,7 @@
         });
   }
 
-  private final class Log implements PlatformFront.Told {
+  private final class Log implements PlatformFront.Observer {
     private final int number;
 
     private Log(int number) {
@@ -375,7 +375,7 @@
     }
 
     @Override
-    public void over(String failed, RuntimeException cause) {
+    public void stopped(String failed, RuntimeException cause) {
       if (cause != null) {
         throw cause;
       }
@@ -540,9 +540,9 @@
     arrive(until);
     slice(until, 0);
     clock.run(from.plus(size.length().times(0.5)));
-    List<PlatformFront.Figures> halfWay = figures();
+    List<PlatformFront.TableSizes> halfWay = figures();
     clock.run(until);
-    List<PlatformFront.Figures> atTheEnd = figures();
+    List<PlatformFront.TableSizes> atTheEnd = figures();
     Map<String, Double> counts = new LinkedHashMap<>(ledger.counts());
     clock.run(until.plus(AFTERWARDS));
     for (SimulatedFront s : simulatedFronts) {
@@ -559,10 +559,10 @@
         figures());
   }
 
-  private List<PlatformFront.Figures> figures() {
+  private List<PlatformFront.TableSizes> figures() {
     return simulatedFronts.stream()
         .filter(s -> s.front != null)
-        .map(s -> s.front.figures())
+        .map(s -> s.front.tableSizes())
         .toList();
   }
 
--- a/src/test/java/linengauge/platform/CrossingOrdersTest.java
+++ b/src/test/java/linengauge/platform/CrossingOrdersTest.java
@@ -406,10 +406,10 @@
       net.pass(Span.ofMillis(50));
       by.breaks();
     }
-    assertEquals(8000, net.front.figures().viewings());
+    assertEquals(8000, net.front.tableSizes().sessions());
     net.gone("127.0.0.1:3");
     net.pass(Span.ofMillis(300));
-    assertEquals(8000, net.front.figures().endsUntold());
+    assertEquals(8000, net.front.tableSizes().pendingReleases());
     Line next = net.viewers();
     next.comes(handOver(50, "127.0.0.1:4"));
     net.pass(Span.ofMillis(10));
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/CrossingSocketsTest.java
@@ -69,7 +69,7 @@
 
     private Gate() throws InterruptedException {
       CountDownLatch stands = new CountDownLatch(1);
-      service.onLoop(
+      service.runOnLoop(
           () -> {
             stands.countDown();
             try {
@@ -98,7 +98,7 @@
     file = dir.resolve("config.json");
     Files.writeString(file, configuration(journal.port()));
     service = new Service(file, Configuration.read(file));
-    service.begin().join();
+    service.start().join();
     try (var v = new PlatformViewers(port)) { // each box has been met: a set-up can leave at once
       for (long id = 900_001; id < 900_009; id++) {
         plays(v, id);
@@ -116,8 +116,8 @@
 
   @AfterEach
   void stop() throws Exception {
-    service.tellToStop();
-    assertEquals("", service.await());
+    service.stop();
+    assertEquals("", service.awaitStop());
     for (PlatformBox b : boxes) {
       b.close();
     }
@@ -373,12 +373,12 @@
     Files.createLink(file, pipe);
     try (var older = new PlatformJournal(1);
         var newer = new PlatformJournal(1)) {
-      var first = CompletableFuture.runAsync(service::postedAnew);
+      var first = CompletableFuture.runAsync(service::reload);
       Thread.sleep(100);
       Path next = dir.resolve("next.json");
       Files.writeString(next, configuration(newer.port()));
       Files.move(next, file, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
-      var second = CompletableFuture.runAsync(service::postedAnew);
+      var second = CompletableFuture.runAsync(service::reload);
       Thread.sleep(100);
       Files.writeString(pipe, configuration(older.port()));
       CompletableFuture.allOf(first, second).get(10, TimeUnit.SECONDS);
@@ -410,7 +410,7 @@
       var written = new CompletableFuture<Long>();
       var begun = new CompletableFuture<Void>();
       Span bound = peer == Leaves.AT_ONCE ? Span.ofMillis(150) : Span.ofSeconds(30);
-      net.onLoop(
+      net.runOnLoop(
           () ->
               net.connect(
                   "127.0.0.1:" + door.getLocalPort(),
--- a/src/test/java/linengauge/platform/PaperNet.java
+++ b/src/test/java/linengauge/platform/PaperNet.java
@@ -23,7 +23,7 @@
  * A net on paper: what a front writes and closes is noted in order, and a test says what comes and
  * when time passes.
  */
-final class PaperNet implements Net, PlatformFront.Told {
+final class PaperNet implements Net, PlatformFront.Observer {
   /** What was written or closed, each with where to; ends and set-ups by these names. */
   final List<String> done = new ArrayList<>();
 
@@ -399,7 +399,7 @@
   }
 
   @Override
-  public void over(String failed, RuntimeException cause) {
+  public void stopped(String failed, RuntimeException cause) {
     if (!failed.isEmpty()) {
       throw new AssertionError(failed, cause);
     }
--- a/src/test/java/linengauge/platform/ServiceTest.java
+++ b/src/test/java/linengauge/platform/ServiceTest.java
@@ -53,7 +53,7 @@
     file = dir.resolve("config.json");
     Files.writeString(file, TryOut.configuration(port, journal.port(), ports()));
     service = new Service(file, Configuration.read(file));
-    service.begin().join();
+    service.start().join();
   }
 
   private int[] ports() {
@@ -62,8 +62,8 @@
 
   @AfterEach
   void stop() throws Exception {
-    service.tellToStop();
-    assertEquals("", service.await());
+    service.stop();
+    assertEquals("", service.awaitStop());
     for (PlatformBox b : boxes) {
       b.close();
     }
@@ -256,9 +256,9 @@
     assertEquals(1L, journal.asked.get(1), "an event cut off has not been told");
     try (var next = new PlatformJournal(2)) {
       Files.writeString(file, "{ half a file");
-      service.postedAnew();
+      service.reload();
       Files.writeString(file, TryOut.configuration(port, next.port(), ports()));
-      service.postedAnew();
+      service.reload();
       until(() -> next.asked.contains(2L));
       next.change(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
       try (var v = new PlatformViewers(port)) {
@@ -279,7 +279,7 @@
       v.send(PlatformViewers.setUp(31, "lesson", 5000, ""));
       until(() -> boxes.stream().anyMatch(b -> b.heard("START") > 0));
       boxes.forEach(b -> b.mood = Mood.WELL);
-      service.tellToStop();
+      service.stop();
       v.send(PlatformViewers.setUp(32, "lesson", 5000, ""));
       assertNotNull(answer(v, 31));
       try (var late = new PlatformViewers(port)) {
--- a/src/test/java/linengauge/rehearsal/FleetDayTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetDayTest.java
@@ -9,7 +9,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import linengauge.Span;
-import linengauge.platform.PlatformFront.Figures;
+import linengauge.platform.PlatformFront.TableSizes;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 import org.junit.jupiter.api.Test;
@@ -128,22 +128,25 @@
                 5)
             .play();
     assertEquals(List.of(), o.verdict().breaches(), o.line());
-    for (ToIntFunction<Figures> table :
-        List.<ToIntFunction<Figures>>of(
-            Figures::viewings,
-            Figures::ids,
-            Figures::boxesLinked,
-            Figures::boxConnections,
-            Figures::titles,
-            Figures::boxes,
-            Figures::viewersConnections)) {
+    for (ToIntFunction<TableSizes> table :
+        List.<ToIntFunction<TableSizes>>of(
+            TableSizes::sessions,
+            TableSizes::clientSessions,
+            TableSizes::linkedServers,
+            TableSizes::serverConnections,
+            TableSizes::titles,
+            TableSizes::servers,
+            TableSizes::clientConnections)) {
       int half = o.halfWay().stream().mapToInt(table).sum();
       int end = o.atTheEnd().stream().mapToInt(table).sum();
       assertTrue(half > 0 && end <= 1.5 * half + 6, half + " half way, " + end + " at the end");
     }
-    for (ToIntFunction<Figures> table :
-        List.<ToIntFunction<Figures>>of(
-            Figures::viewings, Figures::ids, Figures::titles, Figures::endsUntold)) {
+    for (ToIntFunction<TableSizes> table :
+        List.<ToIntFunction<TableSizes>>of(
+            TableSizes::sessions,
+            TableSizes::clientSessions,
+            TableSizes::titles,
+            TableSizes::pendingReleases)) {
       assertEquals(0, o.afterwards().stream().mapToInt(table).sum(), o.afterwards().toString());
     }
   }
