--- a/src/bench/java/linengauge/platform/RequestTrailBench.java
+++ b/src/bench/java/linengauge/platform/RequestTrailBench.java
@@ -31,18 +31,18 @@
   /** Answered by its first attempt: nothing is logged. */
   @Benchmark
   public RequestTrail ordinary() {
-    RequestTrail trail = events.trail();
+    RequestTrail trail = events.newTrail();
     trail.add(event(Kind.REQUEST_TAKEN, LogEvent.NONE), false);
     trail.add(event(Kind.ATTEMPT_SENT, 0), false);
     trail.add(event(Kind.ATTEMPT_ANSWERED, 0), false);
-    trail.settled();
+    trail.discard();
     return trail;
   }
 
   /** Refused after two attempts; the queue is full, which costs the loop the most. */
   @Benchmark
   public RequestTrail refused() {
-    RequestTrail trail = events.trail();
+    RequestTrail trail = events.newTrail();
     trail.add(event(Kind.REQUEST_TAKEN, LogEvent.NONE), false);
     for (int attempt = 0; attempt < 2; attempt++) {
       trail.add(event(Kind.ATTEMPT_SENT, attempt), attempt > 0);
@@ -60,6 +60,6 @@
   }
 
   private LogEvent event(Kind kind, int attempt) {
-    return events.ofRequest(kind, 0x3faee594d679918cL, 0xa56d2d9aL, attempt, 12, "waits 250 ms");
+    return events.requestEvent(kind, 0x3faee594d679918cL, 0xa56d2d9aL, attempt, 12, "waits 250 ms");
   }
 }
--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -414,7 +414,7 @@
   private void logClose(String why) {
     if (!waiting.isEmpty() || !setUps.isEmpty() || why.startsWith("by the front")) {
       String open = ", " + waiting.size() + " open, " + setUps.size() + " not begun";
-      front().events().ofFront(Kind.CLIENT_CONNECTION_CLOSED, socket.peer() + " " + why + open);
+      front().events().logFront(Kind.CLIENT_CONNECTION_CLOSED, socket.peer() + " " + why + open);
     }
   }
 
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -60,7 +60,7 @@
     this.length = description == null ? 0 : description.length();
     this.asker = asker;
     this.answerBy = answerBy;
-    this.trail = door.front().events().trail();
+    this.trail = door.front().events().newTrail();
     this.stands = description == null;
     if (!stands) {
       String asked = "class " + pack + ", " + answerBy.since(door.front().now()).micros() / 1000;
@@ -73,7 +73,7 @@
   private void log(
       Kind kind, long server, int attempt, int connection, String reason, boolean notable) {
     trail.add(
-        door.front().events().ofRequest(kind, id, server, attempt, connection, reason), notable);
+        door.front().events().requestEvent(kind, id, server, attempt, connection, reason), notable);
   }
 
   private void log(Kind kind, String reason, boolean notable) {
@@ -103,7 +103,7 @@
 
   /** Logs what has happened so far, though nothing notable did. */
   void logHeld() {
-    trail.logHeld();
+    trail.flush();
   }
 
   /** Its answer leaves after its time. */
@@ -162,7 +162,7 @@
     settle(ViewerMessages.plays(id, answer));
     answer = null;
     description = null;
-    trail.settled();
+    trail.discard();
   }
 
   @Override
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -143,14 +143,14 @@
   }
 
   private void log(String reason) {
-    front.events().ofFront(Kind.DISCOVERY, reason);
+    front.events().logFront(Kind.DISCOVERY, reason);
   }
 
   private void logEvent(long number, boolean whole, List<Row> rows) {
     log("event " + number + (whole ? ", whole list of " : ", changes: ") + rows.size());
     if (!whole) {
       for (Row row : rows) {
-        front.events().ofServer(Kind.SERVER_STATE, row.id(), row.state().name());
+        front.events().logServer(Kind.SERVER_STATE, row.id(), row.state().name());
       }
     }
   }
--- a/src/main/java/linengauge/platform/EventLog.java
+++ b/src/main/java/linengauge/platform/EventLog.java
@@ -16,25 +16,25 @@
   }
 
   /** What happens to one request from here on. */
-  RequestTrail trail() {
+  RequestTrail newTrail() {
     return new RequestTrail(sink);
   }
 
-  LogEvent ofRequest(
+  LogEvent requestEvent(
       Kind kind, long request, long server, int attempt, int connection, String reason) {
     return new LogEvent(now.get(), kind, request, server, attempt, connection, reason);
   }
 
-  void ofConnection(Kind kind, long server, int connection, String reason) {
+  void logConnection(Kind kind, long server, int connection, String reason) {
     sink.accept(
         new LogEvent(now.get(), kind, LogEvent.NONE, server, LogEvent.NONE, connection, reason));
   }
 
-  void ofServer(Kind kind, long server, String reason) {
-    ofConnection(kind, server, LogEvent.NONE, reason);
+  void logServer(Kind kind, long server, String reason) {
+    logConnection(kind, server, LogEvent.NONE, reason);
   }
 
-  void ofFront(Kind kind, String reason) {
-    ofServer(kind, LogEvent.NONE, reason);
+  void logFront(Kind kind, String reason) {
+    logServer(kind, LogEvent.NONE, reason);
   }
 }
--- a/src/main/java/linengauge/platform/RequestTrail.java
+++ b/src/main/java/linengauge/platform/RequestTrail.java
@@ -26,7 +26,7 @@
   /** A notable event is one that operators may have to explain. */
   void add(LogEvent event, boolean notable) {
     if (notable) {
-      logHeld();
+      flush();
     }
     if (held == null) {
       log.accept(event);
@@ -36,7 +36,7 @@
   }
 
   /** Logs what went before, and every further event at once. */
-  void logHeld() {
+  void flush() {
     if (held != null) {
       held.forEach(log);
       held = null;
@@ -44,7 +44,7 @@
   }
 
   /** Forgets what is held: all went as it should. */
-  void settled() {
+  void discard() {
     if (held != null) {
       held.clear();
     }
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -121,7 +121,7 @@
   }
 
   private void log(Kind kind, String reason) {
-    front().events().ofConnection(kind, link.box().id(), number, reason);
+    front().events().logConnection(kind, link.box().id(), number, reason);
   }
 
   void connect() {
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -37,9 +37,9 @@
   public static int run(Map<String, String> environment) {
     // Signals may come before anything else is ready: they are remembered.
     var early = new CompletableFuture<Service>();
-    if (!Signals.on("HUP", () -> early.thenAcceptAsync(Service::reload, Service::aside))
-        || !Signals.on("TERM", () -> early.thenAccept(Service::stop))
-        || !Signals.on("INT", () -> early.thenAccept(Service::stop))) {
+    if (!Signals.register("HUP", () -> early.thenAcceptAsync(Service::reload, Service::aside))
+        || !Signals.register("TERM", () -> early.thenAccept(Service::stop))
+        || !Signals.register("INT", () -> early.thenAccept(Service::stop))) {
       System.err.println("linengauge: this virtual machine hands no signals on");
       return 1;
     }
--- a/src/main/java/linengauge/platform/Signals.java
+++ b/src/main/java/linengauge/platform/Signals.java
@@ -15,7 +15,7 @@
    * Runs the step, on a thread of the virtual machine's, each time the signal comes. False where
    * that can't be had.
    */
-  static boolean on(String name, Runnable step) {
+  static boolean register(String name, Runnable step) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -83,7 +83,7 @@
     EventWriter<LogEvent> writer = new EventWriter<>(logger, LogEvent::line);
     EventLog events = new EventLog(() -> new Moment(1), writer::accept);
     for (int i = 0; i < 10_000; i++) {
-      events.ofFront(Kind.DISCOVERY, "closed");
+      events.logFront(Kind.DISCOVERY, "closed");
     }
     writer.flush();
     assertTrue(written.list.size() <= 202, written.list.size() + " lines");
