--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -26,91 +26,91 @@
  */
 final class ClientConnection implements ViewerMessages.Heard {
   /** What one connection may take apart, and begin, in one turn of the loop. */
-  private static final Span TURN = Span.ofMillis(10);
+  private static final Span MAX_BATCH_TIME = Span.ofMillis(10);
 
-  private static final Span NEXT_TURN = Span.ofMillis(1);
+  private static final Span NEXT_ITERATION_DELAY = Span.ofMillis(1);
 
   /** Messages taken apart between two looks at the time: each takes some microseconds. */
-  private static final int A_LOOK_AT_THE_TIME = 16;
+  private static final int MESSAGES_PER_CLOCK_UPDATE = 16;
 
   /**
    * Bytes of sessions handed over that wait to be begun; beyond, nothing more is taken from the
    * connection.
    */
-  private static final int MOST_HANDED_OVER = 128 * 1024;
+  private static final int MAX_HAND_OVER_BYTES = 128 * 1024;
 
   /** A release told so lately may not have been read by a viewer that closes the connection. */
-  private static final Span MAY_BE_UNREAD = Span.ofMillis(500);
+  private static final Span MAX_RELEASE_READ_DELAY = Span.ofMillis(500);
 
-  private static final int MOST_TOLD = 512;
+  private static final int MAX_SENT_RELEASES = 512;
 
   /** A set-up that waits to be begun, and when it may have come. */
-  private record Queued(Message message, Moment came) {}
+  private record QueuedRequest(Message message, Moment earliestArrival) {}
 
-  private record Told(boolean cut, Moment at) {}
+  private record SentRelease(boolean interrupted, Moment sentAt) {}
 
   private final ClientListener listener;
   private final Net.Connection socket;
   private final ViewerMessages reader = new ViewerMessages(this);
 
   /** Viewings whose answer is owed here; each leaves with its answer. */
-  private final Set<ClientSession> waiting = new LinkedHashSet<>();
+  private final Set<ClientSession> unanswered = new LinkedHashSet<>();
 
   /**
    * Set-ups by id that wait to be begun; emptied by the next turns, by their ends and by the close.
    */
-  private final Map<Long, Queued> setUps = new LinkedHashMap<>();
+  private final Map<Long, QueuedRequest> queuedRequests = new LinkedHashMap<>();
 
   /**
    * Sessions handed over that wait to be begun: they belong to no connection, and are begun though
    * this one closes.
    */
-  private final Map<Long, Queued> handOvers = new LinkedHashMap<>();
+  private final Map<Long, QueuedRequest> queuedHandOvers = new LinkedHashMap<>();
 
   /** Releases written here and not known to be heard; bounded, the oldest goes; emptied by time. */
-  private final Map<Long, Told> told = new LinkedHashMap<>();
+  private final Map<Long, SentRelease> sentReleases = new LinkedHashMap<>();
 
-  private IdleConnection idle;
-  private boolean viewers;
+  private IdleConnection idleState;
+  private boolean usedByClient;
   private boolean closed;
 
   /** Messages that have come wait for a turn in which they are taken apart. */
-  private boolean goesOn;
+  private boolean parseScheduled;
 
   /** What is queued has a turn coming. */
-  private boolean begins;
+  private boolean startScheduled;
 
   private boolean paused;
 
   /**
    * When what is taken apart, or begun, may have come, and what follows the message that has begun.
    */
-  private Moment lain = Moment.DISTANT_PAST;
+  private Moment earliestArrival = Moment.DISTANT_PAST;
 
-  private Moment nextLain;
+  private Moment nextEarliestArrival;
   private final ReceiveQueue received;
-  private int handedOver;
+  private int queuedHandOverBytes;
 
   /**
    * Bytes of set-ups that wait here, begun or not: what the front must keep of what it was sent.
    */
-  private int keeps;
+  private int queuedBytes;
 
-  ClientConnection(ClientListener listener, Net.Connection socket, Moment cameAfter) {
+  ClientConnection(ClientListener listener, Net.Connection socket, Moment earliestConnect) {
     this.listener = listener;
     this.socket = socket;
-    this.received = new ReceiveQueue(cameAfter, front().now());
+    this.received = new ReceiveQueue(earliestConnect, front().now());
     socket.setHandlers(
-        data -> front().onEvent(() -> read(data)),
-        () -> front().onEvent(() -> gone("by the client")));
+        data -> front().handleEvent(() -> read(data)),
+        () -> front().handleEvent(() -> onClosed("by the client")));
   }
 
   private PlatformFront front() {
     return listener.front();
   }
 
-  void idle(IdleConnection given) {
-    idle = given;
+  void setIdleState(IdleConnection state) {
+    idleState = state;
   }
 
   boolean isOpen() {
@@ -121,8 +121,8 @@
    * A viewing has been answered on it, or handed over by it; whoever only tests the front hears of
    * no viewing.
    */
-  boolean isViewers() {
-    return viewers;
+  boolean isUsedByClient() {
+    return usedByClient;
   }
 
   /* ---- what comes is taken apart ---- */
@@ -132,9 +132,9 @@
       return;
     }
     Moment now = front().now();
-    received.come(data, now.minus(front().unread()), now);
-    if (!goesOn) {
-      takeApart();
+    received.come(data, now.minus(front().maxReadDelay()), now);
+    if (!parseScheduled) {
+      parse();
     } else if (received.isFull(reader.unread())) {
       pause();
     }
@@ -144,102 +144,108 @@
    * Takes apart what has come, for one turn's share of time; the rest in turns of its own. Guards
    * against a client that sends at full speed and makes all others wait.
    */
-  private void takeApart() {
+  private void parse() {
     if (closed) {
       return;
     }
     try {
-      Moment until = front().now().plus(TURN);
-      boolean ended = false;
-      boolean more = true;
+      Moment batchEnd = front().now().plus(MAX_BATCH_TIME);
+      boolean messageEnded = false;
+      boolean hasMore = true;
       for (int i = 1;
-          more && !closed && front().now().before(until) && handedOver <= MOST_HANDED_OVER;
+          hasMore
+              && !closed
+              && front().now().before(batchEnd)
+              && queuedHandOverBytes <= MAX_HAND_OVER_BYTES;
           i++) {
-        more = takesMessage();
-        ended |= more;
-        more = more || takesNext();
-        if (i % A_LOOK_AT_THE_TIME == 0) {
-          front().tick();
+        hasMore = parseMessage();
+        messageEnded |= hasMore;
+        hasMore = hasMore || feedNextChunk();
+        if (i % MESSAGES_PER_CLOCK_UPDATE == 0) {
+          front().updateClock();
         }
       }
-      idle.read(ended, !more && reader.isMidMessage(), front().now());
-      if (more && !closed) {
-        goesOn = true;
+      idleState.read(messageEnded, !hasMore && reader.isMidMessage(), front().now());
+      if (hasMore && !closed) {
+        parseScheduled = true;
         if (received.isFull(reader.unread())) {
           pause();
         }
         // By a timer: what is merely put off runs before the loop reads from anybody else.
         front()
-            .after(
-                NEXT_TURN,
+            .schedule(
+                NEXT_ITERATION_DELAY,
                 () -> {
-                  goesOn = false;
-                  takeApart();
+                  parseScheduled = false;
+                  parse();
                 });
       }
       resume();
     } catch (BadMessage e) {
-      listener.log("unreadable client", socket.peer(), e.getMessage());
+      listener.warn("unreadable client", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
-    beginLater();
+    scheduleStart();
   }
 
-  private boolean takesMessage() throws BadMessage {
-    Message m = reader.frame();
-    if (m == null) {
+  private boolean parseMessage() throws BadMessage {
+    Message message = reader.frame();
+    if (message == null) {
       return false;
     }
-    if (m.isSetUp()) {
-      queue(m);
-    } else if (m.isHeard()) {
-      told.remove(m.id());
+    if (message.isSetUp()) {
+      enqueue(message);
+    } else if (message.isHeard()) {
+      sentReleases.remove(message.id());
     } else {
-      reader.read(m);
+      reader.read(message);
     }
-    if (nextLain != null) {
-      lain = nextLain;
-      nextLain = null;
+    if (nextEarliestArrival != null) {
+      earliestArrival = nextEarliestArrival;
+      nextEarliestArrival = null;
     }
     return true;
   }
 
-  private boolean takesNext() {
-    ReceiveQueue.Piece piece = received.next();
-    if (piece == null) {
+  private boolean feedNextChunk() {
+    ReceiveQueue.Piece chunk = received.next();
+    if (chunk == null) {
       return false;
     }
     if (reader.isMidMessage()) {
-      nextLain = piece.came(); // of what begins in it, not of the message that it ends
+      nextEarliestArrival = chunk.came(); // of what begins in it, not of the message that it ends
     } else {
-      lain = piece.came();
+      earliestArrival = chunk.came();
     }
-    reader.take(piece.data());
+    reader.take(chunk.data());
     return true;
   }
 
-  private void queue(Message m) {
-    boolean handOver = m.isHandOver();
-    if (setUps.containsKey(m.id()) && !handOver) {
+  private void enqueue(Message message) {
+    boolean isHandOver = message.isHandOver();
+    if (queuedRequests.containsKey(message.id()) && !isHandOver) {
       close("two set-ups of one id");
-    } else if (handOver) {
-      if (handOvers.putIfAbsent(m.id(), new Queued(m.kept(), lain)) == null) {
-        handedOver += m.length();
-        listener.queued(m.id(), this);
+    } else if (isHandOver) {
+      if (queuedHandOvers.putIfAbsent(
+              message.id(), new QueuedRequest(message.kept(), earliestArrival))
+          == null) {
+        queuedHandOverBytes += message.length();
+        listener.requestQueued(message.id(), this);
       }
-    } else if (keeps + m.length() > ClientListener.MOST_KEPT || !listener.mayKeep(m.length())) {
+    } else if (queuedBytes + message.length() > ClientListener.MAX_QUEUED_BYTES_PER_CONNECTION
+        || !listener.hasRoomFor(message.length())) {
       // Not by reading nothing more: whoever has sent too much would not be seen to leave.
-      write(ViewerMessages.blocked(m.id(), listener.turnedAway().micros() / 1000));
+      write(ViewerMessages.blocked(message.id(), listener.recordRejection().micros() / 1000));
     } else {
-      setUps.put(m.id(), new Queued(m.kept(), lain));
-      keep(m.length());
-      listener.queued(m.id(), this);
+      queuedRequests.put(message.id(), new QueuedRequest(message.kept(), earliestArrival));
+      addQueuedBytes(message.length());
+      listener.requestQueued(message.id(), this);
     }
   }
 
-  private void keep(int more) {
-    keeps += more;
-    listener.keeps(more);
+  private void addQueuedBytes(int bytes) {
+    queuedBytes += bytes;
+    listener.addQueuedBytes(bytes);
   }
 
   private void pause() {
@@ -260,74 +266,75 @@
 
   /* ---- what is queued is begun ---- */
 
-  private void beginLater() {
-    if (!begins && (!handOvers.isEmpty() || mayBegin())) {
-      begins = true;
-      front().later(this::begin);
+  private void scheduleStart() {
+    if (!startScheduled && (!queuedHandOvers.isEmpty() || canStartRequest())) {
+      startScheduled = true;
+      front().defer(this::startQueued);
     }
   }
 
   /** A set-up is begun once all that has come with it is taken apart: its end may stand there. */
-  private boolean mayBegin() {
-    return !setUps.isEmpty() && !closed && !goesOn && !paused;
+  private boolean canStartRequest() {
+    return !queuedRequests.isEmpty() && !closed && !parseScheduled && !paused;
   }
 
   /**
    * Begins what is queued, for one turn's share of time: first what plays already, as the rules
    * count it.
    */
-  private void begin() {
-    begins = false;
-    Moment until = front().now().plus(TURN);
+  private void startQueued() {
+    startScheduled = false;
+    Moment batchEnd = front().now().plus(MAX_BATCH_TIME);
     try {
-      while (front().now().before(until) && (!handOvers.isEmpty() || mayBegin())) {
-        Map<Long, Queued> from = handOvers.isEmpty() ? setUps : handOvers;
-        begin(from, from.keySet().iterator().next());
+      while (front().now().before(batchEnd) && (!queuedHandOvers.isEmpty() || canStartRequest())) {
+        Map<Long, QueuedRequest> queue =
+            queuedHandOvers.isEmpty() ? queuedRequests : queuedHandOvers;
+        start(queue, queue.keySet().iterator().next());
       }
     } catch (BadMessage e) {
-      listener.log("unreadable client", socket.peer(), e.getMessage());
+      listener.warn("unreadable client", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
-    if (!begins && (!handOvers.isEmpty() || mayBegin())) {
-      begins = true;
-      front().after(NEXT_TURN, this::begin);
+    if (!startScheduled && (!queuedHandOvers.isEmpty() || canStartRequest())) {
+      startScheduled = true;
+      front().schedule(NEXT_ITERATION_DELAY, this::startQueued);
     }
   }
 
-  private void begin(Map<Long, Queued> from, long id) throws BadMessage {
-    Queued q = unqueue(from, id);
-    lain = q.came();
-    front().tick();
-    reader.read(q.message());
+  private void start(Map<Long, QueuedRequest> queue, long id) throws BadMessage {
+    QueuedRequest queued = dequeue(queue, id);
+    earliestArrival = queued.earliestArrival();
+    front().updateClock();
+    reader.read(queued.message());
   }
 
-  private Queued unqueue(Map<Long, Queued> from, long id) {
-    Queued q = from.remove(id);
-    if (from == setUps) {
-      keep(-q.message().length());
+  private QueuedRequest dequeue(Map<Long, QueuedRequest> queue, long id) {
+    QueuedRequest queued = queue.remove(id);
+    if (queue == queuedRequests) {
+      addQueuedBytes(-queued.message().length());
     } else {
-      handedOver -= q.message().length();
+      queuedHandOverBytes -= queued.message().length();
     }
-    listener.unqueued(id, this);
-    return q;
+    listener.requestDequeued(id, this);
+    return queued;
   }
 
   /**
    * The end of a session has come while its set-up waits here: one handed over is begun now,
    * another never.
    */
-  void endedUnbegun(long id) {
-    if (setUps.containsKey(id)) {
-      unqueue(setUps, id);
+  void endedBeforeStart(long id) {
+    if (queuedRequests.containsKey(id)) {
+      dequeue(queuedRequests, id);
     }
-    if (handOvers.containsKey(id)) {
-      Moment was = lain;
+    if (queuedHandOvers.containsKey(id)) {
+      Moment previous = earliestArrival;
       try {
-        begin(handOvers, id);
+        start(queuedHandOvers, id);
       } catch (BadMessage e) {
-        listener.log("unreadable client", socket.peer(), e.getMessage());
+        listener.warn("unreadable client", socket.peer(), e.getMessage());
       }
-      lain = was;
+      earliestArrival = previous;
     }
   }
 
@@ -335,130 +342,134 @@
    * The front ends: whatever still waits for its turn is begun now, so that it is answered, or told
    * that it is over, before the process ends. It could hurt by one long turn, the last but one.
    */
-  void beginAll() {
-    for (Map<Long, Queued> from : List.of(handOvers, setUps)) {
-      while (!from.isEmpty()) {
+  void startAllQueued() {
+    for (Map<Long, QueuedRequest> queue : List.of(queuedHandOvers, queuedRequests)) {
+      while (!queue.isEmpty()) {
         try {
-          begin(from, from.keySet().iterator().next());
+          start(queue, queue.keySet().iterator().next());
         } catch (BadMessage e) {
-          listener.log("unreadable client", socket.peer(), e.getMessage());
+          listener.warn("unreadable client", socket.peer(), e.getMessage());
         }
       }
     }
   }
 
   /** How long what is being begun now may have lain unread. */
-  Span lain() {
-    return front().now().since(lain);
+  Span maxQueueingDelay() {
+    return front().now().since(earliestArrival);
   }
 
   /* ---- its end ---- */
 
   /** Closes it; what waits on it is answered by the close. */
-  void close(String why) {
+  void close(String reason) {
     if (!closed) {
       socket.close();
-      gone("by the front: " + why);
+      onClosed("by the front: " + reason);
     }
   }
 
-  private void gone(String why) {
+  private void onClosed(String reason) {
     if (closed) {
       return;
     }
     closed = true;
-    logClose(why);
-    listener.left(this, idle);
-    for (long id : List.copyOf(setUps.keySet())) {
-      unqueue(setUps, id);
+    logClose(reason);
+    listener.connectionClosed(this, idleState);
+    for (long id : List.copyOf(queuedRequests.keySet())) {
+      dequeue(queuedRequests, id);
     }
     // What has come before the close is still heard: ends, and what is handed over, belong to no
     // connection.
     try {
-      boolean more = true;
-      while (more) {
-        Message m = reader.frame();
-        if (m != null && m.isSetUp() && m.isHandOver()) {
-          queue(m);
-        } else if (m != null && !m.isSetUp()) {
-          reader.read(m);
+      boolean hasMore = true;
+      while (hasMore) {
+        Message message = reader.frame();
+        if (message != null && message.isSetUp() && message.isHandOver()) {
+          enqueue(message);
+        } else if (message != null && !message.isSetUp()) {
+          reader.read(message);
         }
-        more = m != null || takesNext();
+        hasMore = message != null || feedNextChunk();
       }
     } catch (BadMessage e) {
       // what follows cannot be read
     }
-    beginLater();
-    List<ClientSession> sessions = new ArrayList<>(waiting);
+    scheduleStart();
+    List<ClientSession> sessions = new ArrayList<>(unanswered);
     if (!sessions.isEmpty()) {
-      sessions.forEach(ClientSession::logHeld);
+      sessions.forEach(ClientSession::flushLog);
     }
-    waiting.clear();
+    unanswered.clear();
     sessions.forEach(
-        s -> {
-          keep(-s.length());
-          listener.giveUp(s);
+        session -> {
+          addQueuedBytes(-session.descriptionLength());
+          listener.abandon(session);
         });
     // Their viewer may not have read them: told again elsewhere, where that is still of use.
-    Moment unread = front().now().minus(MAY_BE_UNREAD);
-    told.forEach(
-        (id, t) -> {
-          if (!t.at().before(unread)) {
-            listener.release(id, t.cut(), null);
+    Moment oldestUnread = front().now().minus(MAX_RELEASE_READ_DELAY);
+    sentReleases.forEach(
+        (id, release) -> {
+          if (!release.sentAt().before(oldestUnread)) {
+            listener.sendRelease(id, release.interrupted(), null);
           }
         });
-    told.clear();
+    sentReleases.clear();
   }
 
   /** Logs every close by the front, and those under which something was open. */
-  private void logClose(String why) {
-    if (!waiting.isEmpty() || !setUps.isEmpty() || why.startsWith("by the front")) {
-      String open = ", " + waiting.size() + " open, " + setUps.size() + " not begun";
-      front().events().logFront(Kind.CLIENT_CONNECTION_CLOSED, socket.peer() + " " + why + open);
+  private void logClose(String reason) {
+    if (!unanswered.isEmpty() || !queuedRequests.isEmpty() || reason.startsWith("by the front")) {
+      String openRequests =
+          ", " + unanswered.size() + " open, " + queuedRequests.size() + " not begun";
+      front()
+          .events()
+          .logFront(Kind.CLIENT_CONNECTION_CLOSED, socket.peer() + " " + reason + openRequests);
     }
   }
 
   /* ---- what is owed here ---- */
 
-  void waits(ClientSession session) {
-    waiting.add(session);
-    idle.asked();
-    keep(session.length());
+  void addUnanswered(ClientSession session) {
+    unanswered.add(session);
+    idleState.asked();
+    addQueuedBytes(session.descriptionLength());
   }
 
   /** Its viewing plays from here on. */
-  void home(ClientSession session) {
-    session.home(this);
+  void setAsOriginOf(ClientSession session) {
+    session.origin(this);
   }
 
-  void answer(ClientSession session, byte[] message) {
-    unwait(session);
-    if (session.answerBy().before(front().now())) {
-      session.answeredLate(front().now().since(session.answerBy()));
+  void sendAnswer(ClientSession session, byte[] message) {
+    removeUnanswered(session);
+    if (session.answerDeadline().before(front().now())) {
+      session.logLateAnswer(front().now().since(session.answerDeadline()));
     }
     write(message);
-    viewers();
+    markUsedByClient();
   }
 
-  void unwait(ClientSession session) {
-    if (waiting.remove(session)) {
-      idle.settled(front().now());
-      keep(-session.length());
+  void removeUnanswered(ClientSession session) {
+    if (unanswered.remove(session)) {
+      idleState.settled(front().now());
+      addQueuedBytes(-session.descriptionLength());
     }
   }
 
   /** Tells that what played is over; false where it cannot be told here. */
-  boolean release(long id, boolean cut) {
-    if (!write(ViewerMessages.over(id, cut))) {
+  boolean sendRelease(long id, boolean interrupted) {
+    if (!write(ViewerMessages.over(id, interrupted))) {
       return false;
     }
     Moment now = front().now();
-    Iterator<Told> oldest = told.values().iterator();
-    while (oldest.hasNext()
-        && (oldest.next().at().plus(MAY_BE_UNREAD).before(now) || told.size() >= MOST_TOLD)) {
-      oldest.remove();
+    Iterator<SentRelease> releases = sentReleases.values().iterator();
+    while (releases.hasNext()
+        && (releases.next().sentAt().plus(MAX_RELEASE_READ_DELAY).before(now)
+            || sentReleases.size() >= MAX_SENT_RELEASES)) {
+      releases.remove();
     }
-    told.put(id, new Told(cut, now));
+    sentReleases.put(id, new SentRelease(interrupted, now));
     return true;
   }
 
@@ -468,7 +479,7 @@
       return false;
     }
     if (socket.isFull()) {
-      front().later(() -> close("the client does not read"));
+      front().defer(() -> close("the client does not read"));
       return false;
     }
     socket.write(message);
@@ -476,8 +487,12 @@
   }
 
   /** Nothing is open on it and nothing that has come waits here. */
-  boolean rests() {
-    return waiting.isEmpty() && setUps.isEmpty() && handOvers.isEmpty() && !goesOn && !paused;
+  boolean isIdle() {
+    return unanswered.isEmpty()
+        && queuedRequests.isEmpty()
+        && queuedHandOvers.isEmpty()
+        && !parseScheduled
+        && !paused;
   }
 
   /* ---- what its messages say ---- */
@@ -485,34 +500,34 @@
   @Override
   public void setUp(long id, SetUpForm form) {
     if (!closed || form.at() != null) {
-      listener.setUp(this, id, form);
+      listener.handleRequest(this, id, form);
     }
   }
 
   @Override
   public void ended(long id, int cause) {
-    listener.endedByViewer(id);
+    listener.endedByClient(id);
   }
 
   @Override
   public void test(long id) {
     if (write(ViewerMessages.tested(id))) {
-      idle.proven();
+      idleState.proven();
     }
   }
 
   @Override
-  public void unfit(long id, String why) {
-    listener.log("unfit set-up", socket.peer(), why);
+  public void unfit(long id, String reason) {
+    listener.warn("unfit set-up", socket.peer(), reason);
     write(ViewerMessages.unfit(id));
   }
 
   /** It is viewers': it has been answered, or a viewing that plays was handed over by it. */
-  void viewers() {
+  void markUsedByClient() {
     if (!closed) {
-      idle.proven();
-      viewers = true;
-      listener.viewers(this);
+      idleState.proven();
+      usedByClient = true;
+      listener.sendPendingReleases(this);
     }
   }
 }
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -20,83 +20,87 @@
  */
 final class ClientListener {
   /** Bytes that may wait for a viewer that does not read. */
-  static final int MOST_UNREAD = 64 * 1024;
+  static final int WRITE_BUFFER_BYTES = 64 * 1024;
 
   /**
    * Bytes of set-ups that wait on one connection, and on all; what passes it is turned away at
    * once.
    */
-  static final int MOST_KEPT = 48 * 1024;
+  static final int MAX_QUEUED_BYTES_PER_CONNECTION = 48 * 1024;
 
-  private static final int MOST_KEPT_IN_ALL = 4 * 1024 * 1024;
-  private static final long LONGEST_PATIENCE_MS = 600_000;
-  private static final Span SIGN = Span.ofMillis(2200);
-  private static final Span RELEASE_KEPT = Span.ofSeconds(8);
+  private static final int MAX_QUEUED_BYTES = 4 * 1024 * 1024;
+  private static final long MAX_TIME_LIMIT_MS = 600_000;
+  private static final Span FIRST_REQUEST_TIME_LIMIT = Span.ofMillis(2200);
+  private static final Span RELEASE_RETENTION = Span.ofSeconds(8);
 
   /** As many as the library's loop takes from the listener in one turn. */
-  private static final int TAKEN_A_TURN = 16;
+  private static final int ACCEPTS_PER_ITERATION = 16;
 
   /** As many as can stand at once. */
-  private static final int MOST_RELEASES = 8192;
+  private static final int MAX_PENDING_RELEASES = 8192;
 
-  private record Release(long id, boolean cut, Moment until) {}
+  private record PendingRelease(long id, boolean interrupted, Moment expiresAt) {}
 
   private final PlatformFront front;
-  private final IdleConnections idle;
+  private final IdleConnections idleConnections;
   private final AcceptBacklog backlog;
 
   /** Viewings by their ids on the wire; each leaves with its refusal or its end. */
-  private final Map<Long, ClientSession> seats = new HashMap<>();
+  private final Map<Long, ClientSession> sessions = new HashMap<>();
 
-  private final Set<ClientConnection> lines = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /**
    * Set-ups that have come and are not begun, by id; each leaves as it is begun, ended or dropped.
    */
-  private final Map<Long, ClientConnection> queued = new HashMap<>();
+  private final Map<Long, ClientConnection> queuedRequests = new HashMap<>();
 
-  private int kept;
-  private boolean makesPlace;
+  private int queuedBytes;
+  private boolean closingScheduled;
 
   /**
    * Ends that no connection was there for; bounded, and emptied by the next connection or by time.
    */
-  private final ArrayDeque<Release> releases = new ArrayDeque<>();
+  private final ArrayDeque<PendingRelease> pendingReleases = new ArrayDeque<>();
 
-  ClientListener(PlatformFront front, int places) {
+  ClientListener(PlatformFront front, int maxConnections) {
     this.front = front;
-    this.idle = new IdleConnections(new IdleConnections.Terms(places, SIGN));
-    this.backlog = new AcceptBacklog(TAKEN_A_TURN, front.now());
+    this.idleConnections =
+        new IdleConnections(new IdleConnections.Terms(maxConnections, FIRST_REQUEST_TIME_LIMIT));
+    this.backlog = new AcceptBacklog(ACCEPTS_PER_ITERATION, front.now());
   }
 
   PlatformFront front() {
     return front;
   }
 
-  int viewings() {
-    return seats.size();
+  int sessionCount() {
+    return sessions.size();
   }
 
   /** Ends that wait for a connection on which they can be told. */
-  int untold() {
-    return releases.size();
+  int pendingReleaseCount() {
+    return pendingReleases.size();
   }
 
-  int connections() {
-    return lines.size();
+  int connectionCount() {
+    return connections.size();
   }
 
-  void log(String kind, Object about, String detail) {
-    front.log(kind, about, detail);
+  void warn(String kind, Object subject, String detail) {
+    front.warn(kind, subject, detail);
   }
 
-  void arrived(Net.Connection socket) {
+  void accepted(Net.Connection socket) {
     backlog.taken();
-    ClientConnection line = new ClientConnection(this, socket, backlog.cameAfter());
-    lines.add(line);
-    line.idle(
-        idle.arrived(() -> line.close("idle, or its place is wanted"), line::rests, front.now()));
-    makePlace();
+    ClientConnection connection = new ClientConnection(this, socket, backlog.cameAfter());
+    connections.add(connection);
+    connection.setIdleState(
+        idleConnections.arrived(
+            () -> connection.close("idle, or its place is wanted"),
+            connection::isIdle,
+            front.now()));
+    closeExcessConnections();
   }
 
   /**
@@ -104,87 +108,87 @@
    * what everybody sent: a set-up that lies unread on a connection that seems to rest would be lost
    * with it.
    */
-  private void makePlace() {
-    if (!makesPlace && idle.isOver()) {
-      makesPlace = true;
-      front.later(
+  private void closeExcessConnections() {
+    if (!closingScheduled && idleConnections.isOver()) {
+      closingScheduled = true;
+      front.defer(
           () ->
-              front.whenRead(
+              front.runOnceCaughtUp(
                   () -> {
-                    makesPlace = false;
-                    if (idle.makePlace() > 0) {
-                      log("no place for a viewer", null, "");
+                    closingScheduled = false;
+                    if (idleConnections.makePlace() > 0) {
+                      warn("no place for a viewer", null, "");
                     }
                   }));
     }
   }
 
-  void left(ClientConnection line, IdleConnection one) {
-    lines.remove(line);
-    idle.left(one);
+  void connectionClosed(ClientConnection connection, IdleConnection idleState) {
+    connections.remove(connection);
+    idleConnections.left(idleState);
   }
 
-  void queued(long id, ClientConnection by) {
-    queued.putIfAbsent(id, by);
+  void requestQueued(long id, ClientConnection connection) {
+    queuedRequests.putIfAbsent(id, connection);
   }
 
-  void unqueued(long id, ClientConnection by) {
-    queued.remove(id, by);
+  void requestDequeued(long id, ClientConnection connection) {
+    queuedRequests.remove(id, connection);
   }
 
   /** The front ends: what became of every request that still waits is logged. */
-  void logWaiting() {
-    for (ClientSession seat : seats.values()) {
-      if (seat.asker() != null) {
-        seat.logHeld();
+  void logOpenRequests() {
+    for (ClientSession session : sessions.values()) {
+      if (session.requester() != null) {
+        session.flushLog();
       }
     }
   }
 
   /** The front ends: whatever waits for its turn is begun, on every connection. */
-  void beginAll() {
-    new LinkedHashSet<>(queued.values()).forEach(ClientConnection::beginAll);
+  void startAllQueued() {
+    new LinkedHashSet<>(queuedRequests.values()).forEach(ClientConnection::startAllQueued);
   }
 
-  void keeps(int more) {
-    kept += more;
+  void addQueuedBytes(int bytes) {
+    queuedBytes += bytes;
   }
 
-  boolean mayKeep(int more) {
-    return kept + more <= MOST_KEPT_IN_ALL;
+  boolean hasRoomFor(int bytes) {
+    return queuedBytes + bytes <= MAX_QUEUED_BYTES;
   }
 
   /** One is turned away before it is taken; returns when to come back. */
-  Span turnedAway() {
-    return front.desk().turnedAway();
+  Span recordRejection() {
+    return front.sessionManager().turnedAway();
   }
 
   /** The loop's beat. */
-  void beat(Moment now) {
+  void tick(Moment now) {
     backlog.beat(now);
   }
 
-  void look(Moment now) {
-    idle.look(now);
-    while (!releases.isEmpty() && releases.peek().until().before(now)) {
-      releases.poll();
+  void sweep(Moment now) {
+    idleConnections.look(now);
+    while (!pendingReleases.isEmpty() && pendingReleases.peek().expiresAt().before(now)) {
+      pendingReleases.poll();
     }
   }
 
   /* ---- what viewers say ---- */
 
-  void setUp(ClientConnection line, long id, SetUpForm form) {
-    int pack = front.briefing().packages().indexOf(form.pack());
-    int cells = front.briefing().headend().fleet().cells();
-    int rungs = front.briefing().headend().ladderKb().length;
-    boolean handedOver = form.at() != null;
-    if (pack < 0
-        || !within(form.firstCell(), cells)
-        || !within(form.cellsInRow(), cells + 1L)
-        || !within(form.ceiling(), rungs)
-        || handedOver && Texts.box(form.at()) < 0
-        || !handedOver && (form.leftMs() <= 0 || form.leftMs() > LONGEST_PATIENCE_MS)) {
-      line.unfit(
+  void handleRequest(ClientConnection connection, long id, SetUpForm form) {
+    int packageIndex = front.settings().packages().indexOf(form.pack());
+    int cellCount = front.settings().headend().fleet().cells();
+    int rungCount = front.settings().headend().ladderKb().length;
+    boolean isHandOver = form.at() != null;
+    if (packageIndex < 0
+        || !isAbsentOrBelow(form.firstCell(), cellCount)
+        || !isAbsentOrBelow(form.cellsInRow(), cellCount + 1L)
+        || !isAbsentOrBelow(form.ceiling(), rungCount)
+        || isHandOver && Texts.box(form.at()) < 0
+        || !isHandOver && (form.leftMs() <= 0 || form.leftMs() > MAX_TIME_LIMIT_MS)) {
+      connection.unfit(
           id,
           "unknown package or a figure out of range: "
               + form.pack()
@@ -200,89 +204,95 @@
               + form.at());
       return;
     }
-    ClientSession before = seats.get(id);
-    if (before != null) {
-      again(line, before, handedOver);
+    ClientSession existing = sessions.get(id);
+    if (existing != null) {
+      handleDuplicateId(connection, existing, isHandOver);
       return;
     }
-    PackageTerms terms = front.briefing().headend().packages().get(pack);
-    int ceiling = form.ceiling() < 0 ? terms.highestRung() : (int) form.ceiling();
-    var ask =
+    PackageTerms packageSettings = front.settings().headend().packages().get(packageIndex);
+    int ceiling = form.ceiling() < 0 ? packageSettings.highestRung() : (int) form.ceiling();
+    var request =
         new Held.Ask(
             form.title(),
             (int) Math.max(0, form.firstCell()),
             (int) Math.max(0, form.cellsInRow()),
-            pack,
-            terms,
+            packageIndex,
+            packageSettings,
             ceiling,
-            Span.ofMillis(Math.max(0, form.leftMs())).minus(line.lain()),
+            Span.ofMillis(Math.max(0, form.leftMs())).minus(connection.maxQueueingDelay()),
             null);
-    if (handedOver) {
-      line.viewers();
-      ClientSession seat = new ClientSession(this, id, form.pack(), null, null, front.now());
-      seats.put(id, seat);
-      line.home(seat);
-      seat.held(front.desk().handOver(ask, Texts.box(form.at()), seat));
-      if (seat.held() != null) {
-        front.boxes().stands(seat);
+    if (isHandOver) {
+      connection.markUsedByClient();
+      ClientSession session = new ClientSession(this, id, form.pack(), null, null, front.now());
+      sessions.put(id, session);
+      connection.setAsOriginOf(session);
+      session.session(front.sessionManager().handOver(request, Texts.box(form.at()), session));
+      if (session.session() != null) {
+        front.serverLinks().adopt(session);
       }
       return;
     }
-    ClientSession seat =
+    ClientSession session =
         new ClientSession(
-            this, id, form.pack(), form.description(), line, front.now().plus(ask.patience()));
-    seats.put(id, seat);
-    line.waits(seat);
-    Held held = front.desk().take(ask, seat);
-    seat.held(held);
+            this,
+            id,
+            form.pack(),
+            form.description(),
+            connection,
+            front.now().plus(request.patience()));
+    sessions.put(id, session);
+    connection.addUnanswered(session);
+    Held coreSession = front.sessionManager().take(request, session);
+    session.session(coreSession);
   }
 
-  private static boolean within(long figure, long below) {
-    return figure == SetUpForm.ABSENT || figure >= 0 && figure < below;
+  private static boolean isAbsentOrBelow(long value, long limit) {
+    return value == SetUpForm.ABSENT || value >= 0 && value < limit;
   }
 
   /**
    * An id that is in use: the viewing that has it is left alone, unless it came by the very same
    * connection.
    */
-  private void again(ClientConnection line, ClientSession before, boolean handedOver) {
-    if (handedOver) {
+  private void handleDuplicateId(
+      ClientConnection connection, ClientSession existing, boolean isHandOver) {
+    if (isHandOver) {
       return; // told of something held already
     }
-    if (before.asker() == line) {
-      line.close("two set-ups of one id");
+    if (existing.requester() == connection) {
+      connection.close("two set-ups of one id");
     } else {
-      line.unfit(before.id(), "the id of another viewing");
+      connection.unfit(existing.id(), "the id of another viewing");
     }
   }
 
-  void endedByViewer(long id) {
-    ClientConnection unbegun = queued.get(id);
-    if (unbegun != null) {
-      unbegun.endedUnbegun(id);
+  void endedByClient(long id) {
+    ClientConnection queuedOn = queuedRequests.get(id);
+    if (queuedOn != null) {
+      queuedOn.endedBeforeStart(id);
     }
-    ClientSession seat = seats.get(id);
-    if (seat != null) {
-      giveUp(seat);
+    ClientSession session = sessions.get(id);
+    if (session != null) {
+      abandon(session);
     }
   }
 
   /** Its viewer no longer waits for it, or no longer wants it. */
-  void giveUp(ClientSession seat) {
-    ClientConnection line = seat.asker();
-    if (line != null) {
-      line.unwait(seat);
+  void abandon(ClientSession session) {
+    ClientConnection connection = session.requester();
+    if (connection != null) {
+      connection.removeUnanswered(session);
     }
-    seat.unasked();
-    over(seat);
-    if (seat.held() != null) {
-      seat.held().viewerLeft();
+    session.clientLeft();
+    remove(session);
+    if (session.session() != null) {
+      session.session().viewerLeft();
     }
   }
 
   /** Nothing is owed for it any more. */
-  void over(ClientSession seat) {
-    seats.remove(seat.id(), seat);
+  void remove(ClientSession session) {
+    sessions.remove(session.id(), session);
   }
 
   /* ---- what viewers are told ---- */
@@ -291,25 +301,30 @@
    * A viewing that played is over: its viewer is told on its own connection, or else on any of a
    * viewer's.
    */
-  void release(long id, boolean cut, ClientConnection home) {
-    if (home != null && home.isOpen() && home.release(id, cut)) {
+  void sendRelease(long id, boolean interrupted, ClientConnection origin) {
+    if (origin != null && origin.isOpen() && origin.sendRelease(id, interrupted)) {
       return;
     }
-    for (ClientConnection l : lines) {
-      if (l != home && l.isOpen() && l.isViewers() && l.release(id, cut)) {
+    for (ClientConnection connection : connections) {
+      if (connection != origin
+          && connection.isOpen()
+          && connection.isUsedByClient()
+          && connection.sendRelease(id, interrupted)) {
         return;
       }
     }
-    if (releases.size() == MOST_RELEASES) {
-      releases.poll();
+    if (pendingReleases.size() == MAX_PENDING_RELEASES) {
+      pendingReleases.poll();
     }
-    releases.add(new Release(id, cut, front.now().plus(RELEASE_KEPT)));
+    pendingReleases.add(new PendingRelease(id, interrupted, front.now().plus(RELEASE_RETENTION)));
   }
 
   /** A connection has shown itself to be viewers': what waited for one is told on it. */
-  void viewers(ClientConnection line) {
-    while (!releases.isEmpty() && line.release(releases.peek().id(), releases.peek().cut())) {
-      releases.poll();
+  void sendPendingReleases(ClientConnection connection) {
+    while (!pendingReleases.isEmpty()
+        && connection.sendRelease(
+            pendingReleases.peek().id(), pendingReleases.peek().interrupted())) {
+      pendingReleases.poll();
     }
   }
 }
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -14,57 +14,61 @@
  * its answer is owed.
  */
 final class ClientSession implements Viewer {
-  private final ClientListener door;
+  private final ClientListener listener;
   private final long id;
-  private final String pack;
+  private final String packageName;
 
   /** What its boxes are told; null once it plays, as nobody is told it any more. */
   private String description;
 
   /** Null once the answer is given, or the viewer no longer waits. */
-  private ClientConnection asker;
+  private ClientConnection requester;
 
-  private final int length;
-  private Held held;
+  private final int descriptionLength;
+  private Held session;
 
   /** What the box answered; written to the viewer as it came. */
   private byte[] answer;
 
   /** The connection it came by, for its end; it may have closed. */
-  private ClientConnection home;
+  private ClientConnection origin;
 
   /** The connection that it was set up on, while it plays; null for one that was handed over. */
-  private ServerConnection wire;
+  private ServerConnection setUpConnection;
 
-  private ServerConnection lastUsed;
+  private ServerConnection lastUsedConnection;
 
   /** Until when its viewer waits. */
-  private final Moment answerBy;
+  private final Moment answerDeadline;
 
   private final RequestTrail trail;
 
   /** It plays, or has been handed over as playing. */
-  private boolean stands;
+  private boolean established;
 
   ClientSession(
-      ClientListener door,
+      ClientListener listener,
       long id,
-      String pack,
+      String packageName,
       String description,
-      ClientConnection asker,
-      Moment answerBy) {
-    this.door = door;
+      ClientConnection requester,
+      Moment answerDeadline) {
+    this.listener = listener;
     this.id = id;
-    this.pack = pack;
+    this.packageName = packageName;
     this.description = description;
-    this.length = description == null ? 0 : description.length();
-    this.asker = asker;
-    this.answerBy = answerBy;
-    this.trail = door.front().events().newTrail();
-    this.stands = description == null;
-    if (!stands) {
-      String asked = "class " + pack + ", " + answerBy.since(door.front().now()).micros() / 1000;
-      log(Kind.REQUEST_TAKEN, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, asked + " ms", false);
+    this.descriptionLength = description == null ? 0 : description.length();
+    this.requester = requester;
+    this.answerDeadline = answerDeadline;
+    this.trail = listener.front().events().newTrail();
+    this.established = description == null;
+    if (!established) {
+      String details =
+          "class "
+              + packageName
+              + ", "
+              + answerDeadline.since(listener.front().now()).micros() / 1000;
+      log(Kind.REQUEST_TAKEN, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, details + " ms", false);
     }
   }
 
@@ -73,7 +77,8 @@
   private void log(
       Kind kind, long server, int attempt, int connection, String reason, boolean notable) {
     trail.add(
-        door.front().events().requestEvent(kind, id, server, attempt, connection, reason), notable);
+        listener.front().events().requestEvent(kind, id, server, attempt, connection, reason),
+        notable);
   }
 
   private void log(Kind kind, String reason, boolean notable) {
@@ -81,46 +86,46 @@
   }
 
   /** Something happened to an attempt at that server. */
-  void logged(Kind kind, BoxTable.Entry server, int attempt, int connection, String reason) {
+  void logAttempt(Kind kind, BoxTable.Entry server, int attempt, int connection, String reason) {
     log(kind, server.id(), attempt, connection, reason, false);
   }
 
   /**
    * An attempt leaves by that connection; every one but the first is logged with what led to it.
    */
-  void attemptSent(int attempt, BoxTable.Entry server, int connection, Span wait) {
-    String waits = "waits " + wait.micros() / 1000 + " ms";
-    log(Kind.ATTEMPT_SENT, server.id(), attempt, connection, waits, attempt > 0);
+  void logAttemptSent(int attempt, BoxTable.Entry server, int connection, Span wait) {
+    String timeLeft = "waits " + wait.micros() / 1000 + " ms";
+    log(Kind.ATTEMPT_SENT, server.id(), attempt, connection, timeLeft, attempt > 0);
   }
 
   @Override
-  public void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {
-    boolean ordinary = how == Outside.Ending.FINISHED || how == Outside.Ending.WITHDRAWN;
-    Kind kind = stands ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
-    int connection = wire == null ? LogEvent.NONE : wire.number();
-    log(kind, server.id(), attempt, connection, how.name(), !ordinary);
+  public void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending outcome) {
+    boolean ordinary = outcome == Outside.Ending.FINISHED || outcome == Outside.Ending.WITHDRAWN;
+    Kind kind = established ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
+    int connection = setUpConnection == null ? LogEvent.NONE : setUpConnection.number();
+    log(kind, server.id(), attempt, connection, outcome.name(), !ordinary);
   }
 
   /** Logs what has happened so far, though nothing notable did. */
-  void logHeld() {
+  void flushLog() {
     trail.flush();
   }
 
   /** Its answer leaves after its time. */
-  void answeredLate(Span by) {
-    log(Kind.REQUEST_FAILED, "answered late by " + by.micros() / 1000 + " ms", true);
+  void logLateAnswer(Span lateness) {
+    log(Kind.REQUEST_FAILED, "answered late by " + lateness.micros() / 1000 + " ms", true);
   }
 
-  Moment answerBy() {
-    return answerBy;
+  Moment answerDeadline() {
+    return answerDeadline;
   }
 
   long id() {
     return id;
   }
 
-  String pack() {
-    return pack;
+  String packageName() {
+    return packageName;
   }
 
   String description() {
@@ -128,94 +133,94 @@
   }
 
   /** Of its description, in characters. */
-  int length() {
-    return length;
+  int descriptionLength() {
+    return descriptionLength;
   }
 
-  Held held() {
-    return held;
+  Held session() {
+    return session;
   }
 
-  void held(Held given) {
-    held = given;
+  void session(Held newSession) {
+    session = newSession;
   }
 
-  ClientConnection asker() {
-    return asker;
+  ClientConnection requester() {
+    return requester;
   }
 
   /** Its box answers; the description is kept until the core has said whether it plays. */
-  void answered(byte[] bytes) {
-    answer = bytes;
+  void setAnswer(byte[] message) {
+    answer = message;
   }
 
   /** Whoever asked no longer waits. */
-  void unasked() {
-    asker = null;
+  void clientLeft() {
+    requester = null;
     log(Kind.CLIENT_LEFT, "", false);
   }
 
   @Override
-  public void plays(Held vw) {
-    stands = true;
-    asker.home(this);
-    settle(ViewerMessages.plays(id, answer));
+  public void plays(Held startedSession) {
+    established = true;
+    requester.setAsOriginOf(this);
+    sendAnswer(ViewerMessages.plays(id, answer));
     answer = null;
     description = null;
     trail.discard();
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void blocked(Span retryAfter, Outside.Refusal reason) {
     log(Kind.REQUEST_REFUSED, reason.name(), true);
-    settle(ViewerMessages.blocked(id, comeBackAfter.micros() / 1000));
-    door.over(this);
+    sendAnswer(ViewerMessages.blocked(id, retryAfter.micros() / 1000));
+    listener.remove(this);
   }
 
   @Override
   public void aborted(Cause cause) {
     log(Kind.REQUEST_FAILED, cause.name(), true);
-    settle(ViewerMessages.aborted(id));
-    door.over(this);
+    sendAnswer(ViewerMessages.aborted(id));
+    listener.remove(this);
   }
 
-  private void settle(byte[] message) {
-    ClientConnection line = asker;
-    asker = null;
-    if (line != null) {
-      line.answer(this, message);
+  private void sendAnswer(byte[] message) {
+    ClientConnection connection = requester;
+    requester = null;
+    if (connection != null) {
+      connection.sendAnswer(this, message);
     }
   }
 
   @Override
-  public void ended(End how) {
-    door.over(this);
-    if (how != End.LEFT) {
-      door.release(id, how != End.OVER, home);
+  public void ended(End reason) {
+    listener.remove(this);
+    if (reason != End.LEFT) {
+      listener.sendRelease(id, reason != End.OVER, origin);
     }
   }
 
-  ServerConnection wire() {
-    return wire;
+  ServerConnection setUpConnection() {
+    return setUpConnection;
   }
 
-  void wire(ServerConnection by) {
-    wire = by;
+  void setUpConnection(ServerConnection connection) {
+    setUpConnection = connection;
   }
 
   /**
    * The connection that carries what is told to its server; null where none has yet, or it closed.
    */
-  ServerConnection lastUsed() {
-    return lastUsed;
+  ServerConnection lastUsedConnection() {
+    return lastUsedConnection;
   }
 
-  void lastUsed(ServerConnection by) {
-    lastUsed = by;
+  void lastUsedConnection(ServerConnection connection) {
+    lastUsedConnection = connection;
   }
 
-  void home(ClientConnection line) {
-    home = line;
+  void origin(ClientConnection connection) {
+    origin = connection;
   }
 
   @Override
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -25,14 +25,14 @@
  * may hold.
  */
 public record Configuration(
-    String listen,
-    String journal,
+    String listenAddress,
+    String journalAddress,
     long seed,
-    int descriptors,
-    Briefing briefing,
-    List<Piece> known) {
+    int descriptorLimit,
+    Briefing settings,
+    List<DiscoveryEvent> knownEvents) {
   /** One event of the box list. */
-  public record Piece(long number, boolean whole, List<Row> rows) {}
+  public record DiscoveryEvent(long number, boolean full, List<Row> rows) {}
 
   /** Reads and checks the whole file; throws with one line that says what is wrong with it. */
   static Configuration read(Path file) throws BadBriefing {
@@ -45,29 +45,29 @@
 
   /** The same of what stands in such a file. */
   public static Configuration read(byte[] text) throws BadBriefing {
-    try (JsonParser p = new JsonFactory().createParser(text)) {
-      JsonToken first = p.nextToken();
+    try (JsonParser parser = new JsonFactory().createParser(text)) {
+      JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT
-          || !(JsonTree.read(p, first) instanceof Map<?, ?> all)
-          || p.nextToken() != null) {
+          || !(JsonTree.read(parser, first) instanceof Map<?, ?> root)
+          || parser.nextToken() != null) {
         throw new BadBriefing("it should hold one object");
       }
-      if (!(all.get("settings") instanceof Map<?, ?> settings)
-          || !(all.get("limits") instanceof Map<?, ?> limits)
-          || !(all.get("known") instanceof Map<?, ?> known)) {
+      if (!(root.get("settings") instanceof Map<?, ?> settingsObject)
+          || !(root.get("limits") instanceof Map<?, ?> limitsObject)
+          || !(root.get("known") instanceof Map<?, ?> knownObject)) {
         throw new BadBriefing("'settings', 'limits' and 'known' should be objects");
       }
-      Briefing briefing = Briefing.read(settings);
-      if (briefing.packages().isEmpty() || briefing.headend().ladderKb().length == 0) {
+      Briefing settings = Briefing.read(settingsObject);
+      if (settings.packages().isEmpty() || settings.headend().ladderKb().length == 0) {
         throw new BadBriefing("'settings' name no packages or no ladder");
       }
       return new Configuration(
-          address(all, "listen"),
-          address(all, "journal"),
-          seed(all.get("seed")),
-          (int) whole(limits, "sockets", 1024),
-          briefing,
-          known(known, briefing));
+          requireAddress(root, "listen"),
+          requireAddress(root, "journal"),
+          parseSeed(root.get("seed")),
+          (int) wholeNumber(limitsObject, "sockets", 1024),
+          settings,
+          parseKnownEvents(knownObject, settings));
     } catch (JsonProcessingException e) {
       throw new BadBriefing("it is no JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
@@ -75,7 +75,7 @@
     }
   }
 
-  private static String address(Map<?, ?> from, String key) throws BadBriefing {
+  private static String requireAddress(Map<?, ?> from, String key) throws BadBriefing {
     if (from.get(key) instanceof String s && port(s) > 0 && !host(s).isEmpty()) {
       return s;
     }
@@ -92,10 +92,10 @@
     return port > 0 && port < 65536 ? (int) port : -1;
   }
 
-  private static long seed(Object given) throws BadBriefing {
-    if (given instanceof String s) {
+  private static long parseSeed(Object value) throws BadBriefing {
+    if (value instanceof String text) {
       try {
-        return Long.parseUnsignedLong(s, 16);
+        return Long.parseUnsignedLong(text, 16);
       } catch (NumberFormatException e) {
         // said below
       }
@@ -103,60 +103,64 @@
     throw new BadBriefing("'seed' should be up to 16 hex digits");
   }
 
-  private static long whole(Map<?, ?> from, String key, long absent) throws BadBriefing {
-    Object v = from.get(key);
-    if (v == null) {
-      return absent;
+  private static long wholeNumber(Map<?, ?> from, String key, long defaultValue)
+      throws BadBriefing {
+    Object value = from.get(key);
+    if (value == null) {
+      return defaultValue;
     }
-    if (v instanceof Double d && d == Math.rint(d)) {
-      return d.longValue();
+    if (value instanceof Double number && number == Math.rint(number)) {
+      return number.longValue();
     }
     throw new BadBriefing("'" + key + "' should be a whole number");
   }
 
-  private static List<Piece> known(Map<?, ?> known, Briefing briefing) throws BadBriefing {
-    List<Piece> pieces = new ArrayList<>();
-    if (known.get("entries") instanceof List<?> entries) {
-      for (Object one : entries) {
-        if (!(one instanceof Map<?, ?> entry)
+  private static List<DiscoveryEvent> parseKnownEvents(Map<?, ?> knownObject, Briefing settings)
+      throws BadBriefing {
+    List<DiscoveryEvent> events = new ArrayList<>();
+    if (knownObject.get("entries") instanceof List<?> entries) {
+      for (Object item : entries) {
+        if (!(item instanceof Map<?, ?> entry)
             || !(entry.get("hosts") instanceof Map<?, ?> hosts)
             || !(hosts.get("targets") instanceof List<?> targets)) {
           throw new BadBriefing("an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
         }
         List<Row> rows = new ArrayList<>();
-        for (Object t : targets) {
-          rows.add(row(t, briefing));
+        for (Object target : targets) {
+          rows.add(parseRow(target, settings));
         }
-        pieces.add(new Piece(whole(entry, "pos", 0), Boolean.TRUE.equals(hosts.get("all")), rows));
+        events.add(
+            new DiscoveryEvent(
+                wholeNumber(entry, "pos", 0), Boolean.TRUE.equals(hosts.get("all")), rows));
       }
     }
-    return pieces;
+    return events;
   }
 
-  private static Row row(Object target, Briefing briefing) throws BadBriefing {
-    if (!(target instanceof Map<?, ?> t)
-        || !(t.get("uid") instanceof String uid)
+  private static Row parseRow(Object item, Briefing settings) throws BadBriefing {
+    if (!(item instanceof Map<?, ?> target)
+        || !(target.get("uid") instanceof String uid)
         || Texts.box(uid) < 0) {
       throw new BadBriefing("a box of 'known' should be an object with 'uid'");
     }
     BoxTable.State state =
-        switch (String.valueOf(t.get("state"))) {
+        switch (String.valueOf(target.get("state"))) {
           case "up" -> BoxTable.State.SERVING;
           case "draining" -> BoxTable.State.DRAINING;
           case "removed" -> BoxTable.State.GONE;
           default -> throw new BadBriefing("box " + uid + " is in no known state");
         };
-    Moment started = JournalFrames.startedAt(whole(t, "boot_ms", 0));
-    String address = t.get("endpoint") instanceof String s ? s : null;
-    double weight = t.get("capacity_hint") instanceof Double d ? d : 1;
+    Moment startedAt = JournalFrames.startedAt(wholeNumber(target, "boot_ms", 0));
+    String address = target.get("endpoint") instanceof String text ? text : null;
+    double weight = target.get("capacity_hint") instanceof Double number ? number : 1;
     return new Row(
         Texts.box(uid),
         address,
         weight,
-        (int) whole(t, "pod_group", 0),
-        Math.max(0, briefing.kinds().indexOf(t.get("model"))),
+        (int) wholeNumber(target, "pod_group", 0),
+        Math.max(0, settings.kinds().indexOf(target.get("model"))),
         state,
-        Math.max(0, briefing.buildings().indexOf(t.get("az"))),
-        started);
+        Math.max(0, settings.buildings().indexOf(target.get("az"))),
+        startedAt);
   }
 }
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -17,126 +17,127 @@
  * one moment.
  */
 final class DiscoveryWatch {
-  private static final Span SILENCE = Span.ofMillis(2200);
-  private static final Span FIRST_PAUSE = Span.ofMillis(50);
-  private static final int MOST_UNREAD = 1024;
+  private static final Span SILENCE_LIMIT = Span.ofMillis(2200);
+  private static final Span MIN_BACKOFF = Span.ofMillis(50);
+  private static final int WRITE_BUFFER_BYTES = 1024;
 
   /** Tells this source of chance from the module's, which has the same seed. */
-  private static final long SALT = 0x6c697374L;
+  private static final long BACKOFF_SEED_SALT = 0x6c697374L;
 
-  private static final Span LONGEST_PAUSE = Span.ofMillis(800);
+  private static final Span MAX_BACKOFF = Span.ofMillis(800);
 
   private final PlatformFront front;
   private String address;
-  private long last;
+  private long lastEventNumber;
   private Net.Connection socket;
 
   /** Counts connections tried: what an earlier one still says is passed over. */
-  private int turn;
+  private int currentGeneration;
 
   private Moment connectedAt;
 
   /** When the last whole frame came: what drips and never ends is no sign of life. */
-  private Moment heardAt;
+  private Moment lastFrameAt;
 
-  private final Backoff pauses;
+  private final Backoff backoff;
 
   DiscoveryWatch(PlatformFront front, String address, long seed) {
     this.front = front;
     this.address = address;
-    this.pauses = new Backoff(FIRST_PAUSE, LONGEST_PAUSE, new SplittableRandom(seed ^ SALT));
+    this.backoff =
+        new Backoff(MIN_BACKOFF, MAX_BACKOFF, new SplittableRandom(seed ^ BACKOFF_SEED_SALT));
   }
 
   /** An event that was known at the start. */
-  void known(Configuration.Piece piece) {
-    event(piece.number(), piece.whole(), piece.rows());
+  void applyKnown(Configuration.DiscoveryEvent event) {
+    apply(event.number(), event.full(), event.rows());
   }
 
   /** The service has moved; the numbers go on. */
-  void moved(String to) {
-    if (!to.equals(address)) {
-      log("moved from " + address + " to " + to);
-      address = to;
-      pauses.reset();
+  void changeAddress(String newAddress) {
+    if (!newAddress.equals(address)) {
+      log("moved from " + address + " to " + newAddress);
+      address = newAddress;
+      backoff.reset();
       connect();
     }
   }
 
   void connect() {
-    int mine = ++turn;
+    int generation = ++currentGeneration;
     if (socket != null) {
       socket.close();
       socket = null;
     }
-    heardAt = front.now();
+    lastFrameAt = front.now();
     front.connect(
         address,
-        MOST_UNREAD,
+        WRITE_BUFFER_BYTES,
         new Net.ConnectHandler() {
           @Override
           public void connected(Net.Connection connection) {
-            if (mine == turn) {
-              follow(connection, mine);
+            if (generation == currentGeneration) {
+              subscribe(connection, generation);
             } else {
               connection.close();
             }
           }
 
           @Override
-          public void failed(boolean refused, String why) {
-            broke(mine, "not reached: " + why);
+          public void failed(boolean refused, String reason) {
+            disconnected(generation, "not reached: " + reason);
           }
         });
   }
 
-  private void follow(Net.Connection s, int mine) {
-    socket = s;
+  private void subscribe(Net.Connection connection, int generation) {
+    socket = connection;
     connectedAt = front.now();
-    heardAt = connectedAt;
-    log("connected to " + address + ", asks from " + last);
+    lastFrameAt = connectedAt;
+    log("connected to " + address + ", asks from " + lastEventNumber);
     JournalFrames frames =
         new JournalFrames(
-            (number, whole, rows) -> {
-              if (mine == turn) {
-                event(number, whole, rows);
+            (number, full, rows) -> {
+              if (generation == currentGeneration) {
+                apply(number, full, rows);
               }
             });
-    s.setHandlers(
+    connection.setHandlers(
         data ->
-            front.onEvent(
+            front.handleEvent(
                 () -> {
-                  if (mine == turn) {
+                  if (generation == currentGeneration) {
                     try {
                       if (frames.feed(data) > 0) {
-                        heardAt = front.now();
-                        if (LONGEST_PAUSE.under(heardAt.since(connectedAt))) {
-                          pauses.reset();
+                        lastFrameAt = front.now();
+                        if (MAX_BACKOFF.under(lastFrameAt.since(connectedAt))) {
+                          backoff.reset();
                         }
                       }
                     } catch (BadMessage e) {
-                      broke(mine, e.getMessage());
+                      disconnected(generation, e.getMessage());
                     }
                   }
                 }),
-        () -> front.onEvent(() -> broke(mine, "closed")));
-    s.write(JournalFrames.from(last));
+        () -> front.handleEvent(() -> disconnected(generation, "closed")));
+    connection.write(JournalFrames.from(lastEventNumber));
   }
 
-  private void broke(int mine, String why) {
-    if (mine != turn) {
+  private void disconnected(int generation, String reason) {
+    if (generation != currentGeneration) {
       return;
     }
-    front.log("discovery broke off", address, why);
-    log("closed: " + why);
-    turn++;
+    front.warn("discovery broke off", address, reason);
+    log("closed: " + reason);
+    currentGeneration++;
     if (socket != null) {
       socket.close();
       socket = null;
     }
-    front.after(
-        pauses.next(),
+    front.schedule(
+        backoff.next(),
         () -> {
-          if (mine + 1 == turn) {
+          if (generation + 1 == currentGeneration) {
             connect();
           }
         });
@@ -146,9 +147,9 @@
     front.events().logFront(Kind.DISCOVERY, reason);
   }
 
-  private void logEvent(long number, boolean whole, List<Row> rows) {
-    log("event " + number + (whole ? ", whole list of " : ", changes: ") + rows.size());
-    if (!whole) {
+  private void logEvent(long number, boolean full, List<Row> rows) {
+    log("event " + number + (full ? ", whole list of " : ", changes: ") + rows.size());
+    if (!full) {
       for (Row row : rows) {
         front.events().logServer(Kind.SERVER_STATE, row.id(), row.state().name());
       }
@@ -156,29 +157,29 @@
   }
 
   /** To be called some times a second. */
-  void look(Moment now) {
-    if (socket != null && SILENCE.under(now.since(heardAt)) && !front.isBehind()) {
-      front.log("discovery silent", address, "");
+  void checkSilence(Moment now) {
+    if (socket != null && SILENCE_LIMIT.under(now.since(lastFrameAt)) && !front.isBehind()) {
+      front.warn("discovery silent", address, "");
       log("closed: silent");
       connect();
     }
   }
 
-  private void event(long number, boolean whole, List<Row> rows) {
-    if (number <= last) {
+  private void apply(long number, boolean full, List<Row> rows) {
+    if (number <= lastEventNumber) {
       return; // told before
     }
-    if (!whole && number != last + 1) {
-      broke(turn, "skipped from " + last + " to " + number);
+    if (!full && number != lastEventNumber + 1) {
+      disconnected(currentGeneration, "skipped from " + lastEventNumber + " to " + number);
       return;
     }
-    last = number;
-    logEvent(number, whole, rows);
-    if (whole) {
-      front.desk().listed(number, rows);
+    lastEventNumber = number;
+    logEvent(number, full, rows);
+    if (full) {
+      front.sessionManager().listed(number, rows);
     } else {
-      front.desk().listChanged(number - 1, number, rows);
+      front.sessionManager().listChanged(number - 1, number, rows);
     }
-    front.boxes().listed();
+    front.serverLinks().discoveryUpdated();
   }
 }
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -19,7 +19,7 @@
   /** Does not apply. */
   public static final int NONE = -1;
 
-  private static final long MICROS = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** What happened. */
   public enum Kind {
@@ -47,8 +47,8 @@
   public String line() {
     StringBuilder line = new StringBuilder(128);
     line.append("event=").append(kind.name().toLowerCase(Locale.ROOT).replace('_', '-'));
-    line.append(" at=").append(at.micros() / MICROS).append('.');
-    line.append(Long.toString(MICROS + at.micros() % MICROS), 1, 7);
+    line.append(" at=").append(at.micros() / MICROS_PER_SECOND).append('.');
+    line.append(Long.toString(MICROS_PER_SECOND + at.micros() % MICROS_PER_SECOND), 1, 7);
     if (request != NONE) {
       line.append(" request=").append(Texts.id(request));
     }
--- a/src/main/java/linengauge/platform/Net.java
+++ b/src/main/java/linengauge/platform/Net.java
@@ -16,7 +16,7 @@
     /**
      * Whoever hears it from here on; the second is told once, as it has closed, whoever closed it.
      */
-    void setHandlers(Consumer<byte[]> data, Runnable closed);
+    void setHandlers(Consumer<byte[]> dataHandler, Runnable closeHandler);
 
     void write(byte[] message);
 
@@ -39,7 +39,7 @@
     void connected(Connection connection);
 
     /** Refused: nothing listens there. Else it did not come up in its time, or is not to be had. */
-    void failed(boolean refused, String why);
+    void failed(boolean refused, String reason);
   }
 
   /**
@@ -47,11 +47,11 @@
    * not taken.
    */
   interface AcceptHandler {
-    void listening(String failed);
+    void listening(String failure);
 
     void accepted(Connection connection);
 
-    void acceptFailed(String why);
+    void acceptFailed(String reason);
   }
 
   Moment now();
@@ -60,25 +60,25 @@
    * Tries a connection to host:port, no longer than the dialling time; so many bytes may wait on
    * it.
    */
-  void connect(String address, int mostUnread, ConnectHandler then);
+  void connect(String address, int writeBufferBytes, ConnectHandler handler);
 
   /** Listens at host:port; so many bytes may wait on each connection. */
-  void listen(String address, int mostUnread, AcceptHandler listener);
+  void listen(String address, int writeBufferBytes, AcceptHandler listener);
 
   /** Runs the step once, not earlier than after the span. */
-  Wake schedule(Span span, Runnable step);
+  Wake schedule(Span delay, Runnable task);
 
   /** Runs the step again and again, so far apart. */
-  void scheduleEvery(Span span, Runnable step);
+  void scheduleEvery(Span interval, Runnable task);
 
   /**
    * Runs the step as soon as what is under way is over, and what has come with it has been read.
    */
-  void defer(Runnable step);
+  void defer(Runnable task);
 
   /**
    * Runs the step once all that has been written so far has left the process, or cannot any more;
    * and after the span at the latest, whoever does not read.
    */
-  void whenFlushed(Span atMost, Runnable step);
+  void whenFlushed(Span timeLimit, Runnable task);
 }
--- a/src/main/java/linengauge/platform/OneLoopTransport.java
+++ b/src/main/java/linengauge/platform/OneLoopTransport.java
@@ -13,14 +13,14 @@
  * system's backlog.
  */
 final class OneLoopTransport extends NioTransport implements io.vertx.core.transport.Transport {
-  private EventLoopGroup only;
+  private EventLoopGroup group;
 
   @Override
   public EventLoopGroup eventLoopGroup(int type, int threads, ThreadFactory factory, int ioRatio) {
-    if (only == null) {
-      only = super.eventLoopGroup(type, 1, factory, ioRatio);
+    if (group == null) {
+      group = super.eventLoopGroup(type, 1, factory, ioRatio);
     }
-    return only;
+    return group;
   }
 
   @Override
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -14,54 +14,54 @@
 /**
  * A front in the operators' platform (docs/protocol/platform.md): viewers, boxes, the journal
  * service and the core, all of them carried by one {@link Net}. Whatever comes from outside enters
- * by {@link #onEvent}, which tells the core the time.
+ * by {@link #handleEvent}, which tells the core the time.
  */
 public final class PlatformFront {
-  private static final Span SWEEP = Span.ofMillis(200);
-  private static final Span TICK = Span.ofMillis(20);
+  private static final Span SWEEP_INTERVAL = Span.ofMillis(200);
+  private static final Span TICK_INTERVAL = Span.ofMillis(20);
 
   /** A turn of the loop so long is told. */
-  private static final Span STOOD_STILL = Span.ofMillis(200);
+  private static final Span LOGGED_PAUSE = Span.ofMillis(200);
 
-  private static final Span STILL_COMING = Span.ofMillis(750);
-  private static final Span LONGEST_STOP = Span.ofSeconds(3);
-  private static final Span BEFORE_KILL = Span.ofMillis(500);
+  private static final Span ACCEPT_AFTER_STOP = Span.ofMillis(750);
+  private static final Span MAX_STOP_TIME_LIMIT = Span.ofSeconds(3);
+  private static final Span STOP_AFTER_TIME_LIMIT = Span.ofMillis(500);
 
   /**
    * For its last words to leave, at the most; with what follows less than is left until it could be
    * killed.
    */
-  private static final Span LAST_WORDS = Span.ofMillis(90);
+  private static final Span FLUSH_TIME_LIMIT = Span.ofMillis(90);
 
   /**
    * For peers to read them. Guards against the process's end over bytes that peers have sent
    * meanwhile: the system resets such a connection, and what the peer has not read is lost with it.
    */
-  private static final Span AFTER_LAST_WORD = Span.ofMillis(60);
+  private static final Span LINGER_TIME = Span.ofMillis(60);
 
   /** What the platform allows for two words that cross. */
-  private static final Span CROSSING = Span.ofMillis(50);
+  private static final Span MAX_CROSSING_TIME = Span.ofMillis(50);
 
   /** What may run in one turn of what waits, and the next one. */
-  private static final Span TURN = Span.ofMillis(10);
+  private static final Span MAX_BATCH_TIME = Span.ofMillis(10);
 
-  private static final Span NEXT_TURN = Span.ofMillis(1);
-  private static final Span COME_BACK = Span.ofMillis(600);
-  private static final int MOST_VIEWINGS = 8000;
+  private static final Span NEXT_ITERATION_DELAY = Span.ofMillis(1);
+  private static final Span RETRY_AFTER = Span.ofMillis(600);
+  private static final int MAX_SESSIONS = 8000;
 
   /** Where it tells what operators should know. */
   public interface Observer {
     /** Something that may come by the thousand: what kind, of whom, and more. */
-    void warn(String kind, Object about, String detail);
+    void warn(String kind, Object subject, String detail);
 
     /** Something that comes seldom. */
-    void info(String line);
+    void info(String message);
 
     /** Something that happened to a request, a connection or a server; may come by the thousand. */
     default void event(LogEvent event) {}
 
     /** It has ended: in order (empty, null), or by a failure, which is named. */
-    void stopped(String failed, RuntimeException cause);
+    void stopped(String failure, RuntimeException cause);
   }
 
   /** How full its tables are. */
@@ -75,159 +75,162 @@
       int serverConnections,
       int titles) {}
 
-  private final Configuration posting;
+  private final Configuration configuration;
   private final Net net;
-  private final Observer told;
+  private final Observer observer;
   private final EventLoopLag lag;
   private final EventLog events;
-  private final ServerLinks boxes;
-  private final ClientListener door;
-  private final Desk desk;
-  private final DiscoveryWatch journal;
+  private final ServerLinks serverLinks;
+  private final ClientListener clientListener;
+  private final Desk sessionManager;
+  private final DiscoveryWatch discoveryWatch;
 
   /** What waits until the loop has read what may have come meanwhile; the next turns empty it. */
-  private final ArrayDeque<Unread> unread = new ArrayDeque<>();
+  private final ArrayDeque<DeferredTask> deferredTasks = new ArrayDeque<>();
 
   private Moment now;
   private boolean stopping;
 
   /** Turns in which something waited there. */
-  private long turns;
+  private long iterations;
 
-  private boolean turnComes;
+  private boolean iterationScheduled;
 
-  private record Unread(long turn, Moment since, Runnable deed) {}
+  private record DeferredTask(long iteration, Moment addedAt, Runnable task) {}
 
   /** To be made and used where the net's calls run. */
-  public PlatformFront(Configuration posting, Net net, Observer told) {
-    this.posting = posting;
+  public PlatformFront(Configuration configuration, Net net, Observer observer) {
+    this.configuration = configuration;
     this.net = net;
-    this.told = told;
+    this.observer = observer;
     this.now = net.now();
-    this.lag = new EventLoopLag(CROSSING, now);
-    this.events = new EventLog(this::now, told::event);
-    DescriptorBudget places = DescriptorBudget.of(posting.descriptors());
-    this.boxes = new ServerLinks(this, places.boxes());
-    this.door = new ClientListener(this, places.viewers());
+    this.lag = new EventLoopLag(MAX_CROSSING_TIME, now);
+    this.events = new EventLog(this::now, observer::event);
+    DescriptorBudget budget = DescriptorBudget.of(configuration.descriptorLimit());
+    this.serverLinks = new ServerLinks(this, budget.boxes());
+    this.clientListener = new ClientListener(this, budget.viewers());
     // No idle bound; and no stand-still of the core's own noticing: each request says how long it
     // may have lain.
-    var bounds =
+    var limits =
         new Desk.Bounds(
-            MOST_VIEWINGS,
+            MAX_SESSIONS,
             Span.NONE,
-            COME_BACK.orLess(posting.briefing().headend().permits().longestAdvice()),
+            RETRY_AFTER.orLess(configuration.settings().headend().permits().longestAdvice()),
             Span.ofMillis(500),
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
-    this.desk =
+    this.sessionManager =
         new Desk(
-            posting.briefing().headend(),
-            bounds,
-            posting.seed(),
+            configuration.settings().headend(),
+            limits,
+            configuration.seed(),
             Long.toString(now.micros(), 36),
-            boxes);
-    this.journal = new DiscoveryWatch(this, posting.journal(), posting.seed());
+            serverLinks);
+    this.discoveryWatch =
+        new DiscoveryWatch(this, configuration.journalAddress(), configuration.seed());
   }
 
   /** Begins to serve; the outcome is told once: null, or why it cannot. */
   public void start(Consumer<String> outcome) {
-    desk.clock(now);
-    posting.known().forEach(journal::known);
-    journal.connect();
+    sessionManager.clock(now);
+    configuration.knownEvents().forEach(discoveryWatch::applyKnown);
+    discoveryWatch.connect();
     net.scheduleEvery(
-        TICK,
+        TICK_INTERVAL,
         () -> {
           now = net.now();
-          Span since = lag.beat(now);
-          door.beat(now);
-          if (STOOD_STILL.under(since)) {
-            log("stood still", since.micros() / 1000 + " ms", "");
+          Span sinceLastTick = lag.beat(now);
+          clientListener.tick(now);
+          if (LOGGED_PAUSE.under(sinceLastTick)) {
+            warn("stood still", sinceLastTick.micros() / 1000 + " ms", "");
           }
         });
     net.scheduleEvery(
-        SWEEP,
+        SWEEP_INTERVAL,
         () ->
-            onEvent(
+            handleEvent(
                 () -> {
-                  door.look(now);
-                  boxes.look();
-                  journal.look(now);
+                  clientListener.sweep(now);
+                  serverLinks.sweep();
+                  discoveryWatch.checkSilence(now);
                 }));
     net.listen(
-        posting.listen(),
-        ClientListener.MOST_UNREAD,
+        configuration.listenAddress(),
+        ClientListener.WRITE_BUFFER_BYTES,
         new Net.AcceptHandler() {
           @Override
-          public void listening(String failed) {
-            if (failed == null) {
-              told.info(
+          public void listening(String failure) {
+            if (failure == null) {
+              observer.info(
                   "serving on "
-                      + posting.listen()
+                      + configuration.listenAddress()
                       + " with "
-                      + desk.boxes().size()
+                      + sessionManager.boxes().size()
                       + " boxes known");
             }
             outcome.accept(
-                failed == null ? null : "cannot listen on " + posting.listen() + ": " + failed);
+                failure == null
+                    ? null
+                    : "cannot listen on " + configuration.listenAddress() + ": " + failure);
           }
 
           @Override
           public void accepted(Net.Connection connection) {
-            onEvent(() -> door.arrived(connection));
+            handleEvent(() -> clientListener.accepted(connection));
           }
 
           @Override
-          public void acceptFailed(String why) {
-            log("connection not taken", null, why);
+          public void acceptFailed(String reason) {
+            warn("connection not taken", null, reason);
           }
         });
   }
 
   /** Anything that comes from outside: the core is told the time, then it runs. */
-  void onEvent(Runnable deed) {
-    tick();
-    deed.run();
+  void handleEvent(Runnable task) {
+    updateClock();
+    task.run();
   }
 
   /**
    * The time anew, for each message of a piece that was read: the process may have been held up in
    * its midst, and a yes must not leave after the viewer's patience.
    */
-  void tick() {
+  void updateClock() {
     now = net.now();
-    desk.clock(now);
+    sessionManager.clock(now);
   }
 
   /** Tries a connection; what comes of it enters as an event of its own. */
-  void connect(String address, int mostUnread, Net.ConnectHandler then) {
+  void connect(String address, int writeBufferBytes, Net.ConnectHandler handler) {
     net.connect(
         address,
-        mostUnread,
+        writeBufferBytes,
         new Net.ConnectHandler() {
           @Override
           public void connected(Net.Connection connection) {
-            onEvent(() -> then.connected(connection));
+            handleEvent(() -> handler.connected(connection));
           }
 
           @Override
-          public void failed(boolean refused, String why) {
-            onEvent(() -> then.failed(refused, why));
+          public void failed(boolean refused, String reason) {
+            handleEvent(() -> handler.failed(refused, reason));
           }
         });
   }
 
   /** Runs it as an event of its own, once the present one is over. */
-  void later(Runnable deed) {
-    net.defer(() -> onEvent(deed));
+  void defer(Runnable task) {
+    net.defer(() -> handleEvent(task));
   }
 
   /** Runs it once, after the span and never within the present event. */
-  Wake after(Span span, Runnable deed) {
-    return net.schedule(span, () -> onEvent(deed));
+  Wake schedule(Span delay, Runnable task) {
+    return net.schedule(delay, () -> handleEvent(task));
   }
 
   /** How long what is read now may have lain unread. */
-  Span unread() {
+  Span maxReadDelay() {
     return lag.unread(now);
   }
 
@@ -244,36 +247,36 @@
    * could hurt by those turns where nothing had come; where they are long, one reading after 50 ms
    * must do.
    */
-  void whenRead(Runnable deed) {
-    if (unread.isEmpty() && !isBehind()) {
-      deed.run();
+  void runOnceCaughtUp(Runnable task) {
+    if (deferredTasks.isEmpty() && !isBehind()) {
+      task.run();
     } else {
-      unread.add(new Unread(turns, net.now(), deed));
-      turnForUnread();
+      deferredTasks.add(new DeferredTask(iterations, net.now(), task));
+      scheduleDeferredTasks();
     }
   }
 
-  private void turnForUnread() {
-    if (!turnComes) {
-      turnComes = true;
+  private void scheduleDeferredTasks() {
+    if (!iterationScheduled) {
+      iterationScheduled = true;
       net.schedule(
-          NEXT_TURN,
-          this::runUnread); // by a timer: what is merely put off runs before the loop reads
+          NEXT_ITERATION_DELAY,
+          this::runDeferredTasks); // by a timer: what is merely put off runs before the loop reads
     }
   }
 
-  private void runUnread() {
-    turnComes = false;
-    turns++;
-    Moment begun = net.now();
-    while (!unread.isEmpty()
-        && net.now().before(begun.plus(TURN))
-        && (unread.peek().turn() + EventLoopLag.READS <= turns
-            || !begun.before(unread.peek().since().plus(CROSSING)))) {
-      onEvent(unread.poll().deed());
+  private void runDeferredTasks() {
+    iterationScheduled = false;
+    iterations++;
+    Moment startedAt = net.now();
+    while (!deferredTasks.isEmpty()
+        && net.now().before(startedAt.plus(MAX_BATCH_TIME))
+        && (deferredTasks.peek().iteration() + EventLoopLag.READS <= iterations
+            || !startedAt.before(deferredTasks.peek().addedAt().plus(MAX_CROSSING_TIME)))) {
+      handleEvent(deferredTasks.poll().task());
     }
-    if (!unread.isEmpty()) {
-      turnForUnread();
+    if (!deferredTasks.isEmpty()) {
+      scheduleDeferredTasks();
     }
   }
 
@@ -289,45 +292,45 @@
     return now;
   }
 
-  Desk desk() {
-    return desk;
+  Desk sessionManager() {
+    return sessionManager;
   }
 
-  ServerLinks boxes() {
-    return boxes;
+  ServerLinks serverLinks() {
+    return serverLinks;
   }
 
-  ClientListener door() {
-    return door;
+  ClientListener clientListener() {
+    return clientListener;
   }
 
-  Briefing briefing() {
-    return posting.briefing();
+  Briefing settings() {
+    return configuration.settings();
   }
 
-  void log(String kind, Object about, String detail) {
-    told.warn(kind, about, detail);
+  void warn(String kind, Object subject, String detail) {
+    observer.warn(kind, subject, detail);
   }
 
   void failed(RuntimeException cause) {
-    told.stopped("the module failed: " + cause, cause);
+    observer.stopped("the module failed: " + cause, cause);
   }
 
   public TableSizes tableSizes() {
     return new TableSizes(
-        desk.viewings(),
-        door.viewings(),
-        door.connections(),
-        door.untold(),
-        desk.boxes().size(),
-        boxes.linked(),
-        boxes.connections(),
-        desk.titlesHeld());
+        sessionManager.viewings(),
+        clientListener.sessionCount(),
+        clientListener.connectionCount(),
+        clientListener.pendingReleaseCount(),
+        sessionManager.boxes().size(),
+        serverLinks.linkCount(),
+        serverLinks.connectionCount(),
+        sessionManager.titlesHeld());
   }
 
   /** A new configuration: of it the address of the journal service counts. */
-  public void reconfigure(Configuration anew) {
-    onEvent(() -> journal.moved(anew.journal()));
+  public void reconfigure(Configuration updated) {
+    handleEvent(() -> discoveryWatch.changeAddress(updated.journalAddress()));
   }
 
   /**
@@ -339,44 +342,52 @@
       return;
     }
     stopping = true;
-    tick();
-    told.info(
-        "told to stop: " + door.viewings() + " viewings, " + door.connections() + " connections");
+    updateClock();
+    observer.info(
+        "told to stop: "
+            + clientListener.sessionCount()
+            + " viewings, "
+            + clientListener.connectionCount()
+            + " connections");
     // Killed no sooner than the longest patience (3 s at the most) and 0.7 s from now
     // (docs/protocol/platform.md); where that is
     // short it may come before this end: all is answered by then, and what plays is handed to the
     // next life.
-    Span end =
-        briefing().longestPatience().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
+    Span stopDelay =
+        settings()
+            .longestPatience()
+            .orLess(MAX_STOP_TIME_LIMIT)
+            .orMore(ACCEPT_AFTER_STOP)
+            .plus(STOP_AFTER_TIME_LIMIT);
     // The listener stays: closing it would close every connection that came by it, with what is
     // owed there.
-    after(STILL_COMING, desk::stopTaking);
-    after(
-        end,
+    schedule(ACCEPT_AFTER_STOP, sessionManager::stopTaking);
+    schedule(
+        stopDelay,
         () -> {
-          told.info(
+          observer.info(
               "ending: "
-                  + door.viewings()
+                  + clientListener.sessionCount()
                   + " viewings, "
-                  + door.connections()
+                  + clientListener.connectionCount()
                   + " connections, "
-                  + boxes.figures()
+                  + serverLinks.summary()
                   + ", longest turn "
                   + lag.longest().micros() / 1000
                   + " ms");
-          door.logWaiting();
-          door.beginAll();
-          desk.endAll();
-          told.info(
+          clientListener.logOpenRequests();
+          clientListener.startAllQueued();
+          sessionManager.endAll();
+          observer.info(
               "ended: "
-                  + door.viewings()
+                  + clientListener.sessionCount()
                   + " viewings, "
-                  + door.connections()
+                  + clientListener.connectionCount()
                   + " connections, "
-                  + door.untold()
+                  + clientListener.pendingReleaseCount()
                   + " ends untold");
           net.whenFlushed(
-              LAST_WORDS, () -> net.schedule(AFTER_LAST_WORD, () -> told.stopped("", null)));
+              FLUSH_TIME_LIMIT, () -> net.schedule(LINGER_TIME, () -> observer.stopped("", null)));
         });
   }
 }
--- a/src/main/java/linengauge/platform/RequestTrail.java
+++ b/src/main/java/linengauge/platform/RequestTrail.java
@@ -12,15 +12,15 @@
  */
 final class RequestTrail {
   /** Some three attempts with all their events. */
-  private static final int MOST_HELD = 24;
+  private static final int MAX_BUFFERED_EVENTS = 24;
 
-  private final Consumer<LogEvent> log;
+  private final Consumer<LogEvent> sink;
 
   /** Bounded, what comes after is not held; null once every event is logged at once. */
-  private List<LogEvent> held = new ArrayList<>(4);
+  private List<LogEvent> buffered = new ArrayList<>(4);
 
-  RequestTrail(Consumer<LogEvent> log) {
-    this.log = log;
+  RequestTrail(Consumer<LogEvent> sink) {
+    this.sink = sink;
   }
 
   /** A notable event is one that operators may have to explain. */
@@ -28,25 +28,25 @@
     if (notable) {
       flush();
     }
-    if (held == null) {
-      log.accept(event);
-    } else if (held.size() < MOST_HELD) {
-      held.add(event);
+    if (buffered == null) {
+      sink.accept(event);
+    } else if (buffered.size() < MAX_BUFFERED_EVENTS) {
+      buffered.add(event);
     }
   }
 
   /** Logs what went before, and every further event at once. */
   void flush() {
-    if (held != null) {
-      held.forEach(log);
-      held = null;
+    if (buffered != null) {
+      buffered.forEach(sink);
+      buffered = null;
     }
   }
 
   /** Forgets what is held: all went as it should. */
   void discard() {
-    if (held != null) {
-      held.clear();
+    if (buffered != null) {
+      buffered.clear();
     }
   }
 }
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -18,69 +18,69 @@
 
 /** One connection to a media box, from being tried until it has closed. */
 final class ServerConnection implements BoxLines.Heard {
-  private static final int MOST_UNREAD = 256 * 1024;
-  private static final int MOST_SPENT = 2048;
+  private static final int WRITE_BUFFER_BYTES = 256 * 1024;
+  private static final int MAX_TRACKED_IDS = 2048;
 
   /**
    * Longer than anything of an attempt is on its way: as long as the platform gives to release what
    * has ended.
    */
-  private static final Span SPENT_KEPT = Span.ofSeconds(8);
+  private static final Span ID_RETENTION = Span.ofSeconds(8);
 
   /** A connection stays open so long for the server to confirm an end that was written on it. */
-  private static final Span CONFIRMED_WITHIN = Span.ofSeconds(1);
+  private static final Span END_CONFIRMATION_TIME = Span.ofSeconds(1);
 
   /** How it ended: closed by either side, or never there. */
-  private enum Gone {
+  private enum CloseCause {
     CLOSED,
     NOT_REACHED,
     REFUSED
   }
 
   /** A set-up that is out on it, or waits for it to come up. */
-  private static final class Out {
-    private final Held held;
-    private final int tuneIn;
+  private static final class OpenAttempt {
+    private final Held session;
+    private final int attempt;
     private boolean written;
     private Moment writtenAt;
 
-    private Out(Held held, int tuneIn) {
-      this.held = held;
-      this.tuneIn = tuneIn;
+    private OpenAttempt(Held session, int attempt) {
+      this.session = session;
+      this.attempt = attempt;
     }
   }
 
   private final ServerLink link;
   private final int number;
   private final String address;
-  private final int closingsWhenBegun;
+  private final int closesBeforeDial;
   private final BoxLines reader = new BoxLines(this);
-  private final Map<Long, Out> outs = new LinkedHashMap<>();
-  private final SpentIds spent = new SpentIds(MOST_SPENT, SPENT_KEPT);
+  private final Map<Long, OpenAttempt> openAttempts = new LinkedHashMap<>();
+  private final SpentIds usedIds = new SpentIds(MAX_TRACKED_IDS, ID_RETENTION);
 
   /** An attempt whose end was written here; none where it is that of a session that stood. */
-  private record GivenUp(Held held, int attempt) {}
+  private record CancelledAttempt(Held session, int attempt) {}
 
-  private final UnconfirmedEnds<GivenUp> unconfirmed =
-      new UnconfirmedEnds<>(MOST_SPENT, SPENT_KEPT);
+  private final UnconfirmedEnds<CancelledAttempt> unconfirmedEnds =
+      new UnconfirmedEnds<>(MAX_TRACKED_IDS, ID_RETENTION);
 
   /** Tests whose result is waited for, with their timers. */
-  private final Map<Long, Wake> tests = new LinkedHashMap<>();
+  private final Map<Long, Wake> pendingTests = new LinkedHashMap<>();
 
   private Net.Connection socket;
   private boolean closed;
 
   /** This front closes it since nothing is left on it. */
-  private boolean rested;
+  private boolean closedAsIdle;
 
-  private final Line line;
+  private final Line usage;
 
-  ServerConnection(ServerLink link, String address, int closingsWhenBegun) {
+  ServerConnection(ServerLink link, String address, int closesBeforeDial) {
     this.link = link;
     this.number = link.links().nextConnectionNumber();
     this.address = address;
-    this.closingsWhenBegun = closingsWhenBegun;
-    this.line = new Line(front().now());
+    this.closesBeforeDial = closesBeforeDial;
+    this.usage = new Line(front().now());
   }
 
   private PlatformFront front() {
@@ -93,26 +93,28 @@
 
   /** It takes nothing more. */
   boolean isRetired() {
-    return line.isRetired() || closed;
+    return usage.isRetired() || closed;
   }
 
-  int load() {
-    return outs.size() + tests.size();
+  int openCount() {
+    return openAttempts.size() + pendingTests.size();
   }
 
-  int closingsWhenBegun() {
-    return closingsWhenBegun;
+  int closesBeforeDial() {
+    return closesBeforeDial;
   }
 
   /** When that set-up was written here; null where it was not. */
-  Moment writtenAt(Held vw, int tuneIn) {
-    Out out = outs.get(((ClientSession) vw.viewer()).id());
-    return out != null && out.held == vw && out.tuneIn == tuneIn ? out.writtenAt : null;
+  Moment writtenAt(Held session, int attempt) {
+    OpenAttempt openAttempt = openAttempts.get(((ClientSession) session.viewer()).id());
+    return openAttempt != null && openAttempt.session == session && openAttempt.attempt == attempt
+        ? openAttempt.writtenAt
+        : null;
   }
 
   /** How it is used. */
-  Line line() {
-    return line;
+  Line usage() {
+    return usage;
   }
 
   /** In the log. */
@@ -121,7 +123,7 @@
   }
 
   private void log(Kind kind, String reason) {
-    front().events().logConnection(kind, link.box().id(), number, reason);
+    front().events().logConnection(kind, link.server().id(), number, reason);
   }
 
   void connect() {
@@ -129,44 +131,44 @@
     front()
         .connect(
             address,
-            MOST_UNREAD,
+            WRITE_BUFFER_BYTES,
             new Net.ConnectHandler() {
               @Override
               public void connected(Net.Connection connection) {
                 if (closed) {
                   connection.close();
                 } else {
-                  ServerConnection.this.up(connection);
+                  ServerConnection.this.connected(connection);
                 }
               }
 
               @Override
-              public void failed(boolean refused, String why) {
-                gone(refused ? Gone.REFUSED : Gone.NOT_REACHED, why);
+              public void failed(boolean refused, String reason) {
+                onClosed(refused ? CloseCause.REFUSED : CloseCause.NOT_REACHED, reason);
               }
             });
   }
 
-  private void up(Net.Connection s) {
-    socket = s;
-    line.up(front().now());
+  private void connected(Net.Connection connection) {
+    socket = connection;
+    usage.up(front().now());
     log(Kind.CONNECTION_UP, "");
-    s.setHandlers(
-        data -> front().onEvent(() -> read(data)),
-        () -> front().onEvent(() -> gone(Gone.CLOSED, "by the server")));
-    link.up(this);
+    connection.setHandlers(
+        data -> front().handleEvent(() -> read(data)),
+        () -> front().handleEvent(() -> onClosed(CloseCause.CLOSED, "by the server")));
+    link.connectionUp(this);
     // What came while it was dialled is read first: a viewer may have left meanwhile.
     front()
-        .later(
+        .defer(
             () -> {
-              for (Map.Entry<Long, Out> o : List.copyOf(outs.entrySet())) {
-                if (!o.getValue().written) {
-                  front().tick();
-                  send(o.getKey(), o.getValue());
+              for (Map.Entry<Long, OpenAttempt> entry : List.copyOf(openAttempts.entrySet())) {
+                if (!entry.getValue().written) {
+                  front().updateClock();
+                  sendOnceCaughtUp(entry.getKey(), entry.getValue());
                 }
               }
             });
-    for (long id : List.copyOf(tests.keySet())) {
+    for (long id : List.copyOf(pendingTests.keySet())) {
       writeTest(id);
     }
   }
@@ -175,13 +177,13 @@
     if (closed) {
       return;
     }
-    link.heard();
-    line.heard(front().now());
+    link.dataReceived();
+    usage.heard(front().now());
     try {
       boolean ended = reader.feed(data) > 0;
-      line.read(ended, reader.isMidLine(), front().now());
+      usage.read(ended, reader.isMidLine(), front().now());
     } catch (BadMessage e) {
-      front().log("unreadable server", Texts.server(link.box().id()), e.getMessage());
+      front().warn("unreadable server", Texts.server(link.server().id()), e.getMessage());
       close(e.getMessage());
     }
   }
@@ -191,10 +193,10 @@
       return;
     }
     if (socket.isFull()) {
-      front().later(() -> close("does not read"));
+      front().defer(() -> close("does not read"));
       return;
     }
-    line.used(front().now());
+    usage.used(front().now());
     socket.write(message);
   }
 
@@ -204,61 +206,64 @@
    * Whether an attempt of that id was here before: what still comes of it could be taken for an
    * answer to another.
    */
-  boolean hasSpent(long id) {
-    return spent.has(id, front().now());
+  boolean hasUsed(long id) {
+    return usedIds.has(id, front().now());
   }
 
-  void setUp(Held vw, int tuneIn) {
-    Out out = new Out(vw, tuneIn);
-    outs.put(((ClientSession) vw.viewer()).id(), out);
+  void startAttempt(Held session, int attempt) {
+    OpenAttempt openAttempt = new OpenAttempt(session, attempt);
+    openAttempts.put(((ClientSession) session.viewer()).id(), openAttempt);
     if (isUp()) {
-      send(((ClientSession) vw.viewer()).id(), out);
+      sendOnceCaughtUp(((ClientSession) session.viewer()).id(), openAttempt);
     }
   }
 
   /** The one place that set-ups leave by: once the loop has read what may end them. */
-  private void send(long id, Out out) {
+  private void sendOnceCaughtUp(long id, OpenAttempt openAttempt) {
     front()
-        .whenRead(
+        .runOnceCaughtUp(
             () -> {
-              if (outs.get(id) == out && !out.written && isUp()) {
-                leave(id, out);
+              if (openAttempts.get(id) == openAttempt && !openAttempt.written && isUp()) {
+                writeAttempt(id, openAttempt);
               }
             });
   }
 
-  private void leave(long id, Out out) {
-    if (!out.held.sendable(out.tuneIn)) {
-      outs.remove(id, out);
-      front().later(() -> out.held.failed(out.tuneIn, Ending.NEVER_SENT));
+  private void writeAttempt(long id, OpenAttempt openAttempt) {
+    if (!openAttempt.session.sendable(openAttempt.attempt)) {
+      openAttempts.remove(id, openAttempt);
+      front().defer(() -> openAttempt.session.failed(openAttempt.attempt, Ending.NEVER_SENT));
       return;
     }
-    out.written = true;
-    out.writtenAt = front().now();
-    spent.add(id, out.writtenAt);
-    ClientSession seat = (ClientSession) out.held.viewer();
-    seat.attemptSent(out.tuneIn, link.box(), number, out.held.waitLeft());
+    openAttempt.written = true;
+    openAttempt.writtenAt = front().now();
+    usedIds.add(id, openAttempt.writtenAt);
+    ClientSession clientSession = (ClientSession) openAttempt.session.viewer();
+    clientSession.logAttemptSent(
+        openAttempt.attempt, link.server(), number, openAttempt.session.waitLeft());
     write(
         BoxLines.setUp(
             id,
-            seat.pack(),
-            out.held.ask().title(),
-            Math.max(1, out.held.waitLeft().micros() / 1000),
-            out.held.rungNow(),
-            seat.description()));
+            clientSession.packageName(),
+            openAttempt.session.ask().title(),
+            Math.max(1, openAttempt.session.waitLeft().micros() / 1000),
+            openAttempt.session.rungNow(),
+            clientSession.description()));
   }
 
-  void test(long id) {
-    Moment asked = front().now();
-    tests.put(
+  void sendTest(long id) {
+    Moment sentAt = front().now();
+    pendingTests.put(
         id,
         front()
-            .after(
-                front().briefing().dial(),
+            .schedule(
+                front().settings().dial(),
                 () -> {
-                  if (tests.remove(id) != null) {
-                    line.unanswered(asked);
-                    front().desk().probed(link.box(), link.silence(asked, null));
+                  if (pendingTests.remove(id) != null) {
+                    usage.unanswered(sentAt);
+                    front()
+                        .sessionManager()
+                        .probed(link.server(), link.silenceOutcome(sentAt, null));
                   }
                 }));
     if (isUp()) {
@@ -267,41 +272,42 @@
   }
 
   private void writeTest(long id) {
-    unconfirmed.testWritten(id);
+    unconfirmedEnds.testWritten(id);
     write(BoxLines.test(id));
   }
 
   /**
    * Asks whether the box is there at all: any answer is a sign, none is judged by {@link
-   * ServerLink#look}.
+   * ServerLink#checkSilence}.
    */
-  void ask(long id) {
+  void sendLivenessTest(long id) {
     writeTest(id);
   }
 
   /** Tells that a session that stands is over. */
-  void end(long id) {
-    end(id, null);
+  void sendEnd(long id) {
+    sendEnd(id, null);
   }
 
-  private void end(long id, GivenUp attempt) {
+  private void sendEnd(long id, CancelledAttempt cancelled) {
     write(BoxLines.end(id));
-    unconfirmed.written(id, attempt, front().now());
+    unconfirmedEnds.written(id, cancelled, front().now());
   }
 
   /** Takes back a set-up that is out here; false where it is not. */
-  boolean withdraw(Held vw, int tuneIn) {
-    long id = ((ClientSession) vw.viewer()).id();
-    Out out = outs.get(id);
-    if (out == null || out.held != vw || out.tuneIn != tuneIn) {
+  boolean cancel(Held session, int attempt) {
+    long id = ((ClientSession) session.viewer()).id();
+    OpenAttempt openAttempt = openAttempts.get(id);
+    if (openAttempt == null || openAttempt.session != session || openAttempt.attempt != attempt) {
       return false;
     }
-    outs.remove(id);
-    if (out.written) {
-      ((ClientSession) vw.viewer()).logged(Kind.GIVE_UP_SENT, link.box(), tuneIn, number, "");
-      end(id, new GivenUp(vw, tuneIn));
-      if (vw.waitLeft().equals(Span.NONE)) {
-        line.unanswered(out.writtenAt);
+    openAttempts.remove(id);
+    if (openAttempt.written) {
+      ((ClientSession) session.viewer())
+          .logAttempt(Kind.GIVE_UP_SENT, link.server(), attempt, number, "");
+      sendEnd(id, new CancelledAttempt(session, attempt));
+      if (session.waitLeft().equals(Span.NONE)) {
+        usage.unanswered(openAttempt.writtenAt);
       }
     }
     return true;
@@ -311,147 +317,152 @@
 
   @Override
   public void plays(long id, byte[] description) {
-    Out out = outs.get(id);
-    if (out == null || !out.written) {
+    OpenAttempt openAttempt = openAttempts.get(id);
+    if (openAttempt == null || !openAttempt.written) {
       return;
     }
-    ClientSession seat = (ClientSession) out.held.viewer();
-    seat.answered(description);
-    seat.logged(Kind.ATTEMPT_ANSWERED, link.box(), out.tuneIn, number, "");
-    front().tick();
-    out.held.plays(out.tuneIn);
+    ClientSession clientSession = (ClientSession) openAttempt.session.viewer();
+    clientSession.setAnswer(description);
+    clientSession.logAttempt(Kind.ATTEMPT_ANSWERED, link.server(), openAttempt.attempt, number, "");
+    front().updateClock();
+    openAttempt.session.plays(openAttempt.attempt);
     // Where the core did not want it any more it has been taken back meanwhile, on this very
     // connection.
-    if (outs.remove(id, out)) {
-      link.plays(seat, this);
+    if (openAttempts.remove(id, openAttempt)) {
+      link.sessionEstablished(clientSession, this);
     }
   }
 
   @Override
   public void ended(long id, int cause, BoxLines.Load load) {
     link.reported(load);
-    Out out = outs.get(id);
-    if (out == null || !out.written) {
-      confirmed(unconfirmed.confirmed(id));
-      link.ended(id, BoxLines.played(cause), this);
+    OpenAttempt openAttempt = openAttempts.get(id);
+    if (openAttempt == null || !openAttempt.written) {
+      confirmEnd(unconfirmedEnds.confirmed(id));
+      link.sessionEnded(id, BoxLines.played(cause), this);
       return;
     }
-    outs.remove(id);
-    ((ClientSession) out.held.viewer())
-        .logged(Kind.ATTEMPT_ANSWERED, link.box(), out.tuneIn, number, "cause " + cause);
-    out.held.failed(out.tuneIn, BoxLines.unanswered(cause));
+    openAttempts.remove(id);
+    ((ClientSession) openAttempt.session.viewer())
+        .logAttempt(
+            Kind.ATTEMPT_ANSWERED, link.server(), openAttempt.attempt, number, "cause " + cause);
+    openAttempt.session.failed(openAttempt.attempt, BoxLines.unanswered(cause));
   }
 
   /** An end of that id has been written here and not been confirmed. */
   boolean awaitsConfirmation(long id) {
-    return isUp() && unconfirmed.awaits(id);
+    return isUp() && unconfirmedEnds.awaits(id);
   }
 
   @Override
   public void endConfirmed(long id) {
-    confirmed(unconfirmed.confirmed(id));
+    confirmEnd(unconfirmedEnds.confirmed(id));
   }
 
-  private void confirmed(GivenUp attempt) {
-    if (attempt != null) {
-      ((ClientSession) attempt.held.viewer())
-          .logged(Kind.END_CONFIRMED, link.box(), attempt.attempt, number, "");
-      attempt.held.endConfirmed(attempt.attempt);
+  private void confirmEnd(CancelledAttempt cancelled) {
+    if (cancelled != null) {
+      ((ClientSession) cancelled.session.viewer())
+          .logAttempt(Kind.END_CONFIRMED, link.server(), cancelled.attempt, number, "");
+      cancelled.session.endConfirmed(cancelled.attempt);
     }
   }
 
   @Override
   public void tested(long id, boolean passed, BoxLines.Load load) {
     link.reported(load);
-    unconfirmed.testAnswered(id).forEach(this::confirmed);
-    Wake timer = tests.remove(id);
+    unconfirmedEnds.testAnswered(id).forEach(this::confirmEnd);
+    Wake timer = pendingTests.remove(id);
     if (timer != null) {
       timer.cancel();
-      front().desk().probed(link.box(), passed);
+      front().sessionManager().probed(link.server(), passed);
     }
   }
 
   @Override
   public void shareDelivered(long id, double share) {
-    Held vw = link.playing(id);
-    if (vw != null) {
-      vw.shareDelivered(share);
+    Held session = link.establishedSession(id);
+    if (session != null) {
+      session.shareDelivered(share);
     }
   }
 
   @Override
   public void rungInForce(long id, int rung) {
-    Held vw = link.playing(id);
-    if (vw != null) {
-      vw.rungInForce(rung);
+    Held session = link.establishedSession(id);
+    if (session != null) {
+      session.rungInForce(rung);
     }
   }
 
   @Override
   public void loadsTold(long id, double linkAsked, double uplinkAsked) {
-    Held vw = link.playing(id);
-    if (vw != null) {
-      vw.loadsTold(linkAsked, uplinkAsked);
+    Held session = link.establishedSession(id);
+    if (session != null) {
+      session.loadsTold(linkAsked, uplinkAsked);
     }
   }
 
   /* ---- its end ---- */
 
-  void look(Moment now, Span rests) {
-    int open = load() + unconfirmed.since(now.minus(CONFIRMED_WITHIN)).size();
-    switch (line.verdict(open, isUp() ? rests : Span.NONE, now)) {
+  void sweep(Moment now, Span idleLimit) {
+    int pending = openCount() + unconfirmedEnds.since(now.minus(END_CONFIRMATION_TIME)).size();
+    switch (usage.verdict(pending, isUp() ? idleLimit : Span.NONE, now)) {
       case SPOILT -> close("a line that does not end");
       case RESTS -> {
-        rested = !line.isRetired();
+        closedAsIdle = !usage.isRetired();
         close("rests");
       }
       default -> {}
     }
   }
 
-  void close(String why) {
+  void close(String reason) {
     if (!closed) {
       if (socket != null) {
-        endAttempts();
+        endOpenAttempts();
         socket.close();
       }
-      gone(Gone.CLOSED, why);
+      onClosed(CloseCause.CLOSED, reason);
     }
   }
 
   /** In order behind their set-ups: one that has been answered meanwhile would stand for nobody. */
-  private void endAttempts() {
-    outs.forEach(
-        (id, out) -> {
-          if (out.written && !socket.isFull()) {
+  private void endOpenAttempts() {
+    openAttempts.forEach(
+        (id, openAttempt) -> {
+          if (openAttempt.written && !socket.isFull()) {
             socket.write(BoxLines.end(id));
           }
         });
   }
 
-  private void gone(Gone how, String why) {
+  private void onClosed(CloseCause cause, String reason) {
     if (closed) {
       return;
     }
     closed = true;
     boolean wasUp = socket != null;
-    log(Kind.CONNECTION_CLOSED, why + ", " + outs.size() + " attempts out");
+    log(Kind.CONNECTION_CLOSED, reason + ", " + openAttempts.size() + " attempts out");
     // Written so lately, an end may be lost with the connection.
-    unconfirmed.since(front().now().minus(CONFIRMED_WITHIN)).forEach(link::endAfterClose);
-    for (Out out : ServerLinks.taken(outs)) {
-      if (out.written) {
-        link.endAfterClose(((ClientSession) out.held.viewer()).id());
+    unconfirmedEnds
+        .since(front().now().minus(END_CONFIRMATION_TIME))
+        .forEach(link::sendEndAfterClose);
+    for (OpenAttempt openAttempt : ServerLinks.drain(openAttempts)) {
+      if (openAttempt.written) {
+        link.sendEndAfterClose(((ClientSession) openAttempt.session.viewer()).id());
       }
-      Ending broken =
-          out.written && link.silence(out.writtenAt, this) == Ending.UNHEARD
+      Ending outcome =
+          openAttempt.written && link.silenceOutcome(openAttempt.writtenAt, this) == Ending.UNHEARD
               ? Ending.UNHEARD
               : Ending.BROKEN;
-      out.held.failed(out.tuneIn, out.written ? broken : Ending.NOT_REACHED);
+      openAttempt.session.failed(
+          openAttempt.attempt, openAttempt.written ? outcome : Ending.NOT_REACHED);
     }
-    for (Wake timer : ServerLinks.taken(tests)) {
+    for (Wake timer : ServerLinks.drain(pendingTests)) {
       timer.cancel();
-      front().desk().probed(link.box(), false);
+      front().sessionManager().probed(link.server(), false);
     }
-    link.closed(this, wasUp || how == Gone.CLOSED, how == Gone.REFUSED, rested);
+    link.connectionClosed(
+        this, wasUp || cause == CloseCause.CLOSED, cause == CloseCause.REFUSED, closedAsIdle);
   }
 }
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -19,50 +19,51 @@
 
 /** One media box: its connections, and the viewings that stand there. */
 final class ServerLink {
-  private static final int MOST_CONNECTIONS = 4;
-  private static final int MOST_UNSENT = 512;
-  private static final int MOST_EARLY_ENDS = 256;
+  private static final int MAX_CONNECTIONS = 4;
+  private static final int MAX_UNSENT_MESSAGES = 512;
+  private static final int MAX_EARLY_ENDS = 256;
 
   /** As long as the platform gives a front to release what has ended. */
-  private static final Span EARLY_END_KEPT = Span.ofSeconds(8);
+  private static final Span EARLY_END_RETENTION = Span.ofSeconds(8);
 
   /** Where nothing else opens a connection, one is tried so often, and for so long. */
-  private static final Span UNSENT_TRIED_EVERY = Span.ofSeconds(2);
+  private static final Span UNSENT_DIAL_INTERVAL = Span.ofSeconds(2);
 
-  private static final Span UNSENT_TRIED_FOR = Span.ofSeconds(30);
+  private static final Span UNSENT_DIAL_PERIOD = Span.ofSeconds(30);
 
   /** Longer than what was written on one connection is read after what was written on another. */
-  private static final Span END_AGAIN = Span.ofSeconds(1);
+  private static final Span END_REPEAT_DELAY = Span.ofSeconds(1);
 
   /** Connections beyond the first are closed when they have rested so long. */
-  private static final Span SPARE_RESTS = Span.ofSeconds(4);
+  private static final Span SPARE_IDLE_LIMIT = Span.ofSeconds(4);
 
   private final ServerLinks links;
-  private final BoxTable.Entry box;
-  private final ReachabilityDetector reach;
+  private final BoxTable.Entry server;
+  private final ReachabilityDetector reachability;
   private final List<ServerConnection> connections = new ArrayList<>();
 
   /** Viewings that play at the box; each leaves with its end. */
-  private final Map<Long, ClientSession> standing = new LinkedHashMap<>();
+  private final Map<Long, ClientSession> sessions = new LinkedHashMap<>();
 
-  private final EarlyEnds earlyEnds = new EarlyEnds(MOST_EARLY_ENDS, EARLY_END_KEPT);
+  private final EarlyEnds earlyEnds = new EarlyEnds(MAX_EARLY_ENDS, EARLY_END_RETENTION);
 
   /** Lines that wait for a connection to be written on; bounded, the oldest goes. */
-  private final ArrayDeque<byte[]> unsent = new ArrayDeque<>();
+  private final ArrayDeque<byte[]> unsentMessages = new ArrayDeque<>();
 
   /** When the last of them was added, and when a connection is next tried for them. */
-  private Moment unsentSince = Moment.DISTANT_PAST;
+  private Moment lastUnsentAt = Moment.DISTANT_PAST;
 
-  private Moment nextUnsentTry = Moment.DISTANT_PAST;
+  private Moment nextUnsentDial = Moment.DISTANT_PAST;
 
-  ServerLink(ServerLinks links, BoxTable.Entry box) {
+  ServerLink(ServerLinks links, BoxTable.Entry server) {
     this.links = links;
-    this.box = box;
-    this.reach = new ReachabilityDetector(ReachabilityDetector.Terms.PLATFORM, links.front().now());
+    this.server = server;
+    this.reachability =
+        new ReachabilityDetector(ReachabilityDetector.Terms.PLATFORM, links.front().now());
   }
 
-  BoxTable.Entry box() {
-    return box;
+  BoxTable.Entry server() {
+    return server;
   }
 
   ServerLinks links() {
@@ -75,65 +76,65 @@
 
   /* ---- what the core wants ---- */
 
-  void setUp(Held vw, int tuneIn) {
-    long id = ((ClientSession) vw.viewer()).id();
-    ServerConnection w = connection(id);
-    if (w == null || w.hasSpent(id)) {
-      front().later(() -> vw.failed(tuneIn, Ending.NEVER_SENT));
+  void startAttempt(Held session, int attempt) {
+    long id = ((ClientSession) session.viewer()).id();
+    ServerConnection connection = connectionForAttempt(id);
+    if (connection == null || connection.hasUsed(id)) {
+      front().defer(() -> session.failed(attempt, Ending.NEVER_SENT));
     } else {
-      w.setUp(vw, tuneIn);
+      connection.startAttempt(session, attempt);
     }
   }
 
   /** A test written behind the end shows, once it is answered, that the end has been read. */
-  void askConfirmation(long id) {
-    for (ServerConnection w : connections) {
-      if (w.awaitsConfirmation(id)) {
-        w.ask(links.testId());
+  void requestEndConfirmation(long id) {
+    for (ServerConnection connection : connections) {
+      if (connection.awaitsConfirmation(id)) {
+        connection.sendLivenessTest(links.nextTestId());
       }
     }
   }
 
   void probe() {
-    ServerConnection w = connection(0);
-    if (w == null) {
-      front().later(() -> front().desk().probed(box, false));
+    ServerConnection connection = connectionForAttempt(0);
+    if (connection == null) {
+      front().defer(() -> front().sessionManager().probed(server, false));
     } else {
-      w.test(links.testId());
+      connection.sendTest(links.nextTestId());
     }
   }
 
-  void rung(ClientSession seat, int rung) {
-    send(seat, BoxLines.rung(seat.id(), rung));
+  void sendRung(ClientSession clientSession, int rung) {
+    send(clientSession, BoxLines.rung(clientSession.id(), rung));
   }
 
-  void withdraw(Held vw, int tuneIn) {
-    ClientSession seat = (ClientSession) vw.viewer();
-    for (ServerConnection w : List.copyOf(connections)) {
-      if (w.withdraw(vw, tuneIn)) {
+  void cancel(Held session, int attempt) {
+    ClientSession clientSession = (ClientSession) session.viewer();
+    for (ServerConnection connection : List.copyOf(connections)) {
+      if (connection.cancel(session, attempt)) {
         return;
       }
     }
     // One that was never written is not said to be over.
-    if (over(seat.id()) == null) {
+    if (removeSession(clientSession.id()) == null) {
       return;
     }
-    if (reach.lost(front().now())) {
-      sendOnceUp(BoxLines.end(seat.id())); // it may play on, and be reached again
+    if (reachability.lost(front().now())) {
+      addUnsent(BoxLines.end(clientSession.id())); // it may play on, and be reached again
     } else {
-      sendEnd(seat);
+      sendEnd(clientSession);
     }
   }
 
-  void stands(ClientSession seat) {
-    standing.put(seat.id(), seat);
-    Ending how = earlyEnds.take(seat.id());
-    if (how != null) {
-      front().later(() -> ended(seat.id(), how, null));
+  void adopt(ClientSession clientSession) {
+    sessions.put(clientSession.id(), clientSession);
+    Ending outcome = earlyEnds.take(clientSession.id());
+    if (outcome != null) {
+      front().defer(() -> sessionEnded(clientSession.id(), outcome, null));
       return;
     }
     if (connections.isEmpty()) {
-      open();
+      openConnection();
     }
   }
 
@@ -142,45 +143,47 @@
    * it and two do not, so all of it takes the connection of its set-up as long as that can be used,
    * then another one in the same way.
    */
-  private void send(ClientSession session, byte[] line) {
-    ServerConnection by = connectionOf(session);
-    if (by != null) {
-      by.write(line);
+  private void send(ClientSession clientSession, byte[] message) {
+    ServerConnection connection = connectionOf(clientSession);
+    if (connection != null) {
+      connection.write(message);
     } else {
-      sendOnNext(line);
+      sendOnNextConnection(message);
     }
   }
 
-  private void sendEnd(ClientSession session) {
-    ServerConnection by = connectionOf(session);
-    if (by != null) {
-      by.end(session.id());
+  private void sendEnd(ClientSession clientSession) {
+    ServerConnection connection = connectionOf(clientSession);
+    if (connection != null) {
+      connection.sendEnd(clientSession.id());
     } else {
-      sendOnNext(BoxLines.end(session.id()));
+      sendOnNextConnection(BoxLines.end(clientSession.id()));
     }
   }
 
   /**
    * One that takes nothing new is still better than none: it may be read once its way is mended.
    */
-  private ServerConnection connectionOf(ClientSession session) {
-    if (usable(session.lastUsed())) {
-      return session.lastUsed();
+  private ServerConnection connectionOf(ClientSession clientSession) {
+    if (isUsable(clientSession.lastUsedConnection())) {
+      return clientSession.lastUsedConnection();
     }
-    ServerConnection best = lastHeard();
-    if (best != null || session.lastUsed() == null || !session.lastUsed().isUp()) {
-      session.lastUsed(best);
+    ServerConnection latest = latestHeard();
+    if (latest != null
+        || clientSession.lastUsedConnection() == null
+        || !clientSession.lastUsedConnection().isUp()) {
+      clientSession.lastUsedConnection(latest);
     }
-    return session.lastUsed();
+    return clientSession.lastUsedConnection();
   }
 
-  private void sendOnNext(byte[] line) {
-    if (box.state() == BoxTable.State.GONE) {
+  private void sendOnNextConnection(byte[] message) {
+    if (server.state() == BoxTable.State.GONE) {
       return; // nobody is there to hear it
     }
-    sendOnceUp(line);
+    addUnsent(message);
     if (connections.isEmpty()) {
-      open();
+      openConnection();
     }
   }
 
@@ -190,45 +193,46 @@
    * another one, or on the next that comes up; and once more later, as the first may overtake the
    * set-up.
    */
-  void endAfterClose(long id) {
-    endElsewhere(id);
-    front().after(END_AGAIN, () -> endElsewhere(id));
+  void sendEndAfterClose(long id) {
+    sendEndElsewhere(id);
+    front().schedule(END_REPEAT_DELAY, () -> sendEndElsewhere(id));
   }
 
-  private void endElsewhere(long id) {
-    ServerConnection by = lastHeard();
-    if (by != null) {
-      by.write(BoxLines.end(id));
-    } else if (box.state() != BoxTable.State.GONE) {
-      sendOnceUp(BoxLines.end(id));
+  private void sendEndElsewhere(long id) {
+    ServerConnection connection = latestHeard();
+    if (connection != null) {
+      connection.write(BoxLines.end(id));
+    } else if (server.state() != BoxTable.State.GONE) {
+      addUnsent(BoxLines.end(id));
     }
   }
 
-  private boolean usable(ServerConnection connection) {
+  private boolean isUsable(ServerConnection connection) {
     return connection != null
         && connection.isUp()
         && !connection.isRetired()
         && connections.contains(connection);
   }
 
-  private ServerConnection lastHeard() {
-    ServerConnection best = null;
-    for (ServerConnection w : connections) {
-      if (usable(w) && (best == null || best.line().heardAt().before(w.line().heardAt()))) {
-        best = w;
+  private ServerConnection latestHeard() {
+    ServerConnection latest = null;
+    for (ServerConnection connection : connections) {
+      if (isUsable(connection)
+          && (latest == null || latest.usage().heardAt().before(connection.usage().heardAt()))) {
+        latest = connection;
       }
     }
-    return best;
+    return latest;
   }
 
-  private void sendOnceUp(byte[] line) {
-    if (unsent.size() == MOST_UNSENT) {
-      unsent.poll();
+  private void addUnsent(byte[] message) {
+    if (unsentMessages.size() == MAX_UNSENT_MESSAGES) {
+      unsentMessages.poll();
     }
-    unsent.add(line);
+    unsentMessages.add(message);
     Moment now = front().now();
-    unsentSince = now;
-    nextUnsentTry = nextUnsentTry.orLater(now.plus(UNSENT_TRIED_EVERY));
+    lastUnsentAt = now;
+    nextUnsentDial = nextUnsentDial.orLater(now.plus(UNSENT_DIAL_INTERVAL));
   }
 
   /**
@@ -237,12 +241,13 @@
    */
   private ServerConnection leastLoaded(long id) {
     ServerConnection least = null;
-    for (ServerConnection w : connections) {
-      if (!w.isRetired()
+    for (ServerConnection connection : connections) {
+      if (!connection.isRetired()
           && (least == null
-              || least.hasSpent(id) && !w.hasSpent(id)
-              || least.hasSpent(id) == w.hasSpent(id) && w.load() < least.load())) {
-        least = w;
+              || least.hasUsed(id) && !connection.hasUsed(id)
+              || least.hasUsed(id) == connection.hasUsed(id)
+                  && connection.openCount() < least.openCount())) {
+        least = connection;
       }
     }
     return least;
@@ -252,128 +257,135 @@
    * A connection for one more attempt or test: one with none open, else a new one, else the one
    * with the fewest.
    */
-  private ServerConnection connection(long id) {
+  private ServerConnection connectionForAttempt(long id) {
     ServerConnection least = leastLoaded(id);
-    long usable = connections.stream().filter(w -> !w.isRetired()).count();
-    if (least != null && (least.load() == 0 && !least.hasSpent(id) || usable >= MOST_CONNECTIONS)) {
+    long usableCount = connections.stream().filter(connection -> !connection.isRetired()).count();
+    if (least != null
+        && (least.openCount() == 0 && !least.hasUsed(id) || usableCount >= MAX_CONNECTIONS)) {
       return least;
     }
-    ServerConnection fresh = open();
-    return fresh == null ? least : fresh;
+    ServerConnection opened = openConnection();
+    return opened == null ? least : opened;
   }
 
-  private ServerConnection open() {
-    String address = box.address();
+  private ServerConnection openConnection() {
+    String address = server.address();
     if (address == null
         || Configuration.port(address) < 0
-        || box.state() == BoxTable.State.GONE
-        || !links.place() && !(links.makePlace() && links.place())) {
+        || server.state() == BoxTable.State.GONE
+        || !links.reserveConnection()
+            && !(links.closeRetiredConnection() && links.reserveConnection())) {
       return null;
     }
-    ServerConnection w = new ServerConnection(this, address, reach.closings());
-    connections.add(w);
-    w.connect();
-    return w;
+    ServerConnection connection = new ServerConnection(this, address, reachability.closings());
+    connections.add(connection);
+    connection.connect();
+    return connection;
   }
 
   /* ---- what its connections tell ---- */
 
-  void up(ServerConnection w) {
-    reach.up(w.closingsWhenBegun(), front().now());
-    for (byte[] line = unsent.poll(); line != null; line = unsent.poll()) {
-      w.write(line);
+  void connectionUp(ServerConnection connection) {
+    reachability.up(connection.closesBeforeDial(), front().now());
+    for (byte[] message = unsentMessages.poll(); message != null; message = unsentMessages.poll()) {
+      connection.write(message);
     }
   }
 
-  void heard() {
-    reach.sign(front().now());
+  void dataReceived() {
+    reachability.sign(front().now());
   }
 
   /**
    * A connection has closed, or did not come up. One that this front closed since it rested leaves
    * nothing unsaid: nothing that plays was set up on it, and what has no connection of its own
-   * keeps all open ({@link #look}).
+   * keeps all open ({@link #checkSilence}).
    */
-  void closed(ServerConnection w, boolean wasUp, boolean refused, boolean rested) {
-    connections.remove(w);
-    links.placeFree();
-    for (ClientSession seat : standing.values()) {
-      if (seat.wire() == w) {
-        seat.wire(null);
+  void connectionClosed(
+      ServerConnection connection, boolean wasUp, boolean refused, boolean closedAsIdle) {
+    connections.remove(connection);
+    links.releaseConnection();
+    for (ClientSession clientSession : sessions.values()) {
+      if (clientSession.setUpConnection() == connection) {
+        clientSession.setUpConnection(null);
       }
-      if (seat.lastUsed() == w) {
-        seat.lastUsed(null);
+      if (clientSession.lastUsedConnection() == connection) {
+        clientSession.lastUsedConnection(null);
       }
     }
     if (wasUp) {
-      if (!rested) {
-        reach.closed();
+      if (!closedAsIdle) {
+        reachability.closed();
       }
       return;
     }
-    reach.failed(front().now());
+    reachability.failed(front().now());
     if (refused && connections.stream().noneMatch(ServerConnection::isUp)) {
       // Nothing listens there: its process has died, and what it played with it. Where another
       // connection is up it lives,
       // and has no place for more; had it died, that one would close now, and the next one tried be
       // refused.
-      lost("refused");
+      serverLost("refused");
     }
   }
 
-  private void lost(String why) {
-    if (!standing.isEmpty()) {
+  private void serverLost(String reason) {
+    if (!sessions.isEmpty()) {
       front()
-          .log("server lost", Texts.server(box.id()), why + ", " + standing.size() + " sessions");
-      for (ClientSession seat : List.copyOf(standing.values())) {
-        seat.held().boxLost(); // taken back at the box, which ends it here
-        over(seat.id());
+          .warn(
+              "server lost",
+              Texts.server(server.id()),
+              reason + ", " + sessions.size() + " sessions");
+      for (ClientSession clientSession : List.copyOf(sessions.values())) {
+        clientSession.session().boxLost(); // taken back at the box, which ends it here
+        removeSession(clientSession.id());
       }
-      front().desk().lostSight(box);
+      front().sessionManager().lostSight(server);
     }
   }
 
   /* ---- what the box says ---- */
 
-  void plays(ClientSession seat, ServerConnection by) {
-    standing.put(seat.id(), seat);
-    seat.wire(by);
-    seat.lastUsed(by);
-    by.line().stands(1);
+  void sessionEstablished(ClientSession clientSession, ServerConnection connection) {
+    sessions.put(clientSession.id(), clientSession);
+    clientSession.setUpConnection(connection);
+    clientSession.lastUsedConnection(connection);
+    connection.usage().stands(1);
   }
 
   /** It no longer plays here, for whatever reason; null where nothing of that id does. */
-  private ClientSession over(long id) {
-    ClientSession seat = standing.remove(id);
-    if (seat != null && seat.wire() != null) {
-      seat.wire().line().stands(-1);
-      seat.wire(null);
+  private ClientSession removeSession(long id) {
+    ClientSession clientSession = sessions.remove(id);
+    if (clientSession != null && clientSession.setUpConnection() != null) {
+      clientSession.setUpConnection().usage().stands(-1);
+      clientSession.setUpConnection(null);
     }
-    return seat;
+    return clientSession;
   }
 
   /**
    * The box says on that connection (null: before its handing over) that an attempt or a viewing is
    * over.
    */
-  void ended(long id, Ending how, ServerConnection by) {
-    ClientSession stands = standing.get(id);
-    if (by != null
-        && by.hasSpent(id)
-        && stands != null
-        && stands.wire() != null
-        && stands.wire() != by) {
+  void sessionEnded(long id, Ending outcome, ServerConnection connection) {
+    ClientSession current = sessions.get(id);
+    if (connection != null
+        && connection.hasUsed(id)
+        && current != null
+        && current.setUpConnection() != null
+        && current.setUpConnection() != connection) {
       return; // of an earlier attempt: a box says what concerns a session on the connection of its
       // set-up while that is open
     }
-    ClientSession seat = over(id);
-    if (seat == null) {
-      earlyEnds.heard(id, how, front().now());
+    ClientSession clientSession = removeSession(id);
+    if (clientSession == null) {
+      earlyEnds.heard(id, outcome, front().now());
     } else {
-      seat.held()
+      clientSession
+          .session()
           .boxEnded(
-              how,
-              switch (how) {
+              outcome,
+              switch (outcome) {
                 case FINISHED -> Viewer.End.OVER;
                 case WITHDRAWN -> Viewer.End.LEFT;
                 default -> Viewer.End.BOX_LOST;
@@ -381,11 +393,11 @@
     }
   }
 
-  Ending unanswered(Held vw, int tuneIn) {
-    for (ServerConnection w : connections) {
-      Moment writtenAt = w.writtenAt(vw, tuneIn);
+  Ending timeoutOutcome(Held session, int attempt) {
+    for (ServerConnection connection : connections) {
+      Moment writtenAt = connection.writtenAt(session, attempt);
       if (writtenAt != null) {
-        return silence(writtenAt, null);
+        return silenceOutcome(writtenAt, null);
       }
     }
     return Ending.NO_ANSWER;
@@ -395,32 +407,32 @@
    * What it means that nothing came of something written then; one connection, if any, has just
    * broken.
    */
-  Ending silence(Moment writtenAt, ServerConnection but) {
+  Ending silenceOutcome(Moment writtenAt, ServerConnection excluded) {
     return TimeoutCause.meaning(
         writtenAt,
         front().lag(),
         front().now(),
         connections.stream()
-            .filter(w -> w != but && w.isUp())
-            .map(ServerConnection::line)
+            .filter(connection -> connection != excluded && connection.isUp())
+            .map(ServerConnection::usage)
             .toList());
   }
 
   /** The viewing of that id that plays here, or null. */
-  Held playing(long id) {
-    ClientSession seat = standing.get(id);
-    return seat == null ? null : seat.held();
+  Held establishedSession(long id) {
+    ClientSession clientSession = sessions.get(id);
+    return clientSession == null ? null : clientSession.session();
   }
 
   /**
    * Of its connections that take nothing new and the given one, the one with the fewest viewings.
    */
-  ServerConnection leastRetired(ServerConnection least) {
-    for (ServerConnection w : connections) {
-      if (w.isRetired()
-          && w.load() == 0
-          && (least == null || w.line().standing() < least.line().standing())) {
-        least = w;
+  ServerConnection leastUsedRetired(ServerConnection least) {
+    for (ServerConnection connection : connections) {
+      if (connection.isRetired()
+          && connection.openCount() == 0
+          && (least == null || connection.usage().standing() < least.usage().standing())) {
+        least = connection;
       }
     }
     return least;
@@ -428,53 +440,57 @@
 
   void reported(BoxLines.Load load) {
     if (load != null) {
-      front().desk().reported(box, load.linkAsked(), load.uplinkAsked(), load.streams());
+      front()
+          .sessionManager()
+          .reported(server, load.linkAsked(), load.uplinkAsked(), load.streams());
     }
   }
 
   /* ---- time ---- */
 
-  private void tryUnsent(Moment now) {
-    if (!now.before(nextUnsentTry) && now.since(unsentSince).under(UNSENT_TRIED_FOR)) {
-      nextUnsentTry = now.plus(UNSENT_TRIED_EVERY);
-      open();
+  private void dialForUnsent(Moment now) {
+    if (!now.before(nextUnsentDial) && now.since(lastUnsentAt).under(UNSENT_DIAL_PERIOD)) {
+      nextUnsentDial = now.plus(UNSENT_DIAL_INTERVAL);
+      openConnection();
     }
   }
 
   /** True once nothing is left of it. */
-  boolean look(Moment now) {
-    if (box.state() == BoxTable.State.GONE) {
-      lost("gone from the list");
-      unsent.clear();
-      List.copyOf(connections).forEach(w -> w.close("its box has gone"));
+  boolean sweep(Moment now) {
+    if (server.state() == BoxTable.State.GONE) {
+      serverLost("gone from the list");
+      unsentMessages.clear();
+      List.copyOf(connections).forEach(connection -> connection.close("its box has gone"));
       return connections.isEmpty();
     }
     earlyEnds.look(now);
-    int usable = 0;
-    boolean coming = false;
+    int usableCount = 0;
+    boolean connecting = false;
     // The end of a viewing without a connection of its own may come on any that is open.
-    boolean spareRests = standing.values().stream().allMatch(seat -> seat.wire() != null);
-    for (ServerConnection w : List.copyOf(connections)) {
-      w.look(
+    boolean mayCloseSpare =
+        sessions.values().stream()
+            .allMatch(clientSession -> clientSession.setUpConnection() != null);
+    for (ServerConnection connection : List.copyOf(connections)) {
+      connection.sweep(
           now,
-          usable == 0
-              ? front().briefing().restingClosed().times(0.8)
-              : spareRests ? SPARE_RESTS : Span.NONE);
-      usable += w.isRetired() ? 0 : 1;
-      coming |= !w.isUp();
-    }
-    if (!unsent.isEmpty() && connections.isEmpty()) {
-      tryUnsent(now);
-    }
-    if (!standing.isEmpty() && !coming) {
-      if (usable > 0 && reach.wantsTest(now)) {
-        leastLoaded(0).ask(links.testId());
+          usableCount == 0
+              ? front().settings().restingClosed().times(0.8)
+              : mayCloseSpare ? SPARE_IDLE_LIMIT : Span.NONE);
+      usableCount += connection.isRetired() ? 0 : 1;
+      connecting |= !connection.isUp();
+    }
+    if (!unsentMessages.isEmpty() && connections.isEmpty()) {
+      dialForUnsent(now);
+    }
+    if (!sessions.isEmpty() && !connecting) {
+      if (usableCount > 0 && reachability.wantsTest(now)) {
+        leastLoaded(0).sendLivenessTest(links.nextTestId());
       }
-      if (reach.wantsConnection(usable, now)) {
-        open();
+      if (reachability.wantsConnection(usableCount, now)) {
+        openConnection();
       }
-      if (reach.lost(now)) {
-        lost("out of reach");
+      if (reachability.lost(now)) {
+        serverLost("out of reach");
       }
     }
     return false;
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -16,17 +16,20 @@
  */
 final class ServerLinks implements Carrier {
   private final PlatformFront front;
-  private final int places;
-  private int wires;
-  private long tests;
-  private int connectionNumber;
+  private final int maxConnections;
+  private int connectionCount;
+  private long lastTestId;
+  private int lastConnectionNumber;
 
-  /** Emptied by {@link #look}: a link leaves once its box has gone and nothing of it is left. */
+  /**
+   * Emptied by {@link #checkSilence}: a link leaves once its box has gone and nothing of it is
+   * left.
+   */
   private final Map<Long, ServerLink> links = new LinkedHashMap<>();
 
-  ServerLinks(PlatformFront front, int places) {
+  ServerLinks(PlatformFront front, int maxConnections) {
     this.front = front;
-    this.places = places;
+    this.maxConnections = maxConnections;
   }
 
   PlatformFront front() {
@@ -34,26 +37,26 @@
   }
 
   /** Whether one more connection may be opened; each counts until it has closed. */
-  boolean place() {
-    if (wires >= places) {
+  boolean reserveConnection() {
+    if (connectionCount >= maxConnections) {
       return false;
     }
-    wires++;
+    connectionCount++;
     return true;
   }
 
-  void placeFree() {
-    wires--;
+  void releaseConnection() {
+    connectionCount--;
   }
 
   /**
    * Where no place is left: the connection that takes nothing new and has the fewest viewings gives
    * its own.
    */
-  boolean makePlace() {
+  boolean closeRetiredConnection() {
     ServerConnection least = null;
     for (ServerLink link : links.values()) {
-      least = link.leastRetired(least);
+      least = link.leastUsedRetired(least);
     }
     if (least != null) {
       least.close("its place is wanted");
@@ -63,82 +66,82 @@
 
   /** Numbers connections, over all servers. */
   int nextConnectionNumber() {
-    return ++connectionNumber;
+    return ++lastConnectionNumber;
   }
 
-  long testId() {
-    return ++tests;
+  long nextTestId() {
+    return ++lastTestId;
   }
 
-  private ServerLink link(BoxTable.Entry box) {
-    return links.computeIfAbsent(box.id(), n -> new ServerLink(this, box));
+  private ServerLink linkTo(BoxTable.Entry server) {
+    return links.computeIfAbsent(server.id(), id -> new ServerLink(this, server));
   }
 
   /** A viewing that plays already at its box: what the box says of it must be able to come. */
-  void stands(ClientSession seat) {
-    link(seat.held().box()).stands(seat);
+  void adopt(ClientSession clientSession) {
+    linkTo(clientSession.session().box()).adopt(clientSession);
   }
 
   /** The list has changed. */
-  void listed() {
-    look();
+  void discoveryUpdated() {
+    sweep();
   }
 
-  void look() {
+  void sweep() {
     for (ServerLink link : List.copyOf(links.values())) {
-      if (link.look(front.now())) {
-        links.remove(link.box().id());
+      if (link.sweep(front.now())) {
+        links.remove(link.server().id());
       }
     }
   }
 
   @Override
-  public Wake wakeAfter(Span span, Runnable step) {
-    return front.after(span, step);
+  public Wake wakeAfter(Span delay, Runnable task) {
+    return front.schedule(delay, task);
   }
 
   @Override
-  public void setUp(Held vw, int tuneIn) {
-    BoxTable.Entry box = vw.box();
+  public void setUp(Held session, int attempt) {
+    BoxTable.Entry server = session.box();
     // Guards against two out at once: what ends the one before may have been written while its
     // connection was being read,
     // and leaves only as that reading is over, where this one would leave at once on another
     // connection. And against one
     // for a viewer whose end has come with what is being read now.
-    front.later(
+    front.defer(
         () -> {
-          if (vw.waitsFor(tuneIn)) {
-            link(box).setUp(vw, tuneIn);
+          if (session.waitsFor(attempt)) {
+            linkTo(server).startAttempt(session, attempt);
           }
         });
   }
 
   @Override
-  public void rung(Held vw) {
-    link(vw.box()).rung((ClientSession) vw.viewer(), vw.rungNow());
+  public void rung(Held session) {
+    linkTo(session.box()).sendRung((ClientSession) session.viewer(), session.rungNow());
   }
 
   @Override
-  public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    link(box).withdraw(vw, tuneIn);
+  public void withdraw(Held session, BoxTable.Entry server, int attempt) {
+    linkTo(server).cancel(session, attempt);
   }
 
   @Override
-  public Outside.Ending unanswered(Held vw, int tuneIn) {
-    return link(vw.box()).unanswered(vw, tuneIn);
+  public Outside.Ending unanswered(Held session, int attempt) {
+    return linkTo(session.box()).timeoutOutcome(session, attempt);
   }
 
   @Override
-  public void askConfirmation(Held vw, long box) {
-    ServerLink link = links.get(box);
+  public void askConfirmation(Held session, long server) {
+    ServerLink link = links.get(server);
     if (link != null) {
-      link.askConfirmation(((ClientSession) vw.viewer()).id());
+      link.requestEndConfirmation(((ClientSession) session.viewer()).id());
     }
   }
 
   @Override
-  public void probe(BoxTable.Entry box) {
-    link(box).probe();
+  public void probe(BoxTable.Entry server) {
+    linkTo(server).probe();
   }
 
   @Override
@@ -151,22 +154,22 @@
     front.failed(cause);
   }
 
-  int linked() {
+  int linkCount() {
     return links.size();
   }
 
-  int connections() {
-    return wires;
+  int connectionCount() {
+    return connectionCount;
   }
 
   /** Figures for the log: connections and links. */
-  String figures() {
-    return links.size() + " boxes, " + wires + " connections";
+  String summary() {
+    return links.size() + " boxes, " + connectionCount + " connections";
   }
 
-  static <K, V> List<V> taken(Map<K, V> from) {
-    List<V> all = new ArrayList<>(from.values());
+  static <K, V> List<V> drain(Map<K, V> from) {
+    List<V> values = new ArrayList<>(from.values());
     from.clear();
-    return all;
+    return values;
   }
 }
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -17,51 +17,52 @@
 public final class Service implements PlatformFront.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("linengauge.platform");
 
-  private final Path file;
-  private final Configuration posting;
+  private final Path configurationFile;
+  private final Configuration configuration;
   private final VertxNet net;
-  private final Sparse sparse = new Sparse(LOG);
+  private final Sparse rateLimitedLog = new Sparse(LOG);
   private final EventWriter<LogEvent> events = new EventWriter<>(LOG, LogEvent::line);
-  private final CompletableFuture<String> over = new CompletableFuture<>();
+  private final CompletableFuture<String> stopReason = new CompletableFuture<>();
   private final Object reloadLock = new Object();
-  private final AtomicBoolean reloadWaits = new AtomicBoolean();
+  private final AtomicBoolean reloadPending = new AtomicBoolean();
   private PlatformFront front;
 
-  Service(Path file, Configuration posting) {
-    this.file = file;
-    this.posting = posting;
-    this.net = new VertxNet(posting.briefing().dial());
+  Service(Path configurationFile, Configuration configuration) {
+    this.configurationFile = configurationFile;
+    this.configuration = configuration;
+    this.net = new VertxNet(configuration.settings().dial());
   }
 
   /** Runs a front until it is told to stop; returns the process's exit code. */
   public static int run(Map<String, String> environment) {
     // Signals may come before anything else is ready: they are remembered.
-    var early = new CompletableFuture<Service>();
-    if (!Signals.register("HUP", () -> early.thenAcceptAsync(Service::reload, Service::aside))
-        || !Signals.register("TERM", () -> early.thenAccept(Service::stop))
-        || !Signals.register("INT", () -> early.thenAccept(Service::stop))) {
+    var started = new CompletableFuture<Service>();
+    if (!Signals.register(
+            "HUP", () -> started.thenAcceptAsync(Service::reload, Service::startReloadThread))
+        || !Signals.register("TERM", () -> started.thenAccept(Service::stop))
+        || !Signals.register("INT", () -> started.thenAccept(Service::stop))) {
       System.err.println("linengauge: this virtual machine hands no signals on");
       return 1;
     }
-    String config = environment.get("PROXY_CONFIG");
-    if (config == null || config.isEmpty()) {
+    String path = environment.get("PROXY_CONFIG");
+    if (path == null || path.isEmpty()) {
       System.err.println("linengauge: PROXY_CONFIG should name the configuration file");
       return 1;
     }
     Service service;
     try {
-      service = new Service(Path.of(config), Configuration.read(Path.of(config)));
-    } catch (BadBriefing e) {
-      System.err.println("linengauge: " + config + ": " + e.getMessage());
+      service = new Service(Path.of(path), Configuration.read(Path.of(path)));
+    } catch (BadBriefing error) {
+      System.err.println("linengauge: " + path + ": " + error.getMessage());
       return 1;
     }
-    service.start().whenComplete((v, e) -> early.complete(service));
-    String failed = service.over.join();
+    service.start().whenComplete((nothing, error) -> started.complete(service));
+    String failure = service.stopReason.join();
     service.events.flush();
-    if (!failed.isEmpty()) {
-      System.err.println("linengauge: " + failed);
+    if (!failure.isEmpty()) {
+      System.err.println("linengauge: " + failure);
     }
-    return failed.isEmpty() ? 0 : 1;
+    return failure.isEmpty() ? 0 : 1;
   }
 
   /** Begins; the future is done once it listens. */
@@ -70,14 +71,14 @@
     events.start();
     net.runOnLoop(
         () -> {
-          front = new PlatformFront(posting, net, this);
+          front = new PlatformFront(configuration, net, this);
           front.start(
-              failed -> {
-                if (failed == null) {
+              failure -> {
+                if (failure == null) {
                   listening.complete(null);
                 } else {
-                  over.complete(failed);
-                  listening.completeExceptionally(new IllegalStateException(failed));
+                  stopReason.complete(failure);
+                  listening.completeExceptionally(new IllegalStateException(failure));
                 }
               });
         });
@@ -86,9 +87,9 @@
 
   /** Waits for the end; empty, or what it failed by. Everything that it held is closed. */
   String awaitStop() {
-    String failed = over.join();
+    String failure = stopReason.join();
     net.close();
-    return failed;
+    return failure;
   }
 
   /** Tells it to stop in order; from any thread. */
@@ -100,8 +101,8 @@
    * On a thread of its own: a file is read, which the loop, where the future may be done, must not
    * wait for.
    */
-  private static void aside(Runnable deed) {
-    Thread thread = new Thread(deed, "reload");
+  private static void startReloadThread(Runnable task) {
+    Thread thread = new Thread(task, "reload");
     thread.setDaemon(true);
     thread.start();
   }
@@ -112,33 +113,38 @@
    * what is applied last was read last. One that waits for that reads for all that came meanwhile.
    */
   void reload() {
-    if (reloadWaits.getAndSet(true)) {
+    if (reloadPending.getAndSet(true)) {
       return;
     }
     synchronized (reloadLock) {
-      reloadWaits.set(false);
+      reloadPending.set(false);
       try {
-        Configuration anew = Configuration.read(file);
-        net.runOnLoop(() -> front.reconfigure(anew));
-      } catch (BadBriefing e) {
-        net.runOnLoop(() -> warn("new configuration not used", file.getFileName(), e.getMessage()));
+        Configuration updated = Configuration.read(configurationFile);
+        net.runOnLoop(() -> front.reconfigure(updated));
+      } catch (BadBriefing error) {
+        net.runOnLoop(
+            () ->
+                warn(
+                    "new configuration not used",
+                    configurationFile.getFileName(),
+                    error.getMessage()));
       }
     }
   }
 
   /** Runs it on the front's loop, which does nothing else meanwhile. */
-  void runOnLoop(Runnable deed) {
-    net.runOnLoop(deed);
+  void runOnLoop(Runnable task) {
+    net.runOnLoop(task);
   }
 
   @Override
-  public void warn(String kind, Object about, String detail) {
-    sparse.warn(kind, about + (detail.isEmpty() ? "" : ": " + detail), detail);
+  public void warn(String kind, Object subject, String detail) {
+    rateLimitedLog.warn(kind, subject + (detail.isEmpty() ? "" : ": " + detail), detail);
   }
 
   @Override
-  public void info(String line) {
-    LOG.info("{}", line);
+  public void info(String message) {
+    LOG.info("{}", message);
   }
 
   @Override
@@ -147,10 +153,10 @@
   }
 
   @Override
-  public void stopped(String failed, RuntimeException cause) {
+  public void stopped(String failure, RuntimeException cause) {
     if (cause != null) {
-      LOG.error(failed, cause);
+      LOG.error(failure, cause);
     }
-    over.complete(failed);
+    stopReason.complete(failure);
   }
 }
--- a/src/main/java/linengauge/platform/Signals.java
+++ b/src/main/java/linengauge/platform/Signals.java
@@ -15,22 +15,22 @@
    * Runs the step, on a thread of the virtual machine's, each time the signal comes. False where
    * that can't be had.
    */
-  static boolean register(String name, Runnable step) {
+  static boolean register(String name, Runnable action) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object ours =
+      Class<?> signalType = Class.forName("sun.misc.Signal");
+      Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+      Object handler =
           Proxy.newProxyInstance(
               Signals.class.getClassLoader(),
-              new Class<?>[] {handler},
-              (self, m, args) -> {
-                switch (m.getName()) {
-                  case "handle" -> step.run();
+              new Class<?>[] {handlerType},
+              (proxy, method, arguments) -> {
+                switch (method.getName()) {
+                  case "handle" -> action.run();
                   case "hashCode" -> {
-                    return System.identityHashCode(self);
+                    return System.identityHashCode(proxy);
                   }
                   case "equals" -> {
-                    return self == args[0];
+                    return proxy == arguments[0];
                   }
                   case "toString" -> {
                     return "handler of " + name;
@@ -39,9 +39,9 @@
                 }
                 return null;
               });
-      signal
-          .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance(name), ours);
+      signalType
+          .getMethod("handle", signalType, handlerType)
+          .invoke(null, signalType.getConstructor(String.class).newInstance(name), handler);
       return true;
     } catch (ClassNotFoundException
         | NoSuchMethodException
--- a/src/main/java/linengauge/platform/TryOut.java
+++ b/src/main/java/linengauge/platform/TryOut.java
@@ -25,40 +25,40 @@
   private TryOut() {}
 
   /** The configuration of a front with boxes and journal service at these loopback ports. */
-  static String configuration(int listen, int journal, int... boxes) {
+  static String configuration(int listenPort, int journalPort, int... boxPorts) {
     StringBuilder rows = new StringBuilder();
-    for (int i = 0; i < boxes.length; i++) {
+    for (int i = 0; i < boxPorts.length; i++) {
       rows.append(i == 0 ? "" : ",")
           .append(
               String.format(
                   "{\"uid\":\"s-%08x\",\"endpoint\":\"127.0.0.1:%d\",\"az\":\"hall\","
                       + "\"model\":\"box\",\"pod_group\":%d,\"state\":\"up\",\"capacity_hint\":2,\"boot_ms\":0}",
-                  i + 1, boxes[i], i));
+                  i + 1, boxPorts[i], i));
     }
     return String.format(
         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:%d\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1,"
             + "\"memory_mb\":128,\"sockets\":256},\"journal\":\"127.0.0.1:%d\",\"known\":{\"pos\":1,\"entries\":[{\"pos\":1,"
             + "\"hosts\":{\"rev\":1,\"all\":true,\"targets\":[%s]}}]},\"settings\":%s}",
-        listen, journal, rows, SETTINGS);
+        listenPort, journalPort, rows, SETTINGS);
   }
 
   /**
    * Plays with the rest of the platform at these ports; returns the process's exit code: 0 where
    * the dialogue was good.
    */
-  public static int run(int port, int journal, int[] boxes, Callable<Boolean> play)
+  public static int run(int listenPort, int journalPort, int[] boxPorts, Callable<Boolean> scenario)
       throws Exception {
-    Path file = Files.createTempFile("linengauge-tryout", ".json");
+    Path configurationFile = Files.createTempFile("linengauge-tryout", ".json");
     try {
-      Files.writeString(file, configuration(port, journal, boxes));
-      Service service = new Service(file, Configuration.read(file));
+      Files.writeString(configurationFile, configuration(listenPort, journalPort, boxPorts));
+      Service service = new Service(configurationFile, Configuration.read(configurationFile));
       service.start().join();
-      boolean good = play.call();
+      boolean passed = scenario.call();
       service.reload();
       service.stop();
-      return good && service.awaitStop().isEmpty() ? 0 : 1;
+      return passed && service.awaitStop().isEmpty() ? 0 : 1;
     } finally {
-      Files.delete(file);
+      Files.delete(configurationFile);
     }
   }
 }
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -20,19 +20,19 @@
 /** Sockets and timers on one event loop. */
 final class VertxNet implements Net {
   /** Where the settings give no time for dialling. */
-  private static final Span UNLIMITED_DIAL = Span.ofSeconds(1);
+  private static final Span DEFAULT_CONNECT_TIMEOUT = Span.ofSeconds(1);
 
   private final Vertx vertx;
-  private final Context loop;
+  private final Context context;
   private final NetClient client;
   private final NetServer server;
 
   /** Messages that have not left the process yet, and what waits for that; on the loop alone. */
-  private long unwritten;
+  private long pendingWrites;
 
-  private Runnable onceWritten;
+  private Runnable flushTask;
 
-  VertxNet(Span dial) {
+  VertxNet(Span connectTimeout) {
     this.vertx =
         Vertx.builder()
             .withTransport(new OneLoopTransport())
@@ -46,13 +46,18 @@
                             .setClassPathResolvingEnabled(false)
                             .setFileCachingEnabled(false)))
             .build();
-    this.loop = vertx.getOrCreateContext();
+    this.context = vertx.getOrCreateContext();
     this.client =
         vertx.createNetClient(
             new NetClientOptions()
                 .setTcpNoDelay(true)
                 .setReconnectAttempts(0)
-                .setConnectTimeout((int) ms(dial.equals(Span.NONE) ? UNLIMITED_DIAL : dial)));
+                .setConnectTimeout(
+                    (int)
+                        toMillis(
+                            connectTimeout.equals(Span.NONE)
+                                ? DEFAULT_CONNECT_TIMEOUT
+                                : connectTimeout)));
     this.server =
         vertx.createNetServer(
             new NetServerOptions()
@@ -62,8 +67,8 @@
   }
 
   /** From any thread: runs it on the loop. */
-  void runOnLoop(Runnable deed) {
-    loop.runOnContext(v -> deed.run());
+  void runOnLoop(Runnable task) {
+    context.runOnContext(nothing -> task.run());
   }
 
   /** Closes everything and waits for it; not to be called on the loop. */
@@ -77,102 +82,102 @@
   }
 
   @Override
-  public void connect(String address, int mostUnread, ConnectHandler then) {
+  public void connect(String address, int writeBufferBytes, ConnectHandler handler) {
     client
         .connect(Configuration.port(address), Configuration.host(address))
         .onComplete(
-            done -> {
-              if (done.succeeded()) {
-                then.connected(new Socket(done.result(), mostUnread));
+            result -> {
+              if (result.succeeded()) {
+                handler.connected(new Socket(result.result(), writeBufferBytes));
               } else {
-                Throwable cause = done.cause();
-                boolean timeOut = cause.getClass().getSimpleName().contains("Timeout");
-                then.failed(
-                    cause instanceof ConnectException && !timeOut,
+                Throwable cause = result.cause();
+                boolean isTimeout = cause.getClass().getSimpleName().contains("Timeout");
+                handler.failed(
+                    cause instanceof ConnectException && !isTimeout,
                     String.valueOf(cause.getMessage()));
               }
             });
   }
 
   @Override
-  public void listen(String address, int mostUnread, AcceptHandler listener) {
-    server.connectHandler(socket -> listener.accepted(new Socket(socket, mostUnread)));
-    server.exceptionHandler(e -> listener.acceptFailed(String.valueOf(e.getMessage())));
+  public void listen(String address, int writeBufferBytes, AcceptHandler handler) {
+    server.connectHandler(socket -> handler.accepted(new Socket(socket, writeBufferBytes)));
+    server.exceptionHandler(e -> handler.acceptFailed(String.valueOf(e.getMessage())));
     server
         .listen(Configuration.port(address), Configuration.host(address))
         .onComplete(
-            done ->
-                listener.listening(
-                    done.succeeded() ? null : String.valueOf(done.cause().getMessage())));
+            result ->
+                handler.listening(
+                    result.succeeded() ? null : String.valueOf(result.cause().getMessage())));
   }
 
   @Override
-  public Wake schedule(Span span, Runnable step) {
-    long timer = vertx.setTimer(ms(span), t -> step.run());
+  public Wake schedule(Span delay, Runnable task) {
+    long timer = vertx.setTimer(toMillis(delay), timerId -> task.run());
     return () -> vertx.cancelTimer(timer);
   }
 
   @Override
-  public void scheduleEvery(Span span, Runnable step) {
-    vertx.setPeriodic(ms(span), t -> step.run());
+  public void scheduleEvery(Span interval, Runnable task) {
+    vertx.setPeriodic(toMillis(interval), timerId -> task.run());
   }
 
   @Override
-  public void defer(Runnable step) {
-    vertx.runOnContext(v -> step.run());
+  public void defer(Runnable task) {
+    vertx.runOnContext(nothing -> task.run());
   }
 
   @Override
-  public void whenFlushed(Span atMost, Runnable step) {
-    boolean[] done = {false};
-    Runnable once =
+  public void whenFlushed(Span timeLimit, Runnable task) {
+    boolean[] hasRun = {false};
+    Runnable runOnce =
         () -> {
-          if (!done[0]) {
-            done[0] = true;
-            step.run();
+          if (!hasRun[0]) {
+            hasRun[0] = true;
+            task.run();
           }
         };
-    onceWritten = once;
-    schedule(atMost, once);
-    defer(this::leftOne);
+    flushTask = runOnce;
+    schedule(timeLimit, runOnce);
+    defer(this::runFlushTask);
   }
 
-  private void leftOne() {
-    if (unwritten == 0 && onceWritten != null) {
-      Runnable step = onceWritten;
-      onceWritten = null;
-      step.run();
+  private void runFlushTask() {
+    if (pendingWrites == 0 && flushTask != null) {
+      Runnable task = flushTask;
+      flushTask = null;
+      task.run();
     }
   }
 
-  private static long ms(Span span) {
+  private static long toMillis(Span span) {
     return Math.max(1, (span.micros() + 999) / 1000);
   }
 
   private final class Socket implements Connection {
     private final NetSocket socket;
 
-    private Socket(NetSocket socket, int mostUnread) {
+    private Socket(NetSocket socket, int writeBufferBytes) {
       this.socket = socket;
-      socket.setWriteQueueMaxSize(mostUnread);
+      socket.setWriteQueueMaxSize(writeBufferBytes);
       socket.exceptionHandler(e -> {}); // the close that follows says all
     }
 
     @Override
-    public void setHandlers(Consumer<byte[]> data, Runnable closed) {
-      socket.handler(b -> data.accept(b.getBytes()));
-      socket.closeHandler(v -> closed.run());
+    public void setHandlers(Consumer<byte[]> dataHandler, Runnable closeHandler) {
+      socket.handler(buffer -> dataHandler.accept(buffer.getBytes()));
+      socket.closeHandler(nothing -> closeHandler.run());
     }
 
     @Override
     public void write(byte[] message) {
-      unwritten++;
+      pendingWrites++;
       socket
           .write(Buffer.buffer(message))
           .onComplete(
-              left -> {
-                unwritten--;
-                leftOne();
+              result -> {
+                pendingWrites--;
+                runFlushTask();
               });
     }
 
--- a/src/test/java/linengauge/platform/CrossingOrdersTest.java
+++ b/src/test/java/linengauge/platform/CrossingOrdersTest.java
@@ -227,7 +227,7 @@
     net.step = Span.ofMillis(1);
     List<Moment> ran = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      net.front.whenRead(() -> ran.add(net.now()));
+      net.front.runOnceCaughtUp(() -> ran.add(net.now()));
     }
     assertEquals(0, ran.size());
     long longest = 0;
