--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -18,33 +18,35 @@
 import linengauge.platform.keep.ReceiveQueue;
 
 /**
- * One connection from viewers. What comes is read in two steps. Messages are taken apart as they
- * come: an end, a test or a release heard is acted on at once. Set-ups are queued, and begun in
- * turns once the loop has read what everybody sent. Guards against a set-up that is begun though
- * its viewer has left: the end lies behind what is still to be read. It could hurt a viewer by the
- * rest of the loop's turn.
+ * One connection from clients. Received data is handled in two steps. Messages are parsed as they
+ * arrive: an end, a test or the confirmation of a release takes effect at once. Requests are
+ * queued, and started in batches once the loop has read what all clients have sent. Otherwise a
+ * request could be started although its client has left, as its end is among the data still to be
+ * read. A request waits for the rest of the loop iteration because of this.
  */
 final class ClientConnection implements ViewerMessages.Heard {
-  /** What one connection may take apart, and begin, in one turn of the loop. */
+  /**
+   * Time that one connection may use for parsing, and for starting requests, in one loop iteration.
+   */
   private static final Span MAX_BATCH_TIME = Span.ofMillis(10);
 
   private static final Span NEXT_ITERATION_DELAY = Span.ofMillis(1);
 
-  /** Messages taken apart between two looks at the time: each takes some microseconds. */
+  /** Messages parsed between two updates of the clock; each takes a few microseconds. */
   private static final int MESSAGES_PER_CLOCK_UPDATE = 16;
 
   /**
-   * Bytes of sessions handed over that wait to be begun; beyond, nothing more is taken from the
-   * connection.
+   * Bytes of handed-over sessions that wait to be started; beyond that nothing more is read from
+   * the connection.
    */
   private static final int MAX_HAND_OVER_BYTES = 128 * 1024;
 
-  /** A release told so lately may not have been read by a viewer that closes the connection. */
+  /** A client that closes the connection may not have read a release sent this recently. */
   private static final Span MAX_RELEASE_READ_DELAY = Span.ofMillis(500);
 
   private static final int MAX_SENT_RELEASES = 512;
 
-  /** A set-up that waits to be begun, and when it may have come. */
+  /** A request that waits to be started, and the earliest moment at which it may have arrived. */
   private record QueuedRequest(Message message, Moment earliestArrival) {}
 
   private record SentRelease(boolean interrupted, Moment sentAt) {}
@@ -53,37 +55,42 @@
   private final Net.Connection socket;
   private final ViewerMessages reader = new ViewerMessages(this);
 
-  /** Viewings whose answer is owed here; each leaves with its answer. */
+  /** Sessions whose answer is owed on this connection; each is removed with its answer. */
   private final Set<ClientSession> unanswered = new LinkedHashSet<>();
 
   /**
-   * Set-ups by id that wait to be begun; emptied by the next turns, by their ends and by the close.
+   * Requests that wait to be started, by id; removed when they are started, by their ends and by
+   * the close of the connection.
    */
   private final Map<Long, QueuedRequest> queuedRequests = new LinkedHashMap<>();
 
   /**
-   * Sessions handed over that wait to be begun: they belong to no connection, and are begun though
-   * this one closes.
+   * Handed-over sessions that wait to be started, by id: they belong to no connection, and are
+   * started even if this one closes.
    */
   private final Map<Long, QueuedRequest> queuedHandOvers = new LinkedHashMap<>();
 
-  /** Releases written here and not known to be heard; bounded, the oldest goes; emptied by time. */
+  /**
+   * Releases written on this connection and not confirmed, by the session's id; bounded, the oldest
+   * is dropped; removed after some time.
+   */
   private final Map<Long, SentRelease> sentReleases = new LinkedHashMap<>();
 
   private IdleConnection idleState;
   private boolean usedByClient;
   private boolean closed;
 
-  /** Messages that have come wait for a turn in which they are taken apart. */
+  /** Received messages wait for a loop iteration in which they are parsed. */
   private boolean parseScheduled;
 
-  /** What is queued has a turn coming. */
+  /** A loop iteration in which queued requests are started is scheduled. */
   private boolean startScheduled;
 
   private boolean paused;
 
   /**
-   * When what is taken apart, or begun, may have come, and what follows the message that has begun.
+   * The earliest moment at which the message that is being parsed or started may have arrived; the
+   * next field holds the same for the messages behind an incomplete one.
    */
   private Moment earliestArrival = Moment.DISTANT_PAST;
 
@@ -92,7 +99,8 @@
   private int queuedHandOverBytes;
 
   /**
-   * Bytes of set-ups that wait here, begun or not: what the front must keep of what it was sent.
+   * Bytes of the requests that wait here, started or not: what the front must keep of what it was
+   * sent.
    */
   private int queuedBytes;
 
@@ -118,14 +126,14 @@
   }
 
   /**
-   * A viewing has been answered on it, or handed over by it; whoever only tests the front hears of
-   * no viewing.
+   * Whether a request has been answered on this connection or a session handed over by it. A client
+   * that only tests the front is sent no releases.
    */
   boolean isUsedByClient() {
     return usedByClient;
   }
 
-  /* ---- what comes is taken apart ---- */
+  /* ---- parsing ---- */
 
   private void read(byte[] data) {
     if (closed) {
@@ -141,8 +149,8 @@
   }
 
   /**
-   * Takes apart what has come, for one turn's share of time; the rest in turns of its own. Guards
-   * against a client that sends at full speed and makes all others wait.
+   * Parses received messages, for one loop iteration's share of time; the rest is parsed in later
+   * iterations. Otherwise a client that sends at full speed would make all others wait.
    */
   private void parse() {
     if (closed) {
@@ -171,7 +179,7 @@
         if (received.isFull(reader.unread())) {
           pause();
         }
-        // By a timer: what is merely put off runs before the loop reads from anybody else.
+        // By a timer: a deferred task runs before the loop reads from any other connection.
         front()
             .schedule(
                 NEXT_ITERATION_DELAY,
@@ -182,7 +190,7 @@
       }
       resume();
     } catch (BadMessage e) {
-      listener.warn("unreadable client", socket.peer(), e.getMessage());
+      listener.warn("malformed client message", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
     scheduleStart();
@@ -213,7 +221,8 @@
       return false;
     }
     if (reader.isMidMessage()) {
-      nextEarliestArrival = chunk.came(); // of what begins in it, not of the message that it ends
+      // For messages that begin in this chunk, not for the one that it completes.
+      nextEarliestArrival = chunk.came();
     } else {
       earliestArrival = chunk.came();
     }
@@ -224,7 +233,7 @@
   private void enqueue(Message message) {
     boolean isHandOver = message.isHandOver();
     if (queuedRequests.containsKey(message.id()) && !isHandOver) {
-      close("two set-ups of one id");
+      close("two requests with one id");
     } else if (isHandOver) {
       if (queuedHandOvers.putIfAbsent(
               message.id(), new QueuedRequest(message.kept(), earliestArrival))
@@ -234,7 +243,8 @@
       }
     } else if (queuedBytes + message.length() > ClientListener.MAX_QUEUED_BYTES_PER_CONNECTION
         || !listener.hasRoomFor(message.length())) {
-      // Not by reading nothing more: whoever has sent too much would not be seen to leave.
+      // The request is rejected, and reading goes on: if it stopped, the front would not notice
+      // when a client that has sent too much leaves.
       write(ViewerMessages.blocked(message.id(), listener.recordRejection().micros() / 1000));
     } else {
       queuedRequests.put(message.id(), new QueuedRequest(message.kept(), earliestArrival));
@@ -264,7 +274,7 @@
     }
   }
 
-  /* ---- what is queued is begun ---- */
+  /* ---- starting requests ---- */
 
   private void scheduleStart() {
     if (!startScheduled && (!queuedHandOvers.isEmpty() || canStartRequest())) {
@@ -273,14 +283,14 @@
     }
   }
 
-  /** A set-up is begun once all that has come with it is taken apart: its end may stand there. */
+  /** A request is started once all that arrived with it is parsed, as its end may be there. */
   private boolean canStartRequest() {
     return !queuedRequests.isEmpty() && !closed && !parseScheduled && !paused;
   }
 
   /**
-   * Begins what is queued, for one turn's share of time: first what plays already, as the rules
-   * count it.
+   * Starts queued requests, for one loop iteration's share of time: handed-over sessions first, as
+   * they are established already and the rules count them as such.
    */
   private void startQueued() {
     startScheduled = false;
@@ -292,7 +302,7 @@
         start(queue, queue.keySet().iterator().next());
       }
     } catch (BadMessage e) {
-      listener.warn("unreadable client", socket.peer(), e.getMessage());
+      listener.warn("malformed client message", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
     if (!startScheduled && (!queuedHandOvers.isEmpty() || canStartRequest())) {
@@ -320,8 +330,8 @@
   }
 
   /**
-   * The end of a session has come while its set-up waits here: one handed over is begun now,
-   * another never.
+   * The end of a session has arrived while its request waits here: a handed-over session is started
+   * now, any other never.
    */
   void endedBeforeStart(long id) {
     if (queuedRequests.containsKey(id)) {
@@ -332,15 +342,15 @@
       try {
         start(queuedHandOvers, id);
       } catch (BadMessage e) {
-        listener.warn("unreadable client", socket.peer(), e.getMessage());
+        listener.warn("malformed client message", socket.peer(), e.getMessage());
       }
       earliestArrival = previous;
     }
   }
 
   /**
-   * The front ends: whatever still waits for its turn is begun now, so that it is answered, or told
-   * that it is over, before the process ends. It could hurt by one long turn, the last but one.
+   * The front stops: starts all requests that still wait, so that they are answered or released
+   * before the process exits. This causes one long loop iteration, the last but one.
    */
   void startAllQueued() {
     for (Map<Long, QueuedRequest> queue : List.of(queuedHandOvers, queuedRequests)) {
@@ -348,20 +358,20 @@
         try {
           start(queue, queue.keySet().iterator().next());
         } catch (BadMessage e) {
-          listener.warn("unreadable client", socket.peer(), e.getMessage());
+          listener.warn("malformed client message", socket.peer(), e.getMessage());
         }
       }
     }
   }
 
-  /** How long what is being begun now may have lain unread. */
+  /** Upper bound of the time that the request being started may have waited unread. */
   Span maxQueueingDelay() {
     return front().now().since(earliestArrival);
   }
 
-  /* ---- its end ---- */
+  /* ---- closing ---- */
 
-  /** Closes it; what waits on it is answered by the close. */
+  /** Closes the connection, which answers all requests that wait on it. */
   void close(String reason) {
     if (!closed) {
       socket.close();
@@ -379,7 +389,7 @@
     for (long id : List.copyOf(queuedRequests.keySet())) {
       dequeue(queuedRequests, id);
     }
-    // What has come before the close is still heard: ends, and what is handed over, belong to no
+    // What arrived before the close still takes effect: ends and handed-over sessions belong to no
     // connection.
     try {
       boolean hasMore = true;
@@ -393,7 +403,7 @@
         hasMore = message != null || feedNextChunk();
       }
     } catch (BadMessage e) {
-      // what follows cannot be read
+      // the data that follows cannot be parsed
     }
     scheduleStart();
     List<ClientSession> sessions = new ArrayList<>(unanswered);
@@ -406,7 +416,8 @@
           addQueuedBytes(-session.descriptionLength());
           listener.abandon(session);
         });
-    // Their viewer may not have read them: told again elsewhere, where that is still of use.
+    // The client may not have read these releases: they are sent again on another connection,
+    // where that is still of use.
     Moment oldestUnread = front().now().minus(MAX_RELEASE_READ_DELAY);
     sentReleases.forEach(
         (id, release) -> {
@@ -417,18 +428,18 @@
     sentReleases.clear();
   }
 
-  /** Logs every close by the front, and those under which something was open. */
+  /** Logs every close by the front, and each one that leaves requests unanswered. */
   private void logClose(String reason) {
     if (!unanswered.isEmpty() || !queuedRequests.isEmpty() || reason.startsWith("by the front")) {
       String openRequests =
-          ", " + unanswered.size() + " open, " + queuedRequests.size() + " not begun";
+          ", " + unanswered.size() + " open, " + queuedRequests.size() + " not started";
       front()
           .events()
           .logFront(Kind.CLIENT_CONNECTION_CLOSED, socket.peer() + " " + reason + openRequests);
     }
   }
 
-  /* ---- what is owed here ---- */
+  /* ---- answers and releases ---- */
 
   void addUnanswered(ClientSession session) {
     unanswered.add(session);
@@ -436,9 +447,9 @@
     addQueuedBytes(session.descriptionLength());
   }
 
-  /** Its viewing plays from here on. */
+  /** Makes this the connection on which the session's release is sent. */
   void setAsOriginOf(ClientSession session) {
-    session.origin(this);
+    session.setOrigin(this);
   }
 
   void sendAnswer(ClientSession session, byte[] message) {
@@ -457,7 +468,7 @@
     }
   }
 
-  /** Tells that what played is over; false where it cannot be told here. */
+  /** Sends the release of an established session; false if it cannot be sent here. */
   boolean sendRelease(long id, boolean interrupted) {
     if (!write(ViewerMessages.over(id, interrupted))) {
       return false;
@@ -473,7 +484,10 @@
     return true;
   }
 
-  /** Writes, or closes where whoever is there does not read; false where nothing was written. */
+  /**
+   * Writes the message; false if nothing was written. The connection is closed if its client does
+   * not read.
+   */
   boolean write(byte[] message) {
     if (closed) {
       return false;
@@ -486,7 +500,7 @@
     return true;
   }
 
-  /** Nothing is open on it and nothing that has come waits here. */
+  /** Whether nothing is open on the connection and nothing received waits here. */
   boolean isIdle() {
     return unanswered.isEmpty()
         && queuedRequests.isEmpty()
@@ -495,7 +509,7 @@
         && !paused;
   }
 
-  /* ---- what its messages say ---- */
+  /* ---- received messages ---- */
 
   @Override
   public void setUp(long id, SetUpForm form) {
@@ -518,11 +532,14 @@
 
   @Override
   public void unfit(long id, String reason) {
-    listener.warn("unfit set-up", socket.peer(), reason);
+    listener.warn("invalid request", socket.peer(), reason);
     write(ViewerMessages.unfit(id));
   }
 
-  /** It is viewers': it has been answered, or a viewing that plays was handed over by it. */
+  /**
+   * Marks the connection as used by a client: a request has been answered on it, or an established
+   * session was handed over by it.
+   */
   void markUsedByClient() {
     if (!closed) {
       idleState.proven();
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -16,27 +16,34 @@
 import linengauge.session.Held;
 
 /**
- * Where viewers connect: ids to viewings, and what is owed to viewers whose connection has gone.
+ * Accepts the connections of clients, finds sessions by their ids, and keeps the releases that are
+ * owed to clients whose connection has closed.
  */
 final class ClientListener {
-  /** Bytes that may wait for a viewer that does not read. */
+  /** Bytes that may wait for a client that does not read. */
   static final int WRITE_BUFFER_BYTES = 64 * 1024;
 
   /**
-   * Bytes of set-ups that wait on one connection, and on all; what passes it is turned away at
-   * once.
+   * Bytes of requests that may wait on one connection, and on all; requests beyond that are
+   * rejected at once.
    */
   static final int MAX_QUEUED_BYTES_PER_CONNECTION = 48 * 1024;
 
   private static final int MAX_QUEUED_BYTES = 4 * 1024 * 1024;
   private static final long MAX_TIME_LIMIT_MS = 600_000;
+
+  /**
+   * A connection is closed if it is idle and nothing has been answered on it for this long after it
+   * was accepted, or if a message on it stays incomplete for this long.
+   */
   private static final Span FIRST_REQUEST_TIME_LIMIT = Span.ofMillis(2200);
+
   private static final Span RELEASE_RETENTION = Span.ofSeconds(8);
 
-  /** As many as the library's loop takes from the listener in one turn. */
+  /** As many as the library's event loop accepts in one iteration. */
   private static final int ACCEPTS_PER_ITERATION = 16;
 
-  /** As many as can stand at once. */
+  /** At least as many as sessions can be established at once. */
   private static final int MAX_PENDING_RELEASES = 8192;
 
   private record PendingRelease(long id, boolean interrupted, Moment expiresAt) {}
@@ -45,13 +52,14 @@
   private final IdleConnections idleConnections;
   private final AcceptBacklog backlog;
 
-  /** Viewings by their ids on the wire; each leaves with its refusal or its end. */
+  /** Sessions by their ids on the wire; each is removed with its rejection or its end. */
   private final Map<Long, ClientSession> sessions = new HashMap<>();
 
   private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /**
-   * Set-ups that have come and are not begun, by id; each leaves as it is begun, ended or dropped.
+   * Connections with a received request that is not started, by the request's id; removed when it
+   * is started, ended or dropped.
    */
   private final Map<Long, ClientConnection> queuedRequests = new HashMap<>();
 
@@ -59,7 +67,8 @@
   private boolean closingScheduled;
 
   /**
-   * Ends that no connection was there for; bounded, and emptied by the next connection or by time.
+   * Releases for which there was no connection; bounded, and emptied by the next connection or by
+   * time.
    */
   private final ArrayDeque<PendingRelease> pendingReleases = new ArrayDeque<>();
 
@@ -78,7 +87,7 @@
     return sessions.size();
   }
 
-  /** Ends that wait for a connection on which they can be told. */
+  /** Releases that wait for a connection on which they can be sent. */
   int pendingReleaseCount() {
     return pendingReleases.size();
   }
@@ -97,16 +106,15 @@
     connections.add(connection);
     connection.setIdleState(
         idleConnections.arrived(
-            () -> connection.close("idle, or its place is wanted"),
+            () -> connection.close("idle, or connection limit reached"),
             connection::isIdle,
             front.now()));
     closeExcessConnections();
   }
 
   /**
-   * Where there are more than there are places some are closed, but only once the loop has read
-   * what everybody sent: a set-up that lies unread on a connection that seems to rest would be lost
-   * with it.
+   * Closes connections if there are more than the limit, but only once the loop has read what all
+   * clients have sent: an unread request on a connection that seems idle would be lost with it.
    */
   private void closeExcessConnections() {
     if (!closingScheduled && idleConnections.isOver()) {
@@ -117,7 +125,7 @@
                   () -> {
                     closingScheduled = false;
                     if (idleConnections.makePlace() > 0) {
-                      warn("no place for a viewer", null, "");
+                      warn("connection limit reached with requests open", null, "");
                     }
                   }));
     }
@@ -136,7 +144,7 @@
     queuedRequests.remove(id, connection);
   }
 
-  /** The front ends: what became of every request that still waits is logged. */
+  /** The front stops: logs what happened to every request that is still open. */
   void logOpenRequests() {
     for (ClientSession session : sessions.values()) {
       if (session.requester() != null) {
@@ -145,7 +153,7 @@
     }
   }
 
-  /** The front ends: whatever waits for its turn is begun, on every connection. */
+  /** The front stops: starts all requests that still wait, on every connection. */
   void startAllQueued() {
     new LinkedHashSet<>(queuedRequests.values()).forEach(ClientConnection::startAllQueued);
   }
@@ -158,12 +166,12 @@
     return queuedBytes + bytes <= MAX_QUEUED_BYTES;
   }
 
-  /** One is turned away before it is taken; returns when to come back. */
+  /** Counts a request that is rejected before it reaches the core; returns when to retry. */
   Span recordRejection() {
     return front.sessionManager().turnedAway();
   }
 
-  /** The loop's beat. */
+  /** To be called on each tick of the event loop. */
   void tick(Moment now) {
     backlog.beat(now);
   }
@@ -175,7 +183,7 @@
     }
   }
 
-  /* ---- what viewers say ---- */
+  /* ---- messages from clients ---- */
 
   void handleRequest(ClientConnection connection, long id, SetUpForm form) {
     int packageIndex = front.settings().packages().indexOf(form.pack());
@@ -190,7 +198,7 @@
         || !isHandOver && (form.leftMs() <= 0 || form.leftMs() > MAX_TIME_LIMIT_MS)) {
       connection.unfit(
           id,
-          "unknown package or a figure out of range: "
+          "unknown package or value out of range: "
               + form.pack()
               + " "
               + form.firstCell()
@@ -226,7 +234,7 @@
       ClientSession session = new ClientSession(this, id, form.pack(), null, null, front.now());
       sessions.put(id, session);
       connection.setAsOriginOf(session);
-      session.session(front.sessionManager().handOver(request, Texts.box(form.at()), session));
+      session.setSession(front.sessionManager().handOver(request, Texts.box(form.at()), session));
       if (session.session() != null) {
         front.serverLinks().adopt(session);
       }
@@ -243,7 +251,7 @@
     sessions.put(id, session);
     connection.addUnanswered(session);
     Held coreSession = front.sessionManager().take(request, session);
-    session.session(coreSession);
+    session.setSession(coreSession);
   }
 
   private static boolean isAbsentOrBelow(long value, long limit) {
@@ -251,18 +259,18 @@
   }
 
   /**
-   * An id that is in use: the viewing that has it is left alone, unless it came by the very same
-   * connection.
+   * Handles a request whose id is in use: the session that has the id is not changed, unless both
+   * requests came by the same connection, which is closed then.
    */
   private void handleDuplicateId(
       ClientConnection connection, ClientSession existing, boolean isHandOver) {
     if (isHandOver) {
-      return; // told of something held already
+      return; // the session is known already
     }
     if (existing.requester() == connection) {
-      connection.close("two set-ups of one id");
+      connection.close("two requests with one id");
     } else {
-      connection.unfit(existing.id(), "the id of another viewing");
+      connection.unfit(existing.id(), "the id of another session");
     }
   }
 
@@ -277,7 +285,7 @@
     }
   }
 
-  /** Its viewer no longer waits for it, or no longer wants it. */
+  /** The client no longer waits for the session, or no longer wants it. */
   void abandon(ClientSession session) {
     ClientConnection connection = session.requester();
     if (connection != null) {
@@ -290,16 +298,16 @@
     }
   }
 
-  /** Nothing is owed for it any more. */
+  /** Removes a session for which nothing is owed to its client any more. */
   void remove(ClientSession session) {
     sessions.remove(session.id(), session);
   }
 
-  /* ---- what viewers are told ---- */
+  /* ---- messages to clients ---- */
 
   /**
-   * A viewing that played is over: its viewer is told on its own connection, or else on any of a
-   * viewer's.
+   * Sends the release of an established session on the connection by which it came, or else on any
+   * other that is used by a client.
    */
   void sendRelease(long id, boolean interrupted, ClientConnection origin) {
     if (origin != null && origin.isOpen() && origin.sendRelease(id, interrupted)) {
@@ -319,7 +327,7 @@
     pendingReleases.add(new PendingRelease(id, interrupted, front.now().plus(RELEASE_RETENTION)));
   }
 
-  /** A connection has shown itself to be viewers': what waited for one is told on it. */
+  /** A connection has proved to be used by a client: sends the pending releases on it. */
   void sendPendingReleases(ClientConnection connection) {
     while (!pendingReleases.isEmpty()
         && connection.sendRelease(
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -10,40 +10,43 @@
 import linengauge.session.Viewer;
 
 /**
- * The viewer's end of one viewing on the platform: its id on the wire, and the connection on which
- * its answer is owed.
+ * The client's side of one session: its id on the wire, and the connection on which its answer is
+ * owed.
  */
 final class ClientSession implements Viewer {
   private final ClientListener listener;
   private final long id;
   private final String packageName;
 
-  /** What its boxes are told; null once it plays, as nobody is told it any more. */
+  /** Sent to the servers; null once the session is established, as it is not sent any more. */
   private String description;
 
-  /** Null once the answer is given, or the viewer no longer waits. */
+  /** Null once the answer is sent, or the client no longer waits. */
   private ClientConnection requester;
 
   private final int descriptionLength;
   private Held session;
 
-  /** What the box answered; written to the viewer as it came. */
+  /** The server's answer, which is sent to the client unchanged. */
   private byte[] answer;
 
-  /** The connection it came by, for its end; it may have closed. */
+  /** The connection by which the session came, for its release; it may have closed. */
   private ClientConnection origin;
 
-  /** The connection that it was set up on, while it plays; null for one that was handed over. */
-  private ServerConnection setUpConnection;
+  /**
+   * The connection on which the session was set up, while it is established; null for one that was
+   * handed over.
+   */
+  private ServerConnection serverConnection;
 
   private ServerConnection lastUsedConnection;
 
-  /** Until when its viewer waits. */
+  /** The client waits until then. */
   private final Moment answerDeadline;
 
   private final RequestTrail trail;
 
-  /** It plays, or has been handed over as playing. */
+  /** The session is established, or was handed over as such. */
   private boolean established;
 
   ClientSession(
@@ -72,7 +75,7 @@
     }
   }
 
-  /* ---- what the log is told ---- */
+  /* ---- logging ---- */
 
   private void log(
       Kind kind, long server, int attempt, int connection, String reason, boolean notable) {
@@ -85,16 +88,17 @@
     log(kind, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, reason, notable);
   }
 
-  /** Something happened to an attempt at that server. */
+  /** Logs an event of an attempt at that server. */
   void logAttempt(Kind kind, BoxTable.Entry server, int attempt, int connection, String reason) {
     log(kind, server.id(), attempt, connection, reason, false);
   }
 
   /**
-   * An attempt leaves by that connection; every one but the first is logged with what led to it.
+   * Logs that an attempt is sent on that connection; every attempt but the first is logged together
+   * with the events that led to it.
    */
   void logAttemptSent(int attempt, BoxTable.Entry server, int connection, Span wait) {
-    String timeLeft = "waits " + wait.micros() / 1000 + " ms";
+    String timeLeft = "waits up to " + wait.micros() / 1000 + " ms";
     log(Kind.ATTEMPT_SENT, server.id(), attempt, connection, timeLeft, attempt > 0);
   }
 
@@ -102,16 +106,16 @@
   public void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending outcome) {
     boolean ordinary = outcome == Outside.Ending.FINISHED || outcome == Outside.Ending.WITHDRAWN;
     Kind kind = established ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
-    int connection = setUpConnection == null ? LogEvent.NONE : setUpConnection.number();
+    int connection = serverConnection == null ? LogEvent.NONE : serverConnection.number();
     log(kind, server.id(), attempt, connection, outcome.name(), !ordinary);
   }
 
-  /** Logs what has happened so far, though nothing notable did. */
+  /** Logs the events so far, although none of them is notable. */
   void flushLog() {
     trail.flush();
   }
 
-  /** Its answer leaves after its time. */
+  /** Logs that the answer is sent after its deadline. */
   void logLateAnswer(Span lateness) {
     log(Kind.REQUEST_FAILED, "answered late by " + lateness.micros() / 1000 + " ms", true);
   }
@@ -132,7 +136,7 @@
     return description;
   }
 
-  /** Of its description, in characters. */
+  /** The length of the description, in characters. */
   int descriptionLength() {
     return descriptionLength;
   }
@@ -141,7 +145,7 @@
     return session;
   }
 
-  void session(Held newSession) {
+  void setSession(Held newSession) {
     session = newSession;
   }
 
@@ -149,12 +153,12 @@
     return requester;
   }
 
-  /** Its box answers; the description is kept until the core has said whether it plays. */
+  /** Keeps the server's answer until the core has decided whether the session is established. */
   void setAnswer(byte[] message) {
     answer = message;
   }
 
-  /** Whoever asked no longer waits. */
+  /** The client no longer waits. */
   void clientLeft() {
     requester = null;
     log(Kind.CLIENT_LEFT, "", false);
@@ -200,32 +204,33 @@
     }
   }
 
-  ServerConnection setUpConnection() {
-    return setUpConnection;
+  ServerConnection serverConnection() {
+    return serverConnection;
   }
 
-  void setUpConnection(ServerConnection connection) {
-    setUpConnection = connection;
+  void setServerConnection(ServerConnection connection) {
+    serverConnection = connection;
   }
 
   /**
-   * The connection that carries what is told to its server; null where none has yet, or it closed.
+   * The connection that carries messages about the session to its server; null if there has been
+   * none yet, or it has closed.
    */
   ServerConnection lastUsedConnection() {
     return lastUsedConnection;
   }
 
-  void lastUsedConnection(ServerConnection connection) {
+  void setLastUsedConnection(ServerConnection connection) {
     lastUsedConnection = connection;
   }
 
-  void origin(ClientConnection connection) {
+  void setOrigin(ClientConnection connection) {
     origin = connection;
   }
 
   @Override
   public Moment lastAsked() {
-    return Moment
-        .DISTANT_PAST; // viewers here ask for nothing while they play; no idle bound is set
+    // Clients send nothing while a session is established, and no idle limit is set.
+    return Moment.DISTANT_PAST;
   }
 }
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -20,9 +20,15 @@
 import linengauge.session.BoxTable.Row;
 
 /**
- * Where and as what the platform posts this front: the configuration that it is started with
- * (docs/protocol/platform.md, "Configuration"). Descriptors: how many files and sockets the process
- * may hold.
+ * The configuration with which the platform starts a front (docs/protocol/platform.md,
+ * "Configuration").
+ *
+ * @param listenAddress where the front listens for clients, as host:port
+ * @param journalAddress the journal service, as host:port
+ * @param seed the seed of all random decisions
+ * @param descriptorLimit how many files and sockets the process may have open
+ * @param settings the settings of the module
+ * @param knownEvents the discovery events known at the start
  */
 public record Configuration(
     String listenAddress,
@@ -31,10 +37,10 @@
     int descriptorLimit,
     Briefing settings,
     List<DiscoveryEvent> knownEvents) {
-  /** One event of the box list. */
+  /** One discovery event: the full server list, or changes of it. */
   public record DiscoveryEvent(long number, boolean full, List<Row> rows) {}
 
-  /** Reads and checks the whole file; throws with one line that says what is wrong with it. */
+  /** Reads and validates the file; the message of the exception says what is wrong with it. */
   static Configuration read(Path file) throws BadBriefing {
     try {
       return read(Files.readAllBytes(file));
@@ -43,14 +49,14 @@
     }
   }
 
-  /** The same of what stands in such a file. */
+  /** Parses and validates the content of a configuration file. */
   public static Configuration read(byte[] text) throws BadBriefing {
     try (JsonParser parser = new JsonFactory().createParser(text)) {
       JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT
           || !(JsonTree.read(parser, first) instanceof Map<?, ?> root)
           || parser.nextToken() != null) {
-        throw new BadBriefing("it should hold one object");
+        throw new BadBriefing("it should contain one JSON object");
       }
       if (!(root.get("settings") instanceof Map<?, ?> settingsObject)
           || !(root.get("limits") instanceof Map<?, ?> limitsObject)
@@ -69,15 +75,17 @@
           settings,
           parseKnownEvents(knownObject, settings));
     } catch (JsonProcessingException e) {
-      throw new BadBriefing("it is no JSON: " + e.getOriginalMessage());
+      throw new BadBriefing("it is not valid JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
       throw new BadBriefing("it cannot be read: " + e);
     }
   }
 
-  private static String requireAddress(Map<?, ?> from, String key) throws BadBriefing {
-    if (from.get(key) instanceof String s && port(s) > 0 && !host(s).isEmpty()) {
-      return s;
+  private static String requireAddress(Map<?, ?> object, String key) throws BadBriefing {
+    if (object.get(key) instanceof String address
+        && port(address) > 0
+        && !host(address).isEmpty()) {
+      return address;
     }
     throw new BadBriefing("'" + key + "' should be host:port");
   }
@@ -86,7 +94,7 @@
     return address.substring(0, Math.max(0, address.lastIndexOf(':')));
   }
 
-  /** The port of host:port, or -1. */
+  /** The port of host:port, or -1 if there is no valid one. */
   static int port(String address) {
     long port = Texts.whole(address.substring(address.lastIndexOf(':') + 1));
     return port > 0 && port < 65536 ? (int) port : -1;
@@ -97,15 +105,15 @@
       try {
         return Long.parseUnsignedLong(text, 16);
       } catch (NumberFormatException e) {
-        // said below
+        // reported below
       }
     }
     throw new BadBriefing("'seed' should be up to 16 hex digits");
   }
 
-  private static long wholeNumber(Map<?, ?> from, String key, long defaultValue)
+  private static long wholeNumber(Map<?, ?> object, String key, long defaultValue)
       throws BadBriefing {
-    Object value = from.get(key);
+    Object value = object.get(key);
     if (value == null) {
       return defaultValue;
     }
@@ -123,7 +131,8 @@
         if (!(item instanceof Map<?, ?> entry)
             || !(entry.get("hosts") instanceof Map<?, ?> hosts)
             || !(hosts.get("targets") instanceof List<?> targets)) {
-          throw new BadBriefing("an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
+          throw new BadBriefing(
+              "an entry of 'known' should contain 'pos' and 'hosts' with 'targets'");
         }
         List<Row> rows = new ArrayList<>();
         for (Object target : targets) {
@@ -141,14 +150,14 @@
     if (!(item instanceof Map<?, ?> target)
         || !(target.get("uid") instanceof String uid)
         || Texts.box(uid) < 0) {
-      throw new BadBriefing("a box of 'known' should be an object with 'uid'");
+      throw new BadBriefing("a server of 'known' should be an object with 'uid'");
     }
     BoxTable.State state =
         switch (String.valueOf(target.get("state"))) {
           case "up" -> BoxTable.State.SERVING;
           case "draining" -> BoxTable.State.DRAINING;
           case "removed" -> BoxTable.State.GONE;
-          default -> throw new BadBriefing("box " + uid + " is in no known state");
+          default -> throw new BadBriefing("server " + uid + " has an unknown state");
         };
     Moment startedAt = JournalFrames.startedAt(wholeNumber(target, "boot_ms", 0));
     String address = target.get("endpoint") instanceof String text ? text : null;
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -11,17 +11,17 @@
 import linengauge.session.BoxTable.Row;
 
 /**
- * Follows the journal service. A stream that breaks, skips an event, or brings no whole frame for
- * clearly longer than its sign of life is apart, is asked for again from the last event held, after
- * pauses that grow, are bounded, and drawn apart from those of other fronts: they all lose it at
- * one moment.
+ * Follows the journal service, which publishes the discovery events. If the stream breaks, skips an
+ * event, or brings no complete frame for clearly longer than the interval of its keep-alive frames,
+ * it is requested again from the last event known. The pauses between these requests grow up to a
+ * bound and are randomized, since all fronts lose the stream at the same moment.
  */
 final class DiscoveryWatch {
   private static final Span SILENCE_LIMIT = Span.ofMillis(2200);
   private static final Span MIN_BACKOFF = Span.ofMillis(50);
   private static final int WRITE_BUFFER_BYTES = 1024;
 
-  /** Tells this source of chance from the module's, which has the same seed. */
+  /** Separates this random sequence from the module's, which has the same seed. */
   private static final long BACKOFF_SEED_SALT = 0x6c697374L;
 
   private static final Span MAX_BACKOFF = Span.ofMillis(800);
@@ -31,12 +31,12 @@
   private long lastEventNumber;
   private Net.Connection socket;
 
-  /** Counts connections tried: what an earlier one still says is passed over. */
+  /** Counts connections dialled: events of an earlier one are ignored. */
   private int currentGeneration;
 
   private Moment connectedAt;
 
-  /** When the last whole frame came: what drips and never ends is no sign of life. */
+  /** When the last complete frame arrived; an incomplete one is no sign of life. */
   private Moment lastFrameAt;
 
   private final Backoff backoff;
@@ -48,12 +48,12 @@
         new Backoff(MIN_BACKOFF, MAX_BACKOFF, new SplittableRandom(seed ^ BACKOFF_SEED_SALT));
   }
 
-  /** An event that was known at the start. */
+  /** Applies an event that was known at the start. */
   void applyKnown(Configuration.DiscoveryEvent event) {
     apply(event.number(), event.full(), event.rows());
   }
 
-  /** The service has moved; the numbers go on. */
+  /** The service has moved to another address; the event numbers continue. */
   void changeAddress(String newAddress) {
     if (!newAddress.equals(address)) {
       log("moved from " + address + " to " + newAddress);
@@ -94,7 +94,7 @@
     socket = connection;
     connectedAt = front.now();
     lastFrameAt = connectedAt;
-    log("connected to " + address + ", asks from " + lastEventNumber);
+    log("connected to " + address + ", resuming after event " + lastEventNumber);
     JournalFrames frames =
         new JournalFrames(
             (number, full, rows) -> {
@@ -127,7 +127,7 @@
     if (generation != currentGeneration) {
       return;
     }
-    front.warn("discovery broke off", address, reason);
+    front.warn("discovery disconnected", address, reason);
     log("closed: " + reason);
     currentGeneration++;
     if (socket != null) {
@@ -148,7 +148,7 @@
   }
 
   private void logEvent(long number, boolean full, List<Row> rows) {
-    log("event " + number + (full ? ", whole list of " : ", changes: ") + rows.size());
+    log("event " + number + (full ? ", full list of " : ", changes: ") + rows.size());
     if (!full) {
       for (Row row : rows) {
         front.events().logServer(Kind.SERVER_STATE, row.id(), row.state().name());
@@ -156,7 +156,9 @@
     }
   }
 
-  /** To be called some times a second. */
+  /**
+   * Reconnects if the service has been silent for too long; to be called several times a second.
+   */
   void checkSilence(Moment now) {
     if (socket != null && SILENCE_LIMIT.under(now.since(lastFrameAt)) && !front.isBehind()) {
       front.warn("discovery silent", address, "");
@@ -167,7 +169,7 @@
 
   private void apply(long number, boolean full, List<Row> rows) {
     if (number <= lastEventNumber) {
-      return; // told before
+      return; // already applied
     }
     if (!full && number != lastEventNumber + 1) {
       disconnected(currentGeneration, "skipped from " + lastEventNumber + " to " + number);
--- a/src/main/java/linengauge/platform/EventLog.java
+++ b/src/main/java/linengauge/platform/EventLog.java
@@ -5,7 +5,7 @@
 import linengauge.Moment;
 import linengauge.platform.LogEvent.Kind;
 
-/** Tells the log what happens to requests, connections and servers, with the time. */
+/** Logs what happens to requests, connections and servers, with the time. */
 final class EventLog {
   private final Supplier<Moment> now;
   private final Consumer<LogEvent> sink;
@@ -15,7 +15,7 @@
     this.sink = sink;
   }
 
-  /** What happens to one request from here on. */
+  /** Creates the trail of a new request. */
   RequestTrail newTrail() {
     return new RequestTrail(sink);
   }
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -5,18 +5,18 @@
 import linengauge.platform.codec.Texts;
 
 /**
- * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
- * platform writes them, and why. Figures that do not apply are {@link #NONE}.
+ * One event of a request, a connection or a server, as it is logged: ids in the platform's
+ * notation, and the reason. Numbers that do not apply are {@link #NONE}.
  *
  * @param at when it happened, which may be long before its line is written
- * @param request the id of the set-up on the wire
- * @param server the server's id in the list
+ * @param request the id of the request on the wire
+ * @param server the id of the server in discovery
  * @param attempt counted from 0 for each request
- * @param connection counted from 1 over all connections to servers in one life of the front
+ * @param connection counted from 1 over all connections to servers since the front started
  */
 public record LogEvent(
     Moment at, Kind kind, long request, long server, int attempt, int connection, String reason) {
-  /** Does not apply. */
+  /** The value of a number that does not apply. */
   public static final int NONE = -1;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
@@ -43,7 +43,7 @@
     SHUTDOWN
   }
 
-  /** One line of key=value pairs, without its end. */
+  /** One line of key=value pairs, without a line separator. */
   public String line() {
     StringBuilder line = new StringBuilder(128);
     line.append("event=").append(kind.name().toLowerCase(Locale.ROOT).replace('_', '-'));
--- a/src/main/java/linengauge/platform/Net.java
+++ b/src/main/java/linengauge/platform/Net.java
@@ -6,45 +6,50 @@
 import linengauge.session.Carrier.Wake;
 
 /**
- * What a front of the platform is carried by: connections, timers and the time. On the platform
- * these are sockets on one event loop ({@link VertxNet}), in the fleet of the rehearsal a model in
- * virtual time. Everything told through it comes one after another and never within a call of it.
+ * The connections, the timers and the clock that a front of the platform uses. On the platform
+ * these are sockets on one event loop ({@link VertxNet}), in the simulated fleet a model in virtual
+ * time. All callbacks run one after another, and never within a call of this interface.
  */
 public interface Net {
   /** One connection. */
   interface Connection {
     /**
-     * Whoever hears it from here on; the second is told once, as it has closed, whoever closed it.
+     * Sets the handlers for received data and for the close; the latter runs once after the
+     * connection has closed, whichever side closed it.
      */
     void setHandlers(Consumer<byte[]> dataHandler, Runnable closeHandler);
 
     void write(byte[] message);
 
-    /** So much waits for whoever reads that nothing more should be written. */
+    /** Whether so much waits for the peer to read that nothing more should be written. */
     boolean isFull();
 
-    /** Reads nothing more until resumed. */
+    /** Stops reading until {@link #resume}. */
     void pause();
 
     void resume();
 
     void close();
 
-    /** For the log. */
+    /** The address of the peer, for the log. */
     String peer();
   }
 
-  /** What comes of trying a connection: one of both, once. */
+  /** Handles the outcome of {@link #connect}; exactly one of the methods is called, once. */
   interface ConnectHandler {
     void connected(Connection connection);
 
-    /** Refused: nothing listens there. Else it did not come up in its time, or is not to be had. */
+    /**
+     * The connection was not opened. Refused: nothing listens at the address; else it timed out, or
+     * no connection is available.
+     */
     void failed(boolean refused, String reason);
   }
 
   /**
-   * Listens for viewers; told when it does so (null), or why it cannot, and later of connections
-   * not taken.
+   * Handles connections from clients. {@link #listening} is called once, with null or with the
+   * reason why the front cannot listen; {@link #acceptFailed} is called for each connection that
+   * could not be accepted.
    */
   interface AcceptHandler {
     void listening(String failure);
@@ -57,28 +62,29 @@
   Moment now();
 
   /**
-   * Tries a connection to host:port, no longer than the dialling time; so many bytes may wait on
-   * it.
+   * Opens a connection to host:port, within the connect timeout. At most the given number of bytes
+   * may wait to be written on it.
    */
   void connect(String address, int writeBufferBytes, ConnectHandler handler);
 
-  /** Listens at host:port; so many bytes may wait on each connection. */
-  void listen(String address, int writeBufferBytes, AcceptHandler listener);
+  /** Listens at host:port. At most the given number of bytes may wait on each connection. */
+  void listen(String address, int writeBufferBytes, AcceptHandler handler);
 
-  /** Runs the step once, not earlier than after the span. */
+  /** Runs the task once, not earlier than after the delay. */
   Wake schedule(Span delay, Runnable task);
 
-  /** Runs the step again and again, so far apart. */
+  /** Runs the task repeatedly at the given interval. */
   void scheduleEvery(Span interval, Runnable task);
 
   /**
-   * Runs the step as soon as what is under way is over, and what has come with it has been read.
+   * Runs the task as soon as the current event is over and everything that arrived with it has been
+   * read.
    */
   void defer(Runnable task);
 
   /**
-   * Runs the step once all that has been written so far has left the process, or cannot any more;
-   * and after the span at the latest, whoever does not read.
+   * Runs the task once everything written so far has left the process or can no longer leave it,
+   * and after the time limit at the latest, even if a peer does not read.
    */
   void whenFlushed(Span timeLimit, Runnable task);
 }
--- a/src/main/java/linengauge/platform/OneLoopTransport.java
+++ b/src/main/java/linengauge/platform/OneLoopTransport.java
@@ -6,11 +6,11 @@
 import java.util.concurrent.ThreadFactory;
 
 /**
- * Sockets whose connections are taken by the very loop that reads them. Guards against a listener
- * with a loop of its own, as the library gives it, that takes hundreds while the front's loop is
- * busy: each holds a descriptor until that loop has seen it, and none is left for servers and the
- * list. It could hurt where one loop cannot take connections as fast as they come: they wait in the
- * system's backlog.
+ * A transport whose connections are accepted by the same event loop that reads them. The library's
+ * own transport accepts on a separate loop, which takes hundreds of connections while the front's
+ * loop is busy: each holds a descriptor until the front's loop has seen it, and none is left for
+ * servers and the journal service. If one loop cannot accept connections as fast as they arrive,
+ * they wait in the system's backlog.
  */
 final class OneLoopTransport extends NioTransport implements io.vertx.core.transport.Transport {
   private EventLoopGroup group;
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -12,59 +12,62 @@
 import linengauge.session.Desk;
 
 /**
- * A front in the operators' platform (docs/protocol/platform.md): viewers, boxes, the journal
- * service and the core, all of them carried by one {@link Net}. Whatever comes from outside enters
- * by {@link #handleEvent}, which tells the core the time.
+ * A front of the operators' platform (docs/protocol/platform.md): clients, media servers, the
+ * journal service and the core, all connected through one {@link Net}. Every external event enters
+ * through {@link #handleEvent}, which updates the core's clock first.
  */
 public final class PlatformFront {
   private static final Span SWEEP_INTERVAL = Span.ofMillis(200);
   private static final Span TICK_INTERVAL = Span.ofMillis(20);
 
-  /** A turn of the loop so long is told. */
+  /** A pause of the event loop longer than this is logged. */
   private static final Span LOGGED_PAUSE = Span.ofMillis(200);
 
+  /** Requests may still arrive for this long after the order to stop. */
   private static final Span ACCEPT_AFTER_STOP = Span.ofMillis(750);
+
   private static final Span MAX_STOP_TIME_LIMIT = Span.ofSeconds(3);
   private static final Span STOP_AFTER_TIME_LIMIT = Span.ofMillis(500);
 
   /**
-   * For its last words to leave, at the most; with what follows less than is left until it could be
-   * killed.
+   * Upper bound for writing out the last messages. Together with {@link #LINGER_TIME} it is less
+   * than the time left until the platform may kill the process.
    */
   private static final Span FLUSH_TIME_LIMIT = Span.ofMillis(90);
 
   /**
-   * For peers to read them. Guards against the process's end over bytes that peers have sent
-   * meanwhile: the system resets such a connection, and what the peer has not read is lost with it.
+   * Time for the peers to read the last messages before the process exits. If the process exits
+   * while bytes from a peer are unread, the system resets that connection, and what the peer has
+   * not read yet is lost.
    */
   private static final Span LINGER_TIME = Span.ofMillis(60);
 
-  /** What the platform allows for two words that cross. */
+  /** How long the platform allows two messages to cross on the wire. */
   private static final Span MAX_CROSSING_TIME = Span.ofMillis(50);
 
-  /** What may run in one turn of what waits, and the next one. */
+  /** Time that deferred tasks may use in one loop iteration. */
   private static final Span MAX_BATCH_TIME = Span.ofMillis(10);
 
   private static final Span NEXT_ITERATION_DELAY = Span.ofMillis(1);
   private static final Span RETRY_AFTER = Span.ofMillis(600);
   private static final int MAX_SESSIONS = 8000;
 
-  /** Where it tells what operators should know. */
+  /** Receives what operators should know. */
   public interface Observer {
-    /** Something that may come by the thousand: what kind, of whom, and more. */
+    /** A warning that may occur thousands of times: its kind, its subject and the details. */
     void warn(String kind, Object subject, String detail);
 
-    /** Something that comes seldom. */
+    /** A message about a rare event. */
     void info(String message);
 
-    /** Something that happened to a request, a connection or a server; may come by the thousand. */
+    /** An event of a request, a connection or a server; may be called thousands of times. */
     default void event(LogEvent event) {}
 
-    /** It has ended: in order (empty, null), or by a failure, which is named. */
+    /** The front has stopped: in order (empty text, null), or because of a failure. */
     void stopped(String failure, RuntimeException cause);
   }
 
-  /** How full its tables are. */
+  /** The sizes of the front's tables. */
   public record TableSizes(
       int sessions,
       int clientSessions,
@@ -85,20 +88,23 @@
   private final Desk sessionManager;
   private final DiscoveryWatch discoveryWatch;
 
-  /** What waits until the loop has read what may have come meanwhile; the next turns empty it. */
+  /**
+   * Tasks that wait until the loop has read what may have arrived meanwhile; run by the next loop
+   * iterations.
+   */
   private final ArrayDeque<DeferredTask> deferredTasks = new ArrayDeque<>();
 
   private Moment now;
   private boolean stopping;
 
-  /** Turns in which something waited there. */
+  /** Counts the loop iterations in which a task was waiting. */
   private long iterations;
 
   private boolean iterationScheduled;
 
   private record DeferredTask(long iteration, Moment addedAt, Runnable task) {}
 
-  /** To be made and used where the net's calls run. */
+  /** Must be created and used on the thread on which the net runs its callbacks. */
   public PlatformFront(Configuration configuration, Net net, Observer observer) {
     this.configuration = configuration;
     this.net = net;
@@ -109,8 +115,8 @@
     DescriptorBudget budget = DescriptorBudget.of(configuration.descriptorLimit());
     this.serverLinks = new ServerLinks(this, budget.boxes());
     this.clientListener = new ClientListener(this, budget.viewers());
-    // No idle bound; and no stand-still of the core's own noticing: each request says how long it
-    // may have lain.
+    // No idle limit, and no pause detection by the core: each request carries the time that it may
+    // have waited unread.
     var limits =
         new Desk.Bounds(
             MAX_SESSIONS,
@@ -130,7 +136,9 @@
         new DiscoveryWatch(this, configuration.journalAddress(), configuration.seed());
   }
 
-  /** Begins to serve; the outcome is told once: null, or why it cannot. */
+  /**
+   * Starts serving; the outcome is reported once: null, or the reason why the front cannot serve.
+   */
   public void start(Consumer<String> outcome) {
     sessionManager.clock(now);
     configuration.knownEvents().forEach(discoveryWatch::applyKnown);
@@ -142,7 +150,7 @@
           Span sinceLastTick = lag.beat(now);
           clientListener.tick(now);
           if (LOGGED_PAUSE.under(sinceLastTick)) {
-            warn("stood still", sinceLastTick.micros() / 1000 + " ms", "");
+            warn("event loop paused", sinceLastTick.micros() / 1000 + " ms", "");
           }
         });
     net.scheduleEvery(
@@ -166,7 +174,7 @@
                       + configuration.listenAddress()
                       + " with "
                       + sessionManager.boxes().size()
-                      + " boxes known");
+                      + " servers known");
             }
             outcome.accept(
                 failure == null
@@ -181,27 +189,27 @@
 
           @Override
           public void acceptFailed(String reason) {
-            warn("connection not taken", null, reason);
+            warn("connection not accepted", null, reason);
           }
         });
   }
 
-  /** Anything that comes from outside: the core is told the time, then it runs. */
+  /** Handles an external event: updates the core's clock, then runs the task. */
   void handleEvent(Runnable task) {
     updateClock();
     task.run();
   }
 
   /**
-   * The time anew, for each message of a piece that was read: the process may have been held up in
-   * its midst, and a yes must not leave after the viewer's patience.
+   * Updates the clock, once for each message of a chunk that was read: the process may have been
+   * paused in the middle of it, and a positive answer must not be sent after the client's deadline.
    */
   void updateClock() {
     now = net.now();
     sessionManager.clock(now);
   }
 
-  /** Tries a connection; what comes of it enters as an event of its own. */
+  /** Opens a connection; its outcome is handled as an event of its own. */
   void connect(String address, int writeBufferBytes, Net.ConnectHandler handler) {
     net.connect(
         address,
@@ -219,33 +227,34 @@
         });
   }
 
-  /** Runs it as an event of its own, once the present one is over. */
+  /** Runs the task as an event of its own, after the current one. */
   void defer(Runnable task) {
     net.defer(() -> handleEvent(task));
   }
 
-  /** Runs it once, after the span and never within the present event. */
+  /** Runs the task once, after the delay and never within the current event. */
   Wake schedule(Span delay, Runnable task) {
     return net.schedule(delay, () -> handleEvent(task));
   }
 
-  /** How long what is read now may have lain unread. */
+  /** Upper bound of the time that what is read now may have waited unread. */
   Span maxReadDelay() {
     return lag.unread(now);
   }
 
-  /** What came longer ago than words may cross may still lie unread. */
+  /** Whether messages that arrived more than {@link #MAX_CROSSING_TIME} ago may still be unread. */
   boolean isBehind() {
     return lag.isBehind(net.now());
   }
 
   /**
-   * Runs it once the loop has read what may have come longer ago than words may cross: at once
-   * where it keeps up, else some turns later. Guards against acting, in or after a long turn, on
-   * what a word that lies unread has undone: a set-up whose viewer has left, a connection closed
-   * under a request. What waits runs in shares of a turn, so that it makes no long turn itself. It
-   * could hurt by those turns where nothing had come; where they are long, one reading after 50 ms
-   * must do.
+   * Runs the task once the loop has read everything that may have arrived more than {@link
+   * #MAX_CROSSING_TIME} ago: at once if the loop keeps up, else some iterations later. Without this
+   * the front could act, in or after a long iteration, on something that an unread message has
+   * undone: send an attempt whose client has left, or use a connection that was closed under a
+   * request. Deferred tasks run in batches of limited time, so that they cause no long iteration
+   * themselves. The task waits for these iterations even if nothing had arrived; if they are long,
+   * one read after {@link #MAX_CROSSING_TIME} has to suffice.
    */
   void runOnceCaughtUp(Runnable task) {
     if (deferredTasks.isEmpty() && !isBehind()) {
@@ -259,9 +268,8 @@
   private void scheduleDeferredTasks() {
     if (!iterationScheduled) {
       iterationScheduled = true;
-      net.schedule(
-          NEXT_ITERATION_DELAY,
-          this::runDeferredTasks); // by a timer: what is merely put off runs before the loop reads
+      // By a timer: a task given to Net.defer runs before the loop reads.
+      net.schedule(NEXT_ITERATION_DELAY, this::runDeferredTasks);
     }
   }
 
@@ -328,14 +336,14 @@
         sessionManager.titlesHeld());
   }
 
-  /** A new configuration: of it the address of the journal service counts. */
+  /** Applies a new configuration, of which only the address of the journal service is used. */
   public void reconfigure(Configuration updated) {
     handleEvent(() -> discoveryWatch.changeAddress(updated.journalAddress()));
   }
 
   /**
-   * The end in order: what comes is taken for as long as it may still come, every answer is given,
-   * and what plays is kept playing until shortly before the process could be killed.
+   * Stops in order: requests are accepted for as long as they may still arrive, every request is
+   * answered, and sessions are kept until shortly before the process could be killed.
    */
   public void stop() {
     if (stopping) {
@@ -344,48 +352,48 @@
     stopping = true;
     updateClock();
     observer.info(
-        "told to stop: "
+        "stopping: "
             + clientListener.sessionCount()
-            + " viewings, "
+            + " sessions, "
             + clientListener.connectionCount()
             + " connections");
-    // Killed no sooner than the longest patience (3 s at the most) and 0.7 s from now
-    // (docs/protocol/platform.md); where that is
-    // short it may come before this end: all is answered by then, and what plays is handed to the
-    // next life.
+    // The platform kills the process no sooner than 0.7 s after the longest time limit of a
+    // request (3 s at the most), counted from now (docs/protocol/platform.md). If that time limit
+    // is short, the kill may come before the end of this stop: by then every request has been
+    // answered, and established sessions are handed over to the next process.
     Span stopDelay =
         settings()
             .longestPatience()
             .orLess(MAX_STOP_TIME_LIMIT)
             .orMore(ACCEPT_AFTER_STOP)
             .plus(STOP_AFTER_TIME_LIMIT);
-    // The listener stays: closing it would close every connection that came by it, with what is
-    // owed there.
+    // The listener stays open: closing it would close every connection accepted by it, together
+    // with the answers that are still owed there.
     schedule(ACCEPT_AFTER_STOP, sessionManager::stopTaking);
     schedule(
         stopDelay,
         () -> {
           observer.info(
-              "ending: "
+              "closing: "
                   + clientListener.sessionCount()
-                  + " viewings, "
+                  + " sessions, "
                   + clientListener.connectionCount()
                   + " connections, "
                   + serverLinks.summary()
-                  + ", longest turn "
+                  + ", longest loop iteration "
                   + lag.longest().micros() / 1000
                   + " ms");
           clientListener.logOpenRequests();
           clientListener.startAllQueued();
           sessionManager.endAll();
           observer.info(
-              "ended: "
+              "stopped: "
                   + clientListener.sessionCount()
-                  + " viewings, "
+                  + " sessions, "
                   + clientListener.connectionCount()
                   + " connections, "
                   + clientListener.pendingReleaseCount()
-                  + " ends untold");
+                  + " releases pending");
           net.whenFlushed(
               FLUSH_TIME_LIMIT, () -> net.schedule(LINGER_TIME, () -> observer.stopped("", null)));
         });
--- a/src/main/java/linengauge/platform/RequestTrail.java
+++ b/src/main/java/linengauge/platform/RequestTrail.java
@@ -5,25 +5,25 @@
 import java.util.function.Consumer;
 
 /**
- * What happened to one request so far. Most requests are answered by their first attempt, and
- * nothing of them is logged; the first event that operators may have to explain (a retry, a
- * refusal, a failure, a broken connection) logs all that went before it as well, and from then on
- * every event at once.
+ * The events of one request so far. Most requests are answered by their first attempt, and none of
+ * their events is logged. The first event that operators may have to explain (a retry, a rejection,
+ * a failure, a broken connection) logs all events before it as well, and from then on each event is
+ * logged at once.
  */
 final class RequestTrail {
-  /** Some three attempts with all their events. */
+  /** Enough for about three attempts with all their events. */
   private static final int MAX_BUFFERED_EVENTS = 24;
 
   private final Consumer<LogEvent> sink;
 
-  /** Bounded, what comes after is not held; null once every event is logged at once. */
+  /** Bounded: later events are dropped. Null once every event is logged at once. */
   private List<LogEvent> buffered = new ArrayList<>(4);
 
   RequestTrail(Consumer<LogEvent> sink) {
     this.sink = sink;
   }
 
-  /** A notable event is one that operators may have to explain. */
+  /** Adds an event; a notable one is one that operators may have to explain. */
   void add(LogEvent event, boolean notable) {
     if (notable) {
       flush();
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Logs what went before, and every further event at once. */
+  /** Logs the buffered events, and every later event at once. */
   void flush() {
     if (buffered != null) {
       buffered.forEach(sink);
@@ -43,7 +43,7 @@
     }
   }
 
-  /** Forgets what is held: all went as it should. */
+  /** Discards the buffered events, as there is nothing to explain. */
   void discard() {
     if (buffered != null) {
       buffered.clear();
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -16,28 +16,28 @@
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Held;
 
-/** One connection to a media box, from being tried until it has closed. */
+/** One connection to a media server, from being dialled until it has closed. */
 final class ServerConnection implements BoxLines.Heard {
   private static final int WRITE_BUFFER_BYTES = 256 * 1024;
   private static final int MAX_TRACKED_IDS = 2048;
 
   /**
-   * Longer than anything of an attempt is on its way: as long as the platform gives to release what
-   * has ended.
+   * Longer than any message about an attempt is under way: as long as the platform allows for the
+   * release of a session that has ended.
    */
   private static final Span ID_RETENTION = Span.ofSeconds(8);
 
-  /** A connection stays open so long for the server to confirm an end that was written on it. */
+  /** The connection stays open this long for the server to confirm an end written on it. */
   private static final Span END_CONFIRMATION_TIME = Span.ofSeconds(1);
 
-  /** How it ended: closed by either side, or never there. */
+  /** How the connection ended: closed by either side, or never established. */
   private enum CloseCause {
     CLOSED,
     NOT_REACHED,
     REFUSED
   }
 
-  /** A set-up that is out on it, or waits for it to come up. */
+  /** An attempt that is open on the connection, or waits for it to be established. */
   private static final class OpenAttempt {
     private final Held session;
     private final int attempt;
@@ -58,19 +58,21 @@
   private final Map<Long, OpenAttempt> openAttempts = new LinkedHashMap<>();
   private final SpentIds usedIds = new SpentIds(MAX_TRACKED_IDS, ID_RETENTION);
 
-  /** An attempt whose end was written here; none where it is that of a session that stood. */
+  /**
+   * An attempt whose end was written here; null where the end is that of an established session.
+   */
   private record CancelledAttempt(Held session, int attempt) {}
 
   private final UnconfirmedEnds<CancelledAttempt> unconfirmedEnds =
       new UnconfirmedEnds<>(MAX_TRACKED_IDS, ID_RETENTION);
 
-  /** Tests whose result is waited for, with their timers. */
+  /** Tests whose result is awaited, with their timers. */
   private final Map<Long, Wake> pendingTests = new LinkedHashMap<>();
 
   private Net.Connection socket;
   private boolean closed;
 
-  /** This front closes it since nothing is left on it. */
+  /** This front closes the connection as it is idle. */
   private boolean closedAsIdle;
 
   private final Line usage;
@@ -91,7 +93,7 @@
     return socket != null && !closed;
   }
 
-  /** It takes nothing more. */
+  /** Whether the connection takes no further attempts. */
   boolean isRetired() {
     return usage.isRetired() || closed;
   }
@@ -104,7 +106,7 @@
     return closesBeforeDial;
   }
 
-  /** When that set-up was written here; null where it was not. */
+  /** When that attempt was written here; null if it was not. */
   Moment writtenAt(Held session, int attempt) {
     OpenAttempt openAttempt = openAttempts.get(((ClientSession) session.viewer()).id());
     return openAttempt != null && openAttempt.session == session && openAttempt.attempt == attempt
@@ -112,12 +114,12 @@
         : null;
   }
 
-  /** How it is used. */
+  /** How the connection is used. */
   Line usage() {
     return usage;
   }
 
-  /** In the log. */
+  /** The number of the connection in the log. */
   int number() {
     return number;
   }
@@ -157,7 +159,8 @@
         data -> front().handleEvent(() -> read(data)),
         () -> front().handleEvent(() -> onClosed(CloseCause.CLOSED, "by the server")));
     link.connectionUp(this);
-    // What came while it was dialled is read first: a viewer may have left meanwhile.
+    // What arrived while the connection was dialled is read first: a client may have left
+    // meanwhile.
     front()
         .defer(
             () -> {
@@ -183,7 +186,7 @@
       boolean ended = reader.feed(data) > 0;
       usage.read(ended, reader.isMidLine(), front().now());
     } catch (BadMessage e) {
-      front().warn("unreadable server", Texts.server(link.server().id()), e.getMessage());
+      front().warn("malformed server message", Texts.server(link.server().id()), e.getMessage());
       close(e.getMessage());
     }
   }
@@ -193,18 +196,18 @@
       return;
     }
     if (socket.isFull()) {
-      front().defer(() -> close("does not read"));
+      front().defer(() -> close("the server does not read"));
       return;
     }
     usage.used(front().now());
     socket.write(message);
   }
 
-  /* ---- what is sent ---- */
+  /* ---- sending ---- */
 
   /**
-   * Whether an attempt of that id was here before: what still comes of it could be taken for an
-   * answer to another.
+   * Whether an attempt with that id was recently sent here: what still arrives for it could be
+   * taken for an answer to another attempt.
    */
   boolean hasUsed(long id) {
     return usedIds.has(id, front().now());
@@ -218,7 +221,7 @@
     }
   }
 
-  /** The one place that set-ups leave by: once the loop has read what may end them. */
+  /** The only place where attempts are sent: once the loop has read what may end them. */
   private void sendOnceCaughtUp(long id, OpenAttempt openAttempt) {
     front()
         .runOnceCaughtUp(
@@ -277,14 +280,14 @@
   }
 
   /**
-   * Asks whether the box is there at all: any answer is a sign, none is judged by {@link
-   * ServerLink#checkSilence}.
+   * Tests whether the server responds at all: any message from it is a sign of life; silence is
+   * judged by {@link ServerLink#sweep}.
    */
   void sendLivenessTest(long id) {
     writeTest(id);
   }
 
-  /** Tells that a session that stands is over. */
+  /** Sends the end of an established session. */
   void sendEnd(long id) {
     sendEnd(id, null);
   }
@@ -294,7 +297,7 @@
     unconfirmedEnds.written(id, cancelled, front().now());
   }
 
-  /** Takes back a set-up that is out here; false where it is not. */
+  /** Cancels an attempt that is open here; false if it is not. */
   boolean cancel(Held session, int attempt) {
     long id = ((ClientSession) session.viewer()).id();
     OpenAttempt openAttempt = openAttempts.get(id);
@@ -313,7 +316,7 @@
     return true;
   }
 
-  /* ---- what is heard ---- */
+  /* ---- receiving ---- */
 
   @Override
   public void plays(long id, byte[] description) {
@@ -326,7 +329,7 @@
     clientSession.logAttempt(Kind.ATTEMPT_ANSWERED, link.server(), openAttempt.attempt, number, "");
     front().updateClock();
     openAttempt.session.plays(openAttempt.attempt);
-    // Where the core did not want it any more it has been taken back meanwhile, on this very
+    // If the core no longer wants the session, it has been cancelled meanwhile, on this very
     // connection.
     if (openAttempts.remove(id, openAttempt)) {
       link.sessionEstablished(clientSession, this);
@@ -349,7 +352,7 @@
     openAttempt.session.failed(openAttempt.attempt, BoxLines.unanswered(cause));
   }
 
-  /** An end of that id has been written here and not been confirmed. */
+  /** Whether an end with that id has been written here and is not confirmed yet. */
   boolean awaitsConfirmation(long id) {
     return isUp() && unconfirmedEnds.awaits(id);
   }
@@ -402,15 +405,15 @@
     }
   }
 
-  /* ---- its end ---- */
+  /* ---- closing ---- */
 
   void sweep(Moment now, Span idleLimit) {
     int pending = openCount() + unconfirmedEnds.since(now.minus(END_CONFIRMATION_TIME)).size();
     switch (usage.verdict(pending, isUp() ? idleLimit : Span.NONE, now)) {
-      case SPOILT -> close("a line that does not end");
+      case SPOILT -> close("incomplete line");
       case RESTS -> {
         closedAsIdle = !usage.isRetired();
-        close("rests");
+        close("idle");
       }
       default -> {}
     }
@@ -426,7 +429,10 @@
     }
   }
 
-  /** In order behind their set-ups: one that has been answered meanwhile would stand for nobody. */
+  /**
+   * Writes the ends of open attempts, in order behind their set-ups: one that was answered
+   * meanwhile would be a session without a client.
+   */
   private void endOpenAttempts() {
     openAttempts.forEach(
         (id, openAttempt) -> {
@@ -443,7 +449,7 @@
     closed = true;
     boolean wasUp = socket != null;
     log(Kind.CONNECTION_CLOSED, reason + ", " + openAttempts.size() + " attempts out");
-    // Written so lately, an end may be lost with the connection.
+    // An end written this recently may be lost with the connection.
     unconfirmedEnds
         .since(front().now().minus(END_CONFIRMATION_TIME))
         .forEach(link::sendEndAfterClose);
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -17,24 +17,24 @@
 import linengauge.session.Held;
 import linengauge.session.Viewer;
 
-/** One media box: its connections, and the viewings that stand there. */
+/** One media server: its connections, and the sessions established at it. */
 final class ServerLink {
   private static final int MAX_CONNECTIONS = 4;
   private static final int MAX_UNSENT_MESSAGES = 512;
   private static final int MAX_EARLY_ENDS = 256;
 
-  /** As long as the platform gives a front to release what has ended. */
+  /** As long as the platform allows a front for the release of a session that has ended. */
   private static final Span EARLY_END_RETENTION = Span.ofSeconds(8);
 
-  /** Where nothing else opens a connection, one is tried so often, and for so long. */
+  /** If nothing else opens a connection, one is dialled at this interval, and for this long. */
   private static final Span UNSENT_DIAL_INTERVAL = Span.ofSeconds(2);
 
   private static final Span UNSENT_DIAL_PERIOD = Span.ofSeconds(30);
 
-  /** Longer than what was written on one connection is read after what was written on another. */
+  /** Longer than a message on one connection can lag behind a later one on another. */
   private static final Span END_REPEAT_DELAY = Span.ofSeconds(1);
 
-  /** Connections beyond the first are closed when they have rested so long. */
+  /** Connections beyond the first are closed when they have been idle this long. */
   private static final Span SPARE_IDLE_LIMIT = Span.ofSeconds(4);
 
   private final ServerLinks links;
@@ -42,15 +42,15 @@
   private final ReachabilityDetector reachability;
   private final List<ServerConnection> connections = new ArrayList<>();
 
-  /** Viewings that play at the box; each leaves with its end. */
+  /** Sessions established at the server; each is removed with its end. */
   private final Map<Long, ClientSession> sessions = new LinkedHashMap<>();
 
   private final EarlyEnds earlyEnds = new EarlyEnds(MAX_EARLY_ENDS, EARLY_END_RETENTION);
 
-  /** Lines that wait for a connection to be written on; bounded, the oldest goes. */
+  /** Messages that wait for a connection; bounded, the oldest is dropped. */
   private final ArrayDeque<byte[]> unsentMessages = new ArrayDeque<>();
 
-  /** When the last of them was added, and when a connection is next tried for them. */
+  /** When the last of them was added, and when a connection is next dialled for them. */
   private Moment lastUnsentAt = Moment.DISTANT_PAST;
 
   private Moment nextUnsentDial = Moment.DISTANT_PAST;
@@ -74,7 +74,7 @@
     return links.front();
   }
 
-  /* ---- what the core wants ---- */
+  /* ---- calls of the core ---- */
 
   void startAttempt(Held session, int attempt) {
     long id = ((ClientSession) session.viewer()).id();
@@ -115,12 +115,13 @@
         return;
       }
     }
-    // One that was never written is not said to be over.
+    // No end is sent for an attempt that was never written.
     if (removeSession(clientSession.id()) == null) {
       return;
     }
     if (reachability.lost(front().now())) {
-      addUnsent(BoxLines.end(clientSession.id())); // it may play on, and be reached again
+      // The session may go on, and the server be reached again.
+      addUnsent(BoxLines.end(clientSession.id()));
     } else {
       sendEnd(clientSession);
     }
@@ -139,9 +140,9 @@
   }
 
   /**
-   * Writes what concerns a session that stands. A connection keeps the order of what is written on
-   * it and two do not, so all of it takes the connection of its set-up as long as that can be used,
-   * then another one in the same way.
+   * Sends a message about an established session. Messages keep their order on one connection, but
+   * not across two, so all of them use the connection of the session's set-up as long as it is
+   * usable, and then another one in the same way.
    */
   private void send(ClientSession clientSession, byte[] message) {
     ServerConnection connection = connectionOf(clientSession);
@@ -162,7 +163,8 @@
   }
 
   /**
-   * One that takes nothing new is still better than none: it may be read once its way is mended.
+   * A retired connection is still better than none: the message may be read once the network works
+   * again.
    */
   private ServerConnection connectionOf(ClientSession clientSession) {
     if (isUsable(clientSession.lastUsedConnection())) {
@@ -172,14 +174,14 @@
     if (latest != null
         || clientSession.lastUsedConnection() == null
         || !clientSession.lastUsedConnection().isUp()) {
-      clientSession.lastUsedConnection(latest);
+      clientSession.setLastUsedConnection(latest);
     }
     return clientSession.lastUsedConnection();
   }
 
   private void sendOnNextConnection(byte[] message) {
     if (server.state() == BoxTable.State.GONE) {
-      return; // nobody is there to hear it
+      return; // nobody is there to receive it
     }
     addUnsent(message);
     if (connections.isEmpty()) {
@@ -188,10 +190,10 @@
   }
 
   /**
-   * A connection has closed under an attempt. Its server may have answered meanwhile: then a
-   * session stands there that belongs to no connection and to no client. So its end is told on
-   * another one, or on the next that comes up; and once more later, as the first may overtake the
-   * set-up.
+   * A connection has closed under an attempt. Its server may have answered meanwhile: then it holds
+   * a session that belongs to no connection and to no client. So the end is sent on another
+   * connection, or on the next one that is established; and once more later, as the first end may
+   * overtake the set-up.
    */
   void sendEndAfterClose(long id) {
     sendEndElsewhere(id);
@@ -236,8 +238,8 @@
   }
 
   /**
-   * The connection with the fewest set-ups and tests out that takes more, best one that has not had
-   * that id; or null.
+   * The connection with the fewest open attempts and tests that takes more, preferably one that has
+   * not carried that id; or null.
    */
   private ServerConnection leastLoaded(long id) {
     ServerConnection least = null;
@@ -283,7 +285,7 @@
     return connection;
   }
 
-  /* ---- what its connections tell ---- */
+  /* ---- events of the connections ---- */
 
   void connectionUp(ServerConnection connection) {
     reachability.up(connection.closesBeforeDial(), front().now());
@@ -297,20 +299,20 @@
   }
 
   /**
-   * A connection has closed, or did not come up. One that this front closed since it rested leaves
-   * nothing unsaid: nothing that plays was set up on it, and what has no connection of its own
-   * keeps all open ({@link #checkSilence}).
+   * A connection has closed, or was not established. If this front closed it as it was idle, the
+   * server has nothing left to send: no established session was set up on it, and a session without
+   * a connection of its own keeps all connections open ({@link #sweep}).
    */
   void connectionClosed(
       ServerConnection connection, boolean wasUp, boolean refused, boolean closedAsIdle) {
     connections.remove(connection);
     links.releaseConnection();
     for (ClientSession clientSession : sessions.values()) {
-      if (clientSession.setUpConnection() == connection) {
-        clientSession.setUpConnection(null);
+      if (clientSession.serverConnection() == connection) {
+        clientSession.setServerConnection(null);
       }
       if (clientSession.lastUsedConnection() == connection) {
-        clientSession.lastUsedConnection(null);
+        clientSession.setLastUsedConnection(null);
       }
     }
     if (wasUp) {
@@ -321,10 +323,9 @@
     }
     reachability.failed(front().now());
     if (refused && connections.stream().noneMatch(ServerConnection::isUp)) {
-      // Nothing listens there: its process has died, and what it played with it. Where another
-      // connection is up it lives,
-      // and has no place for more; had it died, that one would close now, and the next one tried be
-      // refused.
+      // Nothing listens there: the server's process has died, and its sessions with it. If another
+      // connection is up, the process lives and has no room for more; had it died, that connection
+      // would close now, and the next one dialled would be refused.
       serverLost("refused");
     }
   }
@@ -337,45 +338,46 @@
               Texts.server(server.id()),
               reason + ", " + sessions.size() + " sessions");
       for (ClientSession clientSession : List.copyOf(sessions.values())) {
-        clientSession.session().boxLost(); // taken back at the box, which ends it here
+        clientSession.session().boxLost(); // also cancelled at the server, which ends it here
         removeSession(clientSession.id());
       }
       front().sessionManager().lostSight(server);
     }
   }
 
-  /* ---- what the box says ---- */
+  /* ---- messages from the server ---- */
 
   void sessionEstablished(ClientSession clientSession, ServerConnection connection) {
     sessions.put(clientSession.id(), clientSession);
-    clientSession.setUpConnection(connection);
-    clientSession.lastUsedConnection(connection);
+    clientSession.setServerConnection(connection);
+    clientSession.setLastUsedConnection(connection);
     connection.usage().stands(1);
   }
 
-  /** It no longer plays here, for whatever reason; null where nothing of that id does. */
+  /** Removes an established session, for whatever reason; null if there is none with that id. */
   private ClientSession removeSession(long id) {
     ClientSession clientSession = sessions.remove(id);
-    if (clientSession != null && clientSession.setUpConnection() != null) {
-      clientSession.setUpConnection().usage().stands(-1);
-      clientSession.setUpConnection(null);
+    if (clientSession != null && clientSession.serverConnection() != null) {
+      clientSession.serverConnection().usage().stands(-1);
+      clientSession.setServerConnection(null);
     }
     return clientSession;
   }
 
   /**
-   * The box says on that connection (null: before its handing over) that an attempt or a viewing is
-   * over.
+   * The server reports on that connection (null: before the session was handed over) that an
+   * attempt or a session has ended.
    */
   void sessionEnded(long id, Ending outcome, ServerConnection connection) {
     ClientSession current = sessions.get(id);
     if (connection != null
         && connection.hasUsed(id)
         && current != null
-        && current.setUpConnection() != null
-        && current.setUpConnection() != connection) {
-      return; // of an earlier attempt: a box says what concerns a session on the connection of its
-      // set-up while that is open
+        && current.serverConnection() != null
+        && current.serverConnection() != connection) {
+      // The end of an earlier attempt: a server sends messages about a session on the connection of
+      // its set-up while that is open.
+      return;
     }
     ClientSession clientSession = removeSession(id);
     if (clientSession == null) {
@@ -404,8 +406,8 @@
   }
 
   /**
-   * What it means that nothing came of something written then; one connection, if any, has just
-   * broken.
+   * What it means that nothing was received for something written at that moment; the excluded
+   * connection, if any, has just closed.
    */
   Ending silenceOutcome(Moment writtenAt, ServerConnection excluded) {
     return TimeoutCause.meaning(
@@ -418,14 +420,15 @@
             .toList());
   }
 
-  /** The viewing of that id that plays here, or null. */
+  /** The established session with that id, or null. */
   Held establishedSession(long id) {
     ClientSession clientSession = sessions.get(id);
     return clientSession == null ? null : clientSession.session();
   }
 
   /**
-   * Of its connections that take nothing new and the given one, the one with the fewest viewings.
+   * Of the given connection and the retired ones without open attempts, the one with the fewest
+   * sessions.
    */
   ServerConnection leastUsedRetired(ServerConnection least) {
     for (ServerConnection connection : connections) {
@@ -446,7 +449,7 @@
     }
   }
 
-  /* ---- time ---- */
+  /* ---- periodic checks ---- */
 
   private void dialForUnsent(Moment now) {
     if (!now.before(nextUnsentDial) && now.since(lastUnsentAt).under(UNSENT_DIAL_PERIOD)) {
@@ -455,21 +458,21 @@
     }
   }
 
-  /** True once nothing is left of it. */
+  /** Checks the connections and the server; true once nothing is left of it. */
   boolean sweep(Moment now) {
     if (server.state() == BoxTable.State.GONE) {
-      serverLost("gone from the list");
+      serverLost("removed from discovery");
       unsentMessages.clear();
-      List.copyOf(connections).forEach(connection -> connection.close("its box has gone"));
+      List.copyOf(connections).forEach(connection -> connection.close("its server was removed"));
       return connections.isEmpty();
     }
     earlyEnds.look(now);
     int usableCount = 0;
     boolean connecting = false;
-    // The end of a viewing without a connection of its own may come on any that is open.
+    // The end of a session without a connection of its own may arrive on any open connection.
     boolean mayCloseSpare =
         sessions.values().stream()
-            .allMatch(clientSession -> clientSession.setUpConnection() != null);
+            .allMatch(clientSession -> clientSession.serverConnection() != null);
     for (ServerConnection connection : List.copyOf(connections)) {
       connection.sweep(
           now,
@@ -490,7 +493,7 @@
         openConnection();
       }
       if (reachability.lost(now)) {
-        serverLost("out of reach");
+        serverLost("unreachable");
       }
     }
     return false;
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -11,8 +11,8 @@
 import linengauge.session.Held;
 
 /**
- * All media boxes' connections, by the box's id: a successor may have the address of one that has
- * gone.
+ * The connections to all media servers, by the server's id: a new server may have the address of
+ * one that is gone.
  */
 final class ServerLinks implements Carrier {
   private final PlatformFront front;
@@ -21,10 +21,7 @@
   private long lastTestId;
   private int lastConnectionNumber;
 
-  /**
-   * Emptied by {@link #checkSilence}: a link leaves once its box has gone and nothing of it is
-   * left.
-   */
+  /** A link is removed by {@link #sweep} once its server is gone and nothing of it is left. */
   private final Map<Long, ServerLink> links = new LinkedHashMap<>();
 
   ServerLinks(PlatformFront front, int maxConnections) {
@@ -36,7 +33,7 @@
     return front;
   }
 
-  /** Whether one more connection may be opened; each counts until it has closed. */
+  /** Reserves one more connection, which counts until it has closed; false if there is no room. */
   boolean reserveConnection() {
     if (connectionCount >= maxConnections) {
       return false;
@@ -50,8 +47,7 @@
   }
 
   /**
-   * Where no place is left: the connection that takes nothing new and has the fewest viewings gives
-   * its own.
+   * Closes the retired connection with the fewest sessions to make room; false if there is none.
    */
   boolean closeRetiredConnection() {
     ServerConnection least = null;
@@ -59,12 +55,12 @@
       least = link.leastUsedRetired(least);
     }
     if (least != null) {
-      least.close("its place is wanted");
+      least.close("connection limit reached");
     }
     return least != null;
   }
 
-  /** Numbers connections, over all servers. */
+  /** Numbers the connections, over all servers. */
   int nextConnectionNumber() {
     return ++lastConnectionNumber;
   }
@@ -77,12 +73,12 @@
     return links.computeIfAbsent(server.id(), id -> new ServerLink(this, server));
   }
 
-  /** A viewing that plays already at its box: what the box says of it must be able to come. */
+  /** Takes on an established session: what its server reports about it must be able to arrive. */
   void adopt(ClientSession clientSession) {
     linkTo(clientSession.session().box()).adopt(clientSession);
   }
 
-  /** The list has changed. */
+  /** The server list has changed. */
   void discoveryUpdated() {
     sweep();
   }
@@ -103,11 +99,10 @@
   @Override
   public void setUp(Held session, int attempt) {
     BoxTable.Entry server = session.box();
-    // Guards against two out at once: what ends the one before may have been written while its
-    // connection was being read,
-    // and leaves only as that reading is over, where this one would leave at once on another
-    // connection. And against one
-    // for a viewer whose end has come with what is being read now.
+    // Two attempts must not be open at once. The end of the previous one may have been written
+    // while its connection was being read, and then leaves only when that read is over, whereas
+    // this attempt would leave at once on another connection. Nor must an attempt be sent for a
+    // client whose end has arrived with what is being read now.
     front.defer(
         () -> {
           if (session.waitsFor(attempt)) {
@@ -132,8 +127,8 @@
   }
 
   @Override
-  public void askConfirmation(Held session, long server) {
-    ServerLink link = links.get(server);
+  public void askConfirmation(Held session, long serverId) {
+    ServerLink link = links.get(serverId);
     if (link != null) {
       link.requestEndConfirmation(((ClientSession) session.viewer()).id());
     }
@@ -146,7 +141,7 @@
 
   @Override
   public void send(int front, byte[] datagram) {
-    // the platform carries no words between fronts; its settings permit none
+    // the platform has no messages between fronts; its settings permit none
   }
 
   @Override
@@ -162,14 +157,14 @@
     return connectionCount;
   }
 
-  /** Figures for the log: connections and links. */
+  /** The number of servers and connections, for the log. */
   String summary() {
-    return links.size() + " boxes, " + connectionCount + " connections";
+    return links.size() + " servers, " + connectionCount + " connections";
   }
 
-  static <K, V> List<V> drain(Map<K, V> from) {
-    List<V> values = new ArrayList<>(from.values());
-    from.clear();
+  static <K, V> List<V> drain(Map<K, V> map) {
+    List<V> values = new ArrayList<>(map.values());
+    map.clear();
     return values;
   }
 }
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -10,10 +10,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * The process of a front in the platform: its configuration file, its signals, its log, and sockets
- * that carry it.
- */
+/** The process of a front of the platform: its configuration file, signals, log and sockets. */
 public final class Service implements PlatformFront.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("linengauge.platform");
 
@@ -33,15 +30,15 @@
     this.net = new VertxNet(configuration.settings().dial());
   }
 
-  /** Runs a front until it is told to stop; returns the process's exit code. */
+  /** Runs a front until it is asked to stop; returns the exit code of the process. */
   public static int run(Map<String, String> environment) {
-    // Signals may come before anything else is ready: they are remembered.
+    // Signals may arrive before the front is ready: they are kept until it is.
     var started = new CompletableFuture<Service>();
     if (!Signals.register(
             "HUP", () -> started.thenAcceptAsync(Service::reload, Service::startReloadThread))
         || !Signals.register("TERM", () -> started.thenAccept(Service::stop))
         || !Signals.register("INT", () -> started.thenAccept(Service::stop))) {
-      System.err.println("linengauge: this virtual machine hands no signals on");
+      System.err.println("linengauge: this virtual machine does not support signal handlers");
       return 1;
     }
     String path = environment.get("PROXY_CONFIG");
@@ -56,7 +53,7 @@
       System.err.println("linengauge: " + path + ": " + error.getMessage());
       return 1;
     }
-    service.start().whenComplete((nothing, error) -> started.complete(service));
+    service.start().whenComplete((ignored, error) -> started.complete(service));
     String failure = service.stopReason.join();
     service.events.flush();
     if (!failure.isEmpty()) {
@@ -65,7 +62,7 @@
     return failure.isEmpty() ? 0 : 1;
   }
 
-  /** Begins; the future is done once it listens. */
+  /** Starts the front; the future completes once it listens. */
   CompletableFuture<Void> start() {
     var listening = new CompletableFuture<Void>();
     events.start();
@@ -85,21 +82,24 @@
     return listening;
   }
 
-  /** Waits for the end; empty, or what it failed by. Everything that it held is closed. */
+  /**
+   * Waits until the front has stopped and closes all that it held; returns the failure, or an empty
+   * text if there was none.
+   */
   String awaitStop() {
     String failure = stopReason.join();
     net.close();
     return failure;
   }
 
-  /** Tells it to stop in order; from any thread. */
+  /** Asks the front to stop in order; may be called from any thread. */
   void stop() {
     net.runOnLoop(() -> front.stop());
   }
 
   /**
-   * On a thread of its own: a file is read, which the loop, where the future may be done, must not
-   * wait for.
+   * Runs the task on a thread of its own: a reload reads a file, and the event loop, on which the
+   * future may complete, must not wait for that.
    */
   private static void startReloadThread(Runnable task) {
     Thread thread = new Thread(task, "reload");
@@ -108,9 +108,11 @@
   }
 
   /**
-   * Not on the loop: a file that cannot be used leaves what is in force. Each signal has a thread
-   * of its own; one reads at a time and hands over what it read before the next one reads, so that
-   * what is applied last was read last. One that waits for that reads for all that came meanwhile.
+   * Reads the configuration file again; must not run on the event loop. If the file cannot be used,
+   * the current configuration stays in force. Each signal has a thread of its own; one thread at a
+   * time reads the file and passes the result on before the next one reads, so that the
+   * configuration applied last is the one read last. A thread that waits reads on behalf of all
+   * signals that arrive meanwhile.
    */
   void reload() {
     if (reloadPending.getAndSet(true)) {
@@ -125,14 +127,14 @@
         net.runOnLoop(
             () ->
                 warn(
-                    "new configuration not used",
+                    "new configuration rejected",
                     configurationFile.getFileName(),
                     error.getMessage()));
       }
     }
   }
 
-  /** Runs it on the front's loop, which does nothing else meanwhile. */
+  /** Runs the task on the front's event loop, which does nothing else meanwhile. */
   void runOnLoop(Runnable task) {
     net.runOnLoop(task);
   }
--- a/src/main/java/linengauge/platform/Signals.java
+++ b/src/main/java/linengauge/platform/Signals.java
@@ -4,16 +4,16 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The process's signals. The virtual machine ends on SIGHUP unless told otherwise, and its class
- * for that is outside the language's own library: it is reached by reflection, as the compiler
- * warns of naming it.
+ * Handlers for the signals of the process. The virtual machine exits on SIGHUP unless a handler is
+ * registered. The class for that is not part of the Java platform's API, and the compiler warns
+ * about its use, so it is called by reflection.
  */
 final class Signals {
   private Signals() {}
 
   /**
-   * Runs the step, on a thread of the virtual machine's, each time the signal comes. False where
-   * that can't be had.
+   * Runs the action each time the signal arrives, on a thread of the virtual machine. Returns false
+   * if this is not supported.
    */
   static boolean register(String name, Runnable action) {
     try {
--- a/src/main/java/linengauge/platform/TryOut.java
+++ b/src/main/java/linengauge/platform/TryOut.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.Callable;
 
 /**
- * A front of the platform that plays to itself on loopback: one viewing after another is set up at
- * a box that answers, and ends. What it loads is what a real front loads, so the build makes the
- * archive of classes from it.
+ * Runs a front of the platform on loopback: one session after another is set up at a server that
+ * answers, and ends. It loads the classes that a front in service loads, so the build creates the
+ * class archive from it.
  */
 public final class TryOut {
   private static final String SETTINGS =
@@ -24,16 +24,16 @@
 
   private TryOut() {}
 
-  /** The configuration of a front with boxes and journal service at these loopback ports. */
-  static String configuration(int listenPort, int journalPort, int... boxPorts) {
+  /** The configuration of a front with servers and journal service at these loopback ports. */
+  static String configuration(int listenPort, int journalPort, int... serverPorts) {
     StringBuilder rows = new StringBuilder();
-    for (int i = 0; i < boxPorts.length; i++) {
+    for (int i = 0; i < serverPorts.length; i++) {
       rows.append(i == 0 ? "" : ",")
           .append(
               String.format(
                   "{\"uid\":\"s-%08x\",\"endpoint\":\"127.0.0.1:%d\",\"az\":\"hall\","
                       + "\"model\":\"box\",\"pod_group\":%d,\"state\":\"up\",\"capacity_hint\":2,\"boot_ms\":0}",
-                  i + 1, boxPorts[i], i));
+                  i + 1, serverPorts[i], i));
     }
     return String.format(
         "{\"name\":\"n0\",\"listen\":\"127.0.0.1:%d\",\"seed\":\"8c1f30d27a5be964\",\"limits\":{\"cores\":1,"
@@ -43,14 +43,15 @@
   }
 
   /**
-   * Plays with the rest of the platform at these ports; returns the process's exit code: 0 where
-   * the dialogue was good.
+   * Runs the scenario against a front at these ports; returns the exit code of the process, 0 if
+   * the scenario passed and the front stopped in order.
    */
-  public static int run(int listenPort, int journalPort, int[] boxPorts, Callable<Boolean> scenario)
+  public static int run(
+      int listenPort, int journalPort, int[] serverPorts, Callable<Boolean> scenario)
       throws Exception {
     Path configurationFile = Files.createTempFile("linengauge-tryout", ".json");
     try {
-      Files.writeString(configurationFile, configuration(listenPort, journalPort, boxPorts));
+      Files.writeString(configurationFile, configuration(listenPort, journalPort, serverPorts));
       Service service = new Service(configurationFile, Configuration.read(configurationFile));
       service.start().join();
       boolean passed = scenario.call();
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -19,7 +19,7 @@
 
 /** Sockets and timers on one event loop. */
 final class VertxNet implements Net {
-  /** Where the settings give no time for dialling. */
+  /** Used if the settings give no connect timeout. */
   private static final Span DEFAULT_CONNECT_TIMEOUT = Span.ofSeconds(1);
 
   private final Vertx vertx;
@@ -27,7 +27,10 @@
   private final NetClient client;
   private final NetServer server;
 
-  /** Messages that have not left the process yet, and what waits for that; on the loop alone. */
+  /**
+   * Writes that have not left the process yet, and the task that waits for them; used on the event
+   * loop only.
+   */
   private long pendingWrites;
 
   private Runnable flushTask;
@@ -66,12 +69,12 @@
                 .setReuseAddress(true));
   }
 
-  /** From any thread: runs it on the loop. */
+  /** Runs the task on the event loop; may be called from any thread. */
   void runOnLoop(Runnable task) {
-    context.runOnContext(nothing -> task.run());
+    context.runOnContext(ignored -> task.run());
   }
 
-  /** Closes everything and waits for it; not to be called on the loop. */
+  /** Closes everything and waits for it; must not be called on the event loop. */
   void close() {
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
@@ -124,7 +127,7 @@
 
   @Override
   public void defer(Runnable task) {
-    vertx.runOnContext(nothing -> task.run());
+    vertx.runOnContext(ignored -> task.run());
   }
 
   @Override
@@ -160,13 +163,13 @@
     private Socket(NetSocket socket, int writeBufferBytes) {
       this.socket = socket;
       socket.setWriteQueueMaxSize(writeBufferBytes);
-      socket.exceptionHandler(e -> {}); // the close that follows says all
+      socket.exceptionHandler(e -> {}); // the close handler is called as well
     }
 
     @Override
     public void setHandlers(Consumer<byte[]> dataHandler, Runnable closeHandler) {
       socket.handler(buffer -> dataHandler.accept(buffer.getBytes()));
-      socket.closeHandler(nothing -> closeHandler.run());
+      socket.closeHandler(ignored -> closeHandler.run());
     }
 
     @Override
