--- a/src/bench/java/linengauge/platform/RequestTrailBench.java
+++ b/src/bench/java/linengauge/platform/RequestTrailBench.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import linengauge.Moment;
-import linengauge.carry.EventWriter;
+import linengauge.net.EventWriter;
 import linengauge.platform.LogEvent.Kind;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
--- a/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
+++ b/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
@@ -20,7 +20,6 @@
 import java.util.function.BiConsumer;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Address;
 import linengauge.consensus.LogFollower;
 import linengauge.consensus.PersistentState;
 import linengauge.consensus.RaftMessage;
@@ -29,6 +28,7 @@
 import linengauge.consensus.SaveFailedException;
 import linengauge.consensus.StateMachine;
 import linengauge.consensus.Voters;
+import linengauge.net.Address;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/Caller.java
@@ -8,10 +8,10 @@
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.net.impl.ConnectionBase;
 import java.util.Locale;
-import linengauge.carry.Sparse;
 import linengauge.flow.Account;
 import linengauge.flow.DoorBook;
 import linengauge.flow.Knock;
+import linengauge.net.Sparse;
 import linengauge.vrrp.udp.Lease;
 
 /**
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/Chores.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.Carrier;
 import linengauge.work.Chore;
 import linengauge.work.Job;
--- a/src/main/java/linengauge/front/DeskLoop.java
+++ b/src/main/java/linengauge/front/DeskLoop.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.Carrier;
 import linengauge.session.Desk;
 import org.slf4j.Logger;
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import linengauge.Headend;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
 import linengauge.session.Desk;
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Sparse;
+import linengauge.net.Sparse;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
 import linengauge.session.ListFollower;
--- a/src/main/java/linengauge/front/Loops.java
+++ b/src/main/java/linengauge/front/Loops.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import linengauge.carry.Wall;
 import linengauge.flow.Knock;
 import linengauge.flow.Knocks;
 import linengauge.flow.OwnTime;
 import linengauge.flow.Watch;
+import linengauge.net.Wall;
 import linengauge.site.Site;
 
 /**
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/Relay.java
@@ -14,12 +14,12 @@
 import io.vertx.core.net.impl.ConnectionBase;
 import java.util.List;
 import java.util.Set;
-import linengauge.carry.Sparse;
-import linengauge.carry.Wall;
 import linengauge.flow.Account;
 import linengauge.hls.BadPlaylist;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
+import linengauge.net.Sparse;
+import linengauge.net.Wall;
 import linengauge.site.Site;
 
 /**
--- a/src/main/java/linengauge/front/Stream.java
+++ b/src/main/java/linengauge/front/Stream.java
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.RequestOptions;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 
 /**
  * One long answer read line by line on the desk: it ends once, by itself, by silence, by a line too
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -7,7 +7,7 @@
 import linengauge.Moment;
 import linengauge.Outside;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.Held;
 import linengauge.session.Viewer;
 
--- a/src/main/java/linengauge/front/Wakes.java
+++ b/src/main/java/linengauge/front/Wakes.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Vertx;
 import java.util.Arrays;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.Carrier;
 
 /**
--- a/src/main/java/linengauge/carry/Address.java
+++ b/src/main/java/linengauge/net/Address.java
@@ -1,4 +1,4 @@
-package linengauge.carry;
+package linengauge.net;
 
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/src/main/java/linengauge/carry/EventWriter.java
+++ b/src/main/java/linengauge/net/EventWriter.java
@@ -1,4 +1,4 @@
-package linengauge.carry;
+package linengauge.net;
 
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.BlockingQueue;
--- a/src/main/java/linengauge/carry/Wall.java
+++ b/src/main/java/linengauge/net/Wall.java
@@ -1,4 +1,4 @@
-package linengauge.carry;
+package linengauge.net;
 
 import linengauge.Moment;
 
--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -14,8 +14,8 @@
 import linengauge.platform.codec.SetUpForm;
 import linengauge.platform.codec.ViewerMessages;
 import linengauge.platform.codec.ViewerMessages.Message;
-import linengauge.platform.keep.IdleConnection;
-import linengauge.platform.keep.ReceiveQueue;
+import linengauge.platform.connection.IdleConnection;
+import linengauge.platform.connection.ReceiveQueue;
 
 /**
  * One connection from viewers. What comes is read in two steps. Messages are taken apart as they
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -10,9 +10,9 @@
 import linengauge.Span;
 import linengauge.platform.codec.SetUpForm;
 import linengauge.platform.codec.Texts;
-import linengauge.platform.keep.AcceptBacklog;
-import linengauge.platform.keep.IdleConnection;
-import linengauge.platform.keep.IdleConnections;
+import linengauge.platform.connection.AcceptBacklog;
+import linengauge.platform.connection.IdleConnection;
+import linengauge.platform.connection.IdleConnections;
 import linengauge.session.Held;
 
 /**
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -6,8 +6,8 @@
 import linengauge.Policy;
 import linengauge.Span;
 import linengauge.briefing.Briefing;
-import linengauge.platform.keep.DescriptorBudget;
-import linengauge.platform.keep.EventLoopLag;
+import linengauge.platform.connection.DescriptorBudget;
+import linengauge.platform.connection.EventLoopLag;
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Desk;
 
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -10,9 +10,9 @@
 import linengauge.platform.codec.BadMessage;
 import linengauge.platform.codec.BoxLines;
 import linengauge.platform.codec.Texts;
-import linengauge.platform.keep.Line;
-import linengauge.platform.keep.SpentIds;
-import linengauge.platform.keep.UnconfirmedEnds;
+import linengauge.platform.connection.Line;
+import linengauge.platform.connection.SpentIds;
+import linengauge.platform.connection.UnconfirmedEnds;
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Held;
 
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
 import linengauge.briefing.BadBriefing;
-import linengauge.carry.EventWriter;
-import linengauge.carry.Sparse;
+import linengauge.net.EventWriter;
+import linengauge.net.Sparse;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Wall;
+import linengauge.net.Wall;
 import linengauge.session.Carrier.Wake;
 
 /** Sockets and timers on one event loop. */
--- a/src/main/java/linengauge/platform/keep/DescriptorBudget.java
+++ b/src/main/java/linengauge/platform/connection/DescriptorBudget.java
@@ -1,4 +1,4 @@
-package linengauge.platform.keep;
+package linengauge.platform.connection;
 
 /**
  * How the descriptors of a process are shared out: its own files, the listener and the journal
--- a/src/main/java/linengauge/platform/keep/IdleConnections.java
+++ b/src/main/java/linengauge/platform/connection/IdleConnections.java
@@ -1,4 +1,4 @@
-package linengauge.platform.keep;
+package linengauge.platform.connection;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
--- a/src/main/java/linengauge/platform/keep/Line.java
+++ b/src/main/java/linengauge/platform/connection/Line.java
@@ -1,4 +1,4 @@
-package linengauge.platform.keep;
+package linengauge.platform.connection;
 
 import linengauge.Moment;
 import linengauge.Span;
--- a/src/main/java/linengauge/platform/keep/ReceiveQueue.java
+++ b/src/main/java/linengauge/platform/connection/ReceiveQueue.java
@@ -1,4 +1,4 @@
-package linengauge.platform.keep;
+package linengauge.platform.connection;
 
 import java.util.ArrayDeque;
 import linengauge.Moment;
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import linengauge.carry.Address;
+import linengauge.net.Address;
 import linengauge.vrrp.BadPacket;
 import linengauge.vrrp.Drop;
 import linengauge.vrrp.NodeAddress;
--- a/src/test/java/linengauge/ArchitectureTest.java
+++ b/src/test/java/linengauge/ArchitectureTest.java
@@ -29,7 +29,7 @@
     "linengauge.memory",
     "linengauge.briefing",
     "linengauge.platform.codec",
-    "linengauge.platform.keep",
+    "linengauge.platform.connection",
     "linengauge.membership",
     "linengauge.membership.explore",
     "linengauge.lease",
@@ -121,7 +121,7 @@
   static final ArchRule THE_PLATFORM_IS_LIGHT =
       noClasses()
           .that()
-          .resideInAnyPackage("linengauge.platform..", "linengauge.briefing", "linengauge.carry")
+          .resideInAnyPackage("linengauge.platform..", "linengauge.briefing", "linengauge.net")
           .should()
           .dependOnClassesThat()
           .resideInAnyPackage(
@@ -172,7 +172,7 @@
               "java.net..",
               "java.nio.channels..",
               "java.util.concurrent..",
-              "linengauge.carry..")
+              "linengauge.net..")
           .orShould()
           .callMethod(System.class, "nanoTime")
           .orShould()
@@ -192,7 +192,7 @@
               "java.nio.channels..",
               "java.nio.file..",
               "java.util.concurrent..",
-              "linengauge.carry..")
+              "linengauge.net..")
           .orShould()
           .callMethod(System.class, "nanoTime")
           .orShould()
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/CrossingSocketsTest.java
@@ -23,7 +23,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import linengauge.Span;
-import linengauge.platform.keep.DescriptorBudget;
+import linengauge.platform.connection.DescriptorBudget;
 import linengauge.standin.PlatformBox;
 import linengauge.standin.PlatformBox.Mood;
 import linengauge.standin.PlatformJournal;
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.EventWriter;
+import linengauge.net.EventWriter;
 import linengauge.platform.LogEvent.Kind;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/linengauge/platform/KeepTest.java
+++ b/src/test/java/linengauge/platform/KeepTest.java
@@ -10,16 +10,16 @@
 import linengauge.Moment;
 import linengauge.Outside.Ending;
 import linengauge.Span;
-import linengauge.platform.keep.AcceptBacklog;
-import linengauge.platform.keep.DescriptorBudget;
-import linengauge.platform.keep.EarlyEnds;
-import linengauge.platform.keep.EventLoopLag;
-import linengauge.platform.keep.IdleConnection;
-import linengauge.platform.keep.IdleConnections;
-import linengauge.platform.keep.Line;
-import linengauge.platform.keep.ReachabilityDetector;
-import linengauge.platform.keep.ReceiveQueue;
-import linengauge.platform.keep.UnconfirmedEnds;
+import linengauge.platform.connection.AcceptBacklog;
+import linengauge.platform.connection.DescriptorBudget;
+import linengauge.platform.connection.EarlyEnds;
+import linengauge.platform.connection.EventLoopLag;
+import linengauge.platform.connection.IdleConnection;
+import linengauge.platform.connection.IdleConnections;
+import linengauge.platform.connection.Line;
+import linengauge.platform.connection.ReachabilityDetector;
+import linengauge.platform.connection.ReceiveQueue;
+import linengauge.platform.connection.UnconfirmedEnds;
 import org.junit.jupiter.api.Test;
 
 class KeepTest {
--- a/src/test/java/linengauge/platform/ServeProcessesTest.java
+++ b/src/test/java/linengauge/platform/ServeProcessesTest.java
@@ -260,11 +260,11 @@
         List.of(
             "linengauge",
             "linengauge.briefing",
-            "linengauge.carry",
+            "linengauge.net",
             "linengauge.cli",
             "linengauge.platform",
             "linengauge.platform.codec",
-            "linengauge.platform.keep",
+            "linengauge.platform.connection",
             "linengauge.session"));
     assertEquals(new TreeSet<>(), packages);
   }
