--- a/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
+++ b/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
@@ -28,7 +28,7 @@
 import linengauge.consensus.SaveFailedException;
 import linengauge.consensus.StateMachine;
 import linengauge.consensus.Voters;
-import linengauge.net.Address;
+import linengauge.net.SocketAddresses;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -351,7 +351,7 @@
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-      channel.bind(Address.inNumbers(settings.listen()), settings.mostUnproven());
+      channel.bind(SocketAddresses.parseNumeric(settings.listen()), settings.mostUnproven());
       channel.configureBlocking(false);
       channel.register(selector, SelectionKey.OP_ACCEPT);
       return channel;
@@ -541,7 +541,7 @@
       try {
         SocketChannel c = SocketChannel.open();
         l = new Link(c, true);
-        c.connect(Address.inNumbers(address));
+        c.connect(SocketAddresses.parseNumeric(address));
         calls.put(address, l);
         add(l);
       } catch (IOException | IllegalArgumentException e) {
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -21,7 +21,7 @@
 import linengauge.hls.BadPlaylist;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
-import linengauge.net.Sparse;
+import linengauge.net.RateLimitedLog;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
@@ -69,7 +69,7 @@
   private final HttpClient setUps;
   private final HttpClient others;
   private final SplittableRandom chance;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxCalls.class));
+  private final RateLimitedLog log = new RateLimitedLog(LoggerFactory.getLogger(BoxCalls.class));
 
   /** Set-ups out; each leaves with its outcome or when it is withdrawn. */
   private final Map<Held, Out> out = new HashMap<>();
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/Caller.java
@@ -11,7 +11,7 @@
 import linengauge.flow.Account;
 import linengauge.flow.DoorBook;
 import linengauge.flow.Knock;
-import linengauge.net.Sparse;
+import linengauge.net.RateLimitedLog;
 import linengauge.vrrp.udp.Lease;
 
 /**
@@ -23,7 +23,7 @@
   private final HttpConnection connection;
   private final Channel channel;
   private final FrontProgram program;
-  private final Sparse log;
+  private final RateLimitedLog log;
   private final boolean turnedAway;
 
   /** Of the shared address by which it came; null where it came by the front's own. */
@@ -47,7 +47,7 @@
       Lease lease,
       Loops here,
       FrontProgram program,
-      Sparse log) {
+      RateLimitedLog log) {
     this.lease = lease;
     this.connection = connection;
     this.channel = ((ConnectionBase) connection).channel();
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/Chores.java
@@ -3,7 +3,7 @@
 import io.vertx.core.json.JsonObject;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.Carrier;
 import linengauge.work.Chore;
 import linengauge.work.Job;
@@ -32,7 +32,7 @@
    * @param thought what it is thought to take of the desk; measured from its first time on
    */
   boolean submit(String name, int urgency, Span after, Span thought, Runnable step) {
-    Moment now = Wall.now();
+    Moment now = WallClock.now();
     Workbench.Submission submission =
         bench.submit(
             new Chore(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> run(job, step)),
@@ -43,26 +43,26 @@
   }
 
   private static void run(Job job, Runnable step) {
-    Moment from = Wall.now();
+    Moment from = WallClock.now();
     try {
       step.run();
     } finally { // what throws is the desk's to report, and must not keep its place
-      Moment now = Wall.now();
+      Moment now = WallClock.now();
       job.done(now, now.since(from), 0);
     }
   }
 
   private void ask() {
-    Moment now = Wall.now();
+    Moment now = WallClock.now();
     // How late this very wake is tells how late the desk is.
     bench.deskLate(now.since(wakeAt).orMore(Span.NONE));
     wake = null;
     try {
-      for (Job j = bench.next(now); j != null; j = bench.next(Wall.now())) {
+      for (Job j = bench.next(now); j != null; j = bench.next(WallClock.now())) {
         j.chore().step().run(j);
       }
     } finally {
-      arm(Wall.now());
+      arm(WallClock.now());
     }
   }
 
--- a/src/main/java/linengauge/front/DeskLoop.java
+++ b/src/main/java/linengauge/front/DeskLoop.java
@@ -4,7 +4,7 @@
 import io.vertx.core.Vertx;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.Carrier;
 import linengauge.session.Desk;
 import org.slf4j.Logger;
@@ -21,7 +21,7 @@
   /** A step of the core is running; read and written on the desk, where alone it is true. */
   private volatile boolean within;
 
-  private volatile long ranAt = Wall.micros();
+  private volatile long ranAt = WallClock.micros();
 
   DeskLoop(Vertx vertx) {
     this.wakes = new Wakes(vertx);
@@ -55,7 +55,7 @@
   private void runNow(Runnable step) {
     within = true;
     try {
-      Moment now = Wall.now();
+      Moment now = WallClock.now();
       ranAt = now.micros();
       core.clock(now);
       step.run();
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -19,8 +19,8 @@
 import linengauge.Span;
 import linengauge.flow.DoorBook;
 import linengauge.hls.Paths;
-import linengauge.net.Sparse;
-import linengauge.net.Wall;
+import linengauge.net.RateLimitedLog;
+import linengauge.net.WallClock;
 import linengauge.session.Held;
 import linengauge.session.Viewer;
 import linengauge.site.Site;
@@ -41,7 +41,7 @@
   private final Headend house;
   private final Map<String, Integer> packages;
   private final Map<String, Site.Held> cells;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(Door.class));
+  private final RateLimitedLog log = new RateLimitedLog(LoggerFactory.getLogger(Door.class));
   private Loops here;
   private HttpClient media;
   private Relay relay;
@@ -228,7 +228,7 @@
     if (ask == null) {
       return; // refused
     }
-    if (!program.gate().asks(ask.key(), Wall.now())) {
+    if (!program.gate().asks(ask.key(), WallClock.now())) {
       blocked(r, "blocked: this key asks too often");
       return;
     }
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -7,7 +7,7 @@
 import io.vertx.core.datagram.DatagramSocket;
 import java.util.function.Consumer;
 import linengauge.flow.Intake;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.site.Site;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -45,7 +45,7 @@
 
   private void receive(DatagramPacket packet, Consumer<byte[]> receiver) {
     String sender = packet.sender().hostAddress() + ":" + packet.sender().port();
-    if (!site.flow().guards() || intake.hears(sender, Wall.now())) {
+    if (!site.flow().guards() || intake.hears(sender, WallClock.now())) {
       receiver.accept(packet.data().getBytes());
     }
   }
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -22,7 +22,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import linengauge.Headend;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.BoxTable;
 import linengauge.session.Carrier;
 import linengauge.session.Desk;
@@ -199,7 +199,7 @@
         calls = new BoxCalls(callLoops, site, seeds.nextLong(), FrontProgram.this);
         notes = new Notes(callLoops, site, seeds.nextLong(), FrontProgram.this);
         feed = new ListFeed(callLoops, site, seeds.nextLong(), FrontProgram.this);
-        core.clock(Wall.now());
+        core.clock(WallClock.now());
         feed.open();
         return datagrams
             .open(bytes -> onDesk(() -> core.heard(bytes)))
@@ -227,7 +227,7 @@
 
   private boolean isUnwell() {
     Span mostLate = Span.ofMillis(site.vrrp().overloadedMs());
-    return new Fitness(servingBoxes, Wall.now().since(desk.ranAt()), mostLate).isUnwell();
+    return new Fitness(servingBoxes, WallClock.now().since(desk.ranAt()), mostLate).isUnwell();
   }
 
   void listHeard() {
@@ -352,14 +352,14 @@
         () -> {
           LOG.info("stopping {}", StructuredArguments.kv("held", core.viewings()));
           core.stopTaking();
-          awaitQuiet(Wall.micros() + 1000L * site.stop().playingMs());
+          awaitQuiet(WallClock.micros() + 1000L * site.stop().playingMs());
         });
   }
 
   private void awaitQuiet(long until) {
-    if (core.viewings() == 0 || Wall.micros() >= until) {
+    if (core.viewings() == 0 || WallClock.micros() >= until) {
       core.endAll();
-      awaitEnds(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
+      awaitEnds(WallClock.micros() + 1000L * site.boxes().endRetryMs() * 2);
     } else {
       wakeAfter(QUIET_CHECK, () -> awaitQuiet(until));
     }
@@ -367,7 +367,7 @@
 
   /** Boxes hear of the last ends, within a short bound; then the sockets close. */
   private void awaitEnds(long until) {
-    if (calls.waiting() > 0 && Wall.micros() < until) {
+    if (calls.waiting() > 0 && WallClock.micros() < until) {
       wakeAfter(ENDS_CHECK, () -> awaitEnds(until));
       return;
     }
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.net.Sparse;
+import linengauge.net.RateLimitedLog;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
 import linengauge.session.ListFollower;
@@ -38,7 +38,7 @@
   private final HttpClient client;
   private final Backoff pause;
   private final List<String> kinds = new ArrayList<>();
-  private final Sparse sparse = new Sparse(LOG);
+  private final RateLimitedLog sparse = new RateLimitedLog(LOG);
   private Stream stream;
   private boolean closed;
   private long breaks;
--- a/src/main/java/linengauge/front/Loops.java
+++ b/src/main/java/linengauge/front/Loops.java
@@ -9,7 +9,7 @@
 import linengauge.flow.Knocks;
 import linengauge.flow.OwnTime;
 import linengauge.flow.Watch;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.site.Site;
 
 /**
@@ -29,13 +29,13 @@
     this.time = new OwnTime(terms.beat(), terms.late());
     this.watch = new Watch(terms, time);
     this.knocks = new Knocks(site.door(), time);
-    time.beat(Wall.now());
+    time.beat(WallClock.now());
     tell();
     vertx.setPeriodic(site.flow().beatMs(), t -> beat());
   }
 
   private void beat() {
-    boolean ran = time.beat(Wall.now());
+    boolean ran = time.beat(WallClock.now());
     watch.look(ran);
     knocks.look(ran);
     tell();
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/Notes.java
@@ -11,8 +11,8 @@
 import java.util.SplittableRandom;
 import java.util.regex.Pattern;
 import linengauge.Span;
-import linengauge.net.Sparse;
-import linengauge.net.Wall;
+import linengauge.net.RateLimitedLog;
+import linengauge.net.WallClock;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable;
 import linengauge.session.Held;
@@ -45,7 +45,7 @@
     private Stream stream;
     private String life;
     private int failures;
-    private long usedAt = Wall.micros();
+    private long usedAt = WallClock.micros();
     private boolean closing;
 
     private Box(BoxTable.Entry entry) {
@@ -140,7 +140,7 @@
           linger,
           () -> {
             closing = false;
-            if (playing.isEmpty() && !new Span(Wall.micros() - usedAt).under(linger)) {
+            if (playing.isEmpty() && !new Span(WallClock.micros() - usedAt).under(linger)) {
               leave();
             } else {
               closeWhenUnused();
@@ -215,7 +215,7 @@
   private final Site site;
   private final HttpClient client;
   private final SplittableRandom chance;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(Notes.class));
+  private final RateLimitedLog log = new RateLimitedLog(LoggerFactory.getLogger(Notes.class));
   private final Map<BoxTable.Entry, Box> boxes = new LinkedHashMap<>();
 
   Notes(Vertx vertx, Site site, long seed, FrontProgram program) {
@@ -228,7 +228,7 @@
   /** A viewing plays at a box. */
   void playing(Held vw, BoxTable.Entry entry) {
     Box b = boxes.computeIfAbsent(entry, Box::new);
-    b.usedAt = Wall.micros();
+    b.usedAt = WallClock.micros();
     b.playing.put(vw.id(), vw);
     if (b.stream == null && b.failures == 0) {
       b.open();
@@ -239,7 +239,7 @@
   void over(Held vw, BoxTable.Entry entry) {
     Box b = boxes.get(entry);
     if (b != null && b.playing.remove(vw.id()) != null) {
-      b.usedAt = Wall.micros();
+      b.usedAt = WallClock.micros();
       b.closeWhenUnused();
     }
   }
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/Relay.java
@@ -18,8 +18,8 @@
 import linengauge.hls.BadPlaylist;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
-import linengauge.net.Sparse;
-import linengauge.net.Wall;
+import linengauge.net.RateLimitedLog;
+import linengauge.net.WallClock;
 import linengauge.site.Site;
 
 /**
@@ -51,9 +51,9 @@
   private final HttpClient client;
   private final Vertx vertx;
   private final Loops here;
-  private final Sparse log;
+  private final RateLimitedLog log;
 
-  Relay(FrontProgram program, HttpClient client, Vertx vertx, Loops here, Sparse log) {
+  Relay(FrontProgram program, HttpClient client, Vertx vertx, Loops here, RateLimitedLog log) {
     this.program = program;
     this.site = program.site();
     this.client = client;
@@ -103,7 +103,7 @@
     private HttpClientRequest request;
     private Channel channel;
     private HttpClientResponse response;
-    private long heardAt = Wall.micros();
+    private long heardAt = WallClock.micros();
     private boolean answered;
     private boolean paused;
     private boolean over;
@@ -170,7 +170,7 @@
               Math.max(1, ms),
               t -> {
                 timer = -1;
-                long quiet = (Wall.micros() - heardAt) / 1000;
+                long quiet = (WallClock.micros() - heardAt) / 1000;
                 long bound = answered ? site.boxes().mediaSilenceMs() : site.boxes().firstByteMs();
                 if (over) {
                   return;
@@ -190,7 +190,7 @@
         return;
       }
       answered = true;
-      heardAt = Wall.micros();
+      heardAt = WallClock.micros();
       int status = r.statusCode();
       if (status == 404 && at.equals("media.m3u8") || status == 410) {
         program.onDesk(() -> viewer.held().boxLost());
@@ -234,7 +234,7 @@
 
     /** Passes bytes on, and holds the box back where the viewer does not take them. */
     private void passOn(HttpClientResponse r, Buffer bytes) {
-      heardAt = Wall.micros();
+      heardAt = WallClock.micros();
       viewer.asked();
       box.came(bytes.length());
       to.write(bytes);
@@ -264,7 +264,7 @@
     public void goOn() {
       if (paused && !over && caller.account().drained() && !to.writeQueueFull()) {
         paused = false;
-        heardAt = Wall.micros();
+        heardAt = WallClock.micros();
         viewer.asked();
         box.wanted(true);
         read(true);
@@ -291,7 +291,7 @@
 
     private void more(Buffer b) {
       box.came(b.length());
-      heardAt = Wall.micros();
+      heardAt = WallClock.micros();
       playlist.appendBuffer(b);
       if (playlist.length() > site.boxes().playlistBytes()) {
         broken(502, "the media box sends a playlist that is too long");
--- a/src/main/java/linengauge/front/Stream.java
+++ b/src/main/java/linengauge/front/Stream.java
@@ -5,7 +5,7 @@
 import io.vertx.core.http.HttpClientRequest;
 import io.vertx.core.http.RequestOptions;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 
 /**
  * One long answer read line by line on the desk: it ends once, by itself, by silence, by a line too
@@ -28,7 +28,7 @@
   private final Span silence;
   private HttpClientRequest request;
   private Lines lines;
-  private long heardAt = Wall.micros();
+  private long heardAt = WallClock.micros();
   private boolean answered;
   private boolean over;
 
@@ -88,7 +88,7 @@
               b ->
                   program.onDesk(
                       () -> {
-                        heardAt = Wall.micros();
+                        heardAt = WallClock.micros();
                         lines.hear(b);
                       }));
         },
@@ -99,7 +99,7 @@
     if (over) {
       return;
     }
-    Span quiet = new Span(Wall.micros() - heardAt);
+    Span quiet = new Span(WallClock.micros() - heardAt);
     if (quiet.under(silence)) {
       program.wakeAfter(silence.minus(quiet), this::listen);
     } else {
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -7,7 +7,7 @@
 import linengauge.Moment;
 import linengauge.Outside;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.Held;
 import linengauge.session.Viewer;
 
@@ -22,7 +22,7 @@
   private final Context loop;
   private final HttpServerResponse response;
   private final Routes routes;
-  private volatile long lastAsked = Wall.micros();
+  private volatile long lastAsked = WallClock.micros();
   private volatile Route route;
 
   /** Requests for media under way; each leaves as it ends. */
@@ -85,7 +85,7 @@
   }
 
   void asked() {
-    lastAsked = Wall.micros();
+    lastAsked = WallClock.micros();
   }
 
   AtomicInteger underWay() {
@@ -94,7 +94,7 @@
 
   @Override
   public void plays(Held vw) {
-    lastAsked = Wall.micros();
+    lastAsked = WallClock.micros();
     var at = linengauge.site.Site.Address.of(vw.box().address());
     route = new Route(at.host(), at.port());
     routes.put(vw.id(), this);
--- a/src/main/java/linengauge/front/Wakes.java
+++ b/src/main/java/linengauge/front/Wakes.java
@@ -2,7 +2,7 @@
 
 import io.vertx.core.Vertx;
 import java.util.Arrays;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.Carrier;
 
 /**
@@ -48,7 +48,7 @@
 
   /** Runs the step once, not earlier than after so many microseconds and never within this call. */
   Carrier.Wake after(long micros, Runnable step) {
-    Due d = new Due(Wall.micros() + Math.max(0, micros), number++, step);
+    Due d = new Due(WallClock.micros() + Math.max(0, micros), number++, step);
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
     }
@@ -106,7 +106,7 @@
     timerAt = heap[0].at;
     long mine = timerAt;
     vertx.setTimer(
-        Math.max(1, (mine - Wall.micros() + 999) / 1000),
+        Math.max(1, (mine - WallClock.micros() + 999) / 1000),
         t -> {
           if (timerAt == mine) {
             timerAt = Long.MAX_VALUE;
@@ -117,7 +117,7 @@
 
   /** All that is due runs in its order; what a step asks for waits for the next round. */
   private void run() {
-    long now = Wall.micros();
+    long now = WallClock.micros();
     long last = number;
     try {
       while (size > 0 && heap[0].at <= now && heap[0].number < last) {
--- a/src/main/java/linengauge/net/EventWriter.java
+++ b/src/main/java/linengauge/net/EventWriter.java
@@ -15,19 +15,19 @@
  * @param <E> the events, immutable
  */
 public final class EventWriter<E> {
-  private static final int MOST_WAITING = 4096;
-  private static final int MOST_LINES_A_SECOND = 100;
-  private static final long SECOND_MICROS = 1_000_000;
+  private static final int MAX_QUEUED_EVENTS = 4096;
+  private static final int MAX_LINES_PER_SECOND = 100;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** Events are collected for so long, so that a busy front wakes the thread seldom. */
-  private static final long COLLECT_MS = 50;
+  private static final long BATCH_INTERVAL_MS = 50;
 
   private final Logger log;
   private final Function<E, String> format;
-  private final BlockingQueue<E> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+  private final BlockingQueue<E> queue = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
   private final AtomicLong dropped = new AtomicLong();
-  private long second;
-  private int linesInSecond;
+  private long currentSecond;
+  private int linesInCurrentSecond;
 
   public EventWriter(Logger log, Function<E, String> format) {
     this.log = log;
@@ -43,28 +43,28 @@
 
   /** From any thread; never waits. */
   public void accept(E event) {
-    if (!waiting.offer(event)) {
+    if (!queue.offer(event)) {
       dropped.incrementAndGet();
     }
   }
 
   /** Writes what waits, before the process ends. */
   public synchronized void flush() {
-    for (E event = waiting.poll(); event != null; event = waiting.poll()) {
+    for (E event = queue.poll(); event != null; event = queue.poll()) {
       write(event);
     }
-    tellDropped();
+    logDroppedCount();
   }
 
   private void run() {
     try {
       while (true) {
-        E first = waiting.take();
+        E first = queue.take();
         synchronized (this) {
           write(first);
         }
         flush();
-        TimeUnit.MILLISECONDS.sleep(COLLECT_MS);
+        TimeUnit.MILLISECONDS.sleep(BATCH_INTERVAL_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -72,25 +72,25 @@
   }
 
   private void write(E event) {
-    if (mayWrite()) {
-      linesInSecond++;
+    if (isBelowLineRate()) {
+      linesInCurrentSecond++;
       log.info("{}", format.apply(event));
     } else {
       dropped.incrementAndGet();
     }
   }
 
-  private boolean mayWrite() {
-    long now = Wall.micros() / SECOND_MICROS;
-    if (now != second) {
-      second = now;
-      linesInSecond = 0;
+  private boolean isBelowLineRate() {
+    long now = WallClock.micros() / MICROS_PER_SECOND;
+    if (now != currentSecond) {
+      currentSecond = now;
+      linesInCurrentSecond = 0;
     }
-    return linesInSecond < MOST_LINES_A_SECOND;
+    return linesInCurrentSecond < MAX_LINES_PER_SECOND;
   }
 
-  private void tellDropped() {
-    long lost = mayWrite() ? dropped.getAndSet(0) : 0;
+  private void logDroppedCount() {
+    long lost = isBelowLineRate() ? dropped.getAndSet(0) : 0;
     if (lost > 0) {
       log.warn("event=events-dropped count={}", lost);
     }
--- a/src/main/java/linengauge/net/Sparse.java
+++ b/src/main/java/linengauge/net/RateLimitedLog.java
@@ -10,35 +10,35 @@
  * number of those left out. Kinds are named in the code, so the table is bounded by it. Used on one
  * loop only.
  */
-public final class Sparse {
-  private static final long PACE_MICROS = 1_000_000;
+public final class RateLimitedLog {
+  private static final long MIN_INTERVAL_MICROS = 1_000_000;
 
-  private static final class Kind {
-    private long saidAt = Long.MIN_VALUE / 2;
-    private long leftOut;
+  private static final class KindState {
+    private long lastLoggedAt = Long.MIN_VALUE / 2;
+    private long suppressed;
   }
 
   private final Logger log;
-  private final Map<String, Kind> kinds = new HashMap<>();
+  private final Map<String, KindState> kinds = new HashMap<>();
 
-  public Sparse(Logger log) {
+  public RateLimitedLog(Logger log) {
     this.log = log;
   }
 
   public void warn(String kind, String about, Object detail) {
-    Kind k = kinds.computeIfAbsent(kind, n -> new Kind());
-    long now = Wall.micros();
-    if (now - k.saidAt < PACE_MICROS) {
-      k.leftOut++;
+    KindState k = kinds.computeIfAbsent(kind, n -> new KindState());
+    long now = WallClock.micros();
+    if (now - k.lastLoggedAt < MIN_INTERVAL_MICROS) {
+      k.suppressed++;
       return;
     }
-    k.saidAt = now;
+    k.lastLoggedAt = now;
     log.warn(
         "{} {}",
         kind,
         StructuredArguments.kv("about", about),
         StructuredArguments.kv("detail", detail),
-        StructuredArguments.kv("leftOut", k.leftOut));
-    k.leftOut = 0;
+        StructuredArguments.kv("leftOut", k.suppressed));
+    k.suppressed = 0;
   }
 }
--- a/src/main/java/linengauge/net/Address.java
+++ b/src/main/java/linengauge/net/SocketAddresses.java
@@ -5,8 +5,8 @@
 import java.net.UnknownHostException;
 
 /** Addresses as settings and other fronts give them. */
-public final class Address {
-  private Address() {}
+public final class SocketAddresses {
+  private SocketAddresses() {}
 
   /**
    * An address in numbers with its port, as host:port; no name is ever looked up, as that could
@@ -14,7 +14,7 @@
    *
    * @throws IllegalArgumentException that it is none
    */
-  public static InetSocketAddress inNumbers(String address) {
+  public static InetSocketAddress parseNumeric(String address) {
     int colon = address == null ? -1 : address.lastIndexOf(':');
     String host = colon < 0 ? "" : address.substring(0, colon).replaceAll("[\\[\\]]", "");
     if (!host.matches("[0-9.]+|[0-9a-fA-F:]*:[0-9a-fA-F:.]*")
--- a/src/main/java/linengauge/net/Wall.java
+++ b/src/main/java/linengauge/net/WallClock.java
@@ -7,13 +7,14 @@
  * cold boxes by it, so machines of one site keep their clocks within some tens of milliseconds of
  * each other.
  */
-public final class Wall {
-  private static final long ANCHOR = System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
+public final class WallClock {
+  private static final long OFFSET_MICROS =
+      System.currentTimeMillis() * 1000 - System.nanoTime() / 1000;
 
-  private Wall() {}
+  private WallClock() {}
 
   public static long micros() {
-    return ANCHOR + System.nanoTime() / 1000;
+    return OFFSET_MICROS + System.nanoTime() / 1000;
   }
 
   public static Moment now() {
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import linengauge.briefing.BadBriefing;
 import linengauge.net.EventWriter;
-import linengauge.net.Sparse;
+import linengauge.net.RateLimitedLog;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -20,7 +20,7 @@
   private final Path file;
   private final Configuration posting;
   private final VertxNet net;
-  private final Sparse sparse = new Sparse(LOG);
+  private final RateLimitedLog sparse = new RateLimitedLog(LOG);
   private final EventWriter<LogEvent> events = new EventWriter<>(LOG, LogEvent::line);
   private final CompletableFuture<String> over = new CompletableFuture<>();
   private final Object reload = new Object();
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.net.Wall;
+import linengauge.net.WallClock;
 import linengauge.session.Carrier.Wake;
 
 /** Sockets and timers on one event loop. */
@@ -73,7 +73,7 @@
 
   @Override
   public Moment now() {
-    return Wall.now();
+    return WallClock.now();
   }
 
   @Override
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import linengauge.net.Address;
+import linengauge.net.SocketAddresses;
 import linengauge.vrrp.BadPacket;
 import linengauge.vrrp.Drop;
 import linengauge.vrrp.NodeAddress;
@@ -101,7 +101,7 @@
     if (key.length < LEAST_KEY) {
       throw new IllegalArgumentException("a key of 16 bytes at least, not " + key.length);
     }
-    InetSocketAddress listen = Address.inNumbers(address);
+    InetSocketAddress listen = SocketAddresses.parseNumeric(address);
     this.form = form;
     this.own = own;
     this.seal = new Seal(key, System.currentTimeMillis() * 1000);
@@ -193,7 +193,7 @@
   /** Sends it, or loses it where it cannot be sent: whoever misses it asks again. */
   public void send(String address, byte[] bytes) {
     try {
-      InetSocketAddress to = addresses.computeIfAbsent(address, Address::inNumbers);
+      InetSocketAddress to = addresses.computeIfAbsent(address, SocketAddresses::parseNumeric);
       if (!filter.passes(to, true)) {
         return;
       }
