--- a/src/main/java/linengauge/lease/udp/ControlNode.java
+++ b/src/main/java/linengauge/lease/udp/ControlNode.java
@@ -32,7 +32,7 @@
   /**
    * @param number among all control machines
    * @param listen where it takes lease datagrams, as host:port in numbers
-   * @param all as this machine reaches them
+   * @param connections as this machine reaches them
    * @param log its part in the log; the number and key are the same
    */
   public record Settings(
--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -14,7 +14,7 @@
 import linengauge.platform.codec.SetUpForm;
 import linengauge.platform.codec.ViewerMessages;
 import linengauge.platform.codec.ViewerMessages.Message;
-import linengauge.platform.connection.IdleConnection;
+import linengauge.platform.connection.IdleTracker;
 import linengauge.platform.connection.ReceiveQueue;
 
 /**
@@ -70,7 +70,7 @@
   /** Releases written here and not known to be heard; bounded, the oldest goes; emptied by time. */
   private final Map<Long, Told> told = new LinkedHashMap<>();
 
-  private IdleConnection idle;
+  private IdleTracker idle;
   private boolean viewers;
   private boolean closed;
 
@@ -109,7 +109,7 @@
     return listener.front();
   }
 
-  void idle(IdleConnection given) {
+  void idle(IdleTracker given) {
     idle = given;
   }
 
@@ -132,7 +132,7 @@
       return;
     }
     Moment now = front().now();
-    received.come(data, now.minus(front().unread()), now);
+    received.add(data, now.minus(front().unread()), now);
     if (!goesOn) {
       takeApart();
     } else if (received.isFull(reader.unread())) {
@@ -162,7 +162,7 @@
           front().tick();
         }
       }
-      idle.read(ended, !more && reader.isMidMessage(), front().now());
+      idle.onRead(ended, !more && reader.isMidMessage(), front().now());
       if (more && !closed) {
         goesOn = true;
         if (received.isFull(reader.unread())) {
@@ -205,14 +205,14 @@
   }
 
   private boolean takesNext() {
-    ReceiveQueue.Piece piece = received.next();
+    ReceiveQueue.Chunk piece = received.poll();
     if (piece == null) {
       return false;
     }
     if (reader.isMidMessage()) {
-      nextLain = piece.came(); // of what begins in it, not of the message that it ends
+      nextLain = piece.earliestArrival(); // of what begins in it, not of the message that it ends
     } else {
-      lain = piece.came();
+      lain = piece.earliestArrival();
     }
     reader.take(piece.data());
     return true;
@@ -245,7 +245,7 @@
   private void pause() {
     if (!paused) {
       paused = true;
-      received.paused();
+      received.onPaused();
       socket.pause();
     }
   }
@@ -253,7 +253,7 @@
   private void resume() {
     if (paused && !received.isFull(reader.unread())) {
       paused = false;
-      received.resumed(front().now());
+      received.onResumed(front().now());
       socket.resume();
     }
   }
@@ -422,7 +422,7 @@
 
   void waits(ClientSession session) {
     waiting.add(session);
-    idle.asked();
+    idle.onRequestOpened();
     keep(session.length());
   }
 
@@ -442,7 +442,7 @@
 
   void unwait(ClientSession session) {
     if (waiting.remove(session)) {
-      idle.settled(front().now());
+      idle.onRequestSettled(front().now());
       keep(-session.length());
     }
   }
@@ -497,7 +497,7 @@
   @Override
   public void test(long id) {
     if (write(ViewerMessages.tested(id))) {
-      idle.proven();
+      idle.markTrusted();
     }
   }
 
@@ -510,7 +510,7 @@
   /** It is viewers': it has been answered, or a viewing that plays was handed over by it. */
   void viewers() {
     if (!closed) {
-      idle.proven();
+      idle.markTrusted();
       viewers = true;
       listener.viewers(this);
     }
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -11,8 +11,8 @@
 import linengauge.platform.codec.SetUpForm;
 import linengauge.platform.codec.Texts;
 import linengauge.platform.connection.AcceptBacklog;
-import linengauge.platform.connection.IdleConnection;
-import linengauge.platform.connection.IdleConnections;
+import linengauge.platform.connection.IdleConnectionReaper;
+import linengauge.platform.connection.IdleTracker;
 import linengauge.session.Held;
 
 /**
@@ -42,7 +42,7 @@
   private record Release(long id, boolean cut, Moment until) {}
 
   private final PlatformFront front;
-  private final IdleConnections idle;
+  private final IdleConnectionReaper idle;
   private final AcceptBacklog backlog;
 
   /** Viewings by their ids on the wire; each leaves with its refusal or its end. */
@@ -65,7 +65,7 @@
 
   ClientListener(PlatformFront front, int places) {
     this.front = front;
-    this.idle = new IdleConnections(new IdleConnections.Terms(places, SIGN));
+    this.idle = new IdleConnectionReaper(new IdleConnectionReaper.Limits(places, SIGN));
     this.backlog = new AcceptBacklog(TAKEN_A_TURN, front.now());
   }
 
@@ -91,11 +91,10 @@
   }
 
   void arrived(Net.Connection socket) {
-    backlog.taken();
-    ClientConnection line = new ClientConnection(this, socket, backlog.cameAfter());
+    backlog.onAccepted();
+    ClientConnection line = new ClientConnection(this, socket, backlog.earliestArrival());
     lines.add(line);
-    line.idle(
-        idle.arrived(() -> line.close("idle, or its place is wanted"), line::rests, front.now()));
+    line.idle(idle.add(() -> line.close("idle, or its place is wanted"), line::rests, front.now()));
     makePlace();
   }
 
@@ -105,23 +104,23 @@
    * with it.
    */
   private void makePlace() {
-    if (!makesPlace && idle.isOver()) {
+    if (!makesPlace && idle.isOverLimit()) {
       makesPlace = true;
       front.later(
           () ->
               front.whenRead(
                   () -> {
                     makesPlace = false;
-                    if (idle.makePlace() > 0) {
+                    if (idle.evictExcess() > 0) {
                       log("no place for a viewer", null, "");
                     }
                   }));
     }
   }
 
-  void left(ClientConnection line, IdleConnection one) {
+  void left(ClientConnection line, IdleTracker one) {
     lines.remove(line);
-    idle.left(one);
+    idle.remove(one);
   }
 
   void queued(long id, ClientConnection by) {
@@ -161,11 +160,11 @@
 
   /** The loop's beat. */
   void beat(Moment now) {
-    backlog.beat(now);
+    backlog.tick(now);
   }
 
   void look(Moment now) {
-    idle.look(now);
+    idle.closeOverdue(now);
     while (!releases.isEmpty() && releases.peek().until().before(now)) {
       releases.poll();
     }
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -107,8 +107,8 @@
     this.lag = new EventLoopLag(CROSSING, now);
     this.events = new EventLog(this::now, told::event);
     DescriptorBudget places = DescriptorBudget.of(posting.descriptors());
-    this.boxes = new ServerLinks(this, places.boxes());
-    this.door = new ClientListener(this, places.viewers());
+    this.boxes = new ServerLinks(this, places.servers());
+    this.door = new ClientListener(this, places.clients());
     // No idle bound; and no stand-still of the core's own noticing: each request says how long it
     // may have lain.
     var bounds =
@@ -138,7 +138,7 @@
         TICK,
         () -> {
           now = net.now();
-          Span since = lag.beat(now);
+          Span since = lag.tick(now);
           door.beat(now);
           if (STOOD_STILL.under(since)) {
             log("stood still", since.micros() / 1000 + " ms", "");
@@ -228,7 +228,7 @@
 
   /** How long what is read now may have lain unread. */
   Span unread() {
-    return lag.unread(now);
+    return lag.maxReadDelay(now);
   }
 
   /** What came longer ago than words may cross may still lie unread. */
@@ -268,7 +268,7 @@
     Moment begun = net.now();
     while (!unread.isEmpty()
         && net.now().before(begun.plus(TURN))
-        && (unread.peek().turn() + EventLoopLag.READS <= turns
+        && (unread.peek().turn() + EventLoopLag.TURNS_TO_READ <= turns
             || !begun.before(unread.peek().since().plus(CROSSING)))) {
       onEvent(unread.poll().deed());
     }
@@ -362,7 +362,7 @@
                   + " connections, "
                   + boxes.figures()
                   + ", longest turn "
-                  + lag.longest().micros() / 1000
+                  + lag.longestTurn().micros() / 1000
                   + " ms");
           door.logWaiting();
           door.beginAll();
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -10,8 +10,8 @@
 import linengauge.platform.codec.BadMessage;
 import linengauge.platform.codec.BoxLines;
 import linengauge.platform.codec.Texts;
-import linengauge.platform.connection.Line;
-import linengauge.platform.connection.SpentIds;
+import linengauge.platform.connection.ConnectionHealth;
+import linengauge.platform.connection.RecentAttemptIds;
 import linengauge.platform.connection.UnconfirmedEnds;
 import linengauge.session.Carrier.Wake;
 import linengauge.session.Held;
@@ -56,7 +56,7 @@
   private final int closingsWhenBegun;
   private final BoxLines reader = new BoxLines(this);
   private final Map<Long, Out> outs = new LinkedHashMap<>();
-  private final SpentIds spent = new SpentIds(MOST_SPENT, SPENT_KEPT);
+  private final RecentAttemptIds spent = new RecentAttemptIds(MOST_SPENT, SPENT_KEPT);
 
   /** An attempt whose end was written here; none where it is that of a session that stood. */
   private record GivenUp(Held held, int attempt) {}
@@ -73,14 +73,14 @@
   /** This front closes it since nothing is left on it. */
   private boolean rested;
 
-  private final Line line;
+  private final ConnectionHealth line;
 
   ServerConnection(ServerLink link, String address, int closingsWhenBegun) {
     this.link = link;
     this.number = link.links().nextConnectionNumber();
     this.address = address;
     this.closingsWhenBegun = closingsWhenBegun;
-    this.line = new Line(front().now());
+    this.line = new ConnectionHealth(front().now());
   }
 
   private PlatformFront front() {
@@ -111,7 +111,7 @@
   }
 
   /** How it is used. */
-  Line line() {
+  ConnectionHealth line() {
     return line;
   }
 
@@ -149,7 +149,7 @@
 
   private void up(Net.Connection s) {
     socket = s;
-    line.up(front().now());
+    line.onUp(front().now());
     log(Kind.CONNECTION_UP, "");
     s.hears(
         data -> front().onEvent(() -> read(data)),
@@ -176,10 +176,10 @@
       return;
     }
     link.heard();
-    line.heard(front().now());
+    line.onReceived(front().now());
     try {
       boolean ended = reader.feed(data) > 0;
-      line.read(ended, reader.isMidLine(), front().now());
+      line.onRead(ended, reader.isMidLine(), front().now());
     } catch (BadMessage e) {
       front().log("unreadable server", Texts.server(link.box().id()), e.getMessage());
       close(e.getMessage());
@@ -194,7 +194,7 @@
       front().later(() -> close("does not read"));
       return;
     }
-    line.used(front().now());
+    line.onSent(front().now());
     socket.write(message);
   }
 
@@ -205,7 +205,7 @@
    * answer to another.
    */
   boolean hasSpent(long id) {
-    return spent.has(id, front().now());
+    return spent.contains(id, front().now());
   }
 
   void setUp(Held vw, int tuneIn) {
@@ -257,7 +257,7 @@
                 front().briefing().dial(),
                 () -> {
                   if (tests.remove(id) != null) {
-                    line.unanswered(asked);
+                    line.onUnanswered(asked);
                     front().desk().probed(link.box(), link.silence(asked, null));
                   }
                 }));
@@ -267,7 +267,7 @@
   }
 
   private void writeTest(long id) {
-    unconfirmed.testWritten(id);
+    unconfirmed.onTestWritten(id);
     write(BoxLines.test(id));
   }
 
@@ -286,7 +286,7 @@
 
   private void end(long id, GivenUp attempt) {
     write(BoxLines.end(id));
-    unconfirmed.written(id, attempt, front().now());
+    unconfirmed.onEndWritten(id, attempt, front().now());
   }
 
   /** Takes back a set-up that is out here; false where it is not. */
@@ -301,7 +301,7 @@
       ((ClientSession) vw.viewer()).logged(Kind.GIVE_UP_SENT, link.box(), tuneIn, number, "");
       end(id, new GivenUp(vw, tuneIn));
       if (vw.waitLeft().equals(Span.NONE)) {
-        line.unanswered(out.writtenAt);
+        line.onUnanswered(out.writtenAt);
       }
     }
     return true;
@@ -332,7 +332,7 @@
     link.reported(load);
     Out out = outs.get(id);
     if (out == null || !out.written) {
-      confirmed(unconfirmed.confirmed(id));
+      confirmed(unconfirmed.confirm(id));
       link.ended(id, BoxLines.played(cause), this);
       return;
     }
@@ -344,12 +344,12 @@
 
   /** An end of that id has been written here and not been confirmed. */
   boolean awaitsConfirmation(long id) {
-    return isUp() && unconfirmed.awaits(id);
+    return isUp() && unconfirmed.isUnconfirmed(id);
   }
 
   @Override
   public void endConfirmed(long id) {
-    confirmed(unconfirmed.confirmed(id));
+    confirmed(unconfirmed.confirm(id));
   }
 
   private void confirmed(GivenUp attempt) {
@@ -363,7 +363,7 @@
   @Override
   public void tested(long id, boolean passed, BoxLines.Load load) {
     link.reported(load);
-    unconfirmed.testAnswered(id).forEach(this::confirmed);
+    unconfirmed.confirmByTest(id).forEach(this::confirmed);
     Wake timer = tests.remove(id);
     if (timer != null) {
       timer.cancel();
@@ -398,10 +398,10 @@
   /* ---- its end ---- */
 
   void look(Moment now, Span rests) {
-    int open = load() + unconfirmed.since(now.minus(CONFIRMED_WITHIN)).size();
+    int open = load() + unconfirmed.writtenSince(now.minus(CONFIRMED_WITHIN)).size();
     switch (line.verdict(open, isUp() ? rests : Span.NONE, now)) {
-      case SPOILT -> close("a line that does not end");
-      case RESTS -> {
+      case CLOSE_BROKEN -> close("a line that does not end");
+      case CLOSE_IDLE -> {
         rested = !line.isRetired();
         close("rests");
       }
@@ -437,7 +437,7 @@
     boolean wasUp = socket != null;
     log(Kind.CONNECTION_CLOSED, why + ", " + outs.size() + " attempts out");
     // Written so lately, an end may be lost with the connection.
-    unconfirmed.since(front().now().minus(CONFIRMED_WITHIN)).forEach(link::endAfterClose);
+    unconfirmed.writtenSince(front().now().minus(CONFIRMED_WITHIN)).forEach(link::endAfterClose);
     for (Out out : ServerLinks.taken(outs)) {
       if (out.written) {
         link.endAfterClose(((ClientSession) out.held.viewer()).id());
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -58,7 +58,8 @@
   ServerLink(ServerLinks links, BoxTable.Entry box) {
     this.links = links;
     this.box = box;
-    this.reach = new ReachabilityDetector(ReachabilityDetector.Terms.PLATFORM, links.front().now());
+    this.reach =
+        new ReachabilityDetector(ReachabilityDetector.Settings.PLATFORM, links.front().now());
   }
 
   BoxTable.Entry box() {
@@ -118,7 +119,7 @@
     if (over(seat.id()) == null) {
       return;
     }
-    if (reach.lost(front().now())) {
+    if (reach.isLost(front().now())) {
       sendOnceUp(BoxLines.end(seat.id())); // it may play on, and be reached again
     } else {
       sendEnd(seat);
@@ -214,7 +215,8 @@
   private ServerConnection lastHeard() {
     ServerConnection best = null;
     for (ServerConnection w : connections) {
-      if (usable(w) && (best == null || best.line().heardAt().before(w.line().heardAt()))) {
+      if (usable(w)
+          && (best == null || best.line().lastReceivedAt().before(w.line().lastReceivedAt()))) {
         best = w;
       }
     }
@@ -270,7 +272,7 @@
         || !links.place() && !(links.makePlace() && links.place())) {
       return null;
     }
-    ServerConnection w = new ServerConnection(this, address, reach.closings());
+    ServerConnection w = new ServerConnection(this, address, reach.closeCount());
     connections.add(w);
     w.connect();
     return w;
@@ -279,14 +281,14 @@
   /* ---- what its connections tell ---- */
 
   void up(ServerConnection w) {
-    reach.up(w.closingsWhenBegun(), front().now());
+    reach.onUp(w.closingsWhenBegun(), front().now());
     for (byte[] line = unsent.poll(); line != null; line = unsent.poll()) {
       w.write(line);
     }
   }
 
   void heard() {
-    reach.sign(front().now());
+    reach.onReceived(front().now());
   }
 
   /**
@@ -307,11 +309,11 @@
     }
     if (wasUp) {
       if (!rested) {
-        reach.closed();
+        reach.onClosed();
       }
       return;
     }
-    reach.failed(front().now());
+    reach.onConnectFailed(front().now());
     if (refused && connections.stream().noneMatch(ServerConnection::isUp)) {
       // Nothing listens there: its process has died, and what it played with it. Where another
       // connection is up it lives,
@@ -339,14 +341,14 @@
     standing.put(seat.id(), seat);
     seat.wire(by);
     seat.lastUsed(by);
-    by.line().stands(1);
+    by.line().addSessions(1);
   }
 
   /** It no longer plays here, for whatever reason; null where nothing of that id does. */
   private ClientSession over(long id) {
     ClientSession seat = standing.remove(id);
     if (seat != null && seat.wire() != null) {
-      seat.wire().line().stands(-1);
+      seat.wire().line().addSessions(-1);
       seat.wire(null);
     }
     return seat;
@@ -368,7 +370,7 @@
     }
     ClientSession seat = over(id);
     if (seat == null) {
-      earlyEnds.heard(id, how, front().now());
+      earlyEnds.add(id, how, front().now());
     } else {
       seat.held()
           .boxEnded(
@@ -396,7 +398,7 @@
    * broken.
    */
   Ending silence(Moment writtenAt, ServerConnection but) {
-    return TimeoutCause.meaning(
+    return TimeoutCause.outcome(
         writtenAt,
         front().lag(),
         front().now(),
@@ -419,7 +421,7 @@
     for (ServerConnection w : connections) {
       if (w.isRetired()
           && w.load() == 0
-          && (least == null || w.line().standing() < least.line().standing())) {
+          && (least == null || w.line().sessionCount() < least.line().sessionCount())) {
         least = w;
       }
     }
@@ -449,7 +451,7 @@
       List.copyOf(connections).forEach(w -> w.close("its box has gone"));
       return connections.isEmpty();
     }
-    earlyEnds.look(now);
+    earlyEnds.expire(now);
     int usable = 0;
     boolean coming = false;
     // The end of a viewing without a connection of its own may come on any that is open.
@@ -467,13 +469,13 @@
       tryUnsent(now);
     }
     if (!standing.isEmpty() && !coming) {
-      if (usable > 0 && reach.wantsTest(now)) {
+      if (usable > 0 && reach.needsTest(now)) {
         leastLoaded(0).ask(links.testId());
       }
-      if (reach.wantsConnection(usable, now)) {
+      if (reach.needsConnection(usable, now)) {
         open();
       }
-      if (reach.lost(now)) {
+      if (reach.isLost(now)) {
         lost("out of reach");
       }
     }
--- a/src/main/java/linengauge/platform/codec/ViewerMessages.java
+++ b/src/main/java/linengauge/platform/codec/ViewerMessages.java
@@ -67,7 +67,7 @@
     return come.length - at;
   }
 
-  /** Keeps what has come, to be read by {@link #next}. */
+  /** Keeps what has come, to be read by {@link #poll}. */
   public void take(byte[] data) {
     if (at == come.length) {
       come = data;
--- a/src/main/java/linengauge/platform/connection/AcceptBacklog.java
+++ b/src/main/java/linengauge/platform/connection/AcceptBacklog.java
@@ -12,36 +12,36 @@
  * than it need be.
  */
 public final class AcceptBacklog {
-  private final int aTurn;
-  private int taken;
+  private final int maxAcceptsPerTurn;
+  private int acceptedThisTurn;
 
   /** All that had come before this moment has been taken. */
-  private Moment emptyAt;
+  private Moment drainedAt;
 
-  private Moment lastBeat;
+  private Moment lastTick;
 
   /** A loop that takes so many a turn. */
-  public AcceptBacklog(int aTurn, Moment now) {
-    this.aTurn = aTurn;
-    this.emptyAt = now;
-    this.lastBeat = now;
+  public AcceptBacklog(int maxAcceptsPerTurn, Moment now) {
+    this.maxAcceptsPerTurn = maxAcceptsPerTurn;
+    this.drainedAt = now;
+    this.lastTick = now;
   }
 
-  public void taken() {
-    taken++;
+  public void onAccepted() {
+    acceptedThisTurn++;
   }
 
   /** The loop's beat, once in each of its turns at the most. */
-  public void beat(Moment now) {
-    if (taken < aTurn) {
-      emptyAt = lastBeat;
+  public void tick(Moment now) {
+    if (acceptedThisTurn < maxAcceptsPerTurn) {
+      drainedAt = lastTick;
     }
-    taken = 0;
-    lastBeat = now;
+    acceptedThisTurn = 0;
+    lastTick = now;
   }
 
   /** What is taken now came after this moment. */
-  public Moment cameAfter() {
-    return emptyAt;
+  public Moment earliestArrival() {
+    return drainedAt;
   }
 }
--- a/src/main/java/linengauge/platform/connection/DescriptorBudget.java
+++ b/src/main/java/linengauge/platform/connection/DescriptorBudget.java
@@ -6,13 +6,13 @@
  * none to reach a box by. It could hurt a front of many boxes with few descriptors: several set-ups
  * share a connection then.
  */
-public record DescriptorBudget(int viewers, int boxes) {
-  private static final int OWN = 48;
-  private static final int LEAST = 16;
+public record DescriptorBudget(int clients, int servers) {
+  private static final int RESERVED_DESCRIPTORS = 48;
+  private static final int MIN_DESCRIPTORS = 16;
 
   public static DescriptorBudget of(int descriptors) {
-    int rest = descriptors - OWN;
-    int boxes = Math.max(LEAST, rest * 2 / 5);
-    return new DescriptorBudget(Math.max(LEAST, rest - boxes), boxes);
+    int available = descriptors - RESERVED_DESCRIPTORS;
+    int servers = Math.max(MIN_DESCRIPTORS, available * 2 / 5);
+    return new DescriptorBudget(Math.max(MIN_DESCRIPTORS, available - servers), servers);
   }
 }
--- a/src/main/java/linengauge/platform/connection/EarlyEnds.java
+++ b/src/main/java/linengauge/platform/connection/EarlyEnds.java
@@ -13,40 +13,40 @@
  * It could hurt where an id came into use again: ids are new with each set-up.
  */
 public final class EarlyEnds {
-  private record End(Ending how, Moment until) {}
+  private record End(Ending outcome, Moment expiresAt) {}
 
-  private final int most;
-  private final Span kept;
+  private final int maxEntries;
+  private final Span retention;
 
   /** Bounded, the oldest goes; each leaves with its time. */
   private final LinkedHashMap<Long, End> ends = new LinkedHashMap<>();
 
-  public EarlyEnds(int most, Span kept) {
-    this.most = most;
-    this.kept = kept;
+  public EarlyEnds(int maxEntries, Span retention) {
+    this.maxEntries = maxEntries;
+    this.retention = retention;
   }
 
-  public void heard(long id, Ending how, Moment now) {
-    look(now);
-    if (ends.size() == most) {
+  public void add(long id, Ending outcome, Moment now) {
+    expire(now);
+    if (ends.size() == maxEntries) {
       ends.remove(ends.keySet().iterator().next());
     }
-    ends.putIfAbsent(id, new End(how, now.plus(kept)));
+    ends.putIfAbsent(id, new End(outcome, now.plus(retention)));
   }
 
   /** How the viewing of that id has ended already, once; null where nothing was heard of it. */
   public Ending take(long id) {
     End end = ends.remove(id);
-    return end == null ? null : end.how();
+    return end == null ? null : end.outcome();
   }
 
   public int size() {
     return ends.size();
   }
 
-  public void look(Moment now) {
+  public void expire(Moment now) {
     var oldest = ends.entrySet().iterator();
-    while (oldest.hasNext() && oldest.next().getValue().until().before(now)) {
+    while (oldest.hasNext() && oldest.next().getValue().expiresAt().before(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/platform/connection/EventLoopLag.java
+++ b/src/main/java/linengauge/platform/connection/EventLoopLag.java
@@ -14,40 +14,42 @@
    * Turns in which a loop has read all that lay on a connection: its bytes in one, its close in the
    * next, and what is put off by that runs in the third.
    */
-  public static final int READS = 3;
+  public static final int TURNS_TO_READ = 3;
 
-  private final Span longTurn;
-  private Moment last;
-  private Moment before;
-  private Span longest = Span.NONE;
-  private long beats;
-  private long beatOfLongTurn = -READS;
+  private final Span longTurnThreshold;
+  private Moment lastTick;
+  private Moment previousTick;
+  private Span longestTurn = Span.NONE;
+  private long ticks;
+  private long lastLongTurnTick = -TURNS_TO_READ;
 
   /**
    * Words that came longer ago than in a long turn may have been undone by others that lie unread.
    */
-  public EventLoopLag(Span longTurn, Moment now) {
-    this.longTurn = longTurn;
-    this.last = now;
-    this.before = now;
+  public EventLoopLag(Span longTurnThreshold, Moment now) {
+    this.longTurnThreshold = longTurnThreshold;
+    this.lastTick = now;
+    this.previousTick = now;
   }
 
   /** Returns how long it has been since the last beat. */
-  public Span beat(Moment now) {
-    before = last;
-    last = now;
-    longest = longest.orMore(last.since(before));
-    beats++;
-    beatOfLongTurn = longTurn.under(last.since(before)) ? beats : beatOfLongTurn;
-    return last.since(before);
+  public Span tick(Moment now) {
+    previousTick = lastTick;
+    lastTick = now;
+    longestTurn = longestTurn.orMore(lastTick.since(previousTick));
+    ticks++;
+    lastLongTurnTick =
+        longTurnThreshold.under(lastTick.since(previousTick)) ? ticks : lastLongTurnTick;
+    return lastTick.since(previousTick);
   }
 
   /**
    * Whether the loop stood still for at least so long between that moment and now, as far as its
    * beats tell.
    */
-  public boolean heldUp(Span least, Moment since, Moment now) {
-    return !now.since(last).under(least) || !last.since(before).under(least) && !last.before(since);
+  public boolean wasStalled(Span threshold, Moment since, Moment now) {
+    return !now.since(lastTick).under(threshold)
+        || !lastTick.since(previousTick).under(threshold) && !lastTick.before(since);
   }
 
   /**
@@ -55,19 +57,19 @@
    * after it.
    */
   public boolean isBehind(Moment now) {
-    return beats - beatOfLongTurn < READS || longTurn.under(now.since(last));
+    return ticks - lastLongTurnTick < TURNS_TO_READ || longTurnThreshold.under(now.since(lastTick));
   }
 
   /** The longest span between two beats so far: how long anything has had to wait for its turn. */
-  public Span longest() {
-    return longest;
+  public Span longestTurn() {
+    return longestTurn;
   }
 
   /**
    * At the most, two beats where the loop keeps up: what had come before the last beat but one was
    * read before it.
    */
-  public Span unread(Moment now) {
-    return now.since(before);
+  public Span maxReadDelay(Moment now) {
+    return now.since(previousTick);
   }
 }
--- a/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
+++ b/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
@@ -16,22 +16,22 @@
    * connection is tried; tries that fail for so long mean lost; and so do tries that fail for the
    * least span where there has been no sign for the latest; pauses between tries, doubled.
    */
-  public record Terms(
-      Span silence,
-      Span answer,
-      Span lost,
-      Span latest,
-      Span least,
-      Span firstPause,
-      Span longestPause) {
+  public record Settings(
+      Span silenceBeforeTest,
+      Span testTimeout,
+      Span failureTimeout,
+      Span maxSilence,
+      Span minFailureTime,
+      Span firstRetryDelay,
+      Span maxRetryDelay) {
     /**
      * Boxes are silent by nature where nothing is set up and nothing is short, and each new
      * connection is priced over the whole fleet: only so late is silence looked into that what
      * played at a box that has vanished is still released within the 8 s that the platform gives
      * (its protocol page), with a second for a front that is itself late.
      */
-    public static final Terms PLATFORM =
-        new Terms(
+    public static final Settings PLATFORM =
+        new Settings(
             Span.ofMillis(5000),
             Span.ofMillis(500),
             Span.ofMillis(3500),
@@ -41,43 +41,43 @@
             Span.ofMillis(800));
   }
 
-  private final Terms terms;
-  private Moment signAt;
+  private final Settings settings;
+  private Moment lastReceivedAt;
 
   /** It has been tested since the last sign. */
-  private boolean tested;
+  private boolean testSent;
 
   private Moment failedSince;
-  private Moment nextTry = Moment.DISTANT_PAST;
-  private Span pause;
+  private Moment nextAttemptAt = Moment.DISTANT_PAST;
+  private Span retryDelay;
 
   /**
    * Connections that have closed so far, and how many of these closed before the latest one that
    * came up was begun.
    */
-  private int closings;
+  private int closeCount;
 
-  private int heardUpTo;
+  private int closesCovered;
 
-  public ReachabilityDetector(Terms terms, Moment now) {
-    this.terms = terms;
-    this.signAt = now;
-    this.pause = terms.firstPause();
+  public ReachabilityDetector(Settings settings, Moment now) {
+    this.settings = settings;
+    this.lastReceivedAt = now;
+    this.retryDelay = settings.firstRetryDelay();
   }
 
   /** A connection has closed on which the box may have said something last that has not come. */
-  public void closed() {
-    closings++;
+  public void onClosed() {
+    closeCount++;
   }
 
   /** To be asked as a connection is begun, and told when it has come up. */
-  public int closings() {
-    return closings;
+  public int closeCount() {
+    return closeCount;
   }
 
-  public void up(int closingsWhenBegun, Moment now) {
-    heardUpTo = Math.max(heardUpTo, closingsWhenBegun);
-    sign(now);
+  public void onUp(int closeCountWhenBegun, Moment now) {
+    closesCovered = Math.max(closesCovered, closeCountWhenBegun);
+    onReceived(now);
   }
 
   /**
@@ -85,47 +85,51 @@
    * is none, or the box has something to say again, as it does on the next one begun after a close,
    * or it has been silent for long.
    */
-  public boolean wantsConnection(int usable, Moment now) {
-    return (usable == 0 || heardUpTo < closings) && mayTry(now) || doubtful(now);
+  public boolean needsConnection(int usable, Moment now) {
+    return (usable == 0 || closesCovered < closeCount) && mayAttempt(now) || isSuspect(now);
   }
 
   /** Something was read from the box. */
-  public void sign(Moment now) {
-    signAt = now;
-    tested = false;
+  public void onReceived(Moment now) {
+    lastReceivedAt = now;
+    testSent = false;
     failedSince = null;
-    pause = terms.firstPause();
-    nextTry = Moment.DISTANT_PAST;
+    retryDelay = settings.firstRetryDelay();
+    nextAttemptAt = Moment.DISTANT_PAST;
   }
 
   /** Whether to test it now, on a connection that is open: once in a silence. */
-  public boolean wantsTest(Moment now) {
-    boolean wants = !tested && terms.silence().under(now.since(signAt));
-    tested |= wants;
-    return wants;
+  public boolean needsTest(Moment now) {
+    boolean needed = !testSent && settings.silenceBeforeTest().under(now.since(lastReceivedAt));
+    testSent |= needed;
+    return needed;
   }
 
   /** A connection did not come up. */
-  public void failed(Moment now) {
+  public void onConnectFailed(Moment now) {
     failedSince = failedSince == null ? now : failedSince;
-    nextTry = now.plus(pause);
-    pause = pause.times(2).orLess(terms.longestPause());
+    nextAttemptAt = now.plus(retryDelay);
+    retryDelay = retryDelay.times(2).orLess(settings.maxRetryDelay());
   }
 
   /** Bounded back-off: whether a connection may be tried now for what stands at the box. */
-  private boolean mayTry(Moment now) {
-    return !now.before(nextTry);
+  private boolean mayAttempt(Moment now) {
+    return !now.before(nextAttemptAt);
   }
 
   /** It has been silent for so long that a new connection should show whether it is there. */
-  private boolean doubtful(Moment now) {
-    return terms.silence().plus(terms.answer()).under(now.since(signAt)) && mayTry(now);
+  private boolean isSuspect(Moment now) {
+    return settings
+            .silenceBeforeTest()
+            .plus(settings.testTimeout())
+            .under(now.since(lastReceivedAt))
+        && mayAttempt(now);
   }
 
-  public boolean lost(Moment now) {
+  public boolean isLost(Moment now) {
     return failedSince != null
-        && (!now.before(failedSince.plus(terms.lost()))
-            || !now.before(signAt.plus(terms.latest()))
-                && !now.before(failedSince.plus(terms.least())));
+        && (!now.before(failedSince.plus(settings.failureTimeout()))
+            || !now.before(lastReceivedAt.plus(settings.maxSilence()))
+                && !now.before(failedSince.plus(settings.minFailureTime())));
   }
 }
--- a/src/main/java/linengauge/platform/connection/ReceiveQueue.java
+++ b/src/main/java/linengauge/platform/connection/ReceiveQueue.java
@@ -16,69 +16,70 @@
  */
 public final class ReceiveQueue {
   /** Bytes that may wait before no more is taken from the connection. */
-  public static final int MOST = 16 * 1024;
+  public static final int MAX_QUEUED_BYTES = 16 * 1024;
 
   /**
    * After so long in turn, a connection that has been taken brings nothing that had waited for
    * that.
    */
-  private static final Span TAKEN = Span.ofMillis(500);
+  private static final Span BACKLOG_READ_TIME = Span.ofMillis(500);
 
   /** What came, and after which moment. */
-  public record Piece(byte[] data, Moment came) {}
+  public record Chunk(byte[] data, Moment earliestArrival) {}
 
-  private final ArrayDeque<Piece> pieces = new ArrayDeque<>();
-  private int bytes;
-  private Moment last;
+  private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
+  private int queuedBytes;
+  private Moment lastArrival;
 
   /** What comes may have waited since then; null where it has not waited for the connection. */
-  private Moment floor;
+  private Moment arrivalFloor;
 
   /** All that waited for the connection comes in the turn of this moment, at the latest. */
-  private Moment floorEnds;
+  private Moment arrivalFloorEnds;
 
   /** A connection taken now, which may have waited for that since then. */
-  public ReceiveQueue(Moment cameAfter, Moment now) {
-    this.floor = cameAfter;
-    this.floorEnds = now.plus(TAKEN);
-    this.last = cameAfter;
+  public ReceiveQueue(Moment earliestArrival, Moment now) {
+    this.arrivalFloor = earliestArrival;
+    this.arrivalFloorEnds = now.plus(BACKLOG_READ_TIME);
+    this.lastArrival = earliestArrival;
   }
 
   /** A piece comes; the loop's beat before the last one was then. */
-  public void come(byte[] data, Moment beat, Moment now) {
-    if (floor != null && floorEnds.before(beat)) {
-      floor = null;
+  public void add(byte[] data, Moment previousTick, Moment now) {
+    if (arrivalFloor != null && arrivalFloorEnds.before(previousTick)) {
+      arrivalFloor = null;
     }
-    last = floor != null && floor.before(beat) ? floor : beat;
-    if (now.before(floorEnds)) {
-      floorEnds = now; // what follows at once has waited as well
+    lastArrival =
+        arrivalFloor != null && arrivalFloor.before(previousTick) ? arrivalFloor : previousTick;
+    if (now.before(arrivalFloorEnds)) {
+      arrivalFloorEnds = now; // what follows at once has waited as well
     }
-    pieces.add(new Piece(data, last));
-    bytes += data.length;
+    chunks.add(new Chunk(data, lastArrival));
+    queuedBytes += data.length;
   }
 
   /** The next piece, or null. */
-  public Piece next() {
-    Piece p = pieces.poll();
-    bytes -= p == null ? 0 : p.data().length;
-    return p;
+  public Chunk poll() {
+    Chunk chunk = chunks.poll();
+    queuedBytes -= chunk == null ? 0 : chunk.data().length;
+    return chunk;
   }
 
   /** Whether more is waiting than may, with that much of it in the reader's hands. */
-  public boolean isFull(int inHand) {
-    return bytes + inHand > MOST;
+  public boolean isFull(int unreadBytes) {
+    return queuedBytes + unreadBytes > MAX_QUEUED_BYTES;
   }
 
   /**
    * Nothing is taken from the connection from here on: what waits there now came no earlier than
    * what came last.
    */
-  public void paused() {
-    floor = last;
+  public void onPaused() {
+    arrivalFloor = lastArrival;
   }
 
   /** Taken from again. */
-  public void resumed(Moment now) {
-    floorEnds = now;
+  public void onResumed(Moment now) {
+    arrivalFloorEnds = now;
   }
 }
--- a/src/main/java/linengauge/platform/connection/SpentIds.java
+++ b/src/main/java/linengauge/platform/connection/RecentAttemptIds.java
@@ -10,39 +10,39 @@
  * for the second's, and could prove that what ran never ran. It could hurt a server with few
  * connections: a retry there waits for another one.
  */
-public final class SpentIds {
-  private final int most;
-  private final Span kept;
+public final class RecentAttemptIds {
+  private final int maxEntries;
+  private final Span retention;
 
   /** With the moment of the latest attempt; bounded, the oldest goes; emptied by time. */
   private final LinkedHashMap<Long, Moment> ids = new LinkedHashMap<>();
 
-  public SpentIds(int most, Span kept) {
-    this.most = most;
-    this.kept = kept;
+  public RecentAttemptIds(int maxEntries, Span retention) {
+    this.maxEntries = maxEntries;
+    this.retention = retention;
   }
 
   public void add(long id, Moment now) {
     ids.remove(id);
-    look(now);
-    if (ids.size() == most) {
+    expire(now);
+    if (ids.size() == maxEntries) {
       ids.remove(ids.keySet().iterator().next());
     }
     ids.put(id, now);
   }
 
-  public boolean has(long id, Moment now) {
-    Moment at = ids.get(id);
-    return at != null && !at.plus(kept).before(now);
+  public boolean contains(long id, Moment now) {
+    Moment attemptedAt = ids.get(id);
+    return attemptedAt != null && !attemptedAt.plus(retention).before(now);
   }
 
   public int size() {
     return ids.size();
   }
 
-  private void look(Moment now) {
+  private void expire(Moment now) {
     var oldest = ids.values().iterator();
-    while (oldest.hasNext() && oldest.next().plus(kept).before(now)) {
+    while (oldest.hasNext() && oldest.next().plus(retention).before(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/platform/connection/TimeoutCause.java
+++ b/src/main/java/linengauge/platform/connection/TimeoutCause.java
@@ -13,7 +13,7 @@
  */
 public final class TimeoutCause {
   /** A front that stood still so long has not waited for an answer. */
-  private static final Span OWN_DELAY = Span.ofMillis(150);
+  private static final Span LOCAL_STALL_THRESHOLD = Span.ofMillis(150);
 
   private TimeoutCause() {}
 
@@ -21,13 +21,13 @@
    * Of something written then; the lines are the box's connections that are up, but for one that
    * has just broken.
    */
-  public static Ending meaning(
-      Moment writtenAt, EventLoopLag lag, Moment now, Iterable<Line> lines) {
-    if (lag.heldUp(OWN_DELAY, writtenAt, now)) {
+  public static Ending outcome(
+      Moment writtenAt, EventLoopLag lag, Moment now, Iterable<ConnectionHealth> connections) {
+    if (lag.wasStalled(LOCAL_STALL_THRESHOLD, writtenAt, now)) {
       return Ending.HELD_UP;
     }
-    for (Line line : lines) {
-      if (line.upAt().before(writtenAt) && writtenAt.before(line.heardAt())) {
+    for (ConnectionHealth connection : connections) {
+      if (connection.upAt().before(writtenAt) && writtenAt.before(connection.lastReceivedAt())) {
         return Ending.UNHEARD;
       }
     }
--- a/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
+++ b/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
@@ -18,8 +18,8 @@
 public final class UnconfirmedEnds<A> {
   private record End<A>(A attempt, long lastTest, Moment writtenAt) {}
 
-  private final int most;
-  private final Span kept;
+  private final int maxEntries;
+  private final Span retention;
 
   /** By the request's id, the oldest first; bounded, the oldest goes; emptied by time. */
   private final LinkedHashMap<Long, End<A>> ends = new LinkedHashMap<>();
@@ -27,57 +27,57 @@
   /** The number of the latest test written on the connection; numbers only rise. */
   private long lastTest = Long.MIN_VALUE;
 
-  public UnconfirmedEnds(int most, Span kept) {
-    this.most = most;
-    this.kept = kept;
+  public UnconfirmedEnds(int maxEntries, Span retention) {
+    this.maxEntries = maxEntries;
+    this.retention = retention;
   }
 
   /** The end of that attempt has been written. */
-  public void written(long id, A attempt, Moment now) {
-    look(now);
-    if (ends.size() == most) {
+  public void onEndWritten(long id, A attempt, Moment now) {
+    expire(now);
+    if (ends.size() == maxEntries) {
       ends.remove(ends.keySet().iterator().next());
     }
     ends.put(id, new End<>(attempt, lastTest, now));
   }
 
   /** A test of that number has been written. */
-  public void testWritten(long number) {
+  public void onTestWritten(long number) {
     lastTest = number;
   }
 
   /** The server has said that the attempt of that id is over; null where it was not in doubt. */
-  public A confirmed(long id) {
+  public A confirm(long id) {
     End<A> end = ends.remove(id);
     return end == null ? null : end.attempt;
   }
 
   /** The server has answered that test: it has read every end that was written before. */
-  public List<A> testAnswered(long number) {
+  public List<A> confirmByTest(long number) {
     List<A> confirmed = new ArrayList<>();
     if (number > lastTest) {
       return confirmed; // never written here
     }
-    Iterator<End<A>> all = ends.values().iterator();
-    while (all.hasNext()) {
-      End<A> end = all.next();
+    Iterator<End<A>> remaining = ends.values().iterator();
+    while (remaining.hasNext()) {
+      End<A> end = remaining.next();
       if (end.lastTest < number) {
         if (end.attempt != null) {
           confirmed.add(end.attempt);
         }
-        all.remove();
+        remaining.remove();
       }
     }
     return confirmed;
   }
 
   /** Whether the end of that id is still to be confirmed. */
-  public boolean awaits(long id) {
+  public boolean isUnconfirmed(long id) {
     return ends.containsKey(id);
   }
 
   /** The ids of all ends written since that moment that are still to be confirmed. */
-  public List<Long> since(Moment from) {
+  public List<Long> writtenSince(Moment from) {
     List<Long> ids = new ArrayList<>();
     ends.forEach(
         (id, end) -> {
@@ -92,9 +92,9 @@
     return ends.size();
   }
 
-  private void look(Moment now) {
+  private void expire(Moment now) {
     Iterator<End<A>> oldest = ends.values().iterator();
-    while (oldest.hasNext() && oldest.next().writtenAt.plus(kept).before(now)) {
+    while (oldest.hasNext() && oldest.next().writtenAt.plus(retention).before(now)) {
       oldest.remove();
     }
   }
--- a/src/main/java/linengauge/work/Chore.java
+++ b/src/main/java/linengauge/work/Chore.java
@@ -12,7 +12,7 @@
  * @param every how long after it was done it is due again; none: it is done once
  * @param tries how often it may fail in a row; 0: for ever
  * @param deskTime that it is thought to take of the desk; learnt from what it takes
- * @param bytes that it is thought to read or write; learnt too
+ * @param queuedBytes that it is thought to read or write; learnt too
  * @param step does it, or begins it; must tell the job of its end, then or later
  */
 public record Chore(
--- a/src/test/java/linengauge/platform/CrossingOrdersTest.java
+++ b/src/test/java/linengauge/platform/CrossingOrdersTest.java
@@ -422,7 +422,7 @@
   void aConnectionThatSeemsToRestIsNotClosedOverASetUpThatLiesUnread() throws Exception {
     PaperNet net = PaperNet.front();
     List<Line> lines = new ArrayList<>();
-    int places = linengauge.platform.connection.DescriptorBudget.of(256).viewers();
+    int places = linengauge.platform.connection.DescriptorBudget.of(256).clients();
     for (int i = 0; i < places; i++) {
       Line l = net.viewers();
       l.comes(TEST);
@@ -453,7 +453,7 @@
     for (int i = 0; i < 600; i++) {
       lines.add(net.viewers());
     }
-    int places = linengauge.platform.connection.DescriptorBudget.of(256).viewers();
+    int places = linengauge.platform.connection.DescriptorBudget.of(256).clients();
     assertTrue(lines.stream().filter(l -> !l.over).count() <= places + 16);
     net.pass(Span.ofMillis(100));
     assertEquals(places, lines.stream().filter(l -> !l.over).count());
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/CrossingSocketsTest.java
@@ -332,7 +332,7 @@
    */
   @Test
   void aConnectionIsNotClosedForAnothersPlaceOverASetUpThatLiesUnread() throws Exception {
-    int places = DescriptorBudget.of(256).viewers();
+    int places = DescriptorBudget.of(256).clients();
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < places; i++) {
