--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -10,10 +10,10 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
-import linengauge.platform.codec.BadMessage;
-import linengauge.platform.codec.SetUpForm;
-import linengauge.platform.codec.ViewerMessages;
-import linengauge.platform.codec.ViewerMessages.Message;
+import linengauge.platform.codec.ClientMessageCodec;
+import linengauge.platform.codec.ClientMessageCodec.Message;
+import linengauge.platform.codec.MalformedMessageException;
+import linengauge.platform.codec.SetUpRequest;
 import linengauge.platform.connection.IdleTracker;
 import linengauge.platform.connection.ReceiveQueue;
 
@@ -24,7 +24,7 @@
  * its viewer has left: the end lies behind what is still to be read. It could hurt a viewer by the
  * rest of the loop's turn.
  */
-final class ClientConnection implements ViewerMessages.Heard {
+final class ClientConnection implements ClientMessageCodec.Handler {
   /** What one connection may take apart, and begin, in one turn of the loop. */
   private static final Span TURN = Span.ofMillis(10);
 
@@ -51,7 +51,7 @@
 
   private final ClientListener listener;
   private final Net.Connection socket;
-  private final ViewerMessages reader = new ViewerMessages(this);
+  private final ClientMessageCodec reader = new ClientMessageCodec(this);
 
   /** Viewings whose answer is owed here; each leaves with its answer. */
   private final Set<ClientSession> waiting = new LinkedHashSet<>();
@@ -135,7 +135,7 @@
     received.add(data, now.minus(front().unread()), now);
     if (!goesOn) {
       takeApart();
-    } else if (received.isFull(reader.unread())) {
+    } else if (received.isFull(reader.unreadBytes())) {
       pause();
     }
   }
@@ -162,10 +162,10 @@
           front().tick();
         }
       }
-      idle.onRead(ended, !more && reader.isMidMessage(), front().now());
+      idle.onRead(ended, !more && reader.hasPartialMessage(), front().now());
       if (more && !closed) {
         goesOn = true;
-        if (received.isFull(reader.unread())) {
+        if (received.isFull(reader.unreadBytes())) {
           pause();
         }
         // By a timer: what is merely put off runs before the loop reads from anybody else.
@@ -178,24 +178,24 @@
                 });
       }
       resume();
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       listener.log("unreadable client", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
     beginLater();
   }
 
-  private boolean takesMessage() throws BadMessage {
-    Message m = reader.frame();
+  private boolean takesMessage() throws MalformedMessageException {
+    Message m = reader.nextMessage();
     if (m == null) {
       return false;
     }
     if (m.isSetUp()) {
       queue(m);
-    } else if (m.isHeard()) {
+    } else if (m.isReleaseAcknowledgement()) {
       told.remove(m.id());
     } else {
-      reader.read(m);
+      reader.decode(m);
     }
     if (nextLain != null) {
       lain = nextLain;
@@ -209,12 +209,12 @@
     if (piece == null) {
       return false;
     }
-    if (reader.isMidMessage()) {
+    if (reader.hasPartialMessage()) {
       nextLain = piece.earliestArrival(); // of what begins in it, not of the message that it ends
     } else {
       lain = piece.earliestArrival();
     }
-    reader.take(piece.data());
+    reader.append(piece.data());
     return true;
   }
 
@@ -223,15 +223,15 @@
     if (setUps.containsKey(m.id()) && !handOver) {
       close("two set-ups of one id");
     } else if (handOver) {
-      if (handOvers.putIfAbsent(m.id(), new Queued(m.kept(), lain)) == null) {
+      if (handOvers.putIfAbsent(m.id(), new Queued(m.copy(), lain)) == null) {
         handedOver += m.length();
         listener.queued(m.id(), this);
       }
     } else if (keeps + m.length() > ClientListener.MOST_KEPT || !listener.mayKeep(m.length())) {
       // Not by reading nothing more: whoever has sent too much would not be seen to leave.
-      write(ViewerMessages.blocked(m.id(), listener.turnedAway().micros() / 1000));
+      write(ClientMessageCodec.encodeRejected(m.id(), listener.turnedAway().micros() / 1000));
     } else {
-      setUps.put(m.id(), new Queued(m.kept(), lain));
+      setUps.put(m.id(), new Queued(m.copy(), lain));
       keep(m.length());
       listener.queued(m.id(), this);
     }
@@ -251,7 +251,7 @@
   }
 
   private void resume() {
-    if (paused && !received.isFull(reader.unread())) {
+    if (paused && !received.isFull(reader.unreadBytes())) {
       paused = false;
       received.onResumed(front().now());
       socket.resume();
@@ -284,7 +284,7 @@
         Map<Long, Queued> from = handOvers.isEmpty() ? setUps : handOvers;
         begin(from, from.keySet().iterator().next());
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       listener.log("unreadable client", socket.peer(), e.getMessage());
       close(e.getMessage());
     }
@@ -294,11 +294,11 @@
     }
   }
 
-  private void begin(Map<Long, Queued> from, long id) throws BadMessage {
+  private void begin(Map<Long, Queued> from, long id) throws MalformedMessageException {
     Queued q = unqueue(from, id);
     lain = q.came();
     front().tick();
-    reader.read(q.message());
+    reader.decode(q.message());
   }
 
   private Queued unqueue(Map<Long, Queued> from, long id) {
@@ -324,7 +324,7 @@
       Moment was = lain;
       try {
         begin(handOvers, id);
-      } catch (BadMessage e) {
+      } catch (MalformedMessageException e) {
         listener.log("unreadable client", socket.peer(), e.getMessage());
       }
       lain = was;
@@ -340,7 +340,7 @@
       while (!from.isEmpty()) {
         try {
           begin(from, from.keySet().iterator().next());
-        } catch (BadMessage e) {
+        } catch (MalformedMessageException e) {
           listener.log("unreadable client", socket.peer(), e.getMessage());
         }
       }
@@ -377,15 +377,15 @@
     try {
       boolean more = true;
       while (more) {
-        Message m = reader.frame();
+        Message m = reader.nextMessage();
         if (m != null && m.isSetUp() && m.isHandOver()) {
           queue(m);
         } else if (m != null && !m.isSetUp()) {
-          reader.read(m);
+          reader.decode(m);
         }
         more = m != null || takesNext();
       }
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       // what follows cannot be read
     }
     beginLater();
@@ -449,7 +449,7 @@
 
   /** Tells that what played is over; false where it cannot be told here. */
   boolean release(long id, boolean cut) {
-    if (!write(ViewerMessages.over(id, cut))) {
+    if (!write(ClientMessageCodec.encodeOver(id, cut))) {
       return false;
     }
     Moment now = front().now();
@@ -483,28 +483,28 @@
   /* ---- what its messages say ---- */
 
   @Override
-  public void setUp(long id, SetUpForm form) {
-    if (!closed || form.at() != null) {
+  public void onSetUp(long id, SetUpRequest form) {
+    if (!closed || form.serverName() != null) {
       listener.setUp(this, id, form);
     }
   }
 
   @Override
-  public void ended(long id, int cause) {
+  public void onEnded(long id, int cause) {
     listener.endedByViewer(id);
   }
 
   @Override
-  public void test(long id) {
-    if (write(ViewerMessages.tested(id))) {
+  public void onTest(long id) {
+    if (write(ClientMessageCodec.encodeTestAnswer(id))) {
       idle.markTrusted();
     }
   }
 
   @Override
-  public void unfit(long id, String why) {
+  public void onUnusable(long id, String why) {
     listener.log("unfit set-up", socket.peer(), why);
-    write(ViewerMessages.unfit(id));
+    write(ClientMessageCodec.encodeUnusable(id));
   }
 
   /** It is viewers': it has been answered, or a viewing that plays was handed over by it. */
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -8,8 +8,8 @@
 import linengauge.Moment;
 import linengauge.PackageTerms;
 import linengauge.Span;
-import linengauge.platform.codec.SetUpForm;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.SetUpRequest;
+import linengauge.platform.codec.TextFormat;
 import linengauge.platform.connection.AcceptBacklog;
 import linengauge.platform.connection.IdleConnectionReaper;
 import linengauge.platform.connection.IdleTracker;
@@ -172,21 +172,21 @@
 
   /* ---- what viewers say ---- */
 
-  void setUp(ClientConnection line, long id, SetUpForm form) {
-    int pack = front.briefing().packages().indexOf(form.pack());
+  void setUp(ClientConnection line, long id, SetUpRequest form) {
+    int pack = front.briefing().packages().indexOf(form.packageName());
     int cells = front.briefing().headend().fleet().cells();
     int rungs = front.briefing().headend().ladderKb().length;
-    boolean handedOver = form.at() != null;
+    boolean handedOver = form.serverName() != null;
     if (pack < 0
         || !within(form.firstCell(), cells)
         || !within(form.cellsInRow(), cells + 1L)
         || !within(form.ceiling(), rungs)
-        || handedOver && Texts.box(form.at()) < 0
-        || !handedOver && (form.leftMs() <= 0 || form.leftMs() > LONGEST_PATIENCE_MS)) {
-      line.unfit(
+        || handedOver && TextFormat.parseServerId(form.serverName()) < 0
+        || !handedOver && (form.timeLeftMs() <= 0 || form.timeLeftMs() > LONGEST_PATIENCE_MS)) {
+      line.onUnusable(
           id,
           "unknown package or a figure out of range: "
-              + form.pack()
+              + form.packageName()
               + " "
               + form.firstCell()
               + " "
@@ -194,9 +194,9 @@
               + " "
               + form.ceiling()
               + " "
-              + form.leftMs()
+              + form.timeLeftMs()
               + " "
-              + form.at());
+              + form.serverName());
       return;
     }
     ClientSession before = seats.get(id);
@@ -214,14 +214,14 @@
             pack,
             terms,
             ceiling,
-            Span.ofMillis(Math.max(0, form.leftMs())).minus(line.lain()),
+            Span.ofMillis(Math.max(0, form.timeLeftMs())).minus(line.lain()),
             null);
     if (handedOver) {
       line.viewers();
-      ClientSession seat = new ClientSession(this, id, form.pack(), null, null, front.now());
+      ClientSession seat = new ClientSession(this, id, form.packageName(), null, null, front.now());
       seats.put(id, seat);
       line.home(seat);
-      seat.held(front.desk().handOver(ask, Texts.box(form.at()), seat));
+      seat.held(front.desk().handOver(ask, TextFormat.parseServerId(form.serverName()), seat));
       if (seat.held() != null) {
         front.boxes().stands(seat);
       }
@@ -229,7 +229,12 @@
     }
     ClientSession seat =
         new ClientSession(
-            this, id, form.pack(), form.description(), line, front.now().plus(ask.patience()));
+            this,
+            id,
+            form.packageName(),
+            form.description(),
+            line,
+            front.now().plus(ask.patience()));
     seats.put(id, seat);
     line.waits(seat);
     Held held = front.desk().take(ask, seat);
@@ -237,7 +242,7 @@
   }
 
   private static boolean within(long figure, long below) {
-    return figure == SetUpForm.ABSENT || figure >= 0 && figure < below;
+    return figure == SetUpRequest.ABSENT || figure >= 0 && figure < below;
   }
 
   /**
@@ -251,7 +256,7 @@
     if (before.asker() == line) {
       line.close("two set-ups of one id");
     } else {
-      line.unfit(before.id(), "the id of another viewing");
+      line.onUnusable(before.id(), "the id of another viewing");
     }
   }
 
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -4,7 +4,7 @@
 import linengauge.Outside;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
-import linengauge.platform.codec.ViewerMessages;
+import linengauge.platform.codec.ClientMessageCodec;
 import linengauge.session.BoxTable;
 import linengauge.session.Held;
 import linengauge.session.Viewer;
@@ -159,7 +159,7 @@
   public void plays(Held vw) {
     stands = true;
     asker.home(this);
-    settle(ViewerMessages.plays(id, answer));
+    settle(ClientMessageCodec.encodeStarted(id, answer));
     answer = null;
     description = null;
     trail.settled();
@@ -168,14 +168,14 @@
   @Override
   public void blocked(Span comeBackAfter, Outside.Refusal reason) {
     log(Kind.REQUEST_REFUSED, reason.name(), true);
-    settle(ViewerMessages.blocked(id, comeBackAfter.micros() / 1000));
+    settle(ClientMessageCodec.encodeRejected(id, comeBackAfter.micros() / 1000));
     door.over(this);
   }
 
   @Override
   public void aborted(Cause cause) {
     log(Kind.REQUEST_FAILED, cause.name(), true);
-    settle(ViewerMessages.aborted(id));
+    settle(ClientMessageCodec.encodeFailed(id));
     door.over(this);
   }
 
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -14,8 +14,8 @@
 import linengauge.briefing.BadBriefing;
 import linengauge.briefing.Briefing;
 import linengauge.briefing.JsonTree;
-import linengauge.platform.codec.JournalFrames;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.JournalFrameCodec;
+import linengauge.platform.codec.TextFormat;
 import linengauge.session.BoxTable;
 import linengauge.session.BoxTable.Row;
 
@@ -88,7 +88,7 @@
 
   /** The port of host:port, or -1. */
   static int port(String address) {
-    long port = Texts.whole(address.substring(address.lastIndexOf(':') + 1));
+    long port = TextFormat.parseWholeNumber(address.substring(address.lastIndexOf(':') + 1));
     return port > 0 && port < 65536 ? (int) port : -1;
   }
 
@@ -136,7 +136,7 @@
   private static Row row(Object target, Briefing briefing) throws BadBriefing {
     if (!(target instanceof Map<?, ?> t)
         || !(t.get("uid") instanceof String uid)
-        || Texts.box(uid) < 0) {
+        || TextFormat.parseServerId(uid) < 0) {
       throw new BadBriefing("a box of 'known' should be an object with 'uid'");
     }
     BoxTable.State state =
@@ -146,11 +146,11 @@
           case "removed" -> BoxTable.State.GONE;
           default -> throw new BadBriefing("box " + uid + " is in no known state");
         };
-    Moment started = JournalFrames.startedAt(whole(t, "boot_ms", 0));
+    Moment started = JournalFrameCodec.bootTime(whole(t, "boot_ms", 0));
     String address = t.get("endpoint") instanceof String s ? s : null;
     double weight = t.get("capacity_hint") instanceof Double d ? d : 1;
     return new Row(
-        Texts.box(uid),
+        TextFormat.parseServerId(uid),
         address,
         weight,
         (int) whole(t, "pod_group", 0),
--- a/src/main/java/linengauge/platform/DiscoveryWatch.java
+++ b/src/main/java/linengauge/platform/DiscoveryWatch.java
@@ -5,8 +5,8 @@
 import linengauge.Moment;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
-import linengauge.platform.codec.BadMessage;
-import linengauge.platform.codec.JournalFrames;
+import linengauge.platform.codec.JournalFrameCodec;
+import linengauge.platform.codec.MalformedMessageException;
 import linengauge.session.Backoff;
 import linengauge.session.BoxTable.Row;
 
@@ -94,8 +94,8 @@
     connectedAt = front.now();
     heardAt = connectedAt;
     log("connected to " + address + ", asks from " + last);
-    JournalFrames frames =
-        new JournalFrames(
+    JournalFrameCodec frames =
+        new JournalFrameCodec(
             (number, whole, rows) -> {
               if (mine == turn) {
                 event(number, whole, rows);
@@ -113,13 +113,13 @@
                           pauses.reset();
                         }
                       }
-                    } catch (BadMessage e) {
+                    } catch (MalformedMessageException e) {
                       broke(mine, e.getMessage());
                     }
                   }
                 }),
         () -> front.onEvent(() -> broke(mine, "closed")));
-    s.write(JournalFrames.from(last));
+    s.write(JournalFrameCodec.encodeResumePosition(last));
   }
 
   private void broke(int mine, String why) {
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -2,15 +2,15 @@
 
 import java.util.Locale;
 import linengauge.Moment;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.TextFormat;
 
 /**
  * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
- * platform writes them, and why. Figures that do not apply are {@link #NONE}.
+ * platform writes them, and why. Figures that do not apply are {@link #INVALID}.
  *
  * @param at when it happened, which may be long before its line is written
  * @param request the id of the set-up on the wire
- * @param server the server's id in the list
+ * @param formatServerId the server's id in the list
  * @param attempt counted from 0 for each request
  * @param connection counted from 1 over all connections to servers in one life of the front
  */
@@ -50,10 +50,10 @@
     line.append(" at=").append(at.micros() / MICROS).append('.');
     line.append(Long.toString(MICROS + at.micros() % MICROS), 1, 7);
     if (request != NONE) {
-      line.append(" request=").append(Texts.id(request));
+      line.append(" request=").append(TextFormat.formatId(request));
     }
     if (server != NONE) {
-      line.append(" server=").append(Texts.server(server));
+      line.append(" server=").append(TextFormat.formatServerId(server));
     }
     if (attempt != NONE) {
       line.append(" attempt=").append(attempt);
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -7,9 +7,9 @@
 import linengauge.Outside.Ending;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
-import linengauge.platform.codec.BadMessage;
-import linengauge.platform.codec.BoxLines;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.MalformedMessageException;
+import linengauge.platform.codec.ServerLineCodec;
+import linengauge.platform.codec.TextFormat;
 import linengauge.platform.connection.ConnectionHealth;
 import linengauge.platform.connection.RecentAttemptIds;
 import linengauge.platform.connection.UnconfirmedEnds;
@@ -17,7 +17,7 @@
 import linengauge.session.Held;
 
 /** One connection to a media box, from being tried until it has closed. */
-final class ServerConnection implements BoxLines.Heard {
+final class ServerConnection implements ServerLineCodec.Handler {
   private static final int MOST_UNREAD = 256 * 1024;
   private static final int MOST_SPENT = 2048;
 
@@ -54,7 +54,7 @@
   private final int number;
   private final String address;
   private final int closingsWhenBegun;
-  private final BoxLines reader = new BoxLines(this);
+  private final ServerLineCodec reader = new ServerLineCodec(this);
   private final Map<Long, Out> outs = new LinkedHashMap<>();
   private final RecentAttemptIds spent = new RecentAttemptIds(MOST_SPENT, SPENT_KEPT);
 
@@ -179,9 +179,9 @@
     line.onReceived(front().now());
     try {
       boolean ended = reader.feed(data) > 0;
-      line.onRead(ended, reader.isMidLine(), front().now());
-    } catch (BadMessage e) {
-      front().log("unreadable server", Texts.server(link.box().id()), e.getMessage());
+      line.onRead(ended, reader.hasPartialLine(), front().now());
+    } catch (MalformedMessageException e) {
+      front().log("unreadable server", TextFormat.formatServerId(link.box().id()), e.getMessage());
       close(e.getMessage());
     }
   }
@@ -239,7 +239,7 @@
     ClientSession seat = (ClientSession) out.held.viewer();
     seat.attemptSent(out.tuneIn, link.box(), number, out.held.waitLeft());
     write(
-        BoxLines.setUp(
+        ServerLineCodec.encodeSetUp(
             id,
             seat.pack(),
             out.held.ask().title(),
@@ -268,7 +268,7 @@
 
   private void writeTest(long id) {
     unconfirmed.onTestWritten(id);
-    write(BoxLines.test(id));
+    write(ServerLineCodec.encodeTest(id));
   }
 
   /**
@@ -285,7 +285,7 @@
   }
 
   private void end(long id, GivenUp attempt) {
-    write(BoxLines.end(id));
+    write(ServerLineCodec.encodeEnd(id));
     unconfirmed.onEndWritten(id, attempt, front().now());
   }
 
@@ -310,7 +310,7 @@
   /* ---- what is heard ---- */
 
   @Override
-  public void plays(long id, byte[] description) {
+  public void onStarted(long id, byte[] description) {
     Out out = outs.get(id);
     if (out == null || !out.written) {
       return;
@@ -328,18 +328,18 @@
   }
 
   @Override
-  public void ended(long id, int cause, BoxLines.Load load) {
+  public void onEnded(long id, int cause, ServerLineCodec.Load load) {
     link.reported(load);
     Out out = outs.get(id);
     if (out == null || !out.written) {
       confirmed(unconfirmed.confirm(id));
-      link.ended(id, BoxLines.played(cause), this);
+      link.ended(id, ServerLineCodec.sessionOutcome(cause), this);
       return;
     }
     outs.remove(id);
     ((ClientSession) out.held.viewer())
         .logged(Kind.ATTEMPT_ANSWERED, link.box(), out.tuneIn, number, "cause " + cause);
-    out.held.failed(out.tuneIn, BoxLines.unanswered(cause));
+    out.held.failed(out.tuneIn, ServerLineCodec.setUpOutcome(cause));
   }
 
   /** An end of that id has been written here and not been confirmed. */
@@ -348,7 +348,7 @@
   }
 
   @Override
-  public void endConfirmed(long id) {
+  public void onEndConfirmed(long id) {
     confirmed(unconfirmed.confirm(id));
   }
 
@@ -361,7 +361,7 @@
   }
 
   @Override
-  public void tested(long id, boolean passed, BoxLines.Load load) {
+  public void onTestAnswered(long id, boolean passed, ServerLineCodec.Load load) {
     link.reported(load);
     unconfirmed.confirmByTest(id).forEach(this::confirmed);
     Wake timer = tests.remove(id);
@@ -372,7 +372,7 @@
   }
 
   @Override
-  public void shareDelivered(long id, double share) {
+  public void onShareDelivered(long id, double share) {
     Held vw = link.playing(id);
     if (vw != null) {
       vw.shareDelivered(share);
@@ -380,7 +380,7 @@
   }
 
   @Override
-  public void rungInForce(long id, int rung) {
+  public void onRungApplied(long id, int rung) {
     Held vw = link.playing(id);
     if (vw != null) {
       vw.rungInForce(rung);
@@ -388,7 +388,7 @@
   }
 
   @Override
-  public void loadsTold(long id, double linkAsked, double uplinkAsked) {
+  public void onLoadsReported(long id, double linkAsked, double uplinkAsked) {
     Held vw = link.playing(id);
     if (vw != null) {
       vw.loadsTold(linkAsked, uplinkAsked);
@@ -424,7 +424,7 @@
     outs.forEach(
         (id, out) -> {
           if (out.written && !socket.isFull()) {
-            socket.write(BoxLines.end(id));
+            socket.write(ServerLineCodec.encodeEnd(id));
           }
         });
   }
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -8,8 +8,8 @@
 import linengauge.Moment;
 import linengauge.Outside.Ending;
 import linengauge.Span;
-import linengauge.platform.codec.BoxLines;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.ServerLineCodec;
+import linengauge.platform.codec.TextFormat;
 import linengauge.platform.connection.EarlyEnds;
 import linengauge.platform.connection.ReachabilityDetector;
 import linengauge.platform.connection.TimeoutCause;
@@ -105,7 +105,7 @@
   }
 
   void rung(ClientSession seat, int rung) {
-    send(seat, BoxLines.rung(seat.id(), rung));
+    send(seat, ServerLineCodec.encodeRung(seat.id(), rung));
   }
 
   void withdraw(Held vw, int tuneIn) {
@@ -120,7 +120,7 @@
       return;
     }
     if (reach.isLost(front().now())) {
-      sendOnceUp(BoxLines.end(seat.id())); // it may play on, and be reached again
+      sendOnceUp(ServerLineCodec.encodeEnd(seat.id())); // it may play on, and be reached again
     } else {
       sendEnd(seat);
     }
@@ -157,7 +157,7 @@
     if (by != null) {
       by.end(session.id());
     } else {
-      sendOnNext(BoxLines.end(session.id()));
+      sendOnNext(ServerLineCodec.encodeEnd(session.id()));
     }
   }
 
@@ -199,9 +199,9 @@
   private void endElsewhere(long id) {
     ServerConnection by = lastHeard();
     if (by != null) {
-      by.write(BoxLines.end(id));
+      by.write(ServerLineCodec.encodeEnd(id));
     } else if (box.state() != BoxTable.State.GONE) {
-      sendOnceUp(BoxLines.end(id));
+      sendOnceUp(ServerLineCodec.encodeEnd(id));
     }
   }
 
@@ -326,7 +326,10 @@
   private void lost(String why) {
     if (!standing.isEmpty()) {
       front()
-          .log("server lost", Texts.server(box.id()), why + ", " + standing.size() + " sessions");
+          .log(
+              "server lost",
+              TextFormat.formatServerId(box.id()),
+              why + ", " + standing.size() + " sessions");
       for (ClientSession seat : List.copyOf(standing.values())) {
         seat.held().boxLost(); // taken back at the box, which ends it here
         over(seat.id());
@@ -428,7 +431,7 @@
     return least;
   }
 
-  void reported(BoxLines.Load load) {
+  void reported(ServerLineCodec.Load load) {
     if (load != null) {
       front().desk().reported(box, load.linkAsked(), load.uplinkAsked(), load.streams());
     }
--- /dev/null
+++ b/src/main/java/linengauge/platform/codec/ClientMessageCodec.java
@@ -0,0 +1,332 @@
+package linengauge.platform.codec;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.Map;
+
+/**
+ * Viewers' binary messages (docs/protocol/platform.md, "Viewers"). One reader a connection: it is
+ * fed what comes, in pieces of any size, and calls {@link Heard}. It stores what came last and the
+ * beginning of one message, and none whose length passes the bound.
+ */
+public final class ClientMessageCodec {
+  /** Bytes of a whole message at the most. */
+  public static final int MAX_MESSAGE_BYTES = 16 * 1024;
+
+  /** Type and id. */
+  private static final int HEADER_BYTES = 9;
+
+  private static final int SET_UP = 1;
+  private static final int ANSWER = 9;
+  private static final int END = 12;
+  private static final int RELEASE_ACKNOWLEDGED = 16;
+  private static final int TEST = 52;
+  private static final int TEST_ANSWER = 53;
+  private static final int PACKAGE = 33;
+  private static final int TIME_LEFT = 35;
+  private static final int TITLE = 41;
+  private static final int FIGURES = 43;
+  private static final int RETRY_AFTER = 45;
+  private static final int CAUSE = 61;
+  private static final int DESCRIPTION = 63;
+
+  /** What one connection says; `unfit`: a message that can be read and cannot be used. */
+  public interface Handler {
+    void onSetUp(long id, SetUpRequest request);
+
+    void onEnded(long id, int cause);
+
+    void onTest(long id);
+
+    void onUnusable(long id, String reason);
+  }
+
+  private final Handler handler;
+
+  /**
+   * What has come and has not been read: from `at` on. Whoever feeds bounds it: no more comes while
+   * messages wait here.
+   */
+  private byte[] received = new byte[0];
+
+  private int position;
+
+  public ClientMessageCodec(Handler handler) {
+    this.handler = handler;
+  }
+
+  /** A message has begun and not ended. */
+  public boolean hasPartialMessage() {
+    return position < received.length;
+  }
+
+  /** Bytes that have come and have not been read. */
+  public int unreadBytes() {
+    return received.length - position;
+  }
+
+  /** Keeps what has come, to be read by {@link #poll}. */
+  public void append(byte[] data) {
+    if (position == received.length) {
+      received = data;
+    } else {
+      byte[] joined = Arrays.copyOfRange(received, position, received.length + data.length);
+      System.arraycopy(data, 0, joined, received.length - position, data.length);
+      received = joined;
+    }
+    position = 0;
+  }
+
+  /** One whole message as it came, not looked into beyond its type and id. */
+  public static final class Message {
+    private final int type;
+    private final long id;
+    private final byte[] bytes;
+    private final int start;
+    private final int length;
+
+    private Message(byte[] bytes, int start, int length) {
+      ByteBuffer head = ByteBuffer.wrap(bytes, start, length);
+      this.type = head.get() & 0xff;
+      this.id = head.getLong();
+      this.bytes = bytes;
+      this.start = start;
+      this.length = length;
+    }
+
+    public long id() {
+      return id;
+    }
+
+    public int length() {
+      return length;
+    }
+
+    public boolean isSetUp() {
+      return type == SET_UP;
+    }
+
+    /** The release of a session was heard. */
+    public boolean isReleaseAcknowledgement() {
+      return type == RELEASE_ACKNOWLEDGED;
+    }
+
+    /** A set-up of what plays already: its figures name a server. */
+    public boolean isHandOver() {
+      ByteBuffer parameters = ByteBuffer.wrap(bytes, start + HEADER_BYTES, length - HEADER_BYTES);
+      while (type == SET_UP && parameters.remaining() >= 3) {
+        int code = parameters.get() & 0xff;
+        int size = parameters.getShort() & 0xffff;
+        if (size > parameters.remaining()) {
+          return false;
+        }
+        if (code == FIGURES) {
+          String figures =
+              new String(bytes, parameters.position(), size, StandardCharsets.ISO_8859_1);
+          return figures.startsWith("at:") || figures.contains(";at:");
+        }
+        parameters.position(parameters.position() + size);
+      }
+      return false;
+    }
+
+    /** The same, apart from what came with it. */
+    public Message copy() {
+      return new Message(Arrays.copyOfRange(bytes, start, start + length), 0, length);
+    }
+  }
+
+  /**
+   * The next message that has come whole, or null. Throws where bytes cannot be messages: the
+   * connection is of no further use.
+   */
+  public Message nextMessage() throws MalformedMessageException {
+    if (received.length - position < 2) {
+      return null;
+    }
+    int length = (received[position] & 0xff) << 8 | received[position + 1] & 0xff;
+    if (length < HEADER_BYTES || length + 2 > MAX_MESSAGE_BYTES) {
+      throw new MalformedMessageException("a message of " + length + " bytes");
+    }
+    if (received.length - position < 2 + length) {
+      return null;
+    }
+    Message message = new Message(received, position + 2, length);
+    position += 2 + length;
+    if (position == received.length) {
+      received = new byte[0];
+      position = 0;
+    }
+    return message;
+  }
+
+  /** Looks into a message and tells what it says. */
+  public void decode(Message message) throws MalformedMessageException {
+    decodeBody(ByteBuffer.wrap(message.bytes, message.start, message.length));
+  }
+
+  /** Reads one message; false where none has come whole. */
+  public boolean decodeNext() throws MalformedMessageException {
+    Message message = nextMessage();
+    if (message != null) {
+      decode(message);
+    }
+    return message != null;
+  }
+
+  /** Takes it and reads on; returns how many messages ended. */
+  public int feed(byte[] data) throws MalformedMessageException {
+    append(data);
+    int completed = 0;
+    while (decodeNext()) {
+      completed++;
+    }
+    return completed;
+  }
+
+  private void decodeBody(ByteBuffer message) throws MalformedMessageException {
+    int type = message.get() & 0xff;
+    long id = message.getLong();
+    Map<Integer, byte[]> parameters = new HashMap<>();
+    while (message.hasRemaining()) {
+      if (message.remaining() < 3) {
+        throw new MalformedMessageException("a parameter cut off");
+      }
+      int code = message.get() & 0xff;
+      int length = message.getShort() & 0xffff;
+      if (length > message.remaining()) {
+        throw new MalformedMessageException("a parameter longer than its message");
+      }
+      byte[] value = new byte[length];
+      message.get(value);
+      if (parameters.put(code, value) != null) {
+        handler.onUnusable(id, "a parameter twice");
+        return;
+      }
+    }
+    switch (type) {
+      case SET_UP -> decodeSetUp(id, parameters);
+      case END -> {
+        byte[] cause = parameters.get(CAUSE);
+        handler.onEnded(id, cause != null && cause.length == 1 ? cause[0] & 0xff : 0);
+      }
+      case TEST -> handler.onTest(id);
+      default -> {
+        // progress, releases heard and notes want nothing
+      }
+    }
+  }
+
+  private void decodeSetUp(long id, Map<Integer, byte[]> parameters) {
+    String packageName = TextFormat.decodePrintableAscii(parameters.get(PACKAGE), 64);
+    String timeLeft = TextFormat.decodePrintableAscii(parameters.get(TIME_LEFT), 18);
+    String title = TextFormat.decodePrintableAscii(parameters.get(TITLE), 64);
+    String figures = TextFormat.decodePrintableAscii(parameters.get(FIGURES), 512);
+    byte[] descriptionBytes = parameters.get(DESCRIPTION);
+    String description = descriptionBytes == null ? null : TextFormat.decodeUtf8(descriptionBytes);
+    Map<String, String> figuresByName = new HashMap<>();
+    if (figures != null) {
+      for (String figure : figures.split(";", -1)) {
+        int colon = figure.indexOf(':');
+        if (colon <= 0
+            || figuresByName.put(figure.substring(0, colon), figure.substring(colon + 1)) != null) {
+          handler.onUnusable(id, "figures that cannot be read");
+          return;
+        }
+      }
+    }
+    if (id == 0 || packageName == null || title == null || figures == null) {
+      handler.onUnusable(id, "a set-up without id, package, title or figures");
+      return;
+    }
+    String serverName = figuresByName.get("at");
+    if (serverName == null && (description == null || TextFormat.parseWholeNumber(timeLeft) < 0)) {
+      handler.onUnusable(id, "a set-up without description or time");
+      return;
+    }
+    handler.onSetUp(
+        id,
+        new SetUpRequest(
+            packageName,
+            TextFormat.parseWholeNumber(timeLeft),
+            title,
+            parseFigure(figuresByName, "home"),
+            parseFigure(figuresByName, "copies"),
+            parseFigure(figuresByName, "top"),
+            serverName,
+            description));
+  }
+
+  /** -1 where it is not given, -2 where it is no number. */
+  private static long parseFigure(Map<String, String> figuresByName, String name) {
+    String text = figuresByName.get(name);
+    return text == null
+        ? SetUpRequest.ABSENT
+        : text.isEmpty() || TextFormat.parseWholeNumber(text) < 0
+            ? SetUpRequest.INVALID
+            : TextFormat.parseWholeNumber(text);
+  }
+
+  /* ---- what fronts write ---- */
+
+  /** The viewing plays; the description is what its box gave. */
+  public static byte[] encodeStarted(long id, byte[] description) {
+    return encode(ANSWER, id, DESCRIPTION, description);
+  }
+
+  /** A further try is harmless, best after so many ms (0: no advice). */
+  public static byte[] encodeRejected(long id, long retryAfterMs) {
+    return retryAfterMs <= 0
+        ? encodeEnd(id, 34)
+        : encode(
+            END,
+            id,
+            CAUSE,
+            new byte[] {34},
+            RETRY_AFTER,
+            Long.toString(retryAfterMs).getBytes(StandardCharsets.US_ASCII));
+  }
+
+  public static byte[] encodeFailed(long id) {
+    return encodeEnd(id, 47);
+  }
+
+  /** A set-up that cannot be used: trying it again is no use. */
+  public static byte[] encodeUnusable(long id) {
+    return encodeEnd(id, 95);
+  }
+
+  /** What played is over: it has come to its end, or has been cut. */
+  public static byte[] encodeOver(long id, boolean cut) {
+    return encodeEnd(id, cut ? 41 : 16);
+  }
+
+  private static byte[] encodeEnd(long id, int cause) {
+    return encode(END, id, CAUSE, new byte[] {(byte) cause});
+  }
+
+  public static byte[] encodeTestAnswer(long id) {
+    return encode(TEST_ANSWER, id, CAUSE, new byte[] {1});
+  }
+
+  /** Whether a description fits a message of its own. */
+  public static boolean fitsInMessage(byte[] description) {
+    return description.length <= MAX_MESSAGE_BYTES - 2 - HEADER_BYTES - 3;
+  }
+
+  private static byte[] encode(int type, long id, Object... parameters) {
+    int length = HEADER_BYTES;
+    for (int i = 1; i < parameters.length; i += 2) {
+      length += 3 + ((byte[]) parameters[i]).length;
+    }
+    ByteBuffer message =
+        ByteBuffer.allocate(2 + length).putShort((short) length).put((byte) type).putLong(id);
+    for (int i = 0; i < parameters.length; i += 2) {
+      byte[] value = (byte[]) parameters[i + 1];
+      message.put(((Integer) parameters[i]).byteValue()).putShort((short) value.length).put(value);
+    }
+    return message.array();
+  }
+}
--- a/src/main/java/linengauge/platform/codec/SetUpForm.java
+++ b/src/main/java/linengauge/platform/codec/SetUpRequest.java
@@ -5,15 +5,15 @@
  * number; the time left is in milliseconds. `at` names the box where it plays already, null for a
  * new viewing.
  */
-public record SetUpForm(
-    String pack,
-    long leftMs,
+public record SetUpRequest(
+    String packageName,
+    long timeLeftMs,
     String title,
     long firstCell,
     long cellsInRow,
     long ceiling,
-    String at,
+    String serverName,
     String description) {
   public static final long ABSENT = -1;
-  public static final long NONE = -2;
+  public static final long INVALID = -2;
 }
--- a/src/main/java/linengauge/platform/codec/Texts.java
+++ b/src/main/java/linengauge/platform/codec/TextFormat.java
@@ -5,14 +5,14 @@
 import java.nio.charset.StandardCharsets;
 
 /** Texts, ids and numbers as they stand in messages. */
-public final class Texts {
-  private Texts() {}
+public final class TextFormat {
+  private TextFormat() {}
 
   /**
    * The text of these bytes, or null where they are not UTF-8: whoever writes it again gets the
    * same bytes.
    */
-  public static String utf8(byte[] bytes) {
+  public static String decodeUtf8(byte[] bytes) {
     try {
       return StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
     } catch (CharacterCodingException e) {
@@ -21,12 +21,12 @@
   }
 
   /** Printable ASCII of 1 to the given number of bytes, or null. */
-  static String plain(byte[] bytes, int most) {
-    if (bytes == null || bytes.length == 0 || bytes.length > most) {
+  static String decodePrintableAscii(byte[] bytes, int maxBytes) {
+    if (bytes == null || bytes.length == 0 || bytes.length > maxBytes) {
       return null;
     }
-    for (byte b : bytes) {
-      if (b <= ' ' || b > '~') {
+    for (byte character : bytes) {
+      if (character <= ' ' || character > '~') {
         return null;
       }
     }
@@ -34,35 +34,35 @@
   }
 
   /** A whole number of up to 18 decimal digits and nothing else; -1 where it is none. */
-  public static long whole(String text) {
+  public static long parseWholeNumber(String text) {
     if (text == null || text.isEmpty() || text.length() > 18) {
       return -1;
     }
-    long n = 0;
+    long number = 0;
     for (int i = 0; i < text.length(); i++) {
-      char c = text.charAt(i);
-      if (c < '0' || c > '9') {
+      char digit = text.charAt(i);
+      if (digit < '0' || digit > '9') {
         return -1;
       }
-      n = 10 * n + c - '0';
+      number = 10 * number + digit - '0';
     }
-    return n;
+    return number;
   }
 
   /** The number of a box named as `s-` and 8 hex digits; -1 where it is no such name. */
-  public static long box(String name) {
-    return name != null && name.length() == 10 && name.startsWith("s-") && hex(name, 2)
+  public static long parseServerId(String name) {
+    return name != null && name.length() == 10 && name.startsWith("s-") && isHex(name, 2)
         ? Long.parseLong(name, 2, 10, 16)
         : -1;
   }
 
-  /** A server's id as the platform writes it; the contrary of {@link #box}. */
-  public static String server(long id) {
+  /** A server's id as the platform writes it; the contrary of {@link #parseServerId}. */
+  public static String formatServerId(long id) {
     String hex = Long.toHexString(id & 0xffffffffL);
     return "s-" + "0".repeat(8 - hex.length()) + hex;
   }
 
-  static boolean hex(String text, int from) {
+  static boolean isHex(String text, int from) {
     for (int i = from; i < text.length(); i++) {
       if (Character.digit(text.charAt(i), 16) < 0 || text.charAt(i) > 'f') {
         return false;
@@ -72,7 +72,7 @@
   }
 
   /** An id as 16 hex digits. */
-  public static String id(long id) {
+  public static String formatId(long id) {
     String hex = Long.toHexString(id);
     return "0".repeat(16 - hex.length()) + hex;
   }
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -29,7 +29,7 @@
 
   /**
    * Ends a viewing or tune-in at a box, heard or not; a tune-in that is still out there is no
-   * longer waited for, and what comes of it is told to nobody, but for {@link Held#endConfirmed}
+   * longer waited for, and what comes of it is told to nobody, but for {@link Held#onEndConfirmed}
    * once the box has shown that it is over there.
    */
   void withdraw(Held vw, BoxTable.Entry box, int tuneIn);
--- a/src/test/java/linengauge/platform/CodecTest.java
+++ b/src/test/java/linengauge/platform/CodecTest.java
@@ -12,11 +12,11 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import linengauge.platform.codec.BadMessage;
-import linengauge.platform.codec.BoxLines;
-import linengauge.platform.codec.JournalFrames;
-import linengauge.platform.codec.SetUpForm;
-import linengauge.platform.codec.ViewerMessages;
+import linengauge.platform.codec.ClientMessageCodec;
+import linengauge.platform.codec.JournalFrameCodec;
+import linengauge.platform.codec.MalformedMessageException;
+import linengauge.platform.codec.ServerLineCodec;
+import linengauge.platform.codec.SetUpRequest;
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
@@ -24,18 +24,18 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CodecTest {
-  private static final class Ear implements ViewerMessages.Heard, BoxLines.Heard {
+  private static final class Ear implements ClientMessageCodec.Handler, ServerLineCodec.Handler {
     final List<String> heard = new ArrayList<>();
 
     @Override
-    public void setUp(long id, SetUpForm form) {
+    public void onSetUp(long id, SetUpRequest form) {
       heard.add(
           "setUp "
               + id
               + " "
-              + form.pack()
+              + form.packageName()
               + " "
-              + form.leftMs()
+              + form.timeLeftMs()
               + " "
               + form.title()
               + " "
@@ -45,56 +45,56 @@
               + " "
               + form.ceiling()
               + " "
-              + form.at());
+              + form.serverName());
     }
 
     @Override
-    public void ended(long id, int cause) {
+    public void onEnded(long id, int cause) {
       heard.add("ended " + id + " " + cause);
     }
 
     @Override
-    public void test(long id) {
+    public void onTest(long id) {
       heard.add("test " + id);
     }
 
     @Override
-    public void unfit(long id, String why) {
+    public void onUnusable(long id, String why) {
       heard.add("unfit " + id);
     }
 
     @Override
-    public void plays(long id, byte[] description) {
+    public void onStarted(long id, byte[] description) {
       heard.add("plays " + id + " " + new String(description, StandardCharsets.UTF_8));
     }
 
     @Override
-    public void ended(long id, int cause, BoxLines.Load load) {
+    public void onEnded(long id, int cause, ServerLineCodec.Load load) {
       heard.add("ended " + id + " " + cause + " " + load);
     }
 
     @Override
-    public void endConfirmed(long id) {
+    public void onEndConfirmed(long id) {
       heard.add("confirmed " + id);
     }
 
     @Override
-    public void tested(long id, boolean passed, BoxLines.Load load) {
+    public void onTestAnswered(long id, boolean passed, ServerLineCodec.Load load) {
       heard.add("tested " + id + " " + passed + " " + load);
     }
 
     @Override
-    public void shareDelivered(long id, double share) {
+    public void onShareDelivered(long id, double share) {
       heard.add("share " + id + " " + share);
     }
 
     @Override
-    public void rungInForce(long id, int rung) {
+    public void onRungApplied(long id, int rung) {
       heard.add("rung " + id + " " + rung);
     }
 
     @Override
-    public void loadsTold(long id, double link, double uplink) {
+    public void onLoadsReported(long id, double link, double uplink) {
       heard.add("loads " + id + " " + link + " " + uplink);
     }
   }
@@ -105,20 +105,21 @@
     return b.array();
   }
 
-  private static List<String> viewers(byte[] bytes, SplittableRandom cuts) throws BadMessage {
+  private static List<String> viewers(byte[] bytes, SplittableRandom cuts)
+      throws MalformedMessageException {
     Ear ear = new Ear();
-    ViewerMessages reader = new ViewerMessages(ear);
+    ClientMessageCodec reader = new ClientMessageCodec(ear);
     for (int at = 0; at < bytes.length; ) {
       int to = cuts == null ? bytes.length : Math.min(bytes.length, at + 1 + cuts.nextInt(40));
       reader.feed(Arrays.copyOfRange(bytes, at, to));
       at = to;
     }
-    assertFalse(reader.isMidMessage());
+    assertFalse(reader.hasPartialMessage());
     return ear.heard;
   }
 
   @Test
-  void messagesOfViewersAreReadInPiecesOfAnySize() throws BadMessage {
+  void messagesOfViewersAreReadInPiecesOfAnySize() throws MalformedMessageException {
     byte[] all =
         joined(
             PlatformViewers.setUp(7, "lesson", 1500, ";again:1"),
@@ -144,15 +145,18 @@
     for (int length : new int[] {0, 8, 16 * 1024, 65535}) {
       byte[] head = ByteBuffer.allocate(2).putShort((short) length).array();
       assertThrows(
-          BadMessage.class, () -> new ViewerMessages(new Ear()).feed(head), "length " + length);
+          MalformedMessageException.class,
+          () -> new ClientMessageCodec(new Ear()).feed(head),
+          "length " + length);
     }
     byte[] wrong = PlatformViewers.message(1, 5, 33, "lesson");
     wrong[12] = 0x7f; // the length of its parameter
-    assertThrows(BadMessage.class, () -> new ViewerMessages(new Ear()).feed(wrong));
+    assertThrows(
+        MalformedMessageException.class, () -> new ClientMessageCodec(new Ear()).feed(wrong));
   }
 
   @Test
-  void whatCanBeReadAndNotUsedIsUnfit() throws BadMessage {
+  void whatCanBeReadAndNotUsedIsUnfit() throws MalformedMessageException {
     String figures = "home:0;copies:3;top:4;viewer:00";
     byte[] description = "v".getBytes(StandardCharsets.UTF_8);
     List<byte[]> bad =
@@ -179,12 +183,12 @@
                     1, 5, 33, "p", 35, "10", 41, "t", 43, "home:x;copies:3", 63, description),
                 null)
             .toString()
-            .contains(" " + SetUpForm.NONE + " 3 " + SetUpForm.ABSENT));
+            .contains(" " + SetUpRequest.INVALID + " 3 " + SetUpRequest.ABSENT));
   }
 
-  private static List<String> box(String text, int step) throws BadMessage {
+  private static List<String> box(String text, int step) throws MalformedMessageException {
     Ear ear = new Ear();
-    BoxLines reader = new BoxLines(ear);
+    ServerLineCodec reader = new ServerLineCodec(ear);
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     for (int at = 0; at < bytes.length; at += step) {
       reader.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + step)));
@@ -193,7 +197,7 @@
   }
 
   @Test
-  void linesOfBoxesAreReadInPiecesOfAnySize() throws BadMessage {
+  void linesOfBoxesAreReadInPiecesOfAnySize() throws MalformedMessageException {
     String id = "9b1f03aa5c7e2d41";
     long n = Long.parseUnsignedLong(id, 16);
     String all =
@@ -253,18 +257,24 @@
         "{\"verb\":7,\"tag\":\"9b1f03aa5c7e2d41\"}"
       })
   void aSpoiltLineSpoilsItsConnection(String line) {
-    assertThrows(BadMessage.class, () -> box(line + "\n", 1000));
+    assertThrows(MalformedMessageException.class, () -> box(line + "\n", 1000));
   }
 
   @Test
   void aLineWithoutEndIsGivenUpAtTheBound() {
-    assertThrows(BadMessage.class, () -> box("{\"verb\":\"" + "x".repeat(BoxLines.MOST), 500));
     assertThrows(
-        BadMessage.class,
+        MalformedMessageException.class,
+        () -> box("{\"verb\":\"" + "x".repeat(ServerLineCodec.MAX_LINE_BYTES), 500));
+    assertThrows(
+        MalformedMessageException.class,
         () ->
             box(
-                "{\"verb\":\"" + "x".repeat(BoxLines.MOST - 20) + "\"}" + " ".repeat(20) + "\n",
-                BoxLines.MOST - 12),
+                "{\"verb\":\""
+                    + "x".repeat(ServerLineCodec.MAX_LINE_BYTES - 20)
+                    + "\"}"
+                    + " ".repeat(20)
+                    + "\n",
+                ServerLineCodec.MAX_LINE_BYTES - 12),
         "nor at the bound where its end comes with what passes it");
   }
 
@@ -276,32 +286,32 @@
   void aTestAsksForAReport() {
     assertEquals(
         "{\"verb\":\"ECHO\",\"tag\":\"0000000000000005\",\"opts\":{},\"rc\":1}\n",
-        new String(BoxLines.test(5), StandardCharsets.UTF_8));
+        new String(ServerLineCodec.encodeTest(5), StandardCharsets.UTF_8));
   }
 
   @Test
   void descriptionsGoThroughByteForByte() throws Exception {
     String said = "c=IN IP4 10.4.7.9\r\n\"\\\u0001\u00e9\ud83d\ude00";
-    byte[] line = BoxLines.setUp(5, "lesson", "t", 100, 2, said);
+    byte[] line = ServerLineCodec.encodeSetUp(5, "lesson", "t", 100, 2, said);
     assertEquals(
         said,
         new com.fasterxml.jackson.databind.ObjectMapper().readTree(line).path("blob").asText());
     byte[] bytes = said.getBytes(StandardCharsets.UTF_8);
-    byte[] answer = ViewerMessages.plays(5, bytes);
+    byte[] answer = ClientMessageCodec.encodeStarted(5, bytes);
     assertArrayEquals(
         bytes, Arrays.copyOfRange(answer, answer.length - bytes.length, answer.length));
-    assertFalse(ViewerMessages.fits(new byte[16 * 1024]));
+    assertFalse(ClientMessageCodec.fitsInMessage(new byte[16 * 1024]));
   }
 
   @Test
-  void eventsOfTheJournalServiceAreToldWholeOrNotAtAll() throws BadMessage {
+  void eventsOfTheJournalServiceAreToldWholeOrNotAtAll() throws MalformedMessageException {
     List<String> told = new ArrayList<>();
     byte[] record = PlatformJournal.record(0xc41f7a, 3868, 1, 7, 5000);
     byte[] frame =
         ByteBuffer.allocate(13 + 27).putInt(9 + 27).putLong(42).put((byte) 2).put(record).array();
     byte[] life = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
-    JournalFrames reader =
-        new JournalFrames((n, whole, rows) -> told.add(n + " " + whole + " " + rows.get(0)));
+    JournalFrameCodec reader =
+        new JournalFrameCodec((n, whole, rows) -> told.add(n + " " + whole + " " + rows.get(0)));
     reader.feed(life);
     reader.feed(Arrays.copyOf(frame, 30));
     assertEquals(List.of(), told);
@@ -313,7 +323,8 @@
         told);
     for (int length : new int[] {-1, 8, Integer.MAX_VALUE}) {
       byte[] bad = ByteBuffer.allocate(4).putInt(length).array();
-      assertThrows(BadMessage.class, () -> new JournalFrames((n, w, r) -> {}).feed(bad));
+      assertThrows(
+          MalformedMessageException.class, () -> new JournalFrameCodec((n, w, r) -> {}).feed(bad));
     }
   }
 }
