--- a/src/main/java/linengauge/lease/udp/LeaseNode.java
+++ b/src/main/java/linengauge/lease/udp/LeaseNode.java
@@ -155,7 +155,7 @@
     closeOwnLoop();
   }
 
-  /** {@link #leave}, waited for, a second at most; then the socket is closed. */
+  /** {@link #recordAction}, waited for, a second at most; then the socket is closed. */
   @Override
   public void close() {
     leave();
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -8,7 +8,7 @@
  * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
  * platform writes them, and why. Figures that do not apply are {@link #INVALID}.
  *
- * @param at when it happened, which may be long before its line is written
+ * @param dueAt when it happened, which may be long before its line is written
  * @param request the id of the set-up on the wire
  * @param formatServerId the server's id in the list
  * @param attempt counted from 0 for each request
--- a/src/test/java/linengauge/platform/CodecTest.java
+++ b/src/test/java/linengauge/platform/CodecTest.java
@@ -24,12 +24,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CodecTest {
-  private static final class Ear implements ClientMessageCodec.Handler, ServerLineCodec.Handler {
-    final List<String> heard = new ArrayList<>();
+  private static final class RecordingHandler
+      implements ClientMessageCodec.Handler, ServerLineCodec.Handler {
+    final List<String> calls = new ArrayList<>();
 
     @Override
     public void onSetUp(long id, SetUpRequest form) {
-      heard.add(
+      calls.add(
           "setUp "
               + id
               + " "
@@ -50,84 +51,84 @@
 
     @Override
     public void onEnded(long id, int cause) {
-      heard.add("ended " + id + " " + cause);
+      calls.add("ended " + id + " " + cause);
     }
 
     @Override
     public void onTest(long id) {
-      heard.add("test " + id);
+      calls.add("test " + id);
     }
 
     @Override
     public void onUnusable(long id, String why) {
-      heard.add("unfit " + id);
+      calls.add("unfit " + id);
     }
 
     @Override
     public void onStarted(long id, byte[] description) {
-      heard.add("plays " + id + " " + new String(description, StandardCharsets.UTF_8));
+      calls.add("plays " + id + " " + new String(description, StandardCharsets.UTF_8));
     }
 
     @Override
     public void onEnded(long id, int cause, ServerLineCodec.Load load) {
-      heard.add("ended " + id + " " + cause + " " + load);
+      calls.add("ended " + id + " " + cause + " " + load);
     }
 
     @Override
     public void onEndConfirmed(long id) {
-      heard.add("confirmed " + id);
+      calls.add("confirmed " + id);
     }
 
     @Override
     public void onTestAnswered(long id, boolean passed, ServerLineCodec.Load load) {
-      heard.add("tested " + id + " " + passed + " " + load);
+      calls.add("tested " + id + " " + passed + " " + load);
     }
 
     @Override
     public void onShareDelivered(long id, double share) {
-      heard.add("share " + id + " " + share);
+      calls.add("share " + id + " " + share);
     }
 
     @Override
     public void onRungApplied(long id, int rung) {
-      heard.add("rung " + id + " " + rung);
+      calls.add("rung " + id + " " + rung);
     }
 
     @Override
     public void onLoadsReported(long id, double link, double uplink) {
-      heard.add("loads " + id + " " + link + " " + uplink);
+      calls.add("loads " + id + " " + link + " " + uplink);
     }
   }
 
-  private static byte[] joined(byte[]... parts) {
+  private static byte[] concatenate(byte[]... parts) {
     ByteBuffer b = ByteBuffer.allocate(Arrays.stream(parts).mapToInt(p -> p.length).sum());
     Arrays.stream(parts).forEach(b::put);
     return b.array();
   }
 
-  private static List<String> viewers(byte[] bytes, SplittableRandom cuts)
+  private static List<String> decodeClientMessages(byte[] bytes, SplittableRandom cuts)
       throws MalformedMessageException {
-    Ear ear = new Ear();
-    ClientMessageCodec reader = new ClientMessageCodec(ear);
+    RecordingHandler handler = new RecordingHandler();
+    ClientMessageCodec reader = new ClientMessageCodec(handler);
     for (int at = 0; at < bytes.length; ) {
       int to = cuts == null ? bytes.length : Math.min(bytes.length, at + 1 + cuts.nextInt(40));
       reader.feed(Arrays.copyOfRange(bytes, at, to));
       at = to;
     }
     assertFalse(reader.hasPartialMessage());
-    return ear.heard;
+    return handler.calls;
   }
 
   @Test
   void messagesOfViewersAreReadInPiecesOfAnySize() throws MalformedMessageException {
     byte[] all =
-        joined(
+        concatenate(
             PlatformViewers.setUp(7, "lesson", 1500, ";again:1"),
             PlatformViewers.setUp(8, "lesson", 1500, ";at:s-00c41f7a"),
             PlatformViewers.message(12, 9, 61, new byte[] {16}),
             PlatformViewers.message(52, 1, 61, new byte[] {0}),
             PlatformViewers.message(44, 3, 61, new byte[] {0}));
-    List<String> whole = viewers(all, null);
+    List<String> whole = decodeClientMessages(all, null);
     assertEquals(
         List.of(
             "setUp 7 lesson 1500 7f3a9c21e0b4d655 0 0 4 null",
@@ -136,7 +137,7 @@
             "test 1"),
         whole);
     for (int seed = 0; seed < 50; seed++) {
-      assertEquals(whole, viewers(all, new SplittableRandom(seed)));
+      assertEquals(whole, decodeClientMessages(all, new SplittableRandom(seed)));
     }
   }
 
@@ -146,13 +147,14 @@
       byte[] head = ByteBuffer.allocate(2).putShort((short) length).array();
       assertThrows(
           MalformedMessageException.class,
-          () -> new ClientMessageCodec(new Ear()).feed(head),
+          () -> new ClientMessageCodec(new RecordingHandler()).feed(head),
           "length " + length);
     }
     byte[] wrong = PlatformViewers.message(1, 5, 33, "lesson");
     wrong[12] = 0x7f; // the length of its parameter
     assertThrows(
-        MalformedMessageException.class, () -> new ClientMessageCodec(new Ear()).feed(wrong));
+        MalformedMessageException.class,
+        () -> new ClientMessageCodec(new RecordingHandler()).feed(wrong));
   }
 
   @Test
@@ -174,11 +176,11 @@
             PlatformViewers.message(
                 1, 0, 33, "p", 35, "10", 41, "t", 43, figures, 63, description));
     for (byte[] one : bad) {
-      String heard = viewers(one, null).toString();
+      String heard = decodeClientMessages(one, null).toString();
       assertTrue(heard.startsWith("[unfit "), heard);
     }
     assertTrue(
-        viewers(
+        decodeClientMessages(
                 PlatformViewers.message(
                     1, 5, 33, "p", 35, "10", 41, "t", 43, "home:x;copies:3", 63, description),
                 null)
@@ -186,14 +188,15 @@
             .contains(" " + SetUpRequest.INVALID + " 3 " + SetUpRequest.ABSENT));
   }
 
-  private static List<String> box(String text, int step) throws MalformedMessageException {
-    Ear ear = new Ear();
-    ServerLineCodec reader = new ServerLineCodec(ear);
+  private static List<String> decodeServerLines(String text, int step)
+      throws MalformedMessageException {
+    RecordingHandler handler = new RecordingHandler();
+    ServerLineCodec reader = new ServerLineCodec(handler);
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
     for (int at = 0; at < bytes.length; at += step) {
       reader.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + step)));
     }
-    return ear.heard;
+    return handler.calls;
   }
 
   @Test
@@ -238,7 +241,7 @@
             "loads " + n + " 1.1 NaN",
             "loads " + n + " NaN 0.7");
     for (int step : new int[] {1, 7, 100_000}) {
-      assertEquals(wanted, box(all, step));
+      assertEquals(wanted, decodeServerLines(all, step));
     }
   }
 
@@ -257,18 +260,18 @@
         "{\"verb\":7,\"tag\":\"9b1f03aa5c7e2d41\"}"
       })
   void aSpoiltLineSpoilsItsConnection(String line) {
-    assertThrows(MalformedMessageException.class, () -> box(line + "\n", 1000));
+    assertThrows(MalformedMessageException.class, () -> decodeServerLines(line + "\n", 1000));
   }
 
   @Test
   void aLineWithoutEndIsGivenUpAtTheBound() {
     assertThrows(
         MalformedMessageException.class,
-        () -> box("{\"verb\":\"" + "x".repeat(ServerLineCodec.MAX_LINE_BYTES), 500));
+        () -> decodeServerLines("{\"verb\":\"" + "x".repeat(ServerLineCodec.MAX_LINE_BYTES), 500));
     assertThrows(
         MalformedMessageException.class,
         () ->
-            box(
+            decodeServerLines(
                 "{\"verb\":\""
                     + "x".repeat(ServerLineCodec.MAX_LINE_BYTES - 20)
                     + "\"}"
--- a/src/test/java/linengauge/platform/KeepTest.java
+++ b/src/test/java/linengauge/platform/ConnectionTrackingTest.java
@@ -22,7 +22,7 @@
 import linengauge.platform.connection.UnconfirmedEnds;
 import org.junit.jupiter.api.Test;
 
-class KeepTest {
+class ConnectionTrackingTest {
   private static Moment at(long ms) {
     return new Moment(ms * 1000);
   }
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -18,7 +18,7 @@
 
 /** What operators find in the log of a request, and what bounds the log. */
 class EventLogTest {
-  private static List<String> ofRequest(PaperNet net, long id) {
+  private static List<String> ofRequest(FakeNet net, long id) {
     return net.events.stream().filter(e -> e.request() == id).map(LogEvent::line).toList();
   }
 
@@ -34,9 +34,9 @@
   /** Guards against a log that cannot say which attempt was where, on which connection, and why. */
   @Test
   void aRetryLogsTheWholeRequestWithServersAttemptsConnectionsAndReasons() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.pass(Span.ofSeconds(3));
+    FakeNet net = FakeNet.front();
+    String at = net.sendFirstSetUp();
+    net.advance(Span.ofSeconds(3));
     String server = at.endsWith(":3") ? "server=s-00000001" : "server=s-00000002";
     List<String> lines = ofRequest(net, 7);
     int taken = indexOf(lines, "event=request-taken", "request=0000000000000007", "class lesson");
@@ -53,20 +53,20 @@
   /** Guards against a log that grows with the ordinary traffic. */
   @Test
   void aRequestAnsweredByItsFirstAttemptIsNotLogged() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.answers(net.setUpOut(), 7);
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, 7, 61, new byte[1]));
-    net.settle();
+    FakeNet net = FakeNet.front();
+    net.answerSetUp(net.sendFirstSetUp(), 7);
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, 7, 61, new byte[1]));
+    net.runDeferred();
     assertEquals(List.of(), ofRequest(net, 7));
   }
 
   /** Guards against closes without a reason. */
   @Test
   void everyCloseOfAServersConnectionSaysWhoAndWhyAndWhatWasOpen() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.box(at).comes("no such thing");
-    net.settle();
+    FakeNet net = FakeNet.front();
+    String at = net.sendFirstSetUp();
+    net.latestConnection(at).deliver("no such thing");
+    net.runDeferred();
     List<String> lines = net.events.stream().map(LogEvent::line).toList();
     indexOf(lines, "event=connection-closed", "a line that is no JSON", "1 attempts out");
   }
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/EventOrderSocketsTest.java
@@ -45,7 +45,7 @@
  */
 @Timeout(60)
 @SuppressWarnings("try")
-class CrossingSocketsTest {
+class EventOrderSocketsTest {
   private static final int PLAYS = 9;
   private static final int OVER = 12;
   @TempDir private Path dir;
@@ -56,7 +56,7 @@
   private Service service;
 
   /** How a viewer leaves. */
-  enum Leaves {
+  enum Departure {
     AT_ONCE,
     LATER,
     CLOSES,
@@ -64,10 +64,10 @@
   }
 
   /** While it is open... the loop is not: it stands between two events. */
-  private final class Gate implements AutoCloseable {
+  private final class LoopBlocker implements AutoCloseable {
     private final CountDownLatch opens = new CountDownLatch(1);
 
-    private Gate() throws InterruptedException {
+    private LoopBlocker() throws InterruptedException {
       CountDownLatch stands = new CountDownLatch(1);
       service.onLoop(
           () -> {
@@ -196,13 +196,15 @@
 
   @ParameterizedTest
   @EnumSource
-  void aViewerThatLeftBeforeItsSetUpWasReadIsSetUpNowhere(Leaves how) throws Exception {
+  void aViewerThatLeftBeforeItsSetUpWasReadIsSetUpNowhere(Departure how) throws Exception {
     try (var v = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       plays(v, 1);
       socket.setTcpNoDelay(true);
-      try (Gate gate = new Gate()) {
-        socket.getOutputStream().write(how == Leaves.AT_ONCE ? join(setUp(2), end(2)) : setUp(2));
+      try (LoopBlocker gate = new LoopBlocker()) {
+        socket
+            .getOutputStream()
+            .write(how == Departure.AT_ONCE ? join(setUp(2), end(2)) : setUp(2));
         switch (how) {
           case LATER -> {
             Thread.sleep(20);
@@ -229,7 +231,7 @@
       boxes.forEach(b -> b.mood = Mood.SILENT);
       v.send(setUp(2));
       until(() -> started(2) == 1);
-      try (Gate gate = new Gate()) {
+      try (LoopBlocker gate = new LoopBlocker()) {
         for (PlatformBox b : boxes) {
           b.noise(
               ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(2) + "\",\"opts\":{},\"rc\":34}\n")
@@ -250,7 +252,7 @@
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       plays(v, 1);
       PlatformBox at = boxOf(1);
-      try (Gate gate = new Gate()) {
+      try (LoopBlocker gate = new LoopBlocker()) {
         socket.getOutputStream().write(join(many(1000, 1200), end(1)));
         socket.close();
         Thread.sleep(120); // longer than an attempt may begin after it
@@ -274,7 +276,7 @@
         boxes.get(0).playing().put(tag(id), new Socket());
         all.writeBytes(PlatformViewers.setUp(id, "lesson", 0, ";at:s-00000001"));
       }
-      try (Gate gate = new Gate()) {
+      try (LoopBlocker gate = new LoopBlocker()) {
         socket.getOutputStream().write(all.toByteArray());
         socket.close();
       }
@@ -303,16 +305,16 @@
    */
   @ParameterizedTest
   @EnumSource(names = {"CLOSES", "RESETS"})
-  void aReleaseThatCrossesItsConnectionsCloseIsHeardOnAnother(Leaves how) throws Exception {
+  void aReleaseThatCrossesItsConnectionsCloseIsHeardOnAnother(Departure how) throws Exception {
     try (var other = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       plays(other, 1);
       socket.getOutputStream().write(setUp(2));
       assertEquals(PLAYS, readType(socket.getInputStream()));
       PlatformBox at = boxOf(2);
-      try (Gate gate = new Gate()) {
+      try (LoopBlocker gate = new LoopBlocker()) {
         at.end(tag(2), 16);
-        if (how == Leaves.RESETS) {
+        if (how == Departure.RESETS) {
           socket.setSoLinger(true, 0);
         }
         socket.close();
@@ -341,7 +343,7 @@
         assertEquals(53, readType(s.getInputStream()));
         sockets.add(s);
       }
-      try (Gate gate = new Gate()) {
+      try (LoopBlocker gate = new LoopBlocker()) {
         for (int i = 0; i < 8; i++) {
           sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
@@ -402,14 +404,14 @@
   /** What a peer reads late is waited for; what one never reads is not, beyond the bound. */
   @ParameterizedTest
   @EnumSource(names = {"LATER", "CLOSES", "AT_ONCE"})
-  void theLastWordsAreWaitedForWithinTheirBound(Leaves peer) throws Exception {
+  void theLastWordsAreWaitedForWithinTheirBound(Departure peer) throws Exception {
     VertxNet net = new VertxNet(Span.ofMillis(250));
     try (var door = new ServerSocket()) {
       door.setReceiveBufferSize(8192);
       door.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       var written = new CompletableFuture<Long>();
       var begun = new CompletableFuture<Void>();
-      Span bound = peer == Leaves.AT_ONCE ? Span.ofMillis(150) : Span.ofSeconds(30);
+      Span bound = peer == Departure.AT_ONCE ? Span.ofMillis(150) : Span.ofSeconds(30);
       net.onLoop(
           () ->
               net.connect(
--- a/src/test/java/linengauge/platform/RetryOrderTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderTest.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 import linengauge.Span;
-import linengauge.platform.PaperNet.Line;
+import linengauge.platform.FakeNet.FakeConnection;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 
@@ -18,37 +18,40 @@
    * Its first attempt was given up, though the server shows that it is there; tests are answered
    * only where a test of this class says so.
    */
-  private static PaperNet givenUp() throws Exception {
+  private static FakeNet givenUp() throws Exception {
     return givenUp(false);
   }
 
-  private static PaperNet givenUp(boolean probing) throws Exception {
-    PaperNet net =
-        PaperNet.front(text -> text.replace("\"probing\":true", "\"probing\":" + probing));
-    net.pass(Span.ofSeconds(3)); // young fronts send nothing to a server that may have started anew
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.boxesAnswerTests = probing;
-    net.pass(Span.ofMillis(50));
-    first(net).comes(line("PENDING", ""));
-    for (int i = 0; i < 100 && first(net).ended.isEmpty(); i++) {
-      net.pass(Span.ofMillis(10));
+  private static FakeNet givenUp(boolean probing) throws Exception {
+    FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":" + probing));
+    net.advance(
+        Span.ofSeconds(3)); // young fronts send nothing to a server that may have started anew
+    String at = net.sendFirstSetUp();
+    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.serversAnswerTests = probing;
+    net.advance(Span.ofMillis(50));
+    first(net).deliver(line("PENDING", ""));
+    for (int i = 0; i < 100 && first(net).endedIds.isEmpty(); i++) {
+      net.advance(Span.ofMillis(10));
     }
-    assertEquals(List.of(REQUEST), first(net).ended);
+    assertEquals(List.of(REQUEST), first(net).endedIds);
     return net;
   }
 
-  private static Line first(PaperNet net) {
-    return net.lines.stream().filter(l -> l.setUps.contains(REQUEST)).findFirst().orElseThrow();
+  private static FakeConnection first(FakeNet net) {
+    return net.serverConnections.stream()
+        .filter(l -> l.setUpIds.contains(REQUEST))
+        .findFirst()
+        .orElseThrow();
   }
 
   private static String line(String verb, String more) {
     return "{\"verb\":\"" + verb + "\",\"tag\":\"0000000000000007\",\"opts\":{}" + more + "}";
   }
 
-  private static int attempts(PaperNet net) {
-    net.pass(Span.ofMillis(150));
-    return net.setUps.size();
+  private static int attempts(FakeNet net) {
+    net.advance(Span.ofMillis(150));
+    return net.setUpIds.size();
   }
 
   /**
@@ -56,9 +59,9 @@
    */
   @Test
   void withoutAWordNoFurtherAttemptGoesToTheSameServer() throws Exception {
-    PaperNet net = givenUp();
-    net.pass(Span.ofSeconds(3));
-    assertEquals(List.of(REQUEST), net.setUps);
+    FakeNet net = givenUp();
+    net.advance(Span.ofSeconds(3));
+    assertEquals(List.of(REQUEST), net.setUpIds);
     assertTrue(
         net.events.stream().anyMatch(e -> e.reason().equals("EARLIER_ATTEMPT_UNCONFIRMED")),
         () -> "the refusal says why: " + net.events);
@@ -69,8 +72,8 @@
   void aConfirmedOrRefusedEndFreesTheServer() throws Exception {
     for (String word :
         List.of(line("FINISHED", ""), line("FINISH", ",\"rc\":34"), line("FINISH", ",\"rc\":16"))) {
-      PaperNet net = givenUp();
-      first(net).comes(word);
+      FakeNet net = givenUp();
+      first(net).deliver(word);
       assertEquals(2, attempts(net), word);
     }
   }
@@ -78,7 +81,7 @@
   /** Guards against a refusal where the server would confirm the end if it were asked. */
   @Test
   void whereNoOtherServerIsLeftItIsAskedForTheConfirmation() throws Exception {
-    PaperNet net = givenUp(true);
+    FakeNet net = givenUp(true);
     assertEquals(2, attempts(net));
     assertTrue(
         net.events.stream().anyMatch(e -> e.kind() == LogEvent.Kind.END_CONFIRMED),
@@ -88,12 +91,12 @@
   /** Guards against taking for a confirmation what the server may write before it reads the end. */
   @Test
   void aLateAnswerOrTheCloseOfTheConnectionConfirmsNothing() throws Exception {
-    PaperNet answered = givenUp();
-    first(answered).comes(line("STARTED", ",\"blob\":\"late\""));
+    FakeNet answered = givenUp();
+    first(answered).deliver(line("STARTED", ",\"blob\":\"late\""));
     assertEquals(1, attempts(answered));
-    assertFalse(first(answered).over, "its end may still be confirmed");
-    PaperNet closed = givenUp();
-    first(closed).breaks();
+    assertFalse(first(answered).closed, "its end may still be confirmed");
+    FakeNet closed = givenUp();
+    first(closed).closeByPeer();
     assertEquals(1, attempts(closed));
   }
 
@@ -101,33 +104,37 @@
   @Test
   void anAttemptWhoseConnectionClosesIsNotTriedAgainAtItsServer() throws Exception {
     for (boolean byTheServer : new boolean[] {true, false}) {
-      PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-      net.pass(Span.ofSeconds(3));
-      String at = net.setUpOut();
-      net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+      FakeNet net = FakeNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
+      net.advance(Span.ofSeconds(3));
+      String at = net.sendFirstSetUp();
+      net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
       if (byTheServer) {
-        first(net).breaks();
+        first(net).closeByPeer();
       } else {
-        first(net).comes("no such thing");
+        first(net).deliver("no such thing");
       }
-      net.pass(Span.ofSeconds(3));
-      assertEquals(List.of(REQUEST), net.setUps);
+      net.advance(Span.ofSeconds(3));
+      assertEquals(List.of(REQUEST), net.setUpIds);
     }
   }
 
   /** Two sessions of one server, set up on two connections; the second has been heard last. */
-  private static PaperNet twoStand() throws Exception {
-    PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-    net.pass(Span.ofSeconds(3));
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.viewers().comes(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
-    net.settle();
+  private static FakeNet twoStand() throws Exception {
+    FakeNet net = FakeNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
+    net.advance(Span.ofSeconds(3));
+    String at = net.sendFirstSetUp();
+    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.acceptClient().deliver(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
+    net.runDeferred();
     for (long id = REQUEST; id <= REQUEST + 1; id++) {
       long of = id;
-      Line by = net.lines.stream().filter(l -> l.setUps.contains(of)).findFirst().orElseThrow();
-      by.comes(line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
-      net.pass(Span.ofMillis(10));
+      FakeConnection by =
+          net.serverConnections.stream()
+              .filter(l -> l.setUpIds.contains(of))
+              .findFirst()
+              .orElseThrow();
+      by.deliver(line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
+      net.advance(Span.ofMillis(10));
     }
     return net;
   }
@@ -135,59 +142,68 @@
   /** Guards against a rung or an end that overtakes what was written of the session before. */
   @Test
   void whatConcernsASessionKeepsToTheConnectionOfItsSetUp() throws Exception {
-    PaperNet net = twoStand();
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    assertEquals(List.of(REQUEST), first(net).ended);
+    FakeNet net = twoStand();
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    assertEquals(List.of(REQUEST), first(net).endedIds);
   }
 
   /** Guards against a session that stands for nobody: answered as its connection was closed. */
   @Test
   void anAttemptWhoseConnectionClosesIsEndedOnAnotherConnection() throws Exception {
     for (boolean byTheServer : new boolean[] {true, false}) {
-      PaperNet net = twoStand();
-      net.viewers().comes(PlatformViewers.setUp(9, "lesson", 2000, ""));
-      net.settle();
-      Line of = net.lines.stream().filter(l -> l.setUps.contains(9L)).findFirst().orElseThrow();
+      FakeNet net = twoStand();
+      net.acceptClient().deliver(PlatformViewers.setUp(9, "lesson", 2000, ""));
+      net.runDeferred();
+      FakeConnection of =
+          net.serverConnections.stream()
+              .filter(l -> l.setUpIds.contains(9L))
+              .findFirst()
+              .orElseThrow();
       if (byTheServer) {
-        of.breaks();
+        of.closeByPeer();
       } else {
-        of.comes("no such thing");
+        of.deliver("no such thing");
       }
-      net.settle();
+      net.runDeferred();
       assertTrue(
-          net.lines.stream().anyMatch(l -> l != of && l.ended.contains(9L)), net.done.toString());
+          net.serverConnections.stream().anyMatch(l -> l != of && l.endedIds.contains(9L)),
+          net.actions.toString());
     }
   }
 
   /** Guards against sessions that play on for nobody at a server whose way was cut for long. */
   @Test
   void sessionsGivenUpWhileTheirServerWasOutOfReachAreEndedOnceItIsReachedAgain() throws Exception {
-    PaperNet net = twoStand();
-    Line first = first(net);
-    net.unreachable.add(first.to);
-    net.lines.stream().filter(l -> l.to.equals(first.to)).forEach(Line::breaks);
-    net.pass(Span.ofSeconds(5));
-    assertTrue(net.said.contains("server lost"), net.said.toString());
-    long connections = net.opened(first.to);
+    FakeNet net = twoStand();
+    FakeConnection first = first(net);
+    net.unreachable.add(first.address);
+    net.serverConnections.stream()
+        .filter(l -> l.address.equals(first.address))
+        .forEach(FakeConnection::closeByPeer);
+    net.advance(Span.ofSeconds(5));
+    assertTrue(net.logLines.contains("server lost"), net.logLines.toString());
+    long connections = net.connectionCount(first.address);
     net.unreachable.clear();
-    net.pass(Span.ofSeconds(3)); // and nobody asks for anything there
-    assertEquals(connections + 1, net.opened(first.to));
-    Line again = net.box(first.to);
-    assertTrue(again.ended.containsAll(List.of(REQUEST, REQUEST + 1)), again.ended.toString());
+    net.advance(Span.ofSeconds(3)); // and nobody asks for anything there
+    assertEquals(connections + 1, net.connectionCount(first.address));
+    FakeConnection again = net.latestConnection(first.address);
+    assertTrue(
+        again.endedIds.containsAll(List.of(REQUEST, REQUEST + 1)), again.endedIds.toString());
   }
 
   /** Guards against an end that is lost with the connection that was reset behind it. */
   @Test
   void anEndWrittenJustBeforeItsConnectionClosesIsToldOnAnother() throws Exception {
-    PaperNet net = twoStand();
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    Line of = first(net);
-    assertEquals(List.of(REQUEST), of.ended);
-    of.breaks();
-    net.settle();
-    assertTrue(net.lines.stream().anyMatch(l -> l != of && l.ended.contains(REQUEST)));
+    FakeNet net = twoStand();
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    FakeConnection of = first(net);
+    assertEquals(List.of(REQUEST), of.endedIds);
+    of.closeByPeer();
+    net.runDeferred();
+    assertTrue(
+        net.serverConnections.stream().anyMatch(l -> l != of && l.endedIds.contains(REQUEST)));
   }
 
   /**
@@ -195,27 +211,27 @@
    */
   @Test
   void anEndLeavesOnAConnectionThatIsSilentWhereNoOtherIsUp() throws Exception {
-    PaperNet net = givenUpSilently();
-    Line only = first(net);
-    assertEquals(List.of(REQUEST + 1), only.ended, "it takes no more set-ups from here on");
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    assertTrue(only.ended.contains(REQUEST), only.ended.toString());
+    FakeNet net = givenUpSilently();
+    FakeConnection only = first(net);
+    assertEquals(List.of(REQUEST + 1), only.endedIds, "it takes no more set-ups from here on");
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    assertTrue(only.endedIds.contains(REQUEST), only.endedIds.toString());
   }
 
   /** A session stands; a second attempt on its connection is given up with nothing heard. */
-  private static PaperNet givenUpSilently() throws Exception {
-    PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-    net.pass(Span.ofSeconds(3));
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.boxesAnswerTests = false;
-    first(net).comes(line("STARTED", ",\"blob\":\"b\""));
-    net.settle();
-    net.unreachable.add(first(net).to);
-    net.viewers().comes(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
-    for (int i = 0; i < 100 && first(net).ended.isEmpty(); i++) {
-      net.pass(Span.ofMillis(10));
+  private static FakeNet givenUpSilently() throws Exception {
+    FakeNet net = FakeNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
+    net.advance(Span.ofSeconds(3));
+    String at = net.sendFirstSetUp();
+    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.serversAnswerTests = false;
+    first(net).deliver(line("STARTED", ",\"blob\":\"b\""));
+    net.runDeferred();
+    net.unreachable.add(first(net).address);
+    net.acceptClient().deliver(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
+    for (int i = 0; i < 100 && first(net).endedIds.isEmpty(); i++) {
+      net.advance(Span.ofMillis(10));
     }
     return net;
   }
@@ -226,17 +242,17 @@
   @Test
   void anAttemptUnderAConnectionThatTheFrontClosesIsEndedOnItFirst() throws Exception {
     for (boolean gone : new boolean[] {true, false}) {
-      PaperNet net = PaperNet.front();
-      String at = net.setUpOut();
-      Line of = first(net);
+      FakeNet net = FakeNet.front();
+      String at = net.sendFirstSetUp();
+      FakeConnection of = first(net);
       if (gone) {
-        net.gone(at);
+        net.removeServer(at);
       } else {
-        of.comes("no such thing");
+        of.deliver("no such thing");
       }
-      net.settle();
-      assertTrue(of.over);
-      assertEquals(List.of(REQUEST), of.ended);
+      net.runDeferred();
+      assertTrue(of.closed);
+      assertEquals(List.of(REQUEST), of.endedIds);
     }
   }
 }
--- a/src/test/java/linengauge/platform/CrossingProcessesTest.java
+++ b/src/test/java/linengauge/platform/SignalsAndLimitsProcessesTest.java
@@ -34,7 +34,7 @@
  * Signals and limits of the system, crossing with what a front's process does; a real process each.
  */
 @Timeout(60)
-class CrossingProcessesTest {
+class SignalsAndLimitsProcessesTest {
   private static final int PLAYS = 9;
   private static final int OVER = 12;
   private static final int DESCRIPTORS = 256;
