--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -247,7 +247,7 @@
 
   /* ---- steps on the desk ---- */
 
-  /** See {@link DeskLoop#run}. */
+  /** See {@link DeskLoop#startProcess}. */
   void onDesk(Runnable step) {
     desk.run(step);
   }
--- a/src/test/java/linengauge/platform/CodecTest.java
+++ b/src/test/java/linengauge/platform/CodecTest.java
@@ -29,24 +29,24 @@
     final List<String> calls = new ArrayList<>();
 
     @Override
-    public void onSetUp(long id, SetUpRequest form) {
+    public void onSetUp(long id, SetUpRequest request) {
       calls.add(
           "setUp "
               + id
               + " "
-              + form.packageName()
+              + request.packageName()
               + " "
-              + form.timeLeftMs()
+              + request.timeLeftMs()
               + " "
-              + form.title()
+              + request.title()
               + " "
-              + form.firstCell()
+              + request.firstCell()
               + " "
-              + form.cellsInRow()
+              + request.cellsInRow()
               + " "
-              + form.ceiling()
+              + request.ceiling()
               + " "
-              + form.serverName());
+              + request.serverName());
     }
 
     @Override
@@ -60,7 +60,7 @@
     }
 
     @Override
-    public void onUnusable(long id, String why) {
+    public void onUnusable(long id, String reason) {
       calls.add("unfit " + id);
     }
 
@@ -101,48 +101,52 @@
   }
 
   private static byte[] concatenate(byte[]... parts) {
-    ByteBuffer b = ByteBuffer.allocate(Arrays.stream(parts).mapToInt(p -> p.length).sum());
-    Arrays.stream(parts).forEach(b::put);
-    return b.array();
+    ByteBuffer buffer =
+        ByteBuffer.allocate(Arrays.stream(parts).mapToInt(part -> part.length).sum());
+    Arrays.stream(parts).forEach(buffer::put);
+    return buffer.array();
   }
 
-  private static List<String> decodeClientMessages(byte[] bytes, SplittableRandom cuts)
+  private static List<String> decodeClientMessages(byte[] bytes, SplittableRandom chunkSizes)
       throws MalformedMessageException {
     RecordingHandler handler = new RecordingHandler();
     ClientMessageCodec reader = new ClientMessageCodec(handler);
-    for (int at = 0; at < bytes.length; ) {
-      int to = cuts == null ? bytes.length : Math.min(bytes.length, at + 1 + cuts.nextInt(40));
-      reader.feed(Arrays.copyOfRange(bytes, at, to));
-      at = to;
+    for (int position = 0; position < bytes.length; ) {
+      int end =
+          chunkSizes == null
+              ? bytes.length
+              : Math.min(bytes.length, position + 1 + chunkSizes.nextInt(40));
+      reader.feed(Arrays.copyOfRange(bytes, position, end));
+      position = end;
     }
     assertFalse(reader.hasPartialMessage());
     return handler.calls;
   }
 
   @Test
-  void messagesOfViewersAreReadInPiecesOfAnySize() throws MalformedMessageException {
-    byte[] all =
+  void decodesClientMessagesFromChunksOfAnySize() throws MalformedMessageException {
+    byte[] messages =
         concatenate(
             PlatformViewers.setUp(7, "lesson", 1500, ";again:1"),
             PlatformViewers.setUp(8, "lesson", 1500, ";at:s-00c41f7a"),
             PlatformViewers.message(12, 9, 61, new byte[] {16}),
             PlatformViewers.message(52, 1, 61, new byte[] {0}),
             PlatformViewers.message(44, 3, 61, new byte[] {0}));
-    List<String> whole = decodeClientMessages(all, null);
+    List<String> expected = decodeClientMessages(messages, null);
     assertEquals(
         List.of(
             "setUp 7 lesson 1500 7f3a9c21e0b4d655 0 0 4 null",
             "setUp 8 lesson 1500 7f3a9c21e0b4d655 0 0 4 s-00c41f7a",
             "ended 9 16",
             "test 1"),
-        whole);
+        expected);
     for (int seed = 0; seed < 50; seed++) {
-      assertEquals(whole, decodeClientMessages(all, new SplittableRandom(seed)));
+      assertEquals(expected, decodeClientMessages(messages, new SplittableRandom(seed)));
     }
   }
 
   @Test
-  void aMessageThatPassesTheBoundIsRefusedBeforeAnythingOfItIsStored() {
+  void rejectsAnOversizedMessageFromItsLengthAlone() {
     for (int length : new int[] {0, 8, 16 * 1024, 65535}) {
       byte[] head = ByteBuffer.allocate(2).putShort((short) length).array();
       assertThrows(
@@ -150,18 +154,18 @@
           () -> new ClientMessageCodec(new RecordingHandler()).feed(head),
           "length " + length);
     }
-    byte[] wrong = PlatformViewers.message(1, 5, 33, "lesson");
-    wrong[12] = 0x7f; // the length of its parameter
+    byte[] malformed = PlatformViewers.message(1, 5, 33, "lesson");
+    malformed[12] = 0x7f; // the length of its parameter
     assertThrows(
         MalformedMessageException.class,
-        () -> new ClientMessageCodec(new RecordingHandler()).feed(wrong));
+        () -> new ClientMessageCodec(new RecordingHandler()).feed(malformed));
   }
 
   @Test
-  void whatCanBeReadAndNotUsedIsUnfit() throws MalformedMessageException {
+  void reportsReadableButUnusableSetUps() throws MalformedMessageException {
     String figures = "home:0;copies:3;top:4;viewer:00";
     byte[] description = "v".getBytes(StandardCharsets.UTF_8);
-    List<byte[]> bad =
+    List<byte[]> unusable =
         List.of(
             PlatformViewers.message(1, 5, 35, "10", 41, "t", 43, figures, 63, description),
             PlatformViewers.message(
@@ -175,9 +179,9 @@
             PlatformViewers.message(1, 5, 33, "p", 35, "10", 41, "t", 43, "home", 63, description),
             PlatformViewers.message(
                 1, 0, 33, "p", 35, "10", 41, "t", 43, figures, 63, description));
-    for (byte[] one : bad) {
-      String heard = decodeClientMessages(one, null).toString();
-      assertTrue(heard.startsWith("[unfit "), heard);
+    for (byte[] message : unusable) {
+      String calls = decodeClientMessages(message, null).toString();
+      assertTrue(calls.startsWith("[unfit "), calls);
     }
     assertTrue(
         decodeClientMessages(
@@ -193,17 +197,17 @@
     RecordingHandler handler = new RecordingHandler();
     ServerLineCodec reader = new ServerLineCodec(handler);
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    for (int at = 0; at < bytes.length; at += step) {
-      reader.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + step)));
+    for (int position = 0; position < bytes.length; position += step) {
+      reader.feed(Arrays.copyOfRange(bytes, position, Math.min(bytes.length, position + step)));
     }
     return handler.calls;
   }
 
   @Test
-  void linesOfBoxesAreReadInPiecesOfAnySize() throws MalformedMessageException {
+  void decodesServerLinesFromChunksOfAnySize() throws MalformedMessageException {
     String id = "9b1f03aa5c7e2d41";
-    long n = Long.parseUnsignedLong(id, 16);
-    String all =
+    long number = Long.parseUnsignedLong(id, 16);
+    String lines =
         "{\"verb\":\"STARTED\",\"tag\":\""
             + id
             + "\",\"opts\":{},\"blob\":\"a\\r\\nb\u00e9\"}\n"
@@ -231,17 +235,17 @@
             + "{\"verb\":\"PENDING\",\"tag\":\""
             + id
             + "\",\"opts\":{}}\n";
-    List<String> wanted =
+    List<String> expected =
         List.of(
-            "plays " + n + " a\r\nb\u00e9",
-            "ended " + n + " 34 Load[linkAsked=0.5, uplinkAsked=NaN, streams=NaN]",
-            "tested " + n + " true Load[linkAsked=0.396, uplinkAsked=1.043, streams=71.1]",
-            "share " + n + " 0.9",
-            "rung " + n + " 3",
-            "loads " + n + " 1.1 NaN",
-            "loads " + n + " NaN 0.7");
+            "plays " + number + " a\r\nb\u00e9",
+            "ended " + number + " 34 Load[linkAsked=0.5, uplinkAsked=NaN, streams=NaN]",
+            "tested " + number + " true Load[linkAsked=0.396, uplinkAsked=1.043, streams=71.1]",
+            "share " + number + " 0.9",
+            "rung " + number + " 3",
+            "loads " + number + " 1.1 NaN",
+            "loads " + number + " NaN 0.7");
     for (int step : new int[] {1, 7, 100_000}) {
-      assertEquals(wanted, decodeServerLines(all, step));
+      assertEquals(expected, decodeServerLines(lines, step));
     }
   }
 
@@ -259,12 +263,12 @@
         "{\"verb\":\"STARTED\",\"tag\":\"9b1f03aa5c7e2d41\",\"blob\":\"x",
         "{\"verb\":7,\"tag\":\"9b1f03aa5c7e2d41\"}"
       })
-  void aSpoiltLineSpoilsItsConnection(String line) {
+  void rejectsAMalformedLine(String line) {
     assertThrows(MalformedMessageException.class, () -> decodeServerLines(line + "\n", 1000));
   }
 
   @Test
-  void aLineWithoutEndIsGivenUpAtTheBound() {
+  void rejectsAnUnterminatedLineAtTheLimit() {
     assertThrows(
         MalformedMessageException.class,
         () -> decodeServerLines("{\"verb\":\"" + "x".repeat(ServerLineCodec.MAX_LINE_BYTES), 500));
@@ -286,20 +290,20 @@
    * reckoning alone.
    */
   @Test
-  void aTestAsksForAReport() {
+  void aTestRequestsALoadReport() {
     assertEquals(
         "{\"verb\":\"ECHO\",\"tag\":\"0000000000000005\",\"opts\":{},\"rc\":1}\n",
         new String(ServerLineCodec.encodeTest(5), StandardCharsets.UTF_8));
   }
 
   @Test
-  void descriptionsGoThroughByteForByte() throws Exception {
-    String said = "c=IN IP4 10.4.7.9\r\n\"\\\u0001\u00e9\ud83d\ude00";
-    byte[] line = ServerLineCodec.encodeSetUp(5, "lesson", "t", 100, 2, said);
+  void passesDescriptionsUnchanged() throws Exception {
+    String description = "c=IN IP4 10.4.7.9\r\n\"\\\u0001\u00e9\ud83d\ude00";
+    byte[] line = ServerLineCodec.encodeSetUp(5, "lesson", "t", 100, 2, description);
     assertEquals(
-        said,
+        description,
         new com.fasterxml.jackson.databind.ObjectMapper().readTree(line).path("blob").asText());
-    byte[] bytes = said.getBytes(StandardCharsets.UTF_8);
+    byte[] bytes = description.getBytes(StandardCharsets.UTF_8);
     byte[] answer = ClientMessageCodec.encodeStarted(5, bytes);
     assertArrayEquals(
         bytes, Arrays.copyOfRange(answer, answer.length - bytes.length, answer.length));
@@ -307,27 +311,29 @@
   }
 
   @Test
-  void eventsOfTheJournalServiceAreToldWholeOrNotAtAll() throws MalformedMessageException {
-    List<String> told = new ArrayList<>();
+  void deliversOnlyCompleteJournalEvents() throws MalformedMessageException {
+    List<String> events = new ArrayList<>();
     byte[] record = PlatformJournal.record(0xc41f7a, 3868, 1, 7, 5000);
     byte[] frame =
         ByteBuffer.allocate(13 + 27).putInt(9 + 27).putLong(42).put((byte) 2).put(record).array();
-    byte[] life = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
+    byte[] heartbeat = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
     JournalFrameCodec reader =
-        new JournalFrameCodec((n, whole, rows) -> told.add(n + " " + whole + " " + rows.get(0)));
-    reader.feed(life);
+        new JournalFrameCodec(
+            (number, whole, rows) -> events.add(number + " " + whole + " " + rows.get(0)));
+    reader.feed(heartbeat);
     reader.feed(Arrays.copyOf(frame, 30));
-    assertEquals(List.of(), told);
+    assertEquals(List.of(), events);
     reader.feed(Arrays.copyOfRange(frame, 30, frame.length));
     assertEquals(
         List.of(
             "42 false Row[id=12853114, address=127.0.0.1:3868, weight=2.0, cell=7, kind=0, state=DRAINING, "
                 + "building=0, startedAt=Moment[micros=5000000]]"),
-        told);
+        events);
     for (int length : new int[] {-1, 8, Integer.MAX_VALUE}) {
-      byte[] bad = ByteBuffer.allocate(4).putInt(length).array();
+      byte[] malformed = ByteBuffer.allocate(4).putInt(length).array();
       assertThrows(
-          MalformedMessageException.class, () -> new JournalFrameCodec((n, w, r) -> {}).feed(bad));
+          MalformedMessageException.class,
+          () -> new JournalFrameCodec((number, whole, rows) -> {}).feed(malformed));
     }
   }
 }
--- a/src/test/java/linengauge/platform/ConnectionTrackingTest.java
+++ b/src/test/java/linengauge/platform/ConnectionTrackingTest.java
@@ -28,68 +28,69 @@
   }
 
   private final List<String> closed = new ArrayList<>();
-  private final List<String> queued = new ArrayList<>();
-  private final IdleConnectionReaper guests =
+  private final List<String> withQueuedRequests = new ArrayList<>();
+  private final IdleConnectionReaper reaper =
       new IdleConnectionReaper(new IdleConnectionReaper.Limits(3, Span.ofMillis(2000)));
 
-  private IdleTracker guest(String name, long ms) {
-    IdleTracker one = guests.add(() -> closed.add(name), () -> !queued.contains(name), at(ms));
-    guests.evictExcess();
-    return one;
+  private IdleTracker accept(String name, long ms) {
+    IdleTracker connection =
+        reaper.add(() -> closed.add(name), () -> !withQueuedRequests.contains(name), at(ms));
+    reaper.evictExcess();
+    return connection;
   }
 
   @Test
-  void whoSaysNothingOrNeverEndsAMessageGoesInTimeAndNobodyElse() {
-    guest("silent", 0);
-    IdleTracker half = guest("half", 0);
-    half.markTrusted();
-    half.onRead(false, true, at(500));
-    IdleTracker viewer = guest("viewer", 0);
-    viewer.markTrusted();
-    guests.closeOverdue(at(1999));
-    guests.closeOverdue(at(1999));
+  void closesSilentAndUnfinishedConnectionsAndKeepsTheOthers() {
+    accept("silent", 0);
+    IdleTracker partial = accept("half", 0);
+    partial.markTrusted();
+    partial.onRead(false, true, at(500));
+    IdleTracker client = accept("viewer", 0);
+    client.markTrusted();
+    reaper.closeOverdue(at(1999));
+    reaper.closeOverdue(at(1999));
     assertEquals(List.of(), closed);
-    guests.closeOverdue(at(2000));
+    reaper.closeOverdue(at(2000));
     assertEquals(List.of(), closed, "what has come since the loop last read is read first");
-    guests.closeOverdue(at(2200));
+    reaper.closeOverdue(at(2200));
     assertEquals(List.of("silent"), closed);
-    half.onRead(false, true, at(2400)); // a drip is no end
-    guests.closeOverdue(at(2500));
-    guests.closeOverdue(at(2700));
+    partial.onRead(false, true, at(2400)); // a drip is no end
+    reaper.closeOverdue(at(2500));
+    reaper.closeOverdue(at(2700));
     assertEquals(List.of("silent", "half"), closed);
-    guests.closeOverdue(at(99_000));
-    guests.closeOverdue(at(100_000));
-    assertEquals(1, guests.size(), "who asked once may stay");
+    reaper.closeOverdue(at(99_000));
+    reaper.closeOverdue(at(100_000));
+    assertEquals(1, reaper.size(), "who asked once may stay");
   }
 
   @Test
-  void whenPlacesAreShortTheUnprovenGoFirstAndThoseWithASetUpOpenNever() {
-    guest("viewer", 0).markTrusted();
-    IdleTracker asks = guest("asks", 1);
+  void evictsIdleConnectionsStartingWithUntrustedOnes() {
+    accept("viewer", 0).markTrusted();
+    IdleTracker asks = accept("asks", 1);
     asks.onRequestOpened();
-    guest("silent", 2);
-    guest("fourth", 3);
+    accept("silent", 2);
+    accept("fourth", 3);
     assertEquals(List.of("silent"), closed);
-    guest("fifth", 4).onRequestOpened();
+    accept("fifth", 4).onRequestOpened();
     assertEquals(List.of("silent", "fourth"), closed);
-    IdleTracker sixth = guest("sixth", 5);
+    IdleTracker sixth = accept("sixth", 5);
     assertEquals(List.of("silent", "fourth", "viewer"), closed);
     sixth.onRequestOpened();
-    guest("seventh", 6);
+    accept("seventh", 6);
     assertEquals(
         List.of("silent", "fourth", "viewer", "seventh"),
         closed,
         "all have a set-up open: the newest goes");
     asks.onRequestSettled(at(7));
-    queued.add("asks");
-    guest("eighth", 8);
+    withQueuedRequests.add("asks");
+    accept("eighth", 8);
     assertEquals("eighth", closed.get(4), "what waits to be begun is as good as open");
-    queued.clear();
-    guest("ninth", 9);
+    withQueuedRequests.clear();
+    accept("ninth", 9);
     assertEquals("asks", closed.get(5));
   }
 
-  private static ReachabilityDetector reach() {
+  private static ReachabilityDetector detector() {
     return new ReachabilityDetector(
         new ReachabilityDetector.Settings(
             Span.ofMillis(2000),
@@ -103,23 +104,24 @@
   }
 
   @Test
-  void aBoxIsLostOnlyWhenConnectionsNoLongerComeUpForAWhile() {
-    ReachabilityDetector reach = reach();
-    assertFalse(reach.needsConnection(1, at(2500)));
+  void aServerIsLostOnlyAfterConnectionsFailForAWhile() {
+    ReachabilityDetector detector = detector();
+    assertFalse(detector.needsConnection(1, at(2500)));
     assertTrue(
-        reach.needsConnection(1, at(2501)), "silent for long: a new one shows whether it is there");
-    assertFalse(reach.isLost(at(60_000)), "silence alone proves nothing");
-    reach.onConnectFailed(at(3000));
-    assertFalse(reach.needsConnection(0, at(3049)));
-    assertTrue(reach.needsConnection(0, at(3050)));
+        detector.needsConnection(1, at(2501)),
+        "silent for long: a new one shows whether it is there");
+    assertFalse(detector.isLost(at(60_000)), "silence alone proves nothing");
+    detector.onConnectFailed(at(3000));
+    assertFalse(detector.needsConnection(0, at(3049)));
+    assertTrue(detector.needsConnection(0, at(3050)));
     for (long t = 3050; t < 6500; t += 800) {
-      reach.onConnectFailed(at(t));
+      detector.onConnectFailed(at(t));
     }
-    assertFalse(reach.isLost(at(6499)));
-    assertTrue(reach.isLost(at(6500)));
-    reach.onReceived(at(6501));
-    assertFalse(reach.isLost(at(60_000)));
-    assertTrue(reach.needsConnection(0, at(6501)));
+    assertFalse(detector.isLost(at(6499)));
+    assertTrue(detector.isLost(at(6500)));
+    detector.onReceived(at(6501));
+    assertFalse(detector.isLost(at(60_000)));
+    assertTrue(detector.needsConnection(0, at(6501)));
   }
 
   /**
@@ -127,87 +129,89 @@
    * sign.
    */
   @Test
-  void silenceIsTestedOnceThenConnectionsAreTriedAndTheBoxIsLostInTime() {
-    ReachabilityDetector reach =
+  void aSilentServerIsTestedOnceAndThenLostInTime() {
+    ReachabilityDetector detector =
         new ReachabilityDetector(ReachabilityDetector.Settings.PLATFORM, at(0));
-    assertFalse(reach.needsTest(at(5000)), "boxes are silent by nature");
-    assertTrue(reach.needsTest(at(5001)));
-    assertFalse(reach.needsTest(at(5400)));
-    assertFalse(reach.needsConnection(1, at(5500)));
-    assertTrue(reach.needsConnection(1, at(5501)));
-    reach.onConnectFailed(at(5800));
-    reach.onConnectFailed(at(6300));
-    assertFalse(reach.isLost(at(6999)));
-    assertTrue(reach.isLost(at(7000)));
-    reach.onReceived(at(7001));
-    assertFalse(reach.isLost(at(7100)));
-    assertTrue(reach.needsTest(at(12_100)), "a new silence");
-    reach.onConnectFailed(at(13_700));
-    assertFalse(reach.isLost(at(14_600)), "one try alone proves too little");
-    assertTrue(reach.isLost(at(14_700)));
+    assertFalse(detector.needsTest(at(5000)), "boxes are silent by nature");
+    assertTrue(detector.needsTest(at(5001)));
+    assertFalse(detector.needsTest(at(5400)));
+    assertFalse(detector.needsConnection(1, at(5500)));
+    assertTrue(detector.needsConnection(1, at(5501)));
+    detector.onConnectFailed(at(5800));
+    detector.onConnectFailed(at(6300));
+    assertFalse(detector.isLost(at(6999)));
+    assertTrue(detector.isLost(at(7000)));
+    detector.onReceived(at(7001));
+    assertFalse(detector.isLost(at(7100)));
+    assertTrue(detector.needsTest(at(12_100)), "a new silence");
+    detector.onConnectFailed(at(13_700));
+    assertFalse(detector.isLost(at(14_600)), "one try alone proves too little");
+    assertTrue(detector.isLost(at(14_700)));
   }
 
   /**
    * What a box says as a connection closes is lost, and said again on the next one that is opened.
    */
   @Test
-  void aCloseIsFollowedByAConnectionBegunAfterIt() {
-    ReachabilityDetector reach = reach();
-    assertFalse(reach.needsConnection(2, at(100)));
-    int before = reach.closeCount();
-    reach.onClosed();
-    assertTrue(reach.needsConnection(2, at(100)));
-    reach.onUp(before, at(110));
-    assertTrue(reach.needsConnection(2, at(120)), "that one was begun before the close");
-    reach.onUp(reach.closeCount(), at(130));
-    assertFalse(reach.needsConnection(2, at(140)));
+  void aCloseNeedsAConnectionBegunAfterIt() {
+    ReachabilityDetector detector = detector();
+    assertFalse(detector.needsConnection(2, at(100)));
+    int before = detector.closeCount();
+    detector.onClosed();
+    assertTrue(detector.needsConnection(2, at(100)));
+    detector.onUp(before, at(110));
+    assertTrue(detector.needsConnection(2, at(120)), "that one was begun before the close");
+    detector.onUp(detector.closeCount(), at(130));
+    assertFalse(detector.needsConnection(2, at(140)));
   }
 
   @Test
-  void aConnectionStaysWhileAViewingSetUpOnItPlaysAndTakesNothingMoreOnceNothingComes() {
-    ConnectionHealth line = new ConnectionHealth(at(0));
-    Span rests = Span.ofMillis(4000);
-    assertEquals(ConnectionHealth.Verdict.KEEP, line.verdict(0, rests, at(4000)));
-    assertEquals(ConnectionHealth.Verdict.CLOSE_IDLE, line.verdict(0, rests, at(4001)));
-    assertEquals(ConnectionHealth.Verdict.KEEP, line.verdict(1, rests, at(4001)));
-    line.onSent(at(5000));
-    line.onReceived(at(5100));
-    line.onUnanswered(at(5000));
-    assertFalse(line.isRetired(), "something came since");
-    line.onUnanswered(at(5200));
-    assertTrue(line.isRetired());
-    line.addSessions(2);
+  void aConnectionStaysWhileASessionUsesItAndRetiresWhenSilent() {
+    ConnectionHealth health = new ConnectionHealth(at(0));
+    Span idleTimeout = Span.ofMillis(4000);
+    assertEquals(ConnectionHealth.Verdict.KEEP, health.verdict(0, idleTimeout, at(4000)));
+    assertEquals(ConnectionHealth.Verdict.CLOSE_IDLE, health.verdict(0, idleTimeout, at(4001)));
+    assertEquals(ConnectionHealth.Verdict.KEEP, health.verdict(1, idleTimeout, at(4001)));
+    health.onSent(at(5000));
+    health.onReceived(at(5100));
+    health.onUnanswered(at(5000));
+    assertFalse(health.isRetired(), "something came since");
+    health.onUnanswered(at(5200));
+    assertTrue(health.isRetired());
+    health.addSessions(2);
     assertEquals(
         ConnectionHealth.Verdict.KEEP,
-        line.verdict(0, rests, at(60_000)),
+        health.verdict(0, idleTimeout, at(60_000)),
         "its box tells of them here");
-    line.addSessions(-2);
-    assertEquals(ConnectionHealth.Verdict.CLOSE_IDLE, line.verdict(0, Span.NONE, at(5201)));
+    health.addSessions(-2);
+    assertEquals(ConnectionHealth.Verdict.CLOSE_IDLE, health.verdict(0, Span.NONE, at(5201)));
   }
 
   @Test
-  void aLineThatDoesNotEndSpoilsItsConnectionHoweverItDrips() {
-    ConnectionHealth line = new ConnectionHealth(at(0));
-    line.onRead(false, true, at(100));
-    line.onRead(false, true, at(450));
-    assertEquals(ConnectionHealth.Verdict.KEEP, line.verdict(3, Span.NONE, at(500)));
-    assertEquals(ConnectionHealth.Verdict.CLOSE_BROKEN, line.verdict(3, Span.NONE, at(501)));
-    line.onRead(true, true, at(600));
+  void anUnfinishedLineBreaksItsConnectionThoughBytesKeepComing() {
+    ConnectionHealth health = new ConnectionHealth(at(0));
+    health.onRead(false, true, at(100));
+    health.onRead(false, true, at(450));
+    assertEquals(ConnectionHealth.Verdict.KEEP, health.verdict(3, Span.NONE, at(500)));
+    assertEquals(ConnectionHealth.Verdict.CLOSE_BROKEN, health.verdict(3, Span.NONE, at(501)));
+    health.onRead(true, true, at(600));
     assertEquals(
         ConnectionHealth.Verdict.KEEP,
-        line.verdict(3, Span.NONE, at(1000)),
+        health.verdict(3, Span.NONE, at(1000)),
         "another line has begun meanwhile");
-    line.onRead(true, false, at(1000));
-    assertEquals(ConnectionHealth.Verdict.KEEP, line.verdict(3, Span.NONE, at(60_000)));
+    health.onRead(true, false, at(1000));
+    assertEquals(ConnectionHealth.Verdict.KEEP, health.verdict(3, Span.NONE, at(60_000)));
   }
 
   @Test
-  void descriptorsAreSharedOutWithinTheLimit() {
+  void descriptorSharesStayWithinTheLimit() {
     for (int limit : new int[] {256, 384, 1024}) {
-      DescriptorBudget p = DescriptorBudget.of(limit);
+      DescriptorBudget budget = DescriptorBudget.of(limit);
       assertTrue(
-          p.clients() + p.servers() + 48 <= limit && p.clients() >= limit / 3 && p.servers() >= 40,
-          p.toString());
+          budget.clients() + budget.servers() + 48 <= limit
+              && budget.clients() >= limit / 3
+              && budget.servers() >= 40,
+          budget.toString());
     }
   }
 
@@ -215,7 +219,7 @@
    * A turn of half a second leaves a request read in the next one that much less of its patience.
    */
   @Test
-  void whatABusyLoopReadsMayHaveWaitedForTwoTurns() {
+  void readDelayCoversTheLastTwoTurns() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
     lag.tick(at(20));
     lag.tick(at(40));
@@ -229,7 +233,7 @@
 
   /** What lay on a connection is read in several turns: its bytes in one, its close in the next. */
   @Test
-  void aLoopIsBehindInALongTurnAndForSomeBeatsAfterIt() {
+  void aLoopIsBehindDuringALongTurnAndForSomeTicksAfterIt() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
     lag.tick(at(20));
     assertFalse(lag.isBehind(at(70)));
@@ -243,7 +247,7 @@
   }
 
   @Test
-  void anEndThatOvertakesTheHandingOverIsKeptForAWhileAndTakenOnce() {
+  void anEndBeforeItsHandOverIsKeptForAWhileAndTakenOnce() {
     EarlyEnds ends = new EarlyEnds(2, Span.ofMillis(8000));
     ends.add(1, Ending.FINISHED, at(0));
     assertEquals(Ending.FINISHED, ends.take(1));
@@ -259,7 +263,7 @@
   }
 
   @Test
-  void aConnectionOfAWaveMayHaveWaitedSinceTheBacklogWasLastEmpty() {
+  void aConnectionInABurstMayHaveWaitedSinceTheBacklogWasLastEmpty() {
     AcceptBacklog backlog = new AcceptBacklog(3, at(0));
     backlog.onAccepted();
     backlog.tick(at(20));
@@ -279,7 +283,7 @@
   }
 
   @Test
-  void aStandStillOfTheFrontBetweenAskingAndNowIsSeen() {
+  void detectsAStallBetweenSendingAndNow() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
     lag.tick(at(20));
     lag.tick(at(40));
@@ -293,34 +297,34 @@
   }
 
   @Test
-  void whatWaitedForAConnectionIsAsOldAsThatUntilAllOfItHasCome() {
-    ReceiveQueue taken = new ReceiveQueue(at(100), at(600));
-    taken.add(new byte[10], at(690), at(700));
-    taken.add(new byte[10], at(690), at(705));
-    taken.add(new byte[10], at(710), at(720));
+  void dataThatWaitedForItsConnectionIsAsOldAsTheWait() {
+    ReceiveQueue received = new ReceiveQueue(at(100), at(600));
+    received.add(new byte[10], at(690), at(700));
+    received.add(new byte[10], at(690), at(705));
+    received.add(new byte[10], at(710), at(720));
     assertEquals(
         List.of(at(100), at(100), at(710)),
         List.of(
-            taken.poll().earliestArrival(),
-            taken.poll().earliestArrival(),
-            taken.poll().earliestArrival()));
-    taken.add(new byte[ReceiveQueue.MAX_QUEUED_BYTES], at(790), at(800));
-    assertTrue(taken.isFull(1) && !taken.isFull(0));
-    taken.onPaused();
-    taken.poll();
-    taken.onResumed(at(900));
-    taken.add(new byte[1], at(895), at(901));
-    taken.onPaused();
-    taken.onResumed(at(950));
-    taken.add(new byte[1], at(940), at(951));
-    taken.add(new byte[1], at(951), at(960));
+            received.poll().earliestArrival(),
+            received.poll().earliestArrival(),
+            received.poll().earliestArrival()));
+    received.add(new byte[ReceiveQueue.MAX_QUEUED_BYTES], at(790), at(800));
+    assertTrue(received.isFull(1) && !received.isFull(0));
+    received.onPaused();
+    received.poll();
+    received.onResumed(at(900));
+    received.add(new byte[1], at(895), at(901));
+    received.onPaused();
+    received.onResumed(at(950));
+    received.add(new byte[1], at(940), at(951));
+    received.add(new byte[1], at(951), at(960));
     assertEquals(
         List.of(at(790), at(790), at(951)),
         List.of(
-            taken.poll().earliestArrival(),
-            taken.poll().earliestArrival(),
-            taken.poll().earliestArrival()));
-    assertNull(taken.poll());
+            received.poll().earliestArrival(),
+            received.poll().earliestArrival(),
+            received.poll().earliestArrival()));
+    assertNull(received.poll());
     ReceiveQueue idle = new ReceiveQueue(at(100), at(600));
     idle.add(new byte[1], at(2000), at(2010));
     assertEquals(
@@ -345,7 +349,7 @@
 
   /** Guards against a table that grows with every attempt given up. */
   @Test
-  void endsThatAreNeverConfirmedLeaveByNumberAndByTime() {
+  void unconfirmedEndsAreBoundedInNumberAndTime() {
     var ends = new UnconfirmedEnds<String>(4, Span.ofSeconds(8));
     for (long id = 0; id < 100; id++) {
       ends.onEndWritten(id, "some", at(1));
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -19,7 +19,7 @@
 /** What operators find in the log of a request, and what bounds the log. */
 class EventLogTest {
   private static List<String> ofRequest(FakeNet net, long id) {
-    return net.events.stream().filter(e -> e.request() == id).map(LogEvent::line).toList();
+    return net.events.stream().filter(event -> event.request() == id).map(LogEvent::line).toList();
   }
 
   private static int indexOf(List<String> lines, String... parts) {
@@ -35,9 +35,9 @@
   @Test
   void aRetryLogsTheWholeRequestWithServersAttemptsConnectionsAndReasons() throws Exception {
     FakeNet net = FakeNet.front();
-    String at = net.sendFirstSetUp();
+    String address = net.sendFirstSetUp();
     net.advance(Span.ofSeconds(3));
-    String server = at.endsWith(":3") ? "server=s-00000001" : "server=s-00000002";
+    String server = address.endsWith(":3") ? "server=s-00000001" : "server=s-00000002";
     List<String> lines = ofRequest(net, 7);
     int taken = indexOf(lines, "event=request-taken", "request=0000000000000007", "class lesson");
     int sent = indexOf(lines, "event=attempt-sent", "attempt=0", "connection=", server);
@@ -62,10 +62,10 @@
 
   /** Guards against closes without a reason. */
   @Test
-  void everyCloseOfAServersConnectionSaysWhoAndWhyAndWhatWasOpen() throws Exception {
+  void everyServerConnectionCloseLogsItsReasonAndOpenAttempts() throws Exception {
     FakeNet net = FakeNet.front();
-    String at = net.sendFirstSetUp();
-    net.latestConnection(at).deliver("no such thing");
+    String address = net.sendFirstSetUp();
+    net.latestConnection(address).deliver("no such thing");
     net.runDeferred();
     List<String> lines = net.events.stream().map(LogEvent::line).toList();
     indexOf(lines, "event=connection-closed", "a line that is no JSON", "1 attempts out");
@@ -73,7 +73,7 @@
 
   /** Guards against a log that takes the front's memory or its disk when everything goes wrong. */
   @Test
-  void linesPastTheBoundsAreDroppedAndCounted() throws Exception {
+  void linesBeyondTheLimitsAreDroppedAndCounted() throws Exception {
     Logger logger = (Logger) LoggerFactory.getLogger("bounded");
     logger.setLevel(Level.INFO);
     logger.setAdditive(false);
--- a/src/test/java/linengauge/platform/EventOrderSocketsTest.java
+++ b/src/test/java/linengauge/platform/EventOrderSocketsTest.java
@@ -46,10 +46,10 @@
 @Timeout(60)
 @SuppressWarnings("try")
 class EventOrderSocketsTest {
-  private static final int PLAYS = 9;
-  private static final int OVER = 12;
+  private static final int ANSWERED = 9;
+  private static final int RELEASED = 12;
   @TempDir private Path dir;
-  private final List<PlatformBox> boxes = new ArrayList<>();
+  private final List<PlatformBox> servers = new ArrayList<>();
   private PlatformJournal journal;
   private Path file;
   private int port;
@@ -65,25 +65,25 @@
 
   /** While it is open... the loop is not: it stands between two events. */
   private final class LoopBlocker implements AutoCloseable {
-    private final CountDownLatch opens = new CountDownLatch(1);
+    private final CountDownLatch unblocked = new CountDownLatch(1);
 
     private LoopBlocker() throws InterruptedException {
-      CountDownLatch stands = new CountDownLatch(1);
+      CountDownLatch blocked = new CountDownLatch(1);
       service.onLoop(
           () -> {
-            stands.countDown();
+            blocked.countDown();
             try {
-              opens.await();
+              unblocked.await();
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             }
           });
-      stands.await();
+      blocked.await();
     }
 
     @Override
     public void close() {
-      opens.countDown();
+      unblocked.countDown();
     }
   }
 
@@ -91,7 +91,7 @@
   void start() throws Exception {
     System.setProperty("vertx.disableDnsResolver", "true");
     for (int i = 0; i < 2; i++) {
-      boxes.add(new PlatformBox());
+      servers.add(new PlatformBox());
     }
     journal = new PlatformJournal(1);
     port = PlatformTryOut.freePort();
@@ -99,18 +99,20 @@
     Files.writeString(file, configuration(journal.port()));
     service = new Service(file, Configuration.read(file));
     service.begin().join();
-    try (var v = new PlatformViewers(port)) { // each box has been met: a set-up can leave at once
+    try (var client =
+        new PlatformViewers(port)) { // each box has been met: a set-up can leave at once
       for (long id = 900_001; id < 900_009; id++) {
-        plays(v, id);
-        v.end(id, 16);
+        startSession(client, id);
+        client.end(id, 16);
       }
     }
-    until(() -> boxes.stream().allMatch(b -> b.playing().isEmpty()));
+    waitUntil(() -> servers.stream().allMatch(server -> server.playing().isEmpty()));
   }
 
   /** Nothing is asked of boxes before a set-up: it leaves in the turn in which it is begun. */
-  private String configuration(int from) {
-    return TryOut.configuration(port, from, boxes.stream().mapToInt(PlatformBox::port).toArray())
+  private String configuration(int journalPort) {
+    return TryOut.configuration(
+            port, journalPort, servers.stream().mapToInt(PlatformBox::port).toArray())
         .replace("\"probing\":true", "\"probing\":false");
   }
 
@@ -118,13 +120,13 @@
   void stop() throws Exception {
     service.tellToStop();
     assertEquals("", service.await());
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox server : servers) {
+      server.close();
     }
     journal.close();
   }
 
-  private static void until(BooleanSupplier done) throws InterruptedException {
+  private static void waitUntil(BooleanSupplier done) throws InterruptedException {
     for (int i = 0; i < 2000 && !done.getAsBoolean(); i++) {
       Thread.sleep(5);
     }
@@ -143,15 +145,15 @@
     return PlatformViewers.message(12, id, 61, new byte[] {16});
   }
 
-  private static byte[] join(byte[]... parts) {
-    var all = new ByteArrayOutputStream();
-    for (byte[] p : parts) {
-      all.writeBytes(p);
+  private static byte[] concatenate(byte[]... parts) {
+    var joined = new ByteArrayOutputStream();
+    for (byte[] part : parts) {
+      joined.writeBytes(part);
     }
-    return all.toByteArray();
+    return joined.toByteArray();
   }
 
-  private static byte[] many(long from, long to) {
+  private static byte[] setUps(long from, long to) {
     var all = new ByteArrayOutputStream();
     for (long id = from; id < to; id++) {
       all.writeBytes(setUp(id));
@@ -159,53 +161,58 @@
     return all.toByteArray();
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
-        return s;
+  private static Said awaitReply(PlatformViewers client, long id) throws InterruptedException {
+    for (Said reply = client.next(10_000); reply != null; reply = client.next(10_000)) {
+      if (reply.id() == id || reply == Said.CLOSED) {
+        return reply;
       }
     }
     return null;
   }
 
-  private static void plays(PlatformViewers v, long id) throws Exception {
-    v.send(setUp(id));
-    Said s = answer(v, id);
-    assertTrue(s != null && s.type() == PLAYS, "viewing " + id + ": " + s);
+  private static void startSession(PlatformViewers client, long id) throws Exception {
+    client.send(setUp(id));
+    Said reply = awaitReply(client, id);
+    assertTrue(reply != null && reply.type() == ANSWERED, "viewing " + id + ": " + reply);
   }
 
-  private PlatformBox boxOf(long id) {
-    return boxes.stream().filter(b -> b.playing().containsKey(tag(id))).findFirst().orElseThrow();
+  private PlatformBox serverOf(long id) {
+    return servers.stream()
+        .filter(server -> server.playing().containsKey(tag(id)))
+        .findFirst()
+        .orElseThrow();
   }
 
-  private long started(long id) {
+  private long setUpsReceived(long id) {
     String tag = tag(id);
-    return boxes.stream()
-        .flatMap(b -> b.heard().stream())
-        .filter(n -> n.path("verb").asText().equals("START") && n.path("tag").asText().equals(tag))
+    return servers.stream()
+        .flatMap(server -> server.heard().stream())
+        .filter(
+            line ->
+                line.path("verb").asText().equals("START") && line.path("tag").asText().equals(tag))
         .count();
   }
 
   /** All that had come before is read and dealt with: what is asked afterwards plays. */
-  private void goesOn(long id) throws Exception {
-    try (var v = new PlatformViewers(port)) {
-      plays(v, id);
-      v.end(id, 16);
+  private void runSession(long id) throws Exception {
+    try (var client = new PlatformViewers(port)) {
+      startSession(client, id);
+      client.end(id, 16);
     }
   }
 
   @ParameterizedTest
   @EnumSource
-  void aViewerThatLeftBeforeItsSetUpWasReadIsSetUpNowhere(Departure how) throws Exception {
-    try (var v = new PlatformViewers(port);
+  void aSetUpWhoseClientLeftBeforeItWasReadIsNotSent(Departure departure) throws Exception {
+    try (var client = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      plays(v, 1);
+      startSession(client, 1);
       socket.setTcpNoDelay(true);
-      try (LoopBlocker gate = new LoopBlocker()) {
+      try (LoopBlocker blocker = new LoopBlocker()) {
         socket
             .getOutputStream()
-            .write(how == Departure.AT_ONCE ? join(setUp(2), end(2)) : setUp(2));
-        switch (how) {
+            .write(departure == Departure.AT_ONCE ? concatenate(setUp(2), end(2)) : setUp(2));
+        switch (departure) {
           case LATER -> {
             Thread.sleep(20);
             socket.getOutputStream().write(end(2));
@@ -219,81 +226,83 @@
         }
         Thread.sleep(120); // longer than an attempt may begin after it
       }
-      goesOn(3);
-      assertEquals(0, started(2), "begun 0.1 s after its viewer had left");
+      runSession(3);
+      assertEquals(0, setUpsReceived(2), "begun 0.1 s after its viewer had left");
     }
   }
 
   /** The attempt is refused while the loop stands, and the viewer leaves in the same time. */
   @Test
-  void aRefusalAndTheViewersEndReadInOneTurnMakeNoFurtherAttempt() throws Exception {
-    try (var v = new PlatformViewers(port)) {
-      boxes.forEach(b -> b.mood = Mood.SILENT);
-      v.send(setUp(2));
-      until(() -> started(2) == 1);
-      try (LoopBlocker gate = new LoopBlocker()) {
-        for (PlatformBox b : boxes) {
-          b.noise(
+  void aRefusalReadTogetherWithTheClientsEndCausesNoRetry() throws Exception {
+    try (var client = new PlatformViewers(port)) {
+      servers.forEach(server -> server.mood = Mood.SILENT);
+      client.send(setUp(2));
+      waitUntil(() -> setUpsReceived(2) == 1);
+      try (LoopBlocker blocker = new LoopBlocker()) {
+        for (PlatformBox server : servers) {
+          server.noise(
               ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(2) + "\",\"opts\":{},\"rc\":34}\n")
                   .getBytes(StandardCharsets.UTF_8));
         }
-        v.end(2, 16);
+        client.end(2, 16);
         Thread.sleep(120);
       }
-      boxes.forEach(b -> b.mood = Mood.WELL);
-      goesOn(3);
-      assertEquals(1, started(2));
+      servers.forEach(server -> server.mood = Mood.WELL);
+      runSession(3);
+      assertEquals(1, setUpsReceived(2));
     }
   }
 
   @Test
-  void anEndBehindHundredsOfSetUpsOnAConnectionThatClosesIsHeard() throws Exception {
-    try (var v = new PlatformViewers(port);
+  void anEndBehindHundredsOfSetUpsOnAClosingConnectionIsProcessed() throws Exception {
+    try (var client = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      plays(v, 1);
-      PlatformBox at = boxOf(1);
-      try (LoopBlocker gate = new LoopBlocker()) {
-        socket.getOutputStream().write(join(many(1000, 1200), end(1)));
+      startSession(client, 1);
+      PlatformBox server = serverOf(1);
+      try (LoopBlocker blocker = new LoopBlocker()) {
+        socket.getOutputStream().write(concatenate(setUps(1000, 1200), end(1)));
         socket.close();
         Thread.sleep(120); // longer than an attempt may begin after it
       }
-      until(() -> !at.playing().containsKey(tag(1)));
-      goesOn(3);
+      waitUntil(() -> !server.playing().containsKey(tag(1)));
+      runSession(3);
       assertEquals(
           0,
-          java.util.stream.LongStream.range(1000, 1200).filter(id -> started(id) > 0).count(),
+          java.util.stream.LongStream.range(1000, 1200)
+              .filter(id -> setUpsReceived(id) > 0)
+              .count(),
           "their viewer has gone");
     }
   }
 
   @Test
-  void sessionsHandedOverOnAConnectionThatClosesAreHeld() throws Exception {
-    try (var v = new PlatformViewers(port);
+  void sessionsHandedOverOnAClosingConnectionAreKept() throws Exception {
+    try (var client = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      plays(v, 1);
+      startSession(client, 1);
       var all = new ByteArrayOutputStream();
       for (long id = 2000; id < 2300; id++) {
-        boxes.get(0).playing().put(tag(id), new Socket());
+        servers.get(0).playing().put(tag(id), new Socket());
         all.writeBytes(PlatformViewers.setUp(id, "lesson", 0, ";at:s-00000001"));
       }
-      try (LoopBlocker gate = new LoopBlocker()) {
+      try (LoopBlocker blocker = new LoopBlocker()) {
         socket.getOutputStream().write(all.toByteArray());
         socket.close();
       }
-      goesOn(3);
+      runSession(3);
       Set<Long> released = new HashSet<>();
       for (long id = 2000; id < 2300; id++) {
-        boxes
+        servers
             .get(0)
             .noise(
                 ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(id) + "\",\"opts\":{},\"rc\":16}\n")
                     .getBytes(StandardCharsets.UTF_8));
       }
       while (released.size() < 300) {
-        Said s = v.next(5000);
-        assertNotNull(s, "released so far: " + released.size());
-        if (s.type() == OVER) {
-          released.add(s.id());
+        Said message = client.next(5000);
+        assertNotNull(message, "released so far: " + released.size());
+        if (message.type() == RELEASED) {
+          released.add(message.id());
         }
       }
     }
@@ -305,21 +314,22 @@
    */
   @ParameterizedTest
   @EnumSource(names = {"CLOSES", "RESETS"})
-  void aReleaseThatCrossesItsConnectionsCloseIsHeardOnAnother(Departure how) throws Exception {
+  void aReleaseConcurrentWithAConnectionCloseArrivesOnAnother(Departure departure)
+      throws Exception {
     try (var other = new PlatformViewers(port);
         var socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      plays(other, 1);
+      startSession(other, 1);
       socket.getOutputStream().write(setUp(2));
-      assertEquals(PLAYS, readType(socket.getInputStream()));
-      PlatformBox at = boxOf(2);
-      try (LoopBlocker gate = new LoopBlocker()) {
-        at.end(tag(2), 16);
-        if (how == Departure.RESETS) {
+      assertEquals(ANSWERED, readType(socket.getInputStream()));
+      PlatformBox server = serverOf(2);
+      try (LoopBlocker blocker = new LoopBlocker()) {
+        server.end(tag(2), 16);
+        if (departure == Departure.RESETS) {
           socket.setSoLinger(true, 0);
         }
         socket.close();
       }
-      assertEquals(new Said(OVER, 2, 16, null, null), answer(other, 2));
+      assertEquals(new Said(RELEASED, 2, 16, null, null), awaitReply(other, 2));
     }
   }
 
@@ -333,17 +343,17 @@
    * its place.
    */
   @Test
-  void aConnectionIsNotClosedForAnothersPlaceOverASetUpThatLiesUnread() throws Exception {
-    int places = DescriptorBudget.of(256).clients();
+  void aConnectionWithAnUnreadSetUpIsNotEvicted() throws Exception {
+    int maxConnections = DescriptorBudget.of(256).clients();
     List<Socket> sockets = new ArrayList<>();
     try {
-      for (int i = 0; i < places; i++) {
-        Socket s = new Socket(InetAddress.getLoopbackAddress(), port);
-        s.getOutputStream().write(PlatformViewers.message(52, 1, 61, new byte[] {0}));
-        assertEquals(53, readType(s.getInputStream()));
-        sockets.add(s);
+      for (int i = 0; i < maxConnections; i++) {
+        Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
+        socket.getOutputStream().write(PlatformViewers.message(52, 1, 61, new byte[] {0}));
+        assertEquals(53, readType(socket.getInputStream()));
+        sockets.add(socket);
       }
-      try (LoopBlocker gate = new LoopBlocker()) {
+      try (LoopBlocker blocker = new LoopBlocker()) {
         for (int i = 0; i < 8; i++) {
           sockets.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
@@ -354,11 +364,11 @@
       }
       for (int i = 0; i < 8; i++) {
         sockets.get(i).setSoTimeout(5000);
-        assertEquals(PLAYS, readType(sockets.get(i).getInputStream()), "connection " + i);
+        assertEquals(ANSWERED, readType(sockets.get(i).getInputStream()), "connection " + i);
       }
     } finally {
-      for (Socket s : sockets) {
-        s.close();
+      for (Socket socket : sockets) {
+        socket.close();
       }
     }
   }
@@ -368,7 +378,7 @@
    * as the test wants.
    */
   @Test
-  void ofTwoReloadsTheOneThatReadsLastHolds() throws Exception {
+  void ofTwoConcurrentReloadsTheLaterOneWins() throws Exception {
     Path pipe = dir.resolve("pipe");
     assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
     Files.delete(file);
@@ -384,65 +394,68 @@
       Thread.sleep(100);
       Files.writeString(pipe, configuration(older.port()));
       CompletableFuture.allOf(first, second).get(10, TimeUnit.SECONDS);
-      until(() -> !newer.asked.isEmpty());
-      goesOn(3);
-      older.change(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
-      newer.change(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
+      waitUntil(() -> !newer.asked.isEmpty());
+      runSession(3);
+      older.change(PlatformJournal.record(1, servers.get(0).port(), 1, 0, 0));
+      newer.change(PlatformJournal.record(2, servers.get(1).port(), 1, 1, 0));
       Thread.sleep(200);
-      long before = boxes.get(1).heard("START");
+      long before = servers.get(1).heard("START");
       for (long id = 10; id < 16; id++) {
-        goesOn(id);
+        runSession(id);
       }
-      assertEquals(before, boxes.get(1).heard("START"), "the newer one's word holds: it drains");
+      assertEquals(before, servers.get(1).heard("START"), "the newer one's word holds: it drains");
     }
   }
 
   /* ---- the last words ---- */
 
-  private static final int MUCH = 8 * 1024 * 1024;
+  private static final int LARGE_MESSAGE_BYTES = 8 * 1024 * 1024;
 
   /** What a peer reads late is waited for; what one never reads is not, beyond the bound. */
   @ParameterizedTest
   @EnumSource(names = {"LATER", "CLOSES", "AT_ONCE"})
-  void theLastWordsAreWaitedForWithinTheirBound(Departure peer) throws Exception {
+  void lastWritesAreWaitedForWithinTheirBound(Departure peer) throws Exception {
     VertxNet net = new VertxNet(Span.ofMillis(250));
-    try (var door = new ServerSocket()) {
-      door.setReceiveBufferSize(8192);
-      door.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    try (var serverSocket = new ServerSocket()) {
+      serverSocket.setReceiveBufferSize(8192);
+      serverSocket.bind(new java.net.InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       var written = new CompletableFuture<Long>();
-      var begun = new CompletableFuture<Void>();
+      var connected = new CompletableFuture<Void>();
       Span bound = peer == Departure.AT_ONCE ? Span.ofMillis(150) : Span.ofSeconds(30);
       net.onLoop(
           () ->
               net.connect(
-                  "127.0.0.1:" + door.getLocalPort(),
+                  "127.0.0.1:" + serverSocket.getLocalPort(),
                   1024,
                   new Net.Tried() {
                     @Override
                     public void up(Net.Connection connection) {
                       connection.hears(data -> {}, () -> {});
-                      connection.write(new byte[MUCH]);
-                      long at = System.nanoTime();
-                      net.written(bound, () -> written.complete(System.nanoTime() - at));
-                      begun.complete(null);
+                      connection.write(new byte[LARGE_MESSAGE_BYTES]);
+                      long writtenAtNanos = System.nanoTime();
+                      net.written(
+                          bound, () -> written.complete(System.nanoTime() - writtenAtNanos));
+                      connected.complete(null);
                     }
 
                     @Override
                     public void failed(boolean refused, String why) {
-                      begun.completeExceptionally(new IOException(why));
+                      connected.completeExceptionally(new IOException(why));
                     }
                   }));
-      try (Socket s = door.accept()) {
-        begun.get(10, TimeUnit.SECONDS);
+      try (Socket accepted = serverSocket.accept()) {
+        connected.get(10, TimeUnit.SECONDS);
         switch (peer) {
           case LATER -> {
             Thread.sleep(300);
             assertTrue(!written.isDone(), "nobody has read it");
-            assertEquals(MUCH, s.getInputStream().readNBytes(MUCH).length);
+            assertEquals(
+                LARGE_MESSAGE_BYTES,
+                accepted.getInputStream().readNBytes(LARGE_MESSAGE_BYTES).length);
           }
           case CLOSES -> {
-            s.setSoLinger(true, 0);
-            s.close();
+            accepted.setSoLinger(true, 0);
+            accepted.close();
           }
           default -> {
             // reads nothing
--- a/src/test/java/linengauge/platform/EventOrderTest.java
+++ b/src/test/java/linengauge/platform/EventOrderTest.java
@@ -33,15 +33,15 @@
     return PlatformViewers.message(12, id, 61, new byte[] {16});
   }
 
-  private static byte[] join(byte[]... parts) {
-    var all = new ByteArrayOutputStream();
-    for (byte[] p : parts) {
-      all.writeBytes(p);
+  private static byte[] concatenate(byte[]... parts) {
+    var joined = new ByteArrayOutputStream();
+    for (byte[] part : parts) {
+      joined.writeBytes(part);
     }
-    return all.toByteArray();
+    return joined.toByteArray();
   }
 
-  private static byte[] many(int from, int to) {
+  private static byte[] setUps(int from, int to) {
     var all = new ByteArrayOutputStream();
     for (int id = from; id < to; id++) {
       all.writeBytes(setUp(id));
@@ -53,39 +53,43 @@
     return String.format("%016x", id);
   }
 
-  private static String finish(long id, int cause) {
+  private static String finishLine(long id, int cause) {
     return "{\"verb\":\"FINISH\",\"tag\":\"" + tag(id) + "\",\"opts\":{},\"rc\":" + cause + "}";
   }
 
-  private static byte[] handOver(long id, String at) {
-    return PlatformViewers.setUp(id, "lesson", 0, ";at:s-0000000" + (at.endsWith(":3") ? 1 : 2));
+  private static byte[] handOver(long id, String address) {
+    return PlatformViewers.setUp(
+        id, "lesson", 0, ";at:s-0000000" + (address.endsWith(":3") ? 1 : 2));
   }
 
-  private static int count(FakeNet net, String what) {
-    return (int) net.actions.stream().filter(what::equals).count();
+  private static int countActions(FakeNet net, String action) {
+    return (int) net.actions.stream().filter(action::equals).count();
   }
 
   /** A viewing that plays, on a viewers' connection of its own; returns that. */
-  private static FakeConnection plays(FakeNet net, long id) {
+  private static FakeConnection startSession(FakeNet net, long id) {
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(id));
     net.runDeferred();
-    String at =
-        net.actions.stream().filter(d -> d.startsWith("set-up")).reduce((a, b) -> b).orElseThrow();
-    net.answerSetUp(at.substring("set-up ".length()), id);
+    String address =
+        net.actions.stream()
+            .filter(action -> action.startsWith("set-up"))
+            .reduce((a, b) -> b)
+            .orElseThrow();
+    net.answerSetUp(address.substring("set-up ".length()), id);
     assertTrue(viewers.messageTypes.contains(9));
     return viewers;
   }
 
-  private static String box(FakeNet net) {
+  private static String addressOfLastSetUp(FakeNet net) {
     return net.actions.stream()
-        .filter(d -> d.startsWith("set-up"))
+        .filter(action -> action.startsWith("set-up"))
         .reduce((a, b) -> b)
         .orElseThrow()
         .substring("set-up ".length());
   }
 
-  private static void noneSent(FakeNet net, long id) {
+  private static void assertNotSent(FakeNet net, long id) {
     net.advance(Span.ofMillis(700));
     assertFalse(net.setUpIds.contains(id), "begun though its viewer has left: " + net.actions);
   }
@@ -94,17 +98,17 @@
    * A front that could send as soon as it has read: nothing is asked of the one box before, and a
    * connection is up.
    */
-  private static FakeNet quick() throws Exception {
+  private static FakeNet frontWithOneServer() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
-    plays(net, 6);
-    net.removeServer(box(net).endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    startSession(net, 6);
+    net.removeServer(addressOfLastSetUp(net).endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     net.setUpIds.clear();
     return net;
   }
 
   @Test
-  void aSetUpThatNothingCrossesIsSent() throws Exception {
-    FakeNet net = quick();
+  void anUndisturbedSetUpIsSent() throws Exception {
+    FakeNet net = frontWithOneServer();
     net.acceptClient().deliver(setUp(7));
     net.runDeferred();
     assertEquals(List.of(7L), net.setUpIds);
@@ -113,44 +117,44 @@
   /* ---- a viewer's departure and the begin of its set-up ---- */
 
   @Test
-  void aSetUpAndItsEndInOnePieceIsSentToNobody() throws Exception {
-    FakeNet net = quick();
-    net.acceptClient().deliver(join(setUp(7), end(7)));
-    noneSent(net, 7);
+  void aSetUpWithItsEndInOneChunkIsNotSent() throws Exception {
+    FakeNet net = frontWithOneServer();
+    net.acceptClient().deliver(concatenate(setUp(7), end(7)));
+    assertNotSent(net, 7);
   }
 
   @Test
-  void aSetUpAndItsEndReadInOneTurnIsSentToNobody() throws Exception {
-    FakeNet net = quick();
+  void aSetUpWithItsEndInOneTurnIsNotSent() throws Exception {
+    FakeNet net = frontWithOneServer();
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(7));
     viewers.deliver(end(7));
-    noneSent(net, 7);
+    assertNotSent(net, 7);
   }
 
   @Test
-  void aSetUpWhoseConnectionClosesInTheSameTurnIsSentToNobody() throws Exception {
-    FakeNet net = quick();
+  void aSetUpWhoseConnectionClosesInTheSameTurnIsNotSent() throws Exception {
+    FakeNet net = frontWithOneServer();
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(7));
     viewers.closeByPeer();
-    noneSent(net, 7);
+    assertNotSent(net, 7);
   }
 
   @Test
-  void aSetUpEndedOnAnotherConnectionInTheSameTurnIsSentToNobody() throws Exception {
-    FakeNet net = quick();
+  void aSetUpEndedOnAnotherConnectionInTheSameTurnIsNotSent() throws Exception {
+    FakeNet net = frontWithOneServer();
     net.acceptClient().deliver(setUp(7));
     net.acceptClient().deliver(end(7));
-    noneSent(net, 7);
+    assertNotSent(net, 7);
   }
 
   @Test
-  void anEndBehindAHundredSetUpsIsHeardBeforeTheyAreBegun() throws Exception {
+  void anEndBehindAHundredSetUpsIsProcessedBeforeTheyStart() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    net.acceptClient().deliver(join(many(100, 200), end(199)));
-    noneSent(net, 199);
+    net.acceptClient().deliver(concatenate(setUps(100, 200), end(199)));
+    assertNotSent(net, 199);
     assertTrue(net.setUpIds.contains(100L));
   }
 
@@ -159,26 +163,26 @@
    * taken apart.
    */
   @Test
-  void anEndThatIsTakenApartTurnsLaterIsHeardBeforeItsSetUpIsBegun() throws Exception {
+  void anEndDecodedTurnsLaterIsProcessedBeforeItsSetUpStarts() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    net.acceptClient().deliver(join(many(100, 350), end(100)));
-    noneSent(net, 100);
+    net.acceptClient().deliver(concatenate(setUps(100, 350), end(100)));
+    assertNotSent(net, 100);
     assertTrue(net.setUpIds.contains(101L));
   }
 
   @Test
-  void whoSendsTooMuchIsTurnedAwayAtOnceAndStillSeenToLeave() throws Exception {
+  void excessSetUpsAreRejectedAtOnceAndTheCloseIsStillNoticed() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    FakeConnection rude = net.acceptClient();
-    rude.deliver(many(1000, 1500));
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(setUps(1000, 1500));
     net.advance(Span.ofMillis(50));
-    assertFalse(rude.paused, "its end would not be seen");
+    assertFalse(sender.paused, "its end would not be seen");
     assertTrue(
-        rude.messageTypes.size() > 50,
-        "what is over the bound is turned away at once: " + rude.messageTypes.size());
-    rude.closeByPeer();
+        sender.messageTypes.size() > 50,
+        "what is over the bound is turned away at once: " + sender.messageTypes.size());
+    sender.closeByPeer();
     int sent = net.setUpIds.size();
     net.advance(Span.ofSeconds(3));
     assertEquals(sent, net.setUpIds.size(), "what waited has left with it");
@@ -186,31 +190,31 @@
 
   /** The box refuses, the loop stood still meanwhile, and the viewer's end lies in the kernel. */
   @Test
-  void aRetryAfterAStandStillWaitsUntilTheLoopHasRead() throws Exception {
+  void aRetryAfterAStallWaitsUntilTheLoopHasRead() throws Exception {
     FakeNet net = FakeNet.front();
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(7));
     net.runDeferred();
-    String at = box(net);
+    String address = addressOfLastSetUp(net);
     net.setUpIds.clear();
     net.stall(Span.ofMillis(400));
-    net.latestConnection(at).deliver(finish(7, 34));
+    net.latestConnection(address).deliver(finishLine(7, 34));
     net.runDeferred();
     assertEquals(List.of(), net.setUpIds, "its viewer may have left in the meantime");
     viewers.deliver(end(7));
-    noneSent(net, 7);
+    assertNotSent(net, 7);
   }
 
   @Test
-  void aRetryAfterAStandStillLeavesOnceTheLoopHasRead() throws Exception {
+  void aRetryAfterAStallIsSentOnceTheLoopHasRead() throws Exception {
     FakeNet net = FakeNet.front();
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(7));
     net.runDeferred();
-    String at = box(net);
+    String address = addressOfLastSetUp(net);
     net.setUpIds.clear();
     net.stall(Span.ofMillis(400));
-    net.latestConnection(at).deliver(finish(7, 34));
+    net.latestConnection(address).deliver(finishLine(7, 34));
     net.advance(Span.ofMillis(10));
     assertEquals(List.of(7L), net.setUpIds, "some turns, not some beats");
   }
@@ -220,7 +224,7 @@
    * came next waited again.
    */
   @Test
-  void whatWaitsForTheReadingRunsInSharesOfATurn() throws Exception {
+  void tasksThatWaitForReadsRunInSlicesOfATurn() throws Exception {
     FakeNet net = FakeNet.front();
     net.advance(Span.ofMillis(500));
     net.stall(Span.ofMillis(400));
@@ -255,7 +259,7 @@
   }
 
   @Test
-  void aDialThatComesUpInTheTurnInWhichItsViewerLeavesSendsNothing() throws Exception {
+  void aConnectionThatComesUpAsItsClientLeavesSendsNothing() throws Exception {
     for (boolean endFirst : new boolean[] {true, false}) {
       FakeNet net = FakeNet.front();
       net.connectsHang = true;
@@ -269,18 +273,18 @@
         net.completeConnects();
         viewers.deliver(end(7));
       }
-      noneSent(net, 7);
+      assertNotSent(net, 7);
       assertEquals(
           0,
-          net.actions.stream().filter(d -> d.startsWith("end")).count(),
+          net.actions.stream().filter(action -> action.startsWith("end")).count(),
           "what never left is not said to be over");
     }
   }
 
   /** Chosen, and put off until the turn's reading is over; its viewer leaves in between. */
   @Test
-  void anEndBetweenChoiceAndSendingLeavesNothingToSayToTheBox() throws Exception {
-    FakeNet net = quick();
+  void anEndBetweenSelectionAndSendingSendsNothing() throws Exception {
+    FakeNet net = frontWithOneServer();
     FakeConnection viewers = net.acceptClient();
     net.actions.clear();
     viewers.deliver(setUp(7));
@@ -289,7 +293,9 @@
     net.advance(Span.ofMillis(300));
     assertEquals(
         List.of(),
-        net.actions.stream().filter(d -> d.startsWith("set-up") || d.startsWith("end")).toList());
+        net.actions.stream()
+            .filter(action -> action.startsWith("set-up") || action.startsWith("end"))
+            .toList());
   }
 
   /**
@@ -297,7 +303,7 @@
    * there twice.
    */
   @Test
-  void aSetUpThatCrossesItsConnectionsComingUpLeavesOnce() throws Exception {
+  void aSetUpMadeAsItsConnectionComesUpIsSentOnce() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
     net.removeServer("127.0.0.1:4");
     net.connectsHang = true;
@@ -314,37 +320,38 @@
   /* ---- words that came before a close ---- */
 
   @Test
-  void anEndReadBeforeItsConnectionClosedIsHeardThoughMuchStandsBeforeIt() throws Exception {
+  void anEndReadBeforeItsConnectionClosedIsProcessedDespiteABacklog() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    plays(net, 7);
-    String at = box(net);
+    startSession(net, 7);
+    String address = addressOfLastSetUp(net);
     net.actions.clear();
     FakeConnection other = net.acceptClient();
-    other.deliver(join(many(100, 350), end(7))); // more than is taken apart in a turn
+    other.deliver(concatenate(setUps(100, 350), end(7))); // more than is taken apart in a turn
     other.closeByPeer();
     net.advance(Span.ofMillis(100));
-    assertEquals(1, count(net, "end " + at), "its box would play on for nobody: " + net.actions);
+    assertEquals(
+        1, countActions(net, "end " + address), "its box would play on for nobody: " + net.actions);
   }
 
   @Test
-  void aSessionHandedOverBeforeItsConnectionClosedIsHeld() throws Exception {
+  void aSessionHandedOverBeforeItsConnectionClosedIsKept() throws Exception {
     for (boolean ended : new boolean[] {false, true}) {
       FakeNet net = FakeNet.front();
       net.clockStep = Span.ofMillis(1);
-      FakeConnection by = net.acceptClient();
+      FakeConnection client = net.acceptClient();
       var all = new ByteArrayOutputStream();
       for (long id = 300; id < 340; id++) {
         all.writeBytes(handOver(id, "127.0.0.1:3"));
       }
-      by.deliver(ended ? join(all.toByteArray(), end(339)) : all.toByteArray());
-      by.closeByPeer();
+      client.deliver(ended ? concatenate(all.toByteArray(), end(339)) : all.toByteArray());
+      client.closeByPeer();
       net.advance(Span.ofMillis(1500));
       if (ended) {
-        assertEquals(1, count(net, "end 127.0.0.1:3"), "its box is told");
+        assertEquals(1, countActions(net, "end 127.0.0.1:3"), "its box is told");
       }
-      FakeConnection other = plays(net, 7);
-      net.latestConnection("127.0.0.1:3").deliver(finish(339, 16));
+      FakeConnection other = startSession(net, 7);
+      net.latestConnection("127.0.0.1:3").deliver(finishLine(339, 16));
       net.advance(Span.ofMillis(100));
       assertEquals(
           !ended, other.releasedIds.contains(339L), "ended by its viewer before: " + ended);
@@ -354,38 +361,39 @@
   /* ---- releases and closes ---- */
 
   @Test
-  void aReleaseThatCrossesTheCloseOfItsConnectionIsToldOnAnother() throws Exception {
-    for (boolean heard : new boolean[] {false, true}) {
+  void aReleaseConcurrentWithAConnectionCloseIsSentOnAnother() throws Exception {
+    for (boolean acknowledged : new boolean[] {false, true}) {
       FakeNet net = FakeNet.front();
-      FakeConnection home = plays(net, 7);
-      String at = box(net);
-      FakeConnection other = plays(net, 8);
-      net.latestConnection(at).deliver(finish(7, 16));
+      FakeConnection client = startSession(net, 7);
+      String address = addressOfLastSetUp(net);
+      FakeConnection other = startSession(net, 8);
+      net.latestConnection(address).deliver(finishLine(7, 16));
       net.runDeferred();
-      assertEquals(List.of(7L), home.releasedIds);
-      if (heard) {
-        home.deliver(PlatformViewers.message(16, 7));
+      assertEquals(List.of(7L), client.releasedIds);
+      if (acknowledged) {
+        client.deliver(PlatformViewers.message(16, 7));
       }
-      home.closeByPeer();
+      client.closeByPeer();
       net.advance(Span.ofMillis(10));
-      assertEquals(heard ? List.of() : List.of(7L), other.releasedIds, "heard: " + heard);
+      assertEquals(
+          acknowledged ? List.of() : List.of(7L), other.releasedIds, "heard: " + acknowledged);
     }
   }
 
   @Test
-  void aReleaseThatFindsItsConnectionFullIsToldOnTheNextOne() throws Exception {
+  void aReleaseWhoseConnectionIsFullIsSentOnTheNextOne() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection home = plays(net, 7);
-    String at = box(net);
-    home.full = true;
-    net.latestConnection(at).deliver(finish(7, 16));
+    FakeConnection client = startSession(net, 7);
+    String address = addressOfLastSetUp(net);
+    client.full = true;
+    net.latestConnection(address).deliver(finishLine(7, 16));
     net.advance(Span.ofMillis(10));
-    assertTrue(home.closed && home.releasedIds.isEmpty());
+    assertTrue(client.closed && client.releasedIds.isEmpty());
     FakeConnection full = net.acceptClient();
     full.full = true;
     full.deliver(handOver(50, "127.0.0.1:3"));
     net.advance(Span.ofMillis(10));
-    FakeConnection next = plays(net, 8);
+    FakeConnection next = startSession(net, 8);
     assertEquals(
         List.of(7L),
         next.releasedIds,
@@ -397,17 +405,17 @@
    * next connection, and none is thrown out of the queue.
    */
   @Test
-  void asManyReleasesAsSessionsCanStandWaitForTheNextConnection() throws Exception {
+  void releasesOfTheMaximumOfSessionsWaitForTheNextConnection() throws Exception {
     FakeNet net = FakeNet.front();
     for (long first = 1000; first < 9000; first += 500) {
-      FakeConnection by = net.acceptClient();
+      FakeConnection client = net.acceptClient();
       var all = new ByteArrayOutputStream();
       for (long id = first; id < first + 500; id++) {
         all.writeBytes(handOver(id, "127.0.0.1:3"));
       }
-      by.deliver(all.toByteArray());
+      client.deliver(all.toByteArray());
       net.advance(Span.ofMillis(50));
-      by.closeByPeer();
+      client.closeByPeer();
     }
     assertEquals(8000, net.front.figures().viewings());
     net.removeServer("127.0.0.1:3");
@@ -422,44 +430,50 @@
   /* ---- idle closes and set-ups ---- */
 
   @Test
-  void aConnectionThatSeemsToRestIsNotClosedOverASetUpThatLiesUnread() throws Exception {
+  void aConnectionThatSeemsIdleIsNotClosedWhileItsSetUpIsUnread() throws Exception {
     FakeNet net = FakeNet.front();
-    List<FakeConnection> lines = new ArrayList<>();
-    int places = linengauge.platform.connection.DescriptorBudget.of(256).clients();
-    for (int i = 0; i < places; i++) {
-      FakeConnection l = net.acceptClient();
-      l.deliver(TEST);
-      lines.add(l);
+    List<FakeConnection> connections = new ArrayList<>();
+    int maxConnections = linengauge.platform.connection.DescriptorBudget.of(256).clients();
+    for (int i = 0; i < maxConnections; i++) {
+      FakeConnection connection = net.acceptClient();
+      connection.deliver(TEST);
+      connections.add(connection);
     }
     net.advance(Span.ofMillis(100));
     net.stall(Span.ofMillis(400));
-    lines.add(net.acceptClient());
+    connections.add(net.acceptClient());
     net.runDeferred();
     assertEquals(
         0,
-        lines.stream().filter(l -> l.closed).count(),
+        connections.stream().filter(connection -> connection.closed).count(),
         "what they have sent meanwhile is not read yet");
-    FakeConnection oldest = lines.get(0);
+    FakeConnection oldest = connections.get(0);
     oldest.deliver(setUp(7));
     net.advance(Span.ofMillis(100));
     assertFalse(oldest.closed, "it asks");
     assertTrue(net.setUpIds.contains(7L));
-    assertEquals(1, lines.stream().filter(l -> l.closed).count(), "one that rests made the place");
-    assertFalse(lines.get(places).closed, "and not the one that has just come");
+    assertEquals(
+        1,
+        connections.stream().filter(connection -> connection.closed).count(),
+        "one that rests made the place");
+    assertFalse(connections.get(maxConnections).closed, "and not the one that has just come");
   }
 
   @Test
-  void aFloodOfConnectionsWhileTheLoopIsBehindStaysWithinItsDescriptors() throws Exception {
+  void aBurstOfConnectionsWhileTheLoopIsBehindStaysWithinItsDescriptors() throws Exception {
     FakeNet net = FakeNet.front();
     net.stall(Span.ofMillis(400));
-    List<FakeConnection> lines = new ArrayList<>();
+    List<FakeConnection> connections = new ArrayList<>();
     for (int i = 0; i < 600; i++) {
-      lines.add(net.acceptClient());
+      connections.add(net.acceptClient());
     }
-    int places = linengauge.platform.connection.DescriptorBudget.of(256).clients();
-    assertTrue(lines.stream().filter(l -> !l.closed).count() <= places + 16);
+    int maxConnections = linengauge.platform.connection.DescriptorBudget.of(256).clients();
+    assertTrue(
+        connections.stream().filter(connection -> !connection.closed).count()
+            <= maxConnections + 16);
     net.advance(Span.ofMillis(100));
-    assertEquals(places, lines.stream().filter(l -> !l.closed).count());
+    assertEquals(
+        maxConnections, connections.stream().filter(connection -> !connection.closed).count());
   }
 
   /* ---- one id, two attempts ---- */
@@ -468,15 +482,15 @@
    * A front that knows one box; viewing 7 was not answered there and is tried again once the box
    * has confirmed the end of the first attempt.
    */
-  private static FakeNet triedAgain() throws Exception {
+  private static FakeNet frontAfterRetry() throws Exception {
     FakeNet net = FakeNet.front();
     net.advance(Span.ofSeconds(3)); // young fronts send nothing to a box that may have started anew
-    String at = net.sendFirstSetUp();
-    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     net.serversAnswerTests = false;
     FakeConnection first =
         net.serverConnections.stream()
-            .filter(l -> l.setUpIds.contains(7L))
+            .filter(connection -> connection.setUpIds.contains(7L))
             .findFirst()
             .orElseThrow();
     for (int i = 0; i < 100 && first.endedIds.isEmpty(); i++) {
@@ -492,40 +506,44 @@
     return net;
   }
 
-  private static List<FakeConnection> to(FakeNet net, String at) {
+  private static List<FakeConnection> usedConnections(FakeNet net, String address) {
     return net.serverConnections.stream()
-        .filter(l -> l.address.equals(at) && l.messageTypes.size() > 0)
+        .filter(
+            connection -> connection.address.equals(address) && connection.messageTypes.size() > 0)
         .toList();
   }
 
   @Test
-  void whatIsLateForTheFirstAttemptIsNotTakenForTheSeconds() throws Exception {
+  void aLateReplyToTheFirstAttemptIsNotTakenForTheSecond() throws Exception {
     for (String late :
         List.of(
-            finish(7, 34),
-            finish(7, 47),
-            finish(7, 102),
+            finishLine(7, 34),
+            finishLine(7, 47),
+            finishLine(7, 102),
             "{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"first\"}")) {
-      FakeNet net = triedAgain();
+      FakeNet net = frontAfterRetry();
       List<FakeConnection> used =
-          net.serverConnections.stream().filter(l -> l.setUpIds.contains(7L)).toList();
+          net.serverConnections.stream()
+              .filter(connection -> connection.setUpIds.contains(7L))
+              .toList();
       assertEquals(2, used.size(), "each attempt has a connection of its own");
       used.get(0).deliver(late);
       net.advance(Span.ofMillis(60));
       assertEquals(
           0,
-          net.actions.stream().filter(d -> d.startsWith("set-up")).count(),
+          net.actions.stream().filter(action -> action.startsWith("set-up")).count(),
           "two would be out: " + late);
       used.get(1)
           .deliver(
               "{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"second\"}");
       net.runDeferred();
-      used.get(0).deliver(finish(7, 47));
+      used.get(0).deliver(finishLine(7, 47));
       net.runDeferred();
       assertFalse(
-          net.serverConnections.stream().anyMatch(l -> l.releasedIds.contains(7L)),
+          net.serverConnections.stream()
+              .anyMatch(connection -> connection.releasedIds.contains(7L)),
           "it plays on: " + late);
-      used.get(1).deliver(finish(7, 16));
+      used.get(1).deliver(finishLine(7, 16));
       net.runDeferred();
       assertTrue(net.clientConnections.get(0).releasedIds.contains(7L), "its own end is heard");
     }
@@ -536,27 +554,34 @@
    * rather than one that is doubted.
    */
   @Test
-  void whereEveryConnectionIsSpentNoAttemptIsMade() throws Exception {
+  void noAttemptIsMadeWhereEveryConnectionHasCarriedItsId() throws Exception {
     FakeNet net =
         FakeNet.front(
             text ->
                 text.replace("\"maxAttempts\":3", "\"maxAttempts\":9")
                     .replace("\"probing\":true", "\"probing\":false"));
     net.advance(Span.ofSeconds(3));
-    String at = net.sendFirstSetUp();
-    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     for (int i = 0; i < 12; i++) {
       net.serverConnections.stream()
-          .filter(l -> l.address.equals(at) && !l.closed && l.setUpIds.contains(7L))
+          .filter(
+              connection ->
+                  connection.address.equals(address)
+                      && !connection.closed
+                      && connection.setUpIds.contains(7L))
           .reduce((a, b) -> b)
           .orElseThrow()
-          .deliver(finish(7, 34));
+          .deliver(finishLine(7, 34));
       net.advance(Span.ofMillis(5));
     }
     List<FakeConnection> used =
-        net.serverConnections.stream().filter(l -> l.address.equals(at)).toList();
+        net.serverConnections.stream()
+            .filter(connection -> connection.address.equals(address))
+            .toList();
     assertEquals(4, used.size());
-    used.forEach(l -> assertEquals(List.of(7L), l.setUpIds, "one attempt a connection"));
+    used.forEach(
+        connection -> assertEquals(List.of(7L), connection.setUpIds, "one attempt a connection"));
     net.advance(Span.ofSeconds(2));
     assertEquals(
         List.of(7L), net.clientConnections.get(0).releasedIds, "refused once, as it never ran");
@@ -568,12 +593,12 @@
    * set-up is entrusted to that connection.
    */
   @Test
-  void aSetUpOnAWayThatIsCutIsFollowedByItsEndAndByNoOther() throws Exception {
+  void aSetUpOnACutPathIsFollowedByItsEndAndNoOther() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
     net.advance(Span.ofSeconds(3));
-    String at = net.sendFirstSetUp();
-    net.removeServer(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    FakeConnection cut = net.latestConnection(at);
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    FakeConnection cut = net.latestConnection(address);
     net.advance(Span.ofMillis(1500)); // longer than the wait; nothing comes
     net.acceptClient().deliver(setUp(8));
     net.advance(Span.ofMillis(1500));
@@ -590,25 +615,25 @@
    * and never a spoilt one.
    */
   @Test
-  void anAnswerCutAtAnyByteIsPassedOnWholeOrNotAtAll() throws Exception {
+  void anAnswerCutAtAnyByteIsForwardedWholeOrNotAtAll() throws Exception {
     byte[] line =
         ("{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"made for it\"}\n")
             .getBytes(StandardCharsets.UTF_8);
     for (int cut = 0; cut <= line.length; cut++) {
       for (boolean closes : new boolean[] {true, false}) {
-        FakeNet net = quick();
+        FakeNet net = frontWithOneServer();
         FakeConnection viewers = net.acceptClient();
         viewers.deliver(setUp(7));
         net.runDeferred();
-        FakeConnection first = net.latestConnection(box(net));
+        FakeConnection first = net.latestConnection(addressOfLastSetUp(net));
         first.deliver(Arrays.copyOf(line, cut));
         if (closes) {
           first.closeByPeer();
         }
         net.advance(Span.ofMillis(100));
-        for (FakeConnection l : net.serverConnections) {
-          if (l != first && !l.closed && l.setUpIds.contains(7L)) {
-            l.deliver(line);
+        for (FakeConnection connection : net.serverConnections) {
+          if (connection != first && !connection.closed && connection.setUpIds.contains(7L)) {
+            connection.deliver(line);
           }
         }
         net.advance(Span.ofSeconds(3));
@@ -630,31 +655,31 @@
    * session's end.
    */
   @Test
-  void aSecondCopyOfWhatEndedAnAttemptProvesNothingOfTheNext() throws Exception {
-    FakeNet net = quick();
+  void aDuplicateReplyProvesNothingAboutTheNextAttempt() throws Exception {
+    FakeNet net = frontWithOneServer();
     FakeConnection viewers = net.acceptClient();
     viewers.deliver(setUp(7));
     net.runDeferred();
     FakeConnection first =
         net.serverConnections.stream()
-            .filter(l -> l.setUpIds.contains(7L))
+            .filter(connection -> connection.setUpIds.contains(7L))
             .findFirst()
             .orElseThrow();
-    first.deliver(finish(7, 34));
+    first.deliver(finishLine(7, 34));
     net.advance(Span.ofMillis(300));
     FakeConnection second =
         net.serverConnections.stream()
-            .filter(l -> l != first && l.setUpIds.contains(7L))
+            .filter(connection -> connection != first && connection.setUpIds.contains(7L))
             .findFirst()
             .orElseThrow();
     net.setUpIds.clear();
-    first.deliver(finish(7, 34));
+    first.deliver(finishLine(7, 34));
     net.advance(Span.ofMillis(50));
     assertEquals(List.of(), net.setUpIds, "the next attempt is out still");
     second.deliver("{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"b\"}");
     net.runDeferred();
     assertEquals(List.of(9), viewers.messageTypes);
-    first.deliver(finish(7, 34));
+    first.deliver(finishLine(7, 34));
     second.deliver("{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"b\"}");
     net.advance(Span.ofMillis(50));
     assertEquals(List.of(9), viewers.messageTypes, "it plays on");
@@ -663,98 +688,103 @@
   /* ---- the list watch ---- */
 
   private static byte[] frame(long number, byte[]... records) {
-    ByteBuffer f =
+    ByteBuffer buffer =
         ByteBuffer.allocate(13 + 27 * records.length)
             .putInt(9 + 27 * records.length)
             .putLong(number)
             .put((byte) (records.length == 0 ? 0 : 2));
-    for (byte[] r : records) {
-      f.put(r);
+    for (byte[] record : records) {
+      buffer.put(record);
     }
-    return f.array();
+    return buffer.array();
   }
 
-  private static long watches(FakeNet net) {
-    return net.serverConnections.stream().filter(l -> l.address.equals("127.0.0.1:2")).count();
+  private static long discoveryConnectionCount(FakeNet net) {
+    return net.serverConnections.stream()
+        .filter(connection -> connection.address.equals("127.0.0.1:2"))
+        .count();
   }
 
-  private static FakeConnection watch(FakeNet net) {
+  private static FakeConnection discoveryConnection(FakeNet net) {
     return net.serverConnections.stream()
-        .filter(l -> l.address.equals("127.0.0.1:2"))
+        .filter(connection -> connection.address.equals("127.0.0.1:2"))
         .reduce((a, b) -> b)
         .orElseThrow();
   }
 
   @Test
-  void aWatchThatDripsIsTakenForSilent() throws Exception {
+  void aDiscoveryStreamWithoutWholeFramesIsTreatedAsSilent() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection watch = watch(net);
+    FakeConnection watch = discoveryConnection(net);
     byte[] event = frame(2, PlatformJournal.record(1, 3, 1, 0, 0));
-    for (byte b : event) {
+    for (byte next : event) {
       net.advance(Span.ofMillis(300));
       if (!watch.closed) {
-        watch.deliver(new byte[] {b});
+        watch.deliver(new byte[] {next});
       }
     }
-    assertTrue(watch.closed && watches(net) > 1, "no whole frame has come for 12 s");
+    assertTrue(
+        watch.closed && discoveryConnectionCount(net) > 1, "no whole frame has come for 12 s");
   }
 
   @Test
-  void aWatchThatTellsItsSignOfLifeStays() throws Exception {
+  void aDiscoveryStreamWithHeartbeatsStaysOpen() throws Exception {
     FakeNet net = FakeNet.front();
     for (int i = 0; i < 20; i++) {
       net.advance(Span.ofMillis(1000));
-      watch(net).deliver(frame(1));
+      discoveryConnection(net).deliver(frame(1));
     }
-    assertEquals(1, watches(net));
+    assertEquals(1, discoveryConnectionCount(net));
   }
 
   @Test
-  void aServiceThatSkipsAnEventEachTimeIsAskedWithPauses() throws Exception {
+  void aServiceThatKeepsSkippingEventsIsRetriedWithBackoff() throws Exception {
     FakeNet net = FakeNet.front();
     for (int i = 0; i < 100; i++) {
-      FakeConnection watch = watch(net);
+      FakeConnection watch = discoveryConnection(net);
       if (!watch.closed && watch.messageTypes.size() > 0) {
         watch.deliver(frame(1));
         watch.deliver(frame(9, PlatformJournal.record(1, 3, 1, 0, 0)));
       }
       net.advance(Span.ofMillis(20));
     }
-    assertTrue(watches(net) > 3 && watches(net) < 12, watches(net) + " calls in 2 s");
+    assertTrue(
+        discoveryConnectionCount(net) > 3 && discoveryConnectionCount(net) < 12,
+        discoveryConnectionCount(net) + " calls in 2 s");
   }
 
   @Test
-  void frontsThatLoseTheServiceAtOneMomentComeBackApart() throws Exception {
-    List<List<Moment>> dials = new ArrayList<>();
+  void frontsThatLoseTheServiceTogetherReconnectAtDifferentTimes() throws Exception {
+    List<List<Moment>> connectTimes = new ArrayList<>();
     for (String seed : List.of("8c1f30d27a5be964", "0000000000000001")) {
       FakeNet net = FakeNet.front(text -> text.replace("8c1f30d27a5be964", seed));
-      watch(net).closeByPeer();
+      discoveryConnection(net).closeByPeer();
       net.refusing.add("127.0.0.1:2");
       net.advance(Span.ofSeconds(4));
-      dials.add(net.connectTimes("127.0.0.1:2"));
+      connectTimes.add(net.connectTimes("127.0.0.1:2"));
     }
-    int n = Math.min(dials.get(0).size(), dials.get(1).size());
-    assertTrue(n >= 5);
-    for (int i = 1; i < n; i++) {
-      assertNotEquals(dials.get(0).get(i), dials.get(1).get(i), "call " + i);
+    int compared = Math.min(connectTimes.get(0).size(), connectTimes.get(1).size());
+    assertTrue(compared >= 5);
+    for (int i = 1; i < compared; i++) {
+      assertNotEquals(connectTimes.get(0).get(i), connectTimes.get(1).get(i), "call " + i);
     }
   }
 
   /** After a stand-still of its own the front has not read what the service said meanwhile. */
   @Test
-  void aFrontThatStoodStillDoesNotTakeTheServiceForSilent() throws Exception {
+  void aStalledFrontDoesNotTreatTheServiceAsSilent() throws Exception {
     FakeNet net = FakeNet.front();
     net.advance(Span.ofMillis(1000));
     net.stall(Span.ofMillis(3000));
     net.advance(Span.ofMillis(1)); // timers that are due run before the loop reads
-    watch(net).deliver(frame(1));
+    discoveryConnection(net).deliver(frame(1));
     net.advance(Span.ofMillis(500));
-    assertEquals(1, watches(net));
+    assertEquals(1, discoveryConnectionCount(net));
   }
 
   /* ---- the end of the process ---- */
 
-  private static String patience(String text, long ms) {
+  private static String withDeadline(String text, long ms) {
     return text.replace("\"deadlineUs\":400000", "\"deadlineUs\":" + ms * 1000);
   }
 
@@ -764,10 +794,10 @@
    * before has its one answer by then.
    */
   @Test
-  void whateverComesUntilItMayBeKilledIsAnsweredBeforeWhateverThePatience() throws Exception {
+  void requestsBeforeTheKillAreAnsweredWhateverTheDeadline() throws Exception {
     for (long ms : new long[] {100, 250, 500, 1030, 3000}) {
-      FakeNet net = FakeNet.front(text -> patience(text, ms));
-      Moment told = net.now();
+      FakeNet net = FakeNet.front(text -> withDeadline(text, ms));
+      Moment stoppedAt = net.now();
       net.front.stop();
       net.front.stop();
       List<FakeConnection> viewers = new ArrayList<>();
@@ -777,22 +807,22 @@
         v.deliver(PlatformViewers.setUp(id, "lesson", ms, "")); // no box answers
         viewers.add(v);
       }
-      net.advance(told.plus(Span.ofMillis(ms + 700)).since(net.now()));
+      net.advance(stoppedAt.plus(Span.ofMillis(ms + 700)).since(net.now()));
       viewers.forEach(v -> assertEquals(1, v.releasedIds.size(), ms + " ms"));
     }
   }
 
   @Test
-  void theEndInOrderWaitsForItsLastWordsWithinABound() throws Exception {
+  void anOrderlyShutdownWaitsForItsLastWritesWithinABound() throws Exception {
     for (long ms : new long[] {100, 1030, 3000, 20_000}) {
       for (boolean reads : new boolean[] {true, false}) {
-        FakeNet net = FakeNet.front(text -> patience(text, ms));
+        FakeNet net = FakeNet.front(text -> withDeadline(text, ms));
         net.peersRead = reads;
-        plays(net, 7);
-        Moment told = net.now();
+        startSession(net, 7);
+        Moment stoppedAt = net.now();
         net.front.stop();
         net.advance(Span.ofSeconds(6));
-        long after = net.endedAt.since(told).micros() / 1000;
+        long after = net.endedAt.since(stoppedAt).micros() / 1000;
         long end = Math.max(750, Math.min(ms, 3000)) + 500;
         assertTrue(
             after >= end + 60 && after < end + (reads ? 100 : 200),
@@ -807,26 +837,26 @@
    * session that is told to nobody would be left standing, and a set-up never answered.
    */
   @Test
-  void toldToStopAmidHundredsHandedOverEachIsToldItsEnd() throws Exception {
+  void aStopDuringHundredsOfHandOversReleasesEachSession() throws Exception {
     for (long stepMicros : new long[] {1, 100, 1000}) {
       FakeNet net = FakeNet.front();
       net.clockStep = new Span(stepMicros);
-      FakeConnection by = net.acceptClient();
+      FakeConnection client = net.acceptClient();
       var all = new ByteArrayOutputStream();
       for (long id = 300; id < 1500; id++) {
         all.writeBytes(handOver(id, "127.0.0.1:3"));
       }
-      all.writeBytes(many(1500, 1600));
-      by.deliver(all.toByteArray());
+      all.writeBytes(setUps(1500, 1600));
+      client.deliver(all.toByteArray());
       net.front.stop();
       while (net.endedAt == null) {
         net.runNextTimer();
       }
       for (long id = 300; id < 1600; id++) {
-        long told = id;
+        long stoppedAt = id;
         assertEquals(
             1,
-            by.releasedIds.stream().filter(r -> r == told).count(),
+            client.releasedIds.stream().filter(releasedId -> releasedId == stoppedAt).count(),
             "session " + id + ", a look at the time taking " + stepMicros + " us");
       }
     }
@@ -835,9 +865,9 @@
   /* ---- margins and settings ---- */
 
   @Test
-  void aClassThatWaitsNoLongerThanTheMarginsOfOthersIsServed() throws Exception {
+  void aClassWithAVeryShortDeadlineIsServed() throws Exception {
     for (long ms : new long[] {20, 60, 150, 1000}) {
-      FakeNet net = FakeNet.front(text -> patience(text, ms));
+      FakeNet net = FakeNet.front(text -> withDeadline(text, ms));
       net.acceptClient().deliver(PlatformViewers.setUp(7, "lesson", ms, ""));
       net.runDeferred();
       assertEquals(List.of(7L), net.setUpIds, ms + " ms");
@@ -845,7 +875,7 @@
   }
 
   @Test
-  void whereNoAdviceIsAllowedNoneIsGiven() throws Exception {
+  void retryAfterIsSentOnlyWhereAllowed() throws Exception {
     for (boolean allowed : new boolean[] {true, false}) {
       FakeNet net =
           FakeNet.front(text -> text.replace("\"retryAfter\":true", "\"retryAfter\":" + allowed));
--- a/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
@@ -32,7 +32,7 @@
 class RetryOrderProcessesTest {
   private static final int SERVERS = 3;
   private static final int REQUESTS = 120;
-  private static final int REQUEST_EACH_MS = 50;
+  private static final int REQUEST_INTERVAL_MS = 50;
   private static final int DEADLINE_MS = 3000;
   private static final int TEST_PASSED = 53;
   private static final int ANSWERED = 9;
@@ -54,7 +54,7 @@
         file,
         TryOut.configuration(
             port, journal.port(), servers.stream().mapToInt(FaultyServer::port).toArray()));
-    ProcessBuilder run =
+    ProcessBuilder builder =
         new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xmx64m",
@@ -63,18 +63,18 @@
             System.getProperty("java.class.path"),
             Main.class.getName(),
             "serve");
-    run.environment().put("PROXY_CONFIG", file.toString());
-    process = run.redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
+    builder.environment().put("PROXY_CONFIG", file.toString());
+    process = builder.redirectErrorStream(true).redirectOutput(dir.resolve("log").toFile()).start();
     for (int i = 0; i < 1000 && !passesTest(); i++) {
       Thread.sleep(10);
     }
   }
 
   private boolean passesTest() throws InterruptedException {
-    try (var viewers = new PlatformViewers(port)) {
-      viewers.test();
-      Said said = viewers.next(2000);
-      return said != null && said.type() == TEST_PASSED;
+    try (var client = new PlatformViewers(port)) {
+      client.test();
+      Said reply = client.next(2000);
+      return reply != null && reply.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // not listening yet
     }
@@ -90,46 +90,46 @@
   }
 
   /** Asks for sessions at an even pace, ends each that stands, and returns the answers by id. */
-  private Map<Long, Integer> ask() throws Exception {
+  private Map<Long, Integer> runRequests() throws Exception {
     Map<Long, Integer> answers = new HashMap<>();
-    try (var viewers = new PlatformViewers(port)) {
+    try (var client = new PlatformViewers(port)) {
       for (long id = 1; id <= REQUESTS; id++) {
-        viewers.send(PlatformViewers.setUp(id, "lesson", DEADLINE_MS, ""));
-        hear(viewers, answers, REQUEST_EACH_MS);
+        client.send(PlatformViewers.setUp(id, "lesson", DEADLINE_MS, ""));
+        receiveReplies(client, answers, REQUEST_INTERVAL_MS);
       }
       for (int i = 0; i < DEADLINE_MS / 100 && answers.size() < REQUESTS; i++) {
-        hear(viewers, answers, 100);
+        receiveReplies(client, answers, 100);
       }
     }
     return answers;
   }
 
-  private static void hear(PlatformViewers viewers, Map<Long, Integer> answers, long ms)
+  private static void receiveReplies(PlatformViewers client, Map<Long, Integer> answers, long ms)
       throws Exception {
     long until = System.nanoTime() + ms * 1_000_000;
     for (long left = ms; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-      Said said = viewers.next(left);
-      if (said != null && said.type() == ANSWERED) {
-        answers.put(said.id(), ANSWERED);
-        viewers.end(said.id(), 16);
-      } else if (said != null && said.type() == RELEASED) {
-        answers.putIfAbsent(said.id(), RELEASED);
+      Said reply = client.next(left);
+      if (reply != null && reply.type() == ANSWERED) {
+        answers.put(reply.id(), ANSWERED);
+        client.end(reply.id(), 16);
+      } else if (reply != null && reply.type() == RELEASED) {
+        answers.putIfAbsent(reply.id(), RELEASED);
       }
     }
   }
 
-  private void noneOvertakes(long seed, Faults faults) throws Exception {
+  private void assertNoneOvertaken(long seed, Faults faults) throws Exception {
     start(seed, faults);
-    Map<Long, Integer> answers = ask();
+    Map<Long, Integer> answers = runRequests();
     List<String> overtaken = new ArrayList<>();
     servers.forEach(server -> overtaken.addAll(server.overtaken()));
-    assertEquals(List.of(), overtaken, () -> logged(overtaken));
+    assertEquals(List.of(), overtaken, () -> logOfFirst(overtaken));
     assertEquals(REQUESTS, answers.size(), "each request is answered");
     assertTrue(answers.containsValue(ANSWERED), "some are served");
   }
 
   /** What the front's own log says of the first of them. */
-  private String logged(List<String> overtaken) {
+  private String logOfFirst(List<String> overtaken) {
     String request = overtaken.get(0).split(" ")[1];
     try {
       return Files.readAllLines(dir.resolve("log")).stream()
@@ -144,13 +144,13 @@
   @ParameterizedTest
   @ValueSource(longs = {2, 3})
   void aRetryNeverReachesAServerBeforeTheEndOfTheAttemptBeforeIt(long seed) throws Exception {
-    noneOvertakes(seed, new Faults(200, 0.5, 0, 0, 0, 200, 450, false, 0));
+    assertNoneOvertaken(seed, new Faults(200, 0.5, 0, 0, 0, 200, 450, false, 0));
   }
 
   /** Guards against a retry that reaches a server before the close that ended the one before it. */
   @ParameterizedTest
   @ValueSource(longs = {11, 12})
   void aRetryNeverReachesAServerBeforeTheCloseOfTheConnectionBeforeIt(long seed) throws Exception {
-    noneOvertakes(seed, new Faults(200, 0.2, 0.4, 0.1, 0.1, 50, 350, false, 0));
+    assertNoneOvertaken(seed, new Faults(200, 0.2, 0.4, 0.1, 0.1, 50, 350, false, 0));
   }
 }
--- a/src/test/java/linengauge/platform/ServeProcessesTest.java
+++ b/src/test/java/linengauge/platform/ServeProcessesTest.java
@@ -29,8 +29,8 @@
  */
 @Timeout(120)
 class ServeProcessesTest {
-  private static final int PLAYS = 9;
-  private static final int OVER = 12;
+  private static final int ANSWERED = 9;
+  private static final int RELEASED = 12;
 
   private final class Front {
     private final int port;
@@ -42,18 +42,18 @@
       port = PlatformTryOut.freePort();
       file = dir.resolve("front-" + number + ".json");
       classes = dir.resolve("classes-" + number + ".log");
-      post(journal);
+      writeConfiguration(journal);
     }
 
-    private void post(PlatformJournal from) throws Exception {
+    private void writeConfiguration(PlatformJournal source) throws Exception {
       Files.writeString(
           file,
           TryOut.configuration(
-              port, from.port(), boxes.stream().mapToInt(PlatformBox::port).toArray()));
+              port, source.port(), servers.stream().mapToInt(PlatformBox::port).toArray()));
     }
 
     private void start() throws Exception {
-      ProcessBuilder run =
+      ProcessBuilder builder =
           new ProcessBuilder(
               Path.of(System.getProperty("java.home"), "bin", "java").toString(),
               "-Xmx64m",
@@ -63,17 +63,20 @@
               System.getProperty("java.class.path"),
               Main.class.getName(),
               "serve");
-      run.environment().put("PROXY_CONFIG", file.toString());
+      builder.environment().put("PROXY_CONFIG", file.toString());
       process =
-          run.redirectErrorStream(true).redirectOutput(dir.resolve("log-" + port).toFile()).start();
-      until(this::answersATest);
+          builder
+              .redirectErrorStream(true)
+              .redirectOutput(dir.resolve("log-" + port).toFile())
+              .start();
+      waitUntil(this::passesTest);
     }
 
-    private boolean answersATest() {
-      try (var v = new PlatformViewers(port)) {
-        v.test();
-        Said s = v.next(2000);
-        return s != null && s.type() == 53;
+    private boolean passesTest() {
+      try (var client = new PlatformViewers(port)) {
+        client.test();
+        Said reply = client.next(2000);
+        return reply != null && reply.type() == 53;
       } catch (Exception e) {
         return false;
       }
@@ -87,36 +90,36 @@
   }
 
   @TempDir private Path dir;
-  private final List<PlatformBox> boxes = new ArrayList<>();
+  private final List<PlatformBox> servers = new ArrayList<>();
   private final List<Front> fronts = new ArrayList<>();
   private PlatformJournal journal;
 
   @BeforeEach
   void start() throws Exception {
     for (int i = 0; i < 3; i++) {
-      boxes.add(new PlatformBox());
+      servers.add(new PlatformBox());
     }
     journal = new PlatformJournal(1);
     for (int i = 0; i < 3; i++) {
       fronts.add(new Front(i));
     }
-    for (Front f : fronts) {
-      f.start();
+    for (Front front : fronts) {
+      front.start();
     }
   }
 
   @AfterEach
   void stop() throws Exception {
-    for (Front f : fronts) {
-      f.process.destroyForcibly().waitFor();
+    for (Front front : fronts) {
+      front.process.destroyForcibly().waitFor();
     }
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox server : servers) {
+      server.close();
     }
     journal.close();
   }
 
-  private static void until(BooleanSupplier done) throws InterruptedException {
+  private static void waitUntil(BooleanSupplier done) throws InterruptedException {
     for (int i = 0; i < 2000 && !done.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
@@ -127,116 +130,125 @@
     return String.format("%016x", id);
   }
 
-  private boolean playsAnywhere(long id) {
-    return boxes.stream().anyMatch(b -> b.playing().containsKey(tag(id)));
+  private boolean isPlayingAnywhere(long id) {
+    return servers.stream().anyMatch(server -> server.playing().containsKey(tag(id)));
   }
 
   /** What is said until so many ids have been spoken of. */
-  private static Map<Long, List<Said>> said(PlatformViewers v, int ids) throws Exception {
-    Map<Long, List<Said>> all = new HashMap<>();
-    while (all.size() < ids) {
-      Said s = v.next(20_000);
-      assertTrue(s != null && s != Said.CLOSED, "heard of " + all.keySet());
-      all.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(s);
+  private static Map<Long, List<Said>> receiveReplies(PlatformViewers client, int ids)
+      throws Exception {
+    Map<Long, List<Said>> replies = new HashMap<>();
+    while (replies.size() < ids) {
+      Said reply = client.next(20_000);
+      assertTrue(reply != null && reply != Said.CLOSED, "heard of " + replies.keySet());
+      replies.computeIfAbsent(reply.id(), i -> new ArrayList<>()).add(reply);
     }
-    for (Said s = v.next(300); s != null; s = v.next(1)) {
-      all.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(s);
+    for (Said reply = client.next(300); reply != null; reply = client.next(1)) {
+      replies.computeIfAbsent(reply.id(), i -> new ArrayList<>()).add(reply);
     }
-    return all;
+    return replies;
   }
 
   @Test
-  void oneIsFrozenOneKilledAndStartedAgainOneMovedAndEachKeepsItsWord() throws Exception {
+  void frozenRestartedAndReloadedFrontsReleaseEverySession() throws Exception {
     Front frozen = fronts.get(0);
     Front killed = fronts.get(1);
-    Front moved = fronts.get(2);
-    try (var a = new PlatformViewers(frozen.port);
+    Front reloaded = fronts.get(2);
+    try (var clientOfFrozen = new PlatformViewers(frozen.port);
         var next = new PlatformJournal(1)) {
       // Frozen past its viewers' patience: each is answered once, and no box is left playing for
       // nobody.
       frozen.signal("STOP");
       for (long id = 100; id < 110; id++) {
-        a.send(PlatformViewers.setUp(id, "lesson", 300, ""));
+        clientOfFrozen.send(PlatformViewers.setUp(id, "lesson", 300, ""));
       }
       Thread.sleep(700);
       // Meanwhile another is killed with viewings that play, and starts anew: they are handed to
       // it, and their ends told.
-      try (var b = new PlatformViewers(killed.port)) {
+      try (var clientOfKilled = new PlatformViewers(killed.port)) {
         for (long id = 200; id < 206; id++) {
-          b.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+          clientOfKilled.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
         }
-        said(b, 6)
-            .forEach((id, s) -> assertEquals(List.of(PLAYS), s.stream().map(Said::type).toList()));
+        receiveReplies(clientOfKilled, 6)
+            .forEach(
+                (id, replies) ->
+                    assertEquals(List.of(ANSWERED), replies.stream().map(Said::type).toList()));
       }
       killed.process.destroyForcibly().waitFor();
       frozen.signal("CONT");
-      said(a, 10)
+      receiveReplies(clientOfFrozen, 10)
           .forEach(
-              (id, s) ->
+              (id, replies) ->
                   assertEquals(
-                      List.of(OVER), s.stream().map(Said::type).toList(), "viewing " + id));
+                      List.of(RELEASED),
+                      replies.stream().map(Said::type).toList(),
+                      "viewing " + id));
       for (long id = 100; id < 110; id++) {
         long gone = id;
-        until(() -> !playsAnywhere(gone));
+        waitUntil(() -> !isPlayingAnywhere(gone));
       }
       killed.start();
-      try (var b = new PlatformViewers(killed.port)) {
+      try (var clientOfKilled = new PlatformViewers(killed.port)) {
         for (long id = 200; id < 206; id++) {
-          for (int box = 0; box < 3; box++) {
-            if (boxes.get(box).playing().containsKey(tag(id))) {
-              b.send(
+          for (int server = 0; server < 3; server++) {
+            if (servers.get(server).playing().containsKey(tag(id))) {
+              clientOfKilled.send(
                   PlatformViewers.setUp(
-                      id, "lesson", 0, ";at:" + String.format("s-%08x", box + 1)));
+                      id, "lesson", 0, ";at:" + String.format("s-%08x", server + 1)));
             }
           }
         }
-        until(
+        waitUntil(
             () ->
-                boxes.stream()
-                    .filter(x -> !x.playing().isEmpty())
-                    .allMatch(x -> x.connections() > 0));
+                servers.stream()
+                    .filter(server -> !server.playing().isEmpty())
+                    .allMatch(server -> server.connections() > 0));
         Thread.sleep(300);
-        for (PlatformBox box : boxes) {
-          for (String t : List.copyOf(box.playing().keySet())) {
-            box.noise(
-                ("{\"verb\":\"FINISH\",\"tag\":\"" + t + "\",\"opts\":{},\"rc\":16}\n").getBytes());
+        for (PlatformBox server : servers) {
+          for (String tag : List.copyOf(server.playing().keySet())) {
+            server.noise(
+                ("{\"verb\":\"FINISH\",\"tag\":\"" + tag + "\",\"opts\":{},\"rc\":16}\n")
+                    .getBytes());
           }
         }
-        said(b, 6)
+        receiveReplies(clientOfKilled, 6)
             .forEach(
-                (id, s) ->
+                (id, replies) ->
                     assertEquals(
-                        List.of(OVER), s.stream().map(Said::type).toList(), "viewing " + id));
+                        List.of(RELEASED),
+                        replies.stream().map(Said::type).toList(),
+                        "viewing " + id));
       }
       // SIGHUP moves the journal service: what the new one tells holds.
-      moved.post(next);
-      moved.signal("HUP");
-      until(() -> next.asked.contains(1L));
+      reloaded.writeConfiguration(next);
+      reloaded.signal("HUP");
+      waitUntil(() -> next.asked.contains(1L));
       next.change(
-          PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0),
-          PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
+          PlatformJournal.record(1, servers.get(0).port(), 1, 0, 0),
+          PlatformJournal.record(2, servers.get(1).port(), 1, 1, 0));
       Thread.sleep(300);
-      long before = boxes.get(0).heard("START") + boxes.get(1).heard("START");
-      try (var c = new PlatformViewers(moved.port)) {
+      long before = servers.get(0).heard("START") + servers.get(1).heard("START");
+      try (var clientOfReloaded = new PlatformViewers(reloaded.port)) {
         for (long id = 300; id < 306; id++) {
-          c.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+          clientOfReloaded.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
         }
-        said(c, 6);
+        receiveReplies(clientOfReloaded, 6);
         // SIGTERM: what still comes is answered, and the process ends in order.
-        moved.signal("TERM");
-        c.send(PlatformViewers.setUp(306, "lesson", 5000, ""));
-        assertTrue(said(c, 1).containsKey(306L));
+        reloaded.signal("TERM");
+        clientOfReloaded.send(PlatformViewers.setUp(306, "lesson", 5000, ""));
+        assertTrue(receiveReplies(clientOfReloaded, 1).containsKey(306L));
       }
-      assertEquals(before, boxes.get(0).heard("START") + boxes.get(1).heard("START"), "both drain");
-      assertEquals(0, moved.process.waitFor());
+      assertEquals(
+          before, servers.get(0).heard("START") + servers.get(1).heard("START"), "both drain");
+      assertEquals(0, reloaded.process.waitFor());
     }
   }
 
   @Test
-  void serveLoadsNoClassOfOtherParts() throws Exception {
-    try (var v = new PlatformViewers(fronts.get(0).port)) {
-      v.send(PlatformViewers.setUp(7, "lesson", 5000, ""));
-      said(v, 1);
+  void serveLoadsOnlyItsOwnPackages() throws Exception {
+    try (var client = new PlatformViewers(fronts.get(0).port)) {
+      client.send(PlatformViewers.setUp(7, "lesson", 5000, ""));
+      receiveReplies(client, 1);
     }
     var packages = new TreeSet<String>();
     for (String line : Files.readAllLines(fronts.get(0).classes)) {
--- a/src/test/java/linengauge/platform/ServiceTest.java
+++ b/src/test/java/linengauge/platform/ServiceTest.java
@@ -33,10 +33,10 @@
  */
 @Timeout(60)
 class ServiceTest {
-  private static final int PLAYS = 9;
-  private static final int OVER = 12;
+  private static final int ANSWERED = 9;
+  private static final int RELEASED = 12;
   @TempDir private Path dir;
-  private final List<PlatformBox> boxes = new ArrayList<>();
+  private final List<PlatformBox> servers = new ArrayList<>();
   private PlatformJournal journal;
   private Path file;
   private int port;
@@ -46,7 +46,7 @@
   void start() throws Exception {
     System.setProperty("vertx.disableDnsResolver", "true");
     for (int i = 0; i < 3; i++) {
-      boxes.add(new PlatformBox());
+      servers.add(new PlatformBox());
     }
     journal = new PlatformJournal(1);
     port = PlatformTryOut.freePort();
@@ -57,20 +57,20 @@
   }
 
   private int[] ports() {
-    return boxes.stream().mapToInt(PlatformBox::port).toArray();
+    return servers.stream().mapToInt(PlatformBox::port).toArray();
   }
 
   @AfterEach
   void stop() throws Exception {
     service.tellToStop();
     assertEquals("", service.await());
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox server : servers) {
+      server.close();
     }
     journal.close();
   }
 
-  private static void until(BooleanSupplier done) throws InterruptedException {
+  private static void waitUntil(BooleanSupplier done) throws InterruptedException {
     for (int i = 0; i < 1000 && !done.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
@@ -81,35 +81,38 @@
     return String.format("%016x", id);
   }
 
-  private PlatformBox boxOf(long id) {
-    return boxes.stream().filter(b -> b.playing().containsKey(tag(id))).findFirst().orElseThrow();
+  private PlatformBox serverOf(long id) {
+    return servers.stream()
+        .filter(server -> server.playing().containsKey(tag(id)))
+        .findFirst()
+        .orElseThrow();
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
-        return s;
+  private static Said awaitReply(PlatformViewers client, long id) throws InterruptedException {
+    for (Said reply = client.next(10_000); reply != null; reply = client.next(10_000)) {
+      if (reply.id() == id || reply == Said.CLOSED) {
+        return reply;
       }
     }
     return null;
   }
 
   @Test
-  void aViewingJoinsPlaysAndEndsByItsBoxOrByItsViewer() throws Exception {
-    try (var v = new PlatformViewers(port)) {
-      v.test();
-      assertEquals(53, v.next(5000).type());
-      v.send(PlatformViewers.setUp(1, "lesson", 5000, ""));
-      Said s = answer(v, 1);
-      assertEquals(PLAYS, s.type());
-      assertEquals("made for " + tag(1) + "\r\nm=audio of 1\r\n", s.description());
-      boxOf(1).end(tag(1), 16);
-      assertEquals(OVER, answer(v, 1).type());
-      v.send(PlatformViewers.setUp(2, "lesson", 5000, ""));
-      assertEquals(PLAYS, answer(v, 2).type());
-      PlatformBox at = boxOf(2);
-      v.end(2, 16);
-      until(() -> at.playing().isEmpty());
+  void aSessionStartsAndIsEndedByEitherSide() throws Exception {
+    try (var client = new PlatformViewers(port)) {
+      client.test();
+      assertEquals(53, client.next(5000).type());
+      client.send(PlatformViewers.setUp(1, "lesson", 5000, ""));
+      Said reply = awaitReply(client, 1);
+      assertEquals(ANSWERED, reply.type());
+      assertEquals("made for " + tag(1) + "\r\nm=audio of 1\r\n", reply.description());
+      serverOf(1).end(tag(1), 16);
+      assertEquals(RELEASED, awaitReply(client, 1).type());
+      client.send(PlatformViewers.setUp(2, "lesson", 5000, ""));
+      assertEquals(ANSWERED, awaitReply(client, 2).type());
+      PlatformBox server = serverOf(2);
+      client.end(2, 16);
+      waitUntil(() -> server.playing().isEmpty());
     }
   }
 
@@ -130,21 +133,21 @@
         "NO_DESCRIPTION",
         "SILENT"
       })
-  void whateverOneBoxDoesEachRequestHasOneAnswer(Mood mood) throws Exception {
-    boxes.get(0).mood = mood;
+  void eachRequestHasOneAnswerWhateverAFaultyServerDoes(Mood mood) throws Exception {
+    servers.get(0).mood = mood;
     Map<Long, Integer> answers = new HashMap<>();
     Map<Long, String> descriptions = new HashMap<>();
-    try (var v = new PlatformViewers(port)) {
+    try (var client = new PlatformViewers(port)) {
       for (long id = 1; id <= 12; id++) {
-        v.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+        client.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
       }
-      until(
+      waitUntil(
           () -> {
             try {
-              for (Said s = v.next(1); s != null; s = v.next(1)) {
-                answers.merge(s.id(), 1, Integer::sum);
-                if (s.type() == PLAYS) {
-                  descriptions.put(s.id(), s.description());
+              for (Said reply = client.next(1); reply != null; reply = client.next(1)) {
+                answers.merge(reply.id(), 1, Integer::sum);
+                if (reply.type() == ANSWERED) {
+                  descriptions.put(reply.id(), reply.description());
                 }
               }
             } catch (InterruptedException e) {
@@ -153,8 +156,8 @@
             return answers.size() == 12;
           });
       Thread.sleep(200);
-      for (Said s = v.next(1); s != null; s = v.next(1)) {
-        answers.merge(s.id(), 1, Integer::sum);
+      for (Said reply = client.next(1); reply != null; reply = client.next(1)) {
+        answers.merge(reply.id(), 1, Integer::sum);
       }
     }
     assertEquals(12, answers.values().stream().mapToInt(n -> n).sum(), answers.toString());
@@ -163,23 +166,23 @@
   }
 
   @Test
-  void theViewersOfABoxThatDiesAreToldAlsoOnAnotherConnection() throws Exception {
+  void clientsOfAFailedServerAreNotifiedOnAnotherConnection() throws Exception {
     long id = 5;
-    try (var v = new PlatformViewers(port)) {
-      v.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
-      assertEquals(PLAYS, answer(v, id).type());
+    try (var client = new PlatformViewers(port)) {
+      client.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+      assertEquals(ANSWERED, awaitReply(client, id).type());
     }
-    PlatformBox at = boxOf(id);
+    PlatformBox server = serverOf(id);
     Thread.sleep(200);
-    at.close();
+    server.close();
     try (var tester = new PlatformViewers(port);
         var other = new PlatformViewers(port)) {
       tester.test();
       assertEquals(53, tester.next(5000).type());
       other.send(PlatformViewers.setUp(99, "lesson", 5000, ""));
-      List<Said> said = new ArrayList<>(List.of(other.next(10_000), other.next(10_000)));
-      said.removeIf(s -> s.id() == 99);
-      assertEquals(List.of(new Said(OVER, id, 41, null, null)), said);
+      List<Said> replies = new ArrayList<>(List.of(other.next(10_000), other.next(10_000)));
+      replies.removeIf(reply -> reply.id() == 99);
+      assertEquals(List.of(new Said(RELEASED, id, 41, null, null)), replies);
       assertEquals(null, tester.next(100), "who only tests the front is no viewer");
     }
   }
@@ -189,123 +192,124 @@
    * itself.
    */
   @Test
-  void aConnectionThatClosesIsFollowedByANewOneWhileViewingsStandThere() throws Exception {
-    try (var v = new PlatformViewers(port)) {
+  void aClosedServerConnectionIsReplacedWhileSessionsRemain() throws Exception {
+    try (var client = new PlatformViewers(port)) {
       for (long id = 6; id < 18; id++) {
-        v.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+        client.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
       }
-      until(() -> boxes.stream().mapToInt(b -> b.playing().size()).sum() > 8);
-      PlatformBox at =
-          boxes.stream()
-              .filter(b -> b.connections() > 1 && !b.playing().isEmpty())
+      waitUntil(() -> servers.stream().mapToInt(server -> server.playing().size()).sum() > 8);
+      PlatformBox server =
+          servers.stream()
+              .filter(candidate -> candidate.connections() > 1 && !candidate.playing().isEmpty())
               .findFirst()
               .orElseThrow();
-      long before = at.connections();
-      at.playing().values().iterator().next().close();
-      until(() -> at.connections() > before);
+      long before = server.connections();
+      server.playing().values().iterator().next().close();
+      waitUntil(() -> server.connections() > before);
     }
   }
 
   @Test
-  void aViewingHandedOverIsHeldAndItsEndIsTold() throws Exception {
-    try (var v = new PlatformViewers(port)) {
-      boxes.get(1).playing().put(tag(7), new java.net.Socket());
-      v.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
-      v.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
-      v.send(PlatformViewers.setUp(8, "lesson", 5000, ";at:s-0000ffff"));
-      assertEquals(OVER, answer(v, 8).type(), "a box that nobody knows");
-      until(() -> boxes.get(1).connections() > 0);
-      boxes
+  void aSessionHandedOverIsKeptAndItsEndReported() throws Exception {
+    try (var client = new PlatformViewers(port)) {
+      servers.get(1).playing().put(tag(7), new java.net.Socket());
+      client.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
+      client.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
+      client.send(PlatformViewers.setUp(8, "lesson", 5000, ";at:s-0000ffff"));
+      assertEquals(RELEASED, awaitReply(client, 8).type(), "a box that nobody knows");
+      waitUntil(() -> servers.get(1).connections() > 0);
+      servers
           .get(1)
           .noise(
               ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"rc\":16}\n")
                   .getBytes(StandardCharsets.UTF_8));
-      assertEquals(OVER, answer(v, 7).type());
+      assertEquals(RELEASED, awaitReply(client, 7).type());
     }
   }
 
   @Test
-  void rudeConnectionsGetARefusalOrAClose() throws Exception {
-    try (var good = new PlatformViewers(port);
+  void misbehavingConnectionsAreRefusedOrClosed() throws Exception {
+    try (var wellBehaved = new PlatformViewers(port);
         var same = new PlatformViewers(port);
         var silent = new PlatformViewers(port);
         var huge = new PlatformViewers(port);
-        var half = new PlatformViewers(port)) {
+        var partial = new PlatformViewers(port)) {
       huge.send(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2, 3});
-      half.send(new byte[] {0, 40, 1, 2});
-      boxes.forEach(b -> b.mood = Mood.SILENT);
-      good.send(PlatformViewers.setUp(9, "lesson", 8000, ""));
-      until(() -> boxes.stream().anyMatch(b -> b.heard("START") > 0));
+      partial.send(new byte[] {0, 40, 1, 2});
+      servers.forEach(server -> server.mood = Mood.SILENT);
+      wellBehaved.send(PlatformViewers.setUp(9, "lesson", 8000, ""));
+      waitUntil(() -> servers.stream().anyMatch(server -> server.heard("START") > 0));
       same.send(PlatformViewers.setUp(9, "lesson", 8000, ";x:1"));
-      assertEquals(OVER, answer(same, 9).type(), "the id of another's viewing");
+      assertEquals(RELEASED, awaitReply(same, 9).type(), "the id of another's viewing");
       same.send(PlatformViewers.setUp(10, "cinema", 5000, ""));
-      assertEquals(OVER, answer(same, 10).type());
+      assertEquals(RELEASED, awaitReply(same, 10).type());
       assertEquals(Said.CLOSED, huge.next(5000));
-      assertEquals(Said.CLOSED, half.next(5000));
+      assertEquals(Said.CLOSED, partial.next(5000));
       assertEquals(Said.CLOSED, silent.next(5000));
-      boxes.forEach(b -> b.mood = Mood.WELL);
-      assertNotNull(answer(good, 9));
+      servers.forEach(server -> server.mood = Mood.WELL);
+      assertNotNull(awaitReply(wellBehaved, 9));
     }
   }
 
   @Test
-  void theJournalServiceMovesBreaksOffAndIsTakenUpWhereItWas() throws Exception {
-    until(() -> journal.asked.contains(1L));
-    journal.breakWithin(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
-    until(() -> journal.asked.size() == 2);
+  void discoveryResumesAfterABreakAndAMove() throws Exception {
+    waitUntil(() -> journal.asked.contains(1L));
+    journal.breakWithin(PlatformJournal.record(1, servers.get(0).port(), 1, 0, 0));
+    waitUntil(() -> journal.asked.size() == 2);
     assertEquals(1L, journal.asked.get(1), "an event cut off has not been told");
     try (var next = new PlatformJournal(2)) {
       Files.writeString(file, "{ half a file");
       service.postedAnew();
       Files.writeString(file, TryOut.configuration(port, next.port(), ports()));
       service.postedAnew();
-      until(() -> next.asked.contains(2L));
-      next.change(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
-      try (var v = new PlatformViewers(port)) {
+      waitUntil(() -> next.asked.contains(2L));
+      next.change(PlatformJournal.record(2, servers.get(1).port(), 1, 1, 0));
+      try (var client = new PlatformViewers(port)) {
         for (long id = 20; id < 30; id++) {
-          v.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
-          answer(v, id);
+          client.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
+          awaitReply(client, id);
         }
       }
-      assertEquals(0, boxes.get(0).heard("START") + boxes.get(1).heard("START"), "both drain");
-      assertTrue(boxes.get(2).heard("START") > 0);
+      assertEquals(0, servers.get(0).heard("START") + servers.get(1).heard("START"), "both drain");
+      assertTrue(servers.get(2).heard("START") > 0);
     }
   }
 
   @Test
-  void toldToStopItAnswersWhatItHasTakenAndWhatStillComes() throws Exception {
-    try (var v = new PlatformViewers(port)) {
-      boxes.forEach(b -> b.mood = Mood.SILENT);
-      v.send(PlatformViewers.setUp(31, "lesson", 5000, ""));
-      until(() -> boxes.stream().anyMatch(b -> b.heard("START") > 0));
-      boxes.forEach(b -> b.mood = Mood.WELL);
+  void aStoppingServiceAnswersPendingAndNewRequests() throws Exception {
+    try (var client = new PlatformViewers(port)) {
+      servers.forEach(server -> server.mood = Mood.SILENT);
+      client.send(PlatformViewers.setUp(31, "lesson", 5000, ""));
+      waitUntil(() -> servers.stream().anyMatch(server -> server.heard("START") > 0));
+      servers.forEach(server -> server.mood = Mood.WELL);
       service.tellToStop();
-      v.send(PlatformViewers.setUp(32, "lesson", 5000, ""));
-      assertNotNull(answer(v, 31));
+      client.send(PlatformViewers.setUp(32, "lesson", 5000, ""));
+      assertNotNull(awaitReply(client, 31));
       try (var late = new PlatformViewers(port)) {
         late.send(PlatformViewers.setUp(33, "lesson", 5000, ""));
-        assertTrue(answer(late, 33).type() == PLAYS);
+        assertTrue(awaitReply(late, 33).type() == ANSWERED);
       }
     }
   }
 
   @Test
-  void aPostingThatCannotBeUsedIsRefusedInOneLine() throws IOException {
-    String good = Files.readString(file);
-    for (String bad :
+  void anUnusableConfigurationIsRejectedInOneLine() throws IOException {
+    String valid = Files.readString(file);
+    for (String invalid :
         List.of(
             "",
             "[]",
-            good.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"x\""),
-            good.replace("\"state\":\"up\"", "\"state\":\"away\""),
-            good.replace("\"listen\":\"127.0.0.1", "\"listen\":\"")
+            valid.replace("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":\"x\""),
+            valid.replace("\"state\":\"up\"", "\"state\":\"away\""),
+            valid
+                .replace("\"listen\":\"127.0.0.1", "\"listen\":\"")
                 .replace("\"listen\":\":", "\"listen\":\""),
-            good.substring(0, good.length() / 2))) {
-      Files.writeString(file, bad);
-      var e =
+            valid.substring(0, valid.length() / 2))) {
+      Files.writeString(file, invalid);
+      var thrown =
           org.junit.jupiter.api.Assertions.assertThrows(
               linengauge.briefing.BadBriefing.class, () -> Configuration.read(file));
-      assertTrue(e.getMessage().lines().count() == 1, e.getMessage());
+      assertTrue(thrown.getMessage().lines().count() == 1, thrown.getMessage());
     }
   }
 }
--- a/src/test/java/linengauge/platform/SignalsAndLimitsProcessesTest.java
+++ b/src/test/java/linengauge/platform/SignalsAndLimitsProcessesTest.java
@@ -35,11 +35,11 @@
  */
 @Timeout(60)
 class SignalsAndLimitsProcessesTest {
-  private static final int PLAYS = 9;
-  private static final int OVER = 12;
+  private static final int ANSWERED = 9;
+  private static final int RELEASED = 12;
   private static final int DESCRIPTORS = 256;
   @TempDir private Path dir;
-  private final List<PlatformBox> boxes = new ArrayList<>();
+  private final List<PlatformBox> servers = new ArrayList<>();
   private PlatformJournal journal;
   private Path file;
   private Path log;
@@ -49,7 +49,7 @@
   @BeforeEach
   void start() throws Exception {
     for (int i = 0; i < 2; i++) {
-      boxes.add(new PlatformBox());
+      servers.add(new PlatformBox());
     }
     journal = new PlatformJournal(1);
     port = PlatformTryOut.freePort();
@@ -62,27 +62,27 @@
     if (process != null) {
       process.destroyForcibly().waitFor();
     }
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox server : servers) {
+      server.close();
     }
     journal.close();
   }
 
   private String configuration() {
     return TryOut.configuration(
-        port, journal.port(), boxes.stream().mapToInt(PlatformBox::port).toArray());
+        port, journal.port(), servers.stream().mapToInt(PlatformBox::port).toArray());
   }
 
   /** Its shell gives way to it, so that its id is that of the front. */
-  private void run() throws IOException {
+  private void startProcess() throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
     // As it is run it has one archive open; here it has each library's.
     long libraries =
         Arrays.stream(System.getProperty("java.class.path").split(":"))
-                .filter(p -> p.endsWith(".jar"))
+                .filter(entry -> entry.endsWith(".jar"))
                 .count()
             - 1;
-    ProcessBuilder run =
+    ProcessBuilder builder =
         new ProcessBuilder(
             "sh",
             "-c",
@@ -94,19 +94,19 @@
                 + " serve",
             java,
             System.getProperty("java.class.path"));
-    run.environment().put("PROXY_CONFIG", file.toString());
-    process = run.redirectErrorStream(true).redirectOutput(log.toFile()).start();
+    builder.environment().put("PROXY_CONFIG", file.toString());
+    process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
   }
 
-  private void serves() throws Exception {
+  private void startServing() throws Exception {
     Files.writeString(file, configuration());
-    run();
-    until(
+    startProcess();
+    waitUntil(
         () -> {
-          try (var v = new PlatformViewers(port)) {
-            v.test();
-            Said s = v.next(2000);
-            return s != null && s.type() == 53;
+          try (var client = new PlatformViewers(port)) {
+            client.test();
+            Said reply = client.next(2000);
+            return reply != null && reply.type() == 53;
           } catch (IOException | InterruptedException e) {
             return false;
           }
@@ -118,17 +118,17 @@
         0, new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor());
   }
 
-  private static void until(BooleanSupplier done) throws InterruptedException {
+  private static void waitUntil(BooleanSupplier done) throws InterruptedException {
     for (int i = 0; i < 2000 && !done.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
     assertTrue(done.getAsBoolean());
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
-        return s;
+  private static Said awaitReply(PlatformViewers client, long id) throws InterruptedException {
+    for (Said reply = client.next(10_000); reply != null; reply = client.next(10_000)) {
+      if (reply.id() == id || reply == Said.CLOSED) {
+        return reply;
       }
     }
     return null;
@@ -139,32 +139,34 @@
   }
 
   @Test
-  void toldToStopTwiceAndToReloadMeanwhileItReleasesAllThatPlaysAndEndsInOrder() throws Exception {
-    serves();
-    try (var a = new PlatformViewers(port);
-        var b = new PlatformViewers(port)) {
-      Set<Long> owed = new HashSet<>();
+  void repeatedStopAndReloadSignalsReleaseAllSessionsAndExitCleanly() throws Exception {
+    startServing();
+    try (var first = new PlatformViewers(port);
+        var second = new PlatformViewers(port)) {
+      Set<Long> unreleased = new HashSet<>();
       for (long id = 1; id <= 60; id++) {
-        PlatformViewers by = id % 2 == 0 ? a : b;
-        by.send(setUp(id));
-        if (answer(by, id).type() == PLAYS) {
-          owed.add(id);
+        PlatformViewers sender = id % 2 == 0 ? first : second;
+        sender.send(setUp(id));
+        if (awaitReply(sender, id).type() == ANSWERED) {
+          unreleased.add(id);
         }
       }
-      assertTrue(owed.size() > 40);
+      assertTrue(unreleased.size() > 40);
       signal("TERM");
       signal("HUP");
       signal("TERM");
-      a.send(setUp(100));
-      assertNotNull(answer(a, 100), "what still comes is answered");
-      for (PlatformViewers v : List.of(a, b)) {
-        for (Said s = v.next(10_000); s != null && s != Said.CLOSED; s = v.next(10_000)) {
-          if (s.type() == OVER) {
-            owed.remove(s.id());
+      first.send(setUp(100));
+      assertNotNull(awaitReply(first, 100), "what still comes is answered");
+      for (PlatformViewers client : List.of(first, second)) {
+        for (Said message = client.next(10_000);
+            message != null && message != Said.CLOSED;
+            message = client.next(10_000)) {
+          if (message.type() == RELEASED) {
+            unreleased.remove(message.id());
           }
         }
       }
-      assertEquals(Set.of(), owed, "its end was not told");
+      assertEquals(Set.of(), unreleased, "its end was not told");
     }
     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
@@ -175,9 +177,9 @@
    * not yet.
    */
   @Test
-  void toldToStopBeforeItListensItEndsInOrder() throws Exception {
+  void aStopSignalBeforeListeningExitsCleanly() throws Exception {
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
-    run();
+    startProcess();
     try (var out = Files.newOutputStream(file)) { // opens once the process reads
       signal("TERM");
       signal("HUP");
@@ -195,9 +197,9 @@
   }
 
   @Test
-  void aConfigurationThatCannotBeUsedAtTheStartIsOneLineAndAFailure() throws Exception {
+  void anUnusableConfigurationAtStartIsReportedInOneLine() throws Exception {
     Files.writeString(file, configuration().substring(0, 300));
-    run();
+    startProcess();
     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
     assertEquals(1, process.exitValue());
     assertEquals(1, Files.readAllLines(log).size(), Files.readString(log));
@@ -208,9 +210,9 @@
    * the list still find a place.
    */
   @Test
-  void idleClientsFillingTheDescriptorsKeepNeitherViewersNorTheListOut() throws Exception {
-    serves();
-    int at = journal.port();
+  void idleConnectionsFillingTheDescriptorsBlockNeitherClientsNorDiscovery() throws Exception {
+    startServing();
+    int journalPort = journal.port();
     journal.close();
     List<Socket> idle = new ArrayList<>();
     try {
@@ -221,25 +223,25 @@
         for (int i = 0; i < 10; i++) {
           idle.add(new Socket(InetAddress.getLoopbackAddress(), port));
         }
-        try (var v = new PlatformViewers(port)) {
-          v.send(setUp(id));
-          Said s = answer(v, id);
-          assertTrue(s != null && s.type() == PLAYS, "viewing " + id + ": " + s);
+        try (var client = new PlatformViewers(port)) {
+          client.send(setUp(id));
+          Said s = awaitReply(client, id);
+          assertTrue(s != null && s.type() == ANSWERED, "viewing " + id + ": " + s);
         }
       }
-      journal = new PlatformJournal(1, at);
-      until(() -> !journal.asked.isEmpty());
-      journal.change(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
-      try (var v = new PlatformViewers(port)) {
-        until(
+      journal = new PlatformJournal(1, journalPort);
+      waitUntil(() -> !journal.asked.isEmpty());
+      journal.change(PlatformJournal.record(1, servers.get(0).port(), 1, 0, 0));
+      try (var client = new PlatformViewers(port)) {
+        waitUntil(
             () -> {
               try {
-                long before = boxes.get(0).heard("START");
+                long before = servers.get(0).heard("START");
                 for (long id = 1000 + 10 * before; id < 1010 + 10 * before; id++) {
-                  v.send(setUp(id));
-                  answer(v, id);
+                  client.send(setUp(id));
+                  awaitReply(client, id);
                 }
-                return boxes.get(0).heard("START") == before;
+                return servers.get(0).heard("START") == before;
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
