--- a/src/main/java/linengauge/net/EventWriter.java
+++ b/src/main/java/linengauge/net/EventWriter.java
@@ -8,18 +8,18 @@
 import org.slf4j.Logger;
 
 /**
- * Writes events to a log on a thread of its own, so that whoever has them neither formats nor
- * writes. Bounded in what waits and in lines a second; what passes either bound is dropped and
- * counted, and the count is written.
+ * Writes events to a log on a dedicated thread, so that the producing thread neither formats nor
+ * performs I/O. The queue and the number of lines per second are bounded; events beyond either
+ * bound are dropped, counted, and reported in a line of their own.
  *
- * @param <E> the events, immutable
+ * @param <E> the type of the events, which must be immutable
  */
 public final class EventWriter<E> {
   private static final int MAX_QUEUED_EVENTS = 4096;
   private static final int MAX_LINES_PER_SECOND = 100;
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** Events are collected for so long, so that a busy front wakes the thread seldom. */
+  /** Pause between two batches, so that a busy front rarely wakes the writer thread. */
   private static final long BATCH_INTERVAL_MS = 50;
 
   private final Logger log;
@@ -34,21 +34,21 @@
     this.format = format;
   }
 
-  /** Begins to write. */
+  /** Starts the writer thread. */
   public void start() {
     Thread thread = new Thread(this::run, "event-writer");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** From any thread; never waits. */
+  /** Queues the event; may be called from any thread and never blocks. */
   public void accept(E event) {
     if (!queue.offer(event)) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Writes what waits, before the process ends. */
+  /** Writes all queued events; called before the process ends. */
   public synchronized void flush() {
     for (E event = queue.poll(); event != null; event = queue.poll()) {
       write(event);
@@ -90,9 +90,9 @@
   }
 
   private void logDroppedCount() {
-    long lost = isBelowLineRate() ? dropped.getAndSet(0) : 0;
-    if (lost > 0) {
-      log.warn("event=events-dropped count={}", lost);
+    long droppedCount = isBelowLineRate() ? dropped.getAndSet(0) : 0;
+    if (droppedCount > 0) {
+      log.warn("event=events-dropped count={}", droppedCount);
     }
   }
 }
--- a/src/main/java/linengauge/net/RateLimitedLog.java
+++ b/src/main/java/linengauge/net/RateLimitedLog.java
@@ -6,9 +6,9 @@
 import org.slf4j.Logger;
 
 /**
- * Log lines about things that may come by the thousand: of each kind one a second at most, with the
- * number of those left out. Kinds are named in the code, so the table is bounded by it. Used on one
- * loop only.
+ * Limits log lines about events that may occur thousands of times: at most one line per kind and
+ * second, with the number of lines that were suppressed since the last one. Kinds are constants in
+ * the code, which bounds the table. Not thread-safe: each instance is used on one event loop.
  */
 public final class RateLimitedLog {
   private static final long MIN_INTERVAL_MICROS = 1_000_000;
@@ -25,20 +25,21 @@
     this.log = log;
   }
 
+  /** Logs a warning of the given kind, unless one was logged within the last second. */
   public void warn(String kind, String about, Object detail) {
-    KindState k = kinds.computeIfAbsent(kind, n -> new KindState());
+    KindState state = kinds.computeIfAbsent(kind, key -> new KindState());
     long now = WallClock.micros();
-    if (now - k.lastLoggedAt < MIN_INTERVAL_MICROS) {
-      k.suppressed++;
+    if (now - state.lastLoggedAt < MIN_INTERVAL_MICROS) {
+      state.suppressed++;
       return;
     }
-    k.lastLoggedAt = now;
+    state.lastLoggedAt = now;
     log.warn(
         "{} {}",
         kind,
         StructuredArguments.kv("about", about),
         StructuredArguments.kv("detail", detail),
-        StructuredArguments.kv("leftOut", k.suppressed));
-    k.suppressed = 0;
+        StructuredArguments.kv("leftOut", state.suppressed));
+    state.suppressed = 0;
   }
 }
--- a/src/main/java/linengauge/net/WallClock.java
+++ b/src/main/java/linengauge/net/WallClock.java
@@ -3,9 +3,9 @@
 import linengauge.Moment;
 
 /**
- * The front's clock: microseconds since 1970, anchored once and then steady. Fronts take turns at
- * cold boxes by it, so machines of one site keep their clocks within some tens of milliseconds of
- * each other.
+ * The front's clock: microseconds since the Unix epoch, anchored to the system clock once and
+ * monotonic from then on. Fronts take turns at cold boxes by this clock, so the machines of one
+ * site must keep their clocks within some tens of milliseconds of each other.
  */
 public final class WallClock {
   private static final long OFFSET_MICROS =
--- a/src/main/java/linengauge/platform/codec/ClientMessageCodec.java
+++ b/src/main/java/linengauge/platform/codec/ClientMessageCodec.java
@@ -7,15 +7,16 @@
 import java.util.Map;
 
 /**
- * Viewers' binary messages (docs/protocol/platform.md, "Viewers"). One reader a connection: it is
- * fed what comes, in pieces of any size, and calls {@link Heard}. It stores what came last and the
- * beginning of one message, and none whose length passes the bound.
+ * Encodes and decodes the binary messages exchanged with clients (docs/protocol/platform.md,
+ * "Viewers"). Each connection has a decoder of its own, which accepts chunks of any size and calls
+ * {@link Handler}. It buffers the latest chunk and the beginning of one message, and rejects
+ * messages longer than {@link #MAX_MESSAGE_BYTES}.
  */
 public final class ClientMessageCodec {
-  /** Bytes of a whole message at the most. */
+  /** Maximum length of a whole message in bytes. */
   public static final int MAX_MESSAGE_BYTES = 16 * 1024;
 
-  /** Type and id. */
+  /** Length of the message type and the id in bytes. */
   private static final int HEADER_BYTES = 9;
 
   private static final int SET_UP = 1;
@@ -32,7 +33,10 @@
   private static final int CAUSE = 61;
   private static final int DESCRIPTION = 63;
 
-  /** What one connection says; `unfit`: a message that can be read and cannot be used. */
+  /**
+   * Receives the decoded messages of one connection. An unusable message is well-formed but its
+   * content cannot be used.
+   */
   public interface Handler {
     void onSetUp(long id, SetUpRequest request);
 
@@ -46,8 +50,8 @@
   private final Handler handler;
 
   /**
-   * What has come and has not been read: from `at` on. Whoever feeds bounds it: no more comes while
-   * messages wait here.
+   * Bytes received and not decoded yet, from {@link #position} on. The caller bounds them: it
+   * appends nothing while whole messages wait here.
    */
   private byte[] received = new byte[0];
 
@@ -57,17 +61,17 @@
     this.handler = handler;
   }
 
-  /** A message has begun and not ended. */
+  /** Returns whether a message has begun and not ended. */
   public boolean hasPartialMessage() {
     return position < received.length;
   }
 
-  /** Bytes that have come and have not been read. */
+  /** Returns the number of bytes received and not decoded yet. */
   public int unreadBytes() {
     return received.length - position;
   }
 
-  /** Keeps what has come, to be read by {@link #poll}. */
+  /** Appends received bytes, to be decoded by {@link #decodeNext}. */
   public void append(byte[] data) {
     if (position == received.length) {
       received = data;
@@ -79,7 +83,7 @@
     position = 0;
   }
 
-  /** One whole message as it came, not looked into beyond its type and id. */
+  /** A complete message as received, of which only type and id have been decoded. */
   public static final class Message {
     private final int type;
     private final long id;
@@ -108,12 +112,12 @@
       return type == SET_UP;
     }
 
-    /** The release of a session was heard. */
+    /** Returns whether the client acknowledges the release of a session. */
     public boolean isReleaseAcknowledgement() {
       return type == RELEASE_ACKNOWLEDGED;
     }
 
-    /** A set-up of what plays already: its figures name a server. */
+    /** Returns whether this sets up a session that already runs: its figures name a server. */
     public boolean isHandOver() {
       ByteBuffer parameters = ByteBuffer.wrap(bytes, start + HEADER_BYTES, length - HEADER_BYTES);
       while (type == SET_UP && parameters.remaining() >= 3) {
@@ -132,15 +136,17 @@
       return false;
     }
 
-    /** The same, apart from what came with it. */
+    /** Returns a copy that does not share the receive buffer. */
     public Message copy() {
       return new Message(Arrays.copyOfRange(bytes, start, start + length), 0, length);
     }
   }
 
   /**
-   * The next message that has come whole, or null. Throws where bytes cannot be messages: the
-   * connection is of no further use.
+   * Returns the next complete message, or null if there is none.
+   *
+   * @throws MalformedMessageException if the bytes cannot be a message; the connection cannot be
+   *     used any more
    */
   public Message nextMessage() throws MalformedMessageException {
     if (received.length - position < 2) {
@@ -148,7 +154,7 @@
     }
     int length = (received[position] & 0xff) << 8 | received[position + 1] & 0xff;
     if (length < HEADER_BYTES || length + 2 > MAX_MESSAGE_BYTES) {
-      throw new MalformedMessageException("a message of " + length + " bytes");
+      throw new MalformedMessageException("invalid message length of " + length + " bytes");
     }
     if (received.length - position < 2 + length) {
       return null;
@@ -162,12 +168,12 @@
     return message;
   }
 
-  /** Looks into a message and tells what it says. */
+  /** Decodes the message and passes it to the handler. */
   public void decode(Message message) throws MalformedMessageException {
     decodeBody(ByteBuffer.wrap(message.bytes, message.start, message.length));
   }
 
-  /** Reads one message; false where none has come whole. */
+  /** Decodes one message; returns false if none is complete. */
   public boolean decodeNext() throws MalformedMessageException {
     Message message = nextMessage();
     if (message != null) {
@@ -176,7 +182,7 @@
     return message != null;
   }
 
-  /** Takes it and reads on; returns how many messages ended. */
+  /** Appends the bytes, decodes all complete messages, and returns how many there were. */
   public int feed(byte[] data) throws MalformedMessageException {
     append(data);
     int completed = 0;
@@ -192,17 +198,17 @@
     Map<Integer, byte[]> parameters = new HashMap<>();
     while (message.hasRemaining()) {
       if (message.remaining() < 3) {
-        throw new MalformedMessageException("a parameter cut off");
+        throw new MalformedMessageException("truncated parameter");
       }
       int code = message.get() & 0xff;
       int length = message.getShort() & 0xffff;
       if (length > message.remaining()) {
-        throw new MalformedMessageException("a parameter longer than its message");
+        throw new MalformedMessageException("parameter exceeds its message");
       }
       byte[] value = new byte[length];
       message.get(value);
       if (parameters.put(code, value) != null) {
-        handler.onUnusable(id, "a parameter twice");
+        handler.onUnusable(id, "duplicate parameter");
         return;
       }
     }
@@ -214,7 +220,7 @@
       }
       case TEST -> handler.onTest(id);
       default -> {
-        // progress, releases heard and notes want nothing
+        // Progress, acknowledged releases and notes require no action.
       }
     }
   }
@@ -232,18 +238,18 @@
         int colon = figure.indexOf(':');
         if (colon <= 0
             || figuresByName.put(figure.substring(0, colon), figure.substring(colon + 1)) != null) {
-          handler.onUnusable(id, "figures that cannot be read");
+          handler.onUnusable(id, "malformed figures");
           return;
         }
       }
     }
     if (id == 0 || packageName == null || title == null || figures == null) {
-      handler.onUnusable(id, "a set-up without id, package, title or figures");
+      handler.onUnusable(id, "set-up without id, package, title or figures");
       return;
     }
     String serverName = figuresByName.get("at");
     if (serverName == null && (description == null || TextFormat.parseWholeNumber(timeLeft) < 0)) {
-      handler.onUnusable(id, "a set-up without description or time");
+      handler.onUnusable(id, "set-up without description or time left");
       return;
     }
     handler.onSetUp(
@@ -259,7 +265,9 @@
             description));
   }
 
-  /** -1 where it is not given, -2 where it is no number. */
+  /**
+   * Returns {@link SetUpRequest#ABSENT} or {@link SetUpRequest#INVALID} where there is no number.
+   */
   private static long parseFigure(Map<String, String> figuresByName, String name) {
     String text = figuresByName.get(name);
     return text == null
@@ -269,14 +277,14 @@
             : TextFormat.parseWholeNumber(text);
   }
 
-  /* ---- what fronts write ---- */
+  /* ---- messages to clients ---- */
 
-  /** The viewing plays; the description is what its box gave. */
+  /** The session is established; the description is the one that its server returned. */
   public static byte[] encodeStarted(long id, byte[] description) {
     return encode(ANSWER, id, DESCRIPTION, description);
   }
 
-  /** A further try is harmless, best after so many ms (0: no advice). */
+  /** A retry is harmless, and best made after this many milliseconds; 0 gives no advice. */
   public static byte[] encodeRejected(long id, long retryAfterMs) {
     return retryAfterMs <= 0
         ? encodeEnd(id, 34)
@@ -293,12 +301,12 @@
     return encodeEnd(id, 47);
   }
 
-  /** A set-up that cannot be used: trying it again is no use. */
+  /** The set-up cannot be used, so that a retry is pointless. */
   public static byte[] encodeUnusable(long id) {
     return encodeEnd(id, 95);
   }
 
-  /** What played is over: it has come to its end, or has been cut. */
+  /** An established session is over: it has ended by itself, or has been cut. */
   public static byte[] encodeOver(long id, boolean cut) {
     return encodeEnd(id, cut ? 41 : 16);
   }
@@ -311,7 +319,7 @@
     return encode(TEST_ANSWER, id, CAUSE, new byte[] {1});
   }
 
-  /** Whether a description fits a message of its own. */
+  /** Returns whether the description fits into a single message. */
   public static boolean fitsInMessage(byte[] description) {
     return description.length <= MAX_MESSAGE_BYTES - 2 - HEADER_BYTES - 3;
   }
--- a/src/main/java/linengauge/platform/codec/JournalFrameCodec.java
+++ b/src/main/java/linengauge/platform/codec/JournalFrameCodec.java
@@ -9,15 +9,18 @@
 import linengauge.session.BoxTable.Row;
 
 /**
- * Frames of the journal service (docs/protocol/platform.md, "The journal service"): events of the
- * box list, numbered. One reader a connection; an event that has not come whole is not told.
+ * Encodes and decodes the frames of the journal service (docs/protocol/platform.md, "The journal
+ * service"), which carry the numbered events of the server list. Each connection has a decoder of
+ * its own. Only complete events are delivered.
  */
 public final class JournalFrameCodec {
   private static final int RECORD_BYTES = 27;
   private static final int HEADER_BYTES = 9;
   private static final int MAX_FRAME_BYTES = HEADER_BYTES + RECORD_BYTES * 8192;
 
-  /** What the connection tells; nothing new is a sign of life alone. */
+  /**
+   * Receives the events of one connection. Frames that only serve as heartbeat are not delivered.
+   */
   public interface Handler {
     void onEvent(long number, boolean whole, List<Row> rows);
   }
@@ -29,12 +32,16 @@
     this.handler = handler;
   }
 
-  /** The number of the last event held: what a front writes first. */
+  /** Encodes the number of the last event received, which is the first thing a front sends. */
   public static byte[] encodeResumePosition(long lastEvent) {
     return ByteBuffer.allocate(8).putLong(lastEvent).array();
   }
 
-  /** Reads on; returns how many frames ended. Throws at a frame that cannot be one. */
+  /**
+   * Decodes the next bytes of the connection and returns how many frames were completed.
+   *
+   * @throws MalformedMessageException at the first frame that is malformed
+   */
   public int feed(byte[] data) throws MalformedMessageException {
     int completed = 0;
     byte[] received = data;
@@ -46,7 +53,7 @@
     while (received.length - position >= 4) {
       int length = ByteBuffer.wrap(received, position, 4).getInt();
       if (length < HEADER_BYTES || length > MAX_FRAME_BYTES) {
-        throw new MalformedMessageException("a frame of " + length + " bytes");
+        throw new MalformedMessageException("invalid frame length of " + length + " bytes");
       }
       if (received.length - position < 4 + length) {
         break;
@@ -67,7 +74,7 @@
     }
     if (kind != 1 && kind != 2 || frame.remaining() % RECORD_BYTES != 0 || number <= 0) {
       throw new MalformedMessageException(
-          "a frame of kind " + kind + " with " + frame.remaining() + " bytes");
+          "invalid frame of kind " + kind + " with " + frame.remaining() + " bytes");
     }
     List<Row> rows = new ArrayList<>();
     while (frame.hasRemaining()) {
@@ -95,7 +102,7 @@
     double weight = frame.getInt() / 1000.0;
     long started = frame.getLong();
     if (state < 0 || state > 2) {
-      throw new MalformedMessageException("a box in state " + state);
+      throw new MalformedMessageException("invalid server state " + state);
     }
     return new Row(
         id,
@@ -108,7 +115,7 @@
         bootTime(started));
   }
 
-  /** From Unix milliseconds; 0: long ago. */
+  /** Converts Unix milliseconds; 0 means that the server started long ago. */
   public static Moment bootTime(long unixMs) {
     return unixMs <= 0 ? Moment.DISTANT_PAST : new Moment(unixMs * 1000);
   }
--- a/src/main/java/linengauge/platform/codec/MalformedMessageException.java
+++ b/src/main/java/linengauge/platform/codec/MalformedMessageException.java
@@ -1,6 +1,9 @@
 package linengauge.platform.codec;
 
-/** Bytes that cannot be read; what comes after them on the same connection cannot be trusted. */
+/**
+ * Thrown for bytes that cannot be decoded. Whatever follows them on the same connection cannot be
+ * trusted, so the connection must be closed.
+ */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/linengauge/platform/codec/ServerLineCodec.java
+++ b/src/main/java/linengauge/platform/codec/ServerLineCodec.java
@@ -14,23 +14,24 @@
 import linengauge.Outside.Ending;
 
 /**
- * Media boxes' lines of JSON (docs/protocol/platform.md, "Boxes"). One reader a connection; a line
- * is stored up to the bound and no further, and one that cannot be read spoils the connection.
+ * Encodes and decodes the lines of JSON exchanged with servers (docs/protocol/platform.md,
+ * "Boxes"). Each connection has a decoder of its own. At most {@link #MAX_LINE_BYTES} of a line are
+ * buffered; after a malformed line the connection cannot be used any more.
  */
 public final class ServerLineCodec {
-  /** Bytes of a line at the most, its line feed included. */
+  /** Maximum length of a line in bytes, including its line feed. */
   public static final int MAX_LINE_BYTES = 16 * 1024;
 
   private static final int CAUSE_NORMAL_RELEASE = 16;
   private static final JsonFactory JSON = new JsonFactory();
 
-  /** What one connection says. */
+  /** Receives the decoded lines of one connection. */
   public interface Handler {
     void onStarted(long id, byte[] description);
 
     void onEnded(long id, int cause, Load load);
 
-    /** The end that was written for that id has been read. */
+    /** The server has read the end that was written for this id. */
     void onEndConfirmed(long id);
 
     void onTestAnswered(long id, boolean passed, Load load);
@@ -39,11 +40,11 @@
 
     void onRungApplied(long id, int rung);
 
-    /** What is asked of link and uplink over what they give; NaN for what is not told. */
+    /** The load of link and uplink relative to their capacity; NaN where it is not reported. */
     void onLoadsReported(long id, double link, double uplink);
   }
 
-  /** What a box reports of itself; NaN for what it does not tell. */
+  /** The load that a server reports of itself; NaN for figures that it does not report. */
   public record Load(double linkAsked, double uplinkAsked, double streams) {}
 
   private final Handler handler;
@@ -54,14 +55,15 @@
     this.handler = handler;
   }
 
-  /** A line has begun and not ended. */
+  /** Returns whether a line has begun and not ended. */
   public boolean hasPartialLine() {
     return partialLength > 0;
   }
 
   /**
-   * Reads on; returns how many lines ended. Throws at the first one that cannot be read or passes
-   * the bound.
+   * Decodes the next bytes of the connection and returns how many lines were completed.
+   *
+   * @throws MalformedMessageException at the first line that is malformed or too long
    */
   public int feed(byte[] data) throws MalformedMessageException {
     int lineStart = 0;
@@ -71,7 +73,7 @@
         continue;
       }
       if (partialLength + i - lineStart >= MAX_LINE_BYTES) {
-        throw new MalformedMessageException("a line over the bound");
+        throw new MalformedMessageException("line exceeds the maximum length");
       }
       byte[] line = Arrays.copyOf(partialLine, partialLength + i - lineStart);
       System.arraycopy(data, lineStart, line, partialLength, i - lineStart);
@@ -83,7 +85,7 @@
     }
     int remaining = data.length - lineStart;
     if (partialLength + remaining >= MAX_LINE_BYTES) {
-      throw new MalformedMessageException("a line over the bound");
+      throw new MalformedMessageException("line exceeds the maximum length");
     }
     if (remaining > 0) {
       partialLine = Arrays.copyOf(partialLine, partialLength + remaining);
@@ -101,7 +103,7 @@
     Map<String, String> fields = new HashMap<>();
     try (JsonParser parser = JSON.createParser(line)) {
       if (parser.nextToken() != JsonToken.START_OBJECT) {
-        throw new MalformedMessageException("a line that is no object");
+        throw new MalformedMessageException("line is not a JSON object");
       }
       while (parser.nextToken() == JsonToken.FIELD_NAME) {
         String name = parser.currentName();
@@ -116,32 +118,33 @@
         }
       }
       if (parser.currentToken() != JsonToken.END_OBJECT || parser.nextToken() != null) {
-        throw new MalformedMessageException("more than one object in a line");
+        throw new MalformedMessageException("line contains more than one JSON object");
       }
     } catch (IOException e) {
-      throw new MalformedMessageException("a line that is no JSON");
+      throw new MalformedMessageException("line is not valid JSON");
     }
     if (verb == null || tag == null || tag.length() != 16 || !TextFormat.isHex(tag, 0)) {
-      throw new MalformedMessageException("a line without type or id");
+      throw new MalformedMessageException("line without a verb or a valid tag");
     }
     long id = Long.parseUnsignedLong(tag, 16);
     switch (verb) {
       case "STARTED" -> {
         byte[] description = blob == null ? null : blob.getBytes(StandardCharsets.UTF_8);
         if (description == null || !ClientMessageCodec.fitsInMessage(description)) {
-          throw new MalformedMessageException("an answer with no description, or one too long");
+          throw new MalformedMessageException(
+              "answer without a description, or with one that is too long");
         }
         handler.onStarted(id, description);
       }
       case "FINISH" -> {
         if (cause < 0) {
-          throw new MalformedMessageException("a release without cause");
+          throw new MalformedMessageException("release without a cause");
         }
         handler.onEnded(id, cause, parseLoad(fields.get("load")));
       }
       case "ECHOED" -> {
         if (cause < 0) {
-          throw new MalformedMessageException("a test without its result");
+          throw new MalformedMessageException("test answer without a result");
         }
         handler.onTestAnswered(id, cause == 1, parseLoad(fields.get("load")));
       }
@@ -149,13 +152,13 @@
           decodeNote(id, String.valueOf(fields.get("note")), parseNumber(fields.get("value")));
       case "FINISHED" -> handler.onEndConfirmed(id);
       case "PENDING", "ECHO", "MOVE", "RATE" -> {
-        // nothing is owed for these
+        // These lines require no action.
       }
-      default -> throw new MalformedMessageException("a line of no known type");
+      default -> throw new MalformedMessageException("line with an unknown verb");
     }
   }
 
-  /** A note of a kind not known here, or without a figure, tells nothing. */
+  /** Notes of an unknown kind or without a number are ignored. */
   private void decodeNote(long id, String kind, double value) {
     if (Double.isNaN(value)) {
       return;
@@ -169,7 +172,7 @@
     }
   }
 
-  /** What the cause of a release means for a set-up that was not answered. */
+  /** Maps the cause of a release to the outcome of a set-up that has not been answered. */
   public static Ending setUpOutcome(int cause) {
     return switch (cause) {
       case 34 -> Ending.TURNED_AWAY;
@@ -180,7 +183,8 @@
   }
 
   /**
-   * What it means for a viewing that plays; WITHDRAWN: its viewer has ended it and is owed nothing.
+   * Maps the cause of a release to the outcome of an established session. WITHDRAWN means that the
+   * client has ended the session and is owed no further message.
    */
   public static Ending sessionOutcome(int cause) {
     return switch (cause) {
@@ -193,7 +197,7 @@
   private static String readText(JsonParser parser, JsonToken token)
       throws IOException, MalformedMessageException {
     if (token != JsonToken.VALUE_STRING) {
-      throw new MalformedMessageException("a number or object where text belongs");
+      throw new MalformedMessageException("expected a text value");
     }
     return parser.getText();
   }
@@ -204,26 +208,26 @@
         || parser.getNumberType() != JsonParser.NumberType.INT
         || parser.getIntValue() < 0
         || parser.getIntValue() > 255) {
-      throw new MalformedMessageException("a cause that is none");
+      throw new MalformedMessageException("cause is not a number from 0 to 255");
     }
     return parser.getIntValue();
   }
 
-  private static void readFields(JsonParser parser, JsonToken token, Map<String, String> into)
+  private static void readFields(JsonParser parser, JsonToken token, Map<String, String> target)
       throws IOException, MalformedMessageException {
     if (token != JsonToken.START_OBJECT) {
-      throw new MalformedMessageException("fields that are no object");
+      throw new MalformedMessageException("opts is not an object");
     }
     while (parser.nextToken() == JsonToken.FIELD_NAME) {
       String name = parser.currentName();
       if (!parser.nextToken().isScalarValue()) {
-        throw new MalformedMessageException("a field that is no text or number");
+        throw new MalformedMessageException("value in opts is neither text nor number");
       }
-      into.put(name, parser.getText());
+      target.put(name, parser.getText());
     }
   }
 
-  /** A report that cannot be read tells nothing: null. */
+  /** Parses a load report; returns null if there is none. Figures that cannot be parsed are NaN. */
   static Load parseLoad(String text) {
     if (text == null) {
       return null;
@@ -239,7 +243,7 @@
         case "x1" -> uplink = value;
         case "outstanding", "inflight" -> streams = value;
         default -> {
-          // figures that nobody asks for
+          // Other figures are not used.
         }
       }
     }
@@ -255,7 +259,7 @@
     }
   }
 
-  /* ---- what fronts write ---- */
+  /* ---- messages to servers ---- */
 
   public static byte[] encodeSetUp(
       long id, String packageName, String title, long timeLeftMs, int rung, String description) {
@@ -274,7 +278,7 @@
         Integer.toString(rung));
   }
 
-  /** Takes back a set-up, or ends a viewing that plays. */
+  /** Cancels a set-up, or ends an established session. */
   public static byte[] encodeEnd(long id) {
     return encodeLine("FINISH", id, CAUSE_NORMAL_RELEASE, null);
   }
@@ -284,8 +288,7 @@
   }
 
   /**
-   * A test that wants a report of the box's load with its answer: one with cause 1; with cause 0
-   * none comes.
+   * Tests the server. Cause 1 requests a load report with the answer; with cause 0 none is sent.
    */
   public static byte[] encodeTest(long id) {
     return encodeLine("ECHO", id, 1, null);
--- a/src/main/java/linengauge/platform/codec/SetUpRequest.java
+++ b/src/main/java/linengauge/platform/codec/SetUpRequest.java
@@ -1,9 +1,9 @@
 package linengauge.platform.codec;
 
 /**
- * What a viewer asks for. Figures are ABSENT where they are not given and NONE where they are no
- * number; the time left is in milliseconds. `at` names the box where it plays already, null for a
- * new viewing.
+ * A client's request to set a session up. Figures are {@link #ABSENT} if they are not given and
+ * {@link #INVALID} if they are not numbers. The server name identifies the server at which a
+ * session that is handed over already runs; it is null for a new session.
  */
 public record SetUpRequest(
     String packageName,
--- a/src/main/java/linengauge/platform/codec/TextFormat.java
+++ b/src/main/java/linengauge/platform/codec/TextFormat.java
@@ -4,13 +4,13 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Texts, ids and numbers as they stand in messages. */
+/** Converts texts, ids and numbers from and to their form in messages. */
 public final class TextFormat {
   private TextFormat() {}
 
   /**
-   * The text of these bytes, or null where they are not UTF-8: whoever writes it again gets the
-   * same bytes.
+   * Decodes strict UTF-8, so that encoding the result yields the same bytes; returns null if the
+   * bytes are not valid.
    */
   public static String decodeUtf8(byte[] bytes) {
     try {
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Printable ASCII of 1 to the given number of bytes, or null. */
+  /** Decodes printable ASCII of 1 to the given number of bytes; returns null for anything else. */
   static String decodePrintableAscii(byte[] bytes, int maxBytes) {
     if (bytes == null || bytes.length == 0 || bytes.length > maxBytes) {
       return null;
@@ -33,7 +33,7 @@
     return new String(bytes, StandardCharsets.US_ASCII);
   }
 
-  /** A whole number of up to 18 decimal digits and nothing else; -1 where it is none. */
+  /** Parses a whole number of up to 18 decimal digits; returns -1 for anything else. */
   public static long parseWholeNumber(String text) {
     if (text == null || text.isEmpty() || text.length() > 18) {
       return -1;
@@ -49,14 +49,14 @@
     return number;
   }
 
-  /** The number of a box named as `s-` and 8 hex digits; -1 where it is no such name. */
+  /** Parses a server name, `s-` and 8 hex digits, to its number; returns -1 for anything else. */
   public static long parseServerId(String name) {
     return name != null && name.length() == 10 && name.startsWith("s-") && isHex(name, 2)
         ? Long.parseLong(name, 2, 10, 16)
         : -1;
   }
 
-  /** A server's id as the platform writes it; the contrary of {@link #parseServerId}. */
+  /** Formats a server's id as the platform writes it; the inverse of {@link #parseServerId}. */
   public static String formatServerId(long id) {
     String hex = Long.toHexString(id & 0xffffffffL);
     return "s-" + "0".repeat(8 - hex.length()) + hex;
@@ -71,7 +71,7 @@
     return true;
   }
 
-  /** An id as 16 hex digits. */
+  /** Formats an id as 16 hex digits. */
   public static String formatId(long id) {
     String hex = Long.toHexString(id);
     return "0".repeat(16 - hex.length()) + hex;
--- a/src/main/java/linengauge/platform/connection/AcceptBacklog.java
+++ b/src/main/java/linengauge/platform/connection/AcceptBacklog.java
@@ -3,24 +3,27 @@
 import linengauge.Moment;
 
 /**
- * Since when a connection taken now may have waited to be taken. A loop takes a connection in one
- * turn and reads it in the next, takes so many a turn and leaves the rest to its next turns, and
- * after a long turn its beats come one a turn until they have caught up: what is read first on a
- * new connection may have come long before the last beats. Guards against counting a viewer's
- * patience from the taking, as it comes to a front that was held up, or in a wave from fronts that
- * have died. It could hurt a viewer that comes last without having waited: it is answered sooner
- * than it need be.
+ * Tracks since when a connection accepted now may have been waiting in the accept backlog.
+ *
+ * <p>The event loop accepts a limited number of connections per turn, leaves the rest to later
+ * turns, and reads a connection only in the turn after it was accepted. After a long turn its ticks
+ * run one per turn until they have caught up. So the first data read from a new connection may have
+ * arrived long before the latest ticks. Counting a client's time limit from the moment of accepting
+ * would be wrong after a pause of the front, or in a burst of clients from failed fronts.
+ *
+ * <p>The estimate is conservative: a client that did not wait may be answered earlier than
+ * necessary.
  */
 public final class AcceptBacklog {
   private final int maxAcceptsPerTurn;
   private int acceptedThisTurn;
 
-  /** All that had come before this moment has been taken. */
+  /** Every connection that arrived before this moment has been accepted. */
   private Moment drainedAt;
 
   private Moment lastTick;
 
-  /** A loop that takes so many a turn. */
+  /** Creates the backlog of a loop that accepts up to the given number of connections per turn. */
   public AcceptBacklog(int maxAcceptsPerTurn, Moment now) {
     this.maxAcceptsPerTurn = maxAcceptsPerTurn;
     this.drainedAt = now;
@@ -31,7 +34,7 @@
     acceptedThisTurn++;
   }
 
-  /** The loop's beat, once in each of its turns at the most. */
+  /** Called by the loop, at most once per turn. */
   public void tick(Moment now) {
     if (acceptedThisTurn < maxAcceptsPerTurn) {
       drainedAt = lastTick;
@@ -40,7 +43,7 @@
     lastTick = now;
   }
 
-  /** What is taken now came after this moment. */
+  /** Returns the moment after which a connection accepted now has arrived. */
   public Moment earliestArrival() {
     return drainedAt;
   }
--- a/src/main/java/linengauge/platform/connection/ConnectionHealth.java
+++ b/src/main/java/linengauge/platform/connection/ConnectionHealth.java
@@ -4,17 +4,19 @@
 import linengauge.Span;
 
 /**
- * One connection to a media box, as far as its use must be judged: whether it takes more set-ups,
- * and when it must go. Guards against a connection of which nothing more comes, though it stays
- * open, and against closing one on which a box may be telling of viewings that play: what was on
- * its way then is lost. It could hurt where a box answers some and not others: it is taken for well
- * as long as anything comes.
+ * Tracks the use of one connection to a server, and decides whether it takes further set-ups and
+ * when it must be closed.
+ *
+ * <p>A connection on which nothing arrives any more may stay open for ever, so it takes no further
+ * set-ups. A connection on which the server may still report about established sessions is kept, as
+ * a close would lose reports in transit. A server that answers only some requests counts as healthy
+ * as long as anything is received.
  */
 public final class ConnectionHealth {
-  /** A line that has begun and not gone on for so long will not: its box has spoilt it. */
+  /** A partial line that is not completed within this time is regarded as corrupt. */
   private static final Span PARTIAL_LINE_TIMEOUT = Span.ofMillis(400);
 
-  /** What is to become of it. */
+  /** What is to be done with the connection. */
   public enum Verdict {
     KEEP,
     CLOSE_IDLE,
@@ -33,7 +35,7 @@
     this.lastSentAt = now;
   }
 
-  /** It has come up. */
+  /** The connection has been established. */
   public void onUp(Moment now) {
     upAt = now;
   }
@@ -42,12 +44,15 @@
     return upAt;
   }
 
-  /** Something comes. */
+  /** Data has arrived. */
   public void onReceived(Moment now) {
     lastReceivedAt = now;
   }
 
-  /** What came was read; ended: a line ended in it; mid: another has begun since and not ended. */
+  /**
+   * Called when data was read. A completed line is one that ended within the data; a partial one
+   * has begun since and not ended.
+   */
   public void onRead(boolean lineCompleted, boolean partialLine, Moment now) {
     partialSince = !partialLine ? null : lineCompleted || partialSince == null ? now : partialSince;
   }
@@ -57,14 +62,14 @@
   }
 
   /**
-   * A set-up written then has had no answer in its time: where nothing else came either, it takes
-   * nothing more.
+   * A set-up written at the given moment has not been answered in time. If nothing else was
+   * received since then, the connection takes no further set-ups.
    */
   public void onUnanswered(Moment writtenAt) {
     retired |= lastReceivedAt.before(writtenAt);
   }
 
-  /** Viewings set up on it that play, more or less. */
+  /** Changes the number of established sessions that were set up on the connection. */
   public void addSessions(int change) {
     sessionCount += change;
   }
@@ -81,7 +86,10 @@
     return lastReceivedAt;
   }
 
-  /** With so many set-ups and tests out on it; a bound of NONE lets it rest for ever. */
+  /**
+   * Decides what to do, given the number of outstanding set-ups and tests. With an idle timeout of
+   * NONE, an idle connection is never closed.
+   */
   public Verdict verdict(int outstanding, Span idleTimeout, Moment now) {
     if (partialSince != null && PARTIAL_LINE_TIMEOUT.under(now.since(partialSince))) {
       return Verdict.CLOSE_BROKEN;
--- a/src/main/java/linengauge/platform/connection/DescriptorBudget.java
+++ b/src/main/java/linengauge/platform/connection/DescriptorBudget.java
@@ -1,10 +1,10 @@
 package linengauge.platform.connection;
 
 /**
- * How the descriptors of a process are shared out: its own files, the listener and the journal
- * service; connections to boxes; viewers. Guards against viewers who come by hundreds and leave
- * none to reach a box by. It could hurt a front of many boxes with few descriptors: several set-ups
- * share a connection then.
+ * Divides the file descriptors of a process between its own files, listener and journal connection,
+ * the connections to servers, and the connections of clients. Without a share of their own,
+ * hundreds of clients would leave no descriptor to reach a server. A front with many servers and
+ * few descriptors lets several set-ups share a connection.
  */
 public record DescriptorBudget(int clients, int servers) {
   private static final int RESERVED_DESCRIPTORS = 48;
--- a/src/main/java/linengauge/platform/connection/EarlyEnds.java
+++ b/src/main/java/linengauge/platform/connection/EarlyEnds.java
@@ -6,11 +6,12 @@
 import linengauge.Span;
 
 /**
- * Ends that a box has told of viewings which this front does not hold, by their ids. Guards against
- * an end that overtakes the handing over of its viewing: a front just started opens a connection
- * for the first viewing handed over at a box, and hears there of the others' ends before it has
- * read of these; the box does not tell them a third time, and the viewing would be left standing.
- * It could hurt where an id came into use again: ids are new with each set-up.
+ * Session ends reported by a server for ids that this front does not hold yet.
+ *
+ * <p>An end can arrive before the hand-over of its session is read: a front that has just started
+ * connects to a server for the first session handed over, and receives there the ends of others.
+ * The server does not report them once more, so without this record those sessions would never be
+ * released. Ids are unique per set-up, so an entry cannot match a later session.
  */
 public final class EarlyEnds {
   private record End(Ending outcome, Moment expiresAt) {}
@@ -18,7 +19,7 @@
   private final int maxEntries;
   private final Span retention;
 
-  /** Bounded, the oldest goes; each leaves with its time. */
+  /** By session id; bounded, the oldest entry is evicted; entries expire. */
   private final LinkedHashMap<Long, End> ends = new LinkedHashMap<>();
 
   public EarlyEnds(int maxEntries, Span retention) {
@@ -34,7 +35,7 @@
     ends.putIfAbsent(id, new End(outcome, now.plus(retention)));
   }
 
-  /** How the viewing of that id has ended already, once; null where nothing was heard of it. */
+  /** Removes and returns how the session ended; null if no end has been recorded. */
   public Ending take(long id) {
     End end = ends.remove(id);
     return end == null ? null : end.outcome();
--- a/src/main/java/linengauge/platform/connection/EventLoopLag.java
+++ b/src/main/java/linengauge/platform/connection/EventLoopLag.java
@@ -4,15 +4,16 @@
 import linengauge.Span;
 
 /**
- * How long what a busy loop reads now may have lain unread, from a beat that runs once in each turn
- * of the loop. Guards against counting a viewer's patience from the moment of reading: a turn that
- * took half a second leaves that much less. It could hurt where a turn was long and the request
- * came at its end: it is answered sooner than it need be.
+ * Measures how long data read now by a busy event loop may have been waiting, from a tick that runs
+ * once per turn of the loop. Counting a client's time limit from the moment of reading would be
+ * wrong: a turn of half a second leaves the client that much less time. The estimate is
+ * conservative: a request that arrives at the end of a long turn may be answered earlier than
+ * necessary.
  */
 public final class EventLoopLag {
   /**
-   * Turns in which a loop has read all that lay on a connection: its bytes in one, its close in the
-   * next, and what is put off by that runs in the third.
+   * Turns within which the loop reads everything pending on a connection: its data in the first,
+   * its close in the second, and tasks deferred by these run in the third.
    */
   public static final int TURNS_TO_READ = 3;
 
@@ -24,7 +25,8 @@
   private long lastLongTurnTick = -TURNS_TO_READ;
 
   /**
-   * Words that came longer ago than in a long turn may have been undone by others that lie unread.
+   * Creates the measurement; a turn longer than the threshold leaves the loop behind. Requests
+   * older than such a turn may have been revoked by data that is still unread.
    */
   public EventLoopLag(Span longTurnThreshold, Moment now) {
     this.longTurnThreshold = longTurnThreshold;
@@ -32,7 +34,7 @@
     this.previousTick = now;
   }
 
-  /** Returns how long it has been since the last beat. */
+  /** Records a tick and returns the time since the last one. */
   public Span tick(Moment now) {
     previousTick = lastTick;
     lastTick = now;
@@ -44,8 +46,8 @@
   }
 
   /**
-   * Whether the loop stood still for at least so long between that moment and now, as far as its
-   * beats tell.
+   * Returns whether the loop stalled for at least the threshold between the given moment and now,
+   * as far as its ticks show.
    */
   public boolean wasStalled(Span threshold, Moment since, Moment now) {
     return !now.since(lastTick).under(threshold)
@@ -53,21 +55,21 @@
   }
 
   /**
-   * Whether what came longer ago than in a long turn may still lie unread: in one, or too few beats
-   * after it.
+   * Returns whether data that arrived before a long turn may still be unread: during the turn
+   * itself, and for too few ticks after it.
    */
   public boolean isBehind(Moment now) {
     return ticks - lastLongTurnTick < TURNS_TO_READ || longTurnThreshold.under(now.since(lastTick));
   }
 
-  /** The longest span between two beats so far: how long anything has had to wait for its turn. */
+  /** Returns the longest time between two ticks so far, which bounds how long any event waited. */
   public Span longestTurn() {
     return longestTurn;
   }
 
   /**
-   * At the most, two beats where the loop keeps up: what had come before the last beat but one was
-   * read before it.
+   * Returns an upper bound for the time that data read now has been waiting. In a loop that keeps
+   * up this is two ticks: data that arrived before the last tick but one was read before that tick.
    */
   public Span maxReadDelay(Moment now) {
     return now.since(previousTick);
--- a/src/main/java/linengauge/platform/connection/IdleConnectionReaper.java
+++ b/src/main/java/linengauge/platform/connection/IdleConnectionReaper.java
@@ -9,27 +9,27 @@
 import linengauge.Span;
 
 /**
- * The viewers' connections of a front and who of them must go. Guards against connections that say
- * nothing, never end what they say, or come by hundreds: each ends within a bound, and places stay
- * for those who ask. It could hurt a viewer who opens a connection long before it asks: it is let
- * go and asks on a new one.
+ * Tracks the client connections of a front and closes those that exceed a limit. Connections that
+ * stay silent, never complete a message, or arrive by the hundred are closed within a bound, so
+ * that slots remain for clients with requests. A client that connects long before its first request
+ * is closed and has to reconnect.
  */
 public final class IdleConnectionReaper {
   /**
-   * Connections at the most, and how long one may be without having asked anything that was
+   * The maximum number of connections, and how long a connection may go without a request that was
    * answered.
    */
   public record Limits(int maxConnections, Span activityTimeout) {}
 
   /**
-   * Beyond the places, for as long as it takes to read what everybody sent; the process's own
-   * descriptors bear it.
+   * Connections beyond the limit that are tolerated until pending data of all connections has been
+   * read; the descriptors reserved for the process cover them.
    */
   private static final int MAX_EXCESS_CONNECTIONS = 16;
 
   private final Limits limits;
 
-  /** Bounded by the places and the few over them; each leaves when its connection closes. */
+  /** Bounded by the limit and the tolerated excess; an entry leaves when its connection closes. */
   private final Set<IdleTracker> connections = new LinkedHashSet<>();
 
   public IdleConnectionReaper(Limits limits) {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * A connection came; where there are more than places, {@link #evictExcess} is to be asked for as
-   * soon as what others sent has been read. So many more than may wait for that are not borne: some
-   * go at once.
+   * Adds a connection. If there are more than the limit, {@link #evictExcess} must be called as
+   * soon as pending data of the other connections has been read. Beyond the tolerated excess,
+   * connections are closed at once.
    */
   public IdleTracker add(Runnable close, BooleanSupplier queueEmpty, Moment now) {
     IdleTracker connection = new IdleTracker(close, queueEmpty, now);
@@ -57,9 +57,9 @@
   }
 
   /**
-   * Where there are more than places those go that have rested longest, those that have never been
-   * answered first, the newest of all at last; where every one has a set-up open the newest goes.
-   * Returns how many went with a set-up open.
+   * Closes connections beyond the limit: those idle for longest, untrusted ones first, the newest
+   * connection last. If every connection has an open request, the newest is closed. Returns how
+   * many were closed with an open request.
    */
   public int evictExcess() {
     return evictDownTo(limits.maxConnections());
@@ -73,7 +73,8 @@
       int remaining = connections.size();
       for (IdleTracker connection : connections) {
         newest = connection;
-        boolean isNewest = --remaining == 0; // it has had no turn of its own yet in which to ask
+        // The newest has had no turn of its own yet in which to send a request.
+        boolean isNewest = --remaining == 0;
         if (connection.isIdle()
             && !isNewest
             && (leastActive == null
@@ -96,9 +97,9 @@
   }
 
   /**
-   * To be called some times a second: closes those whose time is over at two looks in a row. Guards
-   * against a loop that was held up: a set-up that came meanwhile is read between the two, and is
-   * not lost with its connection.
+   * Closes connections that are overdue at two successive calls; to be called several times a
+   * second. After a pause of the loop, a set-up that arrived meanwhile is read between the two
+   * calls and is not lost with its connection.
    */
   public void closeOverdue(Moment now) {
     List<IdleTracker> overdue = new ArrayList<>();
--- a/src/main/java/linengauge/platform/connection/IdleTracker.java
+++ b/src/main/java/linengauge/platform/connection/IdleTracker.java
@@ -4,21 +4,18 @@
 import linengauge.Moment;
 
 /**
- * One viewers' connection, as far as the listener must judge it; what happens on it is a call here.
+ * Tracks the activity of one client connection, by which the listener decides whether to close it.
  */
 public final class IdleTracker {
   private final Runnable close;
 
-  /** Nothing that has come on it waits to be begun. */
+  /** Returns whether no received request waits to be started. */
   private final BooleanSupplier queueEmpty;
 
   private final Moment acceptedAt;
   private int openRequests;
 
-  /**
-   * It has been given an answer, or holds a viewing that was handed over: it is what it seems to
-   * be.
-   */
+  /** The connection has received an answer or holds a session that was handed over. */
   private boolean trusted;
 
   /** Since when a message has begun and not ended; null between messages. */
@@ -51,7 +48,10 @@
     return trusted;
   }
 
-  /** Bytes came; ended: a message ended among them; mid: another has begun since and not ended. */
+  /**
+   * Called when data was read. A completed message is one that ended within the data; a partial one
+   * has begun since and not ended.
+   */
   public void onRead(boolean messageCompleted, boolean partialMessage, Moment now) {
     partialSince =
         !partialMessage ? null : messageCompleted || partialSince == null ? now : partialSince;
@@ -69,14 +69,14 @@
     return openRequests == 0 && queueEmpty.getAsBoolean();
   }
 
-  /** Overdue now and when this was last asked. */
+  /** Returns whether the connection is overdue now and was so at the previous call. */
   boolean isStillOverdue(IdleConnectionReaper.Limits limits, Moment now) {
     boolean overdueBefore = wasOverdue;
     wasOverdue = isOverdue(limits, now);
     return overdueBefore && wasOverdue;
   }
 
-  /** It owes a sign of being a viewer, and has not given one in time. */
+  /** Returns whether the connection has not shown in time that it belongs to a client. */
   private boolean isOverdue(IdleConnectionReaper.Limits limits, Moment now) {
     return isIdle() && !trusted && !now.before(acceptedAt.plus(limits.activityTimeout()))
         || partialSince != null && !now.before(partialSince.plus(limits.activityTimeout()));
--- a/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
+++ b/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
@@ -4,17 +4,25 @@
 import linengauge.Span;
 
 /**
- * Whether one media box can be reached, from what its connections do; its viewings are lost with
- * it. Guards against a machine that vanishes: its connections stay open and silent. TimeoutCause
- * alone proves nothing (a box that stands still says nothing, and plays on afterwards): only
- * connections that no longer come up do, for a while. It could hurt where the way to a box is cut
- * longer than that and the box plays on: its viewers come again.
+ * Detects from the behaviour of its connections whether a server is reachable; its sessions are
+ * lost with it.
+ *
+ * <p>The connections of a machine that has vanished stay open and silent. A timeout alone proves
+ * nothing, as a process that pauses is silent too and continues its sessions afterwards. Only
+ * connections that fail to come up for a while are proof. If the path to a server is cut for longer
+ * than that while the server keeps its sessions, their clients have to reconnect.
  */
 public final class ReachabilityDetector {
   /**
-   * TimeoutCause after which the box is tested, and how long that may go unanswered until a
-   * connection is tried; tries that fail for so long mean lost; and so do tries that fail for the
-   * least span where there has been no sign for the latest; pauses between tries, doubled.
+   * Time limits of the detection.
+   *
+   * @param silenceBeforeTest silence after which the server is tested
+   * @param testTimeout time without an answer to the test, after which a connection is attempted
+   * @param failureTimeout time of failed connection attempts after which the server is lost
+   * @param maxSilence silence after which the shorter {@code minFailureTime} suffices
+   * @param minFailureTime time of failed connection attempts required in any case
+   * @param firstRetryDelay delay between the first two connection attempts, doubled each time
+   * @param maxRetryDelay upper bound of the delay
    */
   public record Settings(
       Span silenceBeforeTest,
@@ -25,10 +33,10 @@
       Span firstRetryDelay,
       Span maxRetryDelay) {
     /**
-     * Boxes are silent by nature where nothing is set up and nothing is short, and each new
-     * connection is priced over the whole fleet: only so late is silence looked into that what
-     * played at a box that has vanished is still released within the 8 s that the platform gives
-     * (its protocol page), with a second for a front that is itself late.
+     * Servers are silent by nature while nothing is set up and nothing runs short, and each
+     * additional connection has a cost over the whole fleet. So silence is examined as late as
+     * possible: sessions of a vanished server must be released within the 8 s that the platform's
+     * protocol allows, less one second for a front that is itself late.
      */
     public static final Settings PLATFORM =
         new Settings(
@@ -44,7 +52,7 @@
   private final Settings settings;
   private Moment lastReceivedAt;
 
-  /** It has been tested since the last sign. */
+  /** Whether a test has been sent since something was last received. */
   private boolean testSent;
 
   private Moment failedSince;
@@ -52,8 +60,8 @@
   private Span retryDelay;
 
   /**
-   * Connections that have closed so far, and how many of these closed before the latest one that
-   * came up was begun.
+   * Number of connections closed so far, and how many of those closes preceded the start of the
+   * latest connection that came up.
    */
   private int closeCount;
 
@@ -65,12 +73,14 @@
     this.retryDelay = settings.firstRetryDelay();
   }
 
-  /** A connection has closed on which the box may have said something last that has not come. */
+  /** A connection has closed, possibly with a last report of the server that did not arrive. */
   public void onClosed() {
     closeCount++;
   }
 
-  /** To be asked as a connection is begun, and told when it has come up. */
+  /**
+   * Returns the number of closes, to be read as a connection is begun and passed on once it is up.
+   */
   public int closeCount() {
     return closeCount;
   }
@@ -81,15 +91,15 @@
   }
 
   /**
-   * Whether a connection is wanted for what plays at the box, beside those that can be used: there
-   * is none, or the box has something to say again, as it does on the next one begun after a close,
-   * or it has been silent for long.
+   * Returns whether a connection is needed for the sessions at the server in addition to the usable
+   * ones: there is none, or the server has reports to repeat, as it does on the next connection
+   * begun after a close, or it has been silent for long.
    */
   public boolean needsConnection(int usable, Moment now) {
     return (usable == 0 || closesCovered < closeCount) && mayAttempt(now) || isSuspect(now);
   }
 
-  /** Something was read from the box. */
+  /** Something was received from the server. */
   public void onReceived(Moment now) {
     lastReceivedAt = now;
     testSent = false;
@@ -98,26 +108,26 @@
     nextAttemptAt = Moment.DISTANT_PAST;
   }
 
-  /** Whether to test it now, on a connection that is open: once in a silence. */
+  /** Returns whether to test the server now on an open connection, once per silence. */
   public boolean needsTest(Moment now) {
     boolean needed = !testSent && settings.silenceBeforeTest().under(now.since(lastReceivedAt));
     testSent |= needed;
     return needed;
   }
 
-  /** A connection did not come up. */
+  /** A connection attempt has failed. */
   public void onConnectFailed(Moment now) {
     failedSince = failedSince == null ? now : failedSince;
     nextAttemptAt = now.plus(retryDelay);
     retryDelay = retryDelay.times(2).orLess(settings.maxRetryDelay());
   }
 
-  /** Bounded back-off: whether a connection may be tried now for what stands at the box. */
+  /** Returns whether the bounded back-off permits a connection attempt now. */
   private boolean mayAttempt(Moment now) {
     return !now.before(nextAttemptAt);
   }
 
-  /** It has been silent for so long that a new connection should show whether it is there. */
+  /** Returns whether the silence calls for a new connection to show that the server is there. */
   private boolean isSuspect(Moment now) {
     return settings
             .silenceBeforeTest()
--- a/src/main/java/linengauge/platform/connection/ReceiveQueue.java
+++ b/src/main/java/linengauge/platform/connection/ReceiveQueue.java
@@ -5,46 +5,45 @@
 import linengauge.Span;
 
 /**
- * Pieces that one connection has brought and that wait to be read, each with the moment after which
- * it came at the earliest. A loop reads from a connection in each of its turns, so a piece has come
- * since its beat before the last, at the earliest; but what follows a pause, or the taking of a
- * connection that waited for it, may have come as early as that began, and comes in several pieces.
- * Guards against counting a viewer's patience from the moment at which its request is read: in the
- * herd's day in virtual time (seed 11), viewers who asked behind forty viewings handed over were
- * set up after they had gone. It could hurt a viewer whose request comes right after a pause
- * without having waited: it is answered sooner than need be.
+ * Chunks received on one connection and waiting to be decoded, each with its earliest possible
+ * arrival.
+ *
+ * <p>The loop reads every connection in each turn, so a chunk arrived no earlier than the tick
+ * before the last one. But the data that follows a pause, or that waited for its connection to be
+ * accepted, may be as old as the beginning of that wait, and comes in several chunks. Counting a
+ * client's time limit from the moment at which its request is read would be wrong: clients whose
+ * requests wait behind forty hand-overs would be set up after they have left. The estimate is
+ * conservative: a request that arrives right after a pause without having waited may be answered
+ * earlier than necessary.
  */
 public final class ReceiveQueue {
-  /** Bytes that may wait before no more is taken from the connection. */
+  /** Maximum number of undecoded bytes before reading from the connection is paused. */
   public static final int MAX_QUEUED_BYTES = 16 * 1024;
 
-  /**
-   * After so long in turn, a connection that has been taken brings nothing that had waited for
-   * that.
-   */
+  /** Time after which an accepted connection delivers no more data that waited for the accept. */
   private static final Span BACKLOG_READ_TIME = Span.ofMillis(500);
 
-  /** What came, and after which moment. */
+  /** Received data and the moment after which it has arrived. */
   public record Chunk(byte[] data, Moment earliestArrival) {}
 
   private final ArrayDeque<Chunk> chunks = new ArrayDeque<>();
   private int queuedBytes;
   private Moment lastArrival;
 
-  /** What comes may have waited since then; null where it has not waited for the connection. */
+  /** Since when incoming data may have been waiting; null if it has not waited. */
   private Moment arrivalFloor;
 
-  /** All that waited for the connection comes in the turn of this moment, at the latest. */
+  /** All data that waited arrives, at the latest, in the turn of this moment. */
   private Moment arrivalFloorEnds;
 
-  /** A connection taken now, which may have waited for that since then. */
+  /** Creates the queue of a connection accepted now that may have waited since the given moment. */
   public ReceiveQueue(Moment earliestArrival, Moment now) {
     this.arrivalFloor = earliestArrival;
     this.arrivalFloorEnds = now.plus(BACKLOG_READ_TIME);
     this.lastArrival = earliestArrival;
   }
 
-  /** A piece comes; the loop's beat before the last one was then. */
+  /** Adds a chunk; the previous tick is the loop's tick before the last one. */
   public void add(byte[] data, Moment previousTick, Moment now) {
     if (arrivalFloor != null && arrivalFloorEnds.before(previousTick)) {
       arrivalFloor = null;
@@ -52,33 +51,30 @@
     lastArrival =
         arrivalFloor != null && arrivalFloor.before(previousTick) ? arrivalFloor : previousTick;
     if (now.before(arrivalFloorEnds)) {
-      arrivalFloorEnds = now; // what follows at once has waited as well
+      arrivalFloorEnds = now; // Data that follows immediately has waited as well.
     }
     chunks.add(new Chunk(data, lastArrival));
     queuedBytes += data.length;
   }
 
-  /** The next piece, or null. */
+  /** Removes and returns the next chunk, or null. */
   public Chunk poll() {
     Chunk chunk = chunks.poll();
     queuedBytes -= chunk == null ? 0 : chunk.data().length;
     return chunk;
   }
 
-  /** Whether more is waiting than may, with that much of it in the reader's hands. */
+  /** Returns whether the queue exceeds its bound, including bytes the decoder has not read yet. */
   public boolean isFull(int unreadBytes) {
     return queuedBytes + unreadBytes > MAX_QUEUED_BYTES;
   }
 
-  /**
-   * Nothing is taken from the connection from here on: what waits there now came no earlier than
-   * what came last.
-   */
+  /** Reading is paused: data arriving from now on is no older than the latest chunk. */
   public void onPaused() {
     arrivalFloor = lastArrival;
   }
 
-  /** Taken from again. */
+  /** Reading continues. */
   public void onResumed(Moment now) {
     arrivalFloorEnds = now;
   }
--- a/src/main/java/linengauge/platform/connection/RecentAttemptIds.java
+++ b/src/main/java/linengauge/platform/connection/RecentAttemptIds.java
@@ -5,16 +5,16 @@
 import linengauge.Span;
 
 /**
- * Ids of attempts that one connection to a server has carried lately. Guards against one id with
- * two attempts on one connection: a late, a second or a spoilt answer to the first would be taken
- * for the second's, and could prove that what ran never ran. It could hurt a server with few
- * connections: a retry there waits for another one.
+ * Ids of the attempts recently made on one connection to a server. With two attempts of one id on
+ * one connection, a late, duplicate or corrupt answer to the first would be taken for an answer to
+ * the second, and could prove that a session which ran never ran. For a server with few
+ * connections, a retry has to wait for another one.
  */
 public final class RecentAttemptIds {
   private final int maxEntries;
   private final Span retention;
 
-  /** With the moment of the latest attempt; bounded, the oldest goes; emptied by time. */
+  /** With the moment of the latest attempt; bounded, the oldest is evicted; entries expire. */
   private final LinkedHashMap<Long, Moment> ids = new LinkedHashMap<>();
 
   public RecentAttemptIds(int maxEntries, Span retention) {
--- a/src/main/java/linengauge/platform/connection/TimeoutCause.java
+++ b/src/main/java/linengauge/platform/connection/TimeoutCause.java
@@ -5,21 +5,22 @@
 import linengauge.Span;
 
 /**
- * What it means that nothing came of something written to a box. Guards against taking every
- * time-out for a box that has started anew, which holds it to a cold box's pace for long. A
- * connection that was up then, is up still and has brought something since shows that its process
- * lives on; and a front that stood still has proved nothing. It could hurt where a machine's
- * connections outlive its processes: the platform resets them.
+ * Classifies why nothing was received in reply to something written to a server.
+ *
+ * <p>Taking every timeout for a restarted server would hold it to the pace of a cold server for
+ * long. A connection that was up at the time, is still up and has delivered something since shows
+ * that its process lives on, and a front that itself stalled has proved nothing. A machine's
+ * connections that outlived its processes would mislead this check; the platform resets them.
  */
 public final class TimeoutCause {
-  /** A front that stood still so long has not waited for an answer. */
+  /** A front that stalled for this long has not effectively waited for an answer. */
   private static final Span LOCAL_STALL_THRESHOLD = Span.ofMillis(150);
 
   private TimeoutCause() {}
 
   /**
-   * Of something written then; the lines are the box's connections that are up, but for one that
-   * has just broken.
+   * Returns the outcome for something written at the given moment. The connections are those to the
+   * server that are up, except for one that has just failed.
    */
   public static Ending outcome(
       Moment writtenAt, EventLoopLag lag, Moment now, Iterable<ConnectionHealth> connections) {
--- a/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
+++ b/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
@@ -9,11 +9,11 @@
 
 /**
  * Ends of attempts that were written on one connection to a server and are not confirmed yet. A
- * connection keeps the order of what is written on it, so whatever the server says there of the
- * attempt, or of a test that was written after the end, shows that it has read the end. Nothing on
- * another connection shows it, nor does a close.
+ * connection preserves the order of what is written on it, so any reply there about the attempt, or
+ * about a test written after the end, shows that the server has read the end. Neither a message on
+ * another connection nor a close shows it.
  *
- * @param <A> the attempts; an end may be of none
+ * @param <A> the type of the attempts; an end may belong to none
  */
 public final class UnconfirmedEnds<A> {
   private record End<A>(A attempt, long lastTest, Moment writtenAt) {}
@@ -21,10 +21,10 @@
   private final int maxEntries;
   private final Span retention;
 
-  /** By the request's id, the oldest first; bounded, the oldest goes; emptied by time. */
+  /** By request id, oldest first; bounded, the oldest is evicted; entries expire. */
   private final LinkedHashMap<Long, End<A>> ends = new LinkedHashMap<>();
 
-  /** The number of the latest test written on the connection; numbers only rise. */
+  /** The number of the latest test written on the connection; numbers increase. */
   private long lastTest = Long.MIN_VALUE;
 
   public UnconfirmedEnds(int maxEntries, Span retention) {
@@ -32,7 +32,7 @@
     this.retention = retention;
   }
 
-  /** The end of that attempt has been written. */
+  /** The end of the attempt has been written. */
   public void onEndWritten(long id, A attempt, Moment now) {
     expire(now);
     if (ends.size() == maxEntries) {
@@ -41,22 +41,25 @@
     ends.put(id, new End<>(attempt, lastTest, now));
   }
 
-  /** A test of that number has been written. */
+  /** The test of this number has been written. */
   public void onTestWritten(long number) {
     lastTest = number;
   }
 
-  /** The server has said that the attempt of that id is over; null where it was not in doubt. */
+  /** The server has confirmed the end of this id; returns its attempt, null if none was pending. */
   public A confirm(long id) {
     End<A> end = ends.remove(id);
     return end == null ? null : end.attempt;
   }
 
-  /** The server has answered that test: it has read every end that was written before. */
+  /**
+   * The server has answered the test of this number, so it has read every end written before it;
+   * returns the attempts of those.
+   */
   public List<A> confirmByTest(long number) {
     List<A> confirmed = new ArrayList<>();
     if (number > lastTest) {
-      return confirmed; // never written here
+      return confirmed; // It was never written on this connection.
     }
     Iterator<End<A>> remaining = ends.values().iterator();
     while (remaining.hasNext()) {
@@ -71,12 +74,12 @@
     return confirmed;
   }
 
-  /** Whether the end of that id is still to be confirmed. */
+  /** Returns whether the end of this id is still unconfirmed. */
   public boolean isUnconfirmed(long id) {
     return ends.containsKey(id);
   }
 
-  /** The ids of all ends written since that moment that are still to be confirmed. */
+  /** Returns the ids of all unconfirmed ends written since the given moment. */
   public List<Long> writtenSince(Moment from) {
     List<Long> ids = new ArrayList<>();
     ends.forEach(
