--- a/src/bench/java/linengauge/platform/RequestTrailBench.java
+++ b/src/bench/java/linengauge/platform/RequestTrailBench.java
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import org.slf4j.helpers.NOPLogger;
 
-/** What the log costs the loop for one request, and its own thread for one line. */
+/** The cost of logging: of one request on the event loop, and of one line on the writer thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -28,7 +28,7 @@
       new EventWriter<>(NOPLogger.NOP_LOGGER, LogEvent::line);
   private final EventLog events = new EventLog(() -> now, full::accept);
 
-  /** Answered by its first attempt: nothing is logged. */
+  /** Answered by its first attempt, so that nothing is logged. */
   @Benchmark
   public RequestTrail ordinary() {
     RequestTrail trail = events.trail();
@@ -39,7 +39,7 @@
     return trail;
   }
 
-  /** Refused after two attempts; the queue is full, which costs the loop the most. */
+  /** Refused after two attempts with a full queue, the most expensive case for the event loop. */
   @Benchmark
   public RequestTrail refused() {
     RequestTrail trail = events.trail();
@@ -53,7 +53,7 @@
     return trail;
   }
 
-  /** One line, on the writer's thread. */
+  /** Formats one line, as the writer thread does. */
   @Benchmark
   public String line() {
     return event(Kind.ATTEMPT_SENT, 1).line();
--- a/src/test/java/linengauge/platform/CodecTest.java
+++ b/src/test/java/linengauge/platform/CodecTest.java
@@ -110,16 +110,16 @@
   private static List<String> decodeClientMessages(byte[] bytes, SplittableRandom chunkSizes)
       throws MalformedMessageException {
     RecordingHandler handler = new RecordingHandler();
-    ClientMessageCodec reader = new ClientMessageCodec(handler);
+    ClientMessageCodec codec = new ClientMessageCodec(handler);
     for (int position = 0; position < bytes.length; ) {
       int end =
           chunkSizes == null
               ? bytes.length
               : Math.min(bytes.length, position + 1 + chunkSizes.nextInt(40));
-      reader.feed(Arrays.copyOfRange(bytes, position, end));
+      codec.feed(Arrays.copyOfRange(bytes, position, end));
       position = end;
     }
-    assertFalse(reader.hasPartialMessage());
+    assertFalse(codec.hasPartialMessage());
     return handler.calls;
   }
 
@@ -132,16 +132,16 @@
             PlatformViewers.message(12, 9, 61, new byte[] {16}),
             PlatformViewers.message(52, 1, 61, new byte[] {0}),
             PlatformViewers.message(44, 3, 61, new byte[] {0}));
-    List<String> expected = decodeClientMessages(messages, null);
+    List<String> decoded = decodeClientMessages(messages, null);
     assertEquals(
         List.of(
             "setUp 7 lesson 1500 7f3a9c21e0b4d655 0 0 4 null",
             "setUp 8 lesson 1500 7f3a9c21e0b4d655 0 0 4 s-00c41f7a",
             "ended 9 16",
             "test 1"),
-        expected);
+        decoded);
     for (int seed = 0; seed < 50; seed++) {
-      assertEquals(expected, decodeClientMessages(messages, new SplittableRandom(seed)));
+      assertEquals(decoded, decodeClientMessages(messages, new SplittableRandom(seed)));
     }
   }
 
@@ -155,7 +155,7 @@
           "length " + length);
     }
     byte[] malformed = PlatformViewers.message(1, 5, 33, "lesson");
-    malformed[12] = 0x7f; // the length of its parameter
+    malformed[12] = 0x7f; // The length of its parameter.
     assertThrows(
         MalformedMessageException.class,
         () -> new ClientMessageCodec(new RecordingHandler()).feed(malformed));
@@ -192,13 +192,14 @@
             .contains(" " + SetUpRequest.INVALID + " 3 " + SetUpRequest.ABSENT));
   }
 
-  private static List<String> decodeServerLines(String text, int step)
+  private static List<String> decodeServerLines(String text, int chunkBytes)
       throws MalformedMessageException {
     RecordingHandler handler = new RecordingHandler();
-    ServerLineCodec reader = new ServerLineCodec(handler);
+    ServerLineCodec codec = new ServerLineCodec(handler);
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    for (int position = 0; position < bytes.length; position += step) {
-      reader.feed(Arrays.copyOfRange(bytes, position, Math.min(bytes.length, position + step)));
+    for (int position = 0; position < bytes.length; position += chunkBytes) {
+      codec.feed(
+          Arrays.copyOfRange(bytes, position, Math.min(bytes.length, position + chunkBytes)));
     }
     return handler.calls;
   }
@@ -244,8 +245,8 @@
             "rung " + number + " 3",
             "loads " + number + " 1.1 NaN",
             "loads " + number + " NaN 0.7");
-    for (int step : new int[] {1, 7, 100_000}) {
-      assertEquals(expected, decodeServerLines(lines, step));
+    for (int chunkBytes : new int[] {1, 7, 100_000}) {
+      assertEquals(expected, decodeServerLines(lines, chunkBytes));
     }
   }
 
@@ -282,12 +283,12 @@
                     + " ".repeat(20)
                     + "\n",
                 ServerLineCodec.MAX_LINE_BYTES - 12),
-        "nor at the bound where its end comes with what passes it");
+        "also at the limit, where the end of the line comes with the excess bytes");
   }
 
   /**
-   * Without cause 1 a box answers a test with no report, and the front would believe its own
-   * reckoning alone.
+   * Guards against a test with cause 0: a server answers it without a load report, and the front
+   * would rely on its own estimate alone.
    */
   @Test
   void aTestRequestsALoadReport() {
@@ -317,13 +318,13 @@
     byte[] frame =
         ByteBuffer.allocate(13 + 27).putInt(9 + 27).putLong(42).put((byte) 2).put(record).array();
     byte[] heartbeat = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
-    JournalFrameCodec reader =
+    JournalFrameCodec codec =
         new JournalFrameCodec(
             (number, whole, rows) -> events.add(number + " " + whole + " " + rows.get(0)));
-    reader.feed(heartbeat);
-    reader.feed(Arrays.copyOf(frame, 30));
+    codec.feed(heartbeat);
+    codec.feed(Arrays.copyOf(frame, 30));
     assertEquals(List.of(), events);
-    reader.feed(Arrays.copyOfRange(frame, 30, frame.length));
+    codec.feed(Arrays.copyOfRange(frame, 30, frame.length));
     assertEquals(
         List.of(
             "42 false Row[id=12853114, address=127.0.0.1:3868, weight=2.0, cell=7, kind=0, state=DRAINING, "
--- a/src/test/java/linengauge/platform/ConnectionTrackingTest.java
+++ b/src/test/java/linengauge/platform/ConnectionTrackingTest.java
@@ -27,14 +27,14 @@
     return new Moment(ms * 1000);
   }
 
-  private final List<String> closed = new ArrayList<>();
+  private final List<String> closedNames = new ArrayList<>();
   private final List<String> withQueuedRequests = new ArrayList<>();
   private final IdleConnectionReaper reaper =
       new IdleConnectionReaper(new IdleConnectionReaper.Limits(3, Span.ofMillis(2000)));
 
   private IdleTracker accept(String name, long ms) {
     IdleTracker connection =
-        reaper.add(() -> closed.add(name), () -> !withQueuedRequests.contains(name), at(ms));
+        reaper.add(() -> closedNames.add(name), () -> !withQueuedRequests.contains(name), at(ms));
     reaper.evictExcess();
     return connection;
   }
@@ -49,45 +49,46 @@
     client.markTrusted();
     reaper.closeOverdue(at(1999));
     reaper.closeOverdue(at(1999));
-    assertEquals(List.of(), closed);
+    assertEquals(List.of(), closedNames);
     reaper.closeOverdue(at(2000));
-    assertEquals(List.of(), closed, "what has come since the loop last read is read first");
+    assertEquals(
+        List.of(), closedNames, "data that arrived since the loop last read is read first");
     reaper.closeOverdue(at(2200));
-    assertEquals(List.of("silent"), closed);
-    partial.onRead(false, true, at(2400)); // a drip is no end
+    assertEquals(List.of("silent"), closedNames);
+    partial.onRead(false, true, at(2400)); // Further bytes do not complete the message.
     reaper.closeOverdue(at(2500));
     reaper.closeOverdue(at(2700));
-    assertEquals(List.of("silent", "half"), closed);
+    assertEquals(List.of("silent", "half"), closedNames);
     reaper.closeOverdue(at(99_000));
     reaper.closeOverdue(at(100_000));
-    assertEquals(1, reaper.size(), "who asked once may stay");
+    assertEquals(1, reaper.size(), "a connection whose request was answered may stay");
   }
 
   @Test
   void evictsIdleConnectionsStartingWithUntrustedOnes() {
     accept("viewer", 0).markTrusted();
-    IdleTracker asks = accept("asks", 1);
-    asks.onRequestOpened();
+    IdleTracker requester = accept("asks", 1);
+    requester.onRequestOpened();
     accept("silent", 2);
     accept("fourth", 3);
-    assertEquals(List.of("silent"), closed);
+    assertEquals(List.of("silent"), closedNames);
     accept("fifth", 4).onRequestOpened();
-    assertEquals(List.of("silent", "fourth"), closed);
+    assertEquals(List.of("silent", "fourth"), closedNames);
     IdleTracker sixth = accept("sixth", 5);
-    assertEquals(List.of("silent", "fourth", "viewer"), closed);
+    assertEquals(List.of("silent", "fourth", "viewer"), closedNames);
     sixth.onRequestOpened();
     accept("seventh", 6);
     assertEquals(
         List.of("silent", "fourth", "viewer", "seventh"),
-        closed,
-        "all have a set-up open: the newest goes");
-    asks.onRequestSettled(at(7));
+        closedNames,
+        "all have an open request: the newest is closed");
+    requester.onRequestSettled(at(7));
     withQueuedRequests.add("asks");
     accept("eighth", 8);
-    assertEquals("eighth", closed.get(4), "what waits to be begun is as good as open");
+    assertEquals("eighth", closedNames.get(4), "a queued request counts as open");
     withQueuedRequests.clear();
     accept("ninth", 9);
-    assertEquals("asks", closed.get(5));
+    assertEquals("asks", closedNames.get(5));
   }
 
   private static ReachabilityDetector detector() {
@@ -109,7 +110,7 @@
     assertFalse(detector.needsConnection(1, at(2500)));
     assertTrue(
         detector.needsConnection(1, at(2501)),
-        "silent for long: a new one shows whether it is there");
+        "after a long silence, a new connection shows whether the server is there");
     assertFalse(detector.isLost(at(60_000)), "silence alone proves nothing");
     detector.onConnectFailed(at(3000));
     assertFalse(detector.needsConnection(0, at(3049)));
@@ -125,14 +126,14 @@
   }
 
   /**
-   * On the terms in force: what plays at a box that has vanished is released within 8 s of its last
-   * sign.
+   * With the settings in use, the sessions of a vanished server are released within 8 s of the last
+   * data received from it.
    */
   @Test
   void aSilentServerIsTestedOnceAndThenLostInTime() {
     ReachabilityDetector detector =
         new ReachabilityDetector(ReachabilityDetector.Settings.PLATFORM, at(0));
-    assertFalse(detector.needsTest(at(5000)), "boxes are silent by nature");
+    assertFalse(detector.needsTest(at(5000)), "servers are silent by nature");
     assertTrue(detector.needsTest(at(5001)));
     assertFalse(detector.needsTest(at(5400)));
     assertFalse(detector.needsConnection(1, at(5500)));
@@ -145,12 +146,13 @@
     assertFalse(detector.isLost(at(7100)));
     assertTrue(detector.needsTest(at(12_100)), "a new silence");
     detector.onConnectFailed(at(13_700));
-    assertFalse(detector.isLost(at(14_600)), "one try alone proves too little");
+    assertFalse(detector.isLost(at(14_600)), "one failed attempt alone is too little proof");
     assertTrue(detector.isLost(at(14_700)));
   }
 
   /**
-   * What a box says as a connection closes is lost, and said again on the next one that is opened.
+   * A report that a server sends as a connection closes is lost, and is repeated on the next one
+   * that is opened.
    */
   @Test
   void aCloseNeedsAConnectionBegunAfterIt() {
@@ -160,7 +162,7 @@
     detector.onClosed();
     assertTrue(detector.needsConnection(2, at(100)));
     detector.onUp(before, at(110));
-    assertTrue(detector.needsConnection(2, at(120)), "that one was begun before the close");
+    assertTrue(detector.needsConnection(2, at(120)), "that connection was begun before the close");
     detector.onUp(detector.closeCount(), at(130));
     assertFalse(detector.needsConnection(2, at(140)));
   }
@@ -175,14 +177,14 @@
     health.onSent(at(5000));
     health.onReceived(at(5100));
     health.onUnanswered(at(5000));
-    assertFalse(health.isRetired(), "something came since");
+    assertFalse(health.isRetired(), "something was received since");
     health.onUnanswered(at(5200));
     assertTrue(health.isRetired());
     health.addSessions(2);
     assertEquals(
         ConnectionHealth.Verdict.KEEP,
         health.verdict(0, idleTimeout, at(60_000)),
-        "its box tells of them here");
+        "its server reports about them here");
     health.addSessions(-2);
     assertEquals(ConnectionHealth.Verdict.CLOSE_IDLE, health.verdict(0, Span.NONE, at(5201)));
   }
@@ -215,9 +217,7 @@
     }
   }
 
-  /**
-   * A turn of half a second leaves a request read in the next one that much less of its patience.
-   */
+  /** A turn of half a second leaves a request that is read in the next one that much less time. */
   @Test
   void readDelayCoversTheLastTwoTurns() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
@@ -231,7 +231,7 @@
     assertEquals(Span.ofMillis(25), lag.maxReadDelay(at(545)));
   }
 
-  /** What lay on a connection is read in several turns: its bytes in one, its close in the next. */
+  /** Pending data is read over several turns: the bytes in one, the close in the next. */
   @Test
   void aLoopIsBehindDuringALongTurnAndForSomeTicksAfterIt() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
@@ -241,7 +241,7 @@
     lag.tick(at(140));
     for (int t = 141; t < 144; t++) {
       assertTrue(lag.isBehind(at(t)));
-      lag.tick(at(t)); // those that were missed follow each other
+      lag.tick(at(t)); // Missed ticks run back to back.
     }
     assertFalse(lag.isBehind(at(144)));
   }
@@ -256,9 +256,9 @@
       ends.add(id, Ending.BROKEN, at(id));
     }
     assertEquals(2, ends.size());
-    assertNull(ends.take(2), "the oldest has gone");
+    assertNull(ends.take(2), "the oldest entry has been evicted");
     ends.expire(at(8004));
-    assertNull(ends.take(3), "its time is over");
+    assertNull(ends.take(3), "it has expired");
     assertEquals(Ending.BROKEN, ends.take(4));
   }
 
@@ -275,7 +275,7 @@
         backlog.onAccepted();
       }
       backlog.tick(at(100 + 100 * turn));
-      assertEquals(at(20), backlog.earliestArrival(), "more may wait");
+      assertEquals(at(20), backlog.earliestArrival(), "more connections may be waiting");
     }
     backlog.onAccepted();
     backlog.tick(at(500));
@@ -288,10 +288,10 @@
     lag.tick(at(20));
     lag.tick(at(40));
     assertFalse(lag.wasStalled(Span.ofMillis(150), at(0), at(60)));
-    assertTrue(lag.wasStalled(Span.ofMillis(150), at(50), at(190)), "no beat for so long");
+    assertTrue(lag.wasStalled(Span.ofMillis(150), at(50), at(190)), "no tick for so long");
     lag.tick(at(300));
     assertTrue(lag.wasStalled(Span.ofMillis(150), at(50), at(310)));
-    assertFalse(lag.wasStalled(Span.ofMillis(150), at(305), at(310)), "it was over before");
+    assertFalse(lag.wasStalled(Span.ofMillis(150), at(305), at(310)), "the stall was over before");
     lag.tick(at(320));
     assertFalse(lag.wasStalled(Span.ofMillis(150), at(305), at(330)));
   }
@@ -328,7 +328,9 @@
     ReceiveQueue idle = new ReceiveQueue(at(100), at(600));
     idle.add(new byte[1], at(2000), at(2010));
     assertEquals(
-        at(2000), idle.poll().earliestArrival(), "nothing that waited to be taken comes so late");
+        at(2000),
+        idle.poll().earliestArrival(),
+        "data that arrives so late has not waited for the accept");
   }
 
   /** Guards against a confirmation by what the server may have written before it read the end. */
@@ -337,8 +339,8 @@
     var ends = new UnconfirmedEnds<String>(8, Span.ofSeconds(8));
     ends.onTestWritten(1);
     ends.onEndWritten(7, "seven", at(1));
-    assertEquals(List.of(), ends.confirmByTest(1), "written before the end");
-    assertEquals(List.of(), ends.confirmByTest(2), "never written here");
+    assertEquals(List.of(), ends.confirmByTest(1), "the test was written before the end");
+    assertEquals(List.of(), ends.confirmByTest(2), "the test was never written here");
     ends.onTestWritten(3);
     ends.onEndWritten(8, "eight", at(2));
     assertEquals(List.of("seven"), ends.confirmByTest(3));
@@ -347,7 +349,7 @@
     assertEquals(0, ends.size());
   }
 
-  /** Guards against a table that grows with every attempt given up. */
+  /** Guards against a table that grows with every abandoned attempt. */
   @Test
   void unconfirmedEndsAreBoundedInNumberAndTime() {
     var ends = new UnconfirmedEnds<String>(4, Span.ofSeconds(8));
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What operators find in the log of a request, and what bounds the log. */
+/** What the log contains about a request, and the limits of the log. */
 class EventLogTest {
   private static List<String> ofRequest(FakeNet net, long id) {
     return net.events.stream().filter(event -> event.request() == id).map(LogEvent::line).toList();
@@ -31,7 +31,7 @@
     throw new AssertionError(String.join(" ", parts) + " is not in\n" + String.join("\n", lines));
   }
 
-  /** Guards against a log that cannot say which attempt was where, on which connection, and why. */
+  /** Guards against a log without the server, the connection or the reason of an attempt. */
   @Test
   void aRetryLogsTheWholeRequestWithServersAttemptsConnectionsAndReasons() throws Exception {
     FakeNet net = FakeNet.front();
@@ -50,7 +50,7 @@
         String.join("\n", lines));
   }
 
-  /** Guards against a log that grows with the ordinary traffic. */
+  /** Guards against a log that grows with ordinary traffic. */
   @Test
   void aRequestAnsweredByItsFirstAttemptIsNotLogged() throws Exception {
     FakeNet net = FakeNet.front();
@@ -68,10 +68,10 @@
     net.latestConnection(address).deliver("no such thing");
     net.runDeferred();
     List<String> lines = net.events.stream().map(LogEvent::line).toList();
-    indexOf(lines, "event=connection-closed", "a line that is no JSON", "1 attempts out");
+    indexOf(lines, "event=connection-closed", "line is not valid JSON", "1 attempts out");
   }
 
-  /** Guards against a log that takes the front's memory or its disk when everything goes wrong. */
+  /** Guards against a log that exhausts the front's memory or disk during a large failure. */
   @Test
   void linesBeyondTheLimitsAreDroppedAndCounted() throws Exception {
     Logger logger = (Logger) LoggerFactory.getLogger("bounded");
--- a/src/test/java/linengauge/platform/EventOrderSocketsTest.java
+++ b/src/test/java/linengauge/platform/EventOrderSocketsTest.java
@@ -39,9 +39,9 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Crossings on real sockets: a gate holds the front's loop between two events, so that what both
- * sides do meanwhile lies in the kernel when it goes on. The order of events is the gate's; sleeps
- * only make what has lain old.
+ * Concurrent events on real sockets. A blocker holds the front's event loop between two events, so
+ * that whatever both peers send meanwhile is in the kernel when the loop continues. The blocker
+ * determines the order of events; sleeps only let pending data age.
  */
 @Timeout(60)
 @SuppressWarnings("try")
@@ -55,7 +55,7 @@
   private int port;
   private Service service;
 
-  /** How a viewer leaves. */
+  /** How a client leaves. */
   enum Departure {
     AT_ONCE,
     LATER,
@@ -63,7 +63,7 @@
     RESETS
   }
 
-  /** While it is open... the loop is not: it stands between two events. */
+  /** Blocks the event loop between two events until it is closed. */
   private final class LoopBlocker implements AutoCloseable {
     private final CountDownLatch unblocked = new CountDownLatch(1);
 
@@ -99,8 +99,8 @@
     Files.writeString(file, configuration(journal.port()));
     service = new Service(file, Configuration.read(file));
     service.begin().join();
-    try (var client =
-        new PlatformViewers(port)) { // each box has been met: a set-up can leave at once
+    // Each server has been used once, so that a set-up can be sent at once.
+    try (var client = new PlatformViewers(port)) {
       for (long id = 900_001; id < 900_009; id++) {
         startSession(client, id);
         client.end(id, 16);
@@ -109,7 +109,7 @@
     waitUntil(() -> servers.stream().allMatch(server -> server.playing().isEmpty()));
   }
 
-  /** Nothing is asked of boxes before a set-up: it leaves in the turn in which it is begun. */
+  /** Without probing, a set-up is sent in the turn in which it is started. */
   private String configuration(int journalPort) {
     return TryOut.configuration(
             port, journalPort, servers.stream().mapToInt(PlatformBox::port).toArray())
@@ -173,7 +173,7 @@
   private static void startSession(PlatformViewers client, long id) throws Exception {
     client.send(setUp(id));
     Said reply = awaitReply(client, id);
-    assertTrue(reply != null && reply.type() == ANSWERED, "viewing " + id + ": " + reply);
+    assertTrue(reply != null && reply.type() == ANSWERED, "session " + id + ": " + reply);
   }
 
   private PlatformBox serverOf(long id) {
@@ -193,7 +193,7 @@
         .count();
   }
 
-  /** All that had come before is read and dealt with: what is asked afterwards plays. */
+  /** Runs a session after everything that arrived before it has been processed. */
   private void runSession(long id) throws Exception {
     try (var client = new PlatformViewers(port)) {
       startSession(client, id);
@@ -224,14 +224,14 @@
           }
           default -> {}
         }
-        Thread.sleep(120); // longer than an attempt may begin after it
+        Thread.sleep(120); // Longer than the time after which an attempt may start.
       }
       runSession(3);
-      assertEquals(0, setUpsReceived(2), "begun 0.1 s after its viewer had left");
+      assertEquals(0, setUpsReceived(2), "set up 0.1 s after its client had left");
     }
   }
 
-  /** The attempt is refused while the loop stands, and the viewer leaves in the same time. */
+  /** The attempt is refused while the loop is blocked, and the client leaves meanwhile. */
   @Test
   void aRefusalReadTogetherWithTheClientsEndCausesNoRetry() throws Exception {
     try (var client = new PlatformViewers(port)) {
@@ -262,7 +262,7 @@
       try (LoopBlocker blocker = new LoopBlocker()) {
         socket.getOutputStream().write(concatenate(setUps(1000, 1200), end(1)));
         socket.close();
-        Thread.sleep(120); // longer than an attempt may begin after it
+        Thread.sleep(120); // Longer than the time after which an attempt may start.
       }
       waitUntil(() -> !server.playing().containsKey(tag(1)));
       runSession(3);
@@ -271,7 +271,7 @@
           java.util.stream.LongStream.range(1000, 1200)
               .filter(id -> setUpsReceived(id) > 0)
               .count(),
-          "their viewer has gone");
+          "their client has left");
     }
   }
 
@@ -309,8 +309,8 @@
   }
 
   /**
-   * The box ends what plays, and its viewer closes the connection, in the same turn: the release
-   * reaches another one.
+   * The server ends the session, and its client closes the connection, in the same turn: the
+   * release is sent on another connection.
    */
   @ParameterizedTest
   @EnumSource(names = {"CLOSES", "RESETS"})
@@ -339,8 +339,8 @@
   }
 
   /**
-   * Every place is taken; one that seems to rest asks while the loop stands, and others come for
-   * its place.
+   * All connection slots are taken; idle connections send requests while the loop is blocked, and
+   * further connections compete for their slots.
    */
   @Test
   void aConnectionWithAnUnreadSetUpIsNotEvicted() throws Exception {
@@ -374,8 +374,8 @@
   }
 
   /**
-   * The older file is still being read when the newer one is: a pipe holds its reader for as long
-   * as the test wants.
+   * The older file is still being read when the newer one is: a named pipe blocks its reader for as
+   * long as the test requires.
    */
   @Test
   void ofTwoConcurrentReloadsTheLaterOneWins() throws Exception {
@@ -403,15 +403,18 @@
       for (long id = 10; id < 16; id++) {
         runSession(id);
       }
-      assertEquals(before, servers.get(1).heard("START"), "the newer one's word holds: it drains");
+      assertEquals(
+          before,
+          servers.get(1).heard("START"),
+          "the newer configuration applies, by which this server drains");
     }
   }
 
-  /* ---- the last words ---- */
+  /* ---- last writes ---- */
 
   private static final int LARGE_MESSAGE_BYTES = 8 * 1024 * 1024;
 
-  /** What a peer reads late is waited for; what one never reads is not, beyond the bound. */
+  /** Waits for a peer that reads late; does not wait beyond the bound for one that never reads. */
   @ParameterizedTest
   @EnumSource(names = {"LATER", "CLOSES", "AT_ONCE"})
   void lastWritesAreWaitedForWithinTheirBound(Departure peer) throws Exception {
@@ -439,8 +442,8 @@
                     }
 
                     @Override
-                    public void failed(boolean refused, String why) {
-                      connected.completeExceptionally(new IOException(why));
+                    public void failed(boolean refused, String reason) {
+                      connected.completeExceptionally(new IOException(reason));
                     }
                   }));
       try (Socket accepted = serverSocket.accept()) {
@@ -448,7 +451,7 @@
         switch (peer) {
           case LATER -> {
             Thread.sleep(300);
-            assertTrue(!written.isDone(), "nobody has read it");
+            assertTrue(!written.isDone(), "the peer has not read it");
             assertEquals(
                 LARGE_MESSAGE_BYTES,
                 accepted.getInputStream().readNBytes(LARGE_MESSAGE_BYTES).length);
@@ -458,7 +461,7 @@
             accepted.close();
           }
           default -> {
-            // reads nothing
+            // It reads nothing.
           }
         }
         assertNotNull(written.get(10, TimeUnit.SECONDS));
--- a/src/test/java/linengauge/platform/EventOrderTest.java
+++ b/src/test/java/linengauge/platform/EventOrderTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Two events that cross, and the turn of the loop between them, in every order
- * (docs/design/crossings.md).
+ * Pairs of concurrent events in every order, in the same turn of the event loop and in successive
+ * ones (docs/design/crossings.md).
  */
 class EventOrderTest {
   private static final byte[] TEST = PlatformViewers.message(52, 1, 61, new byte[] {0});
@@ -66,37 +66,37 @@
     return (int) net.actions.stream().filter(action::equals).count();
   }
 
-  /** A viewing that plays, on a viewers' connection of its own; returns that. */
+  /** Establishes a session on a client connection of its own and returns that connection. */
   private static FakeConnection startSession(FakeNet net, long id) {
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(id));
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(id));
     net.runDeferred();
     String address =
         net.actions.stream()
             .filter(action -> action.startsWith("set-up"))
-            .reduce((a, b) -> b)
+            .reduce((first, second) -> second)
             .orElseThrow();
     net.answerSetUp(address.substring("set-up ".length()), id);
-    assertTrue(viewers.messageTypes.contains(9));
-    return viewers;
+    assertTrue(client.messageTypes.contains(9));
+    return client;
   }
 
   private static String addressOfLastSetUp(FakeNet net) {
     return net.actions.stream()
         .filter(action -> action.startsWith("set-up"))
-        .reduce((a, b) -> b)
+        .reduce((first, second) -> second)
         .orElseThrow()
         .substring("set-up ".length());
   }
 
   private static void assertNotSent(FakeNet net, long id) {
     net.advance(Span.ofMillis(700));
-    assertFalse(net.setUpIds.contains(id), "begun though its viewer has left: " + net.actions);
+    assertFalse(net.setUpIds.contains(id), "set up although its client has left: " + net.actions);
   }
 
   /**
-   * A front that could send as soon as it has read: nothing is asked of the one box before, and a
-   * connection is up.
+   * A front that can send as soon as it has read: its only server needs no probe, and a connection
+   * is up.
    */
   private static FakeNet frontWithOneServer() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
@@ -114,7 +114,7 @@
     assertEquals(List.of(7L), net.setUpIds);
   }
 
-  /* ---- a viewer's departure and the begin of its set-up ---- */
+  /* ---- a client leaves while its set-up is starting ---- */
 
   @Test
   void aSetUpWithItsEndInOneChunkIsNotSent() throws Exception {
@@ -126,18 +126,18 @@
   @Test
   void aSetUpWithItsEndInOneTurnIsNotSent() throws Exception {
     FakeNet net = frontWithOneServer();
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(7));
-    viewers.deliver(end(7));
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(7));
+    client.deliver(end(7));
     assertNotSent(net, 7);
   }
 
   @Test
   void aSetUpWhoseConnectionClosesInTheSameTurnIsNotSent() throws Exception {
     FakeNet net = frontWithOneServer();
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(7));
-    viewers.closeByPeer();
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(7));
+    client.closeByPeer();
     assertNotSent(net, 7);
   }
 
@@ -159,8 +159,8 @@
   }
 
   /**
-   * So many that taking them apart takes more than a turn: none is begun before all that came is
-   * taken apart.
+   * Decoding so many set-ups takes more than one turn; none is started before all data has been
+   * decoded.
    */
   @Test
   void anEndDecodedTurnsLaterIsProcessedBeforeItsSetUpStarts() throws Exception {
@@ -178,50 +178,50 @@
     FakeConnection sender = net.acceptClient();
     sender.deliver(setUps(1000, 1500));
     net.advance(Span.ofMillis(50));
-    assertFalse(sender.paused, "its end would not be seen");
+    assertFalse(sender.paused, "the end would not be noticed");
     assertTrue(
         sender.messageTypes.size() > 50,
-        "what is over the bound is turned away at once: " + sender.messageTypes.size());
+        "set-ups beyond the limit are rejected at once: " + sender.messageTypes.size());
     sender.closeByPeer();
     int sent = net.setUpIds.size();
     net.advance(Span.ofSeconds(3));
-    assertEquals(sent, net.setUpIds.size(), "what waited has left with it");
+    assertEquals(sent, net.setUpIds.size(), "waiting set-ups left with their client");
   }
 
-  /** The box refuses, the loop stood still meanwhile, and the viewer's end lies in the kernel. */
+  /** The server refuses while the loop is stalled, and the client's end is still in the kernel. */
   @Test
   void aRetryAfterAStallWaitsUntilTheLoopHasRead() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(7));
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(7));
     net.runDeferred();
     String address = addressOfLastSetUp(net);
     net.setUpIds.clear();
     net.stall(Span.ofMillis(400));
     net.latestConnection(address).deliver(finishLine(7, 34));
     net.runDeferred();
-    assertEquals(List.of(), net.setUpIds, "its viewer may have left in the meantime");
-    viewers.deliver(end(7));
+    assertEquals(List.of(), net.setUpIds, "its client may have left in the meantime");
+    client.deliver(end(7));
     assertNotSent(net, 7);
   }
 
   @Test
   void aRetryAfterAStallIsSentOnceTheLoopHasRead() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(7));
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(7));
     net.runDeferred();
     String address = addressOfLastSetUp(net);
     net.setUpIds.clear();
     net.stall(Span.ofMillis(400));
     net.latestConnection(address).deliver(finishLine(7, 34));
     net.advance(Span.ofMillis(10));
-    assertEquals(List.of(7L), net.setUpIds, "some turns, not some beats");
+    assertEquals(List.of(7L), net.setUpIds, "within some turns rather than ticks");
   }
 
   /**
-   * Hundreds that wait for the loop's reading made a long turn of their own, after which all that
-   * came next waited again.
+   * Guards against a long turn caused by hundreds of tasks that wait for the loop to read: whatever
+   * arrives next would wait again.
    */
   @Test
   void tasksThatWaitForReadsRunInSlicesOfATurn() throws Exception {
@@ -244,9 +244,7 @@
     assertTrue(longest < 15, longest + " in one turn");
   }
 
-  /**
-   * However long every turn is, what waits for the loop's reading waits two beats and no longer.
-   */
+  /** Tasks that wait for the loop to read wait two ticks at most, however long each turn is. */
   @Test
   void aFrontWhoseEveryTurnIsLongStillSends() throws Exception {
     FakeNet net = FakeNet.front();
@@ -263,33 +261,35 @@
     for (boolean endFirst : new boolean[] {true, false}) {
       FakeNet net = FakeNet.front();
       net.connectsHang = true;
-      FakeConnection viewers = net.acceptClient();
-      viewers.deliver(setUp(7));
+      FakeConnection client = net.acceptClient();
+      client.deliver(setUp(7));
       net.advance(Span.ofMillis(100));
       if (endFirst) {
-        viewers.deliver(end(7));
+        client.deliver(end(7));
         net.completeConnects();
       } else {
         net.completeConnects();
-        viewers.deliver(end(7));
+        client.deliver(end(7));
       }
       assertNotSent(net, 7);
       assertEquals(
           0,
           net.actions.stream().filter(action -> action.startsWith("end")).count(),
-          "what never left is not said to be over");
+          "no end is written for a set-up that was never sent");
     }
   }
 
-  /** Chosen, and put off until the turn's reading is over; its viewer leaves in between. */
+  /**
+   * The server is selected and sending deferred to the end of the turn; the client leaves between.
+   */
   @Test
   void anEndBetweenSelectionAndSendingSendsNothing() throws Exception {
     FakeNet net = frontWithOneServer();
-    FakeConnection viewers = net.acceptClient();
+    FakeConnection client = net.acceptClient();
     net.actions.clear();
-    viewers.deliver(setUp(7));
+    client.deliver(setUp(7));
     net.runFirstDeferred();
-    viewers.deliver(end(7));
+    client.deliver(end(7));
     net.advance(Span.ofMillis(300));
     assertEquals(
         List.of(),
@@ -299,8 +299,8 @@
   }
 
   /**
-   * Made between the dial's coming up and what that puts off, in a loop that is behind: it waited
-   * there twice.
+   * The set-up is made in a loop that is behind, after its connection has come up and before the
+   * tasks deferred by that run. Guards against sending it twice.
    */
   @Test
   void aSetUpMadeAsItsConnectionComesUpIsSentOnce() throws Exception {
@@ -317,7 +317,7 @@
     assertEquals(List.of(7L), net.setUpIds);
   }
 
-  /* ---- words that came before a close ---- */
+  /* ---- messages received before a close ---- */
 
   @Test
   void anEndReadBeforeItsConnectionClosedIsProcessedDespiteABacklog() throws Exception {
@@ -327,11 +327,13 @@
     String address = addressOfLastSetUp(net);
     net.actions.clear();
     FakeConnection other = net.acceptClient();
-    other.deliver(concatenate(setUps(100, 350), end(7))); // more than is taken apart in a turn
+    other.deliver(concatenate(setUps(100, 350), end(7))); // More than is decoded in one turn.
     other.closeByPeer();
     net.advance(Span.ofMillis(100));
     assertEquals(
-        1, countActions(net, "end " + address), "its box would play on for nobody: " + net.actions);
+        1,
+        countActions(net, "end " + address),
+        "the server would continue an abandoned session: " + net.actions);
   }
 
   @Test
@@ -348,13 +350,13 @@
       client.closeByPeer();
       net.advance(Span.ofMillis(1500));
       if (ended) {
-        assertEquals(1, countActions(net, "end 127.0.0.1:3"), "its box is told");
+        assertEquals(1, countActions(net, "end 127.0.0.1:3"), "the end is sent to the server");
       }
       FakeConnection other = startSession(net, 7);
       net.latestConnection("127.0.0.1:3").deliver(finishLine(339, 16));
       net.advance(Span.ofMillis(100));
       assertEquals(
-          !ended, other.releasedIds.contains(339L), "ended by its viewer before: " + ended);
+          !ended, other.releasedIds.contains(339L), "ended by its client before: " + ended);
     }
   }
 
@@ -376,7 +378,9 @@
       client.closeByPeer();
       net.advance(Span.ofMillis(10));
       assertEquals(
-          acknowledged ? List.of() : List.of(7L), other.releasedIds, "heard: " + acknowledged);
+          acknowledged ? List.of() : List.of(7L),
+          other.releasedIds,
+          "acknowledged: " + acknowledged);
     }
   }
 
@@ -397,12 +401,12 @@
     assertEquals(
         List.of(7L),
         next.releasedIds,
-        "one polled for a connection that turns out full is not lost");
+        "a release taken for a connection that turns out to be full is not lost");
   }
 
   /**
-   * All that can stand at once is lost while no viewer is connected: each of them is told on the
-   * next connection, and none is thrown out of the queue.
+   * The maximum number of sessions is lost while no client is connected: each is released on the
+   * next connection, and none is evicted from the queue.
    */
   @Test
   void releasesOfTheMaximumOfSessionsWaitForTheNextConnection() throws Exception {
@@ -446,17 +450,17 @@
     assertEquals(
         0,
         connections.stream().filter(connection -> connection.closed).count(),
-        "what they have sent meanwhile is not read yet");
+        "pending data has not been read yet");
     FakeConnection oldest = connections.get(0);
     oldest.deliver(setUp(7));
     net.advance(Span.ofMillis(100));
-    assertFalse(oldest.closed, "it asks");
+    assertFalse(oldest.closed, "it has a request");
     assertTrue(net.setUpIds.contains(7L));
     assertEquals(
         1,
         connections.stream().filter(connection -> connection.closed).count(),
-        "one that rests made the place");
-    assertFalse(connections.get(maxConnections).closed, "and not the one that has just come");
+        "one idle connection was closed instead");
+    assertFalse(connections.get(maxConnections).closed, "the connection accepted last stays");
   }
 
   @Test
@@ -476,15 +480,16 @@
         maxConnections, connections.stream().filter(connection -> !connection.closed).count());
   }
 
-  /* ---- one id, two attempts ---- */
+  /* ---- two attempts with one id ---- */
 
   /**
-   * A front that knows one box; viewing 7 was not answered there and is tried again once the box
-   * has confirmed the end of the first attempt.
+   * A front with one server; session 7 was not answered there and is retried after the server has
+   * confirmed the end of the first attempt.
    */
   private static FakeNet frontAfterRetry() throws Exception {
     FakeNet net = FakeNet.front();
-    net.advance(Span.ofSeconds(3)); // young fronts send nothing to a box that may have started anew
+    // A front that has just started sends nothing to a server that may have restarted.
+    net.advance(Span.ofSeconds(3));
     String address = net.sendFirstSetUp();
     net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     net.serversAnswerTests = false;
@@ -496,12 +501,12 @@
     for (int i = 0; i < 100 && first.endedIds.isEmpty(); i++) {
       net.advance(Span.ofMillis(20));
     }
-    assertEquals(List.of(7L), net.setUpIds, "not before the first is over at the box");
+    assertEquals(List.of(7L), net.setUpIds, "not before the first attempt is over at the server");
     first.deliver("{\"verb\":\"FINISHED\",\"tag\":\"" + tag(7) + "\",\"opts\":{}}");
     for (int i = 0; i < 100 && net.setUpIds.size() < 2; i++) {
       net.advance(Span.ofMillis(20));
     }
-    assertEquals(List.of(7L, 7L), net.setUpIds, "tried again at the one box that there is");
+    assertEquals(List.of(7L, 7L), net.setUpIds, "retried at the only server");
     net.actions.clear();
     return net;
   }
@@ -532,7 +537,7 @@
       assertEquals(
           0,
           net.actions.stream().filter(action -> action.startsWith("set-up")).count(),
-          "two would be out: " + late);
+          "two attempts would be outstanding: " + late);
       used.get(1)
           .deliver(
               "{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"second\"}");
@@ -542,16 +547,18 @@
       assertFalse(
           net.serverConnections.stream()
               .anyMatch(connection -> connection.releasedIds.contains(7L)),
-          "it plays on: " + late);
+          "the session continues: " + late);
       used.get(1).deliver(finishLine(7, 16));
       net.runDeferred();
-      assertTrue(net.clientConnections.get(0).releasedIds.contains(7L), "its own end is heard");
+      assertTrue(
+          net.clientConnections.get(0).releasedIds.contains(7L),
+          "the end of the second attempt is processed");
     }
   }
 
   /**
-   * Where every connection that may be had carries an earlier attempt of that id, none is made
-   * rather than one that is doubted.
+   * Where every available connection has carried an earlier attempt of the id, no attempt is made
+   * rather than one whose answer would be ambiguous.
    */
   @Test
   void noAttemptIsMadeWhereEveryConnectionHasCarriedItsId() throws Exception {
@@ -570,7 +577,7 @@
                   connection.address.equals(address)
                       && !connection.closed
                       && connection.setUpIds.contains(7L))
-          .reduce((a, b) -> b)
+          .reduce((first, second) -> second)
           .orElseThrow()
           .deliver(finishLine(7, 34));
       net.advance(Span.ofMillis(5));
@@ -581,16 +588,16 @@
             .toList();
     assertEquals(4, used.size());
     used.forEach(
-        connection -> assertEquals(List.of(7L), connection.setUpIds, "one attempt a connection"));
+        connection -> assertEquals(List.of(7L), connection.setUpIds, "one attempt per connection"));
     net.advance(Span.ofSeconds(2));
     assertEquals(
         List.of(7L), net.clientConnections.get(0).releasedIds, "refused once, as it never ran");
   }
 
   /**
-   * The way to a server is cut with a set-up on it, and mended later: what was written arrives
-   * then, the set-up with its end right behind it, and nothing else of this front; no further
-   * set-up is entrusted to that connection.
+   * The path to a server is cut with a set-up on it, and restored later. What was written arrives
+   * then: the set-up, followed by its end and nothing else of this front. No further set-up is sent
+   * on that connection.
    */
   @Test
   void aSetUpOnACutPathIsFollowedByItsEndAndNoOther() throws Exception {
@@ -599,20 +606,21 @@
     String address = net.sendFirstSetUp();
     net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     FakeConnection cut = net.latestConnection(address);
-    net.advance(Span.ofMillis(1500)); // longer than the wait; nothing comes
+    net.advance(Span.ofMillis(1500)); // Longer than the timeout, with nothing received.
     net.acceptClient().deliver(setUp(8));
     net.advance(Span.ofMillis(1500));
     assertTrue(net.setUpIds.contains(8L), "sent on another connection");
-    assertEquals(List.of(7L), cut.setUpIds, "and not on the one whose way may be cut");
-    assertEquals(1, cut.endedIds.stream().filter(id -> id == 7L).count(), "its end follows it");
-    assertTrue(cut.closed, "closed as it rests");
+    assertEquals(List.of(7L), cut.setUpIds, "and not on the one whose path may be cut");
+    assertEquals(
+        1, cut.endedIds.stream().filter(id -> id == 7L).count(), "the end follows its set-up");
+    assertTrue(cut.closed, "closed once it is idle");
   }
 
-  /* ---- answers cut, doubled and spoilt ---- */
+  /* ---- truncated, duplicate and malformed answers ---- */
 
   /**
-   * Cut at every byte, and the connection closed by the box, by a reset, or left open: one answer,
-   * and never a spoilt one.
+   * The answer is cut at every byte, with the connection closed by the server or left open: the
+   * client receives exactly one answer, and never a corrupt one.
    */
   @Test
   void anAnswerCutAtAnyByteIsForwardedWholeOrNotAtAll() throws Exception {
@@ -622,8 +630,8 @@
     for (int cut = 0; cut <= line.length; cut++) {
       for (boolean closes : new boolean[] {true, false}) {
         FakeNet net = frontWithOneServer();
-        FakeConnection viewers = net.acceptClient();
-        viewers.deliver(setUp(7));
+        FakeConnection client = net.acceptClient();
+        client.deliver(setUp(7));
         net.runDeferred();
         FakeConnection first = net.latestConnection(addressOfLastSetUp(net));
         first.deliver(Arrays.copyOf(line, cut));
@@ -639,26 +647,26 @@
         net.advance(Span.ofSeconds(3));
         assertEquals(
             1,
-            viewers.messageTypes.size(),
-            "cut at " + cut + ", closes " + closes + ": " + viewers.messageTypes);
-        boolean played = viewers.messageTypes.get(0) == 9;
+            client.messageTypes.size(),
+            "cut at " + cut + ", closes " + closes + ": " + client.messageTypes);
+        boolean established = client.messageTypes.get(0) == 9;
         assertTrue(
-            !played || viewers.lastMessageBytes == 11 + 3 + "made for it".length(),
+            !established || client.lastMessageBytes == 11 + 3 + "made for it".length(),
             "cut at " + cut);
-        assertTrue(cut < line.length || played, "it was whole");
+        assertTrue(cut < line.length || established, "the answer was complete");
       }
     }
   }
 
   /**
-   * A second copy of a refusal comes while another attempt is out, and one of an answer after the
-   * session's end.
+   * A refusal is duplicated while another attempt is outstanding, and an answer after the session
+   * has been established.
    */
   @Test
   void aDuplicateReplyProvesNothingAboutTheNextAttempt() throws Exception {
     FakeNet net = frontWithOneServer();
-    FakeConnection viewers = net.acceptClient();
-    viewers.deliver(setUp(7));
+    FakeConnection client = net.acceptClient();
+    client.deliver(setUp(7));
     net.runDeferred();
     FakeConnection first =
         net.serverConnections.stream()
@@ -675,17 +683,17 @@
     net.setUpIds.clear();
     first.deliver(finishLine(7, 34));
     net.advance(Span.ofMillis(50));
-    assertEquals(List.of(), net.setUpIds, "the next attempt is out still");
+    assertEquals(List.of(), net.setUpIds, "the next attempt is still outstanding");
     second.deliver("{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"b\"}");
     net.runDeferred();
-    assertEquals(List.of(9), viewers.messageTypes);
+    assertEquals(List.of(9), client.messageTypes);
     first.deliver(finishLine(7, 34));
     second.deliver("{\"verb\":\"STARTED\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"blob\":\"b\"}");
     net.advance(Span.ofMillis(50));
-    assertEquals(List.of(9), viewers.messageTypes, "it plays on");
+    assertEquals(List.of(9), client.messageTypes, "the session continues");
   }
 
-  /* ---- the list watch ---- */
+  /* ---- the discovery stream ---- */
 
   private static byte[] frame(long number, byte[]... records) {
     ByteBuffer buffer =
@@ -708,23 +716,24 @@
   private static FakeConnection discoveryConnection(FakeNet net) {
     return net.serverConnections.stream()
         .filter(connection -> connection.address.equals("127.0.0.1:2"))
-        .reduce((a, b) -> b)
+        .reduce((first, second) -> second)
         .orElseThrow();
   }
 
   @Test
   void aDiscoveryStreamWithoutWholeFramesIsTreatedAsSilent() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection watch = discoveryConnection(net);
+    FakeConnection discovery = discoveryConnection(net);
     byte[] event = frame(2, PlatformJournal.record(1, 3, 1, 0, 0));
     for (byte next : event) {
       net.advance(Span.ofMillis(300));
-      if (!watch.closed) {
-        watch.deliver(new byte[] {next});
+      if (!discovery.closed) {
+        discovery.deliver(new byte[] {next});
       }
     }
     assertTrue(
-        watch.closed && discoveryConnectionCount(net) > 1, "no whole frame has come for 12 s");
+        discovery.closed && discoveryConnectionCount(net) > 1,
+        "no whole frame was received for 12 s");
   }
 
   @Test
@@ -741,16 +750,16 @@
   void aServiceThatKeepsSkippingEventsIsRetriedWithBackoff() throws Exception {
     FakeNet net = FakeNet.front();
     for (int i = 0; i < 100; i++) {
-      FakeConnection watch = discoveryConnection(net);
-      if (!watch.closed && watch.messageTypes.size() > 0) {
-        watch.deliver(frame(1));
-        watch.deliver(frame(9, PlatformJournal.record(1, 3, 1, 0, 0)));
+      FakeConnection discovery = discoveryConnection(net);
+      if (!discovery.closed && discovery.messageTypes.size() > 0) {
+        discovery.deliver(frame(1));
+        discovery.deliver(frame(9, PlatformJournal.record(1, 3, 1, 0, 0)));
       }
       net.advance(Span.ofMillis(20));
     }
     assertTrue(
         discoveryConnectionCount(net) > 3 && discoveryConnectionCount(net) < 12,
-        discoveryConnectionCount(net) + " calls in 2 s");
+        discoveryConnectionCount(net) + " connections in 2 s");
   }
 
   @Test
@@ -766,32 +775,33 @@
     int compared = Math.min(connectTimes.get(0).size(), connectTimes.get(1).size());
     assertTrue(compared >= 5);
     for (int i = 1; i < compared; i++) {
-      assertNotEquals(connectTimes.get(0).get(i), connectTimes.get(1).get(i), "call " + i);
+      assertNotEquals(
+          connectTimes.get(0).get(i), connectTimes.get(1).get(i), "connection attempt " + i);
     }
   }
 
-  /** After a stand-still of its own the front has not read what the service said meanwhile. */
+  /** After a stall of its own, the front has not read what the service sent meanwhile. */
   @Test
   void aStalledFrontDoesNotTreatTheServiceAsSilent() throws Exception {
     FakeNet net = FakeNet.front();
     net.advance(Span.ofMillis(1000));
     net.stall(Span.ofMillis(3000));
-    net.advance(Span.ofMillis(1)); // timers that are due run before the loop reads
+    net.advance(Span.ofMillis(1)); // Timers that are due run before the loop reads.
     discoveryConnection(net).deliver(frame(1));
     net.advance(Span.ofMillis(500));
     assertEquals(1, discoveryConnectionCount(net));
   }
 
-  /* ---- the end of the process ---- */
+  /* ---- shutdown ---- */
 
   private static String withDeadline(String text, long ms) {
     return text.replace("\"deadlineUs\":400000", "\"deadlineUs\":" + ms * 1000);
   }
 
   /**
-   * Killed no sooner than the longest patience (3 s at the most) and 0.7 s after SIGTERM, the
-   * platform owes it nothing that came later than 0.7 s: whatever the patience, all that came
-   * before has its one answer by then.
+   * The process may be killed after the longest time limit (at most 3 s) and 0.7 s from SIGTERM,
+   * and nothing is owed for requests that arrive later than 0.7 s. Whatever the time limit, each
+   * earlier request has exactly one answer by then.
    */
   @Test
   void requestsBeforeTheKillAreAnsweredWhateverTheDeadline() throws Exception {
@@ -800,15 +810,16 @@
       Moment stoppedAt = net.now();
       net.front.stop();
       net.front.stop();
-      List<FakeConnection> viewers = new ArrayList<>();
+      List<FakeConnection> clients = new ArrayList<>();
       for (int id = 7; id < 14; id++) {
         net.advance(Span.ofMillis(99));
-        FakeConnection v = net.acceptClient();
-        v.deliver(PlatformViewers.setUp(id, "lesson", ms, "")); // no box answers
-        viewers.add(v);
+        FakeConnection client = net.acceptClient();
+        // No server answers.
+        client.deliver(PlatformViewers.setUp(id, "lesson", ms, ""));
+        clients.add(client);
       }
       net.advance(stoppedAt.plus(Span.ofMillis(ms + 700)).since(net.now()));
-      viewers.forEach(v -> assertEquals(1, v.releasedIds.size(), ms + " ms"));
+      clients.forEach(client -> assertEquals(1, client.releasedIds.size(), ms + " ms"));
     }
   }
 
@@ -833,8 +844,8 @@
   }
 
   /**
-   * Told to stop with hundreds handed over, and set-ups behind them, that wait for their turns: a
-   * session that is told to nobody would be left standing, and a set-up never answered.
+   * The front is stopped while hundreds of hand-overs, followed by set-ups, wait for their turns.
+   * Guards against a session that is never released and a set-up that is never answered.
    */
   @Test
   void aStopDuringHundredsOfHandOversReleasesEachSession() throws Exception {
@@ -857,12 +868,12 @@
         assertEquals(
             1,
             client.releasedIds.stream().filter(releasedId -> releasedId == stoppedAt).count(),
-            "session " + id + ", a look at the time taking " + stepMicros + " us");
+            "session " + id + ", clock advancing per reading by " + stepMicros + " us");
       }
     }
   }
 
-  /* ---- margins and settings ---- */
+  /* ---- time limits and settings ---- */
 
   @Test
   void aClassWithAVeryShortDeadlineIsServed() throws Exception {
@@ -879,13 +890,13 @@
     for (boolean allowed : new boolean[] {true, false}) {
       FakeNet net =
           FakeNet.front(text -> text.replace("\"retryAfter\":true", "\"retryAfter\":" + allowed));
-      FakeConnection viewers = net.acceptClient();
-      viewers.deliver(PlatformViewers.setUp(7, "lesson", 1, ""));
+      FakeConnection client = net.acceptClient();
+      client.deliver(PlatformViewers.setUp(7, "lesson", 1, ""));
       net.stall(Span.ofMillis(20));
       net.runDeferred();
-      assertEquals(List.of(7L), viewers.releasedIds);
+      assertEquals(List.of(7L), client.releasedIds);
       assertEquals(
-          allowed ? 15 + 3 + 3 : 15, viewers.lastMessageBytes, "advice allowed: " + allowed);
+          allowed ? 15 + 3 + 3 : 15, client.lastMessageBytes, "retry-after allowed: " + allowed);
     }
   }
 }
--- a/src/test/java/linengauge/platform/FakeNet.java
+++ b/src/test/java/linengauge/platform/FakeNet.java
@@ -20,43 +20,43 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * A net on paper: what a front writes and closes is noted in order, and a test says what comes and
- * when time passes.
+ * A network in memory with virtual time: it records in order what a front writes and closes, and
+ * the test determines what is received and when time passes.
  */
 final class FakeNet implements Net, PlatformFront.Told {
-  /** What was written or closed, each with where to; ends and set-ups by these names. */
+  /** Writes and closes, each with the peer's address; set-ups, ends and tests under these names. */
   final List<String> actions = new ArrayList<>();
 
   final List<FakeConnection> serverConnections = new ArrayList<>();
   final List<FakeConnection> clientConnections = new ArrayList<>();
 
-  /** Ids of the set-ups written. */
+  /** Ids of all set-ups written. */
   final List<Long> setUpIds = new ArrayList<>();
 
   final List<String> logLines = new ArrayList<>();
 
-  /** What was told to the log. */
+  /** The events passed to the log. */
   final List<LogEvent> events = new ArrayList<>();
 
-  /** Addresses that nothing comes up from. */
+  /** Addresses that do not answer. */
   final List<String> unreachable = new ArrayList<>();
 
-  /** Addresses that refuse. */
+  /** Addresses that refuse connections. */
   final List<String> refusing = new ArrayList<>();
 
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
   private final PriorityQueue<Timer> timers =
       new PriorityQueue<>(
-          (a, b) ->
-              a.dueAt.equals(b.dueAt)
-                  ? Long.compare(a.number, b.number)
-                  : a.dueAt.compareTo(b.dueAt));
+          (first, second) ->
+              first.dueAt.equals(second.dueAt)
+                  ? Long.compare(first.number, second.number)
+                  : first.dueAt.compareTo(second.dueAt));
   boolean serversAnswerTests = true;
 
-  /** What is written leaves at once; else it is never read. */
+  /** Whether peers read what is written; if not, writes never complete. */
   boolean peersRead = true;
 
-  /** What a look at the time costs. */
+  /** By how much the clock advances whenever it is read. */
   Span clockStep = new Span(1);
 
   private Moment now = new Moment(1_000_000_000L);
@@ -67,7 +67,7 @@
   /** When the process ended; null before. */
   Moment endedAt;
 
-  /** Connections tried are not there before {@link #completeConnects}. */
+  /** Whether connections stay pending until {@link #completeConnects}. */
   boolean connectsHang;
 
   private final List<Runnable> pendingConnects = new ArrayList<>();
@@ -83,16 +83,16 @@
     private Runnable onClosed;
     private boolean delivering;
 
-    /** Ids of what was released on it. */
+    /** Ids of the sessions released on this connection. */
     final List<Long> releasedIds = new ArrayList<>();
 
-    /** Ids of the set-ups written on it. */
+    /** Ids of the set-ups written on this connection. */
     final List<Long> setUpIds = new ArrayList<>();
 
-    /** Ids of what a server was told to be over on it. */
+    /** Ids of the ends written to a server on this connection. */
     final List<Long> endedIds = new ArrayList<>();
 
-    /** Bytes of what was written last. */
+    /** Length of the latest message written, in bytes. */
     int lastMessageBytes;
 
     boolean paused;
@@ -104,9 +104,9 @@
     }
 
     @Override
-    public void hears(Consumer<byte[]> action, Runnable c) {
-      onData = action;
-      onClosed = c;
+    public void hears(Consumer<byte[]> dataHandler, Runnable closeHandler) {
+      onData = dataHandler;
+      onClosed = closeHandler;
     }
 
     @Override
@@ -143,8 +143,8 @@
     }
 
     /**
-     * As the library does it: what is written or closed while it is being read leaves as the
-     * reading ends.
+     * Like the network library, holds back what is written or closed during the delivery of data
+     * until the delivery is over.
      */
     private void recordAction(String action) {
       (delivering ? deferredActions : actions).add(action);
@@ -162,7 +162,7 @@
       deliver((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Its other side closes it. */
+    /** The peer closes the connection. */
     void closeByPeer() {
       closed = true;
       onClosed.run();
@@ -195,12 +195,12 @@
     }
   }
 
-  /** A front with two boxes at ports 3 and 4 that knows these by its configuration. */
+  /** Starts a front whose configuration contains two servers at ports 3 and 4. */
   static FakeNet front() throws Exception {
     return front(text -> text);
   }
 
-  /** The same, with another configuration. */
+  /** Starts a front with an edited configuration. */
   static FakeNet front(UnaryOperator<String> edit) throws Exception {
     FakeNet net = new FakeNet();
     String text = edit.apply(TryOut.configuration(1, 2, 3, 4));
@@ -218,23 +218,23 @@
     return connection;
   }
 
-  /** What was dialled comes up, in one turn of the loop. */
+  /** All pending connections come up in one turn of the loop. */
   void completeConnects() {
     connectsHang = false;
     List.copyOf(pendingConnects).forEach(Runnable::run);
     pendingConnects.clear();
   }
 
-  /** When connections to that address were tried. */
+  /** Returns when connections to the address were attempted. */
   List<Moment> connectTimes(String address) {
     return connectTimes.getOrDefault(address, List.of());
   }
 
-  /** The latest connection to the box of that port. */
+  /** Returns the latest connection to the server at the address. */
   FakeConnection latestConnection(String address) {
     return serverConnections.stream()
         .filter(connection -> connection.address.equals(address))
-        .reduce((a, b) -> b)
+        .reduce((first, second) -> second)
         .orElseThrow();
   }
 
@@ -244,16 +244,17 @@
         .count();
   }
 
-  /** Viewing 7 with its first set-up out; returns the address of its box. */
+  /** Sends the first set-up of session 7; returns the address of its server. */
   String sendFirstSetUp() {
     acceptClient().deliver(PlatformViewers.setUp(7, "lesson", 2000, ""));
     runDeferred();
-    String first =
+    String firstSetUp =
         actions.stream().filter(action -> action.startsWith("set-up")).findFirst().orElseThrow();
     actions.clear();
-    return first.substring("set-up ".length());
+    return firstSetUp.substring("set-up ".length());
   }
 
+  /** The server at the address answers the set-up of the id. */
   void answerSetUp(String address, long id) {
     latestConnection(address)
         .deliver(
@@ -263,6 +264,7 @@
     runDeferred();
   }
 
+  /** The journal service sends event 2 with the given server record. */
   void sendServerEvent(byte[] record) {
     latestConnection("127.0.0.1:2")
         .deliver(
@@ -275,11 +277,12 @@
     runDeferred();
   }
 
+  /** The journal service removes the server at the address. */
   void removeServer(String address) {
     sendServerEvent(PlatformJournal.record(address.endsWith(":3") ? 1 : 2, 3, 2, 0, 0));
   }
 
-  /** One further set-up was made, and only after that. */
+  /** Asserts that exactly one further set-up was sent, after the given action. */
   void assertRetriedOnlyAfter(String earlierAction) {
     List<String> setUps = actions.stream().filter(action -> action.startsWith("set-up")).toList();
     assertEquals(1, setUps.size(), actions.toString());
@@ -289,24 +292,24 @@
         actions.toString());
   }
 
-  /** What was put off first runs, and nothing else. */
+  /** Runs the first deferred task only. */
   void runFirstDeferred() {
     deferred.poll().run();
   }
 
-  /** What was put off runs. */
+  /** Runs all deferred tasks. */
   void runDeferred() {
     while (!deferred.isEmpty()) {
       deferred.poll().run();
     }
   }
 
-  /** Time goes by without the front's running. */
+  /** Advances the clock while the front does not run. */
   void stall(Span span) {
     now = now.plus(span);
   }
 
-  /** The next timer that is due runs, with what it puts off. */
+  /** Runs the next timer and the tasks that it defers. */
   void runNextTimer() {
     runDeferred();
     Timer timer = timers.poll();
@@ -315,7 +318,7 @@
     runDeferred();
   }
 
-  /** Time goes by, and what is due runs. */
+  /** Advances the clock and runs the timers that become due. */
   void advance(Span span) {
     runDeferred();
     Moment until = now.plus(span);
@@ -336,7 +339,7 @@
 
   @Override
   public void connect(String address, int mostUnread, Tried then) {
-    connectTimes.computeIfAbsent(address, a -> new ArrayList<>()).add(now);
+    connectTimes.computeIfAbsent(address, key -> new ArrayList<>()).add(now);
     if (unreachable.contains(address)) {
       later(() -> then.failed(false, "Timeout"));
       return;
--- a/src/test/java/linengauge/platform/PlatformFrontTest.java
+++ b/src/test/java/linengauge/platform/PlatformFrontTest.java
@@ -11,13 +11,13 @@
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 
-/** What a front writes and closes, in the order in which it does so, and when. */
+/** What a front writes and closes, in which order and when. */
 class PlatformFrontTest {
   private static final int RELEASED = 12;
 
   /**
-   * A set-up is out until its connection is closed: made elsewhere before, it would be a second
-   * one.
+   * A set-up is outstanding until its connection is closed: a retry elsewhere before that would be
+   * a second other.
    */
   @Test
   void theConnectionToARemovedServerIsClosedBeforeItsSetUpsAreRetried() throws Exception {
@@ -33,7 +33,7 @@
     String address = net.sendFirstSetUp();
     net.stall(Span.ofMillis(600));
     net.answerSetUp(address, 7);
-    net.advance(Span.ofMillis(60)); // it reads on before it sends
+    net.advance(Span.ofMillis(60)); // It continues to read before it sends.
     net.assertRetriedOnlyAfter("end " + address);
   }
 
@@ -53,11 +53,13 @@
     net.answerSetUp(address, 7);
     net.refusing.add(address);
     net.serversAnswerTests = false;
-    net.advance(Span.ofMillis(6000)); // tested in its silence, then a connection is tried
+    // The silent server is tested, then a connection is attempted.
+    net.advance(Span.ofMillis(6000));
     assertFalse(net.logLines.contains("server lost"), net.logLines.toString());
     net.latestConnection(address).closeByPeer();
     net.advance(Span.ofMillis(500));
-    assertTrue(net.logLines.contains("server lost"), "nothing else is up, and nothing listens");
+    assertTrue(
+        net.logLines.contains("server lost"), "no other connection is up, and nothing listens");
   }
 
   @Test
@@ -75,7 +77,9 @@
           net.actions.toString());
     }
     assertEquals(
-        before, net.connectionCount(address), "no connection for silence that a test has broken");
+        before,
+        net.connectionCount(address),
+        "an answered test ends the silence, so no connection is opened");
   }
 
   private static byte[] setUps(int from, int to, long timeLeftMs) {
@@ -86,40 +90,41 @@
     return all.toByteArray();
   }
 
-  /** A piece of hundreds made everybody wait for all of it. */
+  /** Guards against a large chunk that delays all other clients until it has been processed. */
   @Test
   void aLargeChunkIsReadInTurnsInterleavedWithOtherClients() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    FakeConnection many = net.acceptClient();
-    FakeConnection one = net.acceptClient();
-    long begun = net.now().micros();
-    many.deliver(setUps(100, 300, 20_000));
-    long turn = net.now().micros() - begun;
-    assertTrue(turn < 25_000, turn + " us in one turn");
-    assertFalse(many.paused, "its end would not be seen");
-    one.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
-    assertEquals(List.of(53), one.messageTypes, "tested in between");
-    assertTrue(many.messageTypes.size() < 100);
+    FakeConnection sender = net.acceptClient();
+    FakeConnection other = net.acceptClient();
+    long beginMicros = net.now().micros();
+    sender.deliver(setUps(100, 300, 20_000));
+    long turnMicros = net.now().micros() - beginMicros;
+    assertTrue(turnMicros < 25_000, turnMicros + " us in one turn");
+    assertFalse(sender.paused, "its end would not be noticed");
+    other.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
+    assertEquals(List.of(53), other.messageTypes, "the test is answered in between");
+    assertTrue(sender.messageTypes.size() < 100);
     net.advance(Span.ofSeconds(15));
-    assertEquals(200, many.messageTypes.size(), "each is answered in the end");
-    assertFalse(many.paused);
+    assertEquals(200, sender.messageTypes.size(), "each is answered in the end");
+    assertFalse(sender.paused);
   }
 
   /**
-   * Lying unread counts: while a long piece is read, and on a connection that was paused for it.
+   * Time unread counts towards the limit: while a large chunk is processed, and on a connection
+   * that was paused for it.
    */
   @Test
   void setUpsUnreadPastTheirDeadlineAreRejectedAndNotSent() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    FakeConnection many = net.acceptClient();
-    many.deliver(setUps(100, 300, 400));
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(setUps(100, 300, 400));
     net.advance(Span.ofSeconds(3));
-    assertEquals(200, many.messageTypes.size());
+    assertEquals(200, sender.messageTypes.size());
     assertTrue(
         net.setUpIds.contains(100L) && !net.setUpIds.contains(299L),
-        "the last was read when its viewer had gone");
+        "the last one was read after its client had left");
     assertTrue(net.setUpIds.stream().distinct().count() < 150, net.setUpIds.toString());
   }
 
@@ -127,56 +132,59 @@
   void dataOnAPausedConnectionMayHaveWaitedSinceThePause() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    FakeConnection many = net.acceptClient();
-    many.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
     var ends = new ByteArrayOutputStream();
     for (int id = 1000; ends.size() < 40 * 1024; id++) {
       ends.writeBytes(PlatformViewers.message(12, id, 61, new byte[] {16}));
     }
-    long pausedAt = net.now().micros();
-    many.deliver(ends.toByteArray());
-    assertTrue(many.paused);
-    for (int i = 0; i < 2000 && many.paused; i++) {
+    long pausedAtMicros = net.now().micros();
+    sender.deliver(ends.toByteArray());
+    assertTrue(sender.paused);
+    for (int i = 0; i < 2000 && sender.paused; i++) {
       net.advance(Span.ofMillis(5));
     }
-    assertFalse(many.paused);
-    long paused =
-        (net.now().micros() - pausedAt) / 1000; // over 24 KB of them; 16 KB are still to be read
-    many.deliver(setUps(500, 501, paused * 7 / 6));
-    net.advance(Span.ofMillis(3 * paused));
+    assertFalse(sender.paused);
+    // More than 24 KB have been read; 16 KB are pending.
+    long pausedMs = (net.now().micros() - pausedAtMicros) / 1000;
+    sender.deliver(setUps(500, 501, pausedMs * 7 / 6));
+    net.advance(Span.ofMillis(3 * pausedMs));
     assertFalse(net.setUpIds.contains(500L), "it may have been sent as the connection was paused");
-    many.deliver(setUps(502, 503, 250));
+    sender.deliver(setUps(502, 503, 250));
     net.advance(Span.ofMillis(200));
-    assertTrue(net.setUpIds.contains(502L), "all that waited has come by then");
+    assertTrue(net.setUpIds.contains(502L), "all data that waited has arrived by then");
   }
 
   /**
-   * Reading in turns is not a pause: what comes meanwhile is kept, as old as it is, and waits for
-   * what came before it.
+   * Reading over several turns is not a pause: data that arrives meanwhile is queued with its own
+   * arrival time, and waits for what arrived before it.
    */
   @Test
   void dataBehindALargeChunkIsAsOldAsItsOwnArrival() throws Exception {
     FakeNet net = FakeNet.front();
     net.clockStep = Span.ofMillis(1);
-    FakeConnection many = net.acceptClient();
-    many.deliver(setUps(100, 160, 20_000));
-    assertFalse(many.paused);
-    many.deliver(setUps(500, 501, 100));
-    many.deliver(setUps(501, 502, 3000));
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(setUps(100, 160, 20_000));
+    assertFalse(sender.paused);
+    sender.deliver(setUps(500, 501, 100));
+    sender.deliver(setUps(501, 502, 3000));
     net.advance(Span.ofSeconds(2));
-    assertFalse(net.setUpIds.contains(500L), "its viewer had gone when its turn came");
-    assertTrue(net.setUpIds.contains(501L), "its viewer had not");
+    assertFalse(net.setUpIds.contains(500L), "its client had left when it was started");
+    assertTrue(net.setUpIds.contains(501L), "its client was still waiting");
   }
 
-  /** A piece that ends one message and begins others is not as old as that one's beginning. */
+  /**
+   * Messages that begin in the chunk which completes an earlier one are not as old as the beginning
+   * of that other.
+   */
   @Test
   void aMessageBehindASplitOneIsAsOldAsItsOwnChunk() throws Exception {
     FakeNet net = FakeNet.front();
-    FakeConnection line = net.acceptClient();
-    byte[] two = setUps(20, 22, 800);
-    line.deliver(java.util.Arrays.copyOf(two, 30));
+    FakeConnection client = net.acceptClient();
+    byte[] twoSetUps = setUps(20, 22, 800);
+    client.deliver(java.util.Arrays.copyOf(twoSetUps, 30));
     net.advance(Span.ofSeconds(1));
-    line.deliver(java.util.Arrays.copyOfRange(two, 30, two.length));
+    client.deliver(java.util.Arrays.copyOfRange(twoSetUps, 30, twoSetUps.length));
     net.advance(Span.ofMillis(200));
     assertTrue(net.setUpIds.contains(21L) && !net.setUpIds.contains(20L), net.setUpIds.toString());
   }
@@ -186,12 +194,12 @@
     FakeNet net = FakeNet.front();
     net.advance(Span.ofSeconds(1));
     net.stall(Span.ofMillis(900));
-    FakeConnection late =
-        net.acceptClient(); // taken in the turn after the stand-still, and read some beats later
+    // Accepted in the turn after the stall, and read some ticks later.
+    FakeConnection late = net.acceptClient();
     net.advance(Span.ofMillis(70));
     late.deliver(PlatformViewers.setUp(9, "lesson", 800, ""));
     net.runDeferred();
-    assertEquals(List.of(RELEASED), late.messageTypes, "its viewer may have gone");
+    assertEquals(List.of(RELEASED), late.messageTypes, "its client may have left");
     net.advance(Span.ofSeconds(1));
     FakeConnection soon = net.acceptClient();
     soon.deliver(PlatformViewers.setUp(10, "lesson", 800, ""));
@@ -199,7 +207,7 @@
     assertEquals(List.of(10L), net.setUpIds.stream().distinct().toList());
   }
 
-  /** A front with one box, on which a viewing plays, and a second connection to it. */
+  /** Leaves the front one server, with an established session and a second connection to it. */
   private static String openTwoConnections(FakeNet net) throws Exception {
     String address = net.sendFirstSetUp();
     net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
@@ -207,7 +215,7 @@
     FakeConnection client = net.acceptClient();
     client.deliver(PlatformViewers.setUp(8, "lesson", 2000, ""));
     net.advance(Span.ofMillis(100));
-    assertEquals(2, net.connectionCount(address), "the first has a set-up open");
+    assertEquals(2, net.connectionCount(address), "the first connection has an outstanding set-up");
     first.deliver(startedLine(7));
     net.latestConnection(address).deliver(startedLine(8));
     net.advance(Span.ofMillis(10));
@@ -243,7 +251,9 @@
             PlatformViewers.setUp(
                 9, "lesson", 0, ";at:s-0000000" + (address.endsWith(":3") ? 1 : 2)));
     net.advance(Span.ofMillis(4900));
-    assertFalse(net.actions.contains("close " + address), "its end may come on either");
+    assertFalse(
+        net.actions.contains("close " + address),
+        "the end of the session may arrive on either connection");
   }
 
   private static int countSentOfTen(FakeNet net) {
@@ -252,18 +262,18 @@
     for (int id = 40; id < 50; id++) {
       client.deliver(PlatformViewers.setUp(id, "lesson", 2000, ""));
       net.advance(Span.ofMillis(100));
-      long out = net.setUpIds.isEmpty() ? 0 : net.setUpIds.get(net.setUpIds.size() - 1);
+      long outstanding = net.setUpIds.isEmpty() ? 0 : net.setUpIds.get(net.setUpIds.size() - 1);
       List.copyOf(net.serverConnections).stream()
           .skip(1)
           .filter(connection -> !connection.closed)
-          .forEach(connection -> connection.deliver(startedLine(out)));
+          .forEach(connection -> connection.deliver(startedLine(outstanding)));
     }
     return (int) net.setUpIds.stream().distinct().count();
   }
 
   /**
-   * One box, its second connection silent with a set-up out; what else happens decides what that
-   * means.
+   * One server whose second connection is silent with an outstanding set-up; the parameters
+   * determine how the silence is to be interpreted.
    */
   private static FakeNet frontWithUnansweredSetUp(boolean received, boolean stalled)
       throws Exception {
@@ -272,7 +282,7 @@
     net.serversAnswerTests = false;
     net.acceptClient().deliver(PlatformViewers.setUp(11, "lesson", 350, ""));
     net.advance(Span.ofMillis(100));
-    assertTrue(net.setUpIds.contains(11L), "sent once its tests had gone unanswered for a while");
+    assertTrue(net.setUpIds.contains(11L), "sent once its tests had been unanswered for a while");
     if (stalled) {
       net.stall(Span.ofMillis(600));
     }
@@ -295,9 +305,9 @@
   @Test
   void onlyAServerThatSentNothingIsTreatedAsCold() throws Exception {
     assertTrue(
-        countSentOfTen(frontWithUnansweredSetUp(false, false)) < 10, "it may have started anew");
-    assertEquals(10, countSentOfTen(frontWithUnansweredSetUp(true, false)), "heard meanwhile");
+        countSentOfTen(frontWithUnansweredSetUp(false, false)) < 10, "it may have restarted");
     assertEquals(
-        10, countSentOfTen(frontWithUnansweredSetUp(false, true)), "the front stood still");
+        10, countSentOfTen(frontWithUnansweredSetUp(true, false)), "data was received meanwhile");
+    assertEquals(10, countSentOfTen(frontWithUnansweredSetUp(false, true)), "the front stalled");
   }
 }
--- a/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A front's process, and servers that read each connection after a latency of its own: what leaves
- * on two connections is read in any order.
+ * A front process with servers that read each connection after a latency of its own, so that data
+ * sent on two connections is read in any order.
  */
 @Timeout(120)
 class RetryOrderProcessesTest {
@@ -76,7 +76,7 @@
       Said reply = client.next(2000);
       return reply != null && reply.type() == TEST_PASSED;
     } catch (IOException e) {
-      return false; // not listening yet
+      return false; // It is not listening yet.
     }
   }
 
@@ -89,7 +89,7 @@
     journal.close();
   }
 
-  /** Asks for sessions at an even pace, ends each that stands, and returns the answers by id. */
+  /** Requests sessions at an even rate, ends those established, and returns the answers by id. */
   private Map<Long, Integer> runRequests() throws Exception {
     Map<Long, Integer> answers = new HashMap<>();
     try (var client = new PlatformViewers(port)) {
@@ -128,7 +128,7 @@
     assertTrue(answers.containsValue(ANSWERED), "some are served");
   }
 
-  /** What the front's own log says of the first of them. */
+  /** Returns the front's log of the first overtaken request. */
   private String logOfFirst(List<String> overtaken) {
     String request = overtaken.get(0).split(" ")[1];
     try {
--- a/src/test/java/linengauge/platform/RetryOrderTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderTest.java
@@ -10,13 +10,13 @@
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 
-/** A front that knows one server: what must have come from it before a request goes there again. */
+/** What a front must have received from its only server before it retries a request there. */
 class RetryOrderTest {
   private static final long REQUEST = 7;
 
   /**
-   * Its first attempt was given up, though the server shows that it is there; tests are answered
-   * only where a test of this class says so.
+   * The first attempt has been abandoned although the server has shown that it received it; tests
+   * are answered only on request of the individual test.
    */
   private static FakeNet frontAfterGivingUp() throws Exception {
     return frontAfterGivingUp(false);
@@ -24,8 +24,8 @@
 
   private static FakeNet frontAfterGivingUp(boolean probing) throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":" + probing));
-    net.advance(
-        Span.ofSeconds(3)); // young fronts send nothing to a server that may have started anew
+    // A front that has just started sends nothing to a server that may have restarted.
+    net.advance(Span.ofSeconds(3));
     String address = net.sendFirstSetUp();
     net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
     net.serversAnswerTests = probing;
@@ -68,10 +68,10 @@
     assertEquals(List.of(REQUEST), net.setUpIds);
     assertTrue(
         net.events.stream().anyMatch(event -> event.reason().equals("EARLIER_ATTEMPT_UNCONFIRMED")),
-        () -> "the refusal says why: " + net.events);
+        () -> "the refusal states its reason: " + net.events);
   }
 
-  /** Guards against refusing what the server has cleared. */
+  /** Guards against a refusal after the server has confirmed the end. */
   @Test
   void aConfirmedOrRefusedEndAllowsARetry() throws Exception {
     for (String reply :
@@ -98,7 +98,7 @@
     FakeNet answered = frontAfterGivingUp();
     firstAttemptConnection(answered).deliver(line("STARTED", ",\"blob\":\"late\""));
     assertEquals(1, attemptsAfterAWait(answered));
-    assertFalse(firstAttemptConnection(answered).closed, "its end may still be confirmed");
+    assertFalse(firstAttemptConnection(answered).closed, "the end may still be confirmed");
     FakeNet closed = frontAfterGivingUp();
     firstAttemptConnection(closed).closeByPeer();
     assertEquals(1, attemptsAfterAWait(closed));
@@ -122,7 +122,7 @@
     }
   }
 
-  /** Two sessions of one server, set up on two connections; the second has been heard last. */
+  /** Two sessions at one server on two connections; data was last received on the second. */
   private static FakeNet frontWithTwoSessions() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
     net.advance(Span.ofSeconds(3));
@@ -131,19 +131,20 @@
     net.acceptClient().deliver(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
     net.runDeferred();
     for (long id = REQUEST; id <= REQUEST + 1; id++) {
-      long of = id;
-      FakeConnection by =
+      long sessionId = id;
+      FakeConnection setUpConnection =
           net.serverConnections.stream()
-              .filter(connection -> connection.setUpIds.contains(of))
+              .filter(connection -> connection.setUpIds.contains(sessionId))
               .findFirst()
               .orElseThrow();
-      by.deliver(line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
+      setUpConnection.deliver(
+          line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
       net.advance(Span.ofMillis(10));
     }
     return net;
   }
 
-  /** Guards against a rung or an end that overtakes what was written of the session before. */
+  /** Guards against a rung or an end that overtakes what was written for the session before. */
   @Test
   void messagesOfASessionUseTheConnectionOfItsSetUp() throws Exception {
     FakeNet net = frontWithTwoSessions();
@@ -152,32 +153,34 @@
     assertEquals(List.of(REQUEST), firstAttemptConnection(net).endedIds);
   }
 
-  /** Guards against a session that stands for nobody: answered as its connection was closed. */
+  /** Guards against an orphaned session that was answered as its connection was closed. */
   @Test
   void anAttemptWhoseConnectionClosesIsEndedOnAnotherConnection() throws Exception {
     for (boolean byTheServer : new boolean[] {true, false}) {
       FakeNet net = frontWithTwoSessions();
       net.acceptClient().deliver(PlatformViewers.setUp(9, "lesson", 2000, ""));
       net.runDeferred();
-      FakeConnection of =
+      FakeConnection attemptConnection =
           net.serverConnections.stream()
               .filter(connection -> connection.setUpIds.contains(9L))
               .findFirst()
               .orElseThrow();
       if (byTheServer) {
-        of.closeByPeer();
+        attemptConnection.closeByPeer();
       } else {
-        of.deliver("no such thing");
+        attemptConnection.deliver("no such thing");
       }
       net.runDeferred();
       assertTrue(
           net.serverConnections.stream()
-              .anyMatch(connection -> connection != of && connection.endedIds.contains(9L)),
+              .anyMatch(
+                  connection ->
+                      connection != attemptConnection && connection.endedIds.contains(9L)),
           net.actions.toString());
     }
   }
 
-  /** Guards against sessions that play on for nobody at a server whose way was cut for long. */
+  /** Guards against orphaned sessions at a server that was unreachable for long. */
   @Test
   void sessionsOfAnUnreachableServerAreEndedOnceItIsReachableAgain() throws Exception {
     FakeNet net = frontWithTwoSessions();
@@ -190,7 +193,7 @@
     assertTrue(net.logLines.contains("server lost"), net.logLines.toString());
     long connectionsBefore = net.connectionCount(first.address);
     net.unreachable.clear();
-    net.advance(Span.ofSeconds(3)); // and nobody asks for anything there
+    net.advance(Span.ofSeconds(3)); // No client requests anything there.
     assertEquals(connectionsBefore + 1, net.connectionCount(first.address));
     FakeConnection reconnected = net.latestConnection(first.address);
     assertTrue(
@@ -198,19 +201,21 @@
         reconnected.endedIds.toString());
   }
 
-  /** Guards against an end that is lost with the connection that was reset behind it. */
+  /** Guards against an end that is lost with a connection reset right after it. */
   @Test
   void anEndWrittenJustBeforeItsConnectionClosesIsRepeatedOnAnother() throws Exception {
     FakeNet net = frontWithTwoSessions();
     net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
     net.runDeferred();
-    FakeConnection of = firstAttemptConnection(net);
-    assertEquals(List.of(REQUEST), of.endedIds);
-    of.closeByPeer();
+    FakeConnection attemptConnection = firstAttemptConnection(net);
+    assertEquals(List.of(REQUEST), attemptConnection.endedIds);
+    attemptConnection.closeByPeer();
     net.runDeferred();
     assertTrue(
         net.serverConnections.stream()
-            .anyMatch(connection -> connection != of && connection.endedIds.contains(REQUEST)));
+            .anyMatch(
+                connection ->
+                    connection != attemptConnection && connection.endedIds.contains(REQUEST)));
   }
 
   /**
@@ -220,13 +225,13 @@
   void anEndIsSentOnASilentConnectionWhereNoOtherIsUp() throws Exception {
     FakeNet net = frontAfterASilentAttempt();
     FakeConnection only = firstAttemptConnection(net);
-    assertEquals(List.of(REQUEST + 1), only.endedIds, "it takes no more set-ups from here on");
+    assertEquals(List.of(REQUEST + 1), only.endedIds, "it takes no further set-ups from here on");
     net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
     net.runDeferred();
     assertTrue(only.endedIds.contains(REQUEST), only.endedIds.toString());
   }
 
-  /** A session stands; a second attempt on its connection is given up with nothing heard. */
+  /** A session is established; a second attempt on its connection is abandoned with no reply. */
   private static FakeNet frontAfterASilentAttempt() throws Exception {
     FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
     net.advance(Span.ofSeconds(3));
@@ -243,23 +248,21 @@
     return net;
   }
 
-  /**
-   * Guards against a session that stands for nobody at a new server that has a gone one's address.
-   */
+  /** Guards against an orphaned session at a new server that has the address of a removed one. */
   @Test
   void anAttemptIsEndedBeforeTheFrontClosesItsConnection() throws Exception {
-    for (boolean gone : new boolean[] {true, false}) {
+    for (boolean removed : new boolean[] {true, false}) {
       FakeNet net = FakeNet.front();
       String address = net.sendFirstSetUp();
-      FakeConnection of = firstAttemptConnection(net);
-      if (gone) {
+      FakeConnection attemptConnection = firstAttemptConnection(net);
+      if (removed) {
         net.removeServer(address);
       } else {
-        of.deliver("no such thing");
+        attemptConnection.deliver("no such thing");
       }
       net.runDeferred();
-      assertTrue(of.closed);
-      assertEquals(List.of(REQUEST), of.endedIds);
+      assertTrue(attemptConnection.closed);
+      assertEquals(List.of(REQUEST), attemptConnection.endedIds);
     }
   }
 }
--- a/src/test/java/linengauge/platform/ServeProcessesTest.java
+++ b/src/test/java/linengauge/platform/ServeProcessesTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Fronts as processes of their own, with real signals: moved, frozen, killed, told to end; judged
- * by what their peers saw.
+ * Front processes with real signals: reloaded, frozen, killed and stopped; verified by what their
+ * peers received.
  */
 @Timeout(120)
 class ServeProcessesTest {
@@ -134,17 +134,17 @@
     return servers.stream().anyMatch(server -> server.playing().containsKey(tag(id)));
   }
 
-  /** What is said until so many ids have been spoken of. */
+  /** Receives messages until they concern the given number of ids. */
   private static Map<Long, List<Said>> receiveReplies(PlatformViewers client, int ids)
       throws Exception {
     Map<Long, List<Said>> replies = new HashMap<>();
     while (replies.size() < ids) {
       Said reply = client.next(20_000);
-      assertTrue(reply != null && reply != Said.CLOSED, "heard of " + replies.keySet());
-      replies.computeIfAbsent(reply.id(), i -> new ArrayList<>()).add(reply);
+      assertTrue(reply != null && reply != Said.CLOSED, "received messages of " + replies.keySet());
+      replies.computeIfAbsent(reply.id(), key -> new ArrayList<>()).add(reply);
     }
     for (Said reply = client.next(300); reply != null; reply = client.next(1)) {
-      replies.computeIfAbsent(reply.id(), i -> new ArrayList<>()).add(reply);
+      replies.computeIfAbsent(reply.id(), key -> new ArrayList<>()).add(reply);
     }
     return replies;
   }
@@ -156,15 +156,15 @@
     Front reloaded = fronts.get(2);
     try (var clientOfFrozen = new PlatformViewers(frozen.port);
         var next = new PlatformJournal(1)) {
-      // Frozen past its viewers' patience: each is answered once, and no box is left playing for
-      // nobody.
+      // Frozen beyond the time limit of its requests: each is answered once, and no server keeps an
+      // orphaned session.
       frozen.signal("STOP");
       for (long id = 100; id < 110; id++) {
         clientOfFrozen.send(PlatformViewers.setUp(id, "lesson", 300, ""));
       }
       Thread.sleep(700);
-      // Meanwhile another is killed with viewings that play, and starts anew: they are handed to
-      // it, and their ends told.
+      // Meanwhile another is killed with established sessions, and restarted: they are handed
+      // over to it, and it reports their ends.
       try (var clientOfKilled = new PlatformViewers(killed.port)) {
         for (long id = 200; id < 206; id++) {
           clientOfKilled.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
@@ -182,19 +182,19 @@
                   assertEquals(
                       List.of(RELEASED),
                       replies.stream().map(Said::type).toList(),
-                      "viewing " + id));
+                      "session " + id));
       for (long id = 100; id < 110; id++) {
-        long gone = id;
-        waitUntil(() -> !isPlayingAnywhere(gone));
+        long clientGone = id;
+        waitUntil(() -> !isPlayingAnywhere(clientGone));
       }
       killed.start();
       try (var clientOfKilled = new PlatformViewers(killed.port)) {
         for (long id = 200; id < 206; id++) {
-          for (int server = 0; server < 3; server++) {
-            if (servers.get(server).playing().containsKey(tag(id))) {
+          for (int index = 0; index < 3; index++) {
+            if (servers.get(index).playing().containsKey(tag(id))) {
               clientOfKilled.send(
                   PlatformViewers.setUp(
-                      id, "lesson", 0, ";at:" + String.format("s-%08x", server + 1)));
+                      id, "lesson", 0, ";at:" + String.format("s-%08x", index + 1)));
             }
           }
         }
@@ -217,9 +217,9 @@
                     assertEquals(
                         List.of(RELEASED),
                         replies.stream().map(Said::type).toList(),
-                        "viewing " + id));
+                        "session " + id));
       }
-      // SIGHUP moves the journal service: what the new one tells holds.
+      // SIGHUP moves the journal service: events of the new one apply.
       reloaded.writeConfiguration(next);
       reloaded.signal("HUP");
       waitUntil(() -> next.asked.contains(1L));
@@ -233,13 +233,15 @@
           clientOfReloaded.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
         }
         receiveReplies(clientOfReloaded, 6);
-        // SIGTERM: what still comes is answered, and the process ends in order.
+        // SIGTERM: requests that still arrive are answered, and the process exits cleanly.
         reloaded.signal("TERM");
         clientOfReloaded.send(PlatformViewers.setUp(306, "lesson", 5000, ""));
         assertTrue(receiveReplies(clientOfReloaded, 1).containsKey(306L));
       }
       assertEquals(
-          before, servers.get(0).heard("START") + servers.get(1).heard("START"), "both drain");
+          before,
+          servers.get(0).heard("START") + servers.get(1).heard("START"),
+          "both servers drain");
       assertEquals(0, reloaded.process.waitFor());
     }
   }
@@ -252,21 +254,22 @@
     }
     var packages = new TreeSet<String>();
     for (String line : Files.readAllLines(fronts.get(0).classes)) {
-      int at = line.indexOf(" linengauge.");
-      if (at >= 0) {
-        String name = line.substring(at + 1, line.indexOf(' ', at + 1));
+      int start = line.indexOf(" linengauge.");
+      if (start >= 0) {
+        String name = line.substring(start + 1, line.indexOf(' ', start + 1));
         packages.add(name.substring(0, name.lastIndexOf('.')));
       }
     }
     assertTrue(
         packages.containsAll(List.of("linengauge", "linengauge.platform", "linengauge.session")),
         packages.toString());
-    // Membership by lease, the log and what measures them are off in `serve`: not one class of
-    // them.
-    for (String off : List.of("membership", "lease", "consensus", "scale", "udp")) {
+    // `serve` uses neither lease-based membership nor the replicated log nor their benchmarks:
+    // it must not load any of their classes.
+    for (String unused : List.of("membership", "lease", "consensus", "scale", "udp")) {
       assertTrue(
-          packages.stream().noneMatch(name -> (name + ".").startsWith("linengauge." + off + ".")),
-          off + " in " + packages);
+          packages.stream()
+              .noneMatch(name -> (name + ".").startsWith("linengauge." + unused + ".")),
+          unused + " in " + packages);
     }
     packages.removeAll(
         List.of(
--- a/src/test/java/linengauge/platform/ServiceTest.java
+++ b/src/test/java/linengauge/platform/ServiceTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A front of the platform on loopback with stand-ins of viewers, boxes and journal service; judged
- * by what they saw.
+ * A front of the platform on loopback with simulated clients, servers and journal service; verified
+ * by what these received.
  */
 @Timeout(60)
 class ServiceTest {
@@ -117,8 +117,8 @@
   }
 
   /**
-   * None of them is passed on as an answer; the viewing plays at another box, and nothing is
-   * answered twice.
+   * No faulty reply is forwarded as an answer; the session is established at another server, and
+   * nothing is answered twice.
    */
   @ParameterizedTest
   @EnumSource(
@@ -160,8 +160,10 @@
         answers.merge(reply.id(), 1, Integer::sum);
       }
     }
-    assertEquals(12, answers.values().stream().mapToInt(n -> n).sum(), answers.toString());
-    descriptions.forEach((id, d) -> assertTrue(d.startsWith("made for " + tag(id)), d));
+    assertEquals(12, answers.values().stream().mapToInt(count -> count).sum(), answers.toString());
+    descriptions.forEach(
+        (id, description) ->
+            assertTrue(description.startsWith("made for " + tag(id)), description));
     assertTrue(descriptions.size() >= 8, descriptions.toString());
   }
 
@@ -183,13 +185,14 @@
       List<Said> replies = new ArrayList<>(List.of(other.next(10_000), other.next(10_000)));
       replies.removeIf(reply -> reply.id() == 99);
       assertEquals(List.of(new Said(RELEASED, id, 41, null, null)), replies);
-      assertEquals(null, tester.next(100), "who only tests the front is no viewer");
+      assertEquals(
+          null, tester.next(100), "a connection that only tests the front is not a client's");
     }
   }
 
   /**
-   * What a box said on a connection as it closed is said again on the next one, which must come by
-   * itself.
+   * What a server reported on a connection as it closed is repeated on the next one, which must be
+   * opened without a further request.
    */
   @Test
   void aClosedServerConnectionIsReplacedWhileSessionsRemain() throws Exception {
@@ -216,7 +219,7 @@
       client.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
       client.send(PlatformViewers.setUp(7, "lesson", 5000, ";at:s-00000002"));
       client.send(PlatformViewers.setUp(8, "lesson", 5000, ";at:s-0000ffff"));
-      assertEquals(RELEASED, awaitReply(client, 8).type(), "a box that nobody knows");
+      assertEquals(RELEASED, awaitReply(client, 8).type(), "an unknown server");
       waitUntil(() -> servers.get(1).connections() > 0);
       servers
           .get(1)
@@ -230,7 +233,7 @@
   @Test
   void misbehavingConnectionsAreRefusedOrClosed() throws Exception {
     try (var wellBehaved = new PlatformViewers(port);
-        var same = new PlatformViewers(port);
+        var duplicate = new PlatformViewers(port);
         var silent = new PlatformViewers(port);
         var huge = new PlatformViewers(port);
         var partial = new PlatformViewers(port)) {
@@ -239,10 +242,11 @@
       servers.forEach(server -> server.mood = Mood.SILENT);
       wellBehaved.send(PlatformViewers.setUp(9, "lesson", 8000, ""));
       waitUntil(() -> servers.stream().anyMatch(server -> server.heard("START") > 0));
-      same.send(PlatformViewers.setUp(9, "lesson", 8000, ";x:1"));
-      assertEquals(RELEASED, awaitReply(same, 9).type(), "the id of another's viewing");
-      same.send(PlatformViewers.setUp(10, "cinema", 5000, ""));
-      assertEquals(RELEASED, awaitReply(same, 10).type());
+      duplicate.send(PlatformViewers.setUp(9, "lesson", 8000, ";x:1"));
+      assertEquals(
+          RELEASED, awaitReply(duplicate, 9).type(), "the id is in use by another connection");
+      duplicate.send(PlatformViewers.setUp(10, "cinema", 5000, ""));
+      assertEquals(RELEASED, awaitReply(duplicate, 10).type());
       assertEquals(Said.CLOSED, huge.next(5000));
       assertEquals(Said.CLOSED, partial.next(5000));
       assertEquals(Said.CLOSED, silent.next(5000));
@@ -256,7 +260,7 @@
     waitUntil(() -> journal.asked.contains(1L));
     journal.breakWithin(PlatformJournal.record(1, servers.get(0).port(), 1, 0, 0));
     waitUntil(() -> journal.asked.size() == 2);
-    assertEquals(1L, journal.asked.get(1), "an event cut off has not been told");
+    assertEquals(1L, journal.asked.get(1), "an incomplete event has not been delivered");
     try (var next = new PlatformJournal(2)) {
       Files.writeString(file, "{ half a file");
       service.postedAnew();
@@ -270,7 +274,8 @@
           awaitReply(client, id);
         }
       }
-      assertEquals(0, servers.get(0).heard("START") + servers.get(1).heard("START"), "both drain");
+      assertEquals(
+          0, servers.get(0).heard("START") + servers.get(1).heard("START"), "both servers drain");
       assertTrue(servers.get(2).heard("START") > 0);
     }
   }
--- a/src/test/java/linengauge/platform/SignalsAndLimitsProcessesTest.java
+++ b/src/test/java/linengauge/platform/SignalsAndLimitsProcessesTest.java
@@ -30,9 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Signals and limits of the system, crossing with what a front's process does; a real process each.
- */
+/** Signals and system limits at critical moments of a front, each with a real process. */
 @Timeout(60)
 class SignalsAndLimitsProcessesTest {
   private static final int ANSWERED = 9;
@@ -73,10 +71,10 @@
         port, journal.port(), servers.stream().mapToInt(PlatformBox::port).toArray());
   }
 
-  /** Its shell gives way to it, so that its id is that of the front. */
+  /** The shell replaces itself with the front, so that the process id is the front's. */
   private void startProcess() throws IOException {
     String java = Path.of(System.getProperty("java.home"), "bin", "java").toString();
-    // As it is run it has one archive open; here it has each library's.
+    // The packaged front has a single archive open; here each library has one of its own.
     long libraries =
         Arrays.stream(System.getProperty("java.class.path").split(":"))
                 .filter(entry -> entry.endsWith(".jar"))
@@ -156,7 +154,7 @@
       signal("HUP");
       signal("TERM");
       first.send(setUp(100));
-      assertNotNull(awaitReply(first, 100), "what still comes is answered");
+      assertNotNull(awaitReply(first, 100), "requests that still arrive are answered");
       for (PlatformViewers client : List.of(first, second)) {
         for (Said message = client.next(10_000);
             message != null && message != Said.CLOSED;
@@ -166,30 +164,27 @@
           }
         }
       }
-      assertEquals(Set.of(), unreleased, "its end was not told");
+      assertEquals(Set.of(), unreleased, "sessions that were not released");
     }
     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
     assertEquals(0, process.exitValue());
   }
 
   /**
-   * A pipe holds the process in the reading of its configuration: it has its signals, and listens
-   * not yet.
+   * A named pipe blocks the process in reading its configuration: its signal handlers are
+   * installed, and it does not listen yet.
    */
   @Test
   void aStopSignalBeforeListeningExitsCleanly() throws Exception {
     assertEquals(0, new ProcessBuilder("mkfifo", file.toString()).start().waitFor());
     startProcess();
-    try (var out = Files.newOutputStream(file)) { // opens once the process reads
+    try (var out = Files.newOutputStream(file)) { // The open returns once the process reads.
       signal("TERM");
       signal("HUP");
-      Path other = dir.resolve("other");
-      assertEquals(0, new ProcessBuilder("mkfifo", other.toString()).start().waitFor());
-      Files.move(
-          other,
-          file,
-          StandardCopyOption
-              .REPLACE_EXISTING); // a file that never comes: the reload waits for ever
+      Path neverWritten = dir.resolve("other");
+      assertEquals(0, new ProcessBuilder("mkfifo", neverWritten.toString()).start().waitFor());
+      // This file never yields any data: the reload blocks for ever.
+      Files.move(neverWritten, file, StandardCopyOption.REPLACE_EXISTING);
       out.write(configuration().getBytes());
     }
     assertTrue(process.waitFor(20, TimeUnit.SECONDS));
@@ -206,8 +201,8 @@
   }
 
   /**
-   * Idle clients take all that they can while the journal service is away: real viewers, boxes and
-   * the list still find a place.
+   * Idle clients open as many connections as they can while the journal service is down; active
+   * clients, servers and discovery still get a descriptor.
    */
   @Test
   void idleConnectionsFillingTheDescriptorsBlockNeitherClientsNorDiscovery() throws Exception {
@@ -225,8 +220,8 @@
         }
         try (var client = new PlatformViewers(port)) {
           client.send(setUp(id));
-          Said s = awaitReply(client, id);
-          assertTrue(s != null && s.type() == ANSWERED, "viewing " + id + ": " + s);
+          Said reply = awaitReply(client, id);
+          assertTrue(reply != null && reply.type() == ANSWERED, "session " + id + ": " + reply);
         }
       }
       journal = new PlatformJournal(1, journalPort);
@@ -249,10 +244,11 @@
       }
       assertTrue(process.isAlive());
       assertFalse(
-          Files.readString(log).contains("Too many open files"), "an accept found no descriptor");
+          Files.readString(log).contains("Too many open files"),
+          "the accept failed for lack of descriptors");
     } finally {
-      for (Socket s : idle) {
-        s.close();
+      for (Socket socket : idle) {
+        socket.close();
       }
     }
   }
