--- a/src/main/java/linengauge/Outside.java
+++ b/src/main/java/linengauge/Outside.java
@@ -38,7 +38,7 @@
 
     /**
      * Asks the server to show that it has read the end of that attempt, where it can be asked; told
-     * by {@link Policy.Viewing#onEndConfirmed}.
+     * by {@link Policy.Viewing#endConfirmed}.
      */
     default void askConfirmation(long server) {}
 
--- a/src/main/java/linengauge/consensus/Entry.java
+++ b/src/main/java/linengauge/consensus/Entry.java
@@ -8,8 +8,8 @@
  * @param term in which a leader placed it
  * @param author who wants it: a front's number; an operator's orders go by the front that takes
  *     them
- * @param parseNumber of the author's, only rising: with the author it names the entry however often
- *     it is asked for
+ * @param number of the author's, only rising: with the author it names the entry however often it
+ *     is asked for
  */
 public record Entry(long term, Kind kind, long author, long number, byte[] payload) {
   /** Bytes of a payload at the most. */
--- a/src/main/java/linengauge/consensus/RaftNode.java
+++ b/src/main/java/linengauge/consensus/RaftNode.java
@@ -11,10 +11,10 @@
  * time, receives messages, and acts through {@link Port}.
  *
  * <p>This class takes calls from outside, changes role and term, and ends each call in {@link
- * #runDeferred}, the one place where anything leaves: not before all that it rests on lasts. The
- * rest is split by concern: {@link Elections}, {@link LeaderReplication} and {@link
- * FollowerReplication}, {@link Snapshots}, {@link VoterChanges}, {@link ReadRequests}, {@link
- * FollowRequests}, over {@link RaftState}.
+ * #settle}, the one place where anything leaves: not before all that it rests on lasts. The rest is
+ * split by concern: {@link Elections}, {@link LeaderReplication} and {@link FollowerReplication},
+ * {@link Snapshots}, {@link VoterChanges}, {@link ReadRequests}, {@link FollowRequests}, over
+ * {@link RaftState}.
  */
 public class RaftNode {
   /** What it acts through. */
--- a/src/main/java/linengauge/consensus/StateMachine.java
+++ b/src/main/java/linengauge/consensus/StateMachine.java
@@ -8,7 +8,7 @@
   /** Changes as a decision says; one that makes no sense changes nothing, at every front alike. */
   void apply(long index, long author, byte[] decision);
 
-  /** All of it, {@link CommittedLog#MAX_QUEUED_BYTES} bytes at the most. */
+  /** All of it, {@link CommittedLog#MOST} bytes at the most. */
   byte[] whole();
 
   /** Takes the place of all that was. */
--- a/src/main/java/linengauge/consensus/explore/ModelState.java
+++ b/src/main/java/linengauge/consensus/explore/ModelState.java
@@ -128,8 +128,8 @@
   /**
    * Plays a schedule in the words that it is told in; the rule that it breaks, or null.
    *
-   * @param connections each step has to be there to be chosen; else what is not is left out, as
-   *     where a guard has refused what led to it
+   * @param all each step has to be there to be chosen; else what is not is left out, as where a
+   *     guard has refused what led to it
    */
   String play(List<String> schedule, boolean all) {
     for (String said : schedule) {
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -247,7 +247,7 @@
 
   /* ---- steps on the desk ---- */
 
-  /** See {@link DeskLoop#startProcess}. */
+  /** See {@link DeskLoop#run}. */
   void onDesk(Runnable step) {
     desk.run(step);
   }
--- a/src/main/java/linengauge/lease/ControlMachine.java
+++ b/src/main/java/linengauge/lease/ControlMachine.java
@@ -3,7 +3,7 @@
 /**
  * One of the few machines that keep leases, as every front's settings name it.
  *
- * @param parseNumber its number in the consensus group, below all fronts' numbers
+ * @param number its number in the consensus group, below all fronts' numbers
  * @param region where it stands
  * @param address where it takes lease datagrams, as host:port in numbers
  */
--- a/src/main/java/linengauge/lease/DirectoryCodec.java
+++ b/src/main/java/linengauge/lease/DirectoryCodec.java
@@ -26,7 +26,7 @@
   /**
    * What the directory holds beside its entries.
    *
-   * @param arrivalFloor copies of a version below it miss a departure that is not kept any more
+   * @param floor copies of a version below it miss a departure that is not kept any more
    */
   record Head(long version, long floor, long unreachable, int leader, long leaderLife, long term) {
     static final Head EMPTY = new Head(0, 0, 0, MemberDirectory.NOBODY, 0, 0);
--- a/src/main/java/linengauge/lease/LeaseAgent.java
+++ b/src/main/java/linengauge/lease/LeaseAgent.java
@@ -102,7 +102,7 @@
 
   /**
    * @param incarnation higher than in any earlier life: the wall's clock in milliseconds
-   * @param connections control machines of the fleet
+   * @param all control machines of the fleet
    */
   public LeaseAgent(
       LeaseSettings settings,
--- a/src/main/java/linengauge/lease/LeaseMessage.java
+++ b/src/main/java/linengauge/lease/LeaseMessage.java
@@ -44,7 +44,7 @@
    * @param incarnation of the heartbeat
    * @param remaining of the lease, as far as the leader is known to know of it; none: not held
    * @param age for how long, at the most, the control machine's copy of the log may be out of date
-   * @param maxSilence the directory's version at the control machine
+   * @param latest the directory's version at the control machine
    * @param upTo the version that the front holds once it has taken the entries
    * @param reset the front's copy has to be emptied first: what it misses is not kept any more
    * @param digest of the whole directory at `latest`
@@ -71,13 +71,14 @@
    * not fit one datagram.
    *
    * @param round number of the exchange at the sender; all parts of one exchange share it
-   * @param confirm the last complete round of the receiver's that the sender has taken in; 0: none
+   * @param confirmed the last complete round of the receiver's that the sender has taken in; 0:
+   *     none
    * @param confirmedBefore the rounds before it that were taken in too: bit 0 is the one just
    *     before
    * @param directoryVersion of the sender's copy as the round ended: the lives heard are those that
    *     it lists
    * @param parts how many parts the round has
-   * @param handler numbers of the fronts whose listed life was heard since the round before
+   * @param heard numbers of the fronts whose listed life was heard since the round before
    */
   record Evidence(
       int from,
--- a/src/main/java/linengauge/lease/udp/ControlNode.java
+++ b/src/main/java/linengauge/lease/udp/ControlNode.java
@@ -30,9 +30,9 @@
   private static final int MOST_ENDS = 1024;
 
   /**
-   * @param parseNumber among all control machines
+   * @param number among all control machines
    * @param listen where it takes lease datagrams, as host:port in numbers
-   * @param connections as this machine reaches them
+   * @param all as this machine reaches them
    * @param log its part in the log; the number and key are the same
    */
   public record Settings(
--- a/src/main/java/linengauge/membership/Member.java
+++ b/src/main/java/linengauge/membership/Member.java
@@ -3,7 +3,7 @@
 /**
  * A front of the fleet, as it tells of itself.
  *
- * @param parseNumber its number in the site file, from 0
+ * @param number its number in the site file, from 0
  * @param address where it is reached, as the carrier writes addresses; at most {@link
  *     Datagram#MOST_TEXT} bytes of UTF-8
  * @param zone its zone's number
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -9,7 +9,7 @@
 /**
  * Who of the fleet is there, as one front holds it: SWIM's pings, indirect pings, suspicion and
  * updates sent on with them (Das and others 2002), made aware of its own slowness (Lifeguard,
- * Dadgar and others 2017). It is told the time, has its next timer read by {@link #poll}, and acts
+ * Dadgar and others 2017). It is told the time, has its next timer read by {@link #next}, and acts
  * through {@link Port}. Added to the papers, each at its place: a front that stood still takes its
  * waits anew; word of a death is a suspicion to whoever has not suspected; those gone are called on
  * again.
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -7,18 +7,18 @@
  * Lifeguard (Dadgar, Phillips, Currey 2017).
  *
  * @param period between two pings of this front's own (T')
- * @param testTimeout how long the direct ping may take; the helpers' have the rest of the period
+ * @param answer how long the direct ping may take; the helpers' have the rest of the period
  * @param helpers fronts asked to ping in this one's place (k)
  * @param suspicion times log10 of the fleet, times the period: how long a suspected member has to
  *     speak at the least (alpha)
- * @param longestTurn times that at the most, while nobody else suspects it (beta)
- * @param confirm by so many others, it is the least (K)
+ * @param longest times that at the most, while nobody else suspects it (beta)
+ * @param confirmed by so many others, it is the least (K)
  * @param healthMost how often the period and the answer may be lengthened while this front itself
  *     is slow (S)
  * @param retellings times log2 of the fleet: how often each piece of news is sent on (lambda)
  * @param deadKept how long a member that is gone is remembered, and called on now and then
  * @param regather between two calls on one that is gone or has never answered; NONE: never
- * @param maxEntries members at the most; further ones are not heard of
+ * @param most members at the most; further ones are not heard of
  */
 public record MembershipSettings(
     Span period,
--- a/src/main/java/linengauge/membership/explore/SimulationFigures.java
+++ b/src/main/java/linengauge/membership/explore/SimulationFigures.java
@@ -4,7 +4,7 @@
  * What one run of a simulated fleet measured round one event.
  *
  * @param mechanism GOSSIP or LEASE
- * @param onEvent what befell the fleet, QUIET where nothing did
+ * @param event what befell the fleet, QUIET where nothing did
  * @param fronts how many there were
  * @param seed that gives the same run again
  * @param traffic of the fronts
--- a/src/main/java/linengauge/memory/Snapshots.java
+++ b/src/main/java/linengauge/memory/Snapshots.java
@@ -61,7 +61,7 @@
   /**
    * @param name of the table, a beginning of its files' names
    * @param format that this program writes, 0 to 65535
-   * @param maxEntries bytes that a table may have
+   * @param most bytes that a table may have
    */
   public Snapshots(Folder folder, String name, int format, int most) {
     this.folder = folder;
--- a/src/main/java/linengauge/scale/Measurement.java
+++ b/src/main/java/linengauge/scale/Measurement.java
@@ -7,7 +7,7 @@
  *
  * @param subject what was measured: "gossip", "lease", "serve"
  * @param role whose cost it is: "front", "control machine", "detection"
- * @param onEvent what happened meanwhile: "quiet", "start", "zone lost"
+ * @param event what happened meanwhile: "quiet", "start", "zone lost"
  * @param size what the cost is set against; see {@link ScaleResult#sizeUnit}
  * @param quantity what was measured, as "bytes sent"
  * @param unit of the values, as "B/s"
--- a/src/main/java/linengauge/scale/fronts/FrontPlan.java
+++ b/src/main/java/linengauge/scale/fronts/FrontPlan.java
@@ -6,7 +6,7 @@
 /**
  * What is measured of one real front.
  *
- * @param startProcess the shell line that starts it
+ * @param run the shell line that starts it
  * @param root the folder to start it in
  * @param connections sizes of the loads of connections
  * @param rates sizes of the loads of messages, a second
--- a/src/main/java/linengauge/scale/fronts/ServeProcess.java
+++ b/src/main/java/linengauge/scale/fronts/ServeProcess.java
@@ -31,7 +31,7 @@
   /**
    * Starts it.
    *
-   * @param startProcess the shell line that starts a front, ending in an exec
+   * @param run the shell line that starts a front, ending in an exec
    * @param root the folder to start it in
    */
   ServeProcess(String run, Path root, Path configuration, Path log, int port) throws IOException {
--- a/src/main/java/linengauge/scale/hollow/HollowFigures.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFigures.java
@@ -7,7 +7,7 @@
  * What a run measured.
  *
  * @param partial it was stopped, or a process failed: what stands here is not the whole plan
- * @param readCause of its being partial, else empty
+ * @param cause of its being partial, else empty
  */
 public record HollowFigures(
     HollowPlan plan, boolean partial, String cause, List<FleetFigures> fleets) {
--- a/src/main/java/linengauge/scale/hollow/HollowFront.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFront.java
@@ -34,7 +34,7 @@
   private HollowSample.Traffic ofEarlierLives = HollowSample.Traffic.NONE;
 
   /**
-   * @param removeServer where it tells whom it gave up; may be written by several threads
+   * @param gone where it tells whom it gave up; may be written by several threads
    */
   HollowFront(
       HollowSpec spec,
--- a/src/main/java/linengauge/scale/hollow/HollowPlan.java
+++ b/src/main/java/linengauge/scale/hollow/HollowPlan.java
@@ -70,7 +70,7 @@
   /**
    * How long what takes.
    *
-   * @param runDeferred after all know all, before the quiet phase
+   * @param settle after all know all, before the quiet phase
    * @param quiet how long the phase without events lasts
    * @param longestWait how long at most each phase waits until all know what it changed
    */
--- a/src/main/java/linengauge/scale/hollow/HollowSample.java
+++ b/src/main/java/linengauge/scale/hollow/HollowSample.java
@@ -6,7 +6,7 @@
 /**
  * What a process says of itself, some times a second, as one line of JSON.
  *
- * @param dueAt by the wall's clock in milliseconds
+ * @param at by the wall's clock in milliseconds
  * @param processorMillis of the process so far
  * @param heapKb used after a collection, where one was asked for; else -1
  * @param traffic of all its lease or gossip sockets so far
@@ -16,7 +16,7 @@
  * @param highestFrontBytes on the wire, of any one front since the last sample
  * @param views how many of its fronts hold a set of members, by that set's sum; only where asked
  * @param ownSum the sum of its own fronts, as it would be in a view
- * @param removeServer numbers that any of its fronts gave up since the last sample
+ * @param gone numbers that any of its fronts gave up since the last sample
  * @param leader the control machine that leads as this one knows; -1 of fronts
  * @param drops so far, by cause
  */
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -20,7 +20,7 @@
 
   /**
    * Sends a set-up to the viewing's box, if {@link Held#sendable} still says so when it can be
-   * written. Its outcome is told once by {@link Held#startSession} or {@link Held#onConnectFailed}.
+   * written. Its outcome is told once by {@link Held#plays} or {@link Held#failed}.
    */
   void setUp(Held vw, int tuneIn);
 
@@ -29,7 +29,7 @@
 
   /**
    * Ends a viewing or tune-in at a box, heard or not; a tune-in that is still out there is no
-   * longer waited for, and what comes of it is told to nobody, but for {@link Held#onEndConfirmed}
+   * longer waited for, and what comes of it is told to nobody, but for {@link Held#endConfirmed}
    * once the box has shown that it is over there.
    */
   void withdraw(Held vw, BoxTable.Entry box, int tuneIn);
--- a/src/main/java/linengauge/session/Desk.java
+++ b/src/main/java/linengauge/session/Desk.java
@@ -292,7 +292,7 @@
   }
 
   /**
-   * The revision from which changes may be asked for; {@link ListFollower#INVALID}: the whole list.
+   * The revision from which changes may be asked for; {@link ListFollower#NONE}: the whole list.
    */
   public long listRevision() {
     return list.revision();
--- a/src/main/java/linengauge/standin/Tap.java
+++ b/src/main/java/linengauge/standin/Tap.java
@@ -11,8 +11,8 @@
 /**
  * What was seen on the sockets, in the order seen, one JSON object a line
  * (docs/protocol/traffic.md). All stand-ins of a drill write to one tap, so their moments are of
- * one clock. It holds at most {@link #MAX_QUEUED_BYTES} lines and then says that it is full: a
- * record cut short is no proof.
+ * one clock. It holds at most {@link #MOST} lines and then says that it is full: a record cut short
+ * is no proof.
  */
 public final class Tap {
   static final int MOST = 4_000_000;
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -35,7 +35,7 @@
    * @param version the first byte of each
    * @param numberAt where the sender's number stands
    * @param numberBytes two or four
-   * @param maxEntries bytes without the trailer
+   * @param most bytes without the trailer
    */
   public record Form(int version, int numberAt, int numberBytes, int most) {
     private int from(byte[] datagram) {
--- a/src/main/java/linengauge/vrrp/RouterTerms.java
+++ b/src/main/java/linengauge/vrrp/RouterTerms.java
@@ -37,7 +37,7 @@
   }
 
   /**
-   * What the standard does not have; each acts under its own condition, and {@link #INVALID} is the
+   * What the standard does not have; each acts under its own condition, and {@link #NONE} is the
    * standard alone.
    *
    * @param perInterval advertisements in each interval that they name, 1 in the standard: partners
--- a/src/main/java/linengauge/work/Chore.java
+++ b/src/main/java/linengauge/work/Chore.java
@@ -10,10 +10,10 @@
  * @param within how soon it should have begun after it is submitted or due; from then on it goes
  *     before all that are not late themselves
  * @param every how long after it was done it is due again; none: it is done once
- * @param connectTimes how often it may fail in a row; 0: for ever
+ * @param tries how often it may fail in a row; 0: for ever
  * @param deskTime that it is thought to take of the desk; learnt from what it takes
- * @param queuedBytes that it is thought to read or write; learnt too
- * @param clockStep does it, or begins it; must tell the job of its end, then or later
+ * @param bytes that it is thought to read or write; learnt too
+ * @param step does it, or begins it; must tell the job of its end, then or later
  */
 public record Chore(
     String name,
--- a/src/main/java/linengauge/work/WorkTerms.java
+++ b/src/main/java/linengauge/work/WorkTerms.java
@@ -7,14 +7,13 @@
  *
  * @param window in any one of which the budgets hold
  * @param deskTime of the desk that jobs may take in a window
- * @param queuedBytes that jobs may read or write in a window
- * @param arrivalFloor part of both budgets that is left while the desk is late, over 0 and at most
- *     1
+ * @param bytes that jobs may read or write in a window
+ * @param floor part of both budgets that is left while the desk is late, over 0 and at most 1
  * @param lateFrom how late the desk must be for that
  * @param jobs that may wait or run at once
  * @param atOnce jobs under way at once
  * @param ageing after which a job that waits counts as one step more urgent
- * @param firstRetryDelay and mostPause between tries of a job that fails
+ * @param firstPause and mostPause between tries of a job that fails
  */
 public record WorkTerms(
     Span window,
--- a/src/main/java/linengauge/zones/Evidence.java
+++ b/src/main/java/linengauge/zones/Evidence.java
@@ -3,10 +3,9 @@
 /**
  * What one front has seen of a place in the last second or so.
  *
- * @param connectTimes set-ups made there, and tests
- * @param onConnectFailed of these not reached, timed out or broken; full and refused ones are no
- *     failures
- * @param onRequestOpened what its newcomers ask of the place, kB a second
+ * @param tries set-ups made there, and tests
+ * @param failed of these not reached, timed out or broken; full and refused ones are no failures
+ * @param asked what its newcomers ask of the place, kB a second
  */
 public record Evidence(int tries, int failed, double asked) {
   public Evidence {
--- a/src/main/java/linengauge/zones/Leaning.java
+++ b/src/main/java/linengauge/zones/Leaning.java
@@ -23,7 +23,7 @@
 
   /**
    * @param lease a word of the table counts in full while it is no older
-   * @param encodeOver so long it takes from all newcomers by the table to none, and back
+   * @param over so long it takes from all newcomers by the table to none, and back
    */
   public record Terms(Span lease, Span over) {
     public static final Terms USUAL = new Terms(Span.ofSeconds(3), Span.ofSeconds(5));
@@ -35,7 +35,7 @@
    * @param shares by place, how much each is to be preferred, in sum 1; empty where it is refused
    *     at once, or where all are allowed
    * @param alone all places are allowed, as without a table
-   * @param parseNumber the table's, which it goes by
+   * @param number the table's, which it goes by
    */
   public record Choice(SortedMap<Integer, Double> shares, boolean alone, long number) {
     public boolean isRefused() {
--- a/src/main/java/linengauge/zones/Row.java
+++ b/src/main/java/linengauge/zones/Row.java
@@ -11,7 +11,7 @@
  *     asks
  * @param relapses how often it was given up again since it last stood near for long
  * @param order of an operator that holds it so, or ""
- * @param writtenSince the table's number with which it came to stand so
+ * @param since the table's number with which it came to stand so
  */
 public record Row(
     Standing standing, double stays, double goes, int relapses, String order, long since) {
--- a/src/main/java/linengauge/zones/WeighingTerms.java
+++ b/src/main/java/linengauge/zones/WeighingTerms.java
@@ -11,8 +11,8 @@
  * @param after it has to be bad for so long
  * @param back it has to be well for so long to come back, doubled with each relapse
  * @param backAtMost the longest of these
- * @param clockStep between two rises of the share taken back
- * @param firstAttemptConnection share taken back, doubled with each step
+ * @param step between two rises of the share taken back
+ * @param first share taken back, doubled with each step
  * @param rested near for so long, a place's relapses are forgotten
  * @param fill of a place's room that newcomers may take
  * @param worth shares closer than this to the table's are left as they are
