--- a/src/test/java/linengauge/platform/FakeNet.java
+++ b/src/test/java/linengauge/platform/FakeNet.java
@@ -45,7 +45,7 @@
   final List<String> refusing = new ArrayList<>();
 
   private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
-  private final PriorityQueue<Timer> timers =
+  private final PriorityQueue<ScheduledCall> timers =
       new PriorityQueue<>(
           (first, second) ->
               first.dueAt.equals(second.dueAt)
@@ -73,7 +73,7 @@
   private final List<Runnable> pendingConnects = new ArrayList<>();
   private final Map<String, List<Moment>> connectTimes = new HashMap<>();
 
-  private record Timer(Moment dueAt, long number, Runnable task) {}
+  private record ScheduledCall(Moment dueAt, long number, Runnable task) {}
 
   final class FakeConnection implements Connection {
     final String address;
@@ -312,7 +312,7 @@
   /** Runs the next timer and the tasks that it defers. */
   void runNextTimer() {
     runDeferred();
-    Timer timer = timers.poll();
+    ScheduledCall timer = timers.poll();
     now = now.orLater(timer.dueAt);
     timer.task.run();
     runDeferred();
@@ -323,7 +323,7 @@
     runDeferred();
     Moment until = now.plus(span);
     while (!timers.isEmpty() && !until.before(timers.peek().dueAt)) {
-      Timer timer = timers.poll();
+      ScheduledCall timer = timers.poll();
       now = now.orLater(timer.dueAt);
       timer.task.run();
       runDeferred();
@@ -366,7 +366,7 @@
   public Wake after(Span span, Runnable task) {
     boolean[] cancelled = {false};
     timers.add(
-        new Timer(
+        new ScheduledCall(
             now.plus(span),
             nextTimerNumber++,
             () -> {
