--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -2,7 +2,7 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import linengauge.front.FrontProgram;
+import linengauge.front.FrontServer;
 import linengauge.site.BadSite;
 import linengauge.site.Site;
 import linengauge.site.SiteFile;
@@ -100,7 +100,7 @@
         System.err.println(e.getMessage());
         return 1;
       }
-      FrontProgram front = new FrontProgram(site);
+      FrontServer front = new FrontServer(site);
       Runtime.getRuntime()
           .addShutdownHook(
               new Thread(
--- a/src/main/java/linengauge/front/Routes.java
+++ b/src/main/java/linengauge/front/ActiveViewings.java
@@ -6,11 +6,11 @@
 import linengauge.session.Viewer;
 
 /** Viewings that play, by id: written by the desk, read by the loops. Each leaves as it ends. */
-final class Routes {
+final class ActiveViewings {
   /** How many viewings that have ended are remembered, so that a late request is told why. */
   private static final int REMEMBERED = 1000;
 
-  private final Map<String, ViewerEnd> playing = new ConcurrentHashMap<>();
+  private final Map<String, HttpViewer> playing = new ConcurrentHashMap<>();
   private final Map<String, Viewer.End> ended =
       new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
@@ -21,7 +21,7 @@
         }
       };
 
-  void put(String id, ViewerEnd viewer) {
+  void put(String id, HttpViewer viewer) {
     playing.put(id, viewer);
   }
 
@@ -32,7 +32,7 @@
     }
   }
 
-  ViewerEnd get(String id) {
+  HttpViewer get(String id) {
     return playing.get(id);
   }
 
--- a/src/main/java/linengauge/front/Gate.java
+++ b/src/main/java/linengauge/front/AdmissionControl.java
@@ -6,10 +6,10 @@
 import linengauge.flow.DoorTerms;
 
 /** The door's book, shared by the loops: one call at a time, each of some hundred nanoseconds. */
-final class Gate {
+final class AdmissionControl {
   private final DoorBook book;
 
-  Gate(DoorTerms terms) {
+  AdmissionControl(DoorTerms terms) {
     this.book = new DoorBook(terms);
   }
 
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/BackgroundJobs.java
@@ -14,13 +14,13 @@
  * Background work on the desk: asks the bench for the next job, runs it, and wakes when it is to be
  * asked again.
  */
-final class Chores {
-  private final FrontProgram program;
+final class BackgroundJobs {
+  private final FrontServer program;
   private final Workbench bench;
   private Carrier.Wake wake;
   private Moment wakeAt;
 
-  Chores(FrontProgram program, WorkTerms terms, long seed) {
+  BackgroundJobs(FrontServer program, WorkTerms terms, long seed) {
     this.program = program;
     this.bench = new Workbench(terms, seed);
   }
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxClient.java
@@ -35,7 +35,7 @@
  * set-up that provably never ran (no connection, an explicit refusal) from one that may have, and
  * decides nothing else.
  */
-final class BoxCalls {
+final class BoxClient {
   static final ObjectMapper JSON = new ObjectMapper();
 
   /**
@@ -45,7 +45,7 @@
   private static final int LARGEST_READ = 65_536;
 
   /** A set-up that is out. */
-  private static final class Out {
+  private static final class PendingSetUp {
     private final BoxTable.Entry box;
     private final int tuneIn;
 
@@ -56,7 +56,7 @@
     private boolean sent;
     private boolean over;
 
-    private Out(BoxTable.Entry box, int tuneIn, String base) {
+    private PendingSetUp(BoxTable.Entry box, int tuneIn, String base) {
       this.box = box;
       this.tuneIn = tuneIn;
       this.base = base;
@@ -65,14 +65,14 @@
 
   private boolean closed;
   private final Site site;
-  private final FrontProgram program;
+  private final FrontServer program;
   private final HttpClient setUps;
   private final HttpClient others;
   private final SplittableRandom chance;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxCalls.class));
+  private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxClient.class));
 
   /** Set-ups out; each leaves with its outcome or when it is withdrawn. */
-  private final Map<Held, Out> out = new HashMap<>();
+  private final Map<Held, PendingSetUp> out = new HashMap<>();
 
   /**
    * Rungs being told, one call a viewing; each leaves when the box has the latest or the tries are
@@ -85,7 +85,7 @@
 
   private long endsGivenUp;
 
-  BoxCalls(Vertx calls, Site site, long seed, FrontProgram program) {
+  BoxClient(Vertx calls, Site site, long seed, FrontServer program) {
     this.site = site;
     this.program = program;
     this.chance = new SplittableRandom(seed);
@@ -134,7 +134,7 @@
 
   void setUp(Held vw, int tuneIn) {
     BoxTable.Entry box = vw.box();
-    Out o = new Out(box, tuneIn, program.viewerOf(vw).base());
+    PendingSetUp o = new PendingSetUp(box, tuneIn, program.viewerOf(vw).base());
     out.put(vw, o);
     others(
         setUps,
@@ -209,7 +209,7 @@
     }
   }
 
-  private void ended(Held vw, Out o, Ending how) {
+  private void ended(Held vw, PendingSetUp o, Ending how) {
     program.onDesk(
         () -> {
           if (!o.over) {
@@ -227,7 +227,7 @@
    * On the loop of the call: reads the answer and rewrites the playlist; the desk hears the
    * outcome.
    */
-  private void read(Held vw, Out o, BoxTable.Entry box, int rung, HttpClientResponse r) {
+  private void read(Held vw, PendingSetUp o, BoxTable.Entry box, int rung, HttpClientResponse r) {
     int status = r.statusCode();
     program.onDesk(() -> told(box, r));
     if (status != 201) {
@@ -263,7 +263,7 @@
         });
   }
 
-  private void plays(Held vw, Out o, BoxTable.Entry box, String playlist) {
+  private void plays(Held vw, PendingSetUp o, BoxTable.Entry box, String playlist) {
     if (o.over) {
       return;
     }
@@ -284,7 +284,7 @@
   }
 
   /** The box answered with what no player can use: the viewing may run there and must end there. */
-  private void broken(Held vw, Out o, BoxTable.Entry box, String what) {
+  private void broken(Held vw, PendingSetUp o, BoxTable.Entry box, String what) {
     program.onDesk(
         () -> {
           if (!o.over) {
@@ -302,7 +302,7 @@
    * box's lease.
    */
   void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    Out o = out.remove(vw);
+    PendingSetUp o = out.remove(vw);
     if (o != null && !o.over) {
       o.over = true;
       if (o.request != null) {
@@ -413,19 +413,19 @@
         });
   }
 
-  private interface Answered {
+  private interface ResponseCallback {
     /** Status 0: no answer came, or none in time. */
     void with(int status, HttpClientResponse response);
   }
 
   /** One call, answered once, on the desk. Its fields are read and written there alone. */
   private final class Call {
-    private final Answered then;
+    private final ResponseCallback then;
     private final Carrier.Wake limit;
     private HttpClientRequest request;
     private boolean done;
 
-    private Call(int ms, Answered then) {
+    private Call(int ms, ResponseCallback then) {
       this.then = then;
       this.limit = program.wakeAfter(Span.ofMillis(ms), this::giveUp);
     }
@@ -470,7 +470,12 @@
 
   /** One call whose body does not matter. */
   private void call(
-      HttpMethod method, BoxTable.Entry box, String uri, String body, int ms, Answered then) {
+      HttpMethod method,
+      BoxTable.Entry box,
+      String uri,
+      String body,
+      int ms,
+      ResponseCallback then) {
     Call call = new Call(ms, then);
     others(
         others,
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/DiscoveryClient.java
@@ -24,8 +24,8 @@
  * The box list, followed for ever (docs/protocol/list.md): changes from the revision known, or the
  * whole list. While it cannot be heard the last one stands.
  */
-final class ListFeed {
-  private static final Logger LOG = LoggerFactory.getLogger(ListFeed.class);
+final class DiscoveryClient {
+  private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
   /** Before all other background work: without its list a front goes by what was. */
   private static final int URGENT = 0;
@@ -33,20 +33,20 @@
   /** What opening a stream is thought to take of the desk, until it has been seen. */
   static final Span OPENING = new Span(300);
 
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Site site;
   private final HttpClient client;
   private final Backoff pause;
   private final List<String> kinds = new ArrayList<>();
   private final Sparse sparse = new Sparse(LOG);
-  private Stream stream;
+  private LineStream stream;
   private boolean closed;
   private long breaks;
 
-  ListFeed(Vertx vertx, Site site, long seed, FrontProgram program) {
+  DiscoveryClient(Vertx vertx, Site site, long seed, FrontServer program) {
     this.program = program;
     this.site = site;
-    this.client = BoxCalls.client(vertx, site, 1, 1);
+    this.client = BoxClient.client(vertx, site, 1, 1);
     this.pause =
         new Backoff(
             Span.ofMillis(site.list().retryFirstMs()),
@@ -62,7 +62,7 @@
     long from = program.core().listRevision();
     Site.Address at = Site.Address.of(site.list().address());
     stream =
-        new Stream(
+        new LineStream(
             program,
             client,
             new RequestOptions()
@@ -78,7 +78,7 @@
                 .setConnectTimeout(site.boxes().connectMs()),
             site.list().lineBytes(),
             Span.ofMillis(site.list().silenceMs()),
-            new Stream.Reader() {
+            new LineStream.Reader() {
               @Override
               public void line(byte[] line) {
                 heard(line);
@@ -128,7 +128,7 @@
   private void heard(byte[] line) {
     boolean followed;
     try {
-      followed = apply(BoxCalls.line(line));
+      followed = apply(BoxClient.line(line));
     } catch (JacksonException | IllegalArgumentException e) {
       // One row that cannot be read spoils the line: half of a change is worse than none.
       sparse.warn("bad box list", site.list().address(), e.getMessage());
--- a/src/main/java/linengauge/front/Loops.java
+++ b/src/main/java/linengauge/front/EventLoops.java
@@ -16,7 +16,7 @@
  * One loop of viewers' connections: its own time, its watch over slow peers, its waiting callers,
  * and its beat.
  */
-final class Loops {
+final class EventLoops {
   private final OwnTime time;
   private final Watch watch;
   private final Knocks knocks;
@@ -24,7 +24,7 @@
   /** What the last beat saw, for whoever asks on another loop. */
   private volatile Map<String, Long> seen = Map.of();
 
-  Loops(Vertx vertx, Site site) {
+  EventLoops(Vertx vertx, Site site) {
     var terms = site.flowOfLoop();
     this.time = new OwnTime(terms.beat(), terms.late());
     this.watch = new Watch(terms, time);
@@ -70,7 +70,7 @@
   }
 
   /** The sums over all loops. */
-  static JsonObject sum(List<Loops> loops) {
+  static JsonObject sum(List<EventLoops> loops) {
     Map<String, Long> sums = new TreeMap<>();
     loops.forEach(l -> l.seen.forEach((name, n) -> sums.merge(name, n, Long::sum)));
     return new JsonObject(new TreeMap<>(sums));
--- a/src/main/java/linengauge/front/FleetMembers.java
+++ b/src/main/java/linengauge/front/FleetMembership.java
@@ -14,14 +14,14 @@
 import org.slf4j.LoggerFactory;
 
 /** Who of the fleet is there; where the site file does not ask for it, idle. */
-final class FleetMembers {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetMembers.class);
+final class FleetMembership {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
 
   /** Null where the site file does not ask for it. */
   private final MembershipNode node;
 
   /** Binds where other members are heard; the front tells of itself from {@link #start} on. */
-  FleetMembers(Site site) throws IOException {
+  FleetMembership(Site site) throws IOException {
     Site.Members members = site.members();
     if (members.listen() == null) {
       this.node = null;
@@ -36,7 +36,7 @@
             own,
             members.seeds(),
             KeyFile.read(members.keyFile(), "members.keyFile"),
-            FleetMembers::log);
+            FleetMembership::log);
   }
 
   private static void log(MemberUpdate update) {
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontServer.java
@@ -39,7 +39,7 @@
  * One running front: the core on one event loop, the desk, and round it the sockets. It turns what
  * happens on them into calls of the core and carries out what that decides.
  */
-public final class FrontProgram implements Carrier {
+public final class FrontServer implements Carrier {
   static {
     // The library's newer allocator keeps a whole chunk for the last buffer in it: bytes that wait
     // for slow viewers took five times their size. The older one shares chunks out again.
@@ -48,7 +48,7 @@
     }
   }
 
-  private static final Logger LOG = LoggerFactory.getLogger(FrontProgram.class);
+  private static final Logger LOG = LoggerFactory.getLogger(FrontServer.class);
 
   /** What the library's pool of direct buffers takes for a loop beside what waits. */
   private static final long DIRECT_BYTES_A_LOOP = 8L << 20;
@@ -68,28 +68,28 @@
 
   private final Vertx callLoops;
   private final Vertx viewerLoops;
-  private final Routes routes = new Routes();
+  private final ActiveViewings routes = new ActiveViewings();
 
   /** The loops of the viewers' connections, as they start. */
-  private final List<Loops> loops = new CopyOnWriteArrayList<>();
+  private final List<EventLoops> loops = new CopyOnWriteArrayList<>();
 
-  private final Gate gate;
+  private final AdmissionControl gate;
   private final FrontDatagrams datagrams;
-  private final DeskLoop desk;
+  private final SessionLoop desk;
 
   /** Requests for viewings that wait for the desk; each leaves as the desk takes it. */
   private final AtomicInteger asksWaiting = new AtomicInteger();
 
   private final AtomicLong asksTurnedAway = new AtomicLong();
   private final CompletableFuture<String> over = new CompletableFuture<>();
-  private final List<Door> doors = new CopyOnWriteArrayList<>();
+  private final List<Listener> doors = new CopyOnWriteArrayList<>();
   private Desk core;
-  private BoxCalls calls;
-  private Notes notes;
-  private ListFeed feed;
-  private Chores chores;
+  private BoxClient calls;
+  private NoteStreams notes;
+  private DiscoveryClient feed;
+  private BackgroundJobs chores;
   private VrrpPairing vrrp;
-  private FleetMembers members;
+  private FleetMembership members;
   private FleetLease lease;
 
   /** What the pairing asks for on its own thread. */
@@ -98,14 +98,14 @@
   private volatile boolean ready;
   private volatile boolean stopping;
 
-  public FrontProgram(Site site) {
+  public FrontServer(Site site) {
     this.site = site;
     this.house = site.headend();
-    this.gate = new Gate(site.door());
+    this.gate = new AdmissionControl(site.door());
     this.vertx = loops(1);
     this.callLoops = loops(1);
     this.viewerLoops = loops(site.viewers().loops());
-    this.desk = new DeskLoop(vertx);
+    this.desk = new SessionLoop(vertx);
     this.datagrams = new FrontDatagrams(vertx, site);
   }
 
@@ -118,7 +118,7 @@
     return site;
   }
 
-  Routes routes() {
+  ActiveViewings routes() {
     return routes;
   }
 
@@ -126,19 +126,19 @@
     return core;
   }
 
-  Chores chores() {
+  BackgroundJobs chores() {
     return chores;
   }
 
-  Notes notes() {
+  NoteStreams notes() {
     return notes;
   }
 
-  List<Loops> loops() {
+  List<EventLoops> loops() {
     return loops;
   }
 
-  Gate gate() {
+  AdmissionControl gate() {
     return gate;
   }
 
@@ -147,8 +147,8 @@
     return vrrp.lease(vrid);
   }
 
-  ViewerEnd viewerOf(Held vw) {
-    return (ViewerEnd) vw.viewer();
+  HttpViewer viewerOf(Held vw) {
+    return (HttpViewer) vw.viewer();
   }
 
   /* ---- start ---- */
@@ -169,7 +169,7 @@
     }
     try {
       vrrp = new VrrpPairing(site, lease -> doors.forEach(d -> d.gaveUp(lease)), this::isUnwell);
-      members = new FleetMembers(site);
+      members = new FleetMembership(site);
       lease = new FleetLease(site);
     } catch (IOException e) {
       return Future.failedFuture(e.getMessage());
@@ -193,12 +193,12 @@
       @Override
       public Future<?> start() {
         desk.begin(context);
-        core = new Desk(house, site.bounds(), seeds.nextLong(), epoch, FrontProgram.this);
+        core = new Desk(house, site.bounds(), seeds.nextLong(), epoch, FrontServer.this);
         desk.setCore(core);
-        chores = new Chores(FrontProgram.this, site.work().terms(), seeds.nextLong());
-        calls = new BoxCalls(callLoops, site, seeds.nextLong(), FrontProgram.this);
-        notes = new Notes(callLoops, site, seeds.nextLong(), FrontProgram.this);
-        feed = new ListFeed(callLoops, site, seeds.nextLong(), FrontProgram.this);
+        chores = new BackgroundJobs(FrontServer.this, site.work().terms(), seeds.nextLong());
+        calls = new BoxClient(callLoops, site, seeds.nextLong(), FrontServer.this);
+        notes = new NoteStreams(callLoops, site, seeds.nextLong(), FrontServer.this);
+        feed = new DiscoveryClient(callLoops, site, seeds.nextLong(), FrontServer.this);
         core.clock(Wall.now());
         feed.open();
         return datagrams
@@ -216,7 +216,7 @@
   private Future<?> openDoors() {
     return viewerLoops.deployVerticle(
         () -> {
-          Door door = new Door(this, house);
+          Listener door = new Listener(this, house);
           doors.add(door);
           return door;
         },
@@ -247,7 +247,7 @@
 
   /* ---- steps on the desk ---- */
 
-  /** See {@link DeskLoop#run}. */
+  /** See {@link SessionLoop#run}. */
   void onDesk(Runnable step) {
     desk.run(step);
   }
@@ -306,7 +306,7 @@
             gate.state()
                 .put("asksWaiting", asksWaiting.get())
                 .put("asksTurnedAway", asksTurnedAway.get()))
-        .put("flow", Loops.sum(loops))
+        .put("flow", EventLoops.sum(loops))
         .put("letGo", c.letGo)
         .put("endsGivenUp", calls.endsGivenUp())
         .put("listBreaks", feed.breaks())
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/HttpViewer.java
@@ -15,13 +15,13 @@
  * One viewer on the sockets: the connection that waits for the answer, and afterwards the viewing's
  * route. Decisions come on the desk; bytes move on the loop of the viewer's connection.
  */
-final class ViewerEnd implements Viewer {
+final class HttpViewer implements Viewer {
   /** Where the viewing plays; read by the loops, written by the desk. */
   record Route(String host, int port) {}
 
   private final Context loop;
   private final HttpServerResponse response;
-  private final Routes routes;
+  private final ActiveViewings routes;
   private volatile long lastAsked = Wall.micros();
   private volatile Route route;
 
@@ -38,8 +38,12 @@
   private Held held;
   private String playlist;
 
-  ViewerEnd(
-      Context loop, HttpServerResponse response, Routes routes, double lowestBytes, String base) {
+  HttpViewer(
+      Context loop,
+      HttpServerResponse response,
+      ActiveViewings routes,
+      double lowestBytes,
+      String base) {
     this.base = base;
     this.loop = loop;
     this.response = response;
--- a/src/main/java/linengauge/front/Lines.java
+++ b/src/main/java/linengauge/front/LineSplitter.java
@@ -7,14 +7,14 @@
  * Cuts a stream into lines of bounded length; a longer one ends the stream. Empty lines are signs
  * of life.
  */
-final class Lines {
+final class LineSplitter {
   private final int longest;
   private final Consumer<byte[]> line;
   private final Runnable tooLong;
   private Buffer rest = Buffer.buffer();
   private boolean over;
 
-  Lines(int longest, Consumer<byte[]> line, Runnable tooLong) {
+  LineSplitter(int longest, Consumer<byte[]> line, Runnable tooLong) {
     this.longest = longest;
     this.line = line;
     this.tooLong = tooLong;
--- a/src/main/java/linengauge/front/Stream.java
+++ b/src/main/java/linengauge/front/LineStream.java
@@ -11,7 +11,7 @@
  * One long answer read line by line on the desk: it ends once, by itself, by silence, by a line too
  * long, or by close(). A stream that nobody holds any more calls nothing.
  */
-final class Stream {
+final class LineStream {
   /** What a stream tells, on the desk. */
   interface Reader {
     void line(byte[] line);
@@ -23,17 +23,17 @@
     void over(boolean answered, int status, String why);
   }
 
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Reader reader;
   private final Span silence;
   private HttpClientRequest request;
-  private Lines lines;
+  private LineSplitter lines;
   private long heardAt = Wall.micros();
   private boolean answered;
   private boolean over;
 
-  Stream(
-      FrontProgram program,
+  LineStream(
+      FrontServer program,
       HttpClient client,
       RequestOptions options,
       int longest,
@@ -43,7 +43,7 @@
     this.reader = reader;
     this.silence = silence;
     this.lines =
-        new Lines(
+        new LineSplitter(
             longest,
             line -> {
               if (!over) {
@@ -74,7 +74,7 @@
   private void send(HttpClientRequest q) {
     request = q;
     q.exceptionHandler(e -> {}); // what fails is told by the futures
-    BoxCalls.sent(
+    BoxClient.sent(
         q,
         Buffer.buffer(),
         r -> {
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Listener.java
@@ -32,22 +32,22 @@
  * The viewers' door on one loop (docs/protocol/viewer.md); as many of these share the address as
  * the site file says.
  */
-final class Door extends VerticleBase {
+final class Listener extends VerticleBase {
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
   private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
 
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Site site;
   private final Headend house;
   private final Map<String, Integer> packages;
   private final Map<String, Site.Held> cells;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(Door.class));
-  private Loops here;
+  private final Sparse log = new Sparse(LoggerFactory.getLogger(Listener.class));
+  private EventLoops here;
   private HttpClient media;
-  private Relay relay;
+  private MediaRelay relay;
   private Context loop;
 
-  Door(FrontProgram program, Headend house) {
+  Listener(FrontServer program, Headend house) {
     this.program = program;
     this.site = program.site();
     this.house = house;
@@ -61,15 +61,15 @@
     // What has been read when a transfer is held back stays with the library: one read, so a read
     // is bounded.
     media =
-        BoxCalls.client(
+        BoxClient.client(
             vertx,
             site,
             site.boxes().mediaConnections(),
             site.boxes().waitingMedia(),
             site.boxes().readBytes());
-    here = new Loops(vertx, site);
+    here = new EventLoops(vertx, site);
     program.loops().add(here);
-    relay = new Relay(program, media, vertx, here, log);
+    relay = new MediaRelay(program, media, vertx, here, log);
     List<Future<?>> open = new ArrayList<>();
     open.add(listen(site.front().viewers(), null));
     for (Site.Router r : site.vrrp().routers()) {
@@ -119,13 +119,13 @@
     return media.close();
   }
 
-  private final Map<HttpConnection, Caller> callers = new HashMap<>();
+  private final Map<HttpConnection, ViewerConnection> callers = new HashMap<>();
 
   /** A shared address is another front's now. */
   void gaveUp(Lease lease) {
     loop.runOnContext(
         v -> {
-          for (Caller c : List.copyOf(callers.values())) {
+          for (ViewerConnection c : List.copyOf(callers.values())) {
             if (c.lease() == lease) {
               c.gaveUp();
             }
@@ -140,7 +140,7 @@
       connection.close();
       return;
     }
-    Caller c = new Caller(connection, entry, lease, here, program, log);
+    ViewerConnection c = new ViewerConnection(connection, entry, lease, here, program, log);
     callers.put(connection, c);
     connection.closeHandler(
         v -> {
@@ -164,7 +164,7 @@
   }
 
   private void handle(HttpServerRequest r) {
-    Caller c = callers.get(r.connection());
+    ViewerConnection c = callers.get(r.connection());
     if (c == null) {
       return; // closed meanwhile
     }
@@ -184,7 +184,7 @@
   }
 
   /** The caller is told once that this request is answered, or that its connection has closed. */
-  private static void tellAnswered(HttpServerRequest r, Caller c) {
+  private static void tellAnswered(HttpServerRequest r, ViewerConnection c) {
     boolean[] over = {false};
     Runnable end =
         () -> {
@@ -206,7 +206,7 @@
     return lines;
   }
 
-  private void route(HttpServerRequest r, Caller c) {
+  private void route(HttpServerRequest r, ViewerConnection c) {
     String path = r.path() == null ? "" : r.path();
     if (path.startsWith("/v/")) {
       int slash = path.indexOf('/', 3);
@@ -223,7 +223,7 @@
     }
   }
 
-  private void join(HttpServerRequest r, Caller c, String title) {
+  private void join(HttpServerRequest r, ViewerConnection c, String title) {
     Held.Ask ask = readAsk(r, title);
     if (ask == null) {
       return; // refused
@@ -232,8 +232,8 @@
       blocked(r, "blocked: this key asks too often");
       return;
     }
-    ViewerEnd end =
-        new ViewerEnd(
+    HttpViewer end =
+        new HttpViewer(
             loop,
             r.response(),
             program.routes(),
@@ -307,8 +307,8 @@
     return WHOLE.matcher(text).matches() ? Long.parseLong(text) : -1;
   }
 
-  private void viewing(HttpServerRequest r, Caller c, String id, String rest) {
-    ViewerEnd viewer = program.routes().get(id);
+  private void viewing(HttpServerRequest r, ViewerConnection c, String id, String rest) {
+    HttpViewer viewer = program.routes().get(id);
     if (viewer == null) {
       Viewer.End how = program.routes().howEnded(id);
       refuse(r, how == null ? 404 : 410, how == null ? "no such viewing" : "ended: " + how);
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/MediaRelay.java
@@ -27,7 +27,7 @@
  * is read from a box that its viewer has not room for; playlists alone are held whole, up to the
  * site file's bound.
  */
-final class Relay {
+final class MediaRelay {
   /** Requests of one viewing at a time; a player fetches a playlist beside a segment or two. */
   private static final List<String> PASSED_ON =
       List.of(
@@ -46,14 +46,14 @@
 
   private static final AttributeKey<Object> USER = AttributeKey.valueOf("linengauge.transfer");
 
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Site site;
   private final HttpClient client;
   private final Vertx vertx;
-  private final Loops here;
+  private final EventLoops here;
   private final Sparse log;
 
-  Relay(FrontProgram program, HttpClient client, Vertx vertx, Loops here, Sparse log) {
+  MediaRelay(FrontServer program, HttpClient client, Vertx vertx, EventLoops here, Sparse log) {
     this.program = program;
     this.site = program.site();
     this.client = client;
@@ -62,8 +62,9 @@
     this.log = log;
   }
 
-  void relay(HttpServerRequest asked, Caller caller, ViewerEnd viewer, String id, String at) {
-    ViewerEnd.Route route = viewer.route();
+  void relay(
+      HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
+    HttpViewer.Route route = viewer.route();
     if (route == null) {
       fail(asked.response(), 410, "ended");
       return;
@@ -80,7 +81,7 @@
       return;
     }
     viewer.asked();
-    new Pass(asked, caller, viewer, id, at).start(route);
+    new Transfer(asked, caller, viewer, id, at).start(route);
   }
 
   private static void fail(HttpServerResponse to, int status, String why) {
@@ -92,12 +93,12 @@
   }
 
   /** One request of a viewer, answered by its box. */
-  private final class Pass implements Account.Peer {
-    private final Caller caller;
+  private final class Transfer implements Account.Peer {
+    private final ViewerConnection caller;
     private final Account box;
     private final HttpServerRequest asked;
     private final HttpServerResponse to;
-    private final ViewerEnd viewer;
+    private final HttpViewer viewer;
     private final String id;
     private final String at;
     private HttpClientRequest request;
@@ -110,7 +111,8 @@
     private long timer = -1;
     private Buffer playlist;
 
-    private Pass(HttpServerRequest asked, Caller caller, ViewerEnd viewer, String id, String at) {
+    private Transfer(
+        HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
       this.caller = caller;
       this.box = here.watch().open(Account.Side.BOX, this);
       this.asked = asked;
@@ -120,7 +122,7 @@
       this.at = at;
     }
 
-    private void start(ViewerEnd.Route route) {
+    private void start(HttpViewer.Route route) {
       asked.connection().exceptionHandler(e -> {});
       to.exceptionHandler(e -> end());
       to.closeHandler(v -> end());
@@ -284,7 +286,7 @@
 
     @Override
     public void letGo(Account account) {
-      log.warn("box let go", viewer.held().id(), Caller.figures(account));
+      log.warn("box let go", viewer.held().id(), ViewerConnection.figures(account));
       program.onDesk(() -> viewer.held().boxLost());
       broken(504, "the media box brings too little");
     }
--- a/src/main/java/linengauge/front/Notes.java
+++ b/src/main/java/linengauge/front/NoteStreams.java
@@ -26,7 +26,7 @@
  * breaks and the box refuses the next one, the core hears at once that the box is out of sight: it
  * may come back cold before the list tells of it.
  */
-final class Notes {
+final class NoteStreams {
   private static final Pattern DIGITS = Pattern.compile("[0-9]{1,13}");
 
   /** Older than this is long ago. */
@@ -35,20 +35,20 @@
   /** Urgency of streams that failed more than once: after the box list. */
   private static final int RETRIES = 1;
 
-  private final class Box {
+  private final class BoxStream {
     private final BoxTable.Entry entry;
 
     /** Viewings that play here, by id; each leaves as it ends. */
     private final Map<String, Held> playing = new LinkedHashMap<>();
 
     private final Backoff pause;
-    private Stream stream;
+    private LineStream stream;
     private String life;
     private int failures;
     private long usedAt = Wall.micros();
     private boolean closing;
 
-    private Box(BoxTable.Entry entry) {
+    private BoxStream(BoxTable.Entry entry) {
       this.entry = entry;
       int ms = site.boxes().notesRetryMs();
       this.pause = new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), chance.split());
@@ -56,17 +56,17 @@
 
     private void open() {
       stream =
-          new Stream(
+          new LineStream(
               program,
               client,
-              BoxCalls.to(
+              BoxClient.to(
                   entry,
                   HttpMethod.GET,
                   "/notes?front=" + site.front().number(),
                   site.boxes().connectMs()),
               site.boxes().noteBytes(),
               Span.ofMillis(site.boxes().notesSilenceMs()),
-              new Stream.Reader() {
+              new LineStream.Reader() {
                 @Override
                 public void line(byte[] line) {
                   failures = 0;
@@ -105,7 +105,7 @@
       Span after = pause.next();
       if (!program
           .chores()
-          .submit("notes of " + entry, RETRIES, after, ListFeed.OPENING, this::openAgain)) {
+          .submit("notes of " + entry, RETRIES, after, DiscoveryClient.OPENING, this::openAgain)) {
         program.wakeAfter(
             after,
             () -> {
@@ -174,7 +174,7 @@
     private void heard(byte[] line) {
       JsonNode note;
       try {
-        note = BoxCalls.line(line);
+        note = BoxClient.line(line);
       } catch (JacksonException e) {
         log.warn("bad note", entry.toString(), "not JSON");
         return;
@@ -211,23 +211,23 @@
     }
   }
 
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Site site;
   private final HttpClient client;
   private final SplittableRandom chance;
-  private final Sparse log = new Sparse(LoggerFactory.getLogger(Notes.class));
-  private final Map<BoxTable.Entry, Box> boxes = new LinkedHashMap<>();
+  private final Sparse log = new Sparse(LoggerFactory.getLogger(NoteStreams.class));
+  private final Map<BoxTable.Entry, BoxStream> boxes = new LinkedHashMap<>();
 
-  Notes(Vertx vertx, Site site, long seed, FrontProgram program) {
+  NoteStreams(Vertx vertx, Site site, long seed, FrontServer program) {
     this.program = program;
     this.site = site;
     this.chance = new SplittableRandom(seed);
-    this.client = BoxCalls.client(vertx, site, 2, 4);
+    this.client = BoxClient.client(vertx, site, 2, 4);
   }
 
   /** A viewing plays at a box. */
   void playing(Held vw, BoxTable.Entry entry) {
-    Box b = boxes.computeIfAbsent(entry, Box::new);
+    BoxStream b = boxes.computeIfAbsent(entry, BoxStream::new);
     b.usedAt = Wall.micros();
     b.playing.put(vw.id(), vw);
     if (b.stream == null && b.failures == 0) {
@@ -237,7 +237,7 @@
 
   /** A viewing no longer plays at a box. */
   void over(Held vw, BoxTable.Entry entry) {
-    Box b = boxes.get(entry);
+    BoxStream b = boxes.get(entry);
     if (b != null && b.playing.remove(vw.id()) != null) {
       b.usedAt = Wall.micros();
       b.closeWhenUnused();
@@ -250,7 +250,7 @@
         ageMs != null && DIGITS.matcher(ageMs).matches()
             ? Span.ofMillis(Math.min(Long.parseLong(ageMs), LONGEST_AGE_MS))
             : null;
-    Box b = boxes.get(entry);
+    BoxStream b = boxes.get(entry);
     if (b != null) {
       b.lives(life, age);
     } else if (age != null) {
@@ -268,7 +268,7 @@
   }
 
   void close() {
-    List.copyOf(boxes.values()).forEach(Box::leave);
+    List.copyOf(boxes.values()).forEach(BoxStream::leave);
     client.close();
   }
 }
--- a/src/main/java/linengauge/front/DeskLoop.java
+++ b/src/main/java/linengauge/front/SessionLoop.java
@@ -11,10 +11,10 @@
 import org.slf4j.LoggerFactory;
 
 /** The event loop on which the core runs, one step at a time, each with the time told before. */
-final class DeskLoop {
-  private static final Logger LOG = LoggerFactory.getLogger(DeskLoop.class);
+final class SessionLoop {
+  private static final Logger LOG = LoggerFactory.getLogger(SessionLoop.class);
 
-  private final Wakes wakes;
+  private final Timers wakes;
   private Context context;
   private Desk core;
 
@@ -23,8 +23,8 @@
 
   private volatile long ranAt = Wall.micros();
 
-  DeskLoop(Vertx vertx) {
-    this.wakes = new Wakes(vertx);
+  SessionLoop(Vertx vertx) {
+    this.wakes = new Timers(vertx);
   }
 
   /** The context on which steps run; on the desk, before any step runs. */
--- a/src/main/java/linengauge/front/Wakes.java
+++ b/src/main/java/linengauge/front/Timers.java
@@ -11,20 +11,20 @@
  * and holds nothing. Used on the desk only; it is bounded by what the core may hold, and a wake
  * leaves when it is due or called off.
  */
-final class Wakes {
-  private final class Due implements Carrier.Wake {
+final class Timers {
+  private final class PendingTimer implements Carrier.Wake {
     private final long at;
     private final long number;
     private final Runnable step;
     private int place;
 
-    private Due(long at, long number, Runnable step) {
+    private PendingTimer(long at, long number, Runnable step) {
       this.at = at;
       this.number = number;
       this.step = step;
     }
 
-    private boolean before(Due o) {
+    private boolean before(PendingTimer o) {
       return at != o.at ? at < o.at : number < o.number;
     }
 
@@ -37,18 +37,18 @@
   }
 
   private final Vertx vertx;
-  private Due[] heap = new Due[64];
+  private PendingTimer[] heap = new PendingTimer[64];
   private int size;
   private long number;
   private long timerAt = Long.MAX_VALUE;
 
-  Wakes(Vertx vertx) {
+  Timers(Vertx vertx) {
     this.vertx = vertx;
   }
 
   /** Runs the step once, not earlier than after so many microseconds and never within this call. */
   Carrier.Wake after(long micros, Runnable step) {
-    Due d = new Due(Wall.micros() + Math.max(0, micros), number++, step);
+    PendingTimer d = new PendingTimer(Wall.micros() + Math.max(0, micros), number++, step);
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
     }
@@ -57,7 +57,7 @@
     return d;
   }
 
-  private void up(Due d, int from) {
+  private void up(PendingTimer d, int from) {
     int i = from;
     while (i > 0 && d.before(heap[(i - 1) / 2])) {
       set(heap[(i - 1) / 2], i);
@@ -66,7 +66,7 @@
     set(d, i);
   }
 
-  private void down(Due d, int from) {
+  private void down(PendingTimer d, int from) {
     int i = from;
     while (2 * i + 1 < size) {
       int child = 2 * i + 1;
@@ -80,15 +80,15 @@
     set(d, i);
   }
 
-  private void set(Due d, int i) {
+  private void set(PendingTimer d, int i) {
     heap[i] = d;
     d.place = i;
   }
 
-  private void remove(Due d) {
+  private void remove(PendingTimer d) {
     int i = d.place;
     d.place = -1;
-    Due last = heap[--size];
+    PendingTimer last = heap[--size];
     heap[size] = null;
     if (last != d) {
       if (i > 0 && last.before(heap[(i - 1) / 2])) {
@@ -121,7 +121,7 @@
     long last = number;
     try {
       while (size > 0 && heap[0].at <= now && heap[0].number < last) {
-        Due d = heap[0];
+        PendingTimer d = heap[0];
         remove(d);
         d.step.run();
       }
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/ViewerConnection.java
@@ -19,10 +19,10 @@
  * account of bytes. What waits is read off the library's channel, which counts it anyway; the
  * library (pinned) has no public way to ask for it.
  */
-final class Caller implements Account.Peer, Knock.Caller {
+final class ViewerConnection implements Account.Peer, Knock.Caller {
   private final HttpConnection connection;
   private final Channel channel;
-  private final FrontProgram program;
+  private final FrontServer program;
   private final Sparse log;
   private final boolean turnedAway;
 
@@ -33,7 +33,7 @@
   private final Knock knock;
   private final Account account;
   private Runnable goOn = () -> {};
-  private ViewerEnd takes;
+  private HttpViewer takes;
 
   /**
    * What to do where the viewer breaks off while an answer is owed to it; one at a time, as
@@ -41,12 +41,12 @@
    */
   private Runnable waits = () -> {};
 
-  Caller(
+  ViewerConnection(
       HttpConnection connection,
       DoorBook.Entry entry,
       Lease lease,
-      Loops here,
-      FrontProgram program,
+      EventLoops here,
+      FrontServer program,
       Sparse log) {
     this.lease = lease;
     this.connection = connection;
@@ -105,7 +105,7 @@
   }
 
   /** Bytes of this viewing are on their way on this connection. */
-  void takes(ViewerEnd viewer, Runnable then) {
+  void takes(HttpViewer viewer, Runnable then) {
     takes = viewer;
     goOn = then;
   }
@@ -141,7 +141,7 @@
   @Override
   public void letGo(Account a) {
     if (takes != null) {
-      ViewerEnd viewer = takes;
+      HttpViewer viewer = takes;
       log.warn("viewer let go", viewer.held().id(), figures(a));
       program.onDesk(() -> viewer.held().letGo());
     }
--- a/src/test/java/linengauge/front/Rig.java
+++ b/src/test/java/linengauge/front/FrontFixture.java
@@ -25,7 +25,7 @@
 import linengauge.standin.Tap;
 
 /** A front in this process with scripted boxes and a list, on loopback. */
-final class Rig implements AutoCloseable {
+final class FrontFixture implements AutoCloseable {
   static final String MULTI =
       "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=100\na/media.m3u8\n"
           + "#EXT-X-STREAM-INF:BANDWIDTH=200\nb/media.m3u8\n";
@@ -33,7 +33,7 @@
       "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nsegments/0.ts\n#EXT-X-ENDLIST\n";
 
   /** A box that does as its script says; what it sees is written down. */
-  final class Box {
+  final class ScriptedBox {
     final int port;
     final BoxFleet.Place place;
     final List<String> seen = new CopyOnWriteArrayList<>();
@@ -53,7 +53,7 @@
       await(server.close());
     }
 
-    Box(int number, int port) throws Exception {
+    ScriptedBox(int number, int port) throws Exception {
       this.port = port;
       this.place = new BoxFleet.Place(number, Ports.HOST, port, number, "a");
       await(
@@ -93,17 +93,17 @@
 
   final Vertx vertx = Vertx.vertx();
   final BoxListService list;
-  final List<Box> boxes = new ArrayList<>();
+  final List<ScriptedBox> boxes = new ArrayList<>();
   final HttpClient client = HttpClient.newHttpClient();
   final Tap tap = new Tap();
   final int viewers;
   final int control;
   final int listPort;
-  FrontProgram front;
+  FrontServer front;
   private final String site;
 
   /** `more` is JSON5 laid into the site file. */
-  Rig(int boxCount, String more) throws Exception {
+  FrontFixture(int boxCount, String more) throws Exception {
     List<Integer> ports = Ports.free(3 + boxCount);
     viewers = ports.get(0);
     control = ports.get(1);
@@ -111,7 +111,7 @@
     list = new BoxListService(vertx, Ports.HOST, listPort, 0, 1, tap);
     await(list.open());
     for (int i = 0; i < boxCount; i++) {
-      boxes.add(new Box(i + 1, ports.get(3 + i)));
+      boxes.add(new ScriptedBox(i + 1, ports.get(3 + i)));
       list.set(boxes.get(i).place, "s", "serving", 0);
     }
     site =
@@ -139,11 +139,11 @@
     return done.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  FrontProgram program() throws BadSite {
-    return new FrontProgram(SiteFile.parse("rig", site));
+  FrontServer program() throws BadSite {
+    return new FrontServer(SiteFile.parse("rig", site));
   }
 
-  Rig start() throws Exception {
+  FrontFixture start() throws Exception {
     front = program();
     await(front.start(7));
     until(() -> get(control, "/ready").statusCode() == 200);
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -24,17 +24,17 @@
   private static final String QUICK =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, boxes: { endRetryMs: 50 }";
 
-  private static Rig rig(int boxes) throws Exception {
-    return new Rig(boxes, QUICK).start();
+  private static FrontFixture rig(int boxes) throws Exception {
+    return new FrontFixture(boxes, QUICK).start();
   }
 
   @Test
   void aViewingIsPlacedPlayedAndEnded() throws Exception {
-    try (Rig r = rig(1)) {
+    try (FrontFixture r = rig(1)) {
       HttpResponse<String> joined = r.join("&ceiling=1&key=me");
       assertEquals(200, joined.statusCode());
-      String media = Rig.path(joined);
-      String segment = Rig.path(r.get(r.viewers, media));
+      String media = FrontFixture.path(joined);
+      String segment = FrontFixture.path(r.get(r.viewers, media));
       assertEquals("segment", r.get(r.viewers, segment).body());
       String id = media.substring(3, media.indexOf('/', 3));
       r.client.send(
@@ -43,7 +43,7 @@
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE /viewings/" + id) == 1);
+      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE /viewings/" + id) == 1);
       assertEquals(410, r.get(r.viewers, segment).statusCode());
       r.untilEmpty();
     }
@@ -51,27 +51,28 @@
 
   @Test
   void aBoxThatNeverAnswersCostsATryAndIsGivenUpFirst() throws Exception {
-    try (Rig r = rig(2)) {
+    try (FrontFixture r = rig(2)) {
       r.boxes.forEach(b -> b.setUps = q -> {});
       CompletableFuture<HttpResponse<String>> joined = r.joins("");
-      Rig.until(() -> r.boxes.stream().anyMatch(b -> b.saw("PUT") > 0));
+      FrontFixture.until(() -> r.boxes.stream().anyMatch(b -> b.saw("PUT") > 0));
       r.boxes.forEach(b -> b.setUps = b::plays);
       assertEquals(200, joined.join().statusCode());
-      Rig.Box hung = r.boxes.stream().filter(b -> b.saw("closed") > 0).findFirst().orElseThrow();
-      Rig.until(() -> hung.saw("DELETE") == 1);
+      FrontFixture.ScriptedBox hung =
+          r.boxes.stream().filter(b -> b.saw("closed") > 0).findFirst().orElseThrow();
+      FrontFixture.until(() -> hung.saw("DELETE") == 1);
       assertEquals(1, hung.saw("PUT"));
     }
   }
 
   @Test
   void anAnswerAfterTheTimeOutIsCancelledAtItsBoxAndPlaysNothing() throws Exception {
-    try (Rig r = rig(1)) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r = rig(1)) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       box.setUps = q -> r.vertx.setTimer(1500, t -> box.plays(q));
       HttpResponse<String> answer = r.join("&patience=1200");
       assertTrue(
           answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
-      Rig.until(() -> box.saw("DELETE") == box.saw("PUT") && box.saw("closed") >= 1);
+      FrontFixture.until(() -> box.saw("DELETE") == box.saw("PUT") && box.saw("closed") >= 1);
       r.untilEmpty();
       assertEquals(0, r.state().getInteger("routes"));
     }
@@ -79,7 +80,7 @@
 
   @Test
   void aPaidSetUpThatIsResetIsNeverSentAgain() throws Exception {
-    try (Rig r = rig(2)) {
+    try (FrontFixture r = rig(2)) {
       r.boxes.forEach(b -> b.setUps = q -> q.connection().close());
       assertEquals(
           502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
@@ -97,10 +98,10 @@
 
   @Test
   void aBrokenPlaylistIsAnAbortedViewingThatEndsAtItsBox() throws Exception {
-    try (Rig r = rig(1)) {
+    try (FrontFixture r = rig(1)) {
       r.boxes.get(0).setUps = q -> q.response().setStatusCode(201).end("<html>");
       assertEquals(503, r.join("").statusCode());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE") == r.boxes.get(0).saw("PUT"));
+      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE") == r.boxes.get(0).saw("PUT"));
       assertEquals(
           502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
       r.untilEmpty();
@@ -109,17 +110,17 @@
 
   @Test
   void aListThatBreaksAndSkipsAChangeIsAskedForWhole() throws Exception {
-    try (Rig r = rig(2)) {
+    try (FrontFixture r = rig(2)) {
       r.list.skipOne();
       r.list.set(r.boxes.get(0).place, "s", "draining", 0);
       Thread.sleep(100); // lost on its way, and nothing to show it
       assertEquals(0, r.state().getInteger("listGaps"));
       r.list.set(r.boxes.get(1).place, "s", "serving", 0);
-      Rig.until(() -> r.state().getInteger("listGaps") == 1);
-      Rig.until(() -> r.state().getLong("listRevision") == 5);
+      FrontFixture.until(() -> r.state().getInteger("listGaps") == 1);
+      FrontFixture.until(() -> r.state().getLong("listRevision") == 5);
       r.list.breakFor(200);
       r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      Rig.until(
+      FrontFixture.until(
           () -> r.state().getLong("listRevision") == 6 && r.state().getLong("listBreaks") > 0);
       for (int i = 0; i < 5; i++) {
         assertEquals(200, r.join("").statusCode());
@@ -130,13 +131,14 @@
 
   @Test
   void aViewerThatBreaksOffTakesItsSetUpAlong() throws Exception {
-    try (Rig r = rig(1)) {
+    try (FrontFixture r = rig(1)) {
       r.boxes.get(0).setUps = q -> {};
       try (Socket s = new Socket(Ports.HOST, r.viewers)) {
         s.getOutputStream().write(request("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
-        Rig.until(() -> r.boxes.get(0).saw("PUT") == 1);
+        FrontFixture.until(() -> r.boxes.get(0).saw("PUT") == 1);
       }
-      Rig.until(() -> r.boxes.get(0).saw("closed") == 1 && r.boxes.get(0).saw("DELETE") == 1);
+      FrontFixture.until(
+          () -> r.boxes.get(0).saw("closed") == 1 && r.boxes.get(0).saw("DELETE") == 1);
       r.untilEmpty();
       assertEquals(0, r.state().getInteger("keys"));
       assertEquals(1, r.state().getInteger("left"));
@@ -149,31 +151,34 @@
 
   @Test
   void twoRequestsWithOneKeyGiveOneAnswerEachAndOneViewing() throws Exception {
-    try (Rig r = rig(2)) {
+    try (FrontFixture r = rig(2)) {
       r.boxes.forEach(b -> b.setUps = q -> r.vertx.setTimer(200, t -> b.plays(q)));
       CompletableFuture<HttpResponse<String>> first = r.joins("&key=me");
-      Rig.until(() -> r.state().getInteger("held") == 1);
+      FrontFixture.until(() -> r.state().getInteger("held") == 1);
       HttpResponse<String> second = r.join("&key=me");
       assertEquals(503, second.statusCode());
       assertEquals("1", second.headers().firstValue("Retry-After").orElseThrow());
       assertEquals(200, first.join().statusCode());
       assertEquals(200, r.join("&key=me").statusCode());
       assertEquals(
-          410, r.get(r.viewers, Rig.path(first.join())).statusCode(), "the earlier one is over");
+          410,
+          r.get(r.viewers, FrontFixture.path(first.join())).statusCode(),
+          "the earlier one is over");
       assertEquals(1, r.state().getInteger("held"));
     }
   }
 
   @Test
   void aDrainHeardWhileASetUpQueuesForAConnectionKeepsItBack() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }").start()) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r =
+        new FrontFixture(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }")
+            .start()) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       box.setUps = q -> r.vertx.setTimer(300, t -> box.plays(q));
       CompletableFuture<HttpResponse<String>> first = r.joins("");
-      Rig.until(() -> box.saw("PUT") == 1);
+      FrontFixture.until(() -> box.saw("PUT") == 1);
       CompletableFuture<HttpResponse<String>> queued = r.joins("");
-      Rig.until(() -> r.state().getInteger("held") == 2);
+      FrontFixture.until(() -> r.state().getInteger("held") == 2);
       r.list.set(box.place, "s", "draining", 0);
       assertEquals(200, first.join().statusCode());
       assertEquals(503, queued.join().statusCode());
@@ -183,8 +188,8 @@
 
   @Test
   void garbageOversizedAndSlowRequestsAreTurnedAwayAndHarmNobody() throws Exception {
-    try (Rig r =
-        new Rig(
+    try (FrontFixture r =
+        new FrontFixture(
                 1,
                 "viewers: { firstByteMs: 300, headersMs: 300, requestLineBytes: 512, headerBytes: 1024, connections: 5 }, "
                     + "stop: { playingMs: 100 }")
@@ -216,8 +221,8 @@
       for (int i = 0; i < idle.length; i++) {
         idle[i] = new Socket(Ports.HOST, r.viewers);
       }
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
-      Rig.until(() -> r.state().getInteger("viewerConnections") <= 1);
+      FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
+      FrontFixture.until(() -> r.state().getInteger("viewerConnections") <= 1);
       for (Socket s : idle) {
         s.close();
       }
@@ -226,7 +231,7 @@
   }
 
   /** What the front says to raw bytes until it closes the connection or has answered. */
-  private static String said(Rig r, String raw) throws IOException {
+  private static String said(FrontFixture r, String raw) throws IOException {
     try (Socket s = new Socket(Ports.HOST, r.viewers)) {
       s.setSoTimeout(15_000);
       s.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
@@ -238,7 +243,7 @@
 
   @Test
   void aSlowReaderHoldsItsBoxBackAndNothingIsHeldWhole() throws Exception {
-    try (Rig r = rig(1)) {
+    try (FrontFixture r = rig(1)) {
       long whole = 200L << 20;
       AtomicLong sent = new AtomicLong();
       r.boxes.get(0).segments =
@@ -246,10 +251,10 @@
             HttpServerResponse to = q.response().putHeader("Content-Length", Long.toString(whole));
             pour(to, sent, whole);
           };
-      String segment = Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
+      String segment = FrontFixture.path(r.get(r.viewers, FrontFixture.path(r.join(""))));
       try (Socket s = new Socket(Ports.HOST, r.viewers)) {
         s.getOutputStream().write(request(segment));
-        Rig.until(() -> sent.get() > 100_000);
+        FrontFixture.until(() -> sent.get() > 100_000);
         long before;
         do {
           before = sent.get();
@@ -260,7 +265,7 @@
             "the front took " + sent.get() + " of " + whole + " for a reader of nothing");
         assertEquals(200, r.join("").statusCode(), "others are served meanwhile");
       }
-      Rig.until(() -> r.state().getInteger("held") == 2);
+      FrontFixture.until(() -> r.state().getInteger("held") == 2);
     }
   }
 
@@ -275,12 +280,12 @@
 
   @Test
   void aBoxThatTellsOfALaterStartThanTheListIsCold() throws Exception {
-    try (Rig r =
-        new Rig(
+    try (FrontFixture r =
+        new FrontFixture(
                 1,
                 "rules: { coldMs: 60000, fallAfterMs: 5000, fallMultiple: 2.5 }, stop: { playingMs: 100 }")
             .start()) {
-      Rig.Box box = r.boxes.get(0);
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       box.setUps =
           q -> {
             q.response().putHeader("Box-Age-Ms", "1000");
@@ -299,13 +304,13 @@
 
   @Test
   void aBoxThatSendsNoMediaOrBreaksOffIsToldToTheViewerAsSuch() throws Exception {
-    try (Rig r =
-        new Rig(
+    try (FrontFixture r =
+        new FrontFixture(
                 1,
                 "boxes: { firstByteMs: 300, mediaSilenceMs: 300, connectMs: 100 }, stop: { playingMs: 100 }")
             .start()) {
-      Rig.Box box = r.boxes.get(0);
-      String segment = Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
+      String segment = FrontFixture.path(r.get(r.viewers, FrontFixture.path(r.join(""))));
       box.segments = q -> {};
       assertEquals(504, r.get(r.viewers, segment).statusCode(), "nothing at all");
       box.segments = q -> q.response().setStatusCode(500).end();
@@ -324,34 +329,36 @@
         four[i] = CompletableFuture.supplyAsync(() -> r.get(r.viewers, segment));
       }
       long before = box.saw("GET");
-      Rig.until(() -> box.saw("GET") >= before + 4 || four[0].isDone());
+      FrontFixture.until(() -> box.saw("GET") >= before + 4 || four[0].isDone());
       CompletableFuture.allOf(four).join();
       box.segments = q -> q.response().setStatusCode(410).end();
       assertEquals(410, r.get(r.viewers, segment).statusCode());
-      Rig.until(() -> r.state().getInteger("held") == 0);
+      FrontFixture.until(() -> r.state().getInteger("held") == 0);
     }
   }
 
   @Test
   void aPlaylistOverItsBoundIsRefusedAndNotHeldWhole() throws Exception {
-    try (Rig r = new Rig(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
+    try (FrontFixture r =
+        new FrontFixture(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
       r.boxes.get(0).setUps =
-          q -> q.response().setStatusCode(201).end(Rig.MULTI + "#long\n".repeat(1000));
+          q -> q.response().setStatusCode(201).end(FrontFixture.MULTI + "#long\n".repeat(1000));
       assertEquals(
           502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE") == 1);
+      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE") == 1);
       r.untilEmpty();
     }
   }
 
   @Test
   void anEndThatABoxWillNotHearIsTriedABoundedNumberOfTimes() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }").start()) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r =
+        new FrontFixture(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }")
+            .start()) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       box.others = q -> q.response().setStatusCode(500).end();
       box.setUps = q -> q.response().setStatusCode(500).end();
-      String media = Rig.path(joined(r, box));
+      String media = FrontFixture.path(joined(r, box));
       r.client.send(
           java.net.http.HttpRequest.newBuilder(
                   java.net.URI.create(
@@ -363,48 +370,51 @@
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      Rig.until(() -> r.state().getLong("endsGivenUp") == 1);
+      FrontFixture.until(() -> r.state().getLong("endsGivenUp") == 1);
       assertEquals(3, box.saw("DELETE"));
       r.untilEmpty();
     }
   }
 
-  private static HttpResponse<String> joined(Rig r, Rig.Box box) {
+  private static HttpResponse<String> joined(FrontFixture r, FrontFixture.ScriptedBox box) {
     box.setUps = box::plays;
     return r.join("");
   }
 
   @Test
   void aBoxThatCannotBeHeardAnyMoreHasLostItsViewings() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
+    try (FrontFixture r =
+        new FrontFixture(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
             .start()) {
-      String media = Rig.path(r.join(""));
-      Rig.until(() -> r.state().getInteger("noteStreamsInUse") == 1);
+      String media = FrontFixture.path(r.join(""));
+      FrontFixture.until(() -> r.state().getInteger("noteStreamsInUse") == 1);
       r.boxes.get(0).close();
-      Rig.until(() -> r.state().getInteger("held") == 0);
+      FrontFixture.until(() -> r.state().getInteger("held") == 0);
       assertEquals("ended: BOX_LOST\n", r.get(r.viewers, media).body());
     }
   }
 
   @Test
   void aBoxBehindALinkThatSwallowsTricklesOrResetsIsTakenForWhatItShows() throws Exception {
-    try (Rig r = rig(1)) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r = rig(1)) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       FaultyLink link = new FaultyLink(r.vertx, Ports.HOST, box.port);
       r.list.set(
-          new BoxFleet.Place(1, Ports.HOST, Rig.await(link.open()), 1, "a"), "s", "serving", 0);
-      Rig.until(() -> r.state().getLong("listRevision") == 3);
+          new BoxFleet.Place(1, Ports.HOST, FrontFixture.await(link.open()), 1, "a"),
+          "s",
+          "serving",
+          0);
+      FrontFixture.until(() -> r.state().getLong("listRevision") == 3);
       link.swallowAnswers(true);
       int status = r.join("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
       link.swallowAnswers(false);
       link.trickle(100);
-      Rig.until(() -> r.join("").statusCode() == 200);
+      FrontFixture.until(() -> r.join("").statusCode() == 200);
       link.trickle(0);
       link.resetOnAnswer(true);
       long before = box.saw("PUT");
-      Rig.until(
+      FrontFixture.until(
           () ->
               r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
                   == 502);
@@ -415,9 +425,9 @@
 
   @Test
   void aPortInUseIsSaidAtStart() throws Exception {
-    try (Rig r = rig(1)) {
-      FrontProgram second = r.program();
-      Exception e = assertThrows(Exception.class, () -> Rig.await(second.start(1)));
+    try (FrontFixture r = rig(1)) {
+      FrontServer second = r.program();
+      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
       assertTrue(e.getMessage().contains("in use"), e.getMessage());
       second.stop();
       assertTrue(second.await(15_000));
--- a/src/test/java/linengauge/front/LeaseMembershipTest.java
+++ b/src/test/java/linengauge/front/LeaseMembershipTest.java
@@ -115,7 +115,7 @@
     return node;
   }
 
-  private static JsonObject lease(Rig rig) {
+  private static JsonObject lease(FrontFixture rig) {
     return rig.state().getJsonObject("lease");
   }
 
@@ -126,16 +126,16 @@
     AtomicReference<DirectoryEntry> seen = new AtomicReference<>();
     try (LeaseNode other = otherFront(seen)) {
       // when
-      try (Rig rig = new Rig(1, section(key)).start()) {
+      try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
         // then
-        Rig.until(() -> lease(rig).getBoolean("holdsLease", false));
-        Rig.until(() -> lease(rig).getJsonArray("present").size() == 2);
+        FrontFixture.until(() -> lease(rig).getBoolean("holdsLease", false));
+        FrontFixture.until(() -> lease(rig).getJsonArray("present").size() == 2);
         assertEquals("CURRENT", lease(rig).getString("mode"));
-        Rig.until(() -> seen.get() != null);
+        FrontFixture.until(() -> seen.get() != null);
         assertEquals(DirectoryEntry.State.PRESENT, seen.get().state());
         assertEquals(at(ports.get(2)), seen.get().member().address());
       }
-      Rig.until(() -> seen.get().state() == DirectoryEntry.State.LEFT);
+      FrontFixture.until(() -> seen.get().state() == DirectoryEntry.State.LEFT);
       assertFalse(other.isSilent());
     }
   }
@@ -148,17 +148,17 @@
   void aControlMachineThatIsRestartedStillListsTheFrontInTheSameLife() throws Exception {
     // given
     Process first = controlMachine();
-    try (Rig rig = new Rig(1, section(key)).start()) {
-      Rig.until(() -> lease(rig).getBoolean("holdsLease", false));
+    try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
+      FrontFixture.until(() -> lease(rig).getBoolean("holdsLease", false));
       long incarnation = lease(rig).getLong("incarnation");
       long version = lease(rig).getLong("version");
       // when
       first.destroy();
       assertTrue(first.waitFor(10, TimeUnit.SECONDS));
-      Rig.until(() -> !lease(rig).getBoolean("holdsLease"));
+      FrontFixture.until(() -> !lease(rig).getBoolean("holdsLease"));
       controlMachine();
       // then
-      Rig.until(() -> lease(rig).getBoolean("holdsLease"));
+      FrontFixture.until(() -> lease(rig).getBoolean("holdsLease"));
       assertEquals(incarnation, lease(rig).getLong("incarnation"));
       assertTrue(lease(rig).getLong("version") >= version);
       assertEquals(1, lease(rig).getJsonArray("present").size());
@@ -167,7 +167,7 @@
 
   @Test
   void withoutControlMachinesTheFrontServesAndSaysThatItHoldsNothing() throws Exception {
-    try (Rig rig = new Rig(1, section(key)).start()) {
+    try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
       assertEquals("STARTING", lease(rig).getString("mode"));
       assertEquals(false, lease(rig).getBoolean("holdsLease"));
     }
@@ -176,8 +176,8 @@
   @Test
   void withAKeyThatIsNoneItDoesNotStart() throws Exception {
     Path tooShort = Files.writeString(folder.resolve("short"), "short");
-    try (Rig rig = new Rig(1, section(tooShort))) {
-      Exception e = assertThrows(Exception.class, () -> Rig.await(rig.program().start(7)));
+    try (FrontFixture rig = new FrontFixture(1, section(tooShort))) {
+      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(rig.program().start(7)));
       assertTrue(
           e.getMessage().contains("lease.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -186,7 +186,7 @@
 
   @Test
   void withoutTheSectionNothingIsSaidOfIt() throws Exception {
-    try (Rig rig = new Rig(1, "").start()) {
+    try (FrontFixture rig = new FrontFixture(1, "").start()) {
       assertEquals(new JsonObject(), lease(rig));
     }
   }
--- a/src/test/java/linengauge/front/MembersTest.java
+++ b/src/test/java/linengauge/front/MembersTest.java
@@ -51,8 +51,9 @@
             KEY.getBytes(StandardCharsets.UTF_8),
             n -> {})) {
       other.start();
-      try (Rig rig = new Rig(1, section(ports.get(0), ports.get(1), key)).start()) {
-        Rig.until(
+      try (FrontFixture rig =
+          new FrontFixture(1, section(ports.get(0), ports.get(1), key)).start()) {
+        FrontFixture.until(
             () ->
                 other.held().size() == 1
                     && rig.state().getJsonObject("members").getJsonArray("others").size() == 1);
@@ -63,7 +64,7 @@
         assertEquals(
             new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.held().get(0).member());
       }
-      Rig.until(() -> other.held().get(0).standing() == MemberState.LEFT);
+      FrontFixture.until(() -> other.held().get(0).standing() == MemberState.LEFT);
     }
   }
 
@@ -71,8 +72,8 @@
   void withAKeyThatIsNoneItDoesNotStart() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), "short");
     List<Integer> ports = Ports.free(2);
-    try (Rig rig = new Rig(1, section(ports.get(0), ports.get(1), key))) {
-      Exception e = assertThrows(Exception.class, () -> Rig.await(rig.program().start(7)));
+    try (FrontFixture rig = new FrontFixture(1, section(ports.get(0), ports.get(1), key))) {
+      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(rig.program().start(7)));
       assertTrue(
           e.getMessage().contains("members.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -81,7 +82,7 @@
 
   @Test
   void withoutTheSectionNothingIsSaidOfIt() throws Exception {
-    try (Rig rig = new Rig(1, "").start()) {
+    try (FrontFixture rig = new FrontFixture(1, "").start()) {
       assertEquals(new JsonObject(), rig.state().getJsonObject("members"));
     }
   }
--- a/src/test/java/linengauge/front/RetryOrderSocketsTest.java
+++ b/src/test/java/linengauge/front/RetryOrderSocketsTest.java
@@ -21,7 +21,7 @@
   }
 
   /** Ends are answered late, and noted as they are. */
-  private static void answersEndsLate(Rig rig, Rig.Box box) {
+  private static void answersEndsLate(FrontFixture rig, FrontFixture.ScriptedBox box) {
     box.others =
         request -> {
           if (request.method() == HttpMethod.DELETE) {
@@ -37,7 +37,7 @@
         };
   }
 
-  private static void eachAttemptFollowsTheAnsweredEndOfTheOneBefore(Rig.Box box) {
+  private static void eachAttemptFollowsTheAnsweredEndOfTheOneBefore(FrontFixture.ScriptedBox box) {
     List<String> seen = List.copyOf(box.seen);
     int attempts = 0;
     for (int i = 0; i < seen.size(); i++) {
@@ -53,8 +53,8 @@
   /** Guards against a retry that a box reads before the end of the attempt that timed out. */
   @Test
   void afterATimeOutTheSameBoxIsTriedOnceItHasAnsweredTheEnd() throws Exception {
-    try (Rig rig = new Rig(1, SETTINGS).start()) {
-      Rig.Box box = rig.boxes.get(0);
+    try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
+      FrontFixture.ScriptedBox box = rig.boxes.get(0);
       answersEndsLate(rig, box);
       box.setUps =
           request -> {
@@ -72,8 +72,8 @@
   @Test
   void afterABreakOrASpoiltAnswerTheBoxIsToldTheEndBeforeItIsTriedAgain() throws Exception {
     for (boolean breaks : new boolean[] {true, false}) {
-      try (Rig rig = new Rig(1, SETTINGS).start()) {
-        Rig.Box box = rig.boxes.get(0);
+      try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
+        FrontFixture.ScriptedBox box = rig.boxes.get(0);
         answersEndsLate(rig, box);
         box.setUps =
             request -> {
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -97,7 +97,7 @@
         + " }";
   }
 
-  private static HttpResponse<String> joins(Rig r, int port) {
+  private static HttpResponse<String> joins(FrontFixture r, int port) {
     return r.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
   }
 
@@ -105,10 +105,10 @@
   void viewersOfASharedAddressAreTakenWhereItIsHeldAndPlayOnAtTheFrontsOwn() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, ""))) {
+        FrontFixture r = new FrontFixture(1, vrrp(ports, ""))) {
       p.says = 200;
       r.start();
-      Rig.until(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
+      FrontFixture.until(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
       HttpResponse<String> elsewhere = joins(r, ports.get(2));
       assertEquals(503, elsewhere.statusCode());
       assertEquals(
@@ -116,7 +116,7 @@
       assertEquals(200, joins(r, r.viewers).statusCode(), "its own address is always its own");
       p.says = -1; // the partner has died
       List<HttpResponse<String>> last = new ArrayList<>();
-      Rig.until(
+      FrontFixture.until(
           () -> last.add(joins(r, ports.get(2))) && last.get(last.size() - 1).statusCode() == 200);
       HttpResponse<String> plays = last.get(last.size() - 1);
       String own = "http://" + Ports.HOST + ":" + r.viewers;
@@ -124,7 +124,7 @@
           plays.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
       // A better one comes: the address goes, what plays stays.
       p.says = 200;
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 503);
+      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 503);
       assertEquals(200, r.get(r.viewers, media.substring(own.length())).statusCode());
     }
   }
@@ -133,12 +133,12 @@
   void aFrontThatIsToldToEndGivesTheAddressUpAtOnceAndPlaysOnAtItsOwn() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "") + ", stop: { playingMs: 60000 }")) {
+        FrontFixture r = new FrontFixture(1, vrrp(ports, "") + ", stop: { playingMs: 60000 }")) {
       r.start();
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
       HttpResponse<String> plays = r.join("&key=last");
       CompletableFuture<Void> stop = CompletableFuture.runAsync(r.front::stop);
-      Rig.until(() -> p.heard.contains(0));
+      FrontFixture.until(() -> p.heard.contains(0));
       stop.get();
       int zero = p.heard.indexOf(0);
       Thread.sleep(300);
@@ -147,7 +147,7 @@
           then.subList(zero, then.size()).stream().allMatch(x -> x == 0),
           "after giving up " + then);
       assertTrue(then.size() - zero > 1, "a goodbye that is lost is said again");
-      assertEquals(200, r.get(r.viewers, Rig.path(plays)).statusCode());
+      assertEquals(200, r.get(r.viewers, FrontFixture.path(plays)).statusCode());
       assertEquals(503, joins(r, ports.get(2)).statusCode());
       r.endAll();
     }
@@ -157,16 +157,16 @@
   void anAnswerThatIsOwedWhenTheAddressGoesIsStillGiven() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start()) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start()) {
+      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
       List<io.vertx.core.http.HttpServerRequest> held =
           Collections.synchronizedList(new ArrayList<>());
       r.boxes.get(0).setUps = held::add;
       CompletableFuture<HttpResponse<String>> waits =
           CompletableFuture.supplyAsync(() -> joins(r, ports.get(2)));
-      Rig.until(() -> !held.isEmpty());
+      FrontFixture.until(() -> !held.isEmpty());
       p.says = 200;
-      Rig.until(() -> router(r).getString("state").equals("BACKUP"));
+      FrontFixture.until(() -> router(r).getString("state").equals("BACKUP"));
       // Where this took long, the module has withdrawn the first set-up and tries others.
       r.boxes.get(0).setUps = r.boxes.get(0)::plays;
       List.copyOf(held)
@@ -184,9 +184,9 @@
   void connectionsThatRestAtTheAddressAreClosedWhenItGoes() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start();
+        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start();
         Socket rests = new Socket(Ports.HOST, ports.get(2))) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
       rests.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
       rests
           .getOutputStream()
@@ -203,13 +203,13 @@
   void aRequestThatWasOnItsWayWhenTheAddressWentHearsAnAnswerAndNoBreak() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start()) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start()) {
+      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
       try (Socket comes = new Socket(Ports.HOST, ports.get(2))) {
         int connections = r.state().getInteger("viewerConnections");
         assertTrue(connections > 0);
         p.says = 200;
-        Rig.until(() -> router(r).getString("state").equals("BACKUP"));
+        FrontFixture.until(() -> router(r).getString("state").equals("BACKUP"));
         comes
             .getOutputStream()
             .write(
@@ -224,7 +224,7 @@
     }
   }
 
-  private static io.vertx.core.json.JsonObject router(Rig r) {
+  private static io.vertx.core.json.JsonObject router(FrontFixture r) {
     return r.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
   }
 
@@ -232,17 +232,18 @@
   void aFrontThatSeesNoServingBoxFallsBehindItsPartner() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "unwellMinus: 60, unwellAfterMs: 50")).start()) {
+        FrontFixture r =
+            new FrontFixture(1, vrrp(ports, "unwellMinus: 60, unwellAfterMs: 50")).start()) {
       p.says = 80;
-      Rig.until(() -> p.heard.contains(100));
+      FrontFixture.until(() -> p.heard.contains(100));
       r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      Rig.until(
+      FrontFixture.until(
           () ->
               router(r).getBoolean("unwell")
                   && router(r).getInteger("priority") == 40
                   && router(r).getString("state").equals("BACKUP"));
       r.list.set(r.boxes.get(0).place, "s", "serving", 0);
-      Rig.until(
+      FrontFixture.until(
           () -> !router(r).getBoolean("unwell") && router(r).getString("state").equals("ACTIVE"));
     }
   }
@@ -257,7 +258,7 @@
   @Test
   void aKeyThatIsMissingOrShortStopsTheStart() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Rig r = new Rig(1, vrrp(ports, "keyFile: 'no-such-file'"))) {
+    try (FrontFixture r = new FrontFixture(1, vrrp(ports, "keyFile: 'no-such-file'"))) {
       assertTrue(
           assertThrows(Exception.class, r::start)
               .toString()
@@ -266,7 +267,7 @@
     }
     Path key = Files.createTempFile("linengauge", ".key");
     Files.writeString(key, "short\n");
-    try (Rig r = new Rig(1, vrrp(ports, "keyFile: '" + key + "'"))) {
+    try (FrontFixture r = new FrontFixture(1, vrrp(ports, "keyFile: '" + key + "'"))) {
       assertTrue(
           assertThrows(Exception.class, r::start).toString().contains("fewer than 16 bytes"));
       r.front = null;
--- a/src/test/java/linengauge/front/SlowSocketsTest.java
+++ b/src/test/java/linengauge/front/SlowSocketsTest.java
@@ -26,12 +26,12 @@
       "stop: { playingMs: 100 }, flow: { beatMs: 50, lateMs: 5000, windowMs: 1600, "
           + "evidenceMs: 800, graceMs: 400 }, ";
 
-  private static Rig rig(String more) throws Exception {
-    return new Rig(1, QUICK + more).start();
+  private static FrontFixture rig(String more) throws Exception {
+    return new FrontFixture(1, QUICK + more).start();
   }
 
-  private static String segment(Rig r) {
-    return Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
+  private static String segment(FrontFixture r) {
+    return FrontFixture.path(r.get(r.viewers, FrontFixture.path(r.join(""))));
   }
 
   private static byte[] get(String path) {
@@ -39,7 +39,7 @@
   }
 
   /** A caller that has asked for this and reads nothing. */
-  private static Socket deaf(Rig r, String path) throws IOException {
+  private static Socket deaf(FrontFixture r, String path) throws IOException {
     Socket s = new Socket();
     s.setReceiveBufferSize(8192);
     s.connect(new InetSocketAddress(Ports.HOST, r.viewers));
@@ -67,8 +67,8 @@
 
   @Test
   void aReaderOfNothingIsLetGoAndItsNeighboursOnBoxAndLoopAreNot() throws Exception {
-    try (Rig r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       String slow = segment(r);
       String healthy = segment(r);
       box.segments =
@@ -87,7 +87,7 @@
         }
       }
       assertEquals("ended: LET_GO\n", r.get(r.viewers, slow).body());
-      Rig.until(() -> box.saw("DELETE") == 1);
+      FrontFixture.until(() -> box.saw("DELETE") == 1);
       assertEquals("segment", r.get(r.viewers, healthy).body());
       assertEquals(1, r.state().getInteger("held"));
     }
@@ -95,10 +95,10 @@
 
   @Test
   void slowReadersOnEveryStreamOfABoxLeaveOthersTheirPlaces() throws Exception {
-    try (Rig r =
+    try (FrontFixture r =
         rig(
             "viewers: { loops: 1, atOnce: 2 }, boxes: { mediaConnections: 40 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       String healthy = segment(r);
       List<Socket> deaf = new ArrayList<>();
       try {
@@ -108,12 +108,12 @@
           deaf.add(deaf(r, slow));
           deaf.add(deaf(r, slow));
         }
-        Rig.until(() -> box.saw("GET /viewings/") >= 37);
+        FrontFixture.until(() -> box.saw("GET /viewings/") >= 37);
         box.segments = q -> q.response().end("segment");
         for (int i = 0; i < 20; i++) {
           assertEquals("segment", r.get(r.viewers, healthy).body());
         }
-        Rig.until(() -> r.state().getInteger("letGo") == 12);
+        FrontFixture.until(() -> r.state().getInteger("letGo") == 12);
       } finally {
         for (Socket s : deaf) {
           s.close();
@@ -125,8 +125,8 @@
 
   @Test
   void aBoxThatDripsIsABreakForTheModuleAndForTheViewer() throws Exception {
-    try (Rig r = rig("desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r = rig("desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       String segment = segment(r);
       box.segments =
           q -> {
@@ -139,7 +139,7 @@
         assertTrue(
             said(s, 100_000).length() < 1000, "it breaks off, and is not passed off as whole");
       }
-      Rig.until(
+      FrontFixture.until(
           () ->
               box.saw("DELETE")
                   == 1); // the core hears of it on another loop than the one that broke off
@@ -151,8 +151,8 @@
 
   @Test
   void aBoxThatSendsMoreThanItAnnouncedHarmsNoOther() throws Exception {
-    try (Rig r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
+    try (FrontFixture r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = r.boxes.get(0);
       String segment = segment(r);
       box.segments =
           q ->
@@ -179,7 +179,7 @@
 
   @Test
   void aBoxThatNeverClosesIsGivenUpInTime() throws Exception {
-    try (Rig r = rig("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture r = rig("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
       String segment = segment(r);
       r.boxes.get(0).segments = q -> q.response().setChunked(true).write("all there is");
       try (Socket s = new Socket(Ports.HOST, r.viewers)) {
@@ -194,7 +194,7 @@
 
   @Test
   void callersThatSayNothingDripOrRestAreClosedAndToldApart() throws Exception {
-    try (Rig r = rig("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
+    try (FrontFixture r = rig("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
       try (Socket silent = new Socket(Ports.HOST, r.viewers);
           Socket drips = new Socket(Ports.HOST, r.viewers);
           Socket rests = new Socket(Ports.HOST, r.viewers)) {
@@ -217,43 +217,43 @@
         assertTrue(said(rests, 10_000).startsWith("HTTP/1.1 404"));
         dripping.join();
       }
-      Rig.until(
+      FrontFixture.until(
           () -> {
             var f = r.state().getJsonObject("flow");
             return f.getInteger("noFirstByte") == 1
                 && f.getInteger("headersTooSlow") == 1
                 && f.getInteger("restedTooLong") >= 1;
           });
-      Rig.until(() -> r.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
+      FrontFixture.until(() -> r.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
     }
   }
 
   @Test
   void aFullDoorTellsTheNewestWhenToComeAgainAndKeepsPlacesForOtherAddressesAndOperators()
       throws Exception {
-    try (Rig r =
+    try (FrontFixture r =
         rig("viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
       List<Socket> crowd = new ArrayList<>();
       try {
         for (int i = 0; i < 30; i++) {
           crowd.add(new Socket(Ports.HOST, r.viewers));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("served") == 30);
+        FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("served") == 30);
         for (int i = 0; i < 2; i++) {
           Socket s = new Socket(Ports.HOST, r.viewers);
           crowd.add(s);
-          Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") > 0);
+          FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("turningAway") > 0);
         }
         for (Socket s : crowd.subList(30, 32)) {
           s.getOutputStream().write(get("/titles/t/main.m3u8?package=plain"));
           String all = said(s, 10_000);
           assertTrue(all.startsWith("HTTP/1.1 503") && all.contains("Retry-After: 1"), all);
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 0);
+        FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 0);
         for (int i = 0; i < 2; i++) {
           crowd.add(new Socket(Ports.HOST, r.viewers));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 2);
+        FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 2);
         Socket shutOut = new Socket(Ports.HOST, r.viewers);
         crowd.add(shutOut);
         assertEquals("", said(shutOut, 10), "no place even to be told");
@@ -271,14 +271,14 @@
           s.close();
         }
       }
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("served") == 0);
+      FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("served") == 0);
       assertEquals(200, r.join("").statusCode());
     }
   }
 
   @Test
   void tooManyHeadersAndAKeyThatAsksInALoopAreRefused() throws Exception {
-    try (Rig r = rig("viewers: { headerCount: 8, keyAsks: 2 }")) {
+    try (FrontFixture r = rig("viewers: { headerCount: 8, keyAsks: 2 }")) {
       try (Socket s = new Socket(Ports.HOST, r.viewers)) {
         s.getOutputStream()
             .write(
@@ -297,7 +297,7 @@
 
   @Test
   void requestsInARowBehindOneAreAnsweredInOrderOrTheConnectionEnds() throws Exception {
-    try (Rig r = rig("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture r = rig("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
       String segment = segment(r);
       try (Socket s = new Socket(Ports.HOST, r.viewers)) {
         byte[] ask = get(segment);
@@ -315,13 +315,13 @@
 
   @Test
   void whoBreaksOffASlowReadBeforeItsNextAskStillHasOneAnswerEach() throws Exception {
-    try (Rig r = rig("desk: { idleMs: 60000 }")) {
+    try (FrontFixture r = rig("desk: { idleMs: 60000 }")) {
       String slow = segment(r);
       r.boxes.get(0).segments = q -> endless(q.response());
       try (Socket s = deaf(r, slow)) {
         s.getOutputStream()
             .write(get("/titles/t/main.m3u8?package=paid&patience=3000")); // behind the segment
-        Rig.until(() -> r.state().getInteger("letGo") == 1);
+        FrontFixture.until(() -> r.state().getInteger("letGo") == 1);
       }
       r.untilEmpty();
       assertEquals(r.state().getLong("taken"), r.state().getLong("played"));
@@ -330,7 +330,7 @@
 
   @Test
   void aFrontWhoseProcessMayNotHaveTheBudgetDoesNotStart() throws Exception {
-    try (Rig r = new Rig(1, "flow: { waitingBytes: 1000000000000 }")) {
+    try (FrontFixture r = new FrontFixture(1, "flow: { waitingBytes: 1000000000000 }")) {
       Throwable e = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, r::start);
       assertTrue(e.toString().contains("-XX:MaxDirectMemorySize"), e.toString());
       r.front = null;
@@ -339,14 +339,14 @@
 
   @Test
   void operatorsHavePlacesOfTheirOwnAndNoMoreThanThose() throws Exception {
-    try (Rig r =
+    try (FrontFixture r =
         rig("control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
       List<Socket> crowd = new ArrayList<>();
       try {
         for (int i = 0; i < 300; i++) {
           crowd.add(new Socket(Ports.HOST, r.viewers));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("shutOut") > 0);
+        FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("shutOut") > 0);
         for (int i = 0; i < 5; i++) {
           crowd.add(new Socket(Ports.HOST, r.control));
         }
@@ -362,7 +362,7 @@
 
   @Test
   void moreAsksThanTheDeskCanAnswerInTimeAreBlockedAtOnceAndTheRestAreAnswered() throws Exception {
-    try (Rig r = rig("desk: { waitingAsks: 1, idleMs: 60000 }")) {
+    try (FrontFixture r = rig("desk: { waitingAsks: 1, idleMs: 60000 }")) {
       List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
       for (int i = 0; i < 150; i++) {
         all.add(
@@ -384,7 +384,7 @@
         turnedAway += a.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
       }
       assertEquals(turnedAway, r.state().getJsonObject("door").getInteger("asksTurnedAway"));
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("asksWaiting") == 0);
+      FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("asksWaiting") == 0);
     }
   }
 }
