--- a/src/main/java/linengauge/consensus/Outbox.java
+++ b/src/main/java/linengauge/consensus/Outbox.java
@@ -20,7 +20,7 @@
     waiting.add(new Outgoing(voter, NO_CLIENT, message));
   }
 
-  /** To whoever made a request by {@link RaftNode#ask}. */
+  /** To whoever made a request by {@link RaftNode#runDueJobs}. */
   void answer(long client, RaftMessage message) {
     waiting.add(new Outgoing(NO_VOTER, client, message));
   }
--- a/src/main/java/linengauge/front/ActiveViewings.java
+++ b/src/main/java/linengauge/front/ActiveViewings.java
@@ -8,7 +8,7 @@
 /** Viewings that play, by id: written by the desk, read by the loops. Each leaves as it ends. */
 final class ActiveViewings {
   /** How many viewings that have ended are remembered, so that a late request is told why. */
-  private static final int REMEMBERED = 1000;
+  private static final int MAX_ENDED = 1000;
 
   private final Map<String, HttpViewer> playing = new ConcurrentHashMap<>();
   private final Map<String, Viewer.End> ended =
@@ -17,7 +17,7 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Viewer.End> eldest) {
-          return size() > REMEMBERED;
+          return size() > MAX_ENDED;
         }
       };
 
@@ -37,7 +37,7 @@
   }
 
   /** How a viewing ended, or null where that is not remembered. */
-  Viewer.End howEnded(String id) {
+  Viewer.End endReason(String id) {
     synchronized (ended) {
       return ended.get(id);
     }
--- a/src/main/java/linengauge/front/AdmissionControl.java
+++ b/src/main/java/linengauge/front/AdmissionControl.java
@@ -7,36 +7,36 @@
 
 /** The door's book, shared by the loops: one call at a time, each of some hundred nanoseconds. */
 final class AdmissionControl {
-  private final DoorBook book;
+  private final DoorBook ledger;
 
   AdmissionControl(DoorTerms terms) {
-    this.book = new DoorBook(terms);
+    this.ledger = new DoorBook(terms);
   }
 
-  synchronized DoorBook.Entry enters(String address) {
-    return book.enters(address);
+  synchronized DoorBook.Entry admit(String address) {
+    return ledger.enters(address);
   }
 
-  synchronized void leaves(String address, DoorBook.Entry entry) {
-    book.leaves(address, entry);
+  synchronized void release(String address, DoorBook.Entry entry) {
+    ledger.leaves(address, entry);
   }
 
-  synchronized boolean asks(String key, Moment now) {
-    return book.asks(key, now);
+  synchronized boolean allowsRequest(String key, Moment now) {
+    return ledger.asks(key, now);
   }
 
-  synchronized int served() {
-    return book.served() + book.turningAway();
+  synchronized int openConnections() {
+    return ledger.served() + ledger.turningAway();
   }
 
   synchronized JsonObject state() {
     return new JsonObject()
-        .put("served", book.served())
-        .put("addresses", book.addresses())
-        .put("turningAway", book.turningAway())
-        .put("turnedAway", book.turnedAway())
-        .put("shutOut", book.shutOut())
-        .put("keys", book.keysRemembered())
-        .put("keyAsksRefused", book.asksRefused());
+        .put("served", ledger.served())
+        .put("addresses", ledger.addresses())
+        .put("turningAway", ledger.turningAway())
+        .put("turnedAway", ledger.turnedAway())
+        .put("shutOut", ledger.shutOut())
+        .put("keys", ledger.keysRemembered())
+        .put("keyAsksRefused", ledger.asksRefused());
   }
 }
--- a/src/main/java/linengauge/front/BackgroundJobs.java
+++ b/src/main/java/linengauge/front/BackgroundJobs.java
@@ -15,14 +15,14 @@
  * asked again.
  */
 final class BackgroundJobs {
-  private final FrontServer program;
-  private final Workbench bench;
-  private Carrier.Wake wake;
-  private Moment wakeAt;
+  private final FrontServer front;
+  private final Workbench scheduler;
+  private Carrier.Wake timer;
+  private Moment timerDueAt;
 
   BackgroundJobs(FrontServer program, WorkTerms terms, long seed) {
-    this.program = program;
-    this.bench = new Workbench(terms, seed);
+    this.front = program;
+    this.scheduler = new Workbench(terms, seed);
   }
 
   /**
@@ -34,15 +34,15 @@
   boolean submit(String name, int urgency, Span after, Span thought, Runnable step) {
     Moment now = Wall.now();
     Workbench.Submission submission =
-        bench.submit(
-            new Chore(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> run(job, step)),
+        scheduler.submit(
+            new Chore(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> runJob(job, step)),
             now.plus(after),
             now);
-    arm(now);
+    armTimer(now);
     return submission.job() != null;
   }
 
-  private static void run(Job job, Runnable step) {
+  private static void runJob(Job job, Runnable step) {
     Moment from = Wall.now();
     try {
       step.run();
@@ -52,36 +52,36 @@
     }
   }
 
-  private void ask() {
+  private void runDueJobs() {
     Moment now = Wall.now();
     // How late this very wake is tells how late the desk is.
-    bench.deskLate(now.since(wakeAt).orMore(Span.NONE));
-    wake = null;
+    scheduler.deskLate(now.since(timerDueAt).orMore(Span.NONE));
+    timer = null;
     try {
-      for (Job j = bench.next(now); j != null; j = bench.next(Wall.now())) {
+      for (Job j = scheduler.next(now); j != null; j = scheduler.next(Wall.now())) {
         j.chore().step().run(j);
       }
     } finally {
-      arm(Wall.now());
+      armTimer(Wall.now());
     }
   }
 
-  private void arm(Moment now) {
-    Moment at = bench.askAt();
-    if (at == null || wake != null && !at.before(wakeAt)) {
+  private void armTimer(Moment now) {
+    Moment at = scheduler.askAt();
+    if (at == null || timer != null && !at.before(timerDueAt)) {
       return;
     }
-    if (wake != null) {
-      wake.cancel();
+    if (timer != null) {
+      timer.cancel();
     }
-    wakeAt = at.orLater(now);
-    wake = program.wakeAfter(wakeAt.since(now), this::ask);
+    timerDueAt = at.orLater(now);
+    timer = front.wakeAfter(timerDueAt.since(now), this::runDueJobs);
   }
 
   JsonObject state() {
-    Workbench.Counts c = bench.counts();
+    Workbench.Counts c = scheduler.counts();
     return new JsonObject()
-        .put("jobs", bench.jobs())
+        .put("jobs", scheduler.jobs())
         .put("done", c.done)
         .put("refused", c.refused)
         .put("displaced", c.displaced)
--- a/src/main/java/linengauge/front/BoxClient.java
+++ b/src/main/java/linengauge/front/BoxClient.java
@@ -42,7 +42,7 @@
    * The library reads no more at once unless told; to tell it would also bound the system's buffer,
    * for nothing.
    */
-  private static final int LARGEST_READ = 65_536;
+  private static final int LARGEST_READ_BYTES = 65_536;
 
   /** A set-up that is out. */
   private static final class PendingSetUp {
@@ -50,58 +50,61 @@
     private final int tuneIn;
 
     /** Of the viewing's addresses, as its viewer is to have them. */
-    private final String base;
+    private final String baseUrl;
 
     private HttpClientRequest request;
     private boolean sent;
-    private boolean over;
+    private boolean finished;
 
     private PendingSetUp(BoxTable.Entry box, int tuneIn, String base) {
       this.box = box;
       this.tuneIn = tuneIn;
-      this.base = base;
+      this.baseUrl = base;
     }
   }
 
   private boolean closed;
   private final Site site;
-  private final FrontServer program;
-  private final HttpClient setUps;
-  private final HttpClient others;
-  private final SplittableRandom chance;
+  private final FrontServer front;
+  private final HttpClient setUpClient;
+  private final HttpClient callClient;
+  private final SplittableRandom random;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxClient.class));
 
   /** Set-ups out; each leaves with its outcome or when it is withdrawn. */
-  private final Map<Held, PendingSetUp> out = new HashMap<>();
+  private final Map<Held, PendingSetUp> pendingSetUps = new HashMap<>();
 
   /**
    * Rungs being told, one call a viewing; each leaves when the box has the latest or the tries are
    * used up.
    */
-  private final Map<Held, Integer> rungs = new HashMap<>();
+  private final Map<Held, Integer> pendingRungs = new HashMap<>();
 
   /** Ends that boxes are still to hear of; bounded by the site file. */
-  private int ends;
+  private int pendingEnds;
 
   private long endsGivenUp;
 
   BoxClient(Vertx calls, Site site, long seed, FrontServer program) {
     this.site = site;
-    this.program = program;
-    this.chance = new SplittableRandom(seed);
-    this.setUps = client(calls, site, site.boxes().connections(), site.boxes().waitingSetUps());
-    this.others = client(calls, site, site.boxes().connections(), site.boxes().waitingEnds());
+    this.front = program;
+    this.random = new SplittableRandom(seed);
+    this.setUpClient =
+        newClient(calls, site, site.boxes().connections(), site.boxes().waitingSetUps());
+    this.callClient =
+        newClient(calls, site, site.boxes().connections(), site.boxes().waitingEnds());
   }
 
-  static HttpClient client(Vertx vertx, Site site, int connections, int waiting) {
-    return client(vertx, site, connections, waiting, HttpClientOptions.DEFAULT_RECEIVE_BUFFER_SIZE);
+  static HttpClient newClient(Vertx vertx, Site site, int connections, int waiting) {
+    return newClient(
+        vertx, site, connections, waiting, HttpClientOptions.DEFAULT_RECEIVE_BUFFER_SIZE);
   }
 
-  static HttpClient client(Vertx vertx, Site site, int connections, int waiting, int readBytes) {
+  static HttpClient newClient(Vertx vertx, Site site, int connections, int waiting, int readBytes) {
     return vertx.createHttpClient(
         new HttpClientOptions()
             .setReceiveBufferSize(
-                readBytes < LARGEST_READ
+                readBytes < LARGEST_READ_BYTES
                     ? readBytes
                     : HttpClientOptions.DEFAULT_RECEIVE_BUFFER_SIZE)
             .setConnectTimeout(site.boxes().connectMs())
@@ -112,7 +115,8 @@
         new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(waiting));
   }
 
-  static RequestOptions to(BoxTable.Entry box, HttpMethod method, String uri, int connectMs) {
+  static RequestOptions requestTo(
+      BoxTable.Entry box, HttpMethod method, String uri, int connectMs) {
     Site.Address at = Site.Address.of(box.address());
     return new RequestOptions()
         .setMethod(method)
@@ -122,8 +126,8 @@
         .setConnectTimeout(connectMs);
   }
 
-  int waiting() {
-    return out.size() + rungs.size() + ends;
+  int pendingCalls() {
+    return pendingSetUps.size() + pendingRungs.size() + pendingEnds;
   }
 
   long endsGivenUp() {
@@ -134,15 +138,15 @@
 
   void setUp(Held vw, int tuneIn) {
     BoxTable.Entry box = vw.box();
-    PendingSetUp o = new PendingSetUp(box, tuneIn, program.viewerOf(vw).base());
-    out.put(vw, o);
-    others(
-        setUps,
-        to(box, HttpMethod.PUT, "/viewings/" + vw.id(), site.boxes().connectMs()),
+    PendingSetUp o = new PendingSetUp(box, tuneIn, front.viewerOf(vw).baseUrl());
+    pendingSetUps.put(vw, o);
+    connect(
+        setUpClient,
+        requestTo(box, HttpMethod.PUT, "/viewings/" + vw.id(), site.boxes().connectMs()),
         request -> {
-          if (o.over || !vw.sendable(tuneIn)) {
+          if (o.finished || !vw.sendable(tuneIn)) {
             request.reset();
-            ended(vw, o, Ending.NEVER_SENT);
+            failSetUp(vw, o, Ending.NEVER_SENT);
             return;
           }
           o.request = request;
@@ -158,20 +162,20 @@
                   .put("rung", rung)
                   .toString();
           request.putHeader("Content-Type", "application/json");
-          sent(
+          sendRequest(
               request,
               Buffer.buffer(body),
-              r -> read(vw, o, box, rung, r),
-              e -> ended(vw, o, Ending.BROKEN));
+              r -> onSetUpResponse(vw, o, box, rung, r),
+              e -> failSetUp(vw, o, Ending.BROKEN));
         },
         e -> {
           boolean full = e instanceof io.vertx.core.http.ConnectionPoolTooBusyException;
-          ended(vw, o, full ? Ending.NEVER_SENT : Ending.NOT_REACHED);
+          failSetUp(vw, o, full ? Ending.NEVER_SENT : Ending.NOT_REACHED);
         });
   }
 
   /** Obtains a connection; what fails here was never written. */
-  private void others(
+  private void connect(
       HttpClient client,
       RequestOptions options,
       Consumer<HttpClientRequest> got,
@@ -180,7 +184,7 @@
         .request(options)
         .onComplete(
             r ->
-                program.onDesk(
+                front.runOnSessionLoop(
                     () -> {
                       if (r.succeeded()) {
                         r.result().exceptionHandler(e -> {}); // what fails is told by the futures
@@ -196,7 +200,7 @@
    * when the first bytes come on the loop of the call: an answer that is quicker than the desk
    * would lose them.
    */
-  static void sent(
+  static void sendRequest(
       HttpClientRequest request,
       Buffer body,
       Consumer<HttpClientResponse> answered,
@@ -209,14 +213,14 @@
     }
   }
 
-  private void ended(Held vw, PendingSetUp o, Ending how) {
-    program.onDesk(
+  private void failSetUp(Held vw, PendingSetUp o, Ending how) {
+    front.runOnSessionLoop(
         () -> {
-          if (!o.over) {
-            o.over = true;
-            out.remove(vw, o);
+          if (!o.finished) {
+            o.finished = true;
+            pendingSetUps.remove(vw, o);
             if (how == Ending.BROKEN) {
-              tellEnd(vw, o.box, o.tuneIn); // it may run there
+              sendEnd(vw, o.box, o.tuneIn); // it may run there
             }
             vw.failed(o.tuneIn, how);
           }
@@ -227,24 +231,26 @@
    * On the loop of the call: reads the answer and rewrites the playlist; the desk hears the
    * outcome.
    */
-  private void read(Held vw, PendingSetUp o, BoxTable.Entry box, int rung, HttpClientResponse r) {
+  private void onSetUpResponse(
+      Held vw, PendingSetUp o, BoxTable.Entry box, int rung, HttpClientResponse r) {
     int status = r.statusCode();
-    program.onDesk(() -> told(box, r));
+    front.runOnSessionLoop(() -> readReportHeaders(box, r));
     if (status != 201) {
       r.handler(b -> {});
       boolean never = "true".equals(r.getHeader("Never-Ran"));
-      ended(vw, o, never ? Ending.TURNED_AWAY : Ending.ERROR);
+      failSetUp(vw, o, never ? Ending.TURNED_AWAY : Ending.ERROR);
       return;
     }
     Buffer body = Buffer.buffer();
-    r.exceptionHandler(e -> ended(vw, o, Ending.BROKEN));
+    r.exceptionHandler(e -> failSetUp(vw, o, Ending.BROKEN));
     r.handler(
         b -> {
           body.appendBuffer(b);
           if (body.length() > site.boxes().playlistBytes()) {
             r.handler(x -> {});
             r.endHandler(x -> {});
-            broken(vw, o, box, "a playlist longer than " + site.boxes().playlistBytes() + " bytes");
+            rejectPlaylist(
+                vw, o, box, "a playlist longer than " + site.boxes().playlistBytes() + " bytes");
           }
         });
     r.endHandler(
@@ -254,42 +260,42 @@
                 Playlists.multivariant(
                     body.getBytes(),
                     rung,
-                    o.base + "/v/" + vw.id() + "/media.m3u8",
-                    uri -> o.base + Paths.under(vw.id(), "", uri));
-            program.onDesk(() -> plays(vw, o, box, text));
+                    o.baseUrl + "/v/" + vw.id() + "/media.m3u8",
+                    uri -> o.baseUrl + Paths.under(vw.id(), "", uri));
+            front.runOnSessionLoop(() -> completeSetUp(vw, o, box, text));
           } catch (BadPlaylist e) {
-            broken(vw, o, box, e.getMessage());
+            rejectPlaylist(vw, o, box, e.getMessage());
           }
         });
   }
 
-  private void plays(Held vw, PendingSetUp o, BoxTable.Entry box, String playlist) {
-    if (o.over) {
+  private void completeSetUp(Held vw, PendingSetUp o, BoxTable.Entry box, String playlist) {
+    if (o.finished) {
       return;
     }
-    o.over = true;
-    out.remove(vw, o);
-    program.viewerOf(vw).playlist(playlist);
-    program.viewerOf(vw).rungBytes(site.bytesOf(vw.ask().pack(), vw.rungNow()));
+    o.finished = true;
+    pendingSetUps.remove(vw, o);
+    front.viewerOf(vw).playlist(playlist);
+    front.viewerOf(vw).rungBytesPerSecond(site.bytesOf(vw.ask().pack(), vw.rungNow()));
     vw.plays(o.tuneIn);
     if (vw.isPlaying()) {
-      program.notes().playing(vw, box);
+      front.noteStreams().viewingStarted(vw, box);
     }
   }
 
   /** What every answer of a box may tell beside what it was asked. */
-  private void told(BoxTable.Entry box, HttpClientResponse r) {
-    report(box, r.getHeader("Load"));
-    program.notes().lifeTold(box, r.getHeader("Box-Life"), r.getHeader("Box-Age-Ms"));
+  private void readReportHeaders(BoxTable.Entry box, HttpClientResponse r) {
+    reportLoad(box, r.getHeader("Load"));
+    front.noteStreams().reportLife(box, r.getHeader("Box-Life"), r.getHeader("Box-Age-Ms"));
   }
 
   /** The box answered with what no player can use: the viewing may run there and must end there. */
-  private void broken(Held vw, PendingSetUp o, BoxTable.Entry box, String what) {
-    program.onDesk(
+  private void rejectPlaylist(Held vw, PendingSetUp o, BoxTable.Entry box, String what) {
+    front.runOnSessionLoop(
         () -> {
-          if (!o.over) {
+          if (!o.finished) {
             log.warn("broken playlist", box.toString(), what);
-            withdraw(vw, box, o.tuneIn);
+            cancel(vw, box, o.tuneIn);
             vw.failed(o.tuneIn, Ending.SPOILT);
           }
         });
@@ -301,10 +307,10 @@
    * Ends a viewing or tune-in at its box; tried again a bounded number of times, then left to the
    * box's lease.
    */
-  void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    PendingSetUp o = out.remove(vw);
-    if (o != null && !o.over) {
-      o.over = true;
+  void cancel(Held vw, BoxTable.Entry box, int tuneIn) {
+    PendingSetUp o = pendingSetUps.remove(vw);
+    if (o != null && !o.finished) {
+      o.finished = true;
       if (o.request != null) {
         o.request.reset();
       }
@@ -312,23 +318,23 @@
         return;
       }
     }
-    program.notes().over(vw, box);
-    tellEnd(vw, box, tuneIn);
+    front.noteStreams().viewingEnded(vw, box);
+    sendEnd(vw, box, tuneIn);
   }
 
-  private void tellEnd(Held vw, BoxTable.Entry box, int tuneIn) {
-    if (ends >= site.boxes().waitingEnds()) {
+  private void sendEnd(Held vw, BoxTable.Entry box, int tuneIn) {
+    if (pendingEnds >= site.boxes().waitingEnds()) {
       endsGivenUp++;
       log.warn("end not told", box.toString(), "too many wait");
       return;
     }
-    ends++;
+    pendingEnds++;
     int ms = site.boxes().endRetryMs();
-    end(
+    tryEnd(
         box,
         "/viewings/" + vw.id() + "?tuneIn=" + tuneIn,
         site.boxes().endTries(),
-        new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), chance.split()),
+        new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), random.split()),
         () -> vw.endConfirmed(tuneIn));
   }
 
@@ -336,7 +342,8 @@
    * A box that has answered keeps the end: nothing of that tune-in runs there, nor can any more
    * (docs/protocol/box.md).
    */
-  private void end(BoxTable.Entry box, String uri, int tries, Backoff pause, Runnable confirmed) {
+  private void tryEnd(
+      BoxTable.Entry box, String uri, int tries, Backoff pause, Runnable confirmed) {
     if (closed) {
       return; // the front has ended; the box's lease ends it there
     }
@@ -348,12 +355,12 @@
         site.boxes().firstByteMs(),
         (status, r) -> {
           if (status >= 200 && status < 300 || status == 404 || status == 410) {
-            ends--;
+            pendingEnds--;
             confirmed.run();
           } else if (tries > 1 && (status != 0 || box.state() != BoxTable.State.GONE)) {
-            program.wakeAfter(pause.next(), () -> end(box, uri, tries - 1, pause, confirmed));
+            front.wakeAfter(pause.next(), () -> tryEnd(box, uri, tries - 1, pause, confirmed));
           } else {
-            ends--;
+            pendingEnds--;
             endsGivenUp++;
             log.warn(
                 "end not told", box.toString(), status == 0 ? "no answer" : "status " + status);
@@ -363,13 +370,13 @@
 
   /* ---- rungs ---- */
 
-  void rung(Held vw) {
-    if (rungs.put(vw, vw.rungNow()) == null) {
-      tellRung(vw, vw.box(), site.boxes().rungTries());
+  void updateRung(Held vw) {
+    if (pendingRungs.put(vw, vw.rungNow()) == null) {
+      sendRung(vw, vw.box(), site.boxes().rungTries());
     }
   }
 
-  private void tellRung(Held vw, BoxTable.Entry box, int tries) {
+  private void sendRung(Held vw, BoxTable.Entry box, int tries) {
     int told = vw.rungNow();
     String body = JSON.createObjectNode().put("rung", told).toString();
     call(
@@ -380,14 +387,14 @@
         site.boxes().firstByteMs(),
         (status, r) -> {
           if (!vw.isPlaying()) {
-            rungs.remove(vw);
+            pendingRungs.remove(vw);
           } else if (status == 404 || status == 410) {
-            rungs.remove(vw);
+            pendingRungs.remove(vw);
             vw.boxLost();
           } else if (status == 200 && vw.rungNow() == told || tries <= 1) {
-            rungs.remove(vw);
+            pendingRungs.remove(vw);
           } else {
-            tellRung(vw, box, status == 200 ? site.boxes().rungTries() : tries - 1);
+            sendRung(vw, box, status == 200 ? site.boxes().rungTries() : tries - 1);
           }
         });
   }
@@ -396,7 +403,7 @@
 
   void probe(BoxTable.Entry box) {
     if (box.address() == null) {
-      program.wakeAfter(Span.ofMillis(1), () -> program.core().probed(box, false));
+      front.wakeAfter(Span.ofMillis(1), () -> front.sessionManager().probed(box, false));
       return;
     }
     call(
@@ -407,43 +414,43 @@
         site.boxes().probeMs(),
         (status, r) -> {
           if (status == 200) {
-            told(box, r);
+            readReportHeaders(box, r);
           }
-          program.core().probed(box, status == 200);
+          front.sessionManager().probed(box, status == 200);
         });
   }
 
   private interface ResponseCallback {
     /** Status 0: no answer came, or none in time. */
-    void with(int status, HttpClientResponse response);
+    void onResponse(int status, HttpClientResponse response);
   }
 
   /** One call, answered once, on the desk. Its fields are read and written there alone. */
   private final class Call {
-    private final ResponseCallback then;
-    private final Carrier.Wake limit;
+    private final ResponseCallback callback;
+    private final Carrier.Wake timeoutTimer;
     private HttpClientRequest request;
     private boolean done;
 
     private Call(int ms, ResponseCallback then) {
-      this.then = then;
-      this.limit = program.wakeAfter(Span.ofMillis(ms), this::giveUp);
+      this.callback = then;
+      this.timeoutTimer = front.wakeAfter(Span.ofMillis(ms), this::timeOut);
     }
 
-    private void giveUp() {
+    private void timeOut() {
       if (!done && request != null) {
         request.reset();
       }
-      end(0, null);
+      complete(0, null);
     }
 
-    private void end(int status, HttpClientResponse response) {
-      program.onDesk(
+    private void complete(int status, HttpClientResponse response) {
+      front.runOnSessionLoop(
           () -> {
             if (!done) {
               done = true;
-              limit.cancel();
-              then.with(status, response);
+              timeoutTimer.cancel();
+              callback.onResponse(status, response);
             }
           });
     }
@@ -457,14 +464,14 @@
       if (body != null) {
         q.putHeader("Content-Type", "application/json");
       }
-      sent(
+      sendRequest(
           q,
           body == null ? Buffer.buffer() : Buffer.buffer(body),
           r -> {
             r.handler(b -> {});
-            end(r.statusCode(), r);
+            complete(r.statusCode(), r);
           },
-          e -> end(0, null));
+          e -> complete(0, null));
     }
   }
 
@@ -477,15 +484,15 @@
       int ms,
       ResponseCallback then) {
     Call call = new Call(ms, then);
-    others(
-        others,
-        to(box, method, uri, site.boxes().connectMs()),
+    connect(
+        callClient,
+        requestTo(box, method, uri, site.boxes().connectMs()),
         q -> call.send(q, body),
-        e -> call.end(0, null));
+        e -> call.complete(0, null));
   }
 
   /** The Load header: "link=0.8; uplink=0.7; streams=12", each part optional. */
-  private void report(BoxTable.Entry box, String load) {
+  private void reportLoad(BoxTable.Entry box, String load) {
     if (load == null || load.length() > 200) {
       return;
     }
@@ -498,14 +505,14 @@
               : java.util.List.of("link", "uplink", "streams")
                   .indexOf(part.substring(0, equals).strip());
       if (i >= 0) {
-        figures[i] = figure(part.substring(equals + 1).strip());
+        figures[i] = parseLoadValue(part.substring(equals + 1).strip());
       }
     }
-    program.core().reported(box, figures[0], figures[1], figures[2]);
+    front.sessionManager().reported(box, figures[0], figures[1], figures[2]);
   }
 
   /** A figure that a box told; what is no sensible one counts as not told. */
-  static double figure(String text) {
+  static double parseLoadValue(String text) {
     try {
       double v = Double.parseDouble(text);
       return v >= 0 && v < 1e9 ? v : Double.NaN;
@@ -514,7 +521,7 @@
     }
   }
 
-  static JsonNode line(byte[] bytes) throws JacksonException {
+  static JsonNode parseLine(byte[] bytes) throws JacksonException {
     try {
       return JSON.readTree(bytes);
     } catch (JacksonException e) {
@@ -526,7 +533,7 @@
 
   void close() {
     closed = true;
-    setUps.close();
-    others.close();
+    setUpClient.close();
+    callClient.close();
   }
 }
--- a/src/main/java/linengauge/front/ControlListener.java
+++ b/src/main/java/linengauge/front/ControlListener.java
@@ -19,7 +19,7 @@
   private final BooleanSupplier ready;
 
   /** Connections that it may still take; of its own, so that viewers cannot take them. */
-  private int places;
+  private int freeConnections;
 
   /**
    * @param stateHandler answers a request for the front's state
@@ -30,7 +30,7 @@
     this.site = site;
     this.stateHandler = stateHandler;
     this.ready = ready;
-    this.places = site.control().connections();
+    this.freeConnections = site.control().connections();
   }
 
   Future<?> open() {
@@ -55,12 +55,12 @@
   }
 
   private void accept(HttpConnection connection) {
-    if (places == 0) {
+    if (freeConnections == 0) {
       connection.close();
       return;
     }
-    places--;
-    connection.closeHandler(v -> places++);
+    freeConnections--;
+    connection.closeHandler(v -> freeConnections++);
   }
 
   private void handle(HttpServerRequest request) {
--- a/src/main/java/linengauge/front/DiscoveryClient.java
+++ b/src/main/java/linengauge/front/DiscoveryClient.java
@@ -28,42 +28,42 @@
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
   /** Before all other background work: without its list a front goes by what was. */
-  private static final int URGENT = 0;
+  private static final int URGENCY = 0;
 
   /** What opening a stream is thought to take of the desk, until it has been seen. */
-  static final Span OPENING = new Span(300);
+  static final Span ESTIMATED_OPEN_TIME = new Span(300);
 
-  private final FrontServer program;
+  private final FrontServer front;
   private final Site site;
   private final HttpClient client;
-  private final Backoff pause;
-  private final List<String> kinds = new ArrayList<>();
-  private final Sparse sparse = new Sparse(LOG);
+  private final Backoff backoff;
+  private final List<String> kindNames = new ArrayList<>();
+  private final Sparse throttledLog = new Sparse(LOG);
   private LineStream stream;
   private boolean closed;
-  private long breaks;
+  private long disconnects;
 
   DiscoveryClient(Vertx vertx, Site site, long seed, FrontServer program) {
-    this.program = program;
+    this.front = program;
     this.site = site;
-    this.client = BoxClient.client(vertx, site, 1, 1);
-    this.pause =
+    this.client = BoxClient.newClient(vertx, site, 1, 1);
+    this.backoff =
         new Backoff(
             Span.ofMillis(site.list().retryFirstMs()),
             Span.ofMillis(site.list().retryMostMs()),
             new SplittableRandom(seed));
-    site.fleet().kinds().forEach(k -> kinds.add(k.name()));
+    site.fleet().kinds().forEach(k -> kindNames.add(k.name()));
   }
 
   void open() {
     if (closed) {
       return;
     }
-    long from = program.core().listRevision();
+    long from = front.sessionManager().listRevision();
     Site.Address at = Site.Address.of(site.list().address());
     stream =
         new LineStream(
-            program,
+            front,
             client,
             new RequestOptions()
                 .setMethod(HttpMethod.GET)
@@ -80,68 +80,68 @@
             Span.ofMillis(site.list().silenceMs()),
             new LineStream.Reader() {
               @Override
-              public void line(byte[] line) {
-                heard(line);
+              public void onLine(byte[] line) {
+                readLine(line);
               }
 
               @Override
-              public void over(boolean answered, int status, String why) {
-                broke(status, why);
+              public void onEnd(boolean answered, int status, String why) {
+                streamEnded(status, why);
               }
             });
   }
 
-  private void broke(int status, String why) {
+  private void streamEnded(int status, String why) {
     stream = null;
-    breaks++;
-    sparse.warn("box list broke", site.list().address(), why);
+    disconnects++;
+    throttledLog.warn("box list broke", site.list().address(), why);
     if (status == 410) {
-      program.core().forgetList();
+      front.sessionManager().forgetList();
     }
-    again();
+    scheduleReopen();
   }
 
-  private void again() {
-    Span after = pause.next();
-    if (!program
-        .chores()
+  private void scheduleReopen() {
+    Span after = backoff.next();
+    if (!front
+        .backgroundJobs()
         .submit(
             "box list",
-            URGENT,
+            URGENCY,
             after,
-            OPENING,
+            ESTIMATED_OPEN_TIME,
             () -> {
               if (stream == null) {
                 open();
               }
             })) {
-      program.wakeAfter(
+      front.wakeAfter(
           after,
           () -> {
             if (stream == null) {
-              again();
+              scheduleReopen();
             }
           });
     }
   }
 
-  private void heard(byte[] line) {
+  private void readLine(byte[] line) {
     boolean followed;
     try {
-      followed = apply(BoxClient.line(line));
+      followed = apply(BoxClient.parseLine(line));
     } catch (JacksonException | IllegalArgumentException e) {
       // One row that cannot be read spoils the line: half of a change is worse than none.
-      sparse.warn("bad box list", site.list().address(), e.getMessage());
-      program.core().forgetList();
+      throttledLog.warn("bad box list", site.list().address(), e.getMessage());
+      front.sessionManager().forgetList();
       followed = false;
     }
     if (followed) {
-      pause.reset();
-      program.listHeard();
+      backoff.reset();
+      front.discoveryUpdated();
     } else if (stream != null) {
       stream.close();
       stream = null;
-      again();
+      scheduleReopen();
     }
   }
 
@@ -151,16 +151,18 @@
     }
     List<BoxTable.Row> rows = new ArrayList<>();
     for (JsonNode box : piece.path("boxes")) {
-      rows.add(row(box));
+      rows.add(parseRow(box));
     }
     if (piece.path("whole").asBoolean()) {
-      program.core().listed(whole(piece, "revision"), rows);
+      front.sessionManager().listed(wholeNumber(piece, "revision"), rows);
       return true;
     }
-    return program.core().listChanged(whole(piece, "from"), whole(piece, "to"), rows);
+    return front
+        .sessionManager()
+        .listChanged(wholeNumber(piece, "from"), wholeNumber(piece, "to"), rows);
   }
 
-  private static long whole(JsonNode from, String key) {
+  private static long wholeNumber(JsonNode from, String key) {
     JsonNode v = from.path(key);
     if (!v.canConvertToLong() || v.asLong() < 0) {
       throw new IllegalArgumentException("'" + key + "' should be a whole number");
@@ -168,8 +170,8 @@
     return v.asLong();
   }
 
-  private BoxTable.Row row(JsonNode box) {
-    long id = whole(box, "id");
+  private BoxTable.Row parseRow(JsonNode box) {
+    long id = wholeNumber(box, "id");
     BoxTable.State state;
     switch (box.path("state").asText().toLowerCase(Locale.ROOT)) {
       case "serving" -> state = BoxTable.State.SERVING;
@@ -180,7 +182,7 @@
       default -> throw new IllegalArgumentException("box " + id + ": unknown state");
     }
     String address = box.path("address").asText();
-    int kind = kinds.indexOf(box.path("kind").asText());
+    int kind = kindNames.indexOf(box.path("kind").asText());
     int building = site.buildings().indexOf(box.path("building").asText());
     double weight = box.path("weight").asDouble(1);
     if (id > 0xffffffffL
@@ -193,20 +195,22 @@
           "box " + id + ": id, address, kind, building or weight is wrong");
     }
     Moment started =
-        box.has("startedAt") ? new Moment(whole(box, "startedAt") * 1000) : Moment.DISTANT_PAST;
+        box.has("startedAt")
+            ? new Moment(wholeNumber(box, "startedAt") * 1000)
+            : Moment.DISTANT_PAST;
     return new BoxTable.Row(
         id,
         address,
         weight,
-        (int) Math.min(whole(box, "cell"), Integer.MAX_VALUE),
+        (int) Math.min(wholeNumber(box, "cell"), Integer.MAX_VALUE),
         kind,
         state,
         building,
         started);
   }
 
-  long breaks() {
-    return breaks;
+  long disconnects() {
+    return disconnects;
   }
 
   void close() {
--- a/src/main/java/linengauge/front/EventLoops.java
+++ b/src/main/java/linengauge/front/EventLoops.java
@@ -17,62 +17,62 @@
  * and its beat.
  */
 final class EventLoops {
-  private final OwnTime time;
-  private final Watch watch;
-  private final Knocks knocks;
+  private final OwnTime loopTime;
+  private final Watch slowPeers;
+  private final Knocks attempts;
 
   /** What the last beat saw, for whoever asks on another loop. */
-  private volatile Map<String, Long> seen = Map.of();
+  private volatile Map<String, Long> counters = Map.of();
 
   EventLoops(Vertx vertx, Site site) {
     var terms = site.flowOfLoop();
-    this.time = new OwnTime(terms.beat(), terms.late());
-    this.watch = new Watch(terms, time);
-    this.knocks = new Knocks(site.door(), time);
-    time.beat(Wall.now());
-    tell();
-    vertx.setPeriodic(site.flow().beatMs(), t -> beat());
+    this.loopTime = new OwnTime(terms.beat(), terms.late());
+    this.slowPeers = new Watch(terms, loopTime);
+    this.attempts = new Knocks(site.door(), loopTime);
+    loopTime.beat(Wall.now());
+    publishCounters();
+    vertx.setPeriodic(site.flow().beatMs(), t -> tick());
   }
 
-  private void beat() {
-    boolean ran = time.beat(Wall.now());
-    watch.look(ran);
-    knocks.look(ran);
-    tell();
+  private void tick() {
+    boolean ran = loopTime.beat(Wall.now());
+    slowPeers.look(ran);
+    attempts.look(ran);
+    publishCounters();
   }
 
-  private void tell() {
+  private void publishCounters() {
     Map<String, Long> m = new TreeMap<>();
-    Watch.Counts c = watch.counts();
+    Watch.Counts c = slowPeers.counts();
     m.put("viewersLetGo", c.viewersLetGo);
     m.put("boxesLetGo", c.boxesLetGo);
     m.put("spared", c.spared);
     m.put("standStills", c.standStills);
-    m.put("standStillMs", time.stood().micros() / 1000);
+    m.put("standStillMs", loopTime.stood().micros() / 1000);
     m.put("moving", (long) c.movers);
     m.put("slow", (long) c.slow);
-    m.put("stirring", (long) watch.stirring());
-    m.put("waitingBytes", watch.pool().waiting());
-    m.put("mostWaitingBytes", watch.pool().most());
-    m.put("callersWaiting", (long) knocks.waiting());
-    m.put("noFirstByte", knocks.tooLong(Knock.State.FIRST_BYTE));
-    m.put("headersTooSlow", knocks.tooLong(Knock.State.HEADERS));
-    m.put("restedTooLong", knocks.tooLong(Knock.State.BETWEEN));
-    seen = m;
+    m.put("stirring", (long) slowPeers.stirring());
+    m.put("waitingBytes", slowPeers.pool().waiting());
+    m.put("mostWaitingBytes", slowPeers.pool().most());
+    m.put("callersWaiting", (long) attempts.waiting());
+    m.put("noFirstByte", attempts.tooLong(Knock.State.FIRST_BYTE));
+    m.put("headersTooSlow", attempts.tooLong(Knock.State.HEADERS));
+    m.put("restedTooLong", attempts.tooLong(Knock.State.BETWEEN));
+    counters = m;
   }
 
-  Watch watch() {
-    return watch;
+  Watch slowPeers() {
+    return slowPeers;
   }
 
-  Knocks knocks() {
-    return knocks;
+  Knocks attempts() {
+    return attempts;
   }
 
   /** The sums over all loops. */
   static JsonObject sum(List<EventLoops> loops) {
     Map<String, Long> sums = new TreeMap<>();
-    loops.forEach(l -> l.seen.forEach((name, n) -> sums.merge(name, n, Long::sum)));
+    loops.forEach(l -> l.counters.forEach((name, n) -> sums.merge(name, n, Long::sum)));
     return new JsonObject(new TreeMap<>(sums));
   }
 }
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -18,13 +18,13 @@
 
   private final Vertx vertx;
   private final Site site;
-  private final Intake intake;
+  private final Intake rateLimiter;
   private DatagramSocket socket;
 
   FrontDatagrams(Vertx vertx, Site site) {
     this.vertx = vertx;
     this.site = site;
-    this.intake = new Intake(site.fronts().wordsPerSecond(), 2 * site.fronts().count() + 8);
+    this.rateLimiter = new Intake(site.fronts().wordsPerSecond(), 2 * site.fronts().count() + 8);
   }
 
   /** Binds the socket, where the site file names one and lets fronts speak to each other. */
@@ -45,7 +45,7 @@
 
   private void receive(DatagramPacket packet, Consumer<byte[]> receiver) {
     String sender = packet.sender().hostAddress() + ":" + packet.sender().port();
-    if (!site.flow().guards() || intake.hears(sender, Wall.now())) {
+    if (!site.flow().guards() || rateLimiter.hears(sender, Wall.now())) {
       receiver.accept(packet.data().getBytes());
     }
   }
@@ -60,7 +60,7 @@
   }
 
   /** Datagrams that were passed over since their senders sent too many. */
-  long passedOver() {
-    return intake.passedOver();
+  long dropped() {
+    return rateLimiter.passedOver();
   }
 }
--- a/src/main/java/linengauge/front/FrontServer.java
+++ b/src/main/java/linengauge/front/FrontServer.java
@@ -51,46 +51,46 @@
   private static final Logger LOG = LoggerFactory.getLogger(FrontServer.class);
 
   /** What the library's pool of direct buffers takes for a loop beside what waits. */
-  private static final long DIRECT_BYTES_A_LOOP = 8L << 20;
+  private static final long DIRECT_BYTES_PER_LOOP = 8L << 20;
 
-  private static final Span QUIET_CHECK = Span.ofMillis(50);
-  private static final Span ENDS_CHECK = Span.ofMillis(20);
-  private static final Span FAILED_CLOSES_AFTER = Span.ofMillis(200);
+  private static final Span DRAIN_CHECK_INTERVAL = Span.ofMillis(50);
+  private static final Span PENDING_CALLS_CHECK_INTERVAL = Span.ofMillis(20);
+  private static final Span CLOSE_DELAY_AFTER_FAILURE = Span.ofMillis(200);
 
   private final Site site;
-  private final Headend house;
+  private final Headend deployment;
 
   /**
    * The desk's own loop, one for calls to boxes, and those of the viewers' connections: none can
    * starve another.
    */
-  private final Vertx vertx;
+  private final Vertx sessionVertx;
 
-  private final Vertx callLoops;
-  private final Vertx viewerLoops;
-  private final ActiveViewings routes = new ActiveViewings();
+  private final Vertx boxVertx;
+  private final Vertx viewerVertx;
+  private final ActiveViewings activeViewings = new ActiveViewings();
 
   /** The loops of the viewers' connections, as they start. */
-  private final List<EventLoops> loops = new CopyOnWriteArrayList<>();
+  private final List<EventLoops> eventLoops = new CopyOnWriteArrayList<>();
 
-  private final AdmissionControl gate;
+  private final AdmissionControl admission;
   private final FrontDatagrams datagrams;
-  private final SessionLoop desk;
+  private final SessionLoop sessionLoop;
 
   /** Requests for viewings that wait for the desk; each leaves as the desk takes it. */
-  private final AtomicInteger asksWaiting = new AtomicInteger();
-
-  private final AtomicLong asksTurnedAway = new AtomicLong();
-  private final CompletableFuture<String> over = new CompletableFuture<>();
-  private final List<Listener> doors = new CopyOnWriteArrayList<>();
-  private Desk core;
-  private BoxClient calls;
-  private NoteStreams notes;
-  private DiscoveryClient feed;
-  private BackgroundJobs chores;
+  private final AtomicInteger waitingRequests = new AtomicInteger();
+
+  private final AtomicLong rejectedRequests = new AtomicLong();
+  private final CompletableFuture<String> stopped = new CompletableFuture<>();
+  private final List<Listener> listeners = new CopyOnWriteArrayList<>();
+  private Desk sessionManager;
+  private BoxClient boxClient;
+  private NoteStreams noteStreams;
+  private DiscoveryClient discovery;
+  private BackgroundJobs backgroundJobs;
   private VrrpPairing vrrp;
-  private FleetMembership members;
-  private FleetLease lease;
+  private FleetMembership membership;
+  private FleetLease fleetLease;
 
   /** What the pairing asks for on its own thread. */
   private volatile int servingBoxes;
@@ -100,16 +100,16 @@
 
   public FrontServer(Site site) {
     this.site = site;
-    this.house = site.headend();
-    this.gate = new AdmissionControl(site.door());
-    this.vertx = loops(1);
-    this.callLoops = loops(1);
-    this.viewerLoops = loops(site.viewers().loops());
-    this.desk = new SessionLoop(vertx);
-    this.datagrams = new FrontDatagrams(vertx, site);
+    this.deployment = site.headend();
+    this.admission = new AdmissionControl(site.door());
+    this.sessionVertx = newVertx(1);
+    this.boxVertx = newVertx(1);
+    this.viewerVertx = newVertx(site.viewers().loops());
+    this.sessionLoop = new SessionLoop(sessionVertx);
+    this.datagrams = new FrontDatagrams(sessionVertx, site);
   }
 
-  private static Vertx loops(int count) {
+  private static Vertx newVertx(int count) {
     return Vertx.vertx(
         new VertxOptions().setEventLoopPoolSize(count).setPreferNativeTransport(false));
   }
@@ -118,32 +118,32 @@
     return site;
   }
 
-  ActiveViewings routes() {
-    return routes;
+  ActiveViewings activeViewings() {
+    return activeViewings;
   }
 
-  Desk core() {
-    return core;
+  Desk sessionManager() {
+    return sessionManager;
   }
 
-  BackgroundJobs chores() {
-    return chores;
+  BackgroundJobs backgroundJobs() {
+    return backgroundJobs;
   }
 
-  NoteStreams notes() {
-    return notes;
+  NoteStreams noteStreams() {
+    return noteStreams;
   }
 
-  List<EventLoops> loops() {
-    return loops;
+  List<EventLoops> eventLoops() {
+    return eventLoops;
   }
 
-  AdmissionControl gate() {
-    return gate;
+  AdmissionControl admission() {
+    return admission;
   }
 
   /** Whether the shared address of a virtual router is this front's. */
-  Lease lease(int vrid) {
+  Lease addressLease(int vrid) {
     return vrrp.lease(vrid);
   }
 
@@ -155,12 +155,12 @@
 
   /** Starts the front; done once its listeners are bound, failed where one could not be. */
   public Future<?> start(long seed) {
-    long wanted = site.flow().waitingBytes() + DIRECT_BYTES_A_LOOP * (site.viewers().loops() + 2);
+    long wanted = site.flow().waitingBytes() + DIRECT_BYTES_PER_LOOP * (site.viewers().loops() + 2);
     long has = PlatformDependent.maxDirectMemory();
     if (site.flow().guards() && wanted > has) {
       return Future.failedFuture(
           "flow.waitingBytes and "
-              + DIRECT_BYTES_A_LOOP
+              + DIRECT_BYTES_PER_LOOP
               + " for each loop take "
               + wanted
               + " bytes of direct buffers, and this process may have "
@@ -168,16 +168,18 @@
               + ": see -XX:MaxDirectMemorySize");
     }
     try {
-      vrrp = new VrrpPairing(site, lease -> doors.forEach(d -> d.gaveUp(lease)), this::isUnwell);
-      members = new FleetMembership(site);
-      lease = new FleetLease(site);
+      vrrp =
+          new VrrpPairing(
+              site, lease -> listeners.forEach(d -> d.addressLost(lease)), this::isUnfit);
+      membership = new FleetMembership(site);
+      fleetLease = new FleetLease(site);
     } catch (IOException e) {
       return Future.failedFuture(e.getMessage());
     }
     SplittableRandom seeds = new SplittableRandom(seed);
-    return vertx
-        .deployVerticle(deskVerticle(seeds))
-        .compose(d -> openDoors())
+    return sessionVertx
+        .deployVerticle(sessionVerticle(seeds))
+        .compose(d -> openListeners())
         .onSuccess(
             d ->
                 LOG.info(
@@ -187,22 +189,24 @@
                     StructuredArguments.kv("control", site.front().control())));
   }
 
-  private VerticleBase deskVerticle(SplittableRandom seeds) {
+  private VerticleBase sessionVerticle(SplittableRandom seeds) {
     String epoch = Long.toString(System.currentTimeMillis(), 36);
     return new VerticleBase() {
       @Override
       public Future<?> start() {
-        desk.begin(context);
-        core = new Desk(house, site.bounds(), seeds.nextLong(), epoch, FrontServer.this);
-        desk.setCore(core);
-        chores = new BackgroundJobs(FrontServer.this, site.work().terms(), seeds.nextLong());
-        calls = new BoxClient(callLoops, site, seeds.nextLong(), FrontServer.this);
-        notes = new NoteStreams(callLoops, site, seeds.nextLong(), FrontServer.this);
-        feed = new DiscoveryClient(callLoops, site, seeds.nextLong(), FrontServer.this);
-        core.clock(Wall.now());
-        feed.open();
+        sessionLoop.bind(context);
+        sessionManager =
+            new Desk(deployment, site.bounds(), seeds.nextLong(), epoch, FrontServer.this);
+        sessionLoop.setSessionManager(sessionManager);
+        backgroundJobs =
+            new BackgroundJobs(FrontServer.this, site.work().terms(), seeds.nextLong());
+        boxClient = new BoxClient(boxVertx, site, seeds.nextLong(), FrontServer.this);
+        noteStreams = new NoteStreams(boxVertx, site, seeds.nextLong(), FrontServer.this);
+        discovery = new DiscoveryClient(boxVertx, site, seeds.nextLong(), FrontServer.this);
+        sessionManager.clock(Wall.now());
+        discovery.open();
         return datagrams
-            .open(bytes -> onDesk(() -> core.heard(bytes)))
+            .open(bytes -> runOnSessionLoop(() -> sessionManager.heard(bytes)))
             .compose(v -> controlListener().open());
       }
     };
@@ -210,14 +214,17 @@
 
   private ControlListener controlListener() {
     return new ControlListener(
-        vertx, site, request -> onDesk(() -> answerState(request)), () -> ready && !stopping);
+        sessionVertx,
+        site,
+        request -> runOnSessionLoop(() -> respondState(request)),
+        () -> ready && !stopping);
   }
 
-  private Future<?> openDoors() {
-    return viewerLoops.deployVerticle(
+  private Future<?> openListeners() {
+    return viewerVertx.deployVerticle(
         () -> {
-          Listener door = new Listener(this, house);
-          doors.add(door);
+          Listener door = new Listener(this, deployment);
+          listeners.add(door);
           return door;
         },
         new DeploymentOptions()
@@ -225,46 +232,47 @@
             .setThreadingModel(ThreadingModel.EVENT_LOOP));
   }
 
-  private boolean isUnwell() {
+  private boolean isUnfit() {
     Span mostLate = Span.ofMillis(site.vrrp().overloadedMs());
-    return new Fitness(servingBoxes, Wall.now().since(desk.ranAt()), mostLate).isUnwell();
+    return new Fitness(servingBoxes, Wall.now().since(sessionLoop.lastStepAt()), mostLate)
+        .isUnwell();
   }
 
-  void listHeard() {
+  void discoveryUpdated() {
     int serving = 0;
-    for (BoxTable.Entry box : core.boxes().all()) {
+    for (BoxTable.Entry box : sessionManager.boxes().all()) {
       serving += box.state() == BoxTable.State.SERVING ? 1 : 0;
     }
     servingBoxes = serving;
-    if (!ready && core.listRevision() != ListFollower.NONE) {
+    if (!ready && sessionManager.listRevision() != ListFollower.NONE) {
       ready = true;
       vrrp.start();
-      members.start();
-      lease.start();
-      LOG.info("ready {}", StructuredArguments.kv("boxes", core.boxes().size()));
+      membership.start();
+      fleetLease.start();
+      LOG.info("ready {}", StructuredArguments.kv("boxes", sessionManager.boxes().size()));
     }
   }
 
   /* ---- steps on the desk ---- */
 
   /** See {@link SessionLoop#run}. */
-  void onDesk(Runnable step) {
-    desk.run(step);
+  void runOnSessionLoop(Runnable step) {
+    sessionLoop.run(step);
   }
 
   /**
    * Takes a step to the desk that belongs to a request for a viewing; false, and not taken, where
    * too many wait already. Guards the desk against a surge that it could only answer too late.
    */
-  boolean askOnDesk(Runnable step) {
-    if (site.flow().guards() && asksWaiting.get() >= site.desk().waitingAsks()) {
-      asksTurnedAway.incrementAndGet();
+  boolean submitRequest(Runnable step) {
+    if (site.flow().guards() && waitingRequests.get() >= site.desk().waitingAsks()) {
+      rejectedRequests.incrementAndGet();
       return false;
     }
-    asksWaiting.incrementAndGet();
-    onDesk(
+    waitingRequests.incrementAndGet();
+    runOnSessionLoop(
         () -> {
-          asksWaiting.decrementAndGet();
+          waitingRequests.decrementAndGet();
           step.run();
         });
     return true;
@@ -272,11 +280,11 @@
 
   /* ---- its state, for operators ---- */
 
-  private void answerState(HttpServerRequest request) {
-    lease.state(leaseState -> onDesk(() -> answerState(request, leaseState)));
+  private void respondState(HttpServerRequest request) {
+    fleetLease.state(leaseState -> runOnSessionLoop(() -> respondState(request, leaseState)));
   }
 
-  private void answerState(HttpServerRequest request, JsonObject leaseState) {
+  private void respondState(HttpServerRequest request, JsonObject leaseState) {
     request
         .response()
         .putHeader("Content-Type", "application/json")
@@ -284,32 +292,33 @@
   }
 
   private JsonObject state() {
-    Desk.Counts c = core.counts();
+    Desk.Counts c = sessionManager.counts();
     Runtime heap = Runtime.getRuntime();
     return new JsonObject()
         .put("front", site.front().number())
         .put("ready", ready)
         .put("stopping", stopping)
-        .put("listRevision", core.listRevision())
-        .put("boxes", core.boxes().size())
-        .put("held", core.viewings())
-        .put("keys", core.keys())
-        .put("titles", core.titlesHeld())
-        .put("routes", routes.size())
-        .put("noteStreams", notes.open())
-        .put("noteStreamsInUse", notes.inUse())
-        .put("callsWaiting", calls.waiting())
-        .put("wakes", desk.wakesWaiting())
-        .put("viewerConnections", gate.served())
+        .put("listRevision", sessionManager.listRevision())
+        .put("boxes", sessionManager.boxes().size())
+        .put("held", sessionManager.viewings())
+        .put("keys", sessionManager.keys())
+        .put("titles", sessionManager.titlesHeld())
+        .put("routes", activeViewings.size())
+        .put("noteStreams", noteStreams.openStreams())
+        .put("noteStreamsInUse", noteStreams.streamsInUse())
+        .put("callsWaiting", boxClient.pendingCalls())
+        .put("wakes", sessionLoop.pendingTimers())
+        .put("viewerConnections", admission.openConnections())
         .put(
             "door",
-            gate.state()
-                .put("asksWaiting", asksWaiting.get())
-                .put("asksTurnedAway", asksTurnedAway.get()))
-        .put("flow", EventLoops.sum(loops))
+            admission
+                .state()
+                .put("asksWaiting", waitingRequests.get())
+                .put("asksTurnedAway", rejectedRequests.get()))
+        .put("flow", EventLoops.sum(eventLoops))
         .put("letGo", c.letGo)
-        .put("endsGivenUp", calls.endsGivenUp())
-        .put("listBreaks", feed.breaks())
+        .put("endsGivenUp", boxClient.endsGivenUp())
+        .put("listBreaks", discovery.disconnects())
         .put("taken", c.taken)
         .put("played", c.played)
         .put("blocked", c.blocked)
@@ -319,10 +328,10 @@
         .put("listGaps", c.listGaps)
         .put("wordsHeard", c.wordsHeard)
         .put("wordsPassedOver", c.wordsPassedOver)
-        .put("wordsTooMany", datagrams.passedOver())
-        .put("work", chores.state())
+        .put("wordsTooMany", datagrams.dropped())
+        .put("work", backgroundJobs.state())
         .put("vrrp", vrrp.state())
-        .put("members", members.state())
+        .put("members", membership.state())
         .put("directUsed", directUsed())
         .put("heapUsed", heap.totalMemory() - heap.freeMemory());
   }
@@ -346,57 +355,57 @@
     }
     stopping = true;
     vrrp.close(); // partners take over while what plays here goes on at the front's own address
-    members.close(); // nobody has to find out that it is gone
-    lease.leave();
-    onDesk(
+    membership.close(); // nobody has to find out that it is gone
+    fleetLease.leave();
+    runOnSessionLoop(
         () -> {
-          LOG.info("stopping {}", StructuredArguments.kv("held", core.viewings()));
-          core.stopTaking();
-          awaitQuiet(Wall.micros() + 1000L * site.stop().playingMs());
+          LOG.info("stopping {}", StructuredArguments.kv("held", sessionManager.viewings()));
+          sessionManager.stopTaking();
+          awaitViewings(Wall.micros() + 1000L * site.stop().playingMs());
         });
   }
 
-  private void awaitQuiet(long until) {
-    if (core.viewings() == 0 || Wall.micros() >= until) {
-      core.endAll();
-      awaitEnds(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
+  private void awaitViewings(long until) {
+    if (sessionManager.viewings() == 0 || Wall.micros() >= until) {
+      sessionManager.endAll();
+      awaitPendingCalls(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
     } else {
-      wakeAfter(QUIET_CHECK, () -> awaitQuiet(until));
+      wakeAfter(DRAIN_CHECK_INTERVAL, () -> awaitViewings(until));
     }
   }
 
   /** Boxes hear of the last ends, within a short bound; then the sockets close. */
-  private void awaitEnds(long until) {
-    if (calls.waiting() > 0 && Wall.micros() < until) {
-      wakeAfter(ENDS_CHECK, () -> awaitEnds(until));
+  private void awaitPendingCalls(long until) {
+    if (boxClient.pendingCalls() > 0 && Wall.micros() < until) {
+      wakeAfter(PENDING_CALLS_CHECK_INTERVAL, () -> awaitPendingCalls(until));
       return;
     }
-    feed.close();
-    notes.close();
-    calls.close();
-    closeLoops("");
+    discovery.close();
+    noteStreams.close();
+    boxClient.close();
+    closeEventLoops("");
   }
 
-  private void closeLoops(String why) {
-    viewerLoops
+  private void closeEventLoops(String why) {
+    viewerVertx
         .close()
-        .eventually(callLoops::close)
-        .eventually(vertx::close)
-        .onComplete(v -> over.complete(why));
+        .eventually(boxVertx::close)
+        .eventually(sessionVertx::close)
+        .onComplete(v -> stopped.complete(why));
   }
 
   /** Waits until the front has stopped; the cause where it failed, or an empty text. */
   public String await() throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
-    over.whenComplete((why, e) -> latch.countDown());
+    stopped.whenComplete((why, e) -> latch.countDown());
     latch.await();
-    return over.join();
+    return stopped.join();
   }
 
   /** Waits at most so long; false where it still runs. */
   public boolean await(long millis) throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
-    over.whenComplete((why, e) -> latch.countDown());
+    stopped.whenComplete((why, e) -> latch.countDown());
     return latch.await(millis, TimeUnit.MILLISECONDS);
   }
 
@@ -404,28 +413,28 @@
 
   @Override
   public Wake wakeAfter(Span span, Runnable step) {
-    return desk.runAfter(span, step);
+    return sessionLoop.schedule(span, step);
   }
 
   @Override
   public void setUp(Held vw, int tuneIn) {
-    calls.setUp(vw, tuneIn);
+    boxClient.setUp(vw, tuneIn);
   }
 
   @Override
   public void rung(Held vw) {
-    viewerOf(vw).rungBytes(site.bytesOf(vw.ask().pack(), vw.rungNow()));
-    calls.rung(vw);
+    viewerOf(vw).rungBytesPerSecond(site.bytesOf(vw.ask().pack(), vw.rungNow()));
+    boxClient.updateRung(vw);
   }
 
   @Override
   public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    calls.withdraw(vw, box, tuneIn);
+    boxClient.cancel(vw, box, tuneIn);
   }
 
   @Override
   public void probe(BoxTable.Entry box) {
-    calls.probe(box);
+    boxClient.probe(box);
   }
 
   @Override
@@ -438,8 +447,9 @@
     LOG.error("the core has failed: the front ends", cause);
     ready = false;
     vrrp.leave();
-    members.leave();
-    lease.leave();
-    desk.afterwards(FAILED_CLOSES_AFTER, () -> closeLoops("the core failed: " + cause));
+    membership.leave();
+    fleetLease.leave();
+    sessionLoop.scheduleOutsideSteps(
+        CLOSE_DELAY_AFTER_FAILURE, () -> closeEventLoops("the core failed: " + cause));
   }
 }
--- a/src/main/java/linengauge/front/HttpViewer.java
+++ b/src/main/java/linengauge/front/HttpViewer.java
@@ -19,23 +19,23 @@
   /** Where the viewing plays; read by the loops, written by the desk. */
   record Route(String host, int port) {}
 
-  private final Context loop;
+  private final Context loopContext;
   private final HttpServerResponse response;
-  private final ActiveViewings routes;
-  private volatile long lastAsked = Wall.micros();
+  private final ActiveViewings activeViewings;
+  private volatile long lastRequestMicros = Wall.micros();
   private volatile Route route;
 
   /** Requests for media under way; each leaves as it ends. */
-  private final AtomicInteger underWay = new AtomicInteger();
+  private final AtomicInteger activeTransfers = new AtomicInteger();
 
   /** Bytes a second of the rung in force; written by the desk, read by the loops. */
-  private volatile double rungBytes;
+  private volatile double rungBytesPerSecond;
 
   /** Bytes a second of the lowest rung that its package allows. */
-  private final double lowestBytes;
+  private final double lowestBytesPerSecond;
 
-  private final String base;
-  private Held held;
+  private final String baseUrl;
+  private Held viewing;
   private String playlist;
 
   HttpViewer(
@@ -44,31 +44,31 @@
       ActiveViewings routes,
       double lowestBytes,
       String base) {
-    this.base = base;
-    this.loop = loop;
+    this.baseUrl = base;
+    this.loopContext = loop;
     this.response = response;
-    this.routes = routes;
-    this.lowestBytes = lowestBytes;
+    this.activeViewings = routes;
+    this.lowestBytesPerSecond = lowestBytes;
   }
 
   /**
    * What stands before the paths in its first playlist: none, or this front's own address where it
    * came by a shared one.
    */
-  String base() {
-    return base;
+  String baseUrl() {
+    return baseUrl;
   }
 
-  double lowestBytes() {
-    return lowestBytes;
+  double lowestBytesPerSecond() {
+    return lowestBytesPerSecond;
   }
 
-  double rungBytes() {
-    return rungBytes;
+  double rungBytesPerSecond() {
+    return rungBytesPerSecond;
   }
 
-  void rungBytes(double perSecond) {
-    rungBytes = perSecond;
+  void rungBytesPerSecond(double perSecond) {
+    rungBytesPerSecond = perSecond;
   }
 
   /** On the desk: the playlist that answers, once the box has given it. */
@@ -76,45 +76,45 @@
     this.playlist = text;
   }
 
-  Held held() {
-    return held;
+  Held viewing() {
+    return viewing;
   }
 
-  void held(Held taken) {
-    this.held = taken;
+  void viewing(Held taken) {
+    this.viewing = taken;
   }
 
   Route route() {
     return route;
   }
 
-  void asked() {
-    lastAsked = Wall.micros();
+  void recordActivity() {
+    lastRequestMicros = Wall.micros();
   }
 
-  AtomicInteger underWay() {
-    return underWay;
+  AtomicInteger activeTransfers() {
+    return activeTransfers;
   }
 
   @Override
   public void plays(Held vw) {
-    lastAsked = Wall.micros();
+    lastRequestMicros = Wall.micros();
     var at = linengauge.site.Site.Address.of(vw.box().address());
     route = new Route(at.host(), at.port());
-    routes.put(vw.id(), this);
+    activeViewings.put(vw.id(), this);
     String text = playlist;
     playlist = null;
-    answer(200, text, null);
+    respond(200, text, null);
   }
 
   @Override
   public void blocked(Span comeBackAfter, Outside.Refusal reason) {
-    answer(503, "blocked: come again\n", comeBackAfter);
+    respond(503, "blocked: come again\n", comeBackAfter);
   }
 
   @Override
   public void aborted(Cause cause) {
-    answer(
+    respond(
         cause == Cause.NO_ANSWER ? 504 : 502,
         "aborted: "
             + switch (cause) {
@@ -128,18 +128,18 @@
   @Override
   public void ended(End how) {
     route = null;
-    if (held != null) {
-      routes.remove(held.id(), how);
+    if (viewing != null) {
+      activeViewings.remove(viewing.id(), how);
     }
   }
 
   @Override
   public Moment lastAsked() {
-    return new Moment(lastAsked);
+    return new Moment(lastRequestMicros);
   }
 
-  private void answer(int status, String text, Span retry) {
-    loop.runOnContext(
+  private void respond(int status, String text, Span retry) {
+    loopContext.runOnContext(
         v -> {
           if (response.closed() || response.ended()) {
             return;
--- a/src/main/java/linengauge/front/KeyFile.java
+++ b/src/main/java/linengauge/front/KeyFile.java
@@ -8,7 +8,7 @@
 /** Keys that fronts share, each in a file of its own. */
 final class KeyFile {
   /** A key that can be guessed is none. */
-  private static final int SHORTEST_KEY = 16;
+  private static final int MIN_KEY_BYTES = 16;
 
   private KeyFile() {}
 
@@ -25,8 +25,8 @@
       throw new IOException(named + " cannot be read: " + e.getMessage(), e);
     }
     byte[] key = text.strip().getBytes(StandardCharsets.UTF_8);
-    if (key.length < SHORTEST_KEY) {
-      throw new IOException(named + " holds a key of fewer than " + SHORTEST_KEY + " bytes");
+    if (key.length < MIN_KEY_BYTES) {
+      throw new IOException(named + " holds a key of fewer than " + MIN_KEY_BYTES + " bytes");
     }
     return key;
   }
--- a/src/main/java/linengauge/front/LineSplitter.java
+++ b/src/main/java/linengauge/front/LineSplitter.java
@@ -8,51 +8,51 @@
  * of life.
  */
 final class LineSplitter {
-  private final int longest;
-  private final Consumer<byte[]> line;
-  private final Runnable tooLong;
-  private Buffer rest = Buffer.buffer();
-  private boolean over;
+  private final int maxLineBytes;
+  private final Consumer<byte[]> lineHandler;
+  private final Runnable overflowHandler;
+  private Buffer partialLine = Buffer.buffer();
+  private boolean closed;
 
   LineSplitter(int longest, Consumer<byte[]> line, Runnable tooLong) {
-    this.longest = longest;
-    this.line = line;
-    this.tooLong = tooLong;
+    this.maxLineBytes = longest;
+    this.lineHandler = line;
+    this.overflowHandler = tooLong;
   }
 
-  void hear(Buffer more) {
-    if (over) {
+  void append(Buffer more) {
+    if (closed) {
       return;
     }
     int from = 0;
-    for (int i = 0; i < more.length() && !over; i++) {
+    for (int i = 0; i < more.length() && !closed; i++) {
       if (more.getByte(i) == '\n') {
-        rest.appendBuffer(more, from, i - from);
+        partialLine.appendBuffer(more, from, i - from);
         from = i + 1;
-        byte[] whole = rest.getBytes();
-        rest = Buffer.buffer();
-        if (whole.length > longest) {
-          stop();
+        byte[] whole = partialLine.getBytes();
+        partialLine = Buffer.buffer();
+        if (whole.length > maxLineBytes) {
+          overflow();
         } else if (whole.length > 0) {
-          line.accept(whole);
+          lineHandler.accept(whole);
         }
       }
     }
-    if (!over) {
-      rest.appendBuffer(more, from, more.length() - from);
-      if (rest.length() > longest) {
-        stop();
+    if (!closed) {
+      partialLine.appendBuffer(more, from, more.length() - from);
+      if (partialLine.length() > maxLineBytes) {
+        overflow();
       }
     }
   }
 
   /** Nothing more is wanted of this stream. */
   void close() {
-    over = true;
+    closed = true;
   }
 
-  private void stop() {
-    over = true;
-    tooLong.run();
+  private void overflow() {
+    closed = true;
+    overflowHandler.run();
   }
 }
--- a/src/main/java/linengauge/front/LineStream.java
+++ b/src/main/java/linengauge/front/LineStream.java
@@ -14,23 +14,23 @@
 final class LineStream {
   /** What a stream tells, on the desk. */
   interface Reader {
-    void line(byte[] line);
+    void onLine(byte[] line);
 
     /**
      * The stream is over; `answered` says whether any line was heard on it, the status is 0 where
      * none came.
      */
-    void over(boolean answered, int status, String why);
+    void onEnd(boolean answered, int status, String why);
   }
 
-  private final FrontServer program;
+  private final FrontServer front;
   private final Reader reader;
-  private final Span silence;
+  private final Span maxSilence;
   private HttpClientRequest request;
-  private LineSplitter lines;
-  private long heardAt = Wall.micros();
-  private boolean answered;
-  private boolean over;
+  private LineSplitter splitter;
+  private long lastByteMicros = Wall.micros();
+  private boolean lineReceived;
+  private boolean ended;
 
   LineStream(
       FrontServer program,
@@ -39,27 +39,27 @@
       int longest,
       Span silence,
       Reader reader) {
-    this.program = program;
+    this.front = program;
     this.reader = reader;
-    this.silence = silence;
-    this.lines =
+    this.maxSilence = silence;
+    this.splitter =
         new LineSplitter(
             longest,
             line -> {
-              if (!over) {
-                answered = true;
-                reader.line(line);
+              if (!ended) {
+                lineReceived = true;
+                reader.onLine(line);
               }
             },
             () -> end(200, "a line longer than " + longest + " bytes"));
-    program.wakeAfter(silence, this::listen);
+    program.wakeAfter(silence, this::checkSilence);
     client
         .request(options)
         .onComplete(
             r ->
-                program.onDesk(
+                program.runOnSessionLoop(
                     () -> {
-                      if (over) {
+                      if (ended) {
                         if (r.succeeded()) {
                           r.result().reset();
                         }
@@ -74,49 +74,50 @@
   private void send(HttpClientRequest q) {
     request = q;
     q.exceptionHandler(e -> {}); // what fails is told by the futures
-    BoxClient.sent(
+    BoxClient.sendRequest(
         q,
         Buffer.buffer(),
         r -> {
           if (r.statusCode() != 200) {
-            program.onDesk(() -> end(r.statusCode(), "status " + r.statusCode()));
+            front.runOnSessionLoop(() -> end(r.statusCode(), "status " + r.statusCode()));
             return;
           }
-          r.exceptionHandler(e -> program.onDesk(() -> end(200, "broken: " + e.getMessage())));
-          r.endHandler(v -> program.onDesk(() -> end(200, "ended by the other side")));
+          r.exceptionHandler(
+              e -> front.runOnSessionLoop(() -> end(200, "broken: " + e.getMessage())));
+          r.endHandler(v -> front.runOnSessionLoop(() -> end(200, "ended by the other side")));
           r.handler(
               b ->
-                  program.onDesk(
+                  front.runOnSessionLoop(
                       () -> {
-                        heardAt = Wall.micros();
-                        lines.hear(b);
+                        lastByteMicros = Wall.micros();
+                        splitter.append(b);
                       }));
         },
-        e -> program.onDesk(() -> end(0, "broken: " + e.getMessage())));
+        e -> front.runOnSessionLoop(() -> end(0, "broken: " + e.getMessage())));
   }
 
-  private void listen() {
-    if (over) {
+  private void checkSilence() {
+    if (ended) {
       return;
     }
-    Span quiet = new Span(Wall.micros() - heardAt);
-    if (quiet.under(silence)) {
-      program.wakeAfter(silence.minus(quiet), this::listen);
+    Span quiet = new Span(Wall.micros() - lastByteMicros);
+    if (quiet.under(maxSilence)) {
+      front.wakeAfter(maxSilence.minus(quiet), this::checkSilence);
     } else {
-      end(0, "silent for " + silence.micros() / 1000 + " ms");
+      end(0, "silent for " + maxSilence.micros() / 1000 + " ms");
     }
   }
 
   private void end(int status, String why) {
-    if (!over) {
+    if (!ended) {
       close();
-      reader.over(answered, status, why);
+      reader.onEnd(lineReceived, status, why);
     }
   }
 
   void close() {
-    over = true;
-    lines.close();
+    ended = true;
+    splitter.close();
     if (request != null) {
       request.reset();
     }
--- a/src/main/java/linengauge/front/Listener.java
+++ b/src/main/java/linengauge/front/Listener.java
@@ -33,48 +33,48 @@
  * the site file says.
  */
 final class Listener extends VerticleBase {
-  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
-  private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
+  private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
+  private static final Pattern WHOLE_NUMBER = Pattern.compile("[0-9]{1,9}");
 
-  private final FrontServer program;
+  private final FrontServer front;
   private final Site site;
-  private final Headend house;
-  private final Map<String, Integer> packages;
-  private final Map<String, Site.Held> cells;
+  private final Headend deployment;
+  private final Map<String, Integer> packageNumbers;
+  private final Map<String, Site.Held> cellsByTitle;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(Listener.class));
-  private EventLoops here;
-  private HttpClient media;
+  private EventLoops eventLoop;
+  private HttpClient mediaClient;
   private MediaRelay relay;
-  private Context loop;
+  private Context loopContext;
 
   Listener(FrontServer program, Headend house) {
-    this.program = program;
+    this.front = program;
     this.site = program.site();
-    this.house = house;
-    this.packages = site.packageNumbers();
-    this.cells = site.titleCells();
+    this.deployment = house;
+    this.packageNumbers = site.packageNumbers();
+    this.cellsByTitle = site.titleCells();
   }
 
   @Override
   public Future<?> start() {
-    loop = context;
+    loopContext = context;
     // What has been read when a transfer is held back stays with the library: one read, so a read
     // is bounded.
-    media =
-        BoxClient.client(
+    mediaClient =
+        BoxClient.newClient(
             vertx,
             site,
             site.boxes().mediaConnections(),
             site.boxes().waitingMedia(),
             site.boxes().readBytes());
-    here = new EventLoops(vertx, site);
-    program.loops().add(here);
-    relay = new MediaRelay(program, media, vertx, here, log);
+    eventLoop = new EventLoops(vertx, site);
+    front.eventLoops().add(eventLoop);
+    relay = new MediaRelay(front, mediaClient, vertx, eventLoop, log);
     List<Future<?>> open = new ArrayList<>();
     open.add(listen(site.front().viewers(), null));
     for (Site.Router r : site.vrrp().routers()) {
       if (r.viewers() != null && (r.accept() || r.priority() == RouterTerms.OWNER)) {
-        open.add(listen(r.viewers(), program.lease(r.vrid())));
+        open.add(listen(r.viewers(), front.addressLease(r.vrid())));
       }
     }
     return Future.all(open);
@@ -95,10 +95,10 @@
                     v.sendBufferBytes()) // what waits in the system's buffers is out of our sight
                 .setHttp2ClearTextEnabled(
                     false)); // else a connection is seen only with its first bytes
-    server.connectionHandler(c -> connected(c, lease));
+    server.connectionHandler(c -> accept(c, lease));
     server.invalidRequestHandler(
         r ->
-            refuse(
+            respondError(
                 r,
                 r.decoderResult().cause()
                         instanceof io.netty.handler.codec.http.TooLongHttpLineException
@@ -116,41 +116,41 @@
 
   @Override
   public Future<?> stop() {
-    return media.close();
+    return mediaClient.close();
   }
 
-  private final Map<HttpConnection, ViewerConnection> callers = new HashMap<>();
+  private final Map<HttpConnection, ViewerConnection> connections = new HashMap<>();
 
   /** A shared address is another front's now. */
-  void gaveUp(Lease lease) {
-    loop.runOnContext(
+  void addressLost(Lease lease) {
+    loopContext.runOnContext(
         v -> {
-          for (ViewerConnection c : List.copyOf(callers.values())) {
+          for (ViewerConnection c : List.copyOf(connections.values())) {
             if (c.lease() == lease) {
-              c.gaveUp();
+              c.addressLost();
             }
           }
         });
   }
 
-  private void connected(HttpConnection connection, Lease lease) {
+  private void accept(HttpConnection connection, Lease lease) {
     String address = connection.remoteAddress().hostAddress();
-    DoorBook.Entry entry = program.gate().enters(address);
+    DoorBook.Entry entry = front.admission().admit(address);
     if (entry == DoorBook.Entry.SHUT_OUT) {
       connection.close();
       return;
     }
-    ViewerConnection c = new ViewerConnection(connection, entry, lease, here, program, log);
-    callers.put(connection, c);
+    ViewerConnection c = new ViewerConnection(connection, entry, lease, eventLoop, front, log);
+    connections.put(connection, c);
     connection.closeHandler(
         v -> {
-          callers.remove(connection);
-          program.gate().leaves(address, entry);
-          c.closed();
+          connections.remove(connection);
+          front.admission().release(address, entry);
+          c.connectionClosed();
         });
   }
 
-  private void refuse(HttpServerRequest r, int status, String why) {
+  private void respondError(HttpServerRequest r, int status, String why) {
     if (!r.response().ended() && !r.response().closed()) {
       r.response().setStatusCode(status).putHeader("Content-Type", "text/plain; charset=utf-8");
       if (status == 405) {
@@ -164,33 +164,33 @@
   }
 
   private void handle(HttpServerRequest r) {
-    ViewerConnection c = callers.get(r.connection());
+    ViewerConnection c = connections.get(r.connection());
     if (c == null) {
       return; // closed meanwhile
     }
-    tellAnswered(r, c);
-    if (!c.asked()) {
-      refuse(r, 429, "too many requests wait on this connection");
+    trackResponse(r, c);
+    if (!c.requestReceived()) {
+      respondError(r, 429, "too many requests wait on this connection");
     } else if (c.lease() != null && !c.lease().holds()) {
       // nothing is taken; a break would tell less
-      blocked(r, "the address is another front's: come again");
-    } else if (c.isTurnedAway()) {
-      blocked(r, "no place: come again");
-    } else if (headerLines(r) > site.viewers().headerCount()) {
-      refuse(r, 431, "more than " + site.viewers().headerCount() + " headers");
+      respondUnavailable(r, "the address is another front's: come again");
+    } else if (c.isRejected()) {
+      respondUnavailable(r, "no place: come again");
+    } else if (countHeaderLines(r) > site.viewers().headerCount()) {
+      respondError(r, 431, "more than " + site.viewers().headerCount() + " headers");
     } else {
       route(r, c);
     }
   }
 
   /** The caller is told once that this request is answered, or that its connection has closed. */
-  private static void tellAnswered(HttpServerRequest r, ViewerConnection c) {
+  private static void trackResponse(HttpServerRequest r, ViewerConnection c) {
     boolean[] over = {false};
     Runnable end =
         () -> {
           if (!over[0]) {
             over[0] = true;
-            c.answered();
+            c.responseEnded();
           }
         };
     r.response().endHandler(v -> end.run());
@@ -198,7 +198,7 @@
   }
 
   /** One by one: size() counts a name that comes again once. */
-  private static int headerLines(HttpServerRequest r) {
+  private static int countHeaderLines(HttpServerRequest r) {
     int lines = 0;
     for (var i = r.headers().iterator(); i.hasNext(); i.next()) {
       lines++;
@@ -211,71 +211,73 @@
     if (path.startsWith("/v/")) {
       int slash = path.indexOf('/', 3);
       String id = slash < 0 ? path.substring(3) : path.substring(3, slash);
-      viewing(r, c, id, slash < 0 ? "" : path.substring(slash + 1));
+      serveViewing(r, c, id, slash < 0 ? "" : path.substring(slash + 1));
     } else if (path.startsWith("/titles/") && path.endsWith("/main.m3u8")) {
       if (r.method() == HttpMethod.GET) {
-        join(r, c, path.substring("/titles/".length(), path.length() - "/main.m3u8".length()));
+        requestViewing(
+            r, c, path.substring("/titles/".length(), path.length() - "/main.m3u8".length()));
       } else {
-        refuse(r, 405, "only GET");
+        respondError(r, 405, "only GET");
       }
     } else {
-      refuse(r, 404, "no such thing");
+      respondError(r, 404, "no such thing");
     }
   }
 
-  private void join(HttpServerRequest r, ViewerConnection c, String title) {
-    Held.Ask ask = readAsk(r, title);
+  private void requestViewing(HttpServerRequest r, ViewerConnection c, String title) {
+    Held.Ask ask = parseRequest(r, title);
     if (ask == null) {
       return; // refused
     }
-    if (!program.gate().asks(ask.key(), Wall.now())) {
-      blocked(r, "blocked: this key asks too often");
+    if (!front.admission().allowsRequest(ask.key(), Wall.now())) {
+      respondUnavailable(r, "blocked: this key asks too often");
       return;
     }
     HttpViewer end =
         new HttpViewer(
-            loop,
+            loopContext,
             r.response(),
-            program.routes(),
+            front.activeViewings(),
             site.bytesOf(ask.pack(), 0),
             c.lease() == null ? "" : "http://" + site.front().viewers());
     r.response().exceptionHandler(e -> {});
-    if (!program.askOnDesk(() -> end.held(program.core().take(ask, end)))) {
-      blocked(r, "blocked: too many ask at once");
+    if (!front.submitRequest(() -> end.viewing(front.sessionManager().take(ask, end)))) {
+      respondUnavailable(r, "blocked: too many ask at once");
       return;
     }
-    c.waits(() -> program.onDesk(() -> leaveUnlessPlaying(end.held())));
+    c.onDisconnect(() -> front.runOnSessionLoop(() -> cancelUnlessPlaying(end.viewing())));
   }
 
-  private static void leaveUnlessPlaying(Held held) {
+  private static void cancelUnlessPlaying(Held held) {
     if (held != null && !held.isPlaying()) {
       held.viewerLeft();
     }
   }
 
   /** What is asked for; null where that was refused. */
-  private Held.Ask readAsk(HttpServerRequest r, String title) {
+  private Held.Ask parseRequest(HttpServerRequest r, String title) {
     String pack = r.getParam("package");
-    Integer number = pack == null ? null : packages.get(pack);
+    Integer number = pack == null ? null : packageNumbers.get(pack);
     String key = r.getParam("key");
-    if (!NAME.matcher(title).matches() || key != null && !NAME.matcher(key).matches()) {
-      refuse(r, 400, "title and key are of letters, digits, '.', '_' and '-', 64 at most");
+    if (!IDENTIFIER.matcher(title).matches() || key != null && !IDENTIFIER.matcher(key).matches()) {
+      respondError(r, 400, "title and key are of letters, digits, '.', '_' and '-', 64 at most");
       return null;
     }
     if (number == null) {
-      refuse(r, 400, "package names none of this site");
+      respondError(r, 400, "package names none of this site");
       return null;
     }
-    PackageTerms terms = house.packages().get(number);
-    long ceiling = whole(r.getParam("ceiling"), terms.highestRung());
-    long patience = whole(r.getParam("patience"), site.viewers().longestPatienceMs());
+    PackageTerms terms = deployment.packages().get(number);
+    long ceiling = parseWholeNumber(r.getParam("ceiling"), terms.highestRung());
+    long patience = parseWholeNumber(r.getParam("patience"), site.viewers().longestPatienceMs());
     if (ceiling < 0 || patience <= 0) {
-      refuse(r, 400, "ceiling and patience are whole numbers, patience in milliseconds and over 0");
+      respondError(
+          r, 400, "ceiling and patience are whole numbers, patience in milliseconds and over 0");
       return null;
     }
-    Site.Held where = cells.get(title);
+    Site.Held where = cellsByTitle.get(title);
     if (where == null && !site.titles().anywhere()) {
-      refuse(r, 404, "no such title");
+      respondError(r, 404, "no such title");
       return null;
     }
     return new Held.Ask(
@@ -290,39 +292,39 @@
   }
 
   /** Blocked at the door: nothing was taken, and it may come again. */
-  private void blocked(HttpServerRequest r, String why) {
+  private void respondUnavailable(HttpServerRequest r, String why) {
     int ms = site.desk().adviceMs();
     if (ms > 0) {
       r.response()
           .putHeader("Retry-After", Integer.toString((ms + 999) / 1000))
           .putHeader("Retry-After-Ms", Integer.toString(ms));
     }
-    refuse(r, 503, why);
+    respondError(r, 503, why);
   }
 
-  private static long whole(String text, long absent) {
+  private static long parseWholeNumber(String text, long absent) {
     if (text == null) {
       return absent;
     }
-    return WHOLE.matcher(text).matches() ? Long.parseLong(text) : -1;
+    return WHOLE_NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1;
   }
 
-  private void viewing(HttpServerRequest r, ViewerConnection c, String id, String rest) {
-    HttpViewer viewer = program.routes().get(id);
+  private void serveViewing(HttpServerRequest r, ViewerConnection c, String id, String rest) {
+    HttpViewer viewer = front.activeViewings().get(id);
     if (viewer == null) {
-      Viewer.End how = program.routes().howEnded(id);
-      refuse(r, how == null ? 404 : 410, how == null ? "no such viewing" : "ended: " + how);
+      Viewer.End how = front.activeViewings().endReason(id);
+      respondError(r, how == null ? 404 : 410, how == null ? "no such viewing" : "ended: " + how);
       return;
     }
     if (r.method() == HttpMethod.DELETE && rest.isEmpty()) {
-      program.onDesk(() -> viewer.held().viewerLeft());
+      front.runOnSessionLoop(() -> viewer.viewing().viewerLeft());
       r.response().setStatusCode(204).end();
     } else if (r.method() != HttpMethod.GET) {
-      refuse(r, 405, "only GET, and DELETE of a whole viewing");
+      respondError(r, 405, "only GET, and DELETE of a whole viewing");
     } else {
       String at = rest.equals("media.m3u8") ? rest : Paths.at(rest);
       if (at == null) {
-        refuse(r, 404, "no such thing");
+        respondError(r, 404, "no such thing");
       } else {
         relay.relay(r, c, viewer, id, at);
       }
--- a/src/main/java/linengauge/front/MediaRelay.java
+++ b/src/main/java/linengauge/front/MediaRelay.java
@@ -29,7 +29,7 @@
  */
 final class MediaRelay {
   /** Requests of one viewing at a time; a player fetches a playlist beside a segment or two. */
-  private static final List<String> PASSED_ON =
+  private static final List<String> RESPONSE_HEADERS =
       List.of(
           "Content-Type",
           "Content-Length",
@@ -40,25 +40,26 @@
           "Cache-Control");
 
   /** Answers of a box that go to the viewer as they are. */
-  private static final Set<Integer> PASSED_STATUSES = Set.of(200, 206, 304, 404, 416);
+  private static final Set<Integer> RELAYED_STATUSES = Set.of(200, 206, 304, 404, 416);
 
-  private static final List<String> ASKED_ON = List.of("Range", "If-Range", "Accept");
+  private static final List<String> REQUEST_HEADERS = List.of("Range", "If-Range", "Accept");
 
-  private static final AttributeKey<Object> USER = AttributeKey.valueOf("linengauge.transfer");
+  private static final AttributeKey<Object> CURRENT_TRANSFER =
+      AttributeKey.valueOf("linengauge.transfer");
 
-  private final FrontServer program;
+  private final FrontServer front;
   private final Site site;
   private final HttpClient client;
   private final Vertx vertx;
-  private final EventLoops here;
+  private final EventLoops eventLoop;
   private final Sparse log;
 
   MediaRelay(FrontServer program, HttpClient client, Vertx vertx, EventLoops here, Sparse log) {
-    this.program = program;
+    this.front = program;
     this.site = program.site();
     this.client = client;
     this.vertx = vertx;
-    this.here = here;
+    this.eventLoop = here;
     this.log = log;
   }
 
@@ -66,25 +67,25 @@
       HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
     HttpViewer.Route route = viewer.route();
     if (route == null) {
-      fail(asked.response(), 410, "ended");
+      respondError(asked.response(), 410, "ended");
       return;
     }
-    if (viewer.underWay().incrementAndGet() > site.viewers().atOnce()) {
-      viewer.underWay().decrementAndGet();
-      fail(asked.response(), 429, "too many requests of one viewing at once");
+    if (viewer.activeTransfers().incrementAndGet() > site.viewers().atOnce()) {
+      viewer.activeTransfers().decrementAndGet();
+      respondError(asked.response(), 429, "too many requests of one viewing at once");
       return;
     }
-    if (here.watch().isFull()) {
-      viewer.underWay().decrementAndGet();
+    if (eventLoop.slowPeers().isFull()) {
+      viewer.activeTransfers().decrementAndGet();
       asked.response().putHeader("Retry-After", "1");
-      fail(asked.response(), 503, "too many transfers at once");
+      respondError(asked.response(), 503, "too many transfers at once");
       return;
     }
-    viewer.asked();
+    viewer.recordActivity();
     new Transfer(asked, caller, viewer, id, at).start(route);
   }
 
-  private static void fail(HttpServerResponse to, int status, String why) {
+  private static void respondError(HttpServerResponse to, int status, String why) {
     if (!to.ended() && !to.closed()) {
       to.setStatusCode(status)
           .putHeader("Content-Type", "text/plain; charset=utf-8")
@@ -94,71 +95,71 @@
 
   /** One request of a viewer, answered by its box. */
   private final class Transfer implements Account.Peer {
-    private final ViewerConnection caller;
-    private final Account box;
-    private final HttpServerRequest asked;
-    private final HttpServerResponse to;
+    private final ViewerConnection connection;
+    private final Account boxAccount;
+    private final HttpServerRequest viewerRequest;
+    private final HttpServerResponse viewerResponse;
     private final HttpViewer viewer;
     private final String id;
-    private final String at;
-    private HttpClientRequest request;
-    private Channel channel;
-    private HttpClientResponse response;
-    private long heardAt = Wall.micros();
-    private boolean answered;
+    private final String path;
+    private HttpClientRequest boxRequest;
+    private Channel boxChannel;
+    private HttpClientResponse boxResponse;
+    private long lastProgressMicros = Wall.micros();
+    private boolean responseReceived;
     private boolean paused;
-    private boolean over;
-    private long timer = -1;
+    private boolean finished;
+    private long timerId = -1;
     private Buffer playlist;
 
     private Transfer(
         HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
-      this.caller = caller;
-      this.box = here.watch().open(Account.Side.BOX, this);
-      this.asked = asked;
-      this.to = asked.response();
+      this.connection = caller;
+      this.boxAccount = eventLoop.slowPeers().open(Account.Side.BOX, this);
+      this.viewerRequest = asked;
+      this.viewerResponse = asked.response();
       this.viewer = viewer;
       this.id = id;
-      this.at = at;
+      this.path = at;
     }
 
     private void start(HttpViewer.Route route) {
-      asked.connection().exceptionHandler(e -> {});
-      to.exceptionHandler(e -> end());
-      to.closeHandler(v -> end());
-      listen(site.boxes().firstByteMs());
-      caller.takes(viewer, this::goOn);
-      caller.account().begins(site.flow().viewerShare() * viewer.lowestBytes());
-      box.begins(site.flow().boxShare() * viewer.rungBytes());
-      box.wanted(true);
+      viewerRequest.connection().exceptionHandler(e -> {});
+      viewerResponse.exceptionHandler(e -> viewerDisconnected());
+      viewerResponse.closeHandler(v -> viewerDisconnected());
+      watchSilence(site.boxes().firstByteMs());
+      connection.startTransfer(viewer, this::goOn);
+      connection.account().begins(site.flow().viewerShare() * viewer.lowestBytesPerSecond());
+      boxAccount.begins(site.flow().boxShare() * viewer.rungBytesPerSecond());
+      boxAccount.wanted(true);
       client
           .request(
               new RequestOptions()
                   .setMethod(HttpMethod.GET)
                   .setHost(route.host())
                   .setPort(route.port())
-                  .setURI("/viewings/" + id + "/" + at)
+                  .setURI("/viewings/" + id + "/" + path)
                   .setConnectTimeout(site.boxes().connectMs()))
-          .onFailure(e -> broken(502, "the media box cannot be reached"))
+          .onFailure(e -> fail(502, "the media box cannot be reached"))
           .onSuccess(
               q -> {
-                if (over) {
+                if (finished) {
                   q.reset();
                   return;
                 }
-                request = q;
-                channel = ((ConnectionBase) q.connection()).channel();
-                channel.attr(USER).set(this);
-                read(true);
+                boxRequest = q;
+                boxChannel = ((ConnectionBase) q.connection()).channel();
+                boxChannel.attr(CURRENT_TRANSFER).set(this);
+                setAutoRead(true);
                 q.exceptionHandler(e -> {}); // what fails is told by the futures
-                for (String name : ASKED_ON) {
-                  if (asked.headers().contains(name)) {
-                    q.putHeader(name, asked.headers().get(name));
+                for (String name : REQUEST_HEADERS) {
+                  if (viewerRequest.headers().contains(name)) {
+                    q.putHeader(name, viewerRequest.headers().get(name));
                   }
                 }
                 q.send()
                     .onSuccess(this::onResponse)
-                    .onFailure(e -> broken(502, "the media box broke off"));
+                    .onFailure(e -> fail(502, "the media box broke off"));
               });
     }
 
@@ -166,86 +167,87 @@
      * A box that sends nothing while its viewer would read is given up; a viewer that reads nothing
      * is not its fault.
      */
-    private void listen(long ms) {
-      timer =
+    private void watchSilence(long ms) {
+      timerId =
           vertx.setTimer(
               Math.max(1, ms),
               t -> {
-                timer = -1;
-                long quiet = (Wall.micros() - heardAt) / 1000;
-                long bound = answered ? site.boxes().mediaSilenceMs() : site.boxes().firstByteMs();
-                if (over) {
+                timerId = -1;
+                long quiet = (Wall.micros() - lastProgressMicros) / 1000;
+                long bound =
+                    responseReceived ? site.boxes().mediaSilenceMs() : site.boxes().firstByteMs();
+                if (finished) {
                   return;
                 }
                 if (!paused && quiet >= bound) {
-                  broken(504, "the media box sends nothing");
+                  fail(504, "the media box sends nothing");
                 } else if (paused && viewer.route() == null) {
-                  broken(410, "ended");
+                  fail(410, "ended");
                 } else {
-                  listen(paused ? bound : bound - quiet);
+                  watchSilence(paused ? bound : bound - quiet);
                 }
               });
     }
 
     private void onResponse(HttpClientResponse r) {
-      if (over) {
+      if (finished) {
         return;
       }
-      answered = true;
-      heardAt = Wall.micros();
+      responseReceived = true;
+      lastProgressMicros = Wall.micros();
       int status = r.statusCode();
-      if (status == 404 && at.equals("media.m3u8") || status == 410) {
-        program.onDesk(() -> viewer.held().boxLost());
-        broken(410, "the media box has lost the viewing");
-      } else if (!PASSED_STATUSES.contains(status)) {
-        broken(502, "the media box answers " + status);
+      if (status == 404 && path.equals("media.m3u8") || status == 410) {
+        front.runOnSessionLoop(() -> viewer.viewing().boxLost());
+        fail(410, "the media box has lost the viewing");
+      } else if (!RELAYED_STATUSES.contains(status)) {
+        fail(502, "the media box answers " + status);
       } else {
-        response = r;
-        r.exceptionHandler(e -> broken(502, "the media box broke off"));
-        if (status == 200 && at.endsWith(".m3u8")) {
+        boxResponse = r;
+        r.exceptionHandler(e -> fail(502, "the media box broke off"));
+        if (status == 200 && path.endsWith(".m3u8")) {
           playlist = Buffer.buffer();
-          r.handler(this::more);
-          r.endHandler(v -> rewrite());
+          r.handler(this::appendPlaylist);
+          r.endHandler(v -> sendPlaylist());
         } else {
-          passOn(r);
+          relayBody(r);
         }
       }
     }
 
     /** Everything but a playlist goes to the viewer as it comes. */
-    private void passOn(HttpClientResponse r) {
-      to.setStatusCode(r.statusCode());
-      for (String name : PASSED_ON) {
+    private void relayBody(HttpClientResponse r) {
+      viewerResponse.setStatusCode(r.statusCode());
+      for (String name : RESPONSE_HEADERS) {
         if (r.headers().contains(name)) {
-          to.putHeader(name, r.headers().get(name));
+          viewerResponse.putHeader(name, r.headers().get(name));
         }
       }
       if (!r.headers().contains("Content-Length")) {
-        to.setChunked(true);
+        viewerResponse.setChunked(true);
       }
-      to.setWriteQueueMaxSize(site.viewers().writeBufferBytes());
-      r.handler(bytes -> passOn(r, bytes));
+      viewerResponse.setWriteQueueMaxSize(site.viewers().writeBufferBytes());
+      r.handler(bytes -> relayChunk(r, bytes));
       r.endHandler(
           v -> {
-            if (!over) {
+            if (!finished) {
               finish();
-              to.end();
+              viewerResponse.end();
             }
           });
     }
 
     /** Passes bytes on, and holds the box back where the viewer does not take them. */
-    private void passOn(HttpClientResponse r, Buffer bytes) {
-      heardAt = Wall.micros();
-      viewer.asked();
-      box.came(bytes.length());
-      to.write(bytes);
-      if (caller.account().queued(bytes.length()) || to.writeQueueFull()) {
+    private void relayChunk(HttpClientResponse r, Buffer bytes) {
+      lastProgressMicros = Wall.micros();
+      viewer.recordActivity();
+      boxAccount.came(bytes.length());
+      viewerResponse.write(bytes);
+      if (connection.account().queued(bytes.length()) || viewerResponse.writeQueueFull()) {
         paused = true;
-        box.wanted(false);
+        boxAccount.wanted(false);
         r.pause();
-        read(false);
-        to.drainHandler(v -> goOn());
+        setAutoRead(false);
+        viewerResponse.drainHandler(v -> goOn());
       }
     }
 
@@ -255,22 +257,25 @@
      * heap. Only for the connection's present user: one whose answer has come whole may be held
      * back while another already uses it.
      */
-    private void read(boolean on) {
-      if (channel != null && channel.attr(USER).get() == this) {
-        channel.config().setAutoRead(on);
+    private void setAutoRead(boolean on) {
+      if (boxChannel != null && boxChannel.attr(CURRENT_TRANSFER).get() == this) {
+        boxChannel.config().setAutoRead(on);
       }
     }
 
     /** The viewer has taken what waited, or the pool has come to have something for it. */
     @Override
     public void goOn() {
-      if (paused && !over && caller.account().drained() && !to.writeQueueFull()) {
+      if (paused
+          && !finished
+          && connection.account().drained()
+          && !viewerResponse.writeQueueFull()) {
         paused = false;
-        heardAt = Wall.micros();
-        viewer.asked();
-        box.wanted(true);
-        read(true);
-        response.resume();
+        lastProgressMicros = Wall.micros();
+        viewer.recordActivity();
+        boxAccount.wanted(true);
+        setAutoRead(true);
+        boxResponse.resume();
       }
     }
 
@@ -286,34 +291,35 @@
 
     @Override
     public void letGo(Account account) {
-      log.warn("box let go", viewer.held().id(), ViewerConnection.figures(account));
-      program.onDesk(() -> viewer.held().boxLost());
-      broken(504, "the media box brings too little");
+      log.warn("box let go", viewer.viewing().id(), ViewerConnection.describeRate(account));
+      front.runOnSessionLoop(() -> viewer.viewing().boxLost());
+      fail(504, "the media box brings too little");
     }
 
-    private void more(Buffer b) {
-      box.came(b.length());
-      heardAt = Wall.micros();
+    private void appendPlaylist(Buffer b) {
+      boxAccount.came(b.length());
+      lastProgressMicros = Wall.micros();
       playlist.appendBuffer(b);
       if (playlist.length() > site.boxes().playlistBytes()) {
-        broken(502, "the media box sends a playlist that is too long");
+        fail(502, "the media box sends a playlist that is too long");
       }
     }
 
-    private void rewrite() {
-      if (over) {
+    private void sendPlaylist() {
+      if (finished) {
         return;
       }
       try {
-        String base = at.contains("/") ? at.substring(0, at.lastIndexOf('/') + 1) : "";
+        String base = path.contains("/") ? path.substring(0, path.lastIndexOf('/') + 1) : "";
         String text = Playlists.media(playlist.getBytes(), uri -> Paths.under(id, base, uri));
-        caller.account().queued(text.length());
+        connection.account().queued(text.length());
         finish();
-        to.putHeader("Content-Type", "application/vnd.apple.mpegurl")
+        viewerResponse
+            .putHeader("Content-Type", "application/vnd.apple.mpegurl")
             .putHeader("Cache-Control", "no-store")
             .end(text);
       } catch (BadPlaylist e) {
-        broken(502, "the media box sends a broken playlist: " + e.getMessage());
+        fail(502, "the media box sends a broken playlist: " + e.getMessage());
       }
     }
 
@@ -321,39 +327,39 @@
      * The box has failed this request: said so where nothing was sent yet, else the connection
      * breaks.
      */
-    private void broken(int status, String why) {
-      if (over) {
+    private void fail(int status, String why) {
+      if (finished) {
         return;
       }
       finish();
-      if (request != null) {
-        request.reset();
+      if (boxRequest != null) {
+        boxRequest.reset();
       }
-      if (to.headWritten()) {
-        asked.connection().close();
+      if (viewerResponse.headWritten()) {
+        viewerRequest.connection().close();
       } else {
-        fail(to, status, why);
+        respondError(viewerResponse, status, why);
       }
     }
 
     /** The viewer has broken off. */
-    private void end() {
-      if (!over) {
+    private void viewerDisconnected() {
+      if (!finished) {
         finish();
-        if (request != null) {
-          request.reset();
+        if (boxRequest != null) {
+          boxRequest.reset();
         }
       }
     }
 
     private void finish() {
-      over = true;
-      read(true);
-      viewer.underWay().decrementAndGet();
-      box.close();
-      caller.account().ends();
-      if (timer >= 0) {
-        vertx.cancelTimer(timer);
+      finished = true;
+      setAutoRead(true);
+      viewer.activeTransfers().decrementAndGet();
+      boxAccount.close();
+      connection.account().ends();
+      if (timerId >= 0) {
+        vertx.cancelTimer(timerId);
       }
     }
   }
--- a/src/main/java/linengauge/front/NoteStreams.java
+++ b/src/main/java/linengauge/front/NoteStreams.java
@@ -30,37 +30,37 @@
   private static final Pattern DIGITS = Pattern.compile("[0-9]{1,13}");
 
   /** Older than this is long ago. */
-  private static final long LONGEST_AGE_MS = 1_000_000_000L;
+  private static final long MAX_AGE_MS = 1_000_000_000L;
 
   /** Urgency of streams that failed more than once: after the box list. */
-  private static final int RETRIES = 1;
+  private static final int RETRY_URGENCY = 1;
 
   private final class BoxStream {
-    private final BoxTable.Entry entry;
+    private final BoxTable.Entry box;
 
     /** Viewings that play here, by id; each leaves as it ends. */
     private final Map<String, Held> playing = new LinkedHashMap<>();
 
-    private final Backoff pause;
+    private final Backoff backoff;
     private LineStream stream;
     private String life;
     private int failures;
-    private long usedAt = Wall.micros();
-    private boolean closing;
+    private long lastUsedMicros = Wall.micros();
+    private boolean closeScheduled;
 
     private BoxStream(BoxTable.Entry entry) {
-      this.entry = entry;
+      this.box = entry;
       int ms = site.boxes().notesRetryMs();
-      this.pause = new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), chance.split());
+      this.backoff = new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), random.split());
     }
 
     private void open() {
       stream =
           new LineStream(
-              program,
+              front,
               client,
-              BoxClient.to(
-                  entry,
+              BoxClient.requestTo(
+                  box,
                   HttpMethod.GET,
                   "/notes?front=" + site.front().number(),
                   site.boxes().connectMs()),
@@ -68,61 +68,66 @@
               Span.ofMillis(site.boxes().notesSilenceMs()),
               new LineStream.Reader() {
                 @Override
-                public void line(byte[] line) {
+                public void onLine(byte[] line) {
                   failures = 0;
-                  pause.reset();
-                  heard(line);
+                  backoff.reset();
+                  onNote(line);
                 }
 
                 @Override
-                public void over(boolean answered, int status, String why) {
+                public void onEnd(boolean answered, int status, String why) {
                   stream = null;
-                  broke(why);
+                  streamEnded(why);
                 }
               });
     }
 
-    private void broke(String why) {
+    private void streamEnded(String why) {
       if (failures++ > 0) {
-        program.core().lostSight(entry);
+        front.sessionManager().lostSight(box);
       }
       if (failures >= site.boxes().notesTries()) {
-        log.warn("box lost", entry.toString(), why);
-        lose();
-        leave();
+        log.warn("box lost", box.toString(), why);
+        loseViewings();
+        close();
       } else {
         if (failures == 1) {
           // At once, and no background work: a box that restarts is found out before the next
           // set-up goes there.
-          program.wakeAfter(Span.NONE, this::openAgain);
+          front.wakeAfter(Span.NONE, this::reopen);
         } else {
-          tryLater();
+          scheduleReopen();
         }
       }
     }
 
-    private void tryLater() {
-      Span after = pause.next();
-      if (!program
-          .chores()
-          .submit("notes of " + entry, RETRIES, after, DiscoveryClient.OPENING, this::openAgain)) {
-        program.wakeAfter(
+    private void scheduleReopen() {
+      Span after = backoff.next();
+      if (!front
+          .backgroundJobs()
+          .submit(
+              "notes of " + box,
+              RETRY_URGENCY,
+              after,
+              DiscoveryClient.ESTIMATED_OPEN_TIME,
+              this::reopen)) {
+        front.wakeAfter(
             after,
             () -> {
-              if (stream == null && boxes.get(entry) == this) {
-                tryLater();
+              if (stream == null && streams.get(box) == this) {
+                scheduleReopen();
               }
             });
       }
     }
 
-    private void openAgain() {
-      if (stream == null && boxes.get(entry) == this) {
+    private void reopen() {
+      if (stream == null && streams.get(box) == this) {
         open();
       }
     }
 
-    private void lose() {
+    private void loseViewings() {
       for (Held vw : List.copyOf(playing.values())) {
         vw.boxLost();
       }
@@ -131,25 +136,25 @@
     }
 
     private void closeWhenUnused() {
-      if (!playing.isEmpty() || closing) {
+      if (!playing.isEmpty() || closeScheduled) {
         return;
       }
-      closing = true;
+      closeScheduled = true;
       Span linger = Span.ofMillis(site.boxes().notesLingerMs());
-      program.wakeAfter(
+      front.wakeAfter(
           linger,
           () -> {
-            closing = false;
-            if (playing.isEmpty() && !new Span(Wall.micros() - usedAt).under(linger)) {
-              leave();
+            closeScheduled = false;
+            if (playing.isEmpty() && !new Span(Wall.micros() - lastUsedMicros).under(linger)) {
+              close();
             } else {
               closeWhenUnused();
             }
           });
     }
 
-    private void leave() {
-      boxes.remove(entry, this);
+    private void close() {
+      streams.remove(box, this);
       if (stream != null) {
         stream.close();
         stream = null;
@@ -160,29 +165,29 @@
      * The box has told its life and age; a life not known before is a new start, with nothing of
      * the earlier one.
      */
-    private void lives(String told, Span age) {
+    private void updateLife(String told, Span age) {
       boolean anew = told != null && life != null && !life.equals(told);
       life = told == null ? life : told;
       if (age != null) {
-        program.core().ageTold(entry, age);
+        front.sessionManager().ageTold(box, age);
       }
       if (anew) {
-        lose();
+        loseViewings();
       }
     }
 
-    private void heard(byte[] line) {
+    private void onNote(byte[] line) {
       JsonNode note;
       try {
-        note = BoxClient.line(line);
+        note = BoxClient.parseLine(line);
       } catch (JacksonException e) {
-        log.warn("bad note", entry.toString(), "not JSON");
+        log.warn("bad note", box.toString(), "not JSON");
         return;
       }
-      lives(
+      updateLife(
           note.path("life").asText(null),
           note.path("ageMs").canConvertToLong() && note.path("ageMs").asLong() >= 0
-              ? Span.ofMillis(Math.min(note.path("ageMs").asLong(), LONGEST_AGE_MS))
+              ? Span.ofMillis(Math.min(note.path("ageMs").asLong(), MAX_AGE_MS))
               : null);
       Held gone = note.has("ended") ? playing.get(note.path("ended").asText()) : null;
       if (gone != null) {
@@ -198,37 +203,37 @@
           one.shareDelivered(share);
         }
       }
-      double link = told(note.path("link"));
-      double uplink = told(note.path("uplink"));
+      double link = loadValue(note.path("link"));
+      double uplink = loadValue(note.path("uplink"));
       if (!Double.isNaN(link) || !Double.isNaN(uplink)) {
         one.loadsTold(link, uplink);
       }
     }
 
-    private double told(JsonNode figure) {
+    private double loadValue(JsonNode figure) {
       double v = figure.isNumber() ? figure.asDouble() : Double.NaN;
       return v >= 0 && v < 1000 ? v : Double.NaN;
     }
   }
 
-  private final FrontServer program;
+  private final FrontServer front;
   private final Site site;
   private final HttpClient client;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(NoteStreams.class));
-  private final Map<BoxTable.Entry, BoxStream> boxes = new LinkedHashMap<>();
+  private final Map<BoxTable.Entry, BoxStream> streams = new LinkedHashMap<>();
 
   NoteStreams(Vertx vertx, Site site, long seed, FrontServer program) {
-    this.program = program;
+    this.front = program;
     this.site = site;
-    this.chance = new SplittableRandom(seed);
-    this.client = BoxClient.client(vertx, site, 2, 4);
+    this.random = new SplittableRandom(seed);
+    this.client = BoxClient.newClient(vertx, site, 2, 4);
   }
 
   /** A viewing plays at a box. */
-  void playing(Held vw, BoxTable.Entry entry) {
-    BoxStream b = boxes.computeIfAbsent(entry, BoxStream::new);
-    b.usedAt = Wall.micros();
+  void viewingStarted(Held vw, BoxTable.Entry entry) {
+    BoxStream b = streams.computeIfAbsent(entry, BoxStream::new);
+    b.lastUsedMicros = Wall.micros();
     b.playing.put(vw.id(), vw);
     if (b.stream == null && b.failures == 0) {
       b.open();
@@ -236,39 +241,39 @@
   }
 
   /** A viewing no longer plays at a box. */
-  void over(Held vw, BoxTable.Entry entry) {
-    BoxStream b = boxes.get(entry);
+  void viewingEnded(Held vw, BoxTable.Entry entry) {
+    BoxStream b = streams.get(entry);
     if (b != null && b.playing.remove(vw.id()) != null) {
-      b.usedAt = Wall.micros();
+      b.lastUsedMicros = Wall.micros();
       b.closeWhenUnused();
     }
   }
 
   /** An answer of a box has told its life and age, or neither. */
-  void lifeTold(BoxTable.Entry entry, String life, String ageMs) {
+  void reportLife(BoxTable.Entry entry, String life, String ageMs) {
     Span age =
         ageMs != null && DIGITS.matcher(ageMs).matches()
-            ? Span.ofMillis(Math.min(Long.parseLong(ageMs), LONGEST_AGE_MS))
+            ? Span.ofMillis(Math.min(Long.parseLong(ageMs), MAX_AGE_MS))
             : null;
-    BoxStream b = boxes.get(entry);
+    BoxStream b = streams.get(entry);
     if (b != null) {
-      b.lives(life, age);
+      b.updateLife(life, age);
     } else if (age != null) {
-      program.core().ageTold(entry, age);
+      front.sessionManager().ageTold(entry, age);
     }
   }
 
   /** Streams to boxes where something plays. */
-  int inUse() {
-    return (int) boxes.values().stream().filter(b -> !b.playing.isEmpty()).count();
+  int streamsInUse() {
+    return (int) streams.values().stream().filter(b -> !b.playing.isEmpty()).count();
   }
 
-  int open() {
-    return boxes.size();
+  int openStreams() {
+    return streams.size();
   }
 
   void close() {
-    List.copyOf(boxes.values()).forEach(BoxStream::leave);
+    List.copyOf(streams.values()).forEach(BoxStream::close);
     client.close();
   }
 }
--- a/src/main/java/linengauge/front/SessionLoop.java
+++ b/src/main/java/linengauge/front/SessionLoop.java
@@ -14,21 +14,21 @@
 final class SessionLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SessionLoop.class);
 
-  private final Timers wakes;
+  private final Timers timers;
   private Context context;
-  private Desk core;
+  private Desk sessionManager;
 
   /** A step of the core is running; read and written on the desk, where alone it is true. */
-  private volatile boolean within;
+  private volatile boolean inStep;
 
-  private volatile long ranAt = Wall.micros();
+  private volatile long lastStepMicros = Wall.micros();
 
   SessionLoop(Vertx vertx) {
-    this.wakes = new Timers(vertx);
+    this.timers = new Timers(vertx);
   }
 
   /** The context on which steps run; on the desk, before any step runs. */
-  void begin(Context own) {
+  void bind(Context own) {
     context = own;
     // A fault of the carrier costs what it was about; the core's own bound still answers the
     // viewer.
@@ -36,8 +36,8 @@
   }
 
   /** The core that is told the time; before any step runs. */
-  void setCore(Desk desk) {
-    core = desk;
+  void setSessionManager(Desk desk) {
+    sessionManager = desk;
   }
 
   /**
@@ -45,7 +45,7 @@
    * library's, later where it is within a step of the core or on another loop.
    */
   void run(Runnable step) {
-    if (!within && Vertx.currentContext() == context) {
+    if (!inStep && Vertx.currentContext() == context) {
       runNow(step);
     } else {
       context.runOnContext(v -> runNow(step));
@@ -53,33 +53,33 @@
   }
 
   private void runNow(Runnable step) {
-    within = true;
+    inStep = true;
     try {
       Moment now = Wall.now();
-      ranAt = now.micros();
-      core.clock(now);
+      lastStepMicros = now.micros();
+      sessionManager.clock(now);
       step.run();
     } finally {
-      within = false;
+      inStep = false;
     }
   }
 
   /** Runs a step of the core after that span, unless it is called off. */
-  Carrier.Wake runAfter(Span span, Runnable step) {
-    return wakes.after(span.micros(), () -> run(step));
+  Carrier.Wake schedule(Span span, Runnable step) {
+    return timers.schedule(span.micros(), () -> run(step));
   }
 
   /** Runs something after that span that is no step of the core. */
-  void afterwards(Span span, Runnable task) {
-    wakes.after(span.micros(), task);
+  void scheduleOutsideSteps(Span span, Runnable task) {
+    timers.schedule(span.micros(), task);
   }
 
   /** When the last step began; for other threads. */
-  Moment ranAt() {
-    return new Moment(ranAt);
+  Moment lastStepAt() {
+    return new Moment(lastStepMicros);
   }
 
-  int wakesWaiting() {
-    return wakes.waiting();
+  int pendingTimers() {
+    return timers.pending();
   }
 }
--- a/src/main/java/linengauge/front/Timers.java
+++ b/src/main/java/linengauge/front/Timers.java
@@ -13,24 +13,24 @@
  */
 final class Timers {
   private final class PendingTimer implements Carrier.Wake {
-    private final long at;
-    private final long number;
+    private final long dueMicros;
+    private final long sequence;
     private final Runnable step;
-    private int place;
+    private int heapIndex;
 
     private PendingTimer(long at, long number, Runnable step) {
-      this.at = at;
-      this.number = number;
+      this.dueMicros = at;
+      this.sequence = number;
       this.step = step;
     }
 
-    private boolean before(PendingTimer o) {
-      return at != o.at ? at < o.at : number < o.number;
+    private boolean isBefore(PendingTimer o) {
+      return dueMicros != o.dueMicros ? dueMicros < o.dueMicros : sequence < o.sequence;
     }
 
     @Override
     public void cancel() {
-      if (place >= 0) {
+      if (heapIndex >= 0) {
         remove(this);
       }
     }
@@ -39,98 +39,98 @@
   private final Vertx vertx;
   private PendingTimer[] heap = new PendingTimer[64];
   private int size;
-  private long number;
-  private long timerAt = Long.MAX_VALUE;
+  private long nextSequence;
+  private long armedForMicros = Long.MAX_VALUE;
 
   Timers(Vertx vertx) {
     this.vertx = vertx;
   }
 
   /** Runs the step once, not earlier than after so many microseconds and never within this call. */
-  Carrier.Wake after(long micros, Runnable step) {
-    PendingTimer d = new PendingTimer(Wall.micros() + Math.max(0, micros), number++, step);
+  Carrier.Wake schedule(long micros, Runnable step) {
+    PendingTimer d = new PendingTimer(Wall.micros() + Math.max(0, micros), nextSequence++, step);
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
     }
-    up(d, size++);
-    arm();
+    siftUp(d, size++);
+    armTimer();
     return d;
   }
 
-  private void up(PendingTimer d, int from) {
+  private void siftUp(PendingTimer d, int from) {
     int i = from;
-    while (i > 0 && d.before(heap[(i - 1) / 2])) {
-      set(heap[(i - 1) / 2], i);
+    while (i > 0 && d.isBefore(heap[(i - 1) / 2])) {
+      put(heap[(i - 1) / 2], i);
       i = (i - 1) / 2;
     }
-    set(d, i);
+    put(d, i);
   }
 
-  private void down(PendingTimer d, int from) {
+  private void siftDown(PendingTimer d, int from) {
     int i = from;
     while (2 * i + 1 < size) {
       int child = 2 * i + 1;
-      child += child + 1 < size && heap[child + 1].before(heap[child]) ? 1 : 0;
-      if (!heap[child].before(d)) {
+      child += child + 1 < size && heap[child + 1].isBefore(heap[child]) ? 1 : 0;
+      if (!heap[child].isBefore(d)) {
         break;
       }
-      set(heap[child], i);
+      put(heap[child], i);
       i = child;
     }
-    set(d, i);
+    put(d, i);
   }
 
-  private void set(PendingTimer d, int i) {
+  private void put(PendingTimer d, int i) {
     heap[i] = d;
-    d.place = i;
+    d.heapIndex = i;
   }
 
   private void remove(PendingTimer d) {
-    int i = d.place;
-    d.place = -1;
+    int i = d.heapIndex;
+    d.heapIndex = -1;
     PendingTimer last = heap[--size];
     heap[size] = null;
     if (last != d) {
-      if (i > 0 && last.before(heap[(i - 1) / 2])) {
-        up(last, i);
+      if (i > 0 && last.isBefore(heap[(i - 1) / 2])) {
+        siftUp(last, i);
       } else {
-        down(last, i);
+        siftDown(last, i);
       }
     }
   }
 
-  private void arm() {
-    if (size == 0 || heap[0].at >= timerAt) {
+  private void armTimer() {
+    if (size == 0 || heap[0].dueMicros >= armedForMicros) {
       return;
     }
-    timerAt = heap[0].at;
-    long mine = timerAt;
+    armedForMicros = heap[0].dueMicros;
+    long mine = armedForMicros;
     vertx.setTimer(
         Math.max(1, (mine - Wall.micros() + 999) / 1000),
         t -> {
-          if (timerAt == mine) {
-            timerAt = Long.MAX_VALUE;
-            run();
+          if (armedForMicros == mine) {
+            armedForMicros = Long.MAX_VALUE;
+            runDue();
           }
         });
   }
 
   /** All that is due runs in its order; what a step asks for waits for the next round. */
-  private void run() {
+  private void runDue() {
     long now = Wall.micros();
-    long last = number;
+    long last = nextSequence;
     try {
-      while (size > 0 && heap[0].at <= now && heap[0].number < last) {
+      while (size > 0 && heap[0].dueMicros <= now && heap[0].sequence < last) {
         PendingTimer d = heap[0];
         remove(d);
         d.step.run();
       }
     } finally {
-      arm();
+      armTimer();
     }
   }
 
-  int waiting() {
+  int pending() {
     return size;
   }
 }
--- a/src/main/java/linengauge/front/ViewerConnection.java
+++ b/src/main/java/linengauge/front/ViewerConnection.java
@@ -22,24 +22,24 @@
 final class ViewerConnection implements Account.Peer, Knock.Caller {
   private final HttpConnection connection;
   private final Channel channel;
-  private final FrontServer program;
+  private final FrontServer front;
   private final Sparse log;
-  private final boolean turnedAway;
+  private final boolean rejected;
 
   /** Of the shared address by which it came; null where it came by the front's own. */
   private final Lease lease;
 
-  private boolean lastAnswer;
-  private final Knock knock;
+  private boolean closesAfterResponse;
+  private final Knock attempt;
   private final Account account;
-  private Runnable goOn = () -> {};
-  private HttpViewer takes;
+  private Runnable resume = () -> {};
+  private HttpViewer receivingViewer;
 
   /**
    * What to do where the viewer breaks off while an answer is owed to it; one at a time, as
    * HTTP/1.1 answers in order.
    */
-  private Runnable waits = () -> {};
+  private Runnable onDisconnect = () -> {};
 
   ViewerConnection(
       HttpConnection connection,
@@ -51,18 +51,18 @@
     this.lease = lease;
     this.connection = connection;
     this.channel = ((ConnectionBase) connection).channel();
-    this.program = program;
+    this.front = program;
     this.log = log;
-    this.turnedAway = entry == DoorBook.Entry.TURNED_AWAY;
-    this.knock = here.knocks().open(this);
-    this.account = here.watch().open(Account.Side.VIEWER, this);
+    this.rejected = entry == DoorBook.Entry.TURNED_AWAY;
+    this.attempt = here.attempts().open(this);
+    this.account = here.slowPeers().open(Account.Side.VIEWER, this);
     channel
         .pipeline()
         .addFirst(
             new ChannelInboundHandlerAdapter() {
               @Override
               public void channelRead(ChannelHandlerContext context, Object bytes) {
-                knock.heard();
+                attempt.heard();
                 context.fireChannelRead(bytes);
               }
             });
@@ -81,43 +81,43 @@
    * more is taken. One that has not asked yet may have its request on the way, and is to hear an
    * answer and no break.
    */
-  void gaveUp() {
-    lastAnswer = true;
-    if (knock.state() == Knock.State.BETWEEN) {
+  void addressLost() {
+    closesAfterResponse = true;
+    if (attempt.state() == Knock.State.BETWEEN) {
       channel.close();
     }
   }
 
-  boolean isTurnedAway() {
-    return turnedAway;
+  boolean isRejected() {
+    return rejected;
   }
 
   /** A request has come; false where too many wait here. */
-  boolean asked() {
-    return knock.asked();
+  boolean requestReceived() {
+    return attempt.asked();
   }
 
-  void answered() {
-    knock.answered();
-    if (turnedAway || lastAnswer && !knock.isOwed()) {
+  void responseEnded() {
+    attempt.answered();
+    if (rejected || closesAfterResponse && !attempt.isOwed()) {
       connection.close();
     }
   }
 
   /** Bytes of this viewing are on their way on this connection. */
-  void takes(HttpViewer viewer, Runnable then) {
-    takes = viewer;
-    goOn = then;
+  void startTransfer(HttpViewer viewer, Runnable then) {
+    receivingViewer = viewer;
+    resume = then;
   }
 
-  void waits(Runnable broken) {
-    waits = broken;
+  void onDisconnect(Runnable broken) {
+    onDisconnect = broken;
   }
 
-  void closed() {
-    knock.close();
+  void connectionClosed() {
+    attempt.close();
     account.close();
-    waits.run();
+    onDisconnect.run();
   }
 
   @Override
@@ -128,22 +128,22 @@
 
   @Override
   public void moved() {
-    if (takes != null) {
-      takes.asked(); // one that reads a long segment asks for nothing meanwhile
+    if (receivingViewer != null) {
+      receivingViewer.recordActivity(); // one that reads a long segment asks for nothing meanwhile
     }
   }
 
   @Override
   public void goOn() {
-    goOn.run();
+    resume.run();
   }
 
   @Override
   public void letGo(Account a) {
-    if (takes != null) {
-      HttpViewer viewer = takes;
-      log.warn("viewer let go", viewer.held().id(), figures(a));
-      program.onDesk(() -> viewer.held().letGo());
+    if (receivingViewer != null) {
+      HttpViewer viewer = receivingViewer;
+      log.warn("viewer let go", viewer.viewing().id(), describeRate(a));
+      front.runOnSessionLoop(() -> viewer.viewing().letGo());
     }
     // What waits is thrown away, here and in the system: a viewer that reads nothing would keep it
     // for ever.
@@ -151,7 +151,7 @@
     channel.close();
   }
 
-  static String figures(Account a) {
+  static String describeRate(Account a) {
     return String.format(
         Locale.ROOT,
         "%.0f bytes a second of %.0f over %.1f s, %d wait",
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -18,7 +18,7 @@
   /**
    * Binds where partners are heard; the front takes part from {@link #start} on.
    *
-   * @param gaveUp told of a shared address that is this front's no more
+   * @param addressLost told of a shared address that is this front's no more
    * @param unwell whether this front is to leave shared addresses to others
    */
   VrrpPairing(Site site, Consumer<Lease> gaveUp, BooleanSupplier unwell) throws IOException {
--- a/src/main/java/linengauge/lease/LeaseMessage.java
+++ b/src/main/java/linengauge/lease/LeaseMessage.java
@@ -78,7 +78,8 @@
    * @param directoryVersion of the sender's copy as the round ended: the lives heard are those that
    *     it lists
    * @param parts how many parts the round has
-   * @param heard numbers of the fronts whose listed life was heard since the round before
+   * @param receivedPriorities numbers of the fronts whose listed life was heard since the round
+   *     before
    */
   record Evidence(
       int from,
--- a/src/main/java/linengauge/vrrp/udp/UdpNode.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNode.java
@@ -202,7 +202,7 @@
     selector.wakeup();
   }
 
-  /** {@link #leave}, waited for, a second at most. */
+  /** {@link #close}, waited for, a second at most. */
   @Override
   public void close() {
     leave();
--- a/src/test/java/linengauge/front/FrontFixture.java
+++ b/src/test/java/linengauge/front/FrontFixture.java
@@ -26,25 +26,25 @@
 
 /** A front in this process with scripted boxes and a list, on loopback. */
 final class FrontFixture implements AutoCloseable {
-  static final String MULTI =
+  static final String MULTIVARIANT_PLAYLIST =
       "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=100\na/media.m3u8\n"
           + "#EXT-X-STREAM-INF:BANDWIDTH=200\nb/media.m3u8\n";
-  static final String MEDIA =
+  static final String MEDIA_PLAYLIST =
       "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nsegments/0.ts\n#EXT-X-ENDLIST\n";
 
   /** A box that does as its script says; what it sees is written down. */
   final class ScriptedBox {
     final int port;
     final BoxFleet.Place place;
-    final List<String> seen = new CopyOnWriteArrayList<>();
+    final List<String> events = new CopyOnWriteArrayList<>();
 
     /** What is done with set-ups, by default playing at once. */
-    volatile Consumer<HttpServerRequest> setUps = this::plays;
+    volatile Consumer<HttpServerRequest> setUpHandler = this::acceptSetUp;
 
-    volatile Consumer<HttpServerRequest> segments = r -> r.response().end("segment");
+    volatile Consumer<HttpServerRequest> segmentHandler = r -> r.response().end("segment");
 
     /** Ends, rungs and probes. */
-    volatile Consumer<HttpServerRequest> others = r -> r.response().end();
+    volatile Consumer<HttpServerRequest> otherHandler = r -> r.response().end();
 
     private final io.vertx.core.http.HttpServer server = vertx.createHttpServer();
 
@@ -67,69 +67,69 @@
                       r.response().closeHandler(v -> vertx.cancelTimer(timer));
                       return;
                     }
-                    seen.add(r.method() + " " + r.path());
+                    events.add(r.method() + " " + r.path());
                     if (r.method() == HttpMethod.PUT) {
-                      r.response().closeHandler(v -> seen.add("closed " + r.path()));
-                      setUps.accept(r);
+                      r.response().closeHandler(v -> events.add("closed " + r.path()));
+                      setUpHandler.accept(r);
                     } else if (r.path().endsWith("/media.m3u8")) {
-                      r.response().end(MEDIA);
+                      r.response().end(MEDIA_PLAYLIST);
                     } else if (r.path().contains("/segments/")) {
-                      segments.accept(r);
+                      segmentHandler.accept(r);
                     } else {
-                      others.accept(r);
+                      otherHandler.accept(r);
                     }
                   })
               .listen(port, Ports.HOST));
     }
 
-    void plays(HttpServerRequest r) {
-      r.response().setStatusCode(201).end(MULTI);
+    void acceptSetUp(HttpServerRequest r) {
+      r.response().setStatusCode(201).end(MULTIVARIANT_PLAYLIST);
     }
 
-    long saw(String start) {
-      return seen.stream().filter(s -> s.startsWith(start)).count();
+    long countEvents(String start) {
+      return events.stream().filter(s -> s.startsWith(start)).count();
     }
   }
 
   final Vertx vertx = Vertx.vertx();
-  final BoxListService list;
+  final BoxListService discovery;
   final List<ScriptedBox> boxes = new ArrayList<>();
   final HttpClient client = HttpClient.newHttpClient();
   final Tap tap = new Tap();
-  final int viewers;
-  final int control;
-  final int listPort;
+  final int viewerPort;
+  final int controlPort;
+  final int discoveryPort;
   FrontServer front;
-  private final String site;
+  private final String siteJson;
 
   /** `more` is JSON5 laid into the site file. */
   FrontFixture(int boxCount, String more) throws Exception {
     List<Integer> ports = Ports.free(3 + boxCount);
-    viewers = ports.get(0);
-    control = ports.get(1);
-    listPort = ports.get(2);
-    list = new BoxListService(vertx, Ports.HOST, listPort, 0, 1, tap);
-    await(list.open());
+    viewerPort = ports.get(0);
+    controlPort = ports.get(1);
+    discoveryPort = ports.get(2);
+    discovery = new BoxListService(vertx, Ports.HOST, discoveryPort, 0, 1, tap);
+    await(discovery.open());
     for (int i = 0; i < boxCount; i++) {
       boxes.add(new ScriptedBox(i + 1, ports.get(3 + i)));
-      list.set(boxes.get(i).place, "s", "serving", 0);
+      discovery.set(boxes.get(i).place, "s", "serving", 0);
     }
-    site =
+    siteJson =
         "{ site: 'rig', buildings: ['a'], front: { number: 0, building: 'a', viewers: '"
             + Ports.HOST
             + ":"
-            + viewers
+            + viewerPort
             + "', control: '"
             + Ports.HOST
             + ":"
-            + control
+            + controlPort
             + "' }, fronts: { count: 1 }, ladder: [ { kb: 30, value: 0.4 }, "
             + "{ kb: 60, value: 1 } ], packages: [ { name: 'plain', value: 1, joinTargetMs: 800 }, { name: 'paid', value: 1, "
             + "joinTargetMs: 800, paidAtSetUp: true } ], fleet: { cells: 8, racks: 1, kinds: [ { name: 's', streams: 20 } ], "
             + "linksKb: 8000, linkKbPerWeight: 4000, uplinkKb: 8000, shareLatenessMs: 500 }, list: { address: '"
             + Ports.HOST
             + ":"
-            + listPort
+            + discoveryPort
             + "', retryFirstMs: 50, retryMostMs: 200 }, "
             + more
             + " }";
@@ -139,14 +139,14 @@
     return done.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  FrontServer program() throws BadSite {
-    return new FrontServer(SiteFile.parse("rig", site));
+  FrontServer newFront() throws BadSite {
+    return new FrontServer(SiteFile.parse("rig", siteJson));
   }
 
   FrontFixture start() throws Exception {
-    front = program();
+    front = newFront();
     await(front.start(7));
-    until(() -> get(control, "/ready").statusCode() == 200);
+    waitUntil(() -> get(controlPort, "/ready").statusCode() == 200);
     return this;
   }
 
@@ -164,25 +164,25 @@
     }
   }
 
-  HttpResponse<String> join(String more) {
-    return get(viewers, "/titles/t/main.m3u8?package=plain&patience=3000" + more);
+  HttpResponse<String> requestViewing(String more) {
+    return get(viewerPort, "/titles/t/main.m3u8?package=plain&patience=3000" + more);
   }
 
-  CompletableFuture<HttpResponse<String>> joins(String more) {
-    return CompletableFuture.supplyAsync(() -> join(more));
+  CompletableFuture<HttpResponse<String>> requestViewingAsync(String more) {
+    return CompletableFuture.supplyAsync(() -> requestViewing(more));
   }
 
   JsonObject state() {
-    return new JsonObject(get(control, "/state").body());
+    return new JsonObject(get(controlPort, "/state").body());
   }
 
   /** The first path under /v/ that a playlist names. */
-  static String path(HttpResponse<String> playlist) {
+  static String viewingPath(HttpResponse<String> playlist) {
     return playlist.body().lines().filter(l -> l.startsWith("/v/")).findFirst().orElseThrow();
   }
 
   /** Waits, with a bound far over what is needed: no test judges how long something took. */
-  static void until(BooleanSupplier held) throws InterruptedException {
+  static void waitUntil(BooleanSupplier held) throws InterruptedException {
     for (int i = 0; i < 1500; i++) {
       if (held.getAsBoolean()) {
         return;
@@ -194,11 +194,11 @@
 
   /** Ends what plays, so that a front that was told to stop need not wait for it. */
   void endAll() {
-    front.onDesk(() -> front.core().endAll());
+    front.runOnSessionLoop(() -> front.sessionManager().endAll());
   }
 
-  void untilEmpty() throws InterruptedException {
-    until(() -> state().getInteger("held") == 0 && state().getInteger("callsWaiting") == 0);
+  void waitUntilIdle() throws InterruptedException {
+    waitUntil(() -> state().getInteger("held") == 0 && state().getInteger("callsWaiting") == 0);
   }
 
   @Override
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -21,190 +21,200 @@
 
 /** The hard cases of the front's sockets, each built with scripted boxes. */
 class FrontSocketsTest {
-  private static final String QUICK =
+  private static final String FAST_SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, boxes: { endRetryMs: 50 }";
 
-  private static FrontFixture rig(int boxes) throws Exception {
-    return new FrontFixture(boxes, QUICK).start();
+  private static FrontFixture startFixture(int boxes) throws Exception {
+    return new FrontFixture(boxes, FAST_SETTINGS).start();
   }
 
   @Test
   void aViewingIsPlacedPlayedAndEnded() throws Exception {
-    try (FrontFixture r = rig(1)) {
-      HttpResponse<String> joined = r.join("&ceiling=1&key=me");
+    try (FrontFixture r = startFixture(1)) {
+      HttpResponse<String> joined = r.requestViewing("&ceiling=1&key=me");
       assertEquals(200, joined.statusCode());
-      String media = FrontFixture.path(joined);
-      String segment = FrontFixture.path(r.get(r.viewers, media));
-      assertEquals("segment", r.get(r.viewers, segment).body());
+      String media = FrontFixture.viewingPath(joined);
+      String segment = FrontFixture.viewingPath(r.get(r.viewerPort, media));
+      assertEquals("segment", r.get(r.viewerPort, segment).body());
       String id = media.substring(3, media.indexOf('/', 3));
       r.client.send(
           java.net.http.HttpRequest.newBuilder(
-                  java.net.URI.create("http://" + Ports.HOST + ":" + r.viewers + "/v/" + id))
+                  java.net.URI.create("http://" + Ports.HOST + ":" + r.viewerPort + "/v/" + id))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE /viewings/" + id) == 1);
-      assertEquals(410, r.get(r.viewers, segment).statusCode());
-      r.untilEmpty();
+      FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
+      assertEquals(410, r.get(r.viewerPort, segment).statusCode());
+      r.waitUntilIdle();
     }
   }
 
   @Test
-  void aBoxThatNeverAnswersCostsATryAndIsGivenUpFirst() throws Exception {
-    try (FrontFixture r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> {});
-      CompletableFuture<HttpResponse<String>> joined = r.joins("");
-      FrontFixture.until(() -> r.boxes.stream().anyMatch(b -> b.saw("PUT") > 0));
-      r.boxes.forEach(b -> b.setUps = b::plays);
+  void aBoxThatNeverAnswersIsCancelledBeforeTheRetry() throws Exception {
+    try (FrontFixture r = startFixture(2)) {
+      r.boxes.forEach(b -> b.setUpHandler = q -> {});
+      CompletableFuture<HttpResponse<String>> joined = r.requestViewingAsync("");
+      FrontFixture.waitUntil(() -> r.boxes.stream().anyMatch(b -> b.countEvents("PUT") > 0));
+      r.boxes.forEach(b -> b.setUpHandler = b::acceptSetUp);
       assertEquals(200, joined.join().statusCode());
       FrontFixture.ScriptedBox hung =
-          r.boxes.stream().filter(b -> b.saw("closed") > 0).findFirst().orElseThrow();
-      FrontFixture.until(() -> hung.saw("DELETE") == 1);
-      assertEquals(1, hung.saw("PUT"));
+          r.boxes.stream().filter(b -> b.countEvents("closed") > 0).findFirst().orElseThrow();
+      FrontFixture.waitUntil(() -> hung.countEvents("DELETE") == 1);
+      assertEquals(1, hung.countEvents("PUT"));
     }
   }
 
   @Test
-  void anAnswerAfterTheTimeOutIsCancelledAtItsBoxAndPlaysNothing() throws Exception {
-    try (FrontFixture r = rig(1)) {
+  void anAnswerAfterTheTimeOutIsCancelledAtItsBox() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.setUps = q -> r.vertx.setTimer(1500, t -> box.plays(q));
-      HttpResponse<String> answer = r.join("&patience=1200");
+      box.setUpHandler = q -> r.vertx.setTimer(1500, t -> box.acceptSetUp(q));
+      HttpResponse<String> answer = r.requestViewing("&patience=1200");
       assertTrue(
           answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
-      FrontFixture.until(() -> box.saw("DELETE") == box.saw("PUT") && box.saw("closed") >= 1);
-      r.untilEmpty();
+      FrontFixture.waitUntil(
+          () ->
+              box.countEvents("DELETE") == box.countEvents("PUT")
+                  && box.countEvents("closed") >= 1);
+      r.waitUntilIdle();
       assertEquals(0, r.state().getInteger("routes"));
     }
   }
 
   @Test
-  void aPaidSetUpThatIsResetIsNeverSentAgain() throws Exception {
-    try (FrontFixture r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> q.connection().close());
+  void aPaidSetUpIsNotRetriedAfterAReset() throws Exception {
+    try (FrontFixture r = startFixture(2)) {
+      r.boxes.forEach(b -> b.setUpHandler = q -> q.connection().close());
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      assertEquals(1, r.boxes.get(0).saw("PUT") + r.boxes.get(1).saw("PUT"));
+          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+      assertEquals(1, r.boxes.get(0).countEvents("PUT") + r.boxes.get(1).countEvents("PUT"));
       r.boxes.forEach(
           b ->
-              b.setUps = q -> q.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
+              b.setUpHandler =
+                  q -> q.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
       assertEquals(
-          503, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+          503, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
       assertTrue(
-          r.boxes.get(0).saw("PUT") + r.boxes.get(1).saw("PUT") > 2,
+          r.boxes.get(0).countEvents("PUT") + r.boxes.get(1).countEvents("PUT") > 2,
           "a refusal proves that it never ran");
     }
   }
 
   @Test
-  void aBrokenPlaylistIsAnAbortedViewingThatEndsAtItsBox() throws Exception {
-    try (FrontFixture r = rig(1)) {
-      r.boxes.get(0).setUps = q -> q.response().setStatusCode(201).end("<html>");
-      assertEquals(503, r.join("").statusCode());
-      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE") == r.boxes.get(0).saw("PUT"));
+  void anInvalidPlaylistFailsTheViewingAndEndsItAtItsBox() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
+      r.boxes.get(0).setUpHandler = q -> q.response().setStatusCode(201).end("<html>");
+      assertEquals(503, r.requestViewing("").statusCode());
+      FrontFixture.waitUntil(
+          () -> r.boxes.get(0).countEvents("DELETE") == r.boxes.get(0).countEvents("PUT"));
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      r.untilEmpty();
+          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+      r.waitUntilIdle();
     }
   }
 
   @Test
-  void aListThatBreaksAndSkipsAChangeIsAskedForWhole() throws Exception {
-    try (FrontFixture r = rig(2)) {
-      r.list.skipOne();
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
+  void aDiscoveryStreamThatSkipsAChangeIsRequestedWhole() throws Exception {
+    try (FrontFixture r = startFixture(2)) {
+      r.discovery.skipOne();
+      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
       Thread.sleep(100); // lost on its way, and nothing to show it
       assertEquals(0, r.state().getInteger("listGaps"));
-      r.list.set(r.boxes.get(1).place, "s", "serving", 0);
-      FrontFixture.until(() -> r.state().getInteger("listGaps") == 1);
-      FrontFixture.until(() -> r.state().getLong("listRevision") == 5);
-      r.list.breakFor(200);
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      FrontFixture.until(
+      r.discovery.set(r.boxes.get(1).place, "s", "serving", 0);
+      FrontFixture.waitUntil(() -> r.state().getInteger("listGaps") == 1);
+      FrontFixture.waitUntil(() -> r.state().getLong("listRevision") == 5);
+      r.discovery.breakFor(200);
+      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
+      FrontFixture.waitUntil(
           () -> r.state().getLong("listRevision") == 6 && r.state().getLong("listBreaks") > 0);
       for (int i = 0; i < 5; i++) {
-        assertEquals(200, r.join("").statusCode());
+        assertEquals(200, r.requestViewing("").statusCode());
       }
-      assertEquals(0, r.boxes.get(0).saw("PUT"), "it drains");
+      assertEquals(0, r.boxes.get(0).countEvents("PUT"), "it drains");
     }
   }
 
   @Test
-  void aViewerThatBreaksOffTakesItsSetUpAlong() throws Exception {
-    try (FrontFixture r = rig(1)) {
-      r.boxes.get(0).setUps = q -> {};
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(request("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
-        FrontFixture.until(() -> r.boxes.get(0).saw("PUT") == 1);
+  void aViewerThatDisconnectsCancelsItsSetUp() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
+      r.boxes.get(0).setUpHandler = q -> {};
+      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
+        s.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
+        FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("PUT") == 1);
       }
-      FrontFixture.until(
-          () -> r.boxes.get(0).saw("closed") == 1 && r.boxes.get(0).saw("DELETE") == 1);
-      r.untilEmpty();
+      FrontFixture.waitUntil(
+          () ->
+              r.boxes.get(0).countEvents("closed") == 1
+                  && r.boxes.get(0).countEvents("DELETE") == 1);
+      r.waitUntilIdle();
       assertEquals(0, r.state().getInteger("keys"));
       assertEquals(1, r.state().getInteger("left"));
     }
   }
 
-  private static byte[] request(String path) {
+  private static byte[] httpGet(String path) {
     return ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
   }
 
   @Test
-  void twoRequestsWithOneKeyGiveOneAnswerEachAndOneViewing() throws Exception {
-    try (FrontFixture r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> r.vertx.setTimer(200, t -> b.plays(q)));
-      CompletableFuture<HttpResponse<String>> first = r.joins("&key=me");
-      FrontFixture.until(() -> r.state().getInteger("held") == 1);
-      HttpResponse<String> second = r.join("&key=me");
+  void twoRequestsWithTheSameKeyLeadToOneViewing() throws Exception {
+    try (FrontFixture r = startFixture(2)) {
+      r.boxes.forEach(b -> b.setUpHandler = q -> r.vertx.setTimer(200, t -> b.acceptSetUp(q)));
+      CompletableFuture<HttpResponse<String>> first = r.requestViewingAsync("&key=me");
+      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 1);
+      HttpResponse<String> second = r.requestViewing("&key=me");
       assertEquals(503, second.statusCode());
       assertEquals("1", second.headers().firstValue("Retry-After").orElseThrow());
       assertEquals(200, first.join().statusCode());
-      assertEquals(200, r.join("&key=me").statusCode());
+      assertEquals(200, r.requestViewing("&key=me").statusCode());
       assertEquals(
           410,
-          r.get(r.viewers, FrontFixture.path(first.join())).statusCode(),
+          r.get(r.viewerPort, FrontFixture.viewingPath(first.join())).statusCode(),
           "the earlier one is over");
       assertEquals(1, r.state().getInteger("held"));
     }
   }
 
   @Test
-  void aDrainHeardWhileASetUpQueuesForAConnectionKeepsItBack() throws Exception {
+  void aDrainReportedWhileASetUpWaitsForAConnectionPreventsIt() throws Exception {
     try (FrontFixture r =
         new FrontFixture(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }")
             .start()) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.setUps = q -> r.vertx.setTimer(300, t -> box.plays(q));
-      CompletableFuture<HttpResponse<String>> first = r.joins("");
-      FrontFixture.until(() -> box.saw("PUT") == 1);
-      CompletableFuture<HttpResponse<String>> queued = r.joins("");
-      FrontFixture.until(() -> r.state().getInteger("held") == 2);
-      r.list.set(box.place, "s", "draining", 0);
+      box.setUpHandler = q -> r.vertx.setTimer(300, t -> box.acceptSetUp(q));
+      CompletableFuture<HttpResponse<String>> first = r.requestViewingAsync("");
+      FrontFixture.waitUntil(() -> box.countEvents("PUT") == 1);
+      CompletableFuture<HttpResponse<String>> queued = r.requestViewingAsync("");
+      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 2);
+      r.discovery.set(box.place, "s", "draining", 0);
       assertEquals(200, first.join().statusCode());
       assertEquals(503, queued.join().statusCode());
-      assertEquals(1, box.saw("PUT"));
+      assertEquals(1, box.countEvents("PUT"));
     }
   }
 
   @Test
-  void garbageOversizedAndSlowRequestsAreTurnedAwayAndHarmNobody() throws Exception {
+  void malformedOversizedAndSlowRequestsAreRejected() throws Exception {
     try (FrontFixture r =
         new FrontFixture(
                 1,
                 "viewers: { firstByteMs: 300, headersMs: 300, requestLineBytes: 512, headerBytes: 1024, connections: 5 }, "
                     + "stop: { playingMs: 100 }")
             .start()) {
-      assertTrue(said(r, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
+      assertTrue(responseHead(r, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
       assertTrue(
-          said(r, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n").matches("HTTP/1.[01] 414"));
+          responseHead(r, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
+              .matches("HTTP/1.[01] 414"));
       assertTrue(
-          said(r, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
+          responseHead(r, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
               .matches("HTTP/1.[01] 431"));
       assertTrue(
-          said(r, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
+          responseHead(r, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
               .startsWith("HTTP/1.1 405"));
       assertEquals(
-          "", said(r, "GET /titles/t/ma"), "half a request line, and the connection is closed");
+          "",
+          responseHead(r, "GET /titles/t/ma"),
+          "half a request line, and the connection is closed");
       for (String bad :
           new String[] {
             "?package=none",
@@ -214,25 +224,25 @@
             "?package=plain&key=a%20b",
             ""
           }) {
-        assertEquals(400, r.get(r.viewers, "/titles/t/main.m3u8" + bad).statusCode(), bad);
+        assertEquals(400, r.get(r.viewerPort, "/titles/t/main.m3u8" + bad).statusCode(), bad);
       }
-      assertEquals(404, r.get(r.viewers, "/v/none/media.m3u8").statusCode());
+      assertEquals(404, r.get(r.viewerPort, "/v/none/media.m3u8").statusCode());
       Socket[] idle = new Socket[12];
       for (int i = 0; i < idle.length; i++) {
-        idle[i] = new Socket(Ports.HOST, r.viewers);
+        idle[i] = new Socket(Ports.HOST, r.viewerPort);
       }
-      FrontFixture.until(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
-      FrontFixture.until(() -> r.state().getInteger("viewerConnections") <= 1);
+      FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
+      FrontFixture.waitUntil(() -> r.state().getInteger("viewerConnections") <= 1);
       for (Socket s : idle) {
         s.close();
       }
-      assertEquals(200, r.join("").statusCode());
+      assertEquals(200, r.requestViewing("").statusCode());
     }
   }
 
   /** What the front says to raw bytes until it closes the connection or has answered. */
-  private static String said(FrontFixture r, String raw) throws IOException {
-    try (Socket s = new Socket(Ports.HOST, r.viewers)) {
+  private static String responseHead(FrontFixture r, String raw) throws IOException {
+    try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
       s.setSoTimeout(15_000);
       s.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
       InputStream in = s.getInputStream();
@@ -242,19 +252,21 @@
   }
 
   @Test
-  void aSlowReaderHoldsItsBoxBackAndNothingIsHeldWhole() throws Exception {
-    try (FrontFixture r = rig(1)) {
+  void aStalledReaderAppliesBackPressureToItsBox() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
       long whole = 200L << 20;
       AtomicLong sent = new AtomicLong();
-      r.boxes.get(0).segments =
+      r.boxes.get(0).segmentHandler =
           q -> {
             HttpServerResponse to = q.response().putHeader("Content-Length", Long.toString(whole));
-            pour(to, sent, whole);
+            writeUntilFull(to, sent, whole);
           };
-      String segment = FrontFixture.path(r.get(r.viewers, FrontFixture.path(r.join(""))));
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(request(segment));
-        FrontFixture.until(() -> sent.get() > 100_000);
+      String segment =
+          FrontFixture.viewingPath(
+              r.get(r.viewerPort, FrontFixture.viewingPath(r.requestViewing(""))));
+      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
+        s.getOutputStream().write(httpGet(segment));
+        FrontFixture.waitUntil(() -> sent.get() > 100_000);
         long before;
         do {
           before = sent.get();
@@ -263,37 +275,37 @@
         assertTrue(
             sent.get() < whole / 4,
             "the front took " + sent.get() + " of " + whole + " for a reader of nothing");
-        assertEquals(200, r.join("").statusCode(), "others are served meanwhile");
+        assertEquals(200, r.requestViewing("").statusCode(), "others are served meanwhile");
       }
-      FrontFixture.until(() -> r.state().getInteger("held") == 2);
+      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 2);
     }
   }
 
-  private static void pour(HttpServerResponse to, AtomicLong sent, long whole) {
+  private static void writeUntilFull(HttpServerResponse to, AtomicLong sent, long whole) {
     while (!to.writeQueueFull() && sent.get() < whole && !to.closed()) {
       int n = (int) Math.min(65536, whole - sent.get());
       to.write(Buffer.buffer(new byte[n]));
       sent.addAndGet(n);
     }
-    to.drainHandler(v -> pour(to, sent, whole));
+    to.drainHandler(v -> writeUntilFull(to, sent, whole));
   }
 
   @Test
-  void aBoxThatTellsOfALaterStartThanTheListIsCold() throws Exception {
+  void aBoxThatReportsALaterStartThanDiscoveryIsCold() throws Exception {
     try (FrontFixture r =
         new FrontFixture(
                 1,
                 "rules: { coldMs: 60000, fallAfterMs: 5000, fallMultiple: 2.5 }, stop: { playingMs: 100 }")
             .start()) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.setUps =
+      box.setUpHandler =
           q -> {
             q.response().putHeader("Box-Age-Ms", "1000");
-            box.plays(q);
+            box.acceptSetUp(q);
           };
       int plays = 0;
       for (int i = 0; i < 8; i++) {
-        plays += r.join("&patience=400").statusCode() == 200 ? 1 : 0;
+        plays += r.requestViewing("&patience=400").statusCode() == 200 ? 1 : 0;
       }
       assertEquals(
           1,
@@ -303,130 +315,136 @@
   }
 
   @Test
-  void aBoxThatSendsNoMediaOrBreaksOffIsToldToTheViewerAsSuch() throws Exception {
+  void aMediaFailureOfTheBoxIsReportedToTheViewer() throws Exception {
     try (FrontFixture r =
         new FrontFixture(
                 1,
                 "boxes: { firstByteMs: 300, mediaSilenceMs: 300, connectMs: 100 }, stop: { playingMs: 100 }")
             .start()) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
-      String segment = FrontFixture.path(r.get(r.viewers, FrontFixture.path(r.join(""))));
-      box.segments = q -> {};
-      assertEquals(504, r.get(r.viewers, segment).statusCode(), "nothing at all");
-      box.segments = q -> q.response().setStatusCode(500).end();
-      assertEquals(502, r.get(r.viewers, segment).statusCode());
-      box.segments = q -> q.response().putHeader("Content-Length", "1000").write("some");
+      String segment =
+          FrontFixture.viewingPath(
+              r.get(r.viewerPort, FrontFixture.viewingPath(r.requestViewing(""))));
+      box.segmentHandler = q -> {};
+      assertEquals(504, r.get(r.viewerPort, segment).statusCode(), "nothing at all");
+      box.segmentHandler = q -> q.response().setStatusCode(500).end();
+      assertEquals(502, r.get(r.viewerPort, segment).statusCode());
+      box.segmentHandler = q -> q.response().putHeader("Content-Length", "1000").write("some");
       assertThrows(
           AssertionError.class,
-          () -> r.get(r.viewers, segment),
+          () -> r.get(r.viewerPort, segment),
           "a short body is not passed off as whole");
-      box.segments = q -> q.response().end("again");
+      box.segmentHandler = q -> q.response().end("again");
       assertEquals(
-          "again", r.get(r.viewers, segment).body(), "one bad segment does not end the viewing");
-      box.segments = q -> {};
+          "again", r.get(r.viewerPort, segment).body(), "one bad segment does not end the viewing");
+      box.segmentHandler = q -> {};
       CompletableFuture<?>[] four = new CompletableFuture<?>[4];
       for (int i = 0; i < 4; i++) {
-        four[i] = CompletableFuture.supplyAsync(() -> r.get(r.viewers, segment));
+        four[i] = CompletableFuture.supplyAsync(() -> r.get(r.viewerPort, segment));
       }
-      long before = box.saw("GET");
-      FrontFixture.until(() -> box.saw("GET") >= before + 4 || four[0].isDone());
+      long before = box.countEvents("GET");
+      FrontFixture.waitUntil(() -> box.countEvents("GET") >= before + 4 || four[0].isDone());
       CompletableFuture.allOf(four).join();
-      box.segments = q -> q.response().setStatusCode(410).end();
-      assertEquals(410, r.get(r.viewers, segment).statusCode());
-      FrontFixture.until(() -> r.state().getInteger("held") == 0);
+      box.segmentHandler = q -> q.response().setStatusCode(410).end();
+      assertEquals(410, r.get(r.viewerPort, segment).statusCode());
+      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 0);
     }
   }
 
   @Test
-  void aPlaylistOverItsBoundIsRefusedAndNotHeldWhole() throws Exception {
+  void aPlaylistOverTheSizeLimitIsRejected() throws Exception {
     try (FrontFixture r =
         new FrontFixture(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
-      r.boxes.get(0).setUps =
-          q -> q.response().setStatusCode(201).end(FrontFixture.MULTI + "#long\n".repeat(1000));
+      r.boxes.get(0).setUpHandler =
+          q ->
+              q.response()
+                  .setStatusCode(201)
+                  .end(FrontFixture.MULTIVARIANT_PLAYLIST + "#long\n".repeat(1000));
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      FrontFixture.until(() -> r.boxes.get(0).saw("DELETE") == 1);
-      r.untilEmpty();
+          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+      FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("DELETE") == 1);
+      r.waitUntilIdle();
     }
   }
 
   @Test
-  void anEndThatABoxWillNotHearIsTriedABoundedNumberOfTimes() throws Exception {
+  void anUnconfirmedEndIsRetriedALimitedNumberOfTimes() throws Exception {
     try (FrontFixture r =
         new FrontFixture(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }")
             .start()) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.others = q -> q.response().setStatusCode(500).end();
-      box.setUps = q -> q.response().setStatusCode(500).end();
-      String media = FrontFixture.path(joined(r, box));
+      box.otherHandler = q -> q.response().setStatusCode(500).end();
+      box.setUpHandler = q -> q.response().setStatusCode(500).end();
+      String media = FrontFixture.viewingPath(requestAccepted(r, box));
       r.client.send(
           java.net.http.HttpRequest.newBuilder(
                   java.net.URI.create(
                       "http://"
                           + Ports.HOST
                           + ":"
-                          + r.viewers
+                          + r.viewerPort
                           + media.substring(0, media.indexOf('/', 3))))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.until(() -> r.state().getLong("endsGivenUp") == 1);
-      assertEquals(3, box.saw("DELETE"));
-      r.untilEmpty();
+      FrontFixture.waitUntil(() -> r.state().getLong("endsGivenUp") == 1);
+      assertEquals(3, box.countEvents("DELETE"));
+      r.waitUntilIdle();
     }
   }
 
-  private static HttpResponse<String> joined(FrontFixture r, FrontFixture.ScriptedBox box) {
-    box.setUps = box::plays;
-    return r.join("");
+  private static HttpResponse<String> requestAccepted(
+      FrontFixture r, FrontFixture.ScriptedBox box) {
+    box.setUpHandler = box::acceptSetUp;
+    return r.requestViewing("");
   }
 
   @Test
-  void aBoxThatCannotBeHeardAnyMoreHasLostItsViewings() throws Exception {
+  void anUnreachableBoxLosesItsViewings() throws Exception {
     try (FrontFixture r =
         new FrontFixture(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
             .start()) {
-      String media = FrontFixture.path(r.join(""));
-      FrontFixture.until(() -> r.state().getInteger("noteStreamsInUse") == 1);
+      String media = FrontFixture.viewingPath(r.requestViewing(""));
+      FrontFixture.waitUntil(() -> r.state().getInteger("noteStreamsInUse") == 1);
       r.boxes.get(0).close();
-      FrontFixture.until(() -> r.state().getInteger("held") == 0);
-      assertEquals("ended: BOX_LOST\n", r.get(r.viewers, media).body());
+      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 0);
+      assertEquals("ended: BOX_LOST\n", r.get(r.viewerPort, media).body());
     }
   }
 
   @Test
-  void aBoxBehindALinkThatSwallowsTricklesOrResetsIsTakenForWhatItShows() throws Exception {
-    try (FrontFixture r = rig(1)) {
+  void aLinkThatDropsDelaysOrResetsDeterminesTheOutcome() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
       FrontFixture.ScriptedBox box = r.boxes.get(0);
       FaultyLink link = new FaultyLink(r.vertx, Ports.HOST, box.port);
-      r.list.set(
+      r.discovery.set(
           new BoxFleet.Place(1, Ports.HOST, FrontFixture.await(link.open()), 1, "a"),
           "s",
           "serving",
           0);
-      FrontFixture.until(() -> r.state().getLong("listRevision") == 3);
+      FrontFixture.waitUntil(() -> r.state().getLong("listRevision") == 3);
       link.swallowAnswers(true);
-      int status = r.join("&patience=1500").statusCode();
+      int status = r.requestViewing("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
       link.swallowAnswers(false);
       link.trickle(100);
-      FrontFixture.until(() -> r.join("").statusCode() == 200);
+      FrontFixture.waitUntil(() -> r.requestViewing("").statusCode() == 200);
       link.trickle(0);
       link.resetOnAnswer(true);
-      long before = box.saw("PUT");
-      FrontFixture.until(
+      long before = box.countEvents("PUT");
+      FrontFixture.waitUntil(
           () ->
-              r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
+              r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
                   == 502);
-      assertEquals(before + 1, box.saw("PUT"), "it may have run: not sent again");
+      assertEquals(before + 1, box.countEvents("PUT"), "it may have run: not sent again");
       link.cut();
     }
   }
 
   @Test
-  void aPortInUseIsSaidAtStart() throws Exception {
-    try (FrontFixture r = rig(1)) {
-      FrontServer second = r.program();
+  void aPortInUseFailsTheStart() throws Exception {
+    try (FrontFixture r = startFixture(1)) {
+      FrontServer second = r.newFront();
       Exception e = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
       assertTrue(e.getMessage().contains("in use"), e.getMessage());
       second.stop();
--- a/src/test/java/linengauge/front/LeaseMembershipTest.java
+++ b/src/test/java/linengauge/front/LeaseMembershipTest.java
@@ -31,7 +31,7 @@
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class LeaseMembershipTest {
   private static final String KEY = "a key of the whole fleet";
-  private static final int CONTROL = 60_000;
+  private static final int CONTROL_NUMBER = 60_000;
   private static final int HEARTBEAT_MS = 100;
 
   @TempDir private Path folder;
@@ -40,23 +40,23 @@
   private List<Integer> ports;
 
   @BeforeEach
-  void given() throws Exception {
+  void prepare() throws Exception {
     key = Files.writeString(folder.resolve("key"), KEY + "\n");
     ports = Ports.free(4);
   }
 
   @AfterEach
-  void stop() throws Exception {
+  void stopProcesses() throws Exception {
     for (Process process : processes) {
       process.destroyForcibly().waitFor();
     }
   }
 
-  private static String at(int port) {
+  private static String address(int port) {
     return Ports.HOST + ":" + port;
   }
 
-  private Process controlMachine() throws Exception {
+  private Process startControlMachine() throws Exception {
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -66,11 +66,11 @@
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
                 "control",
-                "--number=" + CONTROL,
-                "--listen=" + at(ports.get(0)),
-                "--machine=" + CONTROL + "=0@" + at(ports.get(0)),
-                "--log-listen=" + at(ports.get(1)),
-                "--voter=" + CONTROL + "=" + at(ports.get(1)),
+                "--number=" + CONTROL_NUMBER,
+                "--listen=" + address(ports.get(0)),
+                "--machine=" + CONTROL_NUMBER + "=0@" + address(ports.get(0)),
+                "--log-listen=" + address(ports.get(1)),
+                "--voter=" + CONTROL_NUMBER + "=" + address(ports.get(1)),
                 "--store=" + folder.resolve("store"),
                 "--found",
                 "--key-file=" + key,
@@ -82,13 +82,15 @@
     return process;
   }
 
-  private String section(Path keyFile) {
+  private String leaseSettings(Path keyFile) {
     return "lease: { listen: '%s', keyFile: '%s', region: 0, heartbeatMs: %d, control: [ { number: %d, region: 0, address: '%s' } ] }"
-        .formatted(at(ports.get(2)), keyFile, HEARTBEAT_MS, CONTROL, at(ports.get(0)));
+        .formatted(
+            address(ports.get(2)), keyFile, HEARTBEAT_MS, CONTROL_NUMBER, address(ports.get(0)));
   }
 
-  private LeaseNode otherFront(AtomicReference<DirectoryEntry> lastOfFrontZero) throws Exception {
-    Member member = new Member(1, at(ports.get(3)), 0, 0);
+  private LeaseNode startOtherFront(AtomicReference<DirectoryEntry> lastOfFrontZero)
+      throws Exception {
+    Member member = new Member(1, address(ports.get(3)), 0, 0);
     LeaseNode.Listener listener =
         new LeaseNode.Listener() {
           @Override
@@ -107,7 +109,7 @@
         new LeaseNode(
             LeaseSettings.USUAL.withHeartbeat(Span.ofMillis(HEARTBEAT_MS)),
             member,
-            List.of(new ControlMachine(CONTROL, 0, at(ports.get(0)))),
+            List.of(new ControlMachine(CONTROL_NUMBER, 0, address(ports.get(0)))),
             KEY.getBytes(StandardCharsets.UTF_8),
             listener,
             null);
@@ -115,27 +117,27 @@
     return node;
   }
 
-  private static JsonObject lease(FrontFixture rig) {
+  private static JsonObject leaseState(FrontFixture rig) {
     return rig.state().getJsonObject("lease");
   }
 
   @Test
-  void aFrontHoldsALeaseIsSeenByAnotherAndSaysThatItLeaves() throws Exception {
+  void aFrontHoldsALeaseIsListedAndAnnouncesItsDeparture() throws Exception {
     // given
-    controlMachine();
+    startControlMachine();
     AtomicReference<DirectoryEntry> seen = new AtomicReference<>();
-    try (LeaseNode other = otherFront(seen)) {
+    try (LeaseNode other = startOtherFront(seen)) {
       // when
-      try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
+      try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
         // then
-        FrontFixture.until(() -> lease(rig).getBoolean("holdsLease", false));
-        FrontFixture.until(() -> lease(rig).getJsonArray("present").size() == 2);
-        assertEquals("CURRENT", lease(rig).getString("mode"));
-        FrontFixture.until(() -> seen.get() != null);
+        FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease", false));
+        FrontFixture.waitUntil(() -> leaseState(rig).getJsonArray("present").size() == 2);
+        assertEquals("CURRENT", leaseState(rig).getString("mode"));
+        FrontFixture.waitUntil(() -> seen.get() != null);
         assertEquals(DirectoryEntry.State.PRESENT, seen.get().state());
-        assertEquals(at(ports.get(2)), seen.get().member().address());
+        assertEquals(address(ports.get(2)), seen.get().member().address());
       }
-      FrontFixture.until(() -> seen.get().state() == DirectoryEntry.State.LEFT);
+      FrontFixture.waitUntil(() -> seen.get().state() == DirectoryEntry.State.LEFT);
       assertFalse(other.isSilent());
     }
   }
@@ -145,39 +147,40 @@
    * restart.
    */
   @Test
-  void aControlMachineThatIsRestartedStillListsTheFrontInTheSameLife() throws Exception {
+  void aRestartedControlMachineKeepsTheIncarnationOfTheFront() throws Exception {
     // given
-    Process first = controlMachine();
-    try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
-      FrontFixture.until(() -> lease(rig).getBoolean("holdsLease", false));
-      long incarnation = lease(rig).getLong("incarnation");
-      long version = lease(rig).getLong("version");
+    Process first = startControlMachine();
+    try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
+      FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease", false));
+      long incarnation = leaseState(rig).getLong("incarnation");
+      long version = leaseState(rig).getLong("version");
       // when
       first.destroy();
       assertTrue(first.waitFor(10, TimeUnit.SECONDS));
-      FrontFixture.until(() -> !lease(rig).getBoolean("holdsLease"));
-      controlMachine();
+      FrontFixture.waitUntil(() -> !leaseState(rig).getBoolean("holdsLease"));
+      startControlMachine();
       // then
-      FrontFixture.until(() -> lease(rig).getBoolean("holdsLease"));
-      assertEquals(incarnation, lease(rig).getLong("incarnation"));
-      assertTrue(lease(rig).getLong("version") >= version);
-      assertEquals(1, lease(rig).getJsonArray("present").size());
+      FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease"));
+      assertEquals(incarnation, leaseState(rig).getLong("incarnation"));
+      assertTrue(leaseState(rig).getLong("version") >= version);
+      assertEquals(1, leaseState(rig).getJsonArray("present").size());
     }
   }
 
   @Test
-  void withoutControlMachinesTheFrontServesAndSaysThatItHoldsNothing() throws Exception {
-    try (FrontFixture rig = new FrontFixture(1, section(key)).start()) {
-      assertEquals("STARTING", lease(rig).getString("mode"));
-      assertEquals(false, lease(rig).getBoolean("holdsLease"));
+  void withoutControlMachinesTheFrontServesWithoutALease() throws Exception {
+    try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
+      assertEquals("STARTING", leaseState(rig).getString("mode"));
+      assertEquals(false, leaseState(rig).getBoolean("holdsLease"));
     }
   }
 
   @Test
-  void withAKeyThatIsNoneItDoesNotStart() throws Exception {
+  void aShortKeyFailsTheStart() throws Exception {
     Path tooShort = Files.writeString(folder.resolve("short"), "short");
-    try (FrontFixture rig = new FrontFixture(1, section(tooShort))) {
-      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(rig.program().start(7)));
+    try (FrontFixture rig = new FrontFixture(1, leaseSettings(tooShort))) {
+      Exception e =
+          assertThrows(Exception.class, () -> FrontFixture.await(rig.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("lease.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -185,9 +188,9 @@
   }
 
   @Test
-  void withoutTheSectionNothingIsSaidOfIt() throws Exception {
+  void withoutLeaseSettingsTheStateIsEmpty() throws Exception {
     try (FrontFixture rig = new FrontFixture(1, "").start()) {
-      assertEquals(new JsonObject(), lease(rig));
+      assertEquals(new JsonObject(), leaseState(rig));
     }
   }
 }
--- a/src/test/java/linengauge/front/MembersTest.java
+++ b/src/test/java/linengauge/front/MembersTest.java
@@ -24,7 +24,7 @@
 
   @TempDir private Path dir;
 
-  private static String section(int own, int seed, Path key) {
+  private static String memberSettings(int own, int seed, Path key) {
     return "members: { listen: '"
         + Ports.HOST
         + ":"
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void itIsSeenWhileItServesAndSaysThatItLeaves() throws Exception {
+  void aFrontIsListedWhileItServesAndAnnouncesItsDeparture() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), KEY + "\n");
     List<Integer> ports = Ports.free(2);
     Member own = new Member(1, Ports.HOST + ":" + ports.get(1), 0, 2);
@@ -52,8 +52,8 @@
             n -> {})) {
       other.start();
       try (FrontFixture rig =
-          new FrontFixture(1, section(ports.get(0), ports.get(1), key)).start()) {
-        FrontFixture.until(
+          new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key)).start()) {
+        FrontFixture.waitUntil(
             () ->
                 other.held().size() == 1
                     && rig.state().getJsonObject("members").getJsonArray("others").size() == 1);
@@ -64,16 +64,17 @@
         assertEquals(
             new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.held().get(0).member());
       }
-      FrontFixture.until(() -> other.held().get(0).standing() == MemberState.LEFT);
+      FrontFixture.waitUntil(() -> other.held().get(0).standing() == MemberState.LEFT);
     }
   }
 
   @Test
-  void withAKeyThatIsNoneItDoesNotStart() throws Exception {
+  void aShortKeyFailsTheStart() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), "short");
     List<Integer> ports = Ports.free(2);
-    try (FrontFixture rig = new FrontFixture(1, section(ports.get(0), ports.get(1), key))) {
-      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(rig.program().start(7)));
+    try (FrontFixture rig = new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key))) {
+      Exception e =
+          assertThrows(Exception.class, () -> FrontFixture.await(rig.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("members.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -81,7 +82,7 @@
   }
 
   @Test
-  void withoutTheSectionNothingIsSaidOfIt() throws Exception {
+  void withoutMemberSettingsTheStateIsEmpty() throws Exception {
     try (FrontFixture rig = new FrontFixture(1, "").start()) {
       assertEquals(new JsonObject(), rig.state().getJsonObject("members"));
     }
--- a/src/test/java/linengauge/front/RetryOrderSocketsTest.java
+++ b/src/test/java/linengauge/front/RetryOrderSocketsTest.java
@@ -14,21 +14,21 @@
   private static final String SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, rules: { coldMs: 0 },"
           + " boxes: { endRetryMs: 50 }";
-  private static final int ANSWERS_ENDS_AFTER_MS = 150;
+  private static final int END_RESPONSE_DELAY_MS = 150;
 
-  private static String answered(int tuneIn) {
+  private static String endConfirmed(int tuneIn) {
     return "answered tuneIn=" + tuneIn;
   }
 
   /** Ends are answered late, and noted as they are. */
-  private static void answersEndsLate(FrontFixture rig, FrontFixture.ScriptedBox box) {
-    box.others =
+  private static void delayEndResponses(FrontFixture rig, FrontFixture.ScriptedBox box) {
+    box.otherHandler =
         request -> {
           if (request.method() == HttpMethod.DELETE) {
             rig.vertx.setTimer(
-                ANSWERS_ENDS_AFTER_MS,
+                END_RESPONSE_DELAY_MS,
                 t -> {
-                  box.seen.add(answered(Integer.parseInt(request.getParam("tuneIn"))));
+                  box.events.add(endConfirmed(Integer.parseInt(request.getParam("tuneIn"))));
                   request.response().setStatusCode(404).end();
                 });
           } else {
@@ -37,13 +37,15 @@
         };
   }
 
-  private static void eachAttemptFollowsTheAnsweredEndOfTheOneBefore(FrontFixture.ScriptedBox box) {
-    List<String> seen = List.copyOf(box.seen);
+  private static void assertEachAttemptFollowsTheConfirmedEndOfThePrevious(
+      FrontFixture.ScriptedBox box) {
+    List<String> seen = List.copyOf(box.events);
     int attempts = 0;
     for (int i = 0; i < seen.size(); i++) {
       if (seen.get(i).startsWith("PUT")) {
         assertTrue(
-            attempts == 0 || seen.subList(0, i).contains(answered(attempts - 1)), seen.toString());
+            attempts == 0 || seen.subList(0, i).contains(endConfirmed(attempts - 1)),
+            seen.toString());
         attempts++;
       }
     }
@@ -52,42 +54,42 @@
 
   /** Guards against a retry that a box reads before the end of the attempt that timed out. */
   @Test
-  void afterATimeOutTheSameBoxIsTriedOnceItHasAnsweredTheEnd() throws Exception {
+  void aBoxThatTimedOutIsRetriedAfterItConfirmedTheEnd() throws Exception {
     try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
       FrontFixture.ScriptedBox box = rig.boxes.get(0);
-      answersEndsLate(rig, box);
-      box.setUps =
+      delayEndResponses(rig, box);
+      box.setUpHandler =
           request -> {
-            if (box.saw("PUT") > 1) {
-              box.plays(request);
+            if (box.countEvents("PUT") > 1) {
+              box.acceptSetUp(request);
             }
           };
-      CompletableFuture<HttpResponse<String>> joined = rig.joins("");
+      CompletableFuture<HttpResponse<String>> joined = rig.requestViewingAsync("");
       assertEquals(200, joined.join().statusCode());
-      eachAttemptFollowsTheAnsweredEndOfTheOneBefore(box);
+      assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
     }
   }
 
   /** Guards against an attempt that goes on at a box after its connection broke or was spoilt. */
   @Test
-  void afterABreakOrASpoiltAnswerTheBoxIsToldTheEndBeforeItIsTriedAgain() throws Exception {
+  void aBoxWithABrokenOrInvalidAnswerIsRetriedAfterItConfirmedTheEnd() throws Exception {
     for (boolean breaks : new boolean[] {true, false}) {
       try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
         FrontFixture.ScriptedBox box = rig.boxes.get(0);
-        answersEndsLate(rig, box);
-        box.setUps =
+        delayEndResponses(rig, box);
+        box.setUpHandler =
             request -> {
-              if (box.saw("PUT") > 1) {
-                box.plays(request);
+              if (box.countEvents("PUT") > 1) {
+                box.acceptSetUp(request);
               } else if (breaks) {
                 request.connection().close();
               } else {
                 request.response().setStatusCode(201).end("<html>");
               }
             };
-        CompletableFuture<HttpResponse<String>> joined = rig.joins("");
+        CompletableFuture<HttpResponse<String>> joined = rig.requestViewingAsync("");
         joined.join();
-        eachAttemptFollowsTheAnsweredEndOfTheOneBefore(box);
+        assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
       }
     }
   }
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -33,12 +33,13 @@
   /** The other node: says what it is told to, and keeps the priorities that it hears. */
   private static final class Partner implements AutoCloseable {
     private final DatagramSocket socket;
-    private final List<Integer> heard = Collections.synchronizedList(new ArrayList<>());
-    private final int to;
-    private volatile int says = -1;
+    private final List<Integer> receivedPriorities =
+        Collections.synchronizedList(new ArrayList<>());
+    private final int targetPort;
+    private volatile int advertisedPriority = -1;
 
     private Partner(int port, int to) throws Exception {
-      this.to = to;
+      this.targetPort = to;
       socket = new DatagramSocket(port, InetAddress.getByName(Ports.node(1)));
       socket.setSoTimeout(20);
       Thread t = new Thread(this::run, "partner");
@@ -54,16 +55,21 @@
       DatagramPacket in = new DatagramPacket(new byte[100], 100);
       while (!socket.isClosed()) {
         try {
-          if (says >= 0) {
+          if (advertisedPriority >= 0) {
             byte[] b =
                 PACKETS.encode(
-                    new Advert(9, says, Span.ofMillis(200), List.of(NodeAddress.of(192, 0, 2, 9))),
+                    new Advert(
+                        9,
+                        advertisedPriority,
+                        Span.ofMillis(200),
+                        List.of(NodeAddress.of(192, 0, 2, 9))),
                     address(1),
                     address(0));
-            socket.send(new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), to));
+            socket.send(
+                new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), targetPort));
           }
           socket.receive(in);
-          heard.add(in.getData()[2] & 255);
+          receivedPriorities.add(in.getData()[2] & 255);
         } catch (SocketTimeoutException e) {
           continue;
         } catch (Exception e) {
@@ -78,7 +84,7 @@
     }
   }
 
-  private static String vrrp(List<Integer> ports, String more) throws Exception {
+  private static String vrrpSettings(List<Integer> ports, String more) throws Exception {
     return "vrrp: { listen: '"
         + Ports.node(0)
         + ":"
@@ -97,83 +103,88 @@
         + " }";
   }
 
-  private static HttpResponse<String> joins(FrontFixture r, int port) {
+  private static HttpResponse<String> requestViewing(FrontFixture r, int port) {
     return r.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
   }
 
   @Test
-  void viewersOfASharedAddressAreTakenWhereItIsHeldAndPlayOnAtTheFrontsOwn() throws Exception {
+  void viewersAreServedAtTheSharedAddressWhileItIsHeldAndKeepPlayingAtTheOwnAddress()
+      throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrp(ports, ""))) {
-      p.says = 200;
+        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, ""))) {
+      p.advertisedPriority = 200;
       r.start();
-      FrontFixture.until(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
-      HttpResponse<String> elsewhere = joins(r, ports.get(2));
+      FrontFixture.waitUntil(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
+      HttpResponse<String> elsewhere = requestViewing(r, ports.get(2));
       assertEquals(503, elsewhere.statusCode());
       assertEquals(
-          0, r.boxes.get(0).saw("PUT"), "nothing is taken at an address that is another's");
-      assertEquals(200, joins(r, r.viewers).statusCode(), "its own address is always its own");
-      p.says = -1; // the partner has died
+          0, r.boxes.get(0).countEvents("PUT"), "nothing is taken at an address that is another's");
+      assertEquals(
+          200, requestViewing(r, r.viewerPort).statusCode(), "its own address is always its own");
+      p.advertisedPriority = -1; // the partner has died
       List<HttpResponse<String>> last = new ArrayList<>();
-      FrontFixture.until(
-          () -> last.add(joins(r, ports.get(2))) && last.get(last.size() - 1).statusCode() == 200);
+      FrontFixture.waitUntil(
+          () ->
+              last.add(requestViewing(r, ports.get(2)))
+                  && last.get(last.size() - 1).statusCode() == 200);
       HttpResponse<String> plays = last.get(last.size() - 1);
-      String own = "http://" + Ports.HOST + ":" + r.viewers;
+      String own = "http://" + Ports.HOST + ":" + r.viewerPort;
       String media =
           plays.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
       // A better one comes: the address goes, what plays stays.
-      p.says = 200;
-      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 503);
-      assertEquals(200, r.get(r.viewers, media.substring(own.length())).statusCode());
+      p.advertisedPriority = 200;
+      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 503);
+      assertEquals(200, r.get(r.viewerPort, media.substring(own.length())).statusCode());
     }
   }
 
   @Test
-  void aFrontThatIsToldToEndGivesTheAddressUpAtOnceAndPlaysOnAtItsOwn() throws Exception {
+  void aStoppingFrontReleasesTheAddressAtOnceAndKeepsPlayingAtItsOwn() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrp(ports, "") + ", stop: { playingMs: 60000 }")) {
+        FrontFixture r =
+            new FrontFixture(1, vrrpSettings(ports, "") + ", stop: { playingMs: 60000 }")) {
       r.start();
-      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
-      HttpResponse<String> plays = r.join("&key=last");
+      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
+      HttpResponse<String> plays = r.requestViewing("&key=last");
       CompletableFuture<Void> stop = CompletableFuture.runAsync(r.front::stop);
-      FrontFixture.until(() -> p.heard.contains(0));
+      FrontFixture.waitUntil(() -> p.receivedPriorities.contains(0));
       stop.get();
-      int zero = p.heard.indexOf(0);
+      int zero = p.receivedPriorities.indexOf(0);
       Thread.sleep(300);
-      List<Integer> then = List.copyOf(p.heard);
+      List<Integer> then = List.copyOf(p.receivedPriorities);
       assertTrue(
           then.subList(zero, then.size()).stream().allMatch(x -> x == 0),
           "after giving up " + then);
       assertTrue(then.size() - zero > 1, "a goodbye that is lost is said again");
-      assertEquals(200, r.get(r.viewers, FrontFixture.path(plays)).statusCode());
-      assertEquals(503, joins(r, ports.get(2)).statusCode());
+      assertEquals(200, r.get(r.viewerPort, FrontFixture.viewingPath(plays)).statusCode());
+      assertEquals(503, requestViewing(r, ports.get(2)).statusCode());
       r.endAll();
     }
   }
 
   @Test
-  void anAnswerThatIsOwedWhenTheAddressGoesIsStillGiven() throws Exception {
+  void aPendingRequestIsAnsweredAfterTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start()) {
-      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
       List<io.vertx.core.http.HttpServerRequest> held =
           Collections.synchronizedList(new ArrayList<>());
-      r.boxes.get(0).setUps = held::add;
+      r.boxes.get(0).setUpHandler = held::add;
       CompletableFuture<HttpResponse<String>> waits =
-          CompletableFuture.supplyAsync(() -> joins(r, ports.get(2)));
-      FrontFixture.until(() -> !held.isEmpty());
-      p.says = 200;
-      FrontFixture.until(() -> router(r).getString("state").equals("BACKUP"));
+          CompletableFuture.supplyAsync(() -> requestViewing(r, ports.get(2)));
+      FrontFixture.waitUntil(() -> !held.isEmpty());
+      p.advertisedPriority = 200;
+      FrontFixture.waitUntil(() -> routerState(r).getString("state").equals("BACKUP"));
       // Where this took long, the module has withdrawn the first set-up and tries others.
-      r.boxes.get(0).setUps = r.boxes.get(0)::plays;
+      r.boxes.get(0).setUpHandler = r.boxes.get(0)::acceptSetUp;
       List.copyOf(held)
           .forEach(
               q -> {
                 if (!q.response().closed()) {
-                  r.boxes.get(0).plays(q);
+                  r.boxes.get(0).acceptSetUp(q);
                 }
               });
       assertEquals(200, waits.get().statusCode());
@@ -181,18 +192,18 @@
   }
 
   @Test
-  void connectionsThatRestAtTheAddressAreClosedWhenItGoes() throws Exception {
+  void idleConnectionsAreClosedWhenTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start();
+        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start();
         Socket rests = new Socket(Ports.HOST, ports.get(2))) {
-      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
       rests.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
       rests
           .getOutputStream()
           .write("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals('H', rests.getInputStream().read());
-      p.says = 200;
+      p.advertisedPriority = 200;
       while (rests.getInputStream().read() >= 0) {
         continue; // the rest of its answer, and then the end
       }
@@ -200,16 +211,16 @@
   }
 
   @Test
-  void aRequestThatWasOnItsWayWhenTheAddressWentHearsAnAnswerAndNoBreak() throws Exception {
+  void aRequestInTransitWhenTheAddressIsLostIsAnswered() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrp(ports, "")).start()) {
-      FrontFixture.until(() -> joins(r, ports.get(2)).statusCode() == 200);
+        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
       try (Socket comes = new Socket(Ports.HOST, ports.get(2))) {
         int connections = r.state().getInteger("viewerConnections");
         assertTrue(connections > 0);
-        p.says = 200;
-        FrontFixture.until(() -> router(r).getString("state").equals("BACKUP"));
+        p.advertisedPriority = 200;
+        FrontFixture.waitUntil(() -> routerState(r).getString("state").equals("BACKUP"));
         comes
             .getOutputStream()
             .write(
@@ -224,41 +235,44 @@
     }
   }
 
-  private static io.vertx.core.json.JsonObject router(FrontFixture r) {
+  private static io.vertx.core.json.JsonObject routerState(FrontFixture r) {
     return r.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
   }
 
   @Test
-  void aFrontThatSeesNoServingBoxFallsBehindItsPartner() throws Exception {
+  void aFrontWithoutServingBoxesLowersItsPriority() throws Exception {
     List<Integer> ports = Ports.free(3);
     try (Partner p = new Partner(ports.get(1), ports.get(0));
         FrontFixture r =
-            new FrontFixture(1, vrrp(ports, "unwellMinus: 60, unwellAfterMs: 50")).start()) {
-      p.says = 80;
-      FrontFixture.until(() -> p.heard.contains(100));
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      FrontFixture.until(
+            new FrontFixture(1, vrrpSettings(ports, "unwellMinus: 60, unwellAfterMs: 50"))
+                .start()) {
+      p.advertisedPriority = 80;
+      FrontFixture.waitUntil(() -> p.receivedPriorities.contains(100));
+      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
+      FrontFixture.waitUntil(
+          () ->
+              routerState(r).getBoolean("unwell")
+                  && routerState(r).getInteger("priority") == 40
+                  && routerState(r).getString("state").equals("BACKUP"));
+      r.discovery.set(r.boxes.get(0).place, "s", "serving", 0);
+      FrontFixture.waitUntil(
           () ->
-              router(r).getBoolean("unwell")
-                  && router(r).getInteger("priority") == 40
-                  && router(r).getString("state").equals("BACKUP"));
-      r.list.set(r.boxes.get(0).place, "s", "serving", 0);
-      FrontFixture.until(
-          () -> !router(r).getBoolean("unwell") && router(r).getString("state").equals("ACTIVE"));
+              !routerState(r).getBoolean("unwell")
+                  && routerState(r).getString("state").equals("ACTIVE"));
     }
   }
 
   @Test
-  void aDeskThatDoesNotComeRoundIsUnwellWhereThatIsBounded() {
+  void aDelayedSessionLoopIsUnfitWhereALimitIsSet() {
     assertTrue(new Fitness(3, Span.ofMillis(400), Span.ofMillis(400)).isUnwell());
     assertFalse(new Fitness(3, Span.ofMillis(399), Span.ofMillis(400)).isUnwell());
     assertFalse(new Fitness(3, Span.ofMillis(10_000), Span.NONE).isUnwell());
   }
 
   @Test
-  void aKeyThatIsMissingOrShortStopsTheStart() throws Exception {
+  void aMissingOrShortKeyFailsTheStart() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (FrontFixture r = new FrontFixture(1, vrrp(ports, "keyFile: 'no-such-file'"))) {
+    try (FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "keyFile: 'no-such-file'"))) {
       assertTrue(
           assertThrows(Exception.class, r::start)
               .toString()
@@ -267,7 +281,7 @@
     }
     Path key = Files.createTempFile("linengauge", ".key");
     Files.writeString(key, "short\n");
-    try (FrontFixture r = new FrontFixture(1, vrrp(ports, "keyFile: '" + key + "'"))) {
+    try (FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "keyFile: '" + key + "'"))) {
       assertTrue(
           assertThrows(Exception.class, r::start).toString().contains("fewer than 16 bytes"));
       r.front = null;
