--- a/src/main/java/linengauge/consensus/LogFollower.java
+++ b/src/main/java/linengauge/consensus/LogFollower.java
@@ -25,7 +25,7 @@
   }
 
   /**
-   * @param runDueJobs between two questions to a voter
+   * @param ask between two questions to a voter
    * @param silent after which another voter is asked
    */
   public record Terms(Span ask, Span silent, Span wishes) {
--- a/src/main/java/linengauge/consensus/Outbox.java
+++ b/src/main/java/linengauge/consensus/Outbox.java
@@ -20,7 +20,7 @@
     waiting.add(new Outgoing(voter, NO_CLIENT, message));
   }
 
-  /** To whoever made a request by {@link RaftNode#runDueJobs}. */
+  /** To whoever made a request by {@link RaftNode#ask}. */
   void answer(long client, RaftMessage message) {
     waiting.add(new Outgoing(NO_VOTER, client, message));
   }
--- a/src/main/java/linengauge/consensus/RaftSettings.java
+++ b/src/main/java/linengauge/consensus/RaftSettings.java
@@ -5,7 +5,7 @@
 /**
  * A council's spans. They bear on how soon things are decided, never on what is.
  *
- * @param tick between a leader's words
+ * @param beat between a leader's words
  * @param election the least silence of a leader after which another is wanted; each waits up to
  *     twice as long
  * @param saveAgain after a state that could not be saved
--- a/src/main/java/linengauge/consensus/explore/ClusterJudge.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterJudge.java
@@ -73,7 +73,7 @@
   }
 
   /**
-   * @param box as that voter holds it; null where it has folded it into its snapshot
+   * @param entry as that voter holds it; null where it has folded it into its snapshot
    */
   void checkCommitted(long index, Entry entry, int number) {
     Entry before = entry == null ? null : committed.putIfAbsent(index, entry);
--- a/src/main/java/linengauge/consensus/explore/Schedule.java
+++ b/src/main/java/linengauge/consensus/explore/Schedule.java
@@ -7,7 +7,7 @@
  *
  * @param voters how many, 3 usually
  * @param depth things that happen, at the most
- * @param timers how often a voter's own timer may be the next thing
+ * @param wakes how often a voter's own timer may be the next thing
  * @param faults crashes, stand-stills and emptied folders, at the most
  * @param proposals decisions that are wanted of whoever takes itself for the leader
  * @param reads questions of how far all is decided
--- a/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
+++ b/src/main/java/linengauge/consensus/tcp/ConsensusNode.java
@@ -102,7 +102,7 @@
    * How things stand, as of the last turn.
    *
    * @param age how old its word was at that time
-   * @param address when that was, on the clock of System.nanoTime
+   * @param at when that was, on the clock of System.nanoTime
    */
   public record View(
       RaftNode.Role role,
--- a/src/main/java/linengauge/drill/DrillSiteFile.java
+++ b/src/main/java/linengauge/drill/DrillSiteFile.java
@@ -22,7 +22,7 @@
   /**
    * @param paid the package that is paid for at its set-up
    * @param ports the boxes' first, then the list's, then those of each front
-   * @param appendPlaylist what else stands in each front's file, by part and key
+   * @param more what else stands in each front's file, by part and key
    */
   DrillSiteFile(
       DayScript day,
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -31,7 +31,7 @@
   /**
    * What it is started with.
    *
-   * @param address where it takes lease datagrams; null: it has no lease
+   * @param at where it takes lease datagrams; null: it has no lease
    * @param machines the control machines, as this process reaches them
    * @param gossipAt where it takes gossip; null: it does not
    */
--- a/src/main/java/linengauge/flow/Account.java
+++ b/src/main/java/linengauge/flow/Account.java
@@ -128,7 +128,7 @@
 
   /**
    * Bytes are handed on for a viewer to take; true where no more may wait for it now: the other
-   * side is not to be read until {@link #drained} says so or {@link Peer#resume} is called.
+   * side is not to be read until {@link #drained} says so or {@link Peer#goOn} is called.
    */
   public boolean queued(long bytes) {
     total += bytes;
--- a/src/main/java/linengauge/flow/DoorBook.java
+++ b/src/main/java/linengauge/flow/DoorBook.java
@@ -71,7 +71,7 @@
     return asks.size();
   }
 
-  /** A connection from an address. What it got is to be given back with {@link #release}. */
+  /** A connection from an address. What it got is to be given back with {@link #leaves}. */
   public Entry enters(String address) {
     if (!terms.guards() || hasPlaceFor(address)) {
       byAddress.merge(address, 1, Integer::sum);
--- a/src/main/java/linengauge/flow/FlowTerms.java
+++ b/src/main/java/linengauge/flow/FlowTerms.java
@@ -8,7 +8,7 @@
  * ({@link OwnTime}).
  *
  * @param guards false: nobody is held back or let go; only to show what the guards are for
- * @param tick how often the accounts are looked at; a look that comes `late` after that tells of a
+ * @param beat how often the accounts are looked at; a look that comes `late` after that tells of a
  *     stand-still
  * @param window over which what moved is weighed, and `evidence`, how much of it a peer must have
  *     been owed bytes in before it can be found slow; `grace` after its start nobody is
--- a/src/main/java/linengauge/front/ActiveViewings.java
+++ b/src/main/java/linengauge/front/ActiveViewings.java
@@ -25,10 +25,10 @@
     playing.put(id, viewer);
   }
 
-  void remove(String id, Viewer.End how) {
+  void remove(String id, Viewer.End reason) {
     playing.remove(id);
     synchronized (ended) {
-      ended.put(id, how);
+      ended.put(id, reason);
     }
   }
 
--- a/src/main/java/linengauge/front/AdmissionControl.java
+++ b/src/main/java/linengauge/front/AdmissionControl.java
@@ -9,8 +9,8 @@
 final class AdmissionControl {
   private final DoorBook ledger;
 
-  AdmissionControl(DoorTerms terms) {
-    this.ledger = new DoorBook(terms);
+  AdmissionControl(DoorTerms settings) {
+    this.ledger = new DoorBook(settings);
   }
 
   synchronized DoorBook.Entry admit(String address) {
--- a/src/main/java/linengauge/front/BackgroundJobs.java
+++ b/src/main/java/linengauge/front/BackgroundJobs.java
@@ -20,8 +20,8 @@
   private Carrier.Wake timer;
   private Moment timerDueAt;
 
-  BackgroundJobs(FrontServer program, WorkTerms terms, long seed) {
-    this.front = program;
+  BackgroundJobs(FrontServer front, WorkTerms terms, long seed) {
+    this.front = front;
     this.scheduler = new Workbench(terms, seed);
   }
 
@@ -31,24 +31,25 @@
    *
    * @param thought what it is thought to take of the desk; measured from its first time on
    */
-  boolean submit(String name, int urgency, Span after, Span thought, Runnable step) {
+  boolean submit(String name, int urgency, Span delay, Span estimatedTime, Runnable task) {
     Moment now = Wall.now();
     Workbench.Submission submission =
         scheduler.submit(
-            new Chore(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> runJob(job, step)),
-            now.plus(after),
+            new Chore(
+                name, urgency, Span.NONE, Span.NONE, 1, estimatedTime, 0, job -> runJob(job, task)),
+            now.plus(delay),
             now);
     armTimer(now);
     return submission.job() != null;
   }
 
-  private static void runJob(Job job, Runnable step) {
-    Moment from = Wall.now();
+  private static void runJob(Job job, Runnable task) {
+    Moment startedAt = Wall.now();
     try {
-      step.run();
+      task.run();
     } finally { // what throws is the desk's to report, and must not keep its place
       Moment now = Wall.now();
-      job.done(now, now.since(from), 0);
+      job.done(now, now.since(startedAt), 0);
     }
   }
 
@@ -58,8 +59,8 @@
     scheduler.deskLate(now.since(timerDueAt).orMore(Span.NONE));
     timer = null;
     try {
-      for (Job j = scheduler.next(now); j != null; j = scheduler.next(Wall.now())) {
-        j.chore().step().run(j);
+      for (Job job = scheduler.next(now); job != null; job = scheduler.next(Wall.now())) {
+        job.chore().step().run(job);
       }
     } finally {
       armTimer(Wall.now());
@@ -67,24 +68,24 @@
   }
 
   private void armTimer(Moment now) {
-    Moment at = scheduler.askAt();
-    if (at == null || timer != null && !at.before(timerDueAt)) {
+    Moment nextAt = scheduler.askAt();
+    if (nextAt == null || timer != null && !nextAt.before(timerDueAt)) {
       return;
     }
     if (timer != null) {
       timer.cancel();
     }
-    timerDueAt = at.orLater(now);
+    timerDueAt = nextAt.orLater(now);
     timer = front.wakeAfter(timerDueAt.since(now), this::runDueJobs);
   }
 
   JsonObject state() {
-    Workbench.Counts c = scheduler.counts();
+    Workbench.Counts counts = scheduler.counts();
     return new JsonObject()
         .put("jobs", scheduler.jobs())
-        .put("done", c.done)
-        .put("refused", c.refused)
-        .put("displaced", c.displaced)
-        .put("heldBack", c.heldBack);
+        .put("done", counts.done)
+        .put("refused", counts.refused)
+        .put("displaced", counts.displaced)
+        .put("heldBack", counts.heldBack);
   }
 }
--- a/src/main/java/linengauge/front/BoxClient.java
+++ b/src/main/java/linengauge/front/BoxClient.java
@@ -85,9 +85,9 @@
 
   private long endsGivenUp;
 
-  BoxClient(Vertx calls, Site site, long seed, FrontServer program) {
+  BoxClient(Vertx calls, Site site, long seed, FrontServer front) {
     this.site = site;
-    this.front = program;
+    this.front = front;
     this.random = new SplittableRandom(seed);
     this.setUpClient =
         newClient(calls, site, site.boxes().connections(), site.boxes().waitingSetUps());
@@ -95,12 +95,13 @@
         newClient(calls, site, site.boxes().connections(), site.boxes().waitingEnds());
   }
 
-  static HttpClient newClient(Vertx vertx, Site site, int connections, int waiting) {
+  static HttpClient newClient(Vertx vertx, Site site, int connections, int maxWaiting) {
     return newClient(
-        vertx, site, connections, waiting, HttpClientOptions.DEFAULT_RECEIVE_BUFFER_SIZE);
+        vertx, site, connections, maxWaiting, HttpClientOptions.DEFAULT_RECEIVE_BUFFER_SIZE);
   }
 
-  static HttpClient newClient(Vertx vertx, Site site, int connections, int waiting, int readBytes) {
+  static HttpClient newClient(
+      Vertx vertx, Site site, int connections, int maxWaiting, int readBytes) {
     return vertx.createHttpClient(
         new HttpClientOptions()
             .setReceiveBufferSize(
@@ -112,16 +113,16 @@
             .setTcpNoDelay(true)
             .setMaxHeaderSize(site.viewers().headerBytes())
             .setDecoderInitialBufferSize(256),
-        new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(waiting));
+        new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(maxWaiting));
   }
 
   static RequestOptions requestTo(
       BoxTable.Entry box, HttpMethod method, String uri, int connectMs) {
-    Site.Address at = Site.Address.of(box.address());
+    Site.Address address = Site.Address.of(box.address());
     return new RequestOptions()
         .setMethod(method)
-        .setHost(at.host())
-        .setPort(at.port())
+        .setHost(address.host())
+        .setPort(address.port())
         .setURI(uri)
         .setConnectTimeout(connectMs);
   }
@@ -136,41 +137,41 @@
 
   /* ---- set-ups ---- */
 
-  void setUp(Held vw, int tuneIn) {
-    BoxTable.Entry box = vw.box();
-    PendingSetUp o = new PendingSetUp(box, tuneIn, front.viewerOf(vw).baseUrl());
-    pendingSetUps.put(vw, o);
+  void setUp(Held viewing, int tuneIn) {
+    BoxTable.Entry box = viewing.box();
+    PendingSetUp pending = new PendingSetUp(box, tuneIn, front.viewerOf(viewing).baseUrl());
+    pendingSetUps.put(viewing, pending);
     connect(
         setUpClient,
-        requestTo(box, HttpMethod.PUT, "/viewings/" + vw.id(), site.boxes().connectMs()),
+        requestTo(box, HttpMethod.PUT, "/viewings/" + viewing.id(), site.boxes().connectMs()),
         request -> {
-          if (o.finished || !vw.sendable(tuneIn)) {
+          if (pending.finished || !viewing.sendable(tuneIn)) {
             request.reset();
-            failSetUp(vw, o, Ending.NEVER_SENT);
+            failSetUp(viewing, pending, Ending.NEVER_SENT);
             return;
           }
-          o.request = request;
-          o.sent = true;
-          int rung = vw.rungNow();
+          pending.request = request;
+          pending.sent = true;
+          int rung = viewing.rungNow();
           String body =
               JSON.createObjectNode()
-                  .put("key", vw.ask().key())
+                  .put("key", viewing.ask().key())
                   .put("front", site.front().number())
                   .put("tuneIn", tuneIn)
-                  .put("title", vw.ask().title())
-                  .put("package", site.packages().get(vw.ask().pack()).name())
+                  .put("title", viewing.ask().title())
+                  .put("package", site.packages().get(viewing.ask().pack()).name())
                   .put("rung", rung)
                   .toString();
           request.putHeader("Content-Type", "application/json");
           sendRequest(
               request,
               Buffer.buffer(body),
-              r -> onSetUpResponse(vw, o, box, rung, r),
-              e -> failSetUp(vw, o, Ending.BROKEN));
+              r -> onSetUpResponse(viewing, pending, box, rung, r),
+              e -> failSetUp(viewing, pending, Ending.BROKEN));
         },
         e -> {
           boolean full = e instanceof io.vertx.core.http.ConnectionPoolTooBusyException;
-          failSetUp(vw, o, full ? Ending.NEVER_SENT : Ending.NOT_REACHED);
+          failSetUp(viewing, pending, full ? Ending.NEVER_SENT : Ending.NOT_REACHED);
         });
   }
 
@@ -178,19 +179,21 @@
   private void connect(
       HttpClient client,
       RequestOptions options,
-      Consumer<HttpClientRequest> got,
-      Consumer<Throwable> not) {
+      Consumer<HttpClientRequest> onConnected,
+      Consumer<Throwable> onFailure) {
     client
         .request(options)
         .onComplete(
-            r ->
+            result ->
                 front.runOnSessionLoop(
                     () -> {
-                      if (r.succeeded()) {
-                        r.result().exceptionHandler(e -> {}); // what fails is told by the futures
-                        got.accept(r.result());
+                      if (result.succeeded()) {
+                        result
+                            .result()
+                            .exceptionHandler(e -> {}); // what fails is told by the futures
+                        onConnected.accept(result.result());
                       } else {
-                        not.accept(r.cause());
+                        onFailure.accept(result.cause());
                       }
                     }));
   }
@@ -203,9 +206,9 @@
   static void sendRequest(
       HttpClientRequest request,
       Buffer body,
-      Consumer<HttpClientResponse> answered,
-      Consumer<Throwable> not) {
-    request.response().onSuccess(answered::accept).onFailure(not::accept);
+      Consumer<HttpClientResponse> onResponse,
+      Consumer<Throwable> onFailure) {
+    request.response().onSuccess(onResponse::accept).onFailure(onFailure::accept);
     if (body.length() == 0) {
       request.end();
     } else {
@@ -213,16 +216,16 @@
     }
   }
 
-  private void failSetUp(Held vw, PendingSetUp o, Ending how) {
+  private void failSetUp(Held viewing, PendingSetUp pending, Ending outcome) {
     front.runOnSessionLoop(
         () -> {
-          if (!o.finished) {
-            o.finished = true;
-            pendingSetUps.remove(vw, o);
-            if (how == Ending.BROKEN) {
-              sendEnd(vw, o.box, o.tuneIn); // it may run there
+          if (!pending.finished) {
+            pending.finished = true;
+            pendingSetUps.remove(viewing, pending);
+            if (outcome == Ending.BROKEN) {
+              sendEnd(viewing, pending.box, pending.tuneIn); // it may run there
             }
-            vw.failed(o.tuneIn, how);
+            viewing.failed(pending.tuneIn, outcome);
           }
         });
   }
@@ -232,71 +235,84 @@
    * outcome.
    */
   private void onSetUpResponse(
-      Held vw, PendingSetUp o, BoxTable.Entry box, int rung, HttpClientResponse r) {
-    int status = r.statusCode();
-    front.runOnSessionLoop(() -> readReportHeaders(box, r));
+      Held viewing,
+      PendingSetUp pending,
+      BoxTable.Entry box,
+      int rung,
+      HttpClientResponse response) {
+    int status = response.statusCode();
+    front.runOnSessionLoop(() -> readReportHeaders(box, response));
     if (status != 201) {
-      r.handler(b -> {});
-      boolean never = "true".equals(r.getHeader("Never-Ran"));
-      failSetUp(vw, o, never ? Ending.TURNED_AWAY : Ending.ERROR);
+      response.handler(b -> {});
+      boolean neverRan = "true".equals(response.getHeader("Never-Ran"));
+      failSetUp(viewing, pending, neverRan ? Ending.TURNED_AWAY : Ending.ERROR);
       return;
     }
     Buffer body = Buffer.buffer();
-    r.exceptionHandler(e -> failSetUp(vw, o, Ending.BROKEN));
-    r.handler(
+    response.exceptionHandler(e -> failSetUp(viewing, pending, Ending.BROKEN));
+    response.handler(
         b -> {
           body.appendBuffer(b);
           if (body.length() > site.boxes().playlistBytes()) {
-            r.handler(x -> {});
-            r.endHandler(x -> {});
+            response.handler(x -> {});
+            response.endHandler(x -> {});
             rejectPlaylist(
-                vw, o, box, "a playlist longer than " + site.boxes().playlistBytes() + " bytes");
+                viewing,
+                pending,
+                box,
+                "a playlist longer than " + site.boxes().playlistBytes() + " bytes");
           }
         });
-    r.endHandler(
+    response.endHandler(
         v -> {
           try {
             String text =
                 Playlists.multivariant(
                     body.getBytes(),
                     rung,
-                    o.baseUrl + "/v/" + vw.id() + "/media.m3u8",
-                    uri -> o.baseUrl + Paths.under(vw.id(), "", uri));
-            front.runOnSessionLoop(() -> completeSetUp(vw, o, box, text));
+                    pending.baseUrl + "/v/" + viewing.id() + "/media.m3u8",
+                    uri -> pending.baseUrl + Paths.under(viewing.id(), "", uri));
+            front.runOnSessionLoop(() -> completeSetUp(viewing, pending, box, text));
           } catch (BadPlaylist e) {
-            rejectPlaylist(vw, o, box, e.getMessage());
+            rejectPlaylist(viewing, pending, box, e.getMessage());
           }
         });
   }
 
-  private void completeSetUp(Held vw, PendingSetUp o, BoxTable.Entry box, String playlist) {
-    if (o.finished) {
+  private void completeSetUp(
+      Held viewing, PendingSetUp pending, BoxTable.Entry box, String playlist) {
+    if (pending.finished) {
       return;
     }
-    o.finished = true;
-    pendingSetUps.remove(vw, o);
-    front.viewerOf(vw).playlist(playlist);
-    front.viewerOf(vw).rungBytesPerSecond(site.bytesOf(vw.ask().pack(), vw.rungNow()));
-    vw.plays(o.tuneIn);
-    if (vw.isPlaying()) {
-      front.noteStreams().viewingStarted(vw, box);
+    pending.finished = true;
+    pendingSetUps.remove(viewing, pending);
+    front.viewerOf(viewing).playlist(playlist);
+    front
+        .viewerOf(viewing)
+        .rungBytesPerSecond(site.bytesOf(viewing.ask().pack(), viewing.rungNow()));
+    viewing.plays(pending.tuneIn);
+    if (viewing.isPlaying()) {
+      front.noteStreams().viewingStarted(viewing, box);
     }
   }
 
   /** What every answer of a box may tell beside what it was asked. */
-  private void readReportHeaders(BoxTable.Entry box, HttpClientResponse r) {
-    reportLoad(box, r.getHeader("Load"));
-    front.noteStreams().reportLife(box, r.getHeader("Box-Life"), r.getHeader("Box-Age-Ms"));
+  private void readReportHeaders(BoxTable.Entry box, HttpClientResponse response) {
+    reportLoad(box, response.getHeader("Load"));
+    front
+        .noteStreams()
+        .reportLife(box, response.getHeader("Box-Life"), response.getHeader("Box-Age-Ms"));
   }
 
   /** The box answered with what no player can use: the viewing may run there and must end there. */
-  private void rejectPlaylist(Held vw, PendingSetUp o, BoxTable.Entry box, String what) {
+  private void rejectPlaylist(
+      Held viewing, PendingSetUp pending, BoxTable.Entry box, String reason) {
     front.runOnSessionLoop(
         () -> {
-          if (!o.finished) {
-            log.warn("broken playlist", box.toString(), what);
-            cancel(vw, box, o.tuneIn);
-            vw.failed(o.tuneIn, Ending.SPOILT);
+          if (!pending.finished) {
+            log.warn("broken playlist", box.toString(), reason);
+            cancel(viewing, box, pending.tuneIn);
+            viewing.failed(pending.tuneIn, Ending.SPOILT);
           }
         });
   }
@@ -307,35 +323,35 @@
    * Ends a viewing or tune-in at its box; tried again a bounded number of times, then left to the
    * box's lease.
    */
-  void cancel(Held vw, BoxTable.Entry box, int tuneIn) {
-    PendingSetUp o = pendingSetUps.remove(vw);
-    if (o != null && !o.finished) {
-      o.finished = true;
-      if (o.request != null) {
-        o.request.reset();
+  void cancel(Held viewing, BoxTable.Entry box, int tuneIn) {
+    PendingSetUp pending = pendingSetUps.remove(viewing);
+    if (pending != null && !pending.finished) {
+      pending.finished = true;
+      if (pending.request != null) {
+        pending.request.reset();
       }
-      if (!o.sent) {
+      if (!pending.sent) {
         return;
       }
     }
-    front.noteStreams().viewingEnded(vw, box);
-    sendEnd(vw, box, tuneIn);
+    front.noteStreams().viewingEnded(viewing, box);
+    sendEnd(viewing, box, tuneIn);
   }
 
-  private void sendEnd(Held vw, BoxTable.Entry box, int tuneIn) {
+  private void sendEnd(Held viewing, BoxTable.Entry box, int tuneIn) {
     if (pendingEnds >= site.boxes().waitingEnds()) {
       endsGivenUp++;
       log.warn("end not told", box.toString(), "too many wait");
       return;
     }
     pendingEnds++;
-    int ms = site.boxes().endRetryMs();
+    int retryMs = site.boxes().endRetryMs();
     tryEnd(
         box,
-        "/viewings/" + vw.id() + "?tuneIn=" + tuneIn,
+        "/viewings/" + viewing.id() + "?tuneIn=" + tuneIn,
         site.boxes().endTries(),
-        new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), random.split()),
-        () -> vw.endConfirmed(tuneIn));
+        new Backoff(Span.ofMillis(retryMs), Span.ofMillis(8L * retryMs), random.split()),
+        () -> viewing.endConfirmed(tuneIn));
   }
 
   /**
@@ -343,7 +359,7 @@
    * (docs/protocol/box.md).
    */
   private void tryEnd(
-      BoxTable.Entry box, String uri, int tries, Backoff pause, Runnable confirmed) {
+      BoxTable.Entry box, String uri, int triesLeft, Backoff backoff, Runnable onConfirmed) {
     if (closed) {
       return; // the front has ended; the box's lease ends it there
     }
@@ -356,9 +372,10 @@
         (status, r) -> {
           if (status >= 200 && status < 300 || status == 404 || status == 410) {
             pendingEnds--;
-            confirmed.run();
-          } else if (tries > 1 && (status != 0 || box.state() != BoxTable.State.GONE)) {
-            front.wakeAfter(pause.next(), () -> tryEnd(box, uri, tries - 1, pause, confirmed));
+            onConfirmed.run();
+          } else if (triesLeft > 1 && (status != 0 || box.state() != BoxTable.State.GONE)) {
+            front.wakeAfter(
+                backoff.next(), () -> tryEnd(box, uri, triesLeft - 1, backoff, onConfirmed));
           } else {
             pendingEnds--;
             endsGivenUp++;
@@ -370,31 +387,31 @@
 
   /* ---- rungs ---- */
 
-  void updateRung(Held vw) {
-    if (pendingRungs.put(vw, vw.rungNow()) == null) {
-      sendRung(vw, vw.box(), site.boxes().rungTries());
+  void updateRung(Held viewing) {
+    if (pendingRungs.put(viewing, viewing.rungNow()) == null) {
+      sendRung(viewing, viewing.box(), site.boxes().rungTries());
     }
   }
 
-  private void sendRung(Held vw, BoxTable.Entry box, int tries) {
-    int told = vw.rungNow();
-    String body = JSON.createObjectNode().put("rung", told).toString();
+  private void sendRung(Held viewing, BoxTable.Entry box, int triesLeft) {
+    int sentRung = viewing.rungNow();
+    String body = JSON.createObjectNode().put("rung", sentRung).toString();
     call(
         HttpMethod.PATCH,
         box,
-        "/viewings/" + vw.id(),
+        "/viewings/" + viewing.id(),
         body,
         site.boxes().firstByteMs(),
         (status, r) -> {
-          if (!vw.isPlaying()) {
-            pendingRungs.remove(vw);
+          if (!viewing.isPlaying()) {
+            pendingRungs.remove(viewing);
           } else if (status == 404 || status == 410) {
-            pendingRungs.remove(vw);
-            vw.boxLost();
-          } else if (status == 200 && vw.rungNow() == told || tries <= 1) {
-            pendingRungs.remove(vw);
+            pendingRungs.remove(viewing);
+            viewing.boxLost();
+          } else if (status == 200 && viewing.rungNow() == sentRung || triesLeft <= 1) {
+            pendingRungs.remove(viewing);
           } else {
-            sendRung(vw, box, status == 200 ? site.boxes().rungTries() : tries - 1);
+            sendRung(viewing, box, status == 200 ? site.boxes().rungTries() : triesLeft - 1);
           }
         });
   }
@@ -455,17 +472,17 @@
           });
     }
 
-    private void send(HttpClientRequest q, String body) {
-      request = q;
+    private void send(HttpClientRequest boxRequest, String body) {
+      request = boxRequest;
       if (done) {
-        q.reset();
+        boxRequest.reset();
         return;
       }
       if (body != null) {
-        q.putHeader("Content-Type", "application/json");
+        boxRequest.putHeader("Content-Type", "application/json");
       }
       sendRequest(
-          q,
+          boxRequest,
           body == null ? Buffer.buffer() : Buffer.buffer(body),
           r -> {
             r.handler(b -> {});
@@ -481,41 +498,41 @@
       BoxTable.Entry box,
       String uri,
       String body,
-      int ms,
-      ResponseCallback then) {
-    Call call = new Call(ms, then);
+      int timeoutMs,
+      ResponseCallback callback) {
+    Call call = new Call(timeoutMs, callback);
     connect(
         callClient,
         requestTo(box, method, uri, site.boxes().connectMs()),
-        q -> call.send(q, body),
+        boxRequest -> call.send(boxRequest, body),
         e -> call.complete(0, null));
   }
 
   /** The Load header: "link=0.8; uplink=0.7; streams=12", each part optional. */
-  private void reportLoad(BoxTable.Entry box, String load) {
-    if (load == null || load.length() > 200) {
+  private void reportLoad(BoxTable.Entry box, String header) {
+    if (header == null || header.length() > 200) {
       return;
     }
-    double[] figures = {Double.NaN, Double.NaN, Double.NaN};
-    for (String part : load.split(";")) {
-      int equals = part.indexOf('=');
-      int i =
-          equals < 0
+    double[] values = {Double.NaN, Double.NaN, Double.NaN};
+    for (String part : header.split(";")) {
+      int separator = part.indexOf('=');
+      int index =
+          separator < 0
               ? -1
               : java.util.List.of("link", "uplink", "streams")
-                  .indexOf(part.substring(0, equals).strip());
-      if (i >= 0) {
-        figures[i] = parseLoadValue(part.substring(equals + 1).strip());
+                  .indexOf(part.substring(0, separator).strip());
+      if (index >= 0) {
+        values[index] = parseLoadValue(part.substring(separator + 1).strip());
       }
     }
-    front.sessionManager().reported(box, figures[0], figures[1], figures[2]);
+    front.sessionManager().reported(box, values[0], values[1], values[2]);
   }
 
   /** A figure that a box told; what is no sensible one counts as not told. */
   static double parseLoadValue(String text) {
     try {
-      double v = Double.parseDouble(text);
-      return v >= 0 && v < 1e9 ? v : Double.NaN;
+      double value = Double.parseDouble(text);
+      return value >= 0 && value < 1e9 ? value : Double.NaN;
     } catch (NumberFormatException e) {
       return Double.NaN;
     }
--- a/src/main/java/linengauge/front/ControlListener.java
+++ b/src/main/java/linengauge/front/ControlListener.java
@@ -34,7 +34,7 @@
   }
 
   Future<?> open() {
-    Site.Address at = Site.Address.of(site.front().control());
+    Site.Address address = Site.Address.of(site.front().control());
     Site.Control control = site.control();
     HttpServer server =
         vertx.createHttpServer(
@@ -47,7 +47,7 @@
     server.connectionHandler(this::accept);
     server.requestHandler(this::handle);
     return server
-        .listen(at.port(), at.host())
+        .listen(address.port(), address.host())
         .recover(
             e ->
                 Future.failedFuture(
--- a/src/main/java/linengauge/front/DiscoveryClient.java
+++ b/src/main/java/linengauge/front/DiscoveryClient.java
@@ -43,8 +43,8 @@
   private boolean closed;
   private long disconnects;
 
-  DiscoveryClient(Vertx vertx, Site site, long seed, FrontServer program) {
-    this.front = program;
+  DiscoveryClient(Vertx vertx, Site site, long seed, FrontServer front) {
+    this.front = front;
     this.site = site;
     this.client = BoxClient.newClient(vertx, site, 1, 1);
     this.backoff =
@@ -52,27 +52,27 @@
             Span.ofMillis(site.list().retryFirstMs()),
             Span.ofMillis(site.list().retryMostMs()),
             new SplittableRandom(seed));
-    site.fleet().kinds().forEach(k -> kindNames.add(k.name()));
+    site.fleet().kinds().forEach(kind -> kindNames.add(kind.name()));
   }
 
   void open() {
     if (closed) {
       return;
     }
-    long from = front.sessionManager().listRevision();
-    Site.Address at = Site.Address.of(site.list().address());
+    long revision = front.sessionManager().listRevision();
+    Site.Address address = Site.Address.of(site.list().address());
     stream =
         new LineStream(
             front,
             client,
             new RequestOptions()
                 .setMethod(HttpMethod.GET)
-                .setHost(at.host())
-                .setPort(at.port())
+                .setHost(address.host())
+                .setPort(address.port())
                 .setURI(
                     "/boxes"
-                        + (from == ListFollower.NONE ? "" : "?since=" + from)
-                        + (from == ListFollower.NONE ? "?" : "&")
+                        + (revision == ListFollower.NONE ? "" : "?since=" + revision)
+                        + (revision == ListFollower.NONE ? "?" : "&")
                         + "front="
                         + site.front().number())
                 .setConnectTimeout(site.boxes().connectMs()),
@@ -85,16 +85,16 @@
               }
 
               @Override
-              public void onEnd(boolean answered, int status, String why) {
-                streamEnded(status, why);
+              public void onEnd(boolean lineReceived, int status, String reason) {
+                streamEnded(status, reason);
               }
             });
   }
 
-  private void streamEnded(int status, String why) {
+  private void streamEnded(int status, String reason) {
     stream = null;
     disconnects++;
-    throttledLog.warn("box list broke", site.list().address(), why);
+    throttledLog.warn("box list broke", site.list().address(), reason);
     if (status == 410) {
       front.sessionManager().forgetList();
     }
@@ -102,13 +102,13 @@
   }
 
   private void scheduleReopen() {
-    Span after = backoff.next();
+    Span delay = backoff.next();
     if (!front
         .backgroundJobs()
         .submit(
             "box list",
             URGENCY,
-            after,
+            delay,
             ESTIMATED_OPEN_TIME,
             () -> {
               if (stream == null) {
@@ -116,7 +116,7 @@
               }
             })) {
       front.wakeAfter(
-          after,
+          delay,
           () -> {
             if (stream == null) {
               scheduleReopen();
@@ -126,16 +126,16 @@
   }
 
   private void readLine(byte[] line) {
-    boolean followed;
+    boolean applied;
     try {
-      followed = apply(BoxClient.parseLine(line));
+      applied = apply(BoxClient.parseLine(line));
     } catch (JacksonException | IllegalArgumentException e) {
       // One row that cannot be read spoils the line: half of a change is worse than none.
       throttledLog.warn("bad box list", site.list().address(), e.getMessage());
       front.sessionManager().forgetList();
-      followed = false;
+      applied = false;
     }
-    if (followed) {
+    if (applied) {
       backoff.reset();
       front.discoveryUpdated();
     } else if (stream != null) {
@@ -145,29 +145,29 @@
     }
   }
 
-  private boolean apply(JsonNode piece) {
-    if (!piece.path("boxes").isArray()) {
+  private boolean apply(JsonNode message) {
+    if (!message.path("boxes").isArray()) {
       throw new IllegalArgumentException("a line without boxes");
     }
     List<BoxTable.Row> rows = new ArrayList<>();
-    for (JsonNode box : piece.path("boxes")) {
+    for (JsonNode box : message.path("boxes")) {
       rows.add(parseRow(box));
     }
-    if (piece.path("whole").asBoolean()) {
-      front.sessionManager().listed(wholeNumber(piece, "revision"), rows);
+    if (message.path("whole").asBoolean()) {
+      front.sessionManager().listed(wholeNumber(message, "revision"), rows);
       return true;
     }
     return front
         .sessionManager()
-        .listChanged(wholeNumber(piece, "from"), wholeNumber(piece, "to"), rows);
+        .listChanged(wholeNumber(message, "from"), wholeNumber(message, "to"), rows);
   }
 
-  private static long wholeNumber(JsonNode from, String key) {
-    JsonNode v = from.path(key);
-    if (!v.canConvertToLong() || v.asLong() < 0) {
+  private static long wholeNumber(JsonNode object, String key) {
+    JsonNode value = object.path(key);
+    if (!value.canConvertToLong() || value.asLong() < 0) {
       throw new IllegalArgumentException("'" + key + "' should be a whole number");
     }
-    return v.asLong();
+    return value.asLong();
   }
 
   private BoxTable.Row parseRow(JsonNode box) {
--- a/src/main/java/linengauge/front/EventLoops.java
+++ b/src/main/java/linengauge/front/EventLoops.java
@@ -25,9 +25,9 @@
   private volatile Map<String, Long> counters = Map.of();
 
   EventLoops(Vertx vertx, Site site) {
-    var terms = site.flowOfLoop();
-    this.loopTime = new OwnTime(terms.beat(), terms.late());
-    this.slowPeers = new Watch(terms, loopTime);
+    var settings = site.flowOfLoop();
+    this.loopTime = new OwnTime(settings.beat(), settings.late());
+    this.slowPeers = new Watch(settings, loopTime);
     this.attempts = new Knocks(site.door(), loopTime);
     loopTime.beat(Wall.now());
     publishCounters();
@@ -42,23 +42,23 @@
   }
 
   private void publishCounters() {
-    Map<String, Long> m = new TreeMap<>();
-    Watch.Counts c = slowPeers.counts();
-    m.put("viewersLetGo", c.viewersLetGo);
-    m.put("boxesLetGo", c.boxesLetGo);
-    m.put("spared", c.spared);
-    m.put("standStills", c.standStills);
-    m.put("standStillMs", loopTime.stood().micros() / 1000);
-    m.put("moving", (long) c.movers);
-    m.put("slow", (long) c.slow);
-    m.put("stirring", (long) slowPeers.stirring());
-    m.put("waitingBytes", slowPeers.pool().waiting());
-    m.put("mostWaitingBytes", slowPeers.pool().most());
-    m.put("callersWaiting", (long) attempts.waiting());
-    m.put("noFirstByte", attempts.tooLong(Knock.State.FIRST_BYTE));
-    m.put("headersTooSlow", attempts.tooLong(Knock.State.HEADERS));
-    m.put("restedTooLong", attempts.tooLong(Knock.State.BETWEEN));
-    counters = m;
+    Map<String, Long> values = new TreeMap<>();
+    Watch.Counts counts = slowPeers.counts();
+    values.put("viewersLetGo", counts.viewersLetGo);
+    values.put("boxesLetGo", counts.boxesLetGo);
+    values.put("spared", counts.spared);
+    values.put("standStills", counts.standStills);
+    values.put("standStillMs", loopTime.stood().micros() / 1000);
+    values.put("moving", (long) counts.movers);
+    values.put("slow", (long) counts.slow);
+    values.put("stirring", (long) slowPeers.stirring());
+    values.put("waitingBytes", slowPeers.pool().waiting());
+    values.put("mostWaitingBytes", slowPeers.pool().most());
+    values.put("callersWaiting", (long) attempts.waiting());
+    values.put("noFirstByte", attempts.tooLong(Knock.State.FIRST_BYTE));
+    values.put("headersTooSlow", attempts.tooLong(Knock.State.HEADERS));
+    values.put("restedTooLong", attempts.tooLong(Knock.State.BETWEEN));
+    counters = values;
   }
 
   Watch slowPeers() {
@@ -72,7 +72,8 @@
   /** The sums over all loops. */
   static JsonObject sum(List<EventLoops> loops) {
     Map<String, Long> sums = new TreeMap<>();
-    loops.forEach(l -> l.counters.forEach((name, n) -> sums.merge(name, n, Long::sum)));
+    loops.forEach(
+        loop -> loop.counters.forEach((name, count) -> sums.merge(name, count, Long::sum)));
     return new JsonObject(new TreeMap<>(sums));
   }
 }
--- a/src/main/java/linengauge/front/FleetLease.java
+++ b/src/main/java/linengauge/front/FleetLease.java
@@ -85,9 +85,9 @@
   }
 
   /** Tells how it stands now, on whatever thread; at once where it takes no part. */
-  void state(Consumer<JsonObject> then) {
-    if (node == null || !node.ask(agent -> then.accept(state(agent, DatagramLoop.now())))) {
-      then.accept(new JsonObject());
+  void state(Consumer<JsonObject> receiver) {
+    if (node == null || !node.ask(agent -> receiver.accept(state(agent, DatagramLoop.now())))) {
+      receiver.accept(new JsonObject());
     }
   }
 
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -32,10 +32,10 @@
     if (!site.headend().permits().messages() || site.front().words() == null) {
       return Future.succeededFuture();
     }
-    Site.Address at = Site.Address.of(site.front().words());
+    Site.Address address = Site.Address.of(site.front().words());
     socket = vertx.createDatagramSocket();
     return socket
-        .listen(at.port(), at.host())
+        .listen(address.port(), address.host())
         .onSuccess(
             bound ->
                 bound
@@ -51,11 +51,11 @@
   }
 
   void send(int front, byte[] datagram) {
-    String to =
+    String target =
         site.fronts().words() == null ? null : site.fronts().words().get(Integer.toString(front));
-    if (socket != null && to != null) {
-      Site.Address at = Site.Address.of(to);
-      socket.send(Buffer.buffer(datagram), at.port(), at.host());
+    if (socket != null && target != null) {
+      Site.Address address = Site.Address.of(target);
+      socket.send(Buffer.buffer(datagram), address.port(), address.host());
     }
   }
 
--- a/src/main/java/linengauge/front/FrontServer.java
+++ b/src/main/java/linengauge/front/FrontServer.java
@@ -109,9 +109,9 @@
     this.datagrams = new FrontDatagrams(sessionVertx, site);
   }
 
-  private static Vertx newVertx(int count) {
+  private static Vertx newVertx(int eventLoopCount) {
     return Vertx.vertx(
-        new VertxOptions().setEventLoopPoolSize(count).setPreferNativeTransport(false));
+        new VertxOptions().setEventLoopPoolSize(eventLoopCount).setPreferNativeTransport(false));
   }
 
   Site site() {
@@ -147,24 +147,25 @@
     return vrrp.lease(vrid);
   }
 
-  HttpViewer viewerOf(Held vw) {
-    return (HttpViewer) vw.viewer();
+  HttpViewer viewerOf(Held viewing) {
+    return (HttpViewer) viewing.viewer();
   }
 
   /* ---- start ---- */
 
   /** Starts the front; done once its listeners are bound, failed where one could not be. */
   public Future<?> start(long seed) {
-    long wanted = site.flow().waitingBytes() + DIRECT_BYTES_PER_LOOP * (site.viewers().loops() + 2);
-    long has = PlatformDependent.maxDirectMemory();
-    if (site.flow().guards() && wanted > has) {
+    long requiredBytes =
+        site.flow().waitingBytes() + DIRECT_BYTES_PER_LOOP * (site.viewers().loops() + 2);
+    long availableBytes = PlatformDependent.maxDirectMemory();
+    if (site.flow().guards() && requiredBytes > availableBytes) {
       return Future.failedFuture(
           "flow.waitingBytes and "
               + DIRECT_BYTES_PER_LOOP
               + " for each loop take "
-              + wanted
+              + requiredBytes
               + " bytes of direct buffers, and this process may have "
-              + has
+              + availableBytes
               + ": see -XX:MaxDirectMemorySize");
     }
     try {
@@ -223,9 +224,9 @@
   private Future<?> openListeners() {
     return viewerVertx.deployVerticle(
         () -> {
-          Listener door = new Listener(this, deployment);
-          listeners.add(door);
-          return door;
+          Listener listener = new Listener(this, deployment);
+          listeners.add(listener);
+          return listener;
         },
         new DeploymentOptions()
             .setInstances(site.viewers().loops())
@@ -233,8 +234,8 @@
   }
 
   private boolean isUnfit() {
-    Span mostLate = Span.ofMillis(site.vrrp().overloadedMs());
-    return new Fitness(servingBoxes, Wall.now().since(sessionLoop.lastStepAt()), mostLate)
+    Span maxDelay = Span.ofMillis(site.vrrp().overloadedMs());
+    return new Fitness(servingBoxes, Wall.now().since(sessionLoop.lastStepAt()), maxDelay)
         .isUnwell();
   }
 
@@ -292,8 +293,8 @@
   }
 
   private JsonObject state() {
-    Desk.Counts c = sessionManager.counts();
-    Runtime heap = Runtime.getRuntime();
+    Desk.Counts counts = sessionManager.counts();
+    Runtime runtime = Runtime.getRuntime();
     return new JsonObject()
         .put("front", site.front().number())
         .put("ready", ready)
@@ -316,24 +317,24 @@
                 .put("asksWaiting", waitingRequests.get())
                 .put("asksTurnedAway", rejectedRequests.get()))
         .put("flow", EventLoops.sum(eventLoops))
-        .put("letGo", c.letGo)
+        .put("letGo", counts.letGo)
         .put("endsGivenUp", boxClient.endsGivenUp())
         .put("listBreaks", discovery.disconnects())
-        .put("taken", c.taken)
-        .put("played", c.played)
-        .put("blocked", c.blocked)
-        .put("aborted", c.aborted)
-        .put("left", c.left)
-        .put("full", c.turnedAwayFull)
-        .put("listGaps", c.listGaps)
-        .put("wordsHeard", c.wordsHeard)
-        .put("wordsPassedOver", c.wordsPassedOver)
+        .put("taken", counts.taken)
+        .put("played", counts.played)
+        .put("blocked", counts.blocked)
+        .put("aborted", counts.aborted)
+        .put("left", counts.left)
+        .put("full", counts.turnedAwayFull)
+        .put("listGaps", counts.listGaps)
+        .put("wordsHeard", counts.wordsHeard)
+        .put("wordsPassedOver", counts.wordsPassedOver)
         .put("wordsTooMany", datagrams.dropped())
         .put("work", backgroundJobs.state())
         .put("vrrp", vrrp.state())
         .put("members", membership.state())
         .put("directUsed", directUsed())
-        .put("heapUsed", heap.totalMemory() - heap.freeMemory());
+        .put("heapUsed", runtime.totalMemory() - runtime.freeMemory());
   }
 
   private static long directUsed() {
@@ -365,19 +366,19 @@
         });
   }
 
-  private void awaitViewings(long until) {
-    if (sessionManager.viewings() == 0 || Wall.micros() >= until) {
+  private void awaitViewings(long deadlineMicros) {
+    if (sessionManager.viewings() == 0 || Wall.micros() >= deadlineMicros) {
       sessionManager.endAll();
       awaitPendingCalls(Wall.micros() + 1000L * site.boxes().endRetryMs() * 2);
     } else {
-      wakeAfter(DRAIN_CHECK_INTERVAL, () -> awaitViewings(until));
+      wakeAfter(DRAIN_CHECK_INTERVAL, () -> awaitViewings(deadlineMicros));
     }
   }
 
   /** Boxes hear of the last ends, within a short bound; then the sockets close. */
-  private void awaitPendingCalls(long until) {
-    if (boxClient.pendingCalls() > 0 && Wall.micros() < until) {
-      wakeAfter(PENDING_CALLS_CHECK_INTERVAL, () -> awaitPendingCalls(until));
+  private void awaitPendingCalls(long deadlineMicros) {
+    if (boxClient.pendingCalls() > 0 && Wall.micros() < deadlineMicros) {
+      wakeAfter(PENDING_CALLS_CHECK_INTERVAL, () -> awaitPendingCalls(deadlineMicros));
       return;
     }
     discovery.close();
@@ -386,18 +387,18 @@
     closeEventLoops("");
   }
 
-  private void closeEventLoops(String why) {
+  private void closeEventLoops(String cause) {
     viewerVertx
         .close()
         .eventually(boxVertx::close)
         .eventually(sessionVertx::close)
-        .onComplete(v -> stopped.complete(why));
+        .onComplete(v -> stopped.complete(cause));
   }
 
   /** Waits until the front has stopped; the cause where it failed, or an empty text. */
   public String await() throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
-    stopped.whenComplete((why, e) -> latch.countDown());
+    stopped.whenComplete((cause, e) -> latch.countDown());
     latch.await();
     return stopped.join();
   }
@@ -405,7 +406,7 @@
   /** Waits at most so long; false where it still runs. */
   public boolean await(long millis) throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
-    stopped.whenComplete((why, e) -> latch.countDown());
+    stopped.whenComplete((cause, e) -> latch.countDown());
     return latch.await(millis, TimeUnit.MILLISECONDS);
   }
 
@@ -417,19 +418,19 @@
   }
 
   @Override
-  public void setUp(Held vw, int tuneIn) {
-    boxClient.setUp(vw, tuneIn);
+  public void setUp(Held viewing, int tuneIn) {
+    boxClient.setUp(viewing, tuneIn);
   }
 
   @Override
-  public void rung(Held vw) {
-    viewerOf(vw).rungBytesPerSecond(site.bytesOf(vw.ask().pack(), vw.rungNow()));
-    boxClient.updateRung(vw);
+  public void rung(Held viewing) {
+    viewerOf(viewing).rungBytesPerSecond(site.bytesOf(viewing.ask().pack(), viewing.rungNow()));
+    boxClient.updateRung(viewing);
   }
 
   @Override
-  public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    boxClient.cancel(vw, box, tuneIn);
+  public void withdraw(Held viewing, BoxTable.Entry box, int tuneIn) {
+    boxClient.cancel(viewing, box, tuneIn);
   }
 
   @Override
--- a/src/main/java/linengauge/front/HttpViewer.java
+++ b/src/main/java/linengauge/front/HttpViewer.java
@@ -39,16 +39,16 @@
   private String playlist;
 
   HttpViewer(
-      Context loop,
+      Context loopContext,
       HttpServerResponse response,
-      ActiveViewings routes,
-      double lowestBytes,
-      String base) {
-    this.baseUrl = base;
-    this.loopContext = loop;
+      ActiveViewings activeViewings,
+      double lowestBytesPerSecond,
+      String baseUrl) {
+    this.baseUrl = baseUrl;
+    this.loopContext = loopContext;
     this.response = response;
-    this.activeViewings = routes;
-    this.lowestBytesPerSecond = lowestBytes;
+    this.activeViewings = activeViewings;
+    this.lowestBytesPerSecond = lowestBytesPerSecond;
   }
 
   /**
@@ -67,8 +67,8 @@
     return rungBytesPerSecond;
   }
 
-  void rungBytesPerSecond(double perSecond) {
-    rungBytesPerSecond = perSecond;
+  void rungBytesPerSecond(double bytesPerSecond) {
+    rungBytesPerSecond = bytesPerSecond;
   }
 
   /** On the desk: the playlist that answers, once the box has given it. */
@@ -80,8 +80,8 @@
     return viewing;
   }
 
-  void viewing(Held taken) {
-    this.viewing = taken;
+  void viewing(Held session) {
+    this.viewing = session;
   }
 
   Route route() {
@@ -97,19 +97,19 @@
   }
 
   @Override
-  public void plays(Held vw) {
+  public void plays(Held session) {
     lastRequestMicros = Wall.micros();
-    var at = linengauge.site.Site.Address.of(vw.box().address());
-    route = new Route(at.host(), at.port());
-    activeViewings.put(vw.id(), this);
+    var address = linengauge.site.Site.Address.of(session.box().address());
+    route = new Route(address.host(), address.port());
+    activeViewings.put(session.id(), this);
     String text = playlist;
     playlist = null;
     respond(200, text, null);
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
-    respond(503, "blocked: come again\n", comeBackAfter);
+  public void blocked(Span retryAfter, Outside.Refusal reason) {
+    respond(503, "blocked: come again\n", retryAfter);
   }
 
   @Override
@@ -126,10 +126,10 @@
   }
 
   @Override
-  public void ended(End how) {
+  public void ended(End reason) {
     route = null;
     if (viewing != null) {
-      activeViewings.remove(viewing.id(), how);
+      activeViewings.remove(viewing.id(), reason);
     }
   }
 
@@ -138,7 +138,7 @@
     return new Moment(lastRequestMicros);
   }
 
-  private void respond(int status, String text, Span retry) {
+  private void respond(int status, String text, Span retryAfter) {
     loopContext.runOnContext(
         v -> {
           if (response.closed() || response.ended()) {
@@ -149,10 +149,10 @@
               HttpHeaders.CONTENT_TYPE,
               status == 200 ? "application/vnd.apple.mpegurl" : "text/plain; charset=utf-8");
           response.putHeader(HttpHeaders.CACHE_CONTROL, "no-store");
-          if (retry != null && Span.NONE.under(retry)) {
+          if (retryAfter != null && Span.NONE.under(retryAfter)) {
             response.putHeader(
-                "Retry-After", Long.toString((retry.micros() + 999_999) / 1_000_000));
-            response.putHeader("Retry-After-Ms", Long.toString(retry.micros() / 1000));
+                "Retry-After", Long.toString((retryAfter.micros() + 999_999) / 1_000_000));
+            response.putHeader("Retry-After-Ms", Long.toString(retryAfter.micros() / 1000));
           }
           response.end(text);
         });
--- a/src/main/java/linengauge/front/KeyFile.java
+++ b/src/main/java/linengauge/front/KeyFile.java
@@ -17,16 +17,16 @@
    *
    * @param named the site file's name for the file, to say what is wrong
    */
-  static byte[] read(String file, String named) throws IOException {
+  static byte[] read(String file, String setting) throws IOException {
     String text;
     try {
       text = new String(Files.readAllBytes(Path.of(file)), StandardCharsets.UTF_8);
     } catch (IOException e) {
-      throw new IOException(named + " cannot be read: " + e.getMessage(), e);
+      throw new IOException(setting + " cannot be read: " + e.getMessage(), e);
     }
     byte[] key = text.strip().getBytes(StandardCharsets.UTF_8);
     if (key.length < MIN_KEY_BYTES) {
-      throw new IOException(named + " holds a key of fewer than " + MIN_KEY_BYTES + " bytes");
+      throw new IOException(setting + " holds a key of fewer than " + MIN_KEY_BYTES + " bytes");
     }
     return key;
   }
--- a/src/main/java/linengauge/front/LineSplitter.java
+++ b/src/main/java/linengauge/front/LineSplitter.java
@@ -14,32 +14,32 @@
   private Buffer partialLine = Buffer.buffer();
   private boolean closed;
 
-  LineSplitter(int longest, Consumer<byte[]> line, Runnable tooLong) {
-    this.maxLineBytes = longest;
-    this.lineHandler = line;
-    this.overflowHandler = tooLong;
+  LineSplitter(int maxLineBytes, Consumer<byte[]> lineHandler, Runnable overflowHandler) {
+    this.maxLineBytes = maxLineBytes;
+    this.lineHandler = lineHandler;
+    this.overflowHandler = overflowHandler;
   }
 
-  void append(Buffer more) {
+  void append(Buffer chunk) {
     if (closed) {
       return;
     }
-    int from = 0;
-    for (int i = 0; i < more.length() && !closed; i++) {
-      if (more.getByte(i) == '\n') {
-        partialLine.appendBuffer(more, from, i - from);
-        from = i + 1;
-        byte[] whole = partialLine.getBytes();
+    int lineStart = 0;
+    for (int i = 0; i < chunk.length() && !closed; i++) {
+      if (chunk.getByte(i) == '\n') {
+        partialLine.appendBuffer(chunk, lineStart, i - lineStart);
+        lineStart = i + 1;
+        byte[] line = partialLine.getBytes();
         partialLine = Buffer.buffer();
-        if (whole.length > maxLineBytes) {
+        if (line.length > maxLineBytes) {
           overflow();
-        } else if (whole.length > 0) {
-          lineHandler.accept(whole);
+        } else if (line.length > 0) {
+          lineHandler.accept(line);
         }
       }
     }
     if (!closed) {
-      partialLine.appendBuffer(more, from, more.length() - from);
+      partialLine.appendBuffer(chunk, lineStart, chunk.length() - lineStart);
       if (partialLine.length() > maxLineBytes) {
         overflow();
       }
--- a/src/main/java/linengauge/front/LineStream.java
+++ b/src/main/java/linengauge/front/LineStream.java
@@ -20,7 +20,7 @@
      * The stream is over; `answered` says whether any line was heard on it, the status is 0 where
      * none came.
      */
-    void onEnd(boolean answered, int status, String why);
+    void onEnd(boolean lineReceived, int status, String reason);
   }
 
   private final FrontServer front;
@@ -33,31 +33,31 @@
   private boolean ended;
 
   LineStream(
-      FrontServer program,
+      FrontServer front,
       HttpClient client,
       RequestOptions options,
-      int longest,
-      Span silence,
+      int maxLineBytes,
+      Span maxSilence,
       Reader reader) {
-    this.front = program;
+    this.front = front;
     this.reader = reader;
-    this.maxSilence = silence;
+    this.maxSilence = maxSilence;
     this.splitter =
         new LineSplitter(
-            longest,
+            maxLineBytes,
             line -> {
               if (!ended) {
                 lineReceived = true;
                 reader.onLine(line);
               }
             },
-            () -> end(200, "a line longer than " + longest + " bytes"));
-    program.wakeAfter(silence, this::checkSilence);
+            () -> end(200, "a line longer than " + maxLineBytes + " bytes"));
+    front.wakeAfter(maxSilence, this::checkSilence);
     client
         .request(options)
         .onComplete(
             r ->
-                program.runOnSessionLoop(
+                front.runOnSessionLoop(
                     () -> {
                       if (ended) {
                         if (r.succeeded()) {
@@ -71,26 +71,28 @@
                     }));
   }
 
-  private void send(HttpClientRequest q) {
-    request = q;
-    q.exceptionHandler(e -> {}); // what fails is told by the futures
+  private void send(HttpClientRequest opened) {
+    request = opened;
+    opened.exceptionHandler(e -> {}); // what fails is told by the futures
     BoxClient.sendRequest(
-        q,
+        opened,
         Buffer.buffer(),
-        r -> {
-          if (r.statusCode() != 200) {
-            front.runOnSessionLoop(() -> end(r.statusCode(), "status " + r.statusCode()));
+        response -> {
+          if (response.statusCode() != 200) {
+            front.runOnSessionLoop(
+                () -> end(response.statusCode(), "status " + response.statusCode()));
             return;
           }
-          r.exceptionHandler(
+          response.exceptionHandler(
               e -> front.runOnSessionLoop(() -> end(200, "broken: " + e.getMessage())));
-          r.endHandler(v -> front.runOnSessionLoop(() -> end(200, "ended by the other side")));
-          r.handler(
-              b ->
+          response.endHandler(
+              v -> front.runOnSessionLoop(() -> end(200, "ended by the other side")));
+          response.handler(
+              chunk ->
                   front.runOnSessionLoop(
                       () -> {
                         lastByteMicros = Wall.micros();
-                        splitter.append(b);
+                        splitter.append(chunk);
                       }));
         },
         e -> front.runOnSessionLoop(() -> end(0, "broken: " + e.getMessage())));
@@ -100,18 +102,18 @@
     if (ended) {
       return;
     }
-    Span quiet = new Span(Wall.micros() - lastByteMicros);
-    if (quiet.under(maxSilence)) {
-      front.wakeAfter(maxSilence.minus(quiet), this::checkSilence);
+    Span silent = new Span(Wall.micros() - lastByteMicros);
+    if (silent.under(maxSilence)) {
+      front.wakeAfter(maxSilence.minus(silent), this::checkSilence);
     } else {
       end(0, "silent for " + maxSilence.micros() / 1000 + " ms");
     }
   }
 
-  private void end(int status, String why) {
+  private void end(int status, String reason) {
     if (!ended) {
       close();
-      reader.onEnd(lineReceived, status, why);
+      reader.onEnd(lineReceived, status, reason);
     }
   }
 
--- a/src/main/java/linengauge/front/Listener.java
+++ b/src/main/java/linengauge/front/Listener.java
@@ -47,10 +47,10 @@
   private MediaRelay relay;
   private Context loopContext;
 
-  Listener(FrontServer program, Headend house) {
-    this.front = program;
-    this.site = program.site();
-    this.deployment = house;
+  Listener(FrontServer front, Headend deployment) {
+    this.front = front;
+    this.site = front.site();
+    this.deployment = deployment;
     this.packageNumbers = site.packageNumbers();
     this.cellsByTitle = site.titleCells();
   }
@@ -72,9 +72,9 @@
     relay = new MediaRelay(front, mediaClient, vertx, eventLoop, log);
     List<Future<?>> open = new ArrayList<>();
     open.add(listen(site.front().viewers(), null));
-    for (Site.Router r : site.vrrp().routers()) {
-      if (r.viewers() != null && (r.accept() || r.priority() == RouterTerms.OWNER)) {
-        open.add(listen(r.viewers(), front.addressLease(r.vrid())));
+    for (Site.Router router : site.vrrp().routers()) {
+      if (router.viewers() != null && (router.accept() || router.priority() == RouterTerms.OWNER)) {
+        open.add(listen(router.viewers(), front.addressLease(router.vrid())));
       }
     }
     return Future.all(open);
@@ -82,35 +82,36 @@
 
   /** Opens one way in; where it is that of a shared address, it is open while the lease holds. */
   private Future<?> listen(String address, Lease lease) {
-    Site.Viewers v = site.viewers();
-    Site.Address at = Site.Address.of(address);
+    Site.Viewers limits = site.viewers();
+    Site.Address socketAddress = Site.Address.of(address);
     HttpServer server =
         vertx.createHttpServer(
             new HttpServerOptions()
-                .setMaxInitialLineLength(v.requestLineBytes())
-                .setMaxHeaderSize(v.headerBytes())
-                .setAcceptBacklog(v.backlog())
+                .setMaxInitialLineLength(limits.requestLineBytes())
+                .setMaxHeaderSize(limits.headerBytes())
+                .setAcceptBacklog(limits.backlog())
                 .setTcpNoDelay(true)
                 .setSendBufferSize(
-                    v.sendBufferBytes()) // what waits in the system's buffers is out of our sight
+                    limits.sendBufferBytes()) // what waits in the system's buffers is out of our
+                // sight
                 .setHttp2ClearTextEnabled(
                     false)); // else a connection is seen only with its first bytes
-    server.connectionHandler(c -> accept(c, lease));
+    server.connectionHandler(connection -> accept(connection, lease));
     server.invalidRequestHandler(
-        r ->
+        request ->
             respondError(
-                r,
-                r.decoderResult().cause()
+                request,
+                request.decoderResult().cause()
                         instanceof io.netty.handler.codec.http.TooLongHttpLineException
                     ? 414
-                    : r.decoderResult().cause()
+                    : request.decoderResult().cause()
                             instanceof io.netty.handler.codec.http.TooLongHttpHeaderException
                         ? 431
                         : 400,
                 "not a request that can be read"));
     server.requestHandler(this::handle);
     return server
-        .listen(at.port(), at.host())
+        .listen(socketAddress.port(), socketAddress.host())
         .recover(e -> Future.failedFuture("viewers' listener " + address + ": " + e.getMessage()));
   }
 
@@ -125,9 +126,9 @@
   void addressLost(Lease lease) {
     loopContext.runOnContext(
         v -> {
-          for (ViewerConnection c : List.copyOf(connections.values())) {
-            if (c.lease() == lease) {
-              c.addressLost();
+          for (ViewerConnection connection : List.copyOf(connections.values())) {
+            if (connection.lease() == lease) {
+              connection.addressLost();
             }
           }
         });
@@ -140,193 +141,211 @@
       connection.close();
       return;
     }
-    ViewerConnection c = new ViewerConnection(connection, entry, lease, eventLoop, front, log);
-    connections.put(connection, c);
+    ViewerConnection viewerConnection =
+        new ViewerConnection(connection, entry, lease, eventLoop, front, log);
+    connections.put(connection, viewerConnection);
     connection.closeHandler(
         v -> {
           connections.remove(connection);
           front.admission().release(address, entry);
-          c.connectionClosed();
+          viewerConnection.connectionClosed();
         });
   }
 
-  private void respondError(HttpServerRequest r, int status, String why) {
-    if (!r.response().ended() && !r.response().closed()) {
-      r.response().setStatusCode(status).putHeader("Content-Type", "text/plain; charset=utf-8");
+  private void respondError(HttpServerRequest request, int status, String message) {
+    if (!request.response().ended() && !request.response().closed()) {
+      request
+          .response()
+          .setStatusCode(status)
+          .putHeader("Content-Type", "text/plain; charset=utf-8");
       if (status == 405) {
-        r.response().putHeader("Allow", "GET, DELETE");
+        request.response().putHeader("Allow", "GET, DELETE");
       }
       if (status == 400 || status == 414 || status == 429 || status == 431 || status == 503) {
-        r.response().putHeader("Connection", "close");
+        request.response().putHeader("Connection", "close");
       }
-      r.response().end(why + "\n");
+      request.response().end(message + "\n");
     }
   }
 
-  private void handle(HttpServerRequest r) {
-    ViewerConnection c = connections.get(r.connection());
-    if (c == null) {
+  private void handle(HttpServerRequest request) {
+    ViewerConnection connection = connections.get(request.connection());
+    if (connection == null) {
       return; // closed meanwhile
     }
-    trackResponse(r, c);
-    if (!c.requestReceived()) {
-      respondError(r, 429, "too many requests wait on this connection");
-    } else if (c.lease() != null && !c.lease().holds()) {
+    trackResponse(request, connection);
+    if (!connection.requestReceived()) {
+      respondError(request, 429, "too many requests wait on this connection");
+    } else if (connection.lease() != null && !connection.lease().holds()) {
       // nothing is taken; a break would tell less
-      respondUnavailable(r, "the address is another front's: come again");
-    } else if (c.isRejected()) {
-      respondUnavailable(r, "no place: come again");
-    } else if (countHeaderLines(r) > site.viewers().headerCount()) {
-      respondError(r, 431, "more than " + site.viewers().headerCount() + " headers");
+      respondUnavailable(request, "the address is another front's: come again");
+    } else if (connection.isRejected()) {
+      respondUnavailable(request, "no place: come again");
+    } else if (countHeaderLines(request) > site.viewers().headerCount()) {
+      respondError(request, 431, "more than " + site.viewers().headerCount() + " headers");
     } else {
-      route(r, c);
+      route(request, connection);
     }
   }
 
   /** The caller is told once that this request is answered, or that its connection has closed. */
-  private static void trackResponse(HttpServerRequest r, ViewerConnection c) {
-    boolean[] over = {false};
-    Runnable end =
+  private static void trackResponse(HttpServerRequest request, ViewerConnection connection) {
+    boolean[] ended = {false};
+    Runnable onEnd =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            c.responseEnded();
+          if (!ended[0]) {
+            ended[0] = true;
+            connection.responseEnded();
           }
         };
-    r.response().endHandler(v -> end.run());
-    r.response().closeHandler(v -> end.run());
+    request.response().endHandler(v -> onEnd.run());
+    request.response().closeHandler(v -> onEnd.run());
   }
 
   /** One by one: size() counts a name that comes again once. */
-  private static int countHeaderLines(HttpServerRequest r) {
-    int lines = 0;
-    for (var i = r.headers().iterator(); i.hasNext(); i.next()) {
-      lines++;
+  private static int countHeaderLines(HttpServerRequest request) {
+    int count = 0;
+    for (var entries = request.headers().iterator(); entries.hasNext(); entries.next()) {
+      count++;
     }
-    return lines;
+    return count;
   }
 
-  private void route(HttpServerRequest r, ViewerConnection c) {
-    String path = r.path() == null ? "" : r.path();
+  private void route(HttpServerRequest request, ViewerConnection connection) {
+    String path = request.path() == null ? "" : request.path();
     if (path.startsWith("/v/")) {
       int slash = path.indexOf('/', 3);
       String id = slash < 0 ? path.substring(3) : path.substring(3, slash);
-      serveViewing(r, c, id, slash < 0 ? "" : path.substring(slash + 1));
+      serveViewing(request, connection, id, slash < 0 ? "" : path.substring(slash + 1));
     } else if (path.startsWith("/titles/") && path.endsWith("/main.m3u8")) {
-      if (r.method() == HttpMethod.GET) {
+      if (request.method() == HttpMethod.GET) {
         requestViewing(
-            r, c, path.substring("/titles/".length(), path.length() - "/main.m3u8".length()));
+            request,
+            connection,
+            path.substring("/titles/".length(), path.length() - "/main.m3u8".length()));
       } else {
-        respondError(r, 405, "only GET");
+        respondError(request, 405, "only GET");
       }
     } else {
-      respondError(r, 404, "no such thing");
+      respondError(request, 404, "no such thing");
     }
   }
 
-  private void requestViewing(HttpServerRequest r, ViewerConnection c, String title) {
-    Held.Ask ask = parseRequest(r, title);
-    if (ask == null) {
+  private void requestViewing(
+      HttpServerRequest request, ViewerConnection connection, String title) {
+    Held.Ask viewingRequest = parseRequest(request, title);
+    if (viewingRequest == null) {
       return; // refused
     }
-    if (!front.admission().allowsRequest(ask.key(), Wall.now())) {
-      respondUnavailable(r, "blocked: this key asks too often");
+    if (!front.admission().allowsRequest(viewingRequest.key(), Wall.now())) {
+      respondUnavailable(request, "blocked: this key asks too often");
       return;
     }
-    HttpViewer end =
+    HttpViewer viewer =
         new HttpViewer(
             loopContext,
-            r.response(),
+            request.response(),
             front.activeViewings(),
-            site.bytesOf(ask.pack(), 0),
-            c.lease() == null ? "" : "http://" + site.front().viewers());
-    r.response().exceptionHandler(e -> {});
-    if (!front.submitRequest(() -> end.viewing(front.sessionManager().take(ask, end)))) {
-      respondUnavailable(r, "blocked: too many ask at once");
+            site.bytesOf(viewingRequest.pack(), 0),
+            connection.lease() == null ? "" : "http://" + site.front().viewers());
+    request.response().exceptionHandler(e -> {});
+    if (!front.submitRequest(
+        () -> viewer.viewing(front.sessionManager().take(viewingRequest, viewer)))) {
+      respondUnavailable(request, "blocked: too many ask at once");
       return;
     }
-    c.onDisconnect(() -> front.runOnSessionLoop(() -> cancelUnlessPlaying(end.viewing())));
+    connection.onDisconnect(
+        () -> front.runOnSessionLoop(() -> cancelUnlessPlaying(viewer.viewing())));
   }
 
-  private static void cancelUnlessPlaying(Held held) {
-    if (held != null && !held.isPlaying()) {
-      held.viewerLeft();
+  private static void cancelUnlessPlaying(Held viewing) {
+    if (viewing != null && !viewing.isPlaying()) {
+      viewing.viewerLeft();
     }
   }
 
   /** What is asked for; null where that was refused. */
-  private Held.Ask parseRequest(HttpServerRequest r, String title) {
-    String pack = r.getParam("package");
-    Integer number = pack == null ? null : packageNumbers.get(pack);
-    String key = r.getParam("key");
+  private Held.Ask parseRequest(HttpServerRequest request, String title) {
+    String packageName = request.getParam("package");
+    Integer packageNumber = packageName == null ? null : packageNumbers.get(packageName);
+    String key = request.getParam("key");
     if (!IDENTIFIER.matcher(title).matches() || key != null && !IDENTIFIER.matcher(key).matches()) {
-      respondError(r, 400, "title and key are of letters, digits, '.', '_' and '-', 64 at most");
+      respondError(
+          request, 400, "title and key are of letters, digits, '.', '_' and '-', 64 at most");
       return null;
     }
-    if (number == null) {
-      respondError(r, 400, "package names none of this site");
+    if (packageNumber == null) {
+      respondError(request, 400, "package names none of this site");
       return null;
     }
-    PackageTerms terms = deployment.packages().get(number);
-    long ceiling = parseWholeNumber(r.getParam("ceiling"), terms.highestRung());
-    long patience = parseWholeNumber(r.getParam("patience"), site.viewers().longestPatienceMs());
-    if (ceiling < 0 || patience <= 0) {
+    PackageTerms settings = deployment.packages().get(packageNumber);
+    long ceiling = parseWholeNumber(request.getParam("ceiling"), settings.highestRung());
+    long timeLimitMs =
+        parseWholeNumber(request.getParam("patience"), site.viewers().longestPatienceMs());
+    if (ceiling < 0 || timeLimitMs <= 0) {
       respondError(
-          r, 400, "ceiling and patience are whole numbers, patience in milliseconds and over 0");
+          request,
+          400,
+          "ceiling and patience are whole numbers, patience in milliseconds and over 0");
       return null;
     }
-    Site.Held where = cellsByTitle.get(title);
-    if (where == null && !site.titles().anywhere()) {
-      respondError(r, 404, "no such title");
+    Site.Held titleCells = cellsByTitle.get(title);
+    if (titleCells == null && !site.titles().anywhere()) {
+      respondError(request, 404, "no such title");
       return null;
     }
     return new Held.Ask(
         title,
-        where == null ? 0 : where.first(),
-        where == null ? 0 : where.inRow(),
-        number,
-        terms,
-        (int) Math.min(ceiling, terms.highestRung()),
-        Span.ofMillis(Math.min(patience, site.viewers().longestPatienceMs())),
+        titleCells == null ? 0 : titleCells.first(),
+        titleCells == null ? 0 : titleCells.inRow(),
+        packageNumber,
+        settings,
+        (int) Math.min(ceiling, settings.highestRung()),
+        Span.ofMillis(Math.min(timeLimitMs, site.viewers().longestPatienceMs())),
         key);
   }
 
   /** Blocked at the door: nothing was taken, and it may come again. */
-  private void respondUnavailable(HttpServerRequest r, String why) {
-    int ms = site.desk().adviceMs();
-    if (ms > 0) {
-      r.response()
-          .putHeader("Retry-After", Integer.toString((ms + 999) / 1000))
-          .putHeader("Retry-After-Ms", Integer.toString(ms));
+  private void respondUnavailable(HttpServerRequest request, String message) {
+    int retryAfterMs = site.desk().adviceMs();
+    if (retryAfterMs > 0) {
+      request
+          .response()
+          .putHeader("Retry-After", Integer.toString((retryAfterMs + 999) / 1000))
+          .putHeader("Retry-After-Ms", Integer.toString(retryAfterMs));
     }
-    respondError(r, 503, why);
+    respondError(request, 503, message);
   }
 
-  private static long parseWholeNumber(String text, long absent) {
+  private static long parseWholeNumber(String text, long defaultValue) {
     if (text == null) {
-      return absent;
+      return defaultValue;
     }
     return WHOLE_NUMBER.matcher(text).matches() ? Long.parseLong(text) : -1;
   }
 
-  private void serveViewing(HttpServerRequest r, ViewerConnection c, String id, String rest) {
+  private void serveViewing(
+      HttpServerRequest request, ViewerConnection connection, String id, String resource) {
     HttpViewer viewer = front.activeViewings().get(id);
     if (viewer == null) {
-      Viewer.End how = front.activeViewings().endReason(id);
-      respondError(r, how == null ? 404 : 410, how == null ? "no such viewing" : "ended: " + how);
+      Viewer.End endReason = front.activeViewings().endReason(id);
+      respondError(
+          request,
+          endReason == null ? 404 : 410,
+          endReason == null ? "no such viewing" : "ended: " + endReason);
       return;
     }
-    if (r.method() == HttpMethod.DELETE && rest.isEmpty()) {
+    if (request.method() == HttpMethod.DELETE && resource.isEmpty()) {
       front.runOnSessionLoop(() -> viewer.viewing().viewerLeft());
-      r.response().setStatusCode(204).end();
-    } else if (r.method() != HttpMethod.GET) {
-      respondError(r, 405, "only GET, and DELETE of a whole viewing");
+      request.response().setStatusCode(204).end();
+    } else if (request.method() != HttpMethod.GET) {
+      respondError(request, 405, "only GET, and DELETE of a whole viewing");
     } else {
-      String at = rest.equals("media.m3u8") ? rest : Paths.at(rest);
-      if (at == null) {
-        respondError(r, 404, "no such thing");
+      String path = resource.equals("media.m3u8") ? resource : Paths.at(resource);
+      if (path == null) {
+        respondError(request, 404, "no such thing");
       } else {
-        relay.relay(r, c, viewer, id, at);
+        relay.relay(request, connection, viewer, id, path);
       }
     }
   }
--- a/src/main/java/linengauge/front/MediaRelay.java
+++ b/src/main/java/linengauge/front/MediaRelay.java
@@ -54,42 +54,47 @@
   private final EventLoops eventLoop;
   private final Sparse log;
 
-  MediaRelay(FrontServer program, HttpClient client, Vertx vertx, EventLoops here, Sparse log) {
-    this.front = program;
-    this.site = program.site();
+  MediaRelay(FrontServer front, HttpClient client, Vertx vertx, EventLoops eventLoop, Sparse log) {
+    this.front = front;
+    this.site = front.site();
     this.client = client;
     this.vertx = vertx;
-    this.eventLoop = here;
+    this.eventLoop = eventLoop;
     this.log = log;
   }
 
   void relay(
-      HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
+      HttpServerRequest viewerRequest,
+      ViewerConnection connection,
+      HttpViewer viewer,
+      String id,
+      String path) {
     HttpViewer.Route route = viewer.route();
     if (route == null) {
-      respondError(asked.response(), 410, "ended");
+      respondError(viewerRequest.response(), 410, "ended");
       return;
     }
     if (viewer.activeTransfers().incrementAndGet() > site.viewers().atOnce()) {
       viewer.activeTransfers().decrementAndGet();
-      respondError(asked.response(), 429, "too many requests of one viewing at once");
+      respondError(viewerRequest.response(), 429, "too many requests of one viewing at once");
       return;
     }
     if (eventLoop.slowPeers().isFull()) {
       viewer.activeTransfers().decrementAndGet();
-      asked.response().putHeader("Retry-After", "1");
-      respondError(asked.response(), 503, "too many transfers at once");
+      viewerRequest.response().putHeader("Retry-After", "1");
+      respondError(viewerRequest.response(), 503, "too many transfers at once");
       return;
     }
     viewer.recordActivity();
-    new Transfer(asked, caller, viewer, id, at).start(route);
+    new Transfer(viewerRequest, connection, viewer, id, path).start(route);
   }
 
-  private static void respondError(HttpServerResponse to, int status, String why) {
-    if (!to.ended() && !to.closed()) {
-      to.setStatusCode(status)
+  private static void respondError(HttpServerResponse response, int status, String message) {
+    if (!response.ended() && !response.closed()) {
+      response
+          .setStatusCode(status)
           .putHeader("Content-Type", "text/plain; charset=utf-8")
-          .end(why + "\n");
+          .end(message + "\n");
     }
   }
 
@@ -113,14 +118,18 @@
     private Buffer playlist;
 
     private Transfer(
-        HttpServerRequest asked, ViewerConnection caller, HttpViewer viewer, String id, String at) {
-      this.connection = caller;
+        HttpServerRequest viewerRequest,
+        ViewerConnection connection,
+        HttpViewer viewer,
+        String id,
+        String path) {
+      this.connection = connection;
       this.boxAccount = eventLoop.slowPeers().open(Account.Side.BOX, this);
-      this.viewerRequest = asked;
-      this.viewerResponse = asked.response();
+      this.viewerRequest = viewerRequest;
+      this.viewerResponse = viewerRequest.response();
       this.viewer = viewer;
       this.id = id;
-      this.path = at;
+      this.path = path;
     }
 
     private void start(HttpViewer.Route route) {
@@ -142,22 +151,23 @@
                   .setConnectTimeout(site.boxes().connectMs()))
           .onFailure(e -> fail(502, "the media box cannot be reached"))
           .onSuccess(
-              q -> {
+              opened -> {
                 if (finished) {
-                  q.reset();
+                  opened.reset();
                   return;
                 }
-                boxRequest = q;
-                boxChannel = ((ConnectionBase) q.connection()).channel();
+                boxRequest = opened;
+                boxChannel = ((ConnectionBase) opened.connection()).channel();
                 boxChannel.attr(CURRENT_TRANSFER).set(this);
                 setAutoRead(true);
-                q.exceptionHandler(e -> {}); // what fails is told by the futures
+                opened.exceptionHandler(e -> {}); // what fails is told by the futures
                 for (String name : REQUEST_HEADERS) {
                   if (viewerRequest.headers().contains(name)) {
-                    q.putHeader(name, viewerRequest.headers().get(name));
+                    opened.putHeader(name, viewerRequest.headers().get(name));
                   }
                 }
-                q.send()
+                opened
+                    .send()
                     .onSuccess(this::onResponse)
                     .onFailure(e -> fail(502, "the media box broke off"));
               });
@@ -167,67 +177,67 @@
      * A box that sends nothing while its viewer would read is given up; a viewer that reads nothing
      * is not its fault.
      */
-    private void watchSilence(long ms) {
+    private void watchSilence(long delayMs) {
       timerId =
           vertx.setTimer(
-              Math.max(1, ms),
+              Math.max(1, delayMs),
               t -> {
                 timerId = -1;
-                long quiet = (Wall.micros() - lastProgressMicros) / 1000;
-                long bound =
+                long silentMs = (Wall.micros() - lastProgressMicros) / 1000;
+                long limitMs =
                     responseReceived ? site.boxes().mediaSilenceMs() : site.boxes().firstByteMs();
                 if (finished) {
                   return;
                 }
-                if (!paused && quiet >= bound) {
+                if (!paused && silentMs >= limitMs) {
                   fail(504, "the media box sends nothing");
                 } else if (paused && viewer.route() == null) {
                   fail(410, "ended");
                 } else {
-                  watchSilence(paused ? bound : bound - quiet);
+                  watchSilence(paused ? limitMs : limitMs - silentMs);
                 }
               });
     }
 
-    private void onResponse(HttpClientResponse r) {
+    private void onResponse(HttpClientResponse response) {
       if (finished) {
         return;
       }
       responseReceived = true;
       lastProgressMicros = Wall.micros();
-      int status = r.statusCode();
+      int status = response.statusCode();
       if (status == 404 && path.equals("media.m3u8") || status == 410) {
         front.runOnSessionLoop(() -> viewer.viewing().boxLost());
         fail(410, "the media box has lost the viewing");
       } else if (!RELAYED_STATUSES.contains(status)) {
         fail(502, "the media box answers " + status);
       } else {
-        boxResponse = r;
-        r.exceptionHandler(e -> fail(502, "the media box broke off"));
+        boxResponse = response;
+        response.exceptionHandler(e -> fail(502, "the media box broke off"));
         if (status == 200 && path.endsWith(".m3u8")) {
           playlist = Buffer.buffer();
-          r.handler(this::appendPlaylist);
-          r.endHandler(v -> sendPlaylist());
+          response.handler(this::appendPlaylist);
+          response.endHandler(v -> sendPlaylist());
         } else {
-          relayBody(r);
+          relayBody(response);
         }
       }
     }
 
     /** Everything but a playlist goes to the viewer as it comes. */
-    private void relayBody(HttpClientResponse r) {
-      viewerResponse.setStatusCode(r.statusCode());
+    private void relayBody(HttpClientResponse response) {
+      viewerResponse.setStatusCode(response.statusCode());
       for (String name : RESPONSE_HEADERS) {
-        if (r.headers().contains(name)) {
-          viewerResponse.putHeader(name, r.headers().get(name));
+        if (response.headers().contains(name)) {
+          viewerResponse.putHeader(name, response.headers().get(name));
         }
       }
-      if (!r.headers().contains("Content-Length")) {
+      if (!response.headers().contains("Content-Length")) {
         viewerResponse.setChunked(true);
       }
       viewerResponse.setWriteQueueMaxSize(site.viewers().writeBufferBytes());
-      r.handler(bytes -> relayChunk(r, bytes));
-      r.endHandler(
+      response.handler(bytes -> relayChunk(response, bytes));
+      response.endHandler(
           v -> {
             if (!finished) {
               finish();
@@ -237,7 +247,7 @@
     }
 
     /** Passes bytes on, and holds the box back where the viewer does not take them. */
-    private void relayChunk(HttpClientResponse r, Buffer bytes) {
+    private void relayChunk(HttpClientResponse response, Buffer bytes) {
       lastProgressMicros = Wall.micros();
       viewer.recordActivity();
       boxAccount.came(bytes.length());
@@ -245,7 +255,7 @@
       if (connection.account().queued(bytes.length()) || viewerResponse.writeQueueFull()) {
         paused = true;
         boxAccount.wanted(false);
-        r.pause();
+        response.pause();
         setAutoRead(false);
         viewerResponse.drainHandler(v -> goOn());
       }
@@ -257,9 +267,9 @@
      * heap. Only for the connection's present user: one whose answer has come whole may be held
      * back while another already uses it.
      */
-    private void setAutoRead(boolean on) {
+    private void setAutoRead(boolean enabled) {
       if (boxChannel != null && boxChannel.attr(CURRENT_TRANSFER).get() == this) {
-        boxChannel.config().setAutoRead(on);
+        boxChannel.config().setAutoRead(enabled);
       }
     }
 
@@ -296,10 +306,10 @@
       fail(504, "the media box brings too little");
     }
 
-    private void appendPlaylist(Buffer b) {
-      boxAccount.came(b.length());
+    private void appendPlaylist(Buffer chunk) {
+      boxAccount.came(chunk.length());
       lastProgressMicros = Wall.micros();
-      playlist.appendBuffer(b);
+      playlist.appendBuffer(chunk);
       if (playlist.length() > site.boxes().playlistBytes()) {
         fail(502, "the media box sends a playlist that is too long");
       }
@@ -327,7 +337,7 @@
      * The box has failed this request: said so where nothing was sent yet, else the connection
      * breaks.
      */
-    private void fail(int status, String why) {
+    private void fail(int status, String message) {
       if (finished) {
         return;
       }
@@ -338,7 +348,7 @@
       if (viewerResponse.headWritten()) {
         viewerRequest.connection().close();
       } else {
-        respondError(viewerResponse, status, why);
+        respondError(viewerResponse, status, message);
       }
     }
 
--- a/src/main/java/linengauge/front/NoteStreams.java
+++ b/src/main/java/linengauge/front/NoteStreams.java
@@ -48,10 +48,11 @@
     private long lastUsedMicros = Wall.micros();
     private boolean closeScheduled;
 
-    private BoxStream(BoxTable.Entry entry) {
-      this.box = entry;
-      int ms = site.boxes().notesRetryMs();
-      this.backoff = new Backoff(Span.ofMillis(ms), Span.ofMillis(8L * ms), random.split());
+    private BoxStream(BoxTable.Entry box) {
+      this.box = box;
+      int retryMs = site.boxes().notesRetryMs();
+      this.backoff =
+          new Backoff(Span.ofMillis(retryMs), Span.ofMillis(8L * retryMs), random.split());
     }
 
     private void open() {
@@ -75,19 +76,19 @@
                 }
 
                 @Override
-                public void onEnd(boolean answered, int status, String why) {
+                public void onEnd(boolean lineReceived, int status, String reason) {
                   stream = null;
-                  streamEnded(why);
+                  streamEnded(reason);
                 }
               });
     }
 
-    private void streamEnded(String why) {
+    private void streamEnded(String reason) {
       if (failures++ > 0) {
         front.sessionManager().lostSight(box);
       }
       if (failures >= site.boxes().notesTries()) {
-        log.warn("box lost", box.toString(), why);
+        log.warn("box lost", box.toString(), reason);
         loseViewings();
         close();
       } else {
@@ -102,17 +103,17 @@
     }
 
     private void scheduleReopen() {
-      Span after = backoff.next();
+      Span delay = backoff.next();
       if (!front
           .backgroundJobs()
           .submit(
               "notes of " + box,
               RETRY_URGENCY,
-              after,
+              delay,
               DiscoveryClient.ESTIMATED_OPEN_TIME,
               this::reopen)) {
         front.wakeAfter(
-            after,
+            delay,
             () -> {
               if (stream == null && streams.get(box) == this) {
                 scheduleReopen();
@@ -128,8 +129,8 @@
     }
 
     private void loseViewings() {
-      for (Held vw : List.copyOf(playing.values())) {
-        vw.boxLost();
+      for (Held viewing : List.copyOf(playing.values())) {
+        viewing.boxLost();
       }
       playing.clear();
       closeWhenUnused();
@@ -165,13 +166,13 @@
      * The box has told its life and age; a life not known before is a new start, with nothing of
      * the earlier one.
      */
-    private void updateLife(String told, Span age) {
-      boolean anew = told != null && life != null && !life.equals(told);
-      life = told == null ? life : told;
+    private void updateLife(String reportedLife, Span age) {
+      boolean restarted = reportedLife != null && life != null && !life.equals(reportedLife);
+      life = reportedLife == null ? life : reportedLife;
       if (age != null) {
         front.sessionManager().ageTold(box, age);
       }
-      if (anew) {
+      if (restarted) {
         loseViewings();
       }
     }
@@ -189,30 +190,30 @@
           note.path("ageMs").canConvertToLong() && note.path("ageMs").asLong() >= 0
               ? Span.ofMillis(Math.min(note.path("ageMs").asLong(), MAX_AGE_MS))
               : null);
-      Held gone = note.has("ended") ? playing.get(note.path("ended").asText()) : null;
-      if (gone != null) {
-        gone.boxLost();
+      Held endedViewing = note.has("ended") ? playing.get(note.path("ended").asText()) : null;
+      if (endedViewing != null) {
+        endedViewing.boxLost();
       }
       if (playing.isEmpty()) {
         return;
       }
-      Held one = playing.values().iterator().next();
+      Held anyViewing = playing.values().iterator().next();
       if (note.path("share").isNumber()) {
         double share = note.path("share").asDouble();
         if (share >= 0 && share <= 1) {
-          one.shareDelivered(share);
+          anyViewing.shareDelivered(share);
         }
       }
       double link = loadValue(note.path("link"));
       double uplink = loadValue(note.path("uplink"));
       if (!Double.isNaN(link) || !Double.isNaN(uplink)) {
-        one.loadsTold(link, uplink);
+        anyViewing.loadsTold(link, uplink);
       }
     }
 
-    private double loadValue(JsonNode figure) {
-      double v = figure.isNumber() ? figure.asDouble() : Double.NaN;
-      return v >= 0 && v < 1000 ? v : Double.NaN;
+    private double loadValue(JsonNode node) {
+      double value = node.isNumber() ? node.asDouble() : Double.NaN;
+      return value >= 0 && value < 1000 ? value : Double.NaN;
     }
   }
 
@@ -223,49 +224,50 @@
   private final Sparse log = new Sparse(LoggerFactory.getLogger(NoteStreams.class));
   private final Map<BoxTable.Entry, BoxStream> streams = new LinkedHashMap<>();
 
-  NoteStreams(Vertx vertx, Site site, long seed, FrontServer program) {
-    this.front = program;
+  NoteStreams(Vertx vertx, Site site, long seed, FrontServer front) {
+    this.front = front;
     this.site = site;
     this.random = new SplittableRandom(seed);
     this.client = BoxClient.newClient(vertx, site, 2, 4);
   }
 
   /** A viewing plays at a box. */
-  void viewingStarted(Held vw, BoxTable.Entry entry) {
-    BoxStream b = streams.computeIfAbsent(entry, BoxStream::new);
-    b.lastUsedMicros = Wall.micros();
-    b.playing.put(vw.id(), vw);
-    if (b.stream == null && b.failures == 0) {
-      b.open();
+  void viewingStarted(Held viewing, BoxTable.Entry box) {
+    BoxStream boxStream = streams.computeIfAbsent(box, BoxStream::new);
+    boxStream.lastUsedMicros = Wall.micros();
+    boxStream.playing.put(viewing.id(), viewing);
+    if (boxStream.stream == null && boxStream.failures == 0) {
+      boxStream.open();
     }
   }
 
   /** A viewing no longer plays at a box. */
-  void viewingEnded(Held vw, BoxTable.Entry entry) {
-    BoxStream b = streams.get(entry);
-    if (b != null && b.playing.remove(vw.id()) != null) {
-      b.lastUsedMicros = Wall.micros();
-      b.closeWhenUnused();
+  void viewingEnded(Held viewing, BoxTable.Entry box) {
+    BoxStream boxStream = streams.get(box);
+    if (boxStream != null && boxStream.playing.remove(viewing.id()) != null) {
+      boxStream.lastUsedMicros = Wall.micros();
+      boxStream.closeWhenUnused();
     }
   }
 
   /** An answer of a box has told its life and age, or neither. */
-  void reportLife(BoxTable.Entry entry, String life, String ageMs) {
+  void reportLife(BoxTable.Entry box, String life, String ageMs) {
     Span age =
         ageMs != null && DIGITS.matcher(ageMs).matches()
             ? Span.ofMillis(Math.min(Long.parseLong(ageMs), MAX_AGE_MS))
             : null;
-    BoxStream b = streams.get(entry);
-    if (b != null) {
-      b.updateLife(life, age);
+    BoxStream boxStream = streams.get(box);
+    if (boxStream != null) {
+      boxStream.updateLife(life, age);
     } else if (age != null) {
-      front.sessionManager().ageTold(entry, age);
+      front.sessionManager().ageTold(box, age);
     }
   }
 
   /** Streams to boxes where something plays. */
   int streamsInUse() {
-    return (int) streams.values().stream().filter(b -> !b.playing.isEmpty()).count();
+    return (int)
+        streams.values().stream().filter(boxStream -> !boxStream.playing.isEmpty()).count();
   }
 
   int openStreams() {
--- a/src/main/java/linengauge/front/SessionLoop.java
+++ b/src/main/java/linengauge/front/SessionLoop.java
@@ -28,16 +28,16 @@
   }
 
   /** The context on which steps run; on the desk, before any step runs. */
-  void bind(Context own) {
-    context = own;
+  void bind(Context sessionContext) {
+    context = sessionContext;
     // A fault of the carrier costs what it was about; the core's own bound still answers the
     // viewer.
     context.exceptionHandler(e -> LOG.error("a step on the desk failed", e));
   }
 
   /** The core that is told the time; before any step runs. */
-  void setSessionManager(Desk desk) {
-    sessionManager = desk;
+  void setSessionManager(Desk manager) {
+    sessionManager = manager;
   }
 
   /**
--- a/src/main/java/linengauge/front/Timers.java
+++ b/src/main/java/linengauge/front/Timers.java
@@ -18,14 +18,14 @@
     private final Runnable step;
     private int heapIndex;
 
-    private PendingTimer(long at, long number, Runnable step) {
-      this.dueMicros = at;
+    private PendingTimer(long dueMicros, long number, Runnable step) {
+      this.dueMicros = dueMicros;
       this.sequence = number;
       this.step = step;
     }
 
-    private boolean isBefore(PendingTimer o) {
-      return dueMicros != o.dueMicros ? dueMicros < o.dueMicros : sequence < o.sequence;
+    private boolean isBefore(PendingTimer other) {
+      return dueMicros != other.dueMicros ? dueMicros < other.dueMicros : sequence < other.sequence;
     }
 
     @Override
@@ -47,54 +47,55 @@
   }
 
   /** Runs the step once, not earlier than after so many microseconds and never within this call. */
-  Carrier.Wake schedule(long micros, Runnable step) {
-    PendingTimer d = new PendingTimer(Wall.micros() + Math.max(0, micros), nextSequence++, step);
+  Carrier.Wake schedule(long delayMicros, Runnable step) {
+    PendingTimer timer =
+        new PendingTimer(Wall.micros() + Math.max(0, delayMicros), nextSequence++, step);
     if (size == heap.length) {
       heap = Arrays.copyOf(heap, 2 * size);
     }
-    siftUp(d, size++);
+    siftUp(timer, size++);
     armTimer();
-    return d;
+    return timer;
   }
 
-  private void siftUp(PendingTimer d, int from) {
-    int i = from;
-    while (i > 0 && d.isBefore(heap[(i - 1) / 2])) {
-      put(heap[(i - 1) / 2], i);
-      i = (i - 1) / 2;
+  private void siftUp(PendingTimer timer, int start) {
+    int index = start;
+    while (index > 0 && timer.isBefore(heap[(index - 1) / 2])) {
+      put(heap[(index - 1) / 2], index);
+      index = (index - 1) / 2;
     }
-    put(d, i);
+    put(timer, index);
   }
 
-  private void siftDown(PendingTimer d, int from) {
-    int i = from;
-    while (2 * i + 1 < size) {
-      int child = 2 * i + 1;
+  private void siftDown(PendingTimer timer, int start) {
+    int index = start;
+    while (2 * index + 1 < size) {
+      int child = 2 * index + 1;
       child += child + 1 < size && heap[child + 1].isBefore(heap[child]) ? 1 : 0;
-      if (!heap[child].isBefore(d)) {
+      if (!heap[child].isBefore(timer)) {
         break;
       }
-      put(heap[child], i);
-      i = child;
+      put(heap[child], index);
+      index = child;
     }
-    put(d, i);
+    put(timer, index);
   }
 
-  private void put(PendingTimer d, int i) {
-    heap[i] = d;
-    d.heapIndex = i;
+  private void put(PendingTimer timer, int index) {
+    heap[index] = timer;
+    timer.heapIndex = index;
   }
 
-  private void remove(PendingTimer d) {
-    int i = d.heapIndex;
-    d.heapIndex = -1;
+  private void remove(PendingTimer timer) {
+    int index = timer.heapIndex;
+    timer.heapIndex = -1;
     PendingTimer last = heap[--size];
     heap[size] = null;
-    if (last != d) {
-      if (i > 0 && last.isBefore(heap[(i - 1) / 2])) {
-        siftUp(last, i);
+    if (last != timer) {
+      if (index > 0 && last.isBefore(heap[(index - 1) / 2])) {
+        siftUp(last, index);
       } else {
-        siftDown(last, i);
+        siftDown(last, index);
       }
     }
   }
@@ -104,11 +105,11 @@
       return;
     }
     armedForMicros = heap[0].dueMicros;
-    long mine = armedForMicros;
+    long armedFor = armedForMicros;
     vertx.setTimer(
-        Math.max(1, (mine - Wall.micros() + 999) / 1000),
+        Math.max(1, (armedFor - Wall.micros() + 999) / 1000),
         t -> {
-          if (armedForMicros == mine) {
+          if (armedForMicros == armedFor) {
             armedForMicros = Long.MAX_VALUE;
             runDue();
           }
@@ -118,12 +119,12 @@
   /** All that is due runs in its order; what a step asks for waits for the next round. */
   private void runDue() {
     long now = Wall.micros();
-    long last = nextSequence;
+    long sequenceLimit = nextSequence;
     try {
-      while (size > 0 && heap[0].dueMicros <= now && heap[0].sequence < last) {
-        PendingTimer d = heap[0];
-        remove(d);
-        d.step.run();
+      while (size > 0 && heap[0].dueMicros <= now && heap[0].sequence < sequenceLimit) {
+        PendingTimer timer = heap[0];
+        remove(timer);
+        timer.step.run();
       }
     } finally {
       armTimer();
--- a/src/main/java/linengauge/front/ViewerConnection.java
+++ b/src/main/java/linengauge/front/ViewerConnection.java
@@ -45,17 +45,17 @@
       HttpConnection connection,
       DoorBook.Entry entry,
       Lease lease,
-      EventLoops here,
-      FrontServer program,
+      EventLoops eventLoop,
+      FrontServer front,
       Sparse log) {
     this.lease = lease;
     this.connection = connection;
     this.channel = ((ConnectionBase) connection).channel();
-    this.front = program;
+    this.front = front;
     this.log = log;
     this.rejected = entry == DoorBook.Entry.TURNED_AWAY;
-    this.attempt = here.attempts().open(this);
-    this.account = here.slowPeers().open(Account.Side.VIEWER, this);
+    this.attempt = eventLoop.attempts().open(this);
+    this.account = eventLoop.slowPeers().open(Account.Side.VIEWER, this);
     channel
         .pipeline()
         .addFirst(
@@ -105,13 +105,13 @@
   }
 
   /** Bytes of this viewing are on their way on this connection. */
-  void startTransfer(HttpViewer viewer, Runnable then) {
+  void startTransfer(HttpViewer viewer, Runnable onResume) {
     receivingViewer = viewer;
-    resume = then;
+    resume = onResume;
   }
 
-  void onDisconnect(Runnable broken) {
-    onDisconnect = broken;
+  void onDisconnect(Runnable action) {
+    onDisconnect = action;
   }
 
   void connectionClosed() {
@@ -122,8 +122,8 @@
 
   @Override
   public long waiting() {
-    ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
-    return out == null ? 0 : out.totalPendingWriteBytes();
+    ChannelOutboundBuffer outbound = channel.unsafe().outboundBuffer();
+    return outbound == null ? 0 : outbound.totalPendingWriteBytes();
   }
 
   @Override
@@ -139,10 +139,10 @@
   }
 
   @Override
-  public void letGo(Account a) {
+  public void letGo(Account slowAccount) {
     if (receivingViewer != null) {
       HttpViewer viewer = receivingViewer;
-      log.warn("viewer let go", viewer.viewing().id(), describeRate(a));
+      log.warn("viewer let go", viewer.viewing().id(), describeRate(slowAccount));
       front.runOnSessionLoop(() -> viewer.viewing().letGo());
     }
     // What waits is thrown away, here and in the system: a viewer that reads nothing would keep it
@@ -151,14 +151,14 @@
     channel.close();
   }
 
-  static String describeRate(Account a) {
+  static String describeRate(Account account) {
     return String.format(
         Locale.ROOT,
         "%.0f bytes a second of %.0f over %.1f s, %d wait",
-        a.rate(),
-        a.least(),
-        a.owed().seconds(),
-        a.waiting());
+        account.rate(),
+        account.least(),
+        account.owed().seconds(),
+        account.waiting());
   }
 
   @Override
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -21,12 +21,12 @@
    * @param addressLost told of a shared address that is this front's no more
    * @param unwell whether this front is to leave shared addresses to others
    */
-  VrrpPairing(Site site, Consumer<Lease> gaveUp, BooleanSupplier unwell) throws IOException {
+  VrrpPairing(Site site, Consumer<Lease> onAddressLost, BooleanSupplier unfit) throws IOException {
     Site.Vrrp vrrp = site.vrrp();
     this.node =
         vrrp.routers().isEmpty()
             ? null
-            : new UdpNode(terms(site, vrrp), owner(gaveUp), unwell::getAsBoolean);
+            : new UdpNode(terms(site, vrrp), owner(onAddressLost), unfit::getAsBoolean);
   }
 
   private static UdpTerms terms(Site site, Site.Vrrp vrrp) throws IOException {
@@ -44,7 +44,7 @@
         site.routers());
   }
 
-  private UdpNode.Owner owner(Consumer<Lease> gaveUp) {
+  private UdpNode.Owner owner(Consumer<Lease> onAddressLost) {
     return new UdpNode.Owner() {
       @Override
       public void took(int vrid) {
@@ -53,14 +53,14 @@
 
       @Override
       public void gaveUp(int vrid) {
-        gaveUp.accept(lease(vrid));
+        onAddressLost.accept(lease(vrid));
       }
     };
   }
 
   private static InetSocketAddress socket(String address) {
-    Site.Address at = Site.Address.of(address);
-    return new InetSocketAddress(at.host(), at.port());
+    Site.Address parsed = Site.Address.of(address);
+    return new InetSocketAddress(parsed.host(), parsed.port());
   }
 
   /** Whether the shared address of a virtual router is this front's. */
--- a/src/main/java/linengauge/lease/LeaseMessage.java
+++ b/src/main/java/linengauge/lease/LeaseMessage.java
@@ -78,8 +78,7 @@
    * @param directoryVersion of the sender's copy as the round ended: the lives heard are those that
    *     it lists
    * @param parts how many parts the round has
-   * @param receivedPriorities numbers of the fronts whose listed life was heard since the round
-   *     before
+   * @param heard numbers of the fronts whose listed life was heard since the round before
    */
   record Evidence(
       int from,
--- a/src/main/java/linengauge/lease/LeaseSettings.java
+++ b/src/main/java/linengauge/lease/LeaseSettings.java
@@ -6,9 +6,8 @@
  * Time spans and bounds of membership by lease (docs/design/lease.md).
  *
  * @param heartbeat between two heartbeats of a front
- * @param respond how long an acknowledgement may take; after that the next control machine is asked
- * @param leaseState how long a member stays listed after the last heartbeat that the leader knows
- *     of
+ * @param answer how long an acknowledgement may take; after that the next control machine is asked
+ * @param lease how long a member stays listed after the last heartbeat that the leader knows of
  * @param drift the most by which a clock's rate may be off, as a fraction: a front counts its lease
  *     shorter by it
  * @param evidence between two exchanges of the control machines among each other
--- a/src/main/java/linengauge/lease/explore/Judge.java
+++ b/src/main/java/linengauge/lease/explore/Judge.java
@@ -91,7 +91,7 @@
   /**
    * A replica may have changed.
    *
-   * @param isBefore its version when it was last looked at
+   * @param before its version when it was last looked at
    * @return its version now
    */
   long directory(int control, MemberDirectory directory, long before) {
--- a/src/main/java/linengauge/lease/explore/LeaseSimulation.java
+++ b/src/main/java/linengauge/lease/explore/LeaseSimulation.java
@@ -44,7 +44,7 @@
    * @param version of the directory at the end
    * @param expiries lives that ended for want of a heartbeat
    * @param supersessions how often a front was told that its life is over
-   * @param pendingEnds how soon an end without a word was known
+   * @param ends how soon an end without a word was known
    */
   public record Outcome(
       List<String> broken,
--- a/src/main/java/linengauge/lease/udp/LeaseNode.java
+++ b/src/main/java/linengauge/lease/udp/LeaseNode.java
@@ -19,8 +19,8 @@
 
 /**
  * A front's membership by lease over UDP, on a thread of its own or on a loop that it shares with
- * others. What it knows is asked on that thread ({@link #runDueJobs}), so that an answer is never
- * older than the question: a lease that was read before a pause says nothing after it.
+ * others. What it knows is asked on that thread ({@link #ask}), so that an answer is never older
+ * than the question: a lease that was read before a pause says nothing after it.
  */
 public final class LeaseNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseNode.class);
@@ -155,7 +155,7 @@
     closeOwnLoop();
   }
 
-  /** {@link #close}, waited for, a second at most; then the socket is closed. */
+  /** {@link #leave}, waited for, a second at most; then the socket is closed. */
   @Override
   public void close() {
     leave();
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -7,11 +7,11 @@
  * Lifeguard (Dadgar, Phillips, Currey 2017).
  *
  * @param period between two pings of this front's own (T')
- * @param respond how long the direct ping may take; the helpers' have the rest of the period
+ * @param answer how long the direct ping may take; the helpers' have the rest of the period
  * @param helpers fronts asked to ping in this one's place (k)
  * @param suspicion times log10 of the fleet, times the period: how long a suspected member has to
  *     speak at the least (alpha)
- * @param maxLineBytes times that at the most, while nobody else suspects it (beta)
+ * @param longest times that at the most, while nobody else suspects it (beta)
  * @param confirmed by so many others, it is the least (K)
  * @param healthMost how often the period and the answer may be lengthened while this front itself
  *     is slow (S)
--- a/src/main/java/linengauge/membership/explore/SimulationFigures.java
+++ b/src/main/java/linengauge/membership/explore/SimulationFigures.java
@@ -8,10 +8,10 @@
  * @param fronts how many there were
  * @param seed that gives the same run again
  * @param traffic of the fronts
- * @param pendingEnds how soon all other fronts knew of each life that ended without a word
+ * @param ends how soon all other fronts knew of each life that ended without a word
  * @param leavings the same of each front that said that it leaves
  * @param beginnings the same of each life that began
- * @param controlPort what the control machines did; null where there are none
+ * @param control what the control machines did; null where there are none
  * @param broken rules that the run broke, as it judged itself
  */
 public record SimulationFigures(
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -178,7 +178,7 @@
     close();
   }
 
-  /** {@link #close}, waited for, a second at most. */
+  /** {@link #leave}, waited for, a second at most. */
   @Override
   public void close() {
     try {
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -8,8 +8,8 @@
  * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
  * platform writes them, and why. Figures that do not apply are {@link #NONE}.
  *
- * @param address when it happened, which may be long before its line is written
- * @param boxRequest the id of the set-up on the wire
+ * @param at when it happened, which may be long before its line is written
+ * @param request the id of the set-up on the wire
  * @param server the server's id in the list
  * @param attempt counted from 0 for each request
  * @param connection counted from 1 over all connections to servers in one life of the front
--- a/src/main/java/linengauge/platform/codec/Texts.java
+++ b/src/main/java/linengauge/platform/codec/Texts.java
@@ -56,7 +56,7 @@
         : -1;
   }
 
-  /** A server's id as the platform writes it; the contrary of {@link #boxAccount}. */
+  /** A server's id as the platform writes it; the contrary of {@link #box}. */
   public static String server(long id) {
     String hex = Long.toHexString(id & 0xffffffffL);
     return "s-" + "0".repeat(8 - hex.length()) + hex;
--- a/src/main/java/linengauge/scale/hollow/HollowSample.java
+++ b/src/main/java/linengauge/scale/hollow/HollowSample.java
@@ -6,7 +6,7 @@
 /**
  * What a process says of itself, some times a second, as one line of JSON.
  *
- * @param address by the wall's clock in milliseconds
+ * @param at by the wall's clock in milliseconds
  * @param processorMillis of the process so far
  * @param heapKb used after a collection, where one was asked for; else -1
  * @param traffic of all its lease or gossip sockets so far
--- a/src/main/java/linengauge/session/Carrier.java
+++ b/src/main/java/linengauge/session/Carrier.java
@@ -20,7 +20,7 @@
 
   /**
    * Sends a set-up to the viewing's box, if {@link Held#sendable} still says so when it can be
-   * written. Its outcome is told once by {@link Held#completeSetUp} or {@link Held#failed}.
+   * written. Its outcome is told once by {@link Held#plays} or {@link Held#failed}.
    */
   void setUp(Held vw, int tuneIn);
 
--- a/src/main/java/linengauge/vrrp/udp/UdpNode.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNode.java
@@ -202,7 +202,7 @@
     selector.wakeup();
   }
 
-  /** {@link #close}, waited for, a second at most. */
+  /** {@link #leave}, waited for, a second at most. */
   @Override
   public void close() {
     leave();
--- a/src/main/java/linengauge/work/Chore.java
+++ b/src/main/java/linengauge/work/Chore.java
@@ -7,7 +7,7 @@
  *
  * @param name one job of a name waits at a time: a further submission is the same one
  * @param urgency 0: before all others of a higher number
- * @param inStep how soon it should have begun after it is submitted or due; from then on it goes
+ * @param within how soon it should have begun after it is submitted or due; from then on it goes
  *     before all that are not late themselves
  * @param every how long after it was done it is due again; none: it is done once
  * @param tries how often it may fail in a row; 0: for ever
--- a/src/main/java/linengauge/zones/Leaning.java
+++ b/src/main/java/linengauge/zones/Leaning.java
@@ -22,7 +22,7 @@
   }
 
   /**
-   * @param leaseState a word of the table counts in full while it is no older
+   * @param lease a word of the table counts in full while it is no older
    * @param over so long it takes from all newcomers by the table to none, and back
    */
   public record Terms(Span lease, Span over) {
--- a/src/main/java/linengauge/zones/WeighingTerms.java
+++ b/src/main/java/linengauge/zones/WeighingTerms.java
@@ -8,7 +8,7 @@
  * @param holds evidence counts so long
  * @param full so many tries make a front's word a whole one; it is never more
  * @param bad share of failures at which a place is to be given up, and below which it is well
- * @param schedule it has to be bad for so long
+ * @param after it has to be bad for so long
  * @param back it has to be well for so long to come back, doubled with each relapse
  * @param backAtMost the longest of these
  * @param step between two rises of the share taken back
--- a/src/test/java/linengauge/front/FrontFixture.java
+++ b/src/test/java/linengauge/front/FrontFixture.java
@@ -41,10 +41,11 @@
     /** What is done with set-ups, by default playing at once. */
     volatile Consumer<HttpServerRequest> setUpHandler = this::acceptSetUp;
 
-    volatile Consumer<HttpServerRequest> segmentHandler = r -> r.response().end("segment");
+    volatile Consumer<HttpServerRequest> segmentHandler =
+        request -> request.response().end("segment");
 
     /** Ends, rungs and probes. */
-    volatile Consumer<HttpServerRequest> otherHandler = r -> r.response().end();
+    volatile Consumer<HttpServerRequest> otherHandler = request -> request.response().end();
 
     private final io.vertx.core.http.HttpServer server = vertx.createHttpServer();
 
@@ -59,35 +60,35 @@
       await(
           server
               .requestHandler(
-                  r -> {
-                    r.response().exceptionHandler(e -> {});
-                    if (r.path().equals("/notes")) {
-                      r.response().setChunked(true).write("{\"life\":\"1\"}\n");
-                      long timer = vertx.setPeriodic(500, t -> r.response().write("\n"));
-                      r.response().closeHandler(v -> vertx.cancelTimer(timer));
+                  request -> {
+                    request.response().exceptionHandler(e -> {});
+                    if (request.path().equals("/notes")) {
+                      request.response().setChunked(true).write("{\"life\":\"1\"}\n");
+                      long timer = vertx.setPeriodic(500, t -> request.response().write("\n"));
+                      request.response().closeHandler(v -> vertx.cancelTimer(timer));
                       return;
                     }
-                    events.add(r.method() + " " + r.path());
-                    if (r.method() == HttpMethod.PUT) {
-                      r.response().closeHandler(v -> events.add("closed " + r.path()));
-                      setUpHandler.accept(r);
-                    } else if (r.path().endsWith("/media.m3u8")) {
-                      r.response().end(MEDIA_PLAYLIST);
-                    } else if (r.path().contains("/segments/")) {
-                      segmentHandler.accept(r);
+                    events.add(request.method() + " " + request.path());
+                    if (request.method() == HttpMethod.PUT) {
+                      request.response().closeHandler(v -> events.add("closed " + request.path()));
+                      setUpHandler.accept(request);
+                    } else if (request.path().endsWith("/media.m3u8")) {
+                      request.response().end(MEDIA_PLAYLIST);
+                    } else if (request.path().contains("/segments/")) {
+                      segmentHandler.accept(request);
                     } else {
-                      otherHandler.accept(r);
+                      otherHandler.accept(request);
                     }
                   })
               .listen(port, Ports.HOST));
     }
 
-    void acceptSetUp(HttpServerRequest r) {
-      r.response().setStatusCode(201).end(MULTIVARIANT_PLAYLIST);
+    void acceptSetUp(HttpServerRequest request) {
+      request.response().setStatusCode(201).end(MULTIVARIANT_PLAYLIST);
     }
 
-    long countEvents(String start) {
-      return events.stream().filter(s -> s.startsWith(start)).count();
+    long countEvents(String prefix) {
+      return events.stream().filter(s -> s.startsWith(prefix)).count();
     }
   }
 
@@ -164,12 +165,12 @@
     }
   }
 
-  HttpResponse<String> requestViewing(String more) {
-    return get(viewerPort, "/titles/t/main.m3u8?package=plain&patience=3000" + more);
+  HttpResponse<String> requestViewing(String query) {
+    return get(viewerPort, "/titles/t/main.m3u8?package=plain&patience=3000" + query);
   }
 
-  CompletableFuture<HttpResponse<String>> requestViewingAsync(String more) {
-    return CompletableFuture.supplyAsync(() -> requestViewing(more));
+  CompletableFuture<HttpResponse<String>> requestViewingAsync(String query) {
+    return CompletableFuture.supplyAsync(() -> requestViewing(query));
   }
 
   JsonObject state() {
@@ -182,9 +183,9 @@
   }
 
   /** Waits, with a bound far over what is needed: no test judges how long something took. */
-  static void waitUntil(BooleanSupplier held) throws InterruptedException {
+  static void waitUntil(BooleanSupplier condition) throws InterruptedException {
     for (int i = 0; i < 1500; i++) {
-      if (held.getAsBoolean()) {
+      if (condition.getAsBoolean()) {
         return;
       }
       Thread.sleep(10);
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -30,35 +30,40 @@
 
   @Test
   void aViewingIsPlacedPlayedAndEnded() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      HttpResponse<String> joined = r.requestViewing("&ceiling=1&key=me");
+    try (FrontFixture fixture = startFixture(1)) {
+      HttpResponse<String> joined = fixture.requestViewing("&ceiling=1&key=me");
       assertEquals(200, joined.statusCode());
       String media = FrontFixture.viewingPath(joined);
-      String segment = FrontFixture.viewingPath(r.get(r.viewerPort, media));
-      assertEquals("segment", r.get(r.viewerPort, segment).body());
+      String segment = FrontFixture.viewingPath(fixture.get(fixture.viewerPort, media));
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
       String id = media.substring(3, media.indexOf('/', 3));
-      r.client.send(
+      fixture.client.send(
           java.net.http.HttpRequest.newBuilder(
-                  java.net.URI.create("http://" + Ports.HOST + ":" + r.viewerPort + "/v/" + id))
+                  java.net.URI.create(
+                      "http://" + Ports.HOST + ":" + fixture.viewerPort + "/v/" + id))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
-      assertEquals(410, r.get(r.viewerPort, segment).statusCode());
-      r.waitUntilIdle();
+      FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
+      assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
   void aBoxThatNeverAnswersIsCancelledBeforeTheRetry() throws Exception {
-    try (FrontFixture r = startFixture(2)) {
-      r.boxes.forEach(b -> b.setUpHandler = q -> {});
-      CompletableFuture<HttpResponse<String>> joined = r.requestViewingAsync("");
-      FrontFixture.waitUntil(() -> r.boxes.stream().anyMatch(b -> b.countEvents("PUT") > 0));
-      r.boxes.forEach(b -> b.setUpHandler = b::acceptSetUp);
+    try (FrontFixture fixture = startFixture(2)) {
+      fixture.boxes.forEach(box -> box.setUpHandler = request -> {});
+      CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
+      FrontFixture.waitUntil(
+          () -> fixture.boxes.stream().anyMatch(box -> box.countEvents("PUT") > 0));
+      fixture.boxes.forEach(box -> box.setUpHandler = box::acceptSetUp);
       assertEquals(200, joined.join().statusCode());
       FrontFixture.ScriptedBox hung =
-          r.boxes.stream().filter(b -> b.countEvents("closed") > 0).findFirst().orElseThrow();
+          fixture.boxes.stream()
+              .filter(box -> box.countEvents("closed") > 0)
+              .findFirst()
+              .orElseThrow();
       FrontFixture.waitUntil(() -> hung.countEvents("DELETE") == 1);
       assertEquals(1, hung.countEvents("PUT"));
     }
@@ -66,89 +71,107 @@
 
   @Test
   void anAnswerAfterTheTimeOutIsCancelledAtItsBox() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.setUpHandler = q -> r.vertx.setTimer(1500, t -> box.acceptSetUp(q));
-      HttpResponse<String> answer = r.requestViewing("&patience=1200");
+    try (FrontFixture fixture = startFixture(1)) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.setUpHandler = request -> fixture.vertx.setTimer(1500, t -> box.acceptSetUp(request));
+      HttpResponse<String> answer = fixture.requestViewing("&patience=1200");
       assertTrue(
           answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
       FrontFixture.waitUntil(
           () ->
               box.countEvents("DELETE") == box.countEvents("PUT")
                   && box.countEvents("closed") >= 1);
-      r.waitUntilIdle();
-      assertEquals(0, r.state().getInteger("routes"));
+      fixture.waitUntilIdle();
+      assertEquals(0, fixture.state().getInteger("routes"));
     }
   }
 
   @Test
   void aPaidSetUpIsNotRetriedAfterAReset() throws Exception {
-    try (FrontFixture r = startFixture(2)) {
-      r.boxes.forEach(b -> b.setUpHandler = q -> q.connection().close());
+    try (FrontFixture fixture = startFixture(2)) {
+      fixture.boxes.forEach(box -> box.setUpHandler = request -> request.connection().close());
+      assertEquals(
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
       assertEquals(
-          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      assertEquals(1, r.boxes.get(0).countEvents("PUT") + r.boxes.get(1).countEvents("PUT"));
-      r.boxes.forEach(
-          b ->
-              b.setUpHandler =
-                  q -> q.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
+          1, fixture.boxes.get(0).countEvents("PUT") + fixture.boxes.get(1).countEvents("PUT"));
+      fixture.boxes.forEach(
+          box ->
+              box.setUpHandler =
+                  request ->
+                      request.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
       assertEquals(
-          503, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+          503,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
       assertTrue(
-          r.boxes.get(0).countEvents("PUT") + r.boxes.get(1).countEvents("PUT") > 2,
+          fixture.boxes.get(0).countEvents("PUT") + fixture.boxes.get(1).countEvents("PUT") > 2,
           "a refusal proves that it never ran");
     }
   }
 
   @Test
   void anInvalidPlaylistFailsTheViewingAndEndsItAtItsBox() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      r.boxes.get(0).setUpHandler = q -> q.response().setStatusCode(201).end("<html>");
-      assertEquals(503, r.requestViewing("").statusCode());
+    try (FrontFixture fixture = startFixture(1)) {
+      fixture.boxes.get(0).setUpHandler =
+          request -> request.response().setStatusCode(201).end("<html>");
+      assertEquals(503, fixture.requestViewing("").statusCode());
       FrontFixture.waitUntil(
-          () -> r.boxes.get(0).countEvents("DELETE") == r.boxes.get(0).countEvents("PUT"));
+          () ->
+              fixture.boxes.get(0).countEvents("DELETE")
+                  == fixture.boxes.get(0).countEvents("PUT"));
       assertEquals(
-          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      r.waitUntilIdle();
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
   void aDiscoveryStreamThatSkipsAChangeIsRequestedWhole() throws Exception {
-    try (FrontFixture r = startFixture(2)) {
-      r.discovery.skipOne();
-      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
+    try (FrontFixture fixture = startFixture(2)) {
+      fixture.discovery.skipOne();
+      fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
       Thread.sleep(100); // lost on its way, and nothing to show it
-      assertEquals(0, r.state().getInteger("listGaps"));
-      r.discovery.set(r.boxes.get(1).place, "s", "serving", 0);
-      FrontFixture.waitUntil(() -> r.state().getInteger("listGaps") == 1);
-      FrontFixture.waitUntil(() -> r.state().getLong("listRevision") == 5);
-      r.discovery.breakFor(200);
-      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
+      assertEquals(0, fixture.state().getInteger("listGaps"));
+      fixture.discovery.set(fixture.boxes.get(1).place, "s", "serving", 0);
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("listGaps") == 1);
+      FrontFixture.waitUntil(() -> fixture.state().getLong("listRevision") == 5);
+      fixture.discovery.breakFor(200);
+      fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
       FrontFixture.waitUntil(
-          () -> r.state().getLong("listRevision") == 6 && r.state().getLong("listBreaks") > 0);
+          () ->
+              fixture.state().getLong("listRevision") == 6
+                  && fixture.state().getLong("listBreaks") > 0);
       for (int i = 0; i < 5; i++) {
-        assertEquals(200, r.requestViewing("").statusCode());
+        assertEquals(200, fixture.requestViewing("").statusCode());
       }
-      assertEquals(0, r.boxes.get(0).countEvents("PUT"), "it drains");
+      assertEquals(0, fixture.boxes.get(0).countEvents("PUT"), "it drains");
     }
   }
 
   @Test
   void aViewerThatDisconnectsCancelsItsSetUp() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      r.boxes.get(0).setUpHandler = q -> {};
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        s.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
-        FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("PUT") == 1);
+    try (FrontFixture fixture = startFixture(1)) {
+      fixture.boxes.get(0).setUpHandler = request -> {};
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket
+            .getOutputStream()
+            .write(httpGet("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
+        FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("PUT") == 1);
       }
       FrontFixture.waitUntil(
           () ->
-              r.boxes.get(0).countEvents("closed") == 1
-                  && r.boxes.get(0).countEvents("DELETE") == 1);
-      r.waitUntilIdle();
-      assertEquals(0, r.state().getInteger("keys"));
-      assertEquals(1, r.state().getInteger("left"));
+              fixture.boxes.get(0).countEvents("closed") == 1
+                  && fixture.boxes.get(0).countEvents("DELETE") == 1);
+      fixture.waitUntilIdle();
+      assertEquals(0, fixture.state().getInteger("keys"));
+      assertEquals(1, fixture.state().getInteger("left"));
     }
   }
 
@@ -158,35 +181,38 @@
 
   @Test
   void twoRequestsWithTheSameKeyLeadToOneViewing() throws Exception {
-    try (FrontFixture r = startFixture(2)) {
-      r.boxes.forEach(b -> b.setUpHandler = q -> r.vertx.setTimer(200, t -> b.acceptSetUp(q)));
-      CompletableFuture<HttpResponse<String>> first = r.requestViewingAsync("&key=me");
-      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 1);
-      HttpResponse<String> second = r.requestViewing("&key=me");
+    try (FrontFixture fixture = startFixture(2)) {
+      fixture.boxes.forEach(
+          box ->
+              box.setUpHandler =
+                  request -> fixture.vertx.setTimer(200, t -> box.acceptSetUp(request)));
+      CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("&key=me");
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 1);
+      HttpResponse<String> second = fixture.requestViewing("&key=me");
       assertEquals(503, second.statusCode());
       assertEquals("1", second.headers().firstValue("Retry-After").orElseThrow());
       assertEquals(200, first.join().statusCode());
-      assertEquals(200, r.requestViewing("&key=me").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=me").statusCode());
       assertEquals(
           410,
-          r.get(r.viewerPort, FrontFixture.viewingPath(first.join())).statusCode(),
+          fixture.get(fixture.viewerPort, FrontFixture.viewingPath(first.join())).statusCode(),
           "the earlier one is over");
-      assertEquals(1, r.state().getInteger("held"));
+      assertEquals(1, fixture.state().getInteger("held"));
     }
   }
 
   @Test
   void aDrainReportedWhileASetUpWaitsForAConnectionPreventsIt() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }")
             .start()) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.setUpHandler = q -> r.vertx.setTimer(300, t -> box.acceptSetUp(q));
-      CompletableFuture<HttpResponse<String>> first = r.requestViewingAsync("");
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.setUpHandler = request -> fixture.vertx.setTimer(300, t -> box.acceptSetUp(request));
+      CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("");
       FrontFixture.waitUntil(() -> box.countEvents("PUT") == 1);
-      CompletableFuture<HttpResponse<String>> queued = r.requestViewingAsync("");
-      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 2);
-      r.discovery.set(box.place, "s", "draining", 0);
+      CompletableFuture<HttpResponse<String>> queued = fixture.requestViewingAsync("");
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 2);
+      fixture.discovery.set(box.place, "s", "draining", 0);
       assertEquals(200, first.join().statusCode());
       assertEquals(503, queued.join().statusCode());
       assertEquals(1, box.countEvents("PUT"));
@@ -195,25 +221,25 @@
 
   @Test
   void malformedOversizedAndSlowRequestsAreRejected() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(
                 1,
                 "viewers: { firstByteMs: 300, headersMs: 300, requestLineBytes: 512, headerBytes: 1024, connections: 5 }, "
                     + "stop: { playingMs: 100 }")
             .start()) {
-      assertTrue(responseHead(r, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
+      assertTrue(responseHead(fixture, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
       assertTrue(
-          responseHead(r, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
+          responseHead(fixture, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
               .matches("HTTP/1.[01] 414"));
       assertTrue(
-          responseHead(r, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
+          responseHead(fixture, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
               .matches("HTTP/1.[01] 431"));
       assertTrue(
-          responseHead(r, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
+          responseHead(fixture, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
               .startsWith("HTTP/1.1 405"));
       assertEquals(
           "",
-          responseHead(r, "GET /titles/t/ma"),
+          responseHead(fixture, "GET /titles/t/ma"),
           "half a request line, and the connection is closed");
       for (String bad :
           new String[] {
@@ -224,28 +250,30 @@
             "?package=plain&key=a%20b",
             ""
           }) {
-        assertEquals(400, r.get(r.viewerPort, "/titles/t/main.m3u8" + bad).statusCode(), bad);
+        assertEquals(
+            400, fixture.get(fixture.viewerPort, "/titles/t/main.m3u8" + bad).statusCode(), bad);
       }
-      assertEquals(404, r.get(r.viewerPort, "/v/none/media.m3u8").statusCode());
+      assertEquals(404, fixture.get(fixture.viewerPort, "/v/none/media.m3u8").statusCode());
       Socket[] idle = new Socket[12];
       for (int i = 0; i < idle.length; i++) {
-        idle[i] = new Socket(Ports.HOST, r.viewerPort);
+        idle[i] = new Socket(Ports.HOST, fixture.viewerPort);
       }
-      FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
-      FrontFixture.waitUntil(() -> r.state().getInteger("viewerConnections") <= 1);
-      for (Socket s : idle) {
-        s.close();
+      FrontFixture.waitUntil(
+          () -> fixture.state().getJsonObject("door").getInteger("turnedAway") > 0);
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("viewerConnections") <= 1);
+      for (Socket socket : idle) {
+        socket.close();
       }
-      assertEquals(200, r.requestViewing("").statusCode());
+      assertEquals(200, fixture.requestViewing("").statusCode());
     }
   }
 
   /** What the front says to raw bytes until it closes the connection or has answered. */
-  private static String responseHead(FrontFixture r, String raw) throws IOException {
-    try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-      s.setSoTimeout(15_000);
-      s.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-      InputStream in = s.getInputStream();
+  private static String responseHead(FrontFixture fixture, String raw) throws IOException {
+    try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+      socket.setSoTimeout(15_000);
+      socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+      InputStream in = socket.getInputStream();
       byte[] head = in.readNBytes(12);
       return new String(head, StandardCharsets.US_ASCII);
     }
@@ -253,19 +281,21 @@
 
   @Test
   void aStalledReaderAppliesBackPressureToItsBox() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      long whole = 200L << 20;
+    try (FrontFixture fixture = startFixture(1)) {
+      long totalBytes = 200L << 20;
       AtomicLong sent = new AtomicLong();
-      r.boxes.get(0).segmentHandler =
-          q -> {
-            HttpServerResponse to = q.response().putHeader("Content-Length", Long.toString(whole));
-            writeUntilFull(to, sent, whole);
+      fixture.boxes.get(0).segmentHandler =
+          request -> {
+            HttpServerResponse response =
+                request.response().putHeader("Content-Length", Long.toString(totalBytes));
+            writeUntilFull(response, sent, totalBytes);
           };
       String segment =
           FrontFixture.viewingPath(
-              r.get(r.viewerPort, FrontFixture.viewingPath(r.requestViewing(""))));
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        s.getOutputStream().write(httpGet(segment));
+              fixture.get(
+                  fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
         FrontFixture.waitUntil(() -> sent.get() > 100_000);
         long before;
         do {
@@ -273,39 +303,40 @@
           Thread.sleep(300);
         } while (sent.get() != before); // what the sockets hold is full
         assertTrue(
-            sent.get() < whole / 4,
-            "the front took " + sent.get() + " of " + whole + " for a reader of nothing");
-        assertEquals(200, r.requestViewing("").statusCode(), "others are served meanwhile");
+            sent.get() < totalBytes / 4,
+            "the front took " + sent.get() + " of " + totalBytes + " for a reader of nothing");
+        assertEquals(200, fixture.requestViewing("").statusCode(), "others are served meanwhile");
       }
-      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 2);
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 2);
     }
   }
 
-  private static void writeUntilFull(HttpServerResponse to, AtomicLong sent, long whole) {
-    while (!to.writeQueueFull() && sent.get() < whole && !to.closed()) {
-      int n = (int) Math.min(65536, whole - sent.get());
-      to.write(Buffer.buffer(new byte[n]));
-      sent.addAndGet(n);
+  private static void writeUntilFull(
+      HttpServerResponse response, AtomicLong sent, long totalBytes) {
+    while (!response.writeQueueFull() && sent.get() < totalBytes && !response.closed()) {
+      int chunkBytes = (int) Math.min(65536, totalBytes - sent.get());
+      response.write(Buffer.buffer(new byte[chunkBytes]));
+      sent.addAndGet(chunkBytes);
     }
-    to.drainHandler(v -> writeUntilFull(to, sent, whole));
+    response.drainHandler(v -> writeUntilFull(response, sent, totalBytes));
   }
 
   @Test
   void aBoxThatReportsALaterStartThanDiscoveryIsCold() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(
                 1,
                 "rules: { coldMs: 60000, fallAfterMs: 5000, fallMultiple: 2.5 }, stop: { playingMs: 100 }")
             .start()) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       box.setUpHandler =
-          q -> {
-            q.response().putHeader("Box-Age-Ms", "1000");
-            box.acceptSetUp(q);
+          request -> {
+            request.response().putHeader("Box-Age-Ms", "1000");
+            box.acceptSetUp(request);
           };
       int plays = 0;
       for (int i = 0; i < 8; i++) {
-        plays += r.requestViewing("&patience=400").statusCode() == 200 ? 1 : 0;
+        plays += fixture.requestViewing("&patience=400").statusCode() == 200 ? 1 : 0;
       }
       assertEquals(
           1,
@@ -316,125 +347,136 @@
 
   @Test
   void aMediaFailureOfTheBoxIsReportedToTheViewer() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(
                 1,
                 "boxes: { firstByteMs: 300, mediaSilenceMs: 300, connectMs: 100 }, stop: { playingMs: 100 }")
             .start()) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String segment =
           FrontFixture.viewingPath(
-              r.get(r.viewerPort, FrontFixture.viewingPath(r.requestViewing(""))));
-      box.segmentHandler = q -> {};
-      assertEquals(504, r.get(r.viewerPort, segment).statusCode(), "nothing at all");
-      box.segmentHandler = q -> q.response().setStatusCode(500).end();
-      assertEquals(502, r.get(r.viewerPort, segment).statusCode());
-      box.segmentHandler = q -> q.response().putHeader("Content-Length", "1000").write("some");
+              fixture.get(
+                  fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
+      box.segmentHandler = request -> {};
+      assertEquals(504, fixture.get(fixture.viewerPort, segment).statusCode(), "nothing at all");
+      box.segmentHandler = request -> request.response().setStatusCode(500).end();
+      assertEquals(502, fixture.get(fixture.viewerPort, segment).statusCode());
+      box.segmentHandler =
+          request -> request.response().putHeader("Content-Length", "1000").write("some");
       assertThrows(
           AssertionError.class,
-          () -> r.get(r.viewerPort, segment),
+          () -> fixture.get(fixture.viewerPort, segment),
           "a short body is not passed off as whole");
-      box.segmentHandler = q -> q.response().end("again");
+      box.segmentHandler = request -> request.response().end("again");
       assertEquals(
-          "again", r.get(r.viewerPort, segment).body(), "one bad segment does not end the viewing");
-      box.segmentHandler = q -> {};
-      CompletableFuture<?>[] four = new CompletableFuture<?>[4];
+          "again",
+          fixture.get(fixture.viewerPort, segment).body(),
+          "one bad segment does not end the viewing");
+      box.segmentHandler = request -> {};
+      CompletableFuture<?>[] responses = new CompletableFuture<?>[4];
       for (int i = 0; i < 4; i++) {
-        four[i] = CompletableFuture.supplyAsync(() -> r.get(r.viewerPort, segment));
+        responses[i] =
+            CompletableFuture.supplyAsync(() -> fixture.get(fixture.viewerPort, segment));
       }
       long before = box.countEvents("GET");
-      FrontFixture.waitUntil(() -> box.countEvents("GET") >= before + 4 || four[0].isDone());
-      CompletableFuture.allOf(four).join();
-      box.segmentHandler = q -> q.response().setStatusCode(410).end();
-      assertEquals(410, r.get(r.viewerPort, segment).statusCode());
-      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 0);
+      FrontFixture.waitUntil(() -> box.countEvents("GET") >= before + 4 || responses[0].isDone());
+      CompletableFuture.allOf(responses).join();
+      box.segmentHandler = request -> request.response().setStatusCode(410).end();
+      assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 0);
     }
   }
 
   @Test
   void aPlaylistOverTheSizeLimitIsRejected() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
-      r.boxes.get(0).setUpHandler =
-          q ->
-              q.response()
+      fixture.boxes.get(0).setUpHandler =
+          request ->
+              request
+                  .response()
                   .setStatusCode(201)
                   .end(FrontFixture.MULTIVARIANT_PLAYLIST + "#long\n".repeat(1000));
       assertEquals(
-          502, r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      FrontFixture.waitUntil(() -> r.boxes.get(0).countEvents("DELETE") == 1);
-      r.waitUntilIdle();
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
+      FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE") == 1);
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
   void anUnconfirmedEndIsRetriedALimitedNumberOfTimes() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }")
             .start()) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      box.otherHandler = q -> q.response().setStatusCode(500).end();
-      box.setUpHandler = q -> q.response().setStatusCode(500).end();
-      String media = FrontFixture.viewingPath(requestAccepted(r, box));
-      r.client.send(
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.otherHandler = request -> request.response().setStatusCode(500).end();
+      box.setUpHandler = request -> request.response().setStatusCode(500).end();
+      String media = FrontFixture.viewingPath(requestAccepted(fixture, box));
+      fixture.client.send(
           java.net.http.HttpRequest.newBuilder(
                   java.net.URI.create(
                       "http://"
                           + Ports.HOST
                           + ":"
-                          + r.viewerPort
+                          + fixture.viewerPort
                           + media.substring(0, media.indexOf('/', 3))))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.waitUntil(() -> r.state().getLong("endsGivenUp") == 1);
+      FrontFixture.waitUntil(() -> fixture.state().getLong("endsGivenUp") == 1);
       assertEquals(3, box.countEvents("DELETE"));
-      r.waitUntilIdle();
+      fixture.waitUntilIdle();
     }
   }
 
   private static HttpResponse<String> requestAccepted(
-      FrontFixture r, FrontFixture.ScriptedBox box) {
+      FrontFixture fixture, FrontFixture.ScriptedBox box) {
     box.setUpHandler = box::acceptSetUp;
-    return r.requestViewing("");
+    return fixture.requestViewing("");
   }
 
   @Test
   void anUnreachableBoxLosesItsViewings() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         new FrontFixture(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
             .start()) {
-      String media = FrontFixture.viewingPath(r.requestViewing(""));
-      FrontFixture.waitUntil(() -> r.state().getInteger("noteStreamsInUse") == 1);
-      r.boxes.get(0).close();
-      FrontFixture.waitUntil(() -> r.state().getInteger("held") == 0);
-      assertEquals("ended: BOX_LOST\n", r.get(r.viewerPort, media).body());
+      String media = FrontFixture.viewingPath(fixture.requestViewing(""));
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("noteStreamsInUse") == 1);
+      fixture.boxes.get(0).close();
+      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 0);
+      assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, media).body());
     }
   }
 
   @Test
   void aLinkThatDropsDelaysOrResetsDeterminesTheOutcome() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      FaultyLink link = new FaultyLink(r.vertx, Ports.HOST, box.port);
-      r.discovery.set(
+    try (FrontFixture fixture = startFixture(1)) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      FaultyLink link = new FaultyLink(fixture.vertx, Ports.HOST, box.port);
+      fixture.discovery.set(
           new BoxFleet.Place(1, Ports.HOST, FrontFixture.await(link.open()), 1, "a"),
           "s",
           "serving",
           0);
-      FrontFixture.waitUntil(() -> r.state().getLong("listRevision") == 3);
+      FrontFixture.waitUntil(() -> fixture.state().getLong("listRevision") == 3);
       link.swallowAnswers(true);
-      int status = r.requestViewing("&patience=1500").statusCode();
+      int status = fixture.requestViewing("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
       link.swallowAnswers(false);
       link.trickle(100);
-      FrontFixture.waitUntil(() -> r.requestViewing("").statusCode() == 200);
+      FrontFixture.waitUntil(() -> fixture.requestViewing("").statusCode() == 200);
       link.trickle(0);
       link.resetOnAnswer(true);
       long before = box.countEvents("PUT");
       FrontFixture.waitUntil(
           () ->
-              r.get(r.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
+              fixture
+                      .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+                      .statusCode()
                   == 502);
       assertEquals(before + 1, box.countEvents("PUT"), "it may have run: not sent again");
       link.cut();
@@ -443,13 +485,13 @@
 
   @Test
   void aPortInUseFailsTheStart() throws Exception {
-    try (FrontFixture r = startFixture(1)) {
-      FrontServer second = r.newFront();
-      Exception e = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
-      assertTrue(e.getMessage().contains("in use"), e.getMessage());
+    try (FrontFixture fixture = startFixture(1)) {
+      FrontServer second = fixture.newFront();
+      Exception failure = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
+      assertTrue(failure.getMessage().contains("in use"), failure.getMessage());
       second.stop();
       assertTrue(second.await(15_000));
-      assertFalse(r.front.await(1), "the first one runs on");
+      assertFalse(fixture.front.await(1), "the first one runs on");
     }
   }
 }
--- a/src/test/java/linengauge/front/RetryOrderSocketsTest.java
+++ b/src/test/java/linengauge/front/RetryOrderSocketsTest.java
@@ -39,17 +39,17 @@
 
   private static void assertEachAttemptFollowsTheConfirmedEndOfThePrevious(
       FrontFixture.ScriptedBox box) {
-    List<String> seen = List.copyOf(box.events);
+    List<String> events = List.copyOf(box.events);
     int attempts = 0;
-    for (int i = 0; i < seen.size(); i++) {
-      if (seen.get(i).startsWith("PUT")) {
+    for (int i = 0; i < events.size(); i++) {
+      if (events.get(i).startsWith("PUT")) {
         assertTrue(
-            attempts == 0 || seen.subList(0, i).contains(endConfirmed(attempts - 1)),
-            seen.toString());
+            attempts == 0 || events.subList(0, i).contains(endConfirmed(attempts - 1)),
+            events.toString());
         attempts++;
       }
     }
-    assertTrue(attempts > 1, "tried again once it was confirmed: " + seen);
+    assertTrue(attempts > 1, "tried again once it was confirmed: " + events);
   }
 
   /** Guards against a retry that a box reads before the end of the attempt that timed out. */
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -38,13 +38,13 @@
     private final int targetPort;
     private volatile int advertisedPriority = -1;
 
-    private Partner(int port, int to) throws Exception {
-      this.targetPort = to;
+    private Partner(int port, int targetPort) throws Exception {
+      this.targetPort = targetPort;
       socket = new DatagramSocket(port, InetAddress.getByName(Ports.node(1)));
       socket.setSoTimeout(20);
-      Thread t = new Thread(this::run, "partner");
-      t.setDaemon(true);
-      t.start();
+      Thread thread = new Thread(this::run, "partner");
+      thread.setDaemon(true);
+      thread.start();
     }
 
     private static NodeAddress address(int node) throws Exception {
@@ -52,11 +52,11 @@
     }
 
     private void run() {
-      DatagramPacket in = new DatagramPacket(new byte[100], 100);
+      DatagramPacket received = new DatagramPacket(new byte[100], 100);
       while (!socket.isClosed()) {
         try {
           if (advertisedPriority >= 0) {
-            byte[] b =
+            byte[] packet =
                 PACKETS.encode(
                     new Advert(
                         9,
@@ -66,10 +66,11 @@
                     address(1),
                     address(0));
             socket.send(
-                new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), targetPort));
+                new DatagramPacket(
+                    packet, packet.length, InetAddress.getByName(Ports.node(0)), targetPort));
           }
-          socket.receive(in);
-          receivedPriorities.add(in.getData()[2] & 255);
+          socket.receive(received);
+          receivedPriorities.add(received.getData()[2] & 255);
         } catch (SocketTimeoutException e) {
           continue;
         } catch (Exception e) {
@@ -84,7 +85,7 @@
     }
   }
 
-  private static String vrrpSettings(List<Integer> ports, String more) throws Exception {
+  private static String vrrpSettings(List<Integer> ports, String extraSettings) throws Exception {
     return "vrrp: { listen: '"
         + Ports.node(0)
         + ":"
@@ -99,112 +100,117 @@
         + ":"
         + ports.get(2)
         + "' } ], "
-        + more
+        + extraSettings
         + " }";
   }
 
-  private static HttpResponse<String> requestViewing(FrontFixture r, int port) {
-    return r.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
+  private static HttpResponse<String> requestViewing(FrontFixture fixture, int port) {
+    return fixture.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
   }
 
   @Test
   void viewersAreServedAtTheSharedAddressWhileItIsHeldAndKeepPlayingAtTheOwnAddress()
       throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, ""))) {
-      p.advertisedPriority = 200;
-      r.start();
-      FrontFixture.waitUntil(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
-      HttpResponse<String> elsewhere = requestViewing(r, ports.get(2));
-      assertEquals(503, elsewhere.statusCode());
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, ""))) {
+      partner.advertisedPriority = 200;
+      fixture.start();
+      FrontFixture.waitUntil(() -> fixture.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
+      HttpResponse<String> rejected = requestViewing(fixture, ports.get(2));
+      assertEquals(503, rejected.statusCode());
       assertEquals(
-          0, r.boxes.get(0).countEvents("PUT"), "nothing is taken at an address that is another's");
+          0,
+          fixture.boxes.get(0).countEvents("PUT"),
+          "nothing is taken at an address that is another's");
       assertEquals(
-          200, requestViewing(r, r.viewerPort).statusCode(), "its own address is always its own");
-      p.advertisedPriority = -1; // the partner has died
-      List<HttpResponse<String>> last = new ArrayList<>();
+          200,
+          requestViewing(fixture, fixture.viewerPort).statusCode(),
+          "its own address is always its own");
+      partner.advertisedPriority = -1; // the partner has died
+      List<HttpResponse<String>> responses = new ArrayList<>();
       FrontFixture.waitUntil(
           () ->
-              last.add(requestViewing(r, ports.get(2)))
-                  && last.get(last.size() - 1).statusCode() == 200);
-      HttpResponse<String> plays = last.get(last.size() - 1);
-      String own = "http://" + Ports.HOST + ":" + r.viewerPort;
+              responses.add(requestViewing(fixture, ports.get(2)))
+                  && responses.get(responses.size() - 1).statusCode() == 200);
+      HttpResponse<String> playing = responses.get(responses.size() - 1);
+      String own = "http://" + Ports.HOST + ":" + fixture.viewerPort;
       String media =
-          plays.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
+          playing.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
       // A better one comes: the address goes, what plays stays.
-      p.advertisedPriority = 200;
-      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 503);
-      assertEquals(200, r.get(r.viewerPort, media.substring(own.length())).statusCode());
+      partner.advertisedPriority = 200;
+      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 503);
+      assertEquals(
+          200, fixture.get(fixture.viewerPort, media.substring(own.length())).statusCode());
     }
   }
 
   @Test
   void aStoppingFrontReleasesTheAddressAtOnceAndKeepsPlayingAtItsOwn() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r =
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture =
             new FrontFixture(1, vrrpSettings(ports, "") + ", stop: { playingMs: 60000 }")) {
-      r.start();
-      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
-      HttpResponse<String> plays = r.requestViewing("&key=last");
-      CompletableFuture<Void> stop = CompletableFuture.runAsync(r.front::stop);
-      FrontFixture.waitUntil(() -> p.receivedPriorities.contains(0));
+      fixture.start();
+      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      HttpResponse<String> playing = fixture.requestViewing("&key=last");
+      CompletableFuture<Void> stop = CompletableFuture.runAsync(fixture.front::stop);
+      FrontFixture.waitUntil(() -> partner.receivedPriorities.contains(0));
       stop.get();
-      int zero = p.receivedPriorities.indexOf(0);
+      int firstZero = partner.receivedPriorities.indexOf(0);
       Thread.sleep(300);
-      List<Integer> then = List.copyOf(p.receivedPriorities);
+      List<Integer> priorities = List.copyOf(partner.receivedPriorities);
       assertTrue(
-          then.subList(zero, then.size()).stream().allMatch(x -> x == 0),
-          "after giving up " + then);
-      assertTrue(then.size() - zero > 1, "a goodbye that is lost is said again");
-      assertEquals(200, r.get(r.viewerPort, FrontFixture.viewingPath(plays)).statusCode());
-      assertEquals(503, requestViewing(r, ports.get(2)).statusCode());
-      r.endAll();
+          priorities.subList(firstZero, priorities.size()).stream().allMatch(x -> x == 0),
+          "after giving up " + priorities);
+      assertTrue(priorities.size() - firstZero > 1, "a goodbye that is lost is said again");
+      assertEquals(
+          200, fixture.get(fixture.viewerPort, FrontFixture.viewingPath(playing)).statusCode());
+      assertEquals(503, requestViewing(fixture, ports.get(2)).statusCode());
+      fixture.endAll();
     }
   }
 
   @Test
   void aPendingRequestIsAnsweredAfterTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
-      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
-      List<io.vertx.core.http.HttpServerRequest> held =
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      List<io.vertx.core.http.HttpServerRequest> pendingSetUps =
           Collections.synchronizedList(new ArrayList<>());
-      r.boxes.get(0).setUpHandler = held::add;
-      CompletableFuture<HttpResponse<String>> waits =
-          CompletableFuture.supplyAsync(() -> requestViewing(r, ports.get(2)));
-      FrontFixture.waitUntil(() -> !held.isEmpty());
-      p.advertisedPriority = 200;
-      FrontFixture.waitUntil(() -> routerState(r).getString("state").equals("BACKUP"));
+      fixture.boxes.get(0).setUpHandler = pendingSetUps::add;
+      CompletableFuture<HttpResponse<String>> pendingResponse =
+          CompletableFuture.supplyAsync(() -> requestViewing(fixture, ports.get(2)));
+      FrontFixture.waitUntil(() -> !pendingSetUps.isEmpty());
+      partner.advertisedPriority = 200;
+      FrontFixture.waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
       // Where this took long, the module has withdrawn the first set-up and tries others.
-      r.boxes.get(0).setUpHandler = r.boxes.get(0)::acceptSetUp;
-      List.copyOf(held)
+      fixture.boxes.get(0).setUpHandler = fixture.boxes.get(0)::acceptSetUp;
+      List.copyOf(pendingSetUps)
           .forEach(
-              q -> {
-                if (!q.response().closed()) {
-                  r.boxes.get(0).acceptSetUp(q);
+              request -> {
+                if (!request.response().closed()) {
+                  fixture.boxes.get(0).acceptSetUp(request);
                 }
               });
-      assertEquals(200, waits.get().statusCode());
+      assertEquals(200, pendingResponse.get().statusCode());
     }
   }
 
   @Test
   void idleConnectionsAreClosedWhenTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start();
-        Socket rests = new Socket(Ports.HOST, ports.get(2))) {
-      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
-      rests.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
-      rests
-          .getOutputStream()
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start();
+        Socket idle = new Socket(Ports.HOST, ports.get(2))) {
+      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      idle.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
+      idle.getOutputStream()
           .write("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      assertEquals('H', rests.getInputStream().read());
-      p.advertisedPriority = 200;
-      while (rests.getInputStream().read() >= 0) {
+      assertEquals('H', idle.getInputStream().read());
+      partner.advertisedPriority = 200;
+      while (idle.getInputStream().read() >= 0) {
         continue; // the rest of its answer, and then the end
       }
     }
@@ -213,52 +219,53 @@
   @Test
   void aRequestInTransitWhenTheAddressIsLostIsAnswered() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
-      FrontFixture.waitUntil(() -> requestViewing(r, ports.get(2)).statusCode() == 200);
-      try (Socket comes = new Socket(Ports.HOST, ports.get(2))) {
-        int connections = r.state().getInteger("viewerConnections");
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      try (Socket connection = new Socket(Ports.HOST, ports.get(2))) {
+        int connections = fixture.state().getInteger("viewerConnections");
         assertTrue(connections > 0);
-        p.advertisedPriority = 200;
-        FrontFixture.waitUntil(() -> routerState(r).getString("state").equals("BACKUP"));
-        comes
+        partner.advertisedPriority = 200;
+        FrontFixture.waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
+        connection
             .getOutputStream()
             .write(
                 ("GET /titles/t/main.m3u8?package=plain HTTP/1.1\r\nHost: x\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
-        String all = new String(comes.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        String response =
+            new String(connection.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertTrue(
-            all.startsWith("HTTP/1.1 503") && all.contains("retry-after")
-                || all.contains("Retry-After"),
-            all);
+            response.startsWith("HTTP/1.1 503") && response.contains("retry-after")
+                || response.contains("Retry-After"),
+            response);
       }
     }
   }
 
-  private static io.vertx.core.json.JsonObject routerState(FrontFixture r) {
-    return r.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
+  private static io.vertx.core.json.JsonObject routerState(FrontFixture fixture) {
+    return fixture.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
   }
 
   @Test
   void aFrontWithoutServingBoxesLowersItsPriority() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        FrontFixture r =
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture =
             new FrontFixture(1, vrrpSettings(ports, "unwellMinus: 60, unwellAfterMs: 50"))
                 .start()) {
-      p.advertisedPriority = 80;
-      FrontFixture.waitUntil(() -> p.receivedPriorities.contains(100));
-      r.discovery.set(r.boxes.get(0).place, "s", "draining", 0);
+      partner.advertisedPriority = 80;
+      FrontFixture.waitUntil(() -> partner.receivedPriorities.contains(100));
+      fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
       FrontFixture.waitUntil(
           () ->
-              routerState(r).getBoolean("unwell")
-                  && routerState(r).getInteger("priority") == 40
-                  && routerState(r).getString("state").equals("BACKUP"));
-      r.discovery.set(r.boxes.get(0).place, "s", "serving", 0);
+              routerState(fixture).getBoolean("unwell")
+                  && routerState(fixture).getInteger("priority") == 40
+                  && routerState(fixture).getString("state").equals("BACKUP"));
+      fixture.discovery.set(fixture.boxes.get(0).place, "s", "serving", 0);
       FrontFixture.waitUntil(
           () ->
-              !routerState(r).getBoolean("unwell")
-                  && routerState(r).getString("state").equals("ACTIVE"));
+              !routerState(fixture).getBoolean("unwell")
+                  && routerState(fixture).getString("state").equals("ACTIVE"));
     }
   }
 
@@ -272,19 +279,21 @@
   @Test
   void aMissingOrShortKeyFailsTheStart() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "keyFile: 'no-such-file'"))) {
+    try (FrontFixture fixture =
+        new FrontFixture(1, vrrpSettings(ports, "keyFile: 'no-such-file'"))) {
       assertTrue(
-          assertThrows(Exception.class, r::start)
+          assertThrows(Exception.class, fixture::start)
               .toString()
               .contains("vrrp.keyFile cannot be read"));
-      r.front = null;
+      fixture.front = null;
     }
     Path key = Files.createTempFile("linengauge", ".key");
     Files.writeString(key, "short\n");
-    try (FrontFixture r = new FrontFixture(1, vrrpSettings(ports, "keyFile: '" + key + "'"))) {
+    try (FrontFixture fixture =
+        new FrontFixture(1, vrrpSettings(ports, "keyFile: '" + key + "'"))) {
       assertTrue(
-          assertThrows(Exception.class, r::start).toString().contains("fewer than 16 bytes"));
-      r.front = null;
+          assertThrows(Exception.class, fixture::start).toString().contains("fewer than 16 bytes"));
+      fixture.front = null;
     } finally {
       Files.delete(key);
     }
--- a/src/test/java/linengauge/front/SlowSocketsTest.java
+++ b/src/test/java/linengauge/front/SlowSocketsTest.java
@@ -26,13 +26,13 @@
       "stop: { playingMs: 100 }, flow: { beatMs: 50, lateMs: 5000, windowMs: 1600, "
           + "evidenceMs: 800, graceMs: 400 }, ";
 
-  private static FrontFixture startFixture(String more) throws Exception {
-    return new FrontFixture(1, FAST_SETTINGS + more).start();
+  private static FrontFixture startFixture(String extraSettings) throws Exception {
+    return new FrontFixture(1, FAST_SETTINGS + extraSettings).start();
   }
 
-  private static String segmentPath(FrontFixture r) {
+  private static String segmentPath(FrontFixture fixture) {
     return FrontFixture.viewingPath(
-        r.get(r.viewerPort, FrontFixture.viewingPath(r.requestViewing(""))));
+        fixture.get(fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
   }
 
   private static byte[] httpGet(String path) {
@@ -40,124 +40,124 @@
   }
 
   /** A caller that has asked for this and reads nothing. */
-  private static Socket openStalledReader(FrontFixture r, String path) throws IOException {
-    Socket s = new Socket();
-    s.setReceiveBufferSize(8192);
-    s.connect(new InetSocketAddress(Ports.HOST, r.viewerPort));
-    s.getOutputStream().write(httpGet(path));
-    return s;
+  private static Socket openStalledReader(FrontFixture fixture, String path) throws IOException {
+    Socket socket = new Socket();
+    socket.setReceiveBufferSize(8192);
+    socket.connect(new InetSocketAddress(Ports.HOST, fixture.viewerPort));
+    socket.getOutputStream().write(httpGet(path));
+    return socket;
   }
 
-  private static void writeEndlessly(HttpServerResponse to) {
-    to.setChunked(true);
-    writeUntilFull(to);
+  private static void writeEndlessly(HttpServerResponse response) {
+    response.setChunked(true);
+    writeUntilFull(response);
   }
 
-  private static void writeUntilFull(HttpServerResponse to) {
-    while (!to.writeQueueFull() && !to.closed()) {
-      to.write(Buffer.buffer(new byte[16_384]));
+  private static void writeUntilFull(HttpServerResponse response) {
+    while (!response.writeQueueFull() && !response.closed()) {
+      response.write(Buffer.buffer(new byte[16_384]));
     }
-    to.drainHandler(v -> writeUntilFull(to));
+    response.drainHandler(v -> writeUntilFull(response));
   }
 
-  private static String read(Socket s, int bytes) throws IOException {
-    s.setSoTimeout(15_000);
-    InputStream in = s.getInputStream();
+  private static String read(Socket socket, int bytes) throws IOException {
+    socket.setSoTimeout(15_000);
+    InputStream in = socket.getInputStream();
     return new String(in.readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
   @Test
   void aStalledReaderIsClosedAndOthersOnTheSameBoxAndLoopAreServed() throws Exception {
-    try (FrontFixture r = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      String slow = segmentPath(r);
-      String healthy = segmentPath(r);
+    try (FrontFixture fixture = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String slow = segmentPath(fixture);
+      String healthy = segmentPath(fixture);
       box.segmentHandler =
-          q -> {
-            if (q.path().contains(slow.substring(3, slow.indexOf('/', 3)))) {
-              writeEndlessly(q.response());
+          request -> {
+            if (request.path().contains(slow.substring(3, slow.indexOf('/', 3)))) {
+              writeEndlessly(request.response());
             } else {
-              q.response().end("segment");
+              request.response().end("segment");
             }
           };
-      try (Socket s = openStalledReader(r, slow)) {
-        assertTrue(s.isConnected());
-        while (r.state().getInteger("letGo") == 0) {
-          assertEquals("segment", r.get(r.viewerPort, healthy).body());
-          assertTrue(r.state().getJsonObject("flow").getLong("waitingBytes") < 300_000);
+      try (Socket socket = openStalledReader(fixture, slow)) {
+        assertTrue(socket.isConnected());
+        while (fixture.state().getInteger("letGo") == 0) {
+          assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
+          assertTrue(fixture.state().getJsonObject("flow").getLong("waitingBytes") < 300_000);
         }
       }
-      assertEquals("ended: LET_GO\n", r.get(r.viewerPort, slow).body());
+      assertEquals("ended: LET_GO\n", fixture.get(fixture.viewerPort, slow).body());
       FrontFixture.waitUntil(() -> box.countEvents("DELETE") == 1);
-      assertEquals("segment", r.get(r.viewerPort, healthy).body());
-      assertEquals(1, r.state().getInteger("held"));
+      assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
+      assertEquals(1, fixture.state().getInteger("held"));
     }
   }
 
   @Test
   void stalledReadersOfABoxLeaveCapacityForOthers() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         startFixture(
             "viewers: { loops: 1, atOnce: 2 }, boxes: { mediaConnections: 40 }, desk: { idleMs: 60000 }")) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      String healthy = segmentPath(r);
-      List<Socket> deaf = new ArrayList<>();
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String healthy = segmentPath(fixture);
+      List<Socket> stalledReaders = new ArrayList<>();
       try {
-        box.segmentHandler = q -> writeEndlessly(q.response());
+        box.segmentHandler = request -> writeEndlessly(request.response());
         for (int i = 0; i < 12; i++) {
-          String slow = segmentPath(r);
-          deaf.add(openStalledReader(r, slow));
-          deaf.add(openStalledReader(r, slow));
+          String slow = segmentPath(fixture);
+          stalledReaders.add(openStalledReader(fixture, slow));
+          stalledReaders.add(openStalledReader(fixture, slow));
         }
         FrontFixture.waitUntil(() -> box.countEvents("GET /viewings/") >= 37);
-        box.segmentHandler = q -> q.response().end("segment");
+        box.segmentHandler = request -> request.response().end("segment");
         for (int i = 0; i < 20; i++) {
-          assertEquals("segment", r.get(r.viewerPort, healthy).body());
+          assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
         }
-        FrontFixture.waitUntil(() -> r.state().getInteger("letGo") == 12);
+        FrontFixture.waitUntil(() -> fixture.state().getInteger("letGo") == 12);
       } finally {
-        for (Socket s : deaf) {
-          s.close();
+        for (Socket socket : stalledReaders) {
+          socket.close();
         }
       }
-      assertEquals("segment", r.get(r.viewerPort, healthy).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
     }
   }
 
   @Test
   void aBoxThatSendsTooSlowlyIsReportedAsLost() throws Exception {
-    try (FrontFixture r = startFixture("desk: { idleMs: 60000 }")) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      String segment = segmentPath(r);
+    try (FrontFixture fixture = startFixture("desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String segment = segmentPath(fixture);
       box.segmentHandler =
-          q -> {
-            q.response().putHeader("Content-Length", "100000");
-            long timer = r.vertx.setPeriodic(50, t -> q.response().write("x"));
-            q.response().closeHandler(v -> r.vertx.cancelTimer(timer));
+          request -> {
+            request.response().putHeader("Content-Length", "100000");
+            long timer = fixture.vertx.setPeriodic(50, t -> request.response().write("x"));
+            request.response().closeHandler(v -> fixture.vertx.cancelTimer(timer));
           };
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        s.getOutputStream().write(httpGet(segment));
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
         assertTrue(
-            read(s, 100_000).length() < 1000, "it breaks off, and is not passed off as whole");
+            read(socket, 100_000).length() < 1000, "it breaks off, and is not passed off as whole");
       }
       FrontFixture.waitUntil(
           () ->
               box.countEvents("DELETE")
                   == 1); // the core hears of it on another loop than the one that broke off
-      assertEquals("ended: BOX_LOST\n", r.get(r.viewerPort, segment).body());
-      assertEquals(1, r.state().getJsonObject("flow").getInteger("boxesLetGo"));
-      r.waitUntilIdle();
+      assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, segment).body());
+      assertEquals(1, fixture.state().getJsonObject("flow").getInteger("boxesLetGo"));
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
   void surplusBytesOfABoxReachNoOtherViewer() throws Exception {
-    try (FrontFixture r = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      FrontFixture.ScriptedBox box = r.boxes.get(0);
-      String segment = segmentPath(r);
+    try (FrontFixture fixture = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String segment = segmentPath(fixture);
       box.segmentHandler =
-          q ->
-              ((ConnectionBase) q.connection())
+          request ->
+              ((ConnectionBase) request.connection())
                   .channel()
                   .pipeline()
                   .firstContext()
@@ -166,28 +166,30 @@
                           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nrightHTTP/1.1 200 OK\r\n"
                               + "Content-Length: 5\r\n\r\nwrong",
                           StandardCharsets.ISO_8859_1));
-      assertEquals("right", r.get(r.viewerPort, segment).body());
-      box.segmentHandler = q -> q.response().end("segment");
+      assertEquals("right", fixture.get(fixture.viewerPort, segment).body());
+      box.segmentHandler = request -> request.response().end("segment");
       for (int i = 0; i < 3; i++) {
-        HttpResponse<String> next = r.get(r.viewerPort, segment);
+        HttpResponse<String> next = fixture.get(fixture.viewerPort, segment);
         assertTrue(
             next.statusCode() == 502 || next.body().equals("segment"),
             "never another's bytes: " + next.body());
       }
-      assertEquals("segment", r.get(r.viewerPort, segment).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
     }
   }
 
   @Test
   void aBoxThatNeverEndsItsResponseTimesOut() throws Exception {
-    try (FrontFixture r = startFixture("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
-      String segment = segmentPath(r);
-      r.boxes.get(0).segmentHandler = q -> q.response().setChunked(true).write("all there is");
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        s.getOutputStream().write(httpGet(segment));
-        String all = read(s, 10_000);
+    try (FrontFixture fixture =
+        startFixture("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
+      String segment = segmentPath(fixture);
+      fixture.boxes.get(0).segmentHandler =
+          request -> request.response().setChunked(true).write("all there is");
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
+        String response = read(socket, 10_000);
         assertTrue(
-            all.contains("all there is") && !all.endsWith("0\r\n\r\n"),
+            response.contains("all there is") && !response.endsWith("0\r\n\r\n"),
             "no end where the box gave none");
       }
     }
@@ -195,20 +197,20 @@
 
   @Test
   void silentSlowAndIdleConnectionsAreClosedAndCountedSeparately() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         startFixture("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
-      try (Socket silent = new Socket(Ports.HOST, r.viewerPort);
-          Socket drips = new Socket(Ports.HOST, r.viewerPort);
-          Socket rests = new Socket(Ports.HOST, r.viewerPort)) {
-        rests.getOutputStream().write(httpGet("/v/none/x"));
-        CompletableFuture<Void> dripping =
+      try (Socket silent = new Socket(Ports.HOST, fixture.viewerPort);
+          Socket slow = new Socket(Ports.HOST, fixture.viewerPort);
+          Socket idle = new Socket(Ports.HOST, fixture.viewerPort)) {
+        idle.getOutputStream().write(httpGet("/v/none/x"));
+        CompletableFuture<Void> slowSender =
             CompletableFuture.runAsync(
                 () -> {
                   try {
                     for (byte b :
                         "GET /titles/t/main.m3u8?package=plain HTTP/1.1\r\nX: yyyyyyyyyy"
                             .getBytes(StandardCharsets.US_ASCII)) {
-                      drips.getOutputStream().write(b);
+                      slow.getOutputStream().write(b);
                       Thread.sleep(60);
                     }
                   } catch (IOException | InterruptedException closed) {
@@ -216,152 +218,163 @@
                   }
                 });
         assertEquals("", read(silent, 10));
-        assertTrue(read(rests, 10_000).startsWith("HTTP/1.1 404"));
-        dripping.join();
+        assertTrue(read(idle, 10_000).startsWith("HTTP/1.1 404"));
+        slowSender.join();
       }
       FrontFixture.waitUntil(
           () -> {
-            var f = r.state().getJsonObject("flow");
-            return f.getInteger("noFirstByte") == 1
-                && f.getInteger("headersTooSlow") == 1
-                && f.getInteger("restedTooLong") >= 1;
+            var flow = fixture.state().getJsonObject("flow");
+            return flow.getInteger("noFirstByte") == 1
+                && flow.getInteger("headersTooSlow") == 1
+                && flow.getInteger("restedTooLong") >= 1;
           });
       FrontFixture.waitUntil(
-          () -> r.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
+          () -> fixture.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
     }
   }
 
   @Test
   void aFullListenerRejectsNewConnectionsAndKeepsCapacityForOtherAddresses() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         startFixture(
             "viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
-      List<Socket> crowd = new ArrayList<>();
+      List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 30; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewerPort));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("served") == 30);
+        FrontFixture.waitUntil(
+            () -> fixture.state().getJsonObject("door").getInteger("served") == 30);
         for (int i = 0; i < 2; i++) {
-          Socket s = new Socket(Ports.HOST, r.viewerPort);
-          crowd.add(s);
+          Socket socket = new Socket(Ports.HOST, fixture.viewerPort);
+          connections.add(socket);
           FrontFixture.waitUntil(
-              () -> r.state().getJsonObject("door").getInteger("turningAway") > 0);
+              () -> fixture.state().getJsonObject("door").getInteger("turningAway") > 0);
         }
-        for (Socket s : crowd.subList(30, 32)) {
-          s.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain"));
-          String all = read(s, 10_000);
-          assertTrue(all.startsWith("HTTP/1.1 503") && all.contains("Retry-After: 1"), all);
+        for (Socket socket : connections.subList(30, 32)) {
+          socket.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain"));
+          String response = read(socket, 10_000);
+          assertTrue(
+              response.startsWith("HTTP/1.1 503") && response.contains("Retry-After: 1"), response);
         }
         FrontFixture.waitUntil(
-            () -> r.state().getJsonObject("door").getInteger("turningAway") == 0);
+            () -> fixture.state().getJsonObject("door").getInteger("turningAway") == 0);
         for (int i = 0; i < 2; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewerPort));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
         FrontFixture.waitUntil(
-            () -> r.state().getJsonObject("door").getInteger("turningAway") == 2);
-        Socket shutOut = new Socket(Ports.HOST, r.viewerPort);
-        crowd.add(shutOut);
-        assertEquals("", read(shutOut, 10), "no place even to be told");
+            () -> fixture.state().getJsonObject("door").getInteger("turningAway") == 2);
+        Socket refused = new Socket(Ports.HOST, fixture.viewerPort);
+        connections.add(refused);
+        assertEquals("", read(refused, 10), "no place even to be told");
         try (Socket other =
             new Socket(
                 InetAddress.getByName(Ports.HOST),
-                r.viewerPort,
+                fixture.viewerPort,
                 InetAddress.getByName("127.99.0.1"),
                 0)) {
           other.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain&patience=3000"));
           assertTrue(read(other, 12).endsWith("200"));
         }
       } finally {
-        for (Socket s : crowd) {
-          s.close();
+        for (Socket socket : connections) {
+          socket.close();
         }
       }
-      FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("served") == 0);
-      assertEquals(200, r.requestViewing("").statusCode());
+      FrontFixture.waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 0);
+      assertEquals(200, fixture.requestViewing("").statusCode());
     }
   }
 
   @Test
   void tooManyHeadersAndTooManyRequestsOfOneKeyAreRejected() throws Exception {
-    try (FrontFixture r = startFixture("viewers: { headerCount: 8, keyAsks: 2 }")) {
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        s.getOutputStream()
+    try (FrontFixture fixture = startFixture("viewers: { headerCount: 8, keyAsks: 2 }")) {
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket
+            .getOutputStream()
             .write(
                 ("GET /v/x HTTP/1.1\r\n" + "A: b\r\n".repeat(9) + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
-        assertTrue(read(s, 12).endsWith("431"));
+        assertTrue(read(socket, 12).endsWith("431"));
       }
-      assertEquals(200, r.requestViewing("&key=k").statusCode());
-      assertEquals(200, r.requestViewing("&key=k").statusCode());
-      HttpResponse<String> third = r.requestViewing("&key=k");
+      assertEquals(200, fixture.requestViewing("&key=k").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=k").statusCode());
+      HttpResponse<String> third = fixture.requestViewing("&key=k");
       assertEquals(503, third.statusCode());
       assertTrue(third.headers().firstValue("Retry-After").isPresent());
-      assertEquals(200, r.requestViewing("&key=other").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=other").statusCode());
     }
   }
 
   @Test
   void pipelinedRequestsAreAnsweredInOrderOrTheConnectionEnds() throws Exception {
-    try (FrontFixture r = startFixture("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
-      String segment = segmentPath(r);
-      try (Socket s = new Socket(Ports.HOST, r.viewerPort)) {
-        byte[] ask = httpGet(segment);
+    try (FrontFixture fixture =
+        startFixture("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
+      String segment = segmentPath(fixture);
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        byte[] request = httpGet(segment);
         for (int i = 0; i < 50; i++) {
-          s.getOutputStream().write(ask);
+          socket.getOutputStream().write(request);
         }
-        s.shutdownOutput();
-        String all = read(s, 100_000);
-        assertTrue(all.startsWith("HTTP/1.1 200") && all.contains("segment"), all);
-        assertEquals(0, all.split("HTTP/1.1 200", -1).length - all.split("segment", -1).length);
+        socket.shutdownOutput();
+        String response = read(socket, 100_000);
+        assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("segment"), response);
+        assertEquals(
+            0, response.split("HTTP/1.1 200", -1).length - response.split("segment", -1).length);
       }
-      assertEquals("segment", r.get(r.viewerPort, segment).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
     }
   }
 
   @Test
   void aRequestPipelinedBehindAStalledReadLeavesNoOpenViewing() throws Exception {
-    try (FrontFixture r = startFixture("desk: { idleMs: 60000 }")) {
-      String slow = segmentPath(r);
-      r.boxes.get(0).segmentHandler = q -> writeEndlessly(q.response());
-      try (Socket s = openStalledReader(r, slow)) {
-        s.getOutputStream()
+    try (FrontFixture fixture = startFixture("desk: { idleMs: 60000 }")) {
+      String slow = segmentPath(fixture);
+      fixture.boxes.get(0).segmentHandler = request -> writeEndlessly(request.response());
+      try (Socket socket = openStalledReader(fixture, slow)) {
+        socket
+            .getOutputStream()
             .write(httpGet("/titles/t/main.m3u8?package=paid&patience=3000")); // behind the segment
-        FrontFixture.waitUntil(() -> r.state().getInteger("letGo") == 1);
+        FrontFixture.waitUntil(() -> fixture.state().getInteger("letGo") == 1);
       }
-      r.waitUntilIdle();
-      assertEquals(r.state().getLong("taken"), r.state().getLong("played"));
+      fixture.waitUntilIdle();
+      assertEquals(fixture.state().getLong("taken"), fixture.state().getLong("played"));
     }
   }
 
   @Test
   void aWaitingByteLimitOverTheDirectMemoryFailsTheStart() throws Exception {
-    try (FrontFixture r = new FrontFixture(1, "flow: { waitingBytes: 1000000000000 }")) {
-      Throwable e = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, r::start);
+    try (FrontFixture fixture = new FrontFixture(1, "flow: { waitingBytes: 1000000000000 }")) {
+      Throwable e = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, fixture::start);
       assertTrue(e.toString().contains("-XX:MaxDirectMemorySize"), e.toString());
-      r.front = null;
+      fixture.front = null;
     }
   }
 
   @Test
   void controlConnectionsAreLimitedSeparately() throws Exception {
-    try (FrontFixture r =
+    try (FrontFixture fixture =
         startFixture(
             "control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
-      List<Socket> crowd = new ArrayList<>();
+      List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 300; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewerPort));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("shutOut") > 0);
+        FrontFixture.waitUntil(
+            () -> fixture.state().getJsonObject("door").getInteger("shutOut") > 0);
         for (int i = 0; i < 5; i++) {
-          crowd.add(new Socket(Ports.HOST, r.controlPort));
+          connections.add(new Socket(Ports.HOST, fixture.controlPort));
         }
-        assertEquals("", read(crowd.get(crowd.size() - 1), 1), "the fourth and later are closed");
-        assertTrue(r.state().getBoolean("ready"), "the one that asked before keeps its place");
+        assertEquals(
+            "",
+            read(connections.get(connections.size() - 1), 1),
+            "the fourth and later are closed");
+        assertTrue(
+            fixture.state().getBoolean("ready"), "the one that asked before keeps its place");
       } finally {
-        for (Socket s : crowd) {
-          s.close();
+        for (Socket socket : connections) {
+          socket.close();
         }
       }
     }
@@ -369,29 +382,30 @@
 
   @Test
   void requestsOverTheQueueLimitAreRejectedAndTheRestAreAnswered() throws Exception {
-    try (FrontFixture r = startFixture("desk: { waitingAsks: 1, idleMs: 60000 }")) {
-      List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
+    try (FrontFixture fixture = startFixture("desk: { waitingAsks: 1, idleMs: 60000 }")) {
+      List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
       for (int i = 0; i < 150; i++) {
-        all.add(
-            r.client.sendAsync(
+        responses.add(
+            fixture.client.sendAsync(
                 java.net.http.HttpRequest.newBuilder(
                         java.net.URI.create(
                             "http://"
                                 + Ports.HOST
                                 + ":"
-                                + r.viewerPort
+                                + fixture.viewerPort
                                 + "/titles/t/main.m3u8?package=plain&patience=3000"))
                     .build(),
                 HttpResponse.BodyHandlers.ofString()));
       }
-      int turnedAway = 0;
-      for (CompletableFuture<HttpResponse<String>> a : all) {
-        int status = a.join().statusCode();
+      int rejected = 0;
+      for (CompletableFuture<HttpResponse<String>> response : responses) {
+        int status = response.join().statusCode();
         assertTrue(status == 200 || status == 503, "" + status);
-        turnedAway += a.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
+        rejected += response.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
       }
-      assertEquals(turnedAway, r.state().getJsonObject("door").getInteger("asksTurnedAway"));
-      FrontFixture.waitUntil(() -> r.state().getJsonObject("door").getInteger("asksWaiting") == 0);
+      assertEquals(rejected, fixture.state().getJsonObject("door").getInteger("asksTurnedAway"));
+      FrontFixture.waitUntil(
+          () -> fixture.state().getJsonObject("door").getInteger("asksWaiting") == 0);
     }
   }
 }
