--- a/src/main/java/linengauge/front/ActiveViewings.java
+++ b/src/main/java/linengauge/front/ActiveViewings.java
@@ -5,9 +5,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import linengauge.session.Viewer;
 
-/** Viewings that play, by id: written by the desk, read by the loops. Each leaves as it ends. */
+/**
+ * Viewings that play, by id: written on the session loop, read on the viewers' event loops. Each is
+ * removed as it ends.
+ */
 final class ActiveViewings {
-  /** How many viewings that have ended are remembered, so that a late request is told why. */
+  /** How many ended viewings are remembered, so that a late request gets the reason. */
   private static final int MAX_ENDED = 1000;
 
   private final Map<String, HttpViewer> playing = new ConcurrentHashMap<>();
@@ -36,7 +39,7 @@
     return playing.get(id);
   }
 
-  /** How a viewing ended, or null where that is not remembered. */
+  /** Why a viewing ended, or null where that is not remembered. */
   Viewer.End endReason(String id) {
     synchronized (ended) {
       return ended.get(id);
--- a/src/main/java/linengauge/front/AdmissionControl.java
+++ b/src/main/java/linengauge/front/AdmissionControl.java
@@ -5,7 +5,10 @@
 import linengauge.flow.DoorBook;
 import linengauge.flow.DoorTerms;
 
-/** The door's book, shared by the loops: one call at a time, each of some hundred nanoseconds. */
+/**
+ * Thread-safe access to the connection ledger that the listeners share. A call takes some hundred
+ * nanoseconds.
+ */
 final class AdmissionControl {
   private final DoorBook ledger;
 
--- a/src/main/java/linengauge/front/BackgroundJobs.java
+++ b/src/main/java/linengauge/front/BackgroundJobs.java
@@ -11,8 +11,7 @@
 import linengauge.work.Workbench;
 
 /**
- * Background work on the desk: asks the bench for the next job, runs it, and wakes when it is to be
- * asked again.
+ * Background jobs on the session loop: runs the jobs that are due, and sets a timer for the next.
  */
 final class BackgroundJobs {
   private final FrontServer front;
@@ -20,16 +19,17 @@
   private Carrier.Wake timer;
   private Moment timerDueAt;
 
-  BackgroundJobs(FrontServer front, WorkTerms terms, long seed) {
+  BackgroundJobs(FrontServer front, WorkTerms settings, long seed) {
     this.front = front;
-    this.scheduler = new Workbench(terms, seed);
+    this.scheduler = new Workbench(settings, seed);
   }
 
   /**
-   * On the desk: something short to be done once after a span, when there is time for it; false
-   * where there is no place for it now, and it is to be submitted again.
+   * Submits a short task that runs once after a delay, when the budget permits. Called on the
+   * session loop.
    *
-   * @param thought what it is thought to take of the desk; measured from its first time on
+   * @param estimatedTime expected time on the session loop; measured from the first run on
+   * @return false where the task was refused for now and has to be submitted again
    */
   boolean submit(String name, int urgency, Span delay, Span estimatedTime, Runnable task) {
     Moment now = Wall.now();
@@ -47,7 +47,8 @@
     Moment startedAt = Wall.now();
     try {
       task.run();
-    } finally { // what throws is the desk's to report, and must not keep its place
+    } finally {
+      // An exception is reported by the session loop, and must not leave the job in the queue.
       Moment now = Wall.now();
       job.done(now, now.since(startedAt), 0);
     }
@@ -55,7 +56,7 @@
 
   private void runDueJobs() {
     Moment now = Wall.now();
-    // How late this very wake is tells how late the desk is.
+    // The delay of this timer shows how late the session loop is.
     scheduler.deskLate(now.since(timerDueAt).orMore(Span.NONE));
     timer = null;
     try {
--- a/src/main/java/linengauge/front/BoxClient.java
+++ b/src/main/java/linengauge/front/BoxClient.java
@@ -30,36 +30,36 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Calls to media boxes, as docs/protocol/box.md says. They are kept on the desk and carried on a
- * loop of their own, so that reading and writing them does not take the desk's time. It tells a
- * set-up that provably never ran (no connection, an explicit refusal) from one that may have, and
- * decides nothing else.
+ * HTTP client for media boxes (docs/protocol/box.md). The state of calls is confined to the session
+ * loop. Their bytes are read and written on another event loop, so that they take no time of the
+ * session loop. The client distinguishes a set-up that provably never ran (no connection, or an
+ * explicit rejection) from one that may have run, and makes no other decision.
  */
 final class BoxClient {
   static final ObjectMapper JSON = new ObjectMapper();
 
   /**
-   * The library reads no more at once unless told; to tell it would also bound the system's buffer,
-   * for nothing.
+   * The most that the library reads at once by default. A larger limit needs no setting, and a
+   * setting would also fix the size of the socket's receive buffer.
    */
   private static final int LARGEST_READ_BYTES = 65_536;
 
-  /** A set-up that is out. */
+  /** A set-up that has not been answered. */
   private static final class PendingSetUp {
     private final BoxTable.Entry box;
     private final int tuneIn;
 
-    /** Of the viewing's addresses, as its viewer is to have them. */
+    /** What precedes the paths in the viewer's playlist: empty, or scheme and address. */
     private final String baseUrl;
 
     private HttpClientRequest request;
     private boolean sent;
     private boolean finished;
 
-    private PendingSetUp(BoxTable.Entry box, int tuneIn, String base) {
+    private PendingSetUp(BoxTable.Entry box, int tuneIn, String baseUrl) {
       this.box = box;
       this.tuneIn = tuneIn;
-      this.baseUrl = base;
+      this.baseUrl = baseUrl;
     }
   }
 
@@ -71,28 +71,28 @@
   private final SplittableRandom random;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(BoxClient.class));
 
-  /** Set-ups out; each leaves with its outcome or when it is withdrawn. */
+  /** Unanswered set-ups; each is removed with its outcome or when it is cancelled. */
   private final Map<Held, PendingSetUp> pendingSetUps = new HashMap<>();
 
   /**
-   * Rungs being told, one call a viewing; each leaves when the box has the latest or the tries are
-   * used up.
+   * Viewings whose rung is being sent, one call each; removed when the box has confirmed the latest
+   * rung or no tries are left.
    */
   private final Map<Held, Integer> pendingRungs = new HashMap<>();
 
-  /** Ends that boxes are still to hear of; bounded by the site file. */
+  /** Ends that boxes have not confirmed yet; bounded by the site file. */
   private int pendingEnds;
 
   private long endsGivenUp;
 
-  BoxClient(Vertx calls, Site site, long seed, FrontServer front) {
+  BoxClient(Vertx vertx, Site site, long seed, FrontServer front) {
     this.site = site;
     this.front = front;
     this.random = new SplittableRandom(seed);
     this.setUpClient =
-        newClient(calls, site, site.boxes().connections(), site.boxes().waitingSetUps());
+        newClient(vertx, site, site.boxes().connections(), site.boxes().waitingSetUps());
     this.callClient =
-        newClient(calls, site, site.boxes().connections(), site.boxes().waitingEnds());
+        newClient(vertx, site, site.boxes().connections(), site.boxes().waitingEnds());
   }
 
   static HttpClient newClient(Vertx vertx, Site site, int connections, int maxWaiting) {
@@ -175,7 +175,7 @@
         });
   }
 
-  /** Obtains a connection; what fails here was never written. */
+  /** Obtains a connection. After a failure here nothing has been written. */
   private void connect(
       HttpClient client,
       RequestOptions options,
@@ -188,9 +188,8 @@
                 front.runOnSessionLoop(
                     () -> {
                       if (result.succeeded()) {
-                        result
-                            .result()
-                            .exceptionHandler(e -> {}); // what fails is told by the futures
+                        // Failures are reported by the futures.
+                        result.result().exceptionHandler(e -> {});
                         onConnected.accept(result.result());
                       } else {
                         onFailure.accept(result.cause());
@@ -199,9 +198,9 @@
   }
 
   /**
-   * Sends a request; what is to be done with its answer is known before, so that it is in place
-   * when the first bytes come on the loop of the call: an answer that is quicker than the desk
-   * would lose them.
+   * Sends a request. The response handler is set before, so that it is in place when the first
+   * bytes arrive on the call's event loop; a handler set later on the session loop could miss the
+   * start of a fast response.
    */
   static void sendRequest(
       HttpClientRequest request,
@@ -223,7 +222,7 @@
             pending.finished = true;
             pendingSetUps.remove(viewing, pending);
             if (outcome == Ending.BROKEN) {
-              sendEnd(viewing, pending.box, pending.tuneIn); // it may run there
+              sendEnd(viewing, pending.box, pending.tuneIn); // the set-up may run at the box
             }
             viewing.failed(pending.tuneIn, outcome);
           }
@@ -231,8 +230,8 @@
   }
 
   /**
-   * On the loop of the call: reads the answer and rewrites the playlist; the desk hears the
-   * outcome.
+   * Reads the response and rewrites the playlist, on the call's event loop. The outcome is handled
+   * on the session loop.
    */
   private void onSetUpResponse(
       Held viewing,
@@ -260,7 +259,7 @@
                 viewing,
                 pending,
                 box,
-                "a playlist longer than " + site.boxes().playlistBytes() + " bytes");
+                "playlist longer than " + site.boxes().playlistBytes() + " bytes");
           }
         });
     response.endHandler(
@@ -296,7 +295,7 @@
     }
   }
 
-  /** What every answer of a box may tell beside what it was asked. */
+  /** Reads the load, life and age headers that any response of a box may carry. */
   private void readReportHeaders(BoxTable.Entry box, HttpClientResponse response) {
     reportLoad(box, response.getHeader("Load"));
     front
@@ -304,13 +303,16 @@
         .reportLife(box, response.getHeader("Box-Life"), response.getHeader("Box-Age-Ms"));
   }
 
-  /** The box answered with what no player can use: the viewing may run there and must end there. */
+  /**
+   * Handles a set-up that was answered with a playlist that no player can use. The viewing may run
+   * at the box, so it is ended there.
+   */
   private void rejectPlaylist(
       Held viewing, PendingSetUp pending, BoxTable.Entry box, String reason) {
     front.runOnSessionLoop(
         () -> {
           if (!pending.finished) {
-            log.warn("broken playlist", box.toString(), reason);
+            log.warn("invalid playlist", box.toString(), reason);
             cancel(viewing, box, pending.tuneIn);
             viewing.failed(pending.tuneIn, Ending.SPOILT);
           }
@@ -320,8 +322,8 @@
   /* ---- ends ---- */
 
   /**
-   * Ends a viewing or tune-in at its box; tried again a bounded number of times, then left to the
-   * box's lease.
+   * Ends a viewing or tune-in at its box. The end is retried a limited number of times, then left
+   * to the box's lease.
    */
   void cancel(Held viewing, BoxTable.Entry box, int tuneIn) {
     PendingSetUp pending = pendingSetUps.remove(viewing);
@@ -341,7 +343,7 @@
   private void sendEnd(Held viewing, BoxTable.Entry box, int tuneIn) {
     if (pendingEnds >= site.boxes().waitingEnds()) {
       endsGivenUp++;
-      log.warn("end not told", box.toString(), "too many wait");
+      log.warn("end not confirmed", box.toString(), "too many ends are pending");
       return;
     }
     pendingEnds++;
@@ -355,13 +357,13 @@
   }
 
   /**
-   * A box that has answered keeps the end: nothing of that tune-in runs there, nor can any more
-   * (docs/protocol/box.md).
+   * Sends an end. Once the box has answered, nothing of the tune-in runs there or can start later,
+   * as the box remembers the end (docs/protocol/box.md).
    */
   private void tryEnd(
       BoxTable.Entry box, String uri, int triesLeft, Backoff backoff, Runnable onConfirmed) {
     if (closed) {
-      return; // the front has ended; the box's lease ends it there
+      return; // the front has stopped; the box's lease ends the viewing
     }
     call(
         HttpMethod.DELETE,
@@ -380,7 +382,9 @@
             pendingEnds--;
             endsGivenUp++;
             log.warn(
-                "end not told", box.toString(), status == 0 ? "no answer" : "status " + status);
+                "end not confirmed",
+                box.toString(),
+                status == 0 ? "no response" : "status " + status);
           }
         });
   }
@@ -438,20 +442,22 @@
   }
 
   private interface ResponseCallback {
-    /** Status 0: no answer came, or none in time. */
+    /** Called with status 0 where no response arrived, or none in time. */
     void onResponse(int status, HttpClientResponse response);
   }
 
-  /** One call, answered once, on the desk. Its fields are read and written there alone. */
+  /**
+   * One call, whose callback runs once, on the session loop. Its fields are confined to that loop.
+   */
   private final class Call {
     private final ResponseCallback callback;
     private final Carrier.Wake timeoutTimer;
     private HttpClientRequest request;
     private boolean done;
 
-    private Call(int ms, ResponseCallback then) {
-      this.callback = then;
-      this.timeoutTimer = front.wakeAfter(Span.ofMillis(ms), this::timeOut);
+    private Call(int timeoutMs, ResponseCallback callback) {
+      this.callback = callback;
+      this.timeoutTimer = front.wakeAfter(Span.ofMillis(timeoutMs), this::timeOut);
     }
 
     private void timeOut() {
@@ -492,7 +498,7 @@
     }
   }
 
-  /** One call whose body does not matter. */
+  /** Makes a call whose response body is ignored. */
   private void call(
       HttpMethod method,
       BoxTable.Entry box,
@@ -508,7 +514,9 @@
         e -> call.complete(0, null));
   }
 
-  /** The Load header: "link=0.8; uplink=0.7; streams=12", each part optional. */
+  /**
+   * Parses the Load header, for example "link=0.8; uplink=0.7; streams=12"; each part is optional.
+   */
   private void reportLoad(BoxTable.Entry box, String header) {
     if (header == null || header.length() > 200) {
       return;
@@ -528,7 +536,7 @@
     front.sessionManager().reported(box, values[0], values[1], values[2]);
   }
 
-  /** A figure that a box told; what is no sensible one counts as not told. */
+  /** Parses a load value; NaN where it is not a number in the permitted range. */
   static double parseLoadValue(String text) {
     try {
       double value = Double.parseDouble(text);
--- a/src/main/java/linengauge/front/ControlListener.java
+++ b/src/main/java/linengauge/front/ControlListener.java
@@ -11,14 +11,17 @@
 import java.util.function.Consumer;
 import linengauge.site.Site;
 
-/** The listener for operators: what the front holds, and whether it is ready. */
+/** HTTP listener for operators: serves the front's state and its readiness. */
 final class ControlListener {
   private final Vertx vertx;
   private final Site site;
   private final Consumer<HttpServerRequest> stateHandler;
   private final BooleanSupplier ready;
 
-  /** Connections that it may still take; of its own, so that viewers cannot take them. */
+  /**
+   * Connections that may still be accepted. They are counted apart from viewers' connections, so
+   * that viewers cannot use them up.
+   */
   private int freeConnections;
 
   /**
--- a/src/main/java/linengauge/front/DiscoveryClient.java
+++ b/src/main/java/linengauge/front/DiscoveryClient.java
@@ -21,16 +21,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The box list, followed for ever (docs/protocol/list.md): changes from the revision known, or the
- * whole list. While it cannot be heard the last one stands.
+ * Follows the discovery service (docs/protocol/list.md): changes since the known revision, or the
+ * whole list of boxes. While the service is unreachable the last list remains in force.
  */
 final class DiscoveryClient {
   private static final Logger LOG = LoggerFactory.getLogger(DiscoveryClient.class);
 
-  /** Before all other background work: without its list a front goes by what was. */
+  /** Before all other background jobs: without discovery a front works with outdated data. */
   private static final int URGENCY = 0;
 
-  /** What opening a stream is thought to take of the desk, until it has been seen. */
+  /** Estimated time on the session loop for opening a stream, until it has been measured. */
   static final Span ESTIMATED_OPEN_TIME = new Span(300);
 
   private final FrontServer front;
@@ -94,7 +94,7 @@
   private void streamEnded(int status, String reason) {
     stream = null;
     disconnects++;
-    throttledLog.warn("box list broke", site.list().address(), reason);
+    throttledLog.warn("discovery stream ended", site.list().address(), reason);
     if (status == 410) {
       front.sessionManager().forgetList();
     }
@@ -130,8 +130,8 @@
     try {
       applied = apply(BoxClient.parseLine(line));
     } catch (JacksonException | IllegalArgumentException e) {
-      // One row that cannot be read spoils the line: half of a change is worse than none.
-      throttledLog.warn("bad box list", site.list().address(), e.getMessage());
+      // One invalid row invalidates the line: half of a change is worse than none.
+      throttledLog.warn("invalid discovery message", site.list().address(), e.getMessage());
       front.sessionManager().forgetList();
       applied = false;
     }
@@ -147,7 +147,7 @@
 
   private boolean apply(JsonNode message) {
     if (!message.path("boxes").isArray()) {
-      throw new IllegalArgumentException("a line without boxes");
+      throw new IllegalArgumentException("line without an array of boxes");
     }
     List<BoxTable.Row> rows = new ArrayList<>();
     for (JsonNode box : message.path("boxes")) {
@@ -165,7 +165,7 @@
   private static long wholeNumber(JsonNode object, String key) {
     JsonNode value = object.path(key);
     if (!value.canConvertToLong() || value.asLong() < 0) {
-      throw new IllegalArgumentException("'" + key + "' should be a whole number");
+      throw new IllegalArgumentException("'" + key + "' must be a whole number");
     }
     return value.asLong();
   }
@@ -192,7 +192,7 @@
         || !(weight > 0)
         || weight > 1e6) {
       throw new IllegalArgumentException(
-          "box " + id + ": id, address, kind, building or weight is wrong");
+          "box " + id + ": id, address, kind, building or weight is invalid");
     }
     Moment started =
         box.has("startedAt")
--- a/src/main/java/linengauge/front/EventLoops.java
+++ b/src/main/java/linengauge/front/EventLoops.java
@@ -13,15 +13,15 @@
 import linengauge.site.Site;
 
 /**
- * One loop of viewers' connections: its own time, its watch over slow peers, its waiting callers,
- * and its beat.
+ * State of one event loop of viewers' connections: the time for which it ran, its detection of slow
+ * peers, its connection attempts, and the tick that drives them.
  */
 final class EventLoops {
   private final OwnTime loopTime;
   private final Watch slowPeers;
   private final Knocks attempts;
 
-  /** What the last beat saw, for whoever asks on another loop. */
+  /** Counters as of the last tick, for readers on other event loops. */
   private volatile Map<String, Long> counters = Map.of();
 
   EventLoops(Vertx vertx, Site site) {
@@ -69,7 +69,7 @@
     return attempts;
   }
 
-  /** The sums over all loops. */
+  /** Sums the counters of all event loops. */
   static JsonObject sum(List<EventLoops> loops) {
     Map<String, Long> sums = new TreeMap<>();
     loops.forEach(
--- a/src/main/java/linengauge/front/FleetLease.java
+++ b/src/main/java/linengauge/front/FleetLease.java
@@ -20,14 +20,18 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** This front's membership by lease; where the site file names no control machines, idle. */
+/**
+ * This front's fleet membership by lease; inactive where the site file names no control machines.
+ */
 final class FleetLease {
   private static final Logger LOG = LoggerFactory.getLogger(FleetLease.class);
 
-  /** Null where the site file does not ask for it. */
+  /** Null where the site file does not configure it. */
   private final LeaseNode node;
 
-  /** Binds where control machines answer; heartbeats are sent from {@link #start} on. */
+  /**
+   * Binds the socket on which control machines answer. Heartbeats are sent from {@link #start} on.
+   */
   FleetLease(Site site) throws IOException {
     Site.Lease lease = site.lease();
     if (lease.control().isEmpty()) {
@@ -58,7 +62,7 @@
       @Override
       public void changed(DirectoryEntry entry) {
         LOG.info(
-            "listed {} {} {}",
+            "directory entry changed {} {} {}",
             StructuredArguments.kv("number", entry.member().number()),
             StructuredArguments.kv("state", entry.state()),
             StructuredArguments.kv("incarnation", entry.incarnation()));
@@ -66,7 +70,7 @@
 
       @Override
       public void superseded(long incarnation) {
-        LOG.warn("lease lost {}", StructuredArguments.kv("incarnation", incarnation));
+        LOG.warn("lease superseded {}", StructuredArguments.kv("incarnation", incarnation));
       }
     };
   }
@@ -77,14 +81,17 @@
     }
   }
 
-  /** Says that it leaves: nobody has to wait until the lease has run out. */
+  /** Announces the departure, so that nobody has to wait until the lease expires. */
   void leave() {
     if (node != null) {
       node.leave();
     }
   }
 
-  /** Tells how it stands now, on whatever thread; at once where it takes no part. */
+  /**
+   * Passes the current state to the receiver, on an arbitrary thread; at once and empty where
+   * membership by lease is not configured.
+   */
   void state(Consumer<JsonObject> receiver) {
     if (node == null || !node.ask(agent -> receiver.accept(state(agent, DatagramLoop.now())))) {
       receiver.accept(new JsonObject());
--- a/src/main/java/linengauge/front/FleetMembership.java
+++ b/src/main/java/linengauge/front/FleetMembership.java
@@ -13,14 +13,20 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who of the fleet is there; where the site file does not ask for it, idle. */
+/**
+ * Membership of this front among the members of the fleet; inactive where the site file does not
+ * configure it.
+ */
 final class FleetMembership {
   private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
 
-  /** Null where the site file does not ask for it. */
+  /** Null where the site file does not configure it. */
   private final MembershipNode node;
 
-  /** Binds where other members are heard; the front tells of itself from {@link #start} on. */
+  /**
+   * Binds the socket on which other members send. The front announces itself from {@link #start}
+   * on.
+   */
   FleetMembership(Site site) throws IOException {
     Site.Members members = site.members();
     if (members.listen() == null) {
@@ -41,7 +47,7 @@
 
   private static void log(MemberUpdate update) {
     LOG.info(
-        "member {} {} {} {}",
+        "member updated {} {} {} {}",
         StructuredArguments.kv("number", update.member().number()),
         StructuredArguments.kv("standing", update.standing()),
         StructuredArguments.kv("incarnation", update.incarnation()),
@@ -54,7 +60,7 @@
     }
   }
 
-  /** Says that it leaves: nobody has to find out that it is gone. */
+  /** Announces the departure, so that nobody has to detect it. */
   void close() {
     if (node != null) {
       node.close();
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -12,7 +12,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Datagrams between the desks of fronts. Used on the desk alone. */
+/** Datagrams between fronts. Confined to the session loop. */
 final class FrontDatagrams {
   private static final Logger LOG = LoggerFactory.getLogger(FrontDatagrams.class);
 
@@ -27,7 +27,7 @@
     this.rateLimiter = new Intake(site.fronts().wordsPerSecond(), 2 * site.fronts().count() + 8);
   }
 
-  /** Binds the socket, where the site file names one and lets fronts speak to each other. */
+  /** Binds the socket, where the site file names one and permits messages between fronts. */
   Future<?> open(Consumer<byte[]> receiver) {
     if (!site.headend().permits().messages() || site.front().words() == null) {
       return Future.succeededFuture();
@@ -40,7 +40,7 @@
             bound ->
                 bound
                     .handler(packet -> receive(packet, receiver))
-                    .exceptionHandler(e -> LOG.warn("datagrams", e)));
+                    .exceptionHandler(e -> LOG.warn("datagram socket failed", e)));
   }
 
   private void receive(DatagramPacket packet, Consumer<byte[]> receiver) {
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Datagrams that were passed over since their senders sent too many. */
+  /** Datagrams dropped because their senders exceeded the rate limit. */
   long dropped() {
     return rateLimiter.passedOver();
   }
--- a/src/main/java/linengauge/front/FrontServer.java
+++ b/src/main/java/linengauge/front/FrontServer.java
@@ -36,13 +36,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One running front: the core on one event loop, the desk, and round it the sockets. It turns what
- * happens on them into calls of the core and carries out what that decides.
+ * One running front: the session manager on an event loop of its own, and the sockets around it.
+ * Events on the sockets become calls of the session manager, and its decisions are carried out
+ * here.
  */
 public final class FrontServer implements Carrier {
   static {
-    // The library's newer allocator keeps a whole chunk for the last buffer in it: bytes that wait
-    // for slow viewers took five times their size. The older one shares chunks out again.
+    // Netty's newer allocator retains a whole chunk for the last buffer in it: bytes waiting for
+    // slow viewers took five times their size. The older, pooled allocator reuses parts of chunks.
     if (System.getProperty("io.netty.allocator.type") == null) {
       System.setProperty("io.netty.allocator.type", "pooled");
     }
@@ -50,7 +51,10 @@
 
   private static final Logger LOG = LoggerFactory.getLogger(FrontServer.class);
 
-  /** What the library's pool of direct buffers takes for a loop beside what waits. */
+  /**
+   * Direct memory that the library's buffer pool takes for each event loop, beside the waiting
+   * bytes.
+   */
   private static final long DIRECT_BYTES_PER_LOOP = 8L << 20;
 
   private static final Span DRAIN_CHECK_INTERVAL = Span.ofMillis(50);
@@ -61,8 +65,8 @@
   private final Headend deployment;
 
   /**
-   * The desk's own loop, one for calls to boxes, and those of the viewers' connections: none can
-   * starve another.
+   * The session manager, calls to boxes and viewers' connections have separate event loops, so that
+   * none can starve another.
    */
   private final Vertx sessionVertx;
 
@@ -70,14 +74,14 @@
   private final Vertx viewerVertx;
   private final ActiveViewings activeViewings = new ActiveViewings();
 
-  /** The loops of the viewers' connections, as they start. */
+  /** The event loops of viewers' connections, added as they start. */
   private final List<EventLoops> eventLoops = new CopyOnWriteArrayList<>();
 
   private final AdmissionControl admission;
   private final FrontDatagrams datagrams;
   private final SessionLoop sessionLoop;
 
-  /** Requests for viewings that wait for the desk; each leaves as the desk takes it. */
+  /** Requests for viewings that wait for the session loop; each is removed as the loop takes it. */
   private final AtomicInteger waitingRequests = new AtomicInteger();
 
   private final AtomicLong rejectedRequests = new AtomicLong();
@@ -92,7 +96,7 @@
   private FleetMembership membership;
   private FleetLease fleetLease;
 
-  /** What the pairing asks for on its own thread. */
+  /** Read by the VRRP node on its own thread. */
   private volatile int servingBoxes;
 
   private volatile boolean ready;
@@ -142,7 +146,7 @@
     return admission;
   }
 
-  /** Whether the shared address of a virtual router is this front's. */
+  /** The lease that tells whether this front holds the shared address of a virtual router. */
   Lease addressLease(int vrid) {
     return vrrp.lease(vrid);
   }
@@ -153,7 +157,10 @@
 
   /* ---- start ---- */
 
-  /** Starts the front; done once its listeners are bound, failed where one could not be. */
+  /**
+   * Starts the front. The future completes once the listeners are bound, and fails where one could
+   * not be.
+   */
   public Future<?> start(long seed) {
     long requiredBytes =
         site.flow().waitingBytes() + DIRECT_BYTES_PER_LOOP * (site.viewers().loops() + 2);
@@ -171,7 +178,9 @@
     try {
       vrrp =
           new VrrpPairing(
-              site, lease -> listeners.forEach(d -> d.addressLost(lease)), this::isUnfit);
+              site,
+              lease -> listeners.forEach(listener -> listener.addressLost(lease)),
+              this::isUnfit);
       membership = new FleetMembership(site);
       fleetLease = new FleetLease(site);
     } catch (IOException e) {
@@ -254,16 +263,17 @@
     }
   }
 
-  /* ---- steps on the desk ---- */
+  /* ---- session loop ---- */
 
-  /** See {@link SessionLoop#run}. */
+  /** Runs a step on the session loop; see {@link SessionLoop#run}. */
   void runOnSessionLoop(Runnable step) {
     sessionLoop.run(step);
   }
 
   /**
-   * Takes a step to the desk that belongs to a request for a viewing; false, and not taken, where
-   * too many wait already. Guards the desk against a surge that it could only answer too late.
+   * Runs the step of a request for a viewing on the session loop; false, and not run, where too
+   * many requests are waiting. Guards the session loop against a burst that it could only answer
+   * too late.
    */
   boolean submitRequest(Runnable step) {
     if (site.flow().guards() && waitingRequests.get() >= site.desk().waitingAsks()) {
@@ -279,7 +289,7 @@
     return true;
   }
 
-  /* ---- its state, for operators ---- */
+  /* ---- state for operators ---- */
 
   private void respondState(HttpServerRequest request) {
     fleetLease.state(leaseState -> runOnSessionLoop(() -> respondState(request, leaseState)));
@@ -347,16 +357,16 @@
   /* ---- stop ---- */
 
   /**
-   * Stops in order: nothing more is taken, what plays may go on for the site file's bound, then all
-   * is closed.
+   * Stops in order: no further request is accepted, running viewings may continue for the time
+   * limit of the site file, then everything is closed.
    */
   public void stop() {
     if (stopping) {
       return;
     }
     stopping = true;
-    vrrp.close(); // partners take over while what plays here goes on at the front's own address
-    membership.close(); // nobody has to find out that it is gone
+    vrrp.close(); // partners take over while running viewings continue at the front's own address
+    membership.close(); // announces the departure, so that nobody has to detect it
     fleetLease.leave();
     runOnSessionLoop(
         () -> {
@@ -375,7 +385,7 @@
     }
   }
 
-  /** Boxes hear of the last ends, within a short bound; then the sockets close. */
+  /** Waits a short time for boxes to confirm the last ends, then closes the sockets. */
   private void awaitPendingCalls(long deadlineMicros) {
     if (boxClient.pendingCalls() > 0 && Wall.micros() < deadlineMicros) {
       wakeAfter(PENDING_CALLS_CHECK_INTERVAL, () -> awaitPendingCalls(deadlineMicros));
@@ -395,7 +405,11 @@
         .onComplete(v -> stopped.complete(cause));
   }
 
-  /** Waits until the front has stopped; the cause where it failed, or an empty text. */
+  /**
+   * Waits until the front has stopped.
+   *
+   * @return the cause where it failed, or an empty string
+   */
   public String await() throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
     stopped.whenComplete((cause, e) -> latch.countDown());
@@ -403,14 +417,14 @@
     return stopped.join();
   }
 
-  /** Waits at most so long; false where it still runs. */
+  /** Waits at most so many milliseconds; false where the front is still running. */
   public boolean await(long millis) throws InterruptedException {
     CountDownLatch latch = new CountDownLatch(1);
     stopped.whenComplete((cause, e) -> latch.countDown());
     return latch.await(millis, TimeUnit.MILLISECONDS);
   }
 
-  /* ---- what the core acts through ---- */
+  /* ---- transport of the session manager ---- */
 
   @Override
   public Wake wakeAfter(Span span, Runnable step) {
@@ -445,12 +459,12 @@
 
   @Override
   public void failed(RuntimeException cause) {
-    LOG.error("the core has failed: the front ends", cause);
+    LOG.error("the session manager failed; the front stops", cause);
     ready = false;
     vrrp.leave();
     membership.leave();
     fleetLease.leave();
     sessionLoop.scheduleOutsideSteps(
-        CLOSE_DELAY_AFTER_FAILURE, () -> closeEventLoops("the core failed: " + cause));
+        CLOSE_DELAY_AFTER_FAILURE, () -> closeEventLoops("the session manager failed: " + cause));
   }
 }
--- a/src/main/java/linengauge/front/HttpViewer.java
+++ b/src/main/java/linengauge/front/HttpViewer.java
@@ -12,11 +12,15 @@
 import linengauge.session.Viewer;
 
 /**
- * One viewer on the sockets: the connection that waits for the answer, and afterwards the viewing's
- * route. Decisions come on the desk; bytes move on the loop of the viewer's connection.
+ * One viewer over HTTP: the response that waits for the decision, and afterwards the route of the
+ * viewing. Decisions arrive on the session loop; bytes move on the event loop of the viewer's
+ * connection.
  */
 final class HttpViewer implements Viewer {
-  /** Where the viewing plays; read by the loops, written by the desk. */
+  /**
+   * The box at which the viewing plays; written on the session loop, read on the viewers' event
+   * loops.
+   */
   record Route(String host, int port) {}
 
   private final Context loopContext;
@@ -25,13 +29,16 @@
   private volatile long lastRequestMicros = Wall.micros();
   private volatile Route route;
 
-  /** Requests for media under way; each leaves as it ends. */
+  /** Number of media transfers in progress. */
   private final AtomicInteger activeTransfers = new AtomicInteger();
 
-  /** Bytes a second of the rung in force; written by the desk, read by the loops. */
+  /**
+   * Bytes per second of the current rung; written on the session loop, read on the viewers' event
+   * loops.
+   */
   private volatile double rungBytesPerSecond;
 
-  /** Bytes a second of the lowest rung that its package allows. */
+  /** Bytes per second of the lowest rung that the viewing's package allows. */
   private final double lowestBytesPerSecond;
 
   private final String baseUrl;
@@ -52,8 +59,8 @@
   }
 
   /**
-   * What stands before the paths in its first playlist: none, or this front's own address where it
-   * came by a shared one.
+   * What precedes the paths in the first playlist: empty, or this front's own address where the
+   * viewer came by a shared one.
    */
   String baseUrl() {
     return baseUrl;
@@ -71,7 +78,7 @@
     rungBytesPerSecond = bytesPerSecond;
   }
 
-  /** On the desk: the playlist that answers, once the box has given it. */
+  /** Sets the playlist for the response, once the box has sent it. Called on the session loop. */
   void playlist(String text) {
     this.playlist = text;
   }
--- a/src/main/java/linengauge/front/KeyFile.java
+++ b/src/main/java/linengauge/front/KeyFile.java
@@ -5,17 +5,17 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Keys that fronts share, each in a file of its own. */
+/** Reads keys that fronts share, each from a file of its own. */
 final class KeyFile {
-  /** A key that can be guessed is none. */
+  /** A shorter key could be guessed. */
   private static final int MIN_KEY_BYTES = 16;
 
   private KeyFile() {}
 
   /**
-   * The key that the file holds, without white space round it.
+   * Reads the key from a file, without surrounding white space.
    *
-   * @param named the site file's name for the file, to say what is wrong
+   * @param setting the key of the site file that names the file, for error messages
    */
   static byte[] read(String file, String setting) throws IOException {
     String text;
--- a/src/main/java/linengauge/front/LineSplitter.java
+++ b/src/main/java/linengauge/front/LineSplitter.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Cuts a stream into lines of bounded length; a longer one ends the stream. Empty lines are signs
- * of life.
+ * Splits a stream into lines of limited length. A longer line ends the stream; empty lines are
+ * keep-alives and are skipped.
  */
 final class LineSplitter {
   private final int maxLineBytes;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Nothing more is wanted of this stream. */
+  /** Ignores the rest of the stream. */
   void close() {
     closed = true;
   }
--- a/src/main/java/linengauge/front/LineStream.java
+++ b/src/main/java/linengauge/front/LineStream.java
@@ -8,17 +8,19 @@
 import linengauge.carry.Wall;
 
 /**
- * One long answer read line by line on the desk: it ends once, by itself, by silence, by a line too
- * long, or by close(). A stream that nobody holds any more calls nothing.
+ * One long response, read line by line on the session loop. It ends once: by itself, by silence, by
+ * a line that is too long, or by close(). A closed stream calls its reader no more.
  */
 final class LineStream {
-  /** What a stream tells, on the desk. */
+  /** Receives the lines and the end of a stream, on the session loop. */
   interface Reader {
     void onLine(byte[] line);
 
     /**
-     * The stream is over; `answered` says whether any line was heard on it, the status is 0 where
-     * none came.
+     * Called when the stream has ended.
+     *
+     * @param lineReceived whether any line was received
+     * @param status of the response; 0 where none was received, or the stream fell silent
      */
     void onEnd(boolean lineReceived, int status, String reason);
   }
@@ -51,29 +53,29 @@
                 reader.onLine(line);
               }
             },
-            () -> end(200, "a line longer than " + maxLineBytes + " bytes"));
+            () -> end(200, "line longer than " + maxLineBytes + " bytes"));
     front.wakeAfter(maxSilence, this::checkSilence);
     client
         .request(options)
         .onComplete(
-            r ->
+            result ->
                 front.runOnSessionLoop(
                     () -> {
                       if (ended) {
-                        if (r.succeeded()) {
-                          r.result().reset();
+                        if (result.succeeded()) {
+                          result.result().reset();
                         }
-                      } else if (r.failed()) {
-                        end(0, "not reached: " + r.cause().getMessage());
+                      } else if (result.failed()) {
+                        end(0, "cannot connect: " + result.cause().getMessage());
                       } else {
-                        send(r.result());
+                        send(result.result());
                       }
                     }));
   }
 
   private void send(HttpClientRequest opened) {
     request = opened;
-    opened.exceptionHandler(e -> {}); // what fails is told by the futures
+    opened.exceptionHandler(e -> {}); // failures are reported by the futures
     BoxClient.sendRequest(
         opened,
         Buffer.buffer(),
@@ -84,9 +86,8 @@
             return;
           }
           response.exceptionHandler(
-              e -> front.runOnSessionLoop(() -> end(200, "broken: " + e.getMessage())));
-          response.endHandler(
-              v -> front.runOnSessionLoop(() -> end(200, "ended by the other side")));
+              e -> front.runOnSessionLoop(() -> end(200, "connection failed: " + e.getMessage())));
+          response.endHandler(v -> front.runOnSessionLoop(() -> end(200, "ended by the box")));
           response.handler(
               chunk ->
                   front.runOnSessionLoop(
@@ -95,7 +96,7 @@
                         splitter.append(chunk);
                       }));
         },
-        e -> front.runOnSessionLoop(() -> end(0, "broken: " + e.getMessage())));
+        e -> front.runOnSessionLoop(() -> end(0, "connection failed: " + e.getMessage())));
   }
 
   private void checkSilence() {
--- a/src/main/java/linengauge/front/Listener.java
+++ b/src/main/java/linengauge/front/Listener.java
@@ -29,8 +29,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The viewers' door on one loop (docs/protocol/viewer.md); as many of these share the address as
- * the site file says.
+ * Listener for viewers on one event loop (docs/protocol/viewer.md). The site file sets how many of
+ * these share the address.
  */
 final class Listener extends VerticleBase {
   private static final Pattern IDENTIFIER = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,63}");
@@ -58,8 +58,8 @@
   @Override
   public Future<?> start() {
     loopContext = context;
-    // What has been read when a transfer is held back stays with the library: one read, so a read
-    // is bounded.
+    // What has been read when a transfer is paused stays with the library. That is one read, so the
+    // size of a read is limited.
     mediaClient =
         BoxClient.newClient(
             vertx,
@@ -80,7 +80,9 @@
     return Future.all(open);
   }
 
-  /** Opens one way in; where it is that of a shared address, it is open while the lease holds. */
+  /**
+   * Listens on one address. At a shared address requests are accepted only while the lease holds.
+   */
   private Future<?> listen(String address, Lease lease) {
     Site.Viewers limits = site.viewers();
     Site.Address socketAddress = Site.Address.of(address);
@@ -91,11 +93,10 @@
                 .setMaxHeaderSize(limits.headerBytes())
                 .setAcceptBacklog(limits.backlog())
                 .setTcpNoDelay(true)
-                .setSendBufferSize(
-                    limits.sendBufferBytes()) // what waits in the system's buffers is out of our
-                // sight
-                .setHttp2ClearTextEnabled(
-                    false)); // else a connection is seen only with its first bytes
+                // Bytes in the system's buffers cannot be accounted for.
+                .setSendBufferSize(limits.sendBufferBytes())
+                // Otherwise a connection is reported only with its first bytes.
+                .setHttp2ClearTextEnabled(false));
     server.connectionHandler(connection -> accept(connection, lease));
     server.invalidRequestHandler(
         request ->
@@ -122,7 +123,7 @@
 
   private final Map<HttpConnection, ViewerConnection> connections = new HashMap<>();
 
-  /** A shared address is another front's now. */
+  /** Called when a shared address has moved to another front. */
   void addressLost(Lease lease) {
     loopContext.runOnContext(
         v -> {
@@ -171,13 +172,13 @@
   private void handle(HttpServerRequest request) {
     ViewerConnection connection = connections.get(request.connection());
     if (connection == null) {
-      return; // closed meanwhile
+      return; // the connection has closed meanwhile
     }
     trackResponse(request, connection);
     if (!connection.requestReceived()) {
       respondError(request, 429, "too many requests wait on this connection");
     } else if (connection.lease() != null && !connection.lease().holds()) {
-      // nothing is taken; a break would tell less
+      // No request is accepted; a response says more than a reset.
       respondUnavailable(request, "the address is another front's: come again");
     } else if (connection.isRejected()) {
       respondUnavailable(request, "no place: come again");
@@ -188,7 +189,9 @@
     }
   }
 
-  /** The caller is told once that this request is answered, or that its connection has closed. */
+  /**
+   * Notifies the connection once: when this request is answered, or when the connection has closed.
+   */
   private static void trackResponse(HttpServerRequest request, ViewerConnection connection) {
     boolean[] ended = {false};
     Runnable onEnd =
@@ -202,7 +205,7 @@
     request.response().closeHandler(v -> onEnd.run());
   }
 
-  /** One by one: size() counts a name that comes again once. */
+  /** Counts header lines one by one, as size() counts a repeated name only once. */
   private static int countHeaderLines(HttpServerRequest request) {
     int count = 0;
     for (var entries = request.headers().iterator(); entries.hasNext(); entries.next()) {
@@ -235,7 +238,7 @@
       HttpServerRequest request, ViewerConnection connection, String title) {
     Held.Ask viewingRequest = parseRequest(request, title);
     if (viewingRequest == null) {
-      return; // refused
+      return; // the request is invalid and has been answered
     }
     if (!front.admission().allowsRequest(viewingRequest.key(), Wall.now())) {
       respondUnavailable(request, "blocked: this key asks too often");
@@ -264,7 +267,7 @@
     }
   }
 
-  /** What is asked for; null where that was refused. */
+  /** Parses a request for a viewing; null where it was invalid and has been answered. */
   private Held.Ask parseRequest(HttpServerRequest request, String title) {
     String packageName = request.getParam("package");
     Integer packageNumber = packageName == null ? null : packageNumbers.get(packageName);
@@ -305,7 +308,9 @@
         key);
   }
 
-  /** Blocked at the door: nothing was taken, and it may come again. */
+  /**
+   * Answers 503 with advice on when to retry. Nothing was accepted, so that a retry is harmless.
+   */
   private void respondUnavailable(HttpServerRequest request, String message) {
     int retryAfterMs = site.desk().adviceMs();
     if (retryAfterMs > 0) {
--- a/src/main/java/linengauge/front/MediaRelay.java
+++ b/src/main/java/linengauge/front/MediaRelay.java
@@ -23,12 +23,12 @@
 import linengauge.site.Site;
 
 /**
- * Bytes of viewings that play, from box to viewer on the loop of the viewer's connection. Nothing
- * is read from a box that its viewer has not room for; playlists alone are held whole, up to the
- * site file's bound.
+ * Relays the bytes of viewings from box to viewer, on the event loop of the viewer's connection. No
+ * more is read from a box than its viewer has room for. Only playlists are buffered whole, up to
+ * the limit of the site file.
  */
 final class MediaRelay {
-  /** Requests of one viewing at a time; a player fetches a playlist beside a segment or two. */
+  /** Headers of a box's response that are passed on to the viewer. */
   private static final List<String> RESPONSE_HEADERS =
       List.of(
           "Content-Type",
@@ -39,11 +39,13 @@
           "Last-Modified",
           "Cache-Control");
 
-  /** Answers of a box that go to the viewer as they are. */
+  /** Statuses of a box's response that are passed on to the viewer. */
   private static final Set<Integer> RELAYED_STATUSES = Set.of(200, 206, 304, 404, 416);
 
+  /** Headers of the viewer's request that are passed on to the box. */
   private static final List<String> REQUEST_HEADERS = List.of("Range", "If-Range", "Accept");
 
+  /** The transfer that uses a box's connection now. */
   private static final AttributeKey<Object> CURRENT_TRANSFER =
       AttributeKey.valueOf("linengauge.transfer");
 
@@ -74,6 +76,7 @@
       respondError(viewerRequest.response(), 410, "ended");
       return;
     }
+    // A player fetches a playlist beside a segment or two, so a few transfers at once are allowed.
     if (viewer.activeTransfers().incrementAndGet() > site.viewers().atOnce()) {
       viewer.activeTransfers().decrementAndGet();
       respondError(viewerRequest.response(), 429, "too many requests of one viewing at once");
@@ -98,7 +101,7 @@
     }
   }
 
-  /** One request of a viewer, answered by its box. */
+  /** One media request of a viewer, answered by its box. */
   private final class Transfer implements Account.Peer {
     private final ViewerConnection connection;
     private final Account boxAccount;
@@ -160,7 +163,7 @@
                 boxChannel = ((ConnectionBase) opened.connection()).channel();
                 boxChannel.attr(CURRENT_TRANSFER).set(this);
                 setAutoRead(true);
-                opened.exceptionHandler(e -> {}); // what fails is told by the futures
+                opened.exceptionHandler(e -> {}); // failures are reported by the futures
                 for (String name : REQUEST_HEADERS) {
                   if (viewerRequest.headers().contains(name)) {
                     opened.putHeader(name, viewerRequest.headers().get(name));
@@ -174,8 +177,8 @@
     }
 
     /**
-     * A box that sends nothing while its viewer would read is given up; a viewer that reads nothing
-     * is not its fault.
+     * Fails the transfer where the box sends nothing although its viewer would read. Silence while
+     * the viewer reads nothing is not the box's fault.
      */
     private void watchSilence(long delayMs) {
       timerId =
@@ -224,7 +227,7 @@
       }
     }
 
-    /** Everything but a playlist goes to the viewer as it comes. */
+    /** Relays any body but a playlist as it arrives. */
     private void relayBody(HttpClientResponse response) {
       viewerResponse.setStatusCode(response.statusCode());
       for (String name : RESPONSE_HEADERS) {
@@ -246,7 +249,7 @@
           });
     }
 
-    /** Passes bytes on, and holds the box back where the viewer does not take them. */
+    /** Relays a chunk, and pauses the box where the viewer does not keep up. */
     private void relayChunk(HttpClientResponse response, Buffer bytes) {
       lastProgressMicros = Wall.micros();
       viewer.recordActivity();
@@ -262,10 +265,10 @@
     }
 
     /**
-     * Whether anything more is read from the box's connection. The library goes on reading for a
-     * transfer that is held back, until a queue of its own is full: a thousand of them filled the
-     * heap. Only for the connection's present user: one whose answer has come whole may be held
-     * back while another already uses it.
+     * Sets whether the box's connection is read. Without this the library continues to read for a
+     * paused transfer until a queue of its own is full: a thousand of them filled the heap. It
+     * applies only to the connection's current transfer: one whose response has arrived whole may
+     * be paused while another already uses the connection.
      */
     private void setAutoRead(boolean enabled) {
       if (boxChannel != null && boxChannel.attr(CURRENT_TRANSFER).get() == this) {
@@ -273,7 +276,7 @@
       }
     }
 
-    /** The viewer has taken what waited, or the pool has come to have something for it. */
+    /** Resumes where the viewer has read the waiting bytes, or the pool has room for it again. */
     @Override
     public void goOn() {
       if (paused
@@ -291,17 +294,17 @@
 
     @Override
     public void moved() {
-      // a box that brings is heard by the handler of its bytes
+      // progress of a box is recorded as its bytes arrive
     }
 
     @Override
     public long waiting() {
-      return 0; // a box brings; what waits is its viewer's
+      return 0; // waiting bytes belong to the viewer's account
     }
 
     @Override
     public void letGo(Account account) {
-      log.warn("box let go", viewer.viewing().id(), ViewerConnection.describeRate(account));
+      log.warn("slow box abandoned", viewer.viewing().id(), ViewerConnection.describeRate(account));
       front.runOnSessionLoop(() -> viewer.viewing().boxLost());
       fail(504, "the media box brings too little");
     }
@@ -334,8 +337,8 @@
     }
 
     /**
-     * The box has failed this request: said so where nothing was sent yet, else the connection
-     * breaks.
+     * Fails the transfer: with an error response where nothing was sent yet, else by closing the
+     * connection.
      */
     private void fail(int status, String message) {
       if (finished) {
@@ -352,7 +355,7 @@
       }
     }
 
-    /** The viewer has broken off. */
+    /** Called when the viewer has disconnected. */
     private void viewerDisconnected() {
       if (!finished) {
         finish();
--- a/src/main/java/linengauge/front/NoteStreams.java
+++ b/src/main/java/linengauge/front/NoteStreams.java
@@ -20,30 +20,34 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The note streams of the boxes that this front uses: one a box, opened with the first viewing,
- * kept for a while after the last, taken up again when it breaks. A box that cannot be heard after
- * the tries of the site file, or that has started anew, has lost its viewings. Where the stream
- * breaks and the box refuses the next one, the core hears at once that the box is out of sight: it
- * may come back cold before the list tells of it.
+ * Note streams of the boxes that this front uses: one for each box, opened with the first viewing,
+ * kept for a while after the last, and reopened when it breaks. A box that stays unreachable for
+ * the tries of the site file, or that has restarted, has lost its viewings. Where the stream breaks
+ * and the box refuses the next one, the session manager is notified at once that the box is
+ * unreachable: it may return cold before discovery reports it.
  */
 final class NoteStreams {
   private static final Pattern DIGITS = Pattern.compile("[0-9]{1,13}");
 
-  /** Older than this is long ago. */
+  /** Upper limit of reported ages; an older start makes no difference. */
   private static final long MAX_AGE_MS = 1_000_000_000L;
 
-  /** Urgency of streams that failed more than once: after the box list. */
+  /** Urgency of streams that failed more than once: after discovery. */
   private static final int RETRY_URGENCY = 1;
 
+  /** The note stream of one box. */
   private final class BoxStream {
     private final BoxTable.Entry box;
 
-    /** Viewings that play here, by id; each leaves as it ends. */
+    /** Viewings that play at the box, by id; each is removed as it ends. */
     private final Map<String, Held> playing = new LinkedHashMap<>();
 
     private final Backoff backoff;
     private LineStream stream;
+
+    /** The life identifier last reported by the box; null where there is none yet. */
     private String life;
+
     private int failures;
     private long lastUsedMicros = Wall.micros();
     private boolean closeScheduled;
@@ -88,13 +92,13 @@
         front.sessionManager().lostSight(box);
       }
       if (failures >= site.boxes().notesTries()) {
-        log.warn("box lost", box.toString(), reason);
+        log.warn("box unreachable, its viewings are lost", box.toString(), reason);
         loseViewings();
         close();
       } else {
         if (failures == 1) {
-          // At once, and no background work: a box that restarts is found out before the next
-          // set-up goes there.
+          // At once and not as a background job, so that a restart is detected before the next
+          // set-up goes to the box.
           front.wakeAfter(Span.NONE, this::reopen);
         } else {
           scheduleReopen();
@@ -163,8 +167,8 @@
     }
 
     /**
-     * The box has told its life and age; a life not known before is a new start, with nothing of
-     * the earlier one.
+     * Records the life identifier and the age that the box reported. A new identifier means that
+     * the box has restarted and has nothing of its earlier life.
      */
     private void updateLife(String reportedLife, Span age) {
       boolean restarted = reportedLife != null && life != null && !life.equals(reportedLife);
@@ -182,7 +186,7 @@
       try {
         note = BoxClient.parseLine(line);
       } catch (JacksonException e) {
-        log.warn("bad note", box.toString(), "not JSON");
+        log.warn("invalid note", box.toString(), "not JSON");
         return;
       }
       updateLife(
@@ -231,7 +235,7 @@
     this.client = BoxClient.newClient(vertx, site, 2, 4);
   }
 
-  /** A viewing plays at a box. */
+  /** Records that a viewing plays at a box. */
   void viewingStarted(Held viewing, BoxTable.Entry box) {
     BoxStream boxStream = streams.computeIfAbsent(box, BoxStream::new);
     boxStream.lastUsedMicros = Wall.micros();
@@ -241,7 +245,7 @@
     }
   }
 
-  /** A viewing no longer plays at a box. */
+  /** Records that a viewing no longer plays at a box. */
   void viewingEnded(Held viewing, BoxTable.Entry box) {
     BoxStream boxStream = streams.get(box);
     if (boxStream != null && boxStream.playing.remove(viewing.id()) != null) {
@@ -250,7 +254,7 @@
     }
   }
 
-  /** An answer of a box has told its life and age, or neither. */
+  /** Records the life identifier and the age from a response of a box; both may be null. */
   void reportLife(BoxTable.Entry box, String life, String ageMs) {
     Span age =
         ageMs != null && DIGITS.matcher(ageMs).matches()
@@ -264,7 +268,7 @@
     }
   }
 
-  /** Streams to boxes where something plays. */
+  /** Number of streams to boxes at which a viewing plays. */
   int streamsInUse() {
     return (int)
         streams.values().stream().filter(boxStream -> !boxStream.playing.isEmpty()).count();
--- a/src/main/java/linengauge/front/SessionLoop.java
+++ b/src/main/java/linengauge/front/SessionLoop.java
@@ -10,7 +10,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The event loop on which the core runs, one step at a time, each with the time told before. */
+/**
+ * The event loop on which the session manager runs, one step at a time. Its clock is set before
+ * each step.
+ */
 final class SessionLoop {
   private static final Logger LOG = LoggerFactory.getLogger(SessionLoop.class);
 
@@ -18,7 +21,7 @@
   private Context context;
   private Desk sessionManager;
 
-  /** A step of the core is running; read and written on the desk, where alone it is true. */
+  /** Whether a step of the session manager is running; meaningful on the session loop alone. */
   private volatile boolean inStep;
 
   private volatile long lastStepMicros = Wall.micros();
@@ -27,22 +30,22 @@
     this.timers = new Timers(vertx);
   }
 
-  /** The context on which steps run; on the desk, before any step runs. */
+  /** Sets the context on which steps run. Called on that context, before the first step. */
   void bind(Context sessionContext) {
     context = sessionContext;
-    // A fault of the carrier costs what it was about; the core's own bound still answers the
-    // viewer.
-    context.exceptionHandler(e -> LOG.error("a step on the desk failed", e));
+    // A failure in the transport affects only the call concerned: the viewer is still answered by
+    // the time limit of the session manager.
+    context.exceptionHandler(e -> LOG.error("a step on the session loop failed", e));
   }
 
-  /** The core that is told the time; before any step runs. */
+  /** Sets the session manager whose clock is set. Called before the first step. */
   void setSessionManager(Desk manager) {
     sessionManager = manager;
   }
 
   /**
-   * Runs a step on the desk with the time told: at once where the desk is running something of the
-   * library's, later where it is within a step of the core or on another loop.
+   * Runs a step on the session loop with the clock set: at once where the caller is on that loop
+   * and outside of a step, else later.
    */
   void run(Runnable step) {
     if (!inStep && Vertx.currentContext() == context) {
@@ -64,17 +67,17 @@
     }
   }
 
-  /** Runs a step of the core after that span, unless it is called off. */
+  /** Runs a step after the span, unless it is cancelled. */
   Carrier.Wake schedule(Span span, Runnable step) {
     return timers.schedule(span.micros(), () -> run(step));
   }
 
-  /** Runs something after that span that is no step of the core. */
+  /** Runs a task after the span that is no step of the session manager. */
   void scheduleOutsideSteps(Span span, Runnable task) {
     timers.schedule(span.micros(), task);
   }
 
-  /** When the last step began; for other threads. */
+  /** When the last step began; may be called on any thread. */
   Moment lastStepAt() {
     return new Moment(lastStepMicros);
   }
--- a/src/main/java/linengauge/front/Timers.java
+++ b/src/main/java/linengauge/front/Timers.java
@@ -6,10 +6,10 @@
 import linengauge.session.Carrier;
 
 /**
- * Wake-ups of the desk on one timer of the library: viewings ask for several each, most of which
- * are called off. A heap that knows where each wake stands, so that one called off leaves at once
- * and holds nothing. Used on the desk only; it is bounded by what the core may hold, and a wake
- * leaves when it is due or called off.
+ * Timers of the session loop on a single timer of the library: each viewing needs several, most of
+ * which are cancelled. The heap keeps the index of each timer, so that a cancelled one is removed
+ * at once and retains nothing. Confined to the session loop. The number of timers is bounded by
+ * what the session manager may hold, and a timer is removed when it is due or cancelled.
  */
 final class Timers {
   private final class PendingTimer implements Carrier.Wake {
@@ -18,9 +18,9 @@
     private final Runnable step;
     private int heapIndex;
 
-    private PendingTimer(long dueMicros, long number, Runnable step) {
+    private PendingTimer(long dueMicros, long sequence, Runnable step) {
       this.dueMicros = dueMicros;
-      this.sequence = number;
+      this.sequence = sequence;
       this.step = step;
     }
 
@@ -46,7 +46,7 @@
     this.vertx = vertx;
   }
 
-  /** Runs the step once, not earlier than after so many microseconds and never within this call. */
+  /** Runs the step once, not earlier than after the delay and never within this call. */
   Carrier.Wake schedule(long delayMicros, Runnable step) {
     PendingTimer timer =
         new PendingTimer(Wall.micros() + Math.max(0, delayMicros), nextSequence++, step);
@@ -116,7 +116,7 @@
         });
   }
 
-  /** All that is due runs in its order; what a step asks for waits for the next round. */
+  /** Runs all due timers in order. Timers that a step schedules wait for the next round. */
   private void runDue() {
     long now = Wall.micros();
     long sequenceLimit = nextSequence;
--- a/src/main/java/linengauge/front/ViewerConnection.java
+++ b/src/main/java/linengauge/front/ViewerConnection.java
@@ -15,9 +15,9 @@
 import linengauge.vrrp.udp.Lease;
 
 /**
- * One connection of a viewer: its place at the door, how far it is with its next request, and its
- * account of bytes. What waits is read off the library's channel, which counts it anyway; the
- * library (pinned) has no public way to ask for it.
+ * One connection of a viewer: its admission, the progress of its next request, and its byte
+ * account. The number of waiting bytes is read from the Netty channel, which counts them anyway;
+ * the pinned version of Vert.x has no public method for it.
  */
 final class ViewerConnection implements Account.Peer, Knock.Caller {
   private final HttpConnection connection;
@@ -26,7 +26,10 @@
   private final Sparse log;
   private final boolean rejected;
 
-  /** Of the shared address by which it came; null where it came by the front's own. */
+  /**
+   * Lease of the shared address on which the connection was accepted; null for the front's own
+   * address.
+   */
   private final Lease lease;
 
   private boolean closesAfterResponse;
@@ -36,8 +39,8 @@
   private HttpViewer receivingViewer;
 
   /**
-   * What to do where the viewer breaks off while an answer is owed to it; one at a time, as
-   * HTTP/1.1 answers in order.
+   * Runs where the viewer disconnects while a response is pending. One action suffices, as HTTP/1.1
+   * answers in order.
    */
   private Runnable onDisconnect = () -> {};
 
@@ -77,9 +80,10 @@
   }
 
   /**
-   * The shared address is another front's now: what is owed here is still answered, and nothing
-   * more is taken. One that has not asked yet may have its request on the way, and is to hear an
-   * answer and no break.
+   * Called when the shared address has moved to another front. Pending requests are still answered,
+   * no further one is accepted, and an idle connection is closed. A connection that has not sent
+   * its first request yet stays open, as the request may be in transit and should get a response
+   * instead of a reset.
    */
   void addressLost() {
     closesAfterResponse = true;
@@ -92,7 +96,7 @@
     return rejected;
   }
 
-  /** A request has come; false where too many wait here. */
+  /** Records a request; false where too many are waiting on this connection. */
   boolean requestReceived() {
     return attempt.asked();
   }
@@ -104,7 +108,10 @@
     }
   }
 
-  /** Bytes of this viewing are on their way on this connection. */
+  /**
+   * Registers the viewing whose bytes are sent on this connection, and the action that resumes
+   * sending.
+   */
   void startTransfer(HttpViewer viewer, Runnable onResume) {
     receivingViewer = viewer;
     resume = onResume;
@@ -129,7 +136,8 @@
   @Override
   public void moved() {
     if (receivingViewer != null) {
-      receivingViewer.recordActivity(); // one that reads a long segment asks for nothing meanwhile
+      // A viewer that reads a long segment sends no request meanwhile.
+      receivingViewer.recordActivity();
     }
   }
 
@@ -142,11 +150,11 @@
   public void letGo(Account slowAccount) {
     if (receivingViewer != null) {
       HttpViewer viewer = receivingViewer;
-      log.warn("viewer let go", viewer.viewing().id(), describeRate(slowAccount));
+      log.warn("slow viewer closed", viewer.viewing().id(), describeRate(slowAccount));
       front.runOnSessionLoop(() -> viewer.viewing().letGo());
     }
-    // What waits is thrown away, here and in the system: a viewer that reads nothing would keep it
-    // for ever.
+    // Discards the waiting bytes, here and in the socket: a viewer that reads nothing would retain
+    // them indefinitely.
     channel.config().setOption(ChannelOption.SO_LINGER, 0);
     channel.close();
   }
@@ -154,7 +162,7 @@
   static String describeRate(Account account) {
     return String.format(
         Locale.ROOT,
-        "%.0f bytes a second of %.0f over %.1f s, %d wait",
+        "%.0f of %.0f bytes/s over %.1f s, %d bytes waiting",
         account.rate(),
         account.least(),
         account.owed().seconds(),
@@ -163,9 +171,8 @@
 
   @Override
   public void tooLong(Knock.State state) {
-    log.warn("caller closed", connection.remoteAddress().hostAddress(), state);
-    channel
-        .close(); // at once: the library's own close would wait until a caller that reads nothing
-    // has read
+    log.warn("connection timed out", connection.remoteAddress().hostAddress(), state);
+    // Closes at once: the library's own close would wait for a viewer that reads nothing.
+    channel.close();
   }
 }
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -10,33 +10,33 @@
 import linengauge.vrrp.udp.UdpNode;
 import linengauge.vrrp.udp.UdpTerms;
 
-/** Pairing with other fronts that share addresses; where the site file asks for none, idle. */
+/** VRRP with other fronts that share addresses; inactive where the site file configures none. */
 final class VrrpPairing {
   /** Null where no address is shared. */
   private final UdpNode node;
 
   /**
-   * Binds where partners are heard; the front takes part from {@link #start} on.
+   * Binds the socket on which partners send. The front takes part from {@link #start} on.
    *
-   * @param addressLost told of a shared address that is this front's no more
-   * @param unwell whether this front is to leave shared addresses to others
+   * @param onAddressLost called with the lease of a shared address that this front no longer holds
+   * @param unfit whether this front should leave shared addresses to others
    */
   VrrpPairing(Site site, Consumer<Lease> onAddressLost, BooleanSupplier unfit) throws IOException {
     Site.Vrrp vrrp = site.vrrp();
     this.node =
         vrrp.routers().isEmpty()
             ? null
-            : new UdpNode(terms(site, vrrp), owner(onAddressLost), unfit::getAsBoolean);
+            : new UdpNode(settings(site, vrrp), owner(onAddressLost), unfit::getAsBoolean);
   }
 
-  private static UdpTerms terms(Site site, Site.Vrrp vrrp) throws IOException {
+  private static UdpTerms settings(Site site, Site.Vrrp vrrp) throws IOException {
     byte[] key = vrrp.keyFile() == null ? null : KeyFile.read(vrrp.keyFile(), "vrrp.keyFile");
     return new UdpTerms(
-        socket(vrrp.listen()),
-        vrrp.partners().stream().map(VrrpPairing::socket).toList(),
-        vrrp.group() == null ? null : socket(vrrp.group()),
+        socketAddress(vrrp.listen()),
+        vrrp.partners().stream().map(VrrpPairing::socketAddress).toList(),
+        vrrp.group() == null ? null : socketAddress(vrrp.group()),
         vrrp.groupInterface(),
-        vrrp.announce() == null ? null : socket(vrrp.announce()),
+        vrrp.announce() == null ? null : socketAddress(vrrp.announce()),
         key,
         vrrp.ipv4PseudoHeader(),
         vrrp.datagramsAtOnce(),
@@ -48,7 +48,7 @@
     return new UdpNode.Owner() {
       @Override
       public void took(int vrid) {
-        // the lease lets viewers in
+        // Nothing to do: the listeners check the lease at each request.
       }
 
       @Override
@@ -58,12 +58,12 @@
     };
   }
 
-  private static InetSocketAddress socket(String address) {
+  private static InetSocketAddress socketAddress(String address) {
     Site.Address parsed = Site.Address.of(address);
     return new InetSocketAddress(parsed.host(), parsed.port());
   }
 
-  /** Whether the shared address of a virtual router is this front's. */
+  /** The lease that tells whether this front holds the shared address of a virtual router. */
   Lease lease(int vrid) {
     return node.lease(vrid);
   }
@@ -74,14 +74,14 @@
     }
   }
 
-  /** Partners take over at once. */
+  /** Leaves and waits until that is done; partners take over at once. */
   void close() {
     if (node != null) {
       node.close();
     }
   }
 
-  /** Partners find out that this front is gone. */
+  /** Leaves without waiting; partners are notified. */
   void leave() {
     if (node != null) {
       node.leave();
--- a/src/test/java/linengauge/front/FrontFixture.java
+++ b/src/test/java/linengauge/front/FrontFixture.java
@@ -24,7 +24,7 @@
 import linengauge.standin.BoxListService;
 import linengauge.standin.Tap;
 
-/** A front in this process with scripted boxes and a list, on loopback. */
+/** A front in this process with scripted boxes and a discovery service, on loopback. */
 final class FrontFixture implements AutoCloseable {
   static final String MULTIVARIANT_PLAYLIST =
       "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=100\na/media.m3u8\n"
@@ -32,24 +32,24 @@
   static final String MEDIA_PLAYLIST =
       "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXTINF:1,\nsegments/0.ts\n#EXT-X-ENDLIST\n";
 
-  /** A box that does as its script says; what it sees is written down. */
+  /** A box with replaceable handlers that records what it receives. */
   final class ScriptedBox {
     final int port;
     final BoxFleet.Place place;
     final List<String> events = new CopyOnWriteArrayList<>();
 
-    /** What is done with set-ups, by default playing at once. */
+    /** Handles set-ups; by default they are accepted at once. */
     volatile Consumer<HttpServerRequest> setUpHandler = this::acceptSetUp;
 
     volatile Consumer<HttpServerRequest> segmentHandler =
         request -> request.response().end("segment");
 
-    /** Ends, rungs and probes. */
+    /** Handles ends, rung changes and probes. */
     volatile Consumer<HttpServerRequest> otherHandler = request -> request.response().end();
 
     private final io.vertx.core.http.HttpServer server = vertx.createHttpServer();
 
-    /** The process is gone: its connections break and new ones are refused. */
+    /** Simulates the loss of the process: its connections break and new ones are refused. */
     void close() throws Exception {
       await(server.close());
     }
@@ -103,8 +103,12 @@
   FrontServer front;
   private final String siteJson;
 
-  /** `more` is JSON5 laid into the site file. */
-  FrontFixture(int boxCount, String more) throws Exception {
+  /**
+   * Starts the boxes and the discovery service.
+   *
+   * @param extraSettings JSON5 that is inserted into the site file
+   */
+  FrontFixture(int boxCount, String extraSettings) throws Exception {
     List<Integer> ports = Ports.free(3 + boxCount);
     viewerPort = ports.get(0);
     controlPort = ports.get(1);
@@ -132,7 +136,7 @@
             + ":"
             + discoveryPort
             + "', retryFirstMs: 50, retryMostMs: 200 }, "
-            + more
+            + extraSettings
             + " }";
   }
 
@@ -177,12 +181,15 @@
     return new JsonObject(get(controlPort, "/state").body());
   }
 
-  /** The first path under /v/ that a playlist names. */
+  /** The first path under /v/ in a playlist. */
   static String viewingPath(HttpResponse<String> playlist) {
     return playlist.body().lines().filter(l -> l.startsWith("/v/")).findFirst().orElseThrow();
   }
 
-  /** Waits, with a bound far over what is needed: no test judges how long something took. */
+  /**
+   * Waits for a condition. The time limit is far above what is needed: no test depends on how long
+   * something takes.
+   */
   static void waitUntil(BooleanSupplier condition) throws InterruptedException {
     for (int i = 0; i < 1500; i++) {
       if (condition.getAsBoolean()) {
@@ -190,10 +197,10 @@
       }
       Thread.sleep(10);
     }
-    throw new AssertionError("it never came to be");
+    throw new AssertionError("the condition was not met in time");
   }
 
-  /** Ends what plays, so that a front that was told to stop need not wait for it. */
+  /** Ends all viewings, so that a stopping front need not wait for them. */
   void endAll() {
     front.runOnSessionLoop(() -> front.sessionManager().endAll());
   }
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,22 +21,22 @@
 import linengauge.standin.FaultyLink;
 import org.junit.jupiter.api.Test;
 
-/** The hard cases of the front's sockets, each built with scripted boxes. */
+/** Failures on the front's sockets, caused by scripted boxes. */
 class FrontSocketsTest {
   private static final String FAST_SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, boxes: { endRetryMs: 50 }";
 
-  private static FrontFixture startFixture(int boxes) throws Exception {
+  private static FrontFixture start(int boxes) throws Exception {
     return new FrontFixture(boxes, FAST_SETTINGS).start();
   }
 
   @Test
   void aViewingIsPlacedPlayedAndEnded() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       HttpResponse<String> joined = fixture.requestViewing("&ceiling=1&key=me");
       assertEquals(200, joined.statusCode());
-      String media = FrontFixture.viewingPath(joined);
-      String segment = FrontFixture.viewingPath(fixture.get(fixture.viewerPort, media));
+      String media = viewingPath(joined);
+      String segment = viewingPath(fixture.get(fixture.viewerPort, media));
       assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
       String id = media.substring(3, media.indexOf('/', 3));
       fixture.client.send(
@@ -44,7 +46,7 @@
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
+      waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
       assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
       fixture.waitUntilIdle();
     }
@@ -52,11 +54,10 @@
 
   @Test
   void aBoxThatNeverAnswersIsCancelledBeforeTheRetry() throws Exception {
-    try (FrontFixture fixture = startFixture(2)) {
+    try (FrontFixture fixture = start(2)) {
       fixture.boxes.forEach(box -> box.setUpHandler = request -> {});
       CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
-      FrontFixture.waitUntil(
-          () -> fixture.boxes.stream().anyMatch(box -> box.countEvents("PUT") > 0));
+      waitUntil(() -> fixture.boxes.stream().anyMatch(box -> box.countEvents("PUT") > 0));
       fixture.boxes.forEach(box -> box.setUpHandler = box::acceptSetUp);
       assertEquals(200, joined.join().statusCode());
       FrontFixture.ScriptedBox hung =
@@ -64,20 +65,20 @@
               .filter(box -> box.countEvents("closed") > 0)
               .findFirst()
               .orElseThrow();
-      FrontFixture.waitUntil(() -> hung.countEvents("DELETE") == 1);
+      waitUntil(() -> hung.countEvents("DELETE") == 1);
       assertEquals(1, hung.countEvents("PUT"));
     }
   }
 
   @Test
   void anAnswerAfterTheTimeOutIsCancelledAtItsBox() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       box.setUpHandler = request -> fixture.vertx.setTimer(1500, t -> box.acceptSetUp(request));
       HttpResponse<String> answer = fixture.requestViewing("&patience=1200");
       assertTrue(
           answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               box.countEvents("DELETE") == box.countEvents("PUT")
                   && box.countEvents("closed") >= 1);
@@ -88,7 +89,7 @@
 
   @Test
   void aPaidSetUpIsNotRetriedAfterAReset() throws Exception {
-    try (FrontFixture fixture = startFixture(2)) {
+    try (FrontFixture fixture = start(2)) {
       fixture.boxes.forEach(box -> box.setUpHandler = request -> request.connection().close());
       assertEquals(
           502,
@@ -109,17 +110,17 @@
               .statusCode());
       assertTrue(
           fixture.boxes.get(0).countEvents("PUT") + fixture.boxes.get(1).countEvents("PUT") > 2,
-          "a refusal proves that it never ran");
+          "a set-up that provably never ran is retried");
     }
   }
 
   @Test
   void anInvalidPlaylistFailsTheViewingAndEndsItAtItsBox() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       fixture.boxes.get(0).setUpHandler =
           request -> request.response().setStatusCode(201).end("<html>");
       assertEquals(503, fixture.requestViewing("").statusCode());
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               fixture.boxes.get(0).countEvents("DELETE")
                   == fixture.boxes.get(0).countEvents("PUT"));
@@ -134,38 +135,38 @@
 
   @Test
   void aDiscoveryStreamThatSkipsAChangeIsRequestedWhole() throws Exception {
-    try (FrontFixture fixture = startFixture(2)) {
+    try (FrontFixture fixture = start(2)) {
       fixture.discovery.skipOne();
       fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
-      Thread.sleep(100); // lost on its way, and nothing to show it
+      Thread.sleep(100); // the change is lost, and nothing shows it yet
       assertEquals(0, fixture.state().getInteger("listGaps"));
       fixture.discovery.set(fixture.boxes.get(1).place, "s", "serving", 0);
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("listGaps") == 1);
-      FrontFixture.waitUntil(() -> fixture.state().getLong("listRevision") == 5);
+      waitUntil(() -> fixture.state().getInteger("listGaps") == 1);
+      waitUntil(() -> fixture.state().getLong("listRevision") == 5);
       fixture.discovery.breakFor(200);
       fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               fixture.state().getLong("listRevision") == 6
                   && fixture.state().getLong("listBreaks") > 0);
       for (int i = 0; i < 5; i++) {
         assertEquals(200, fixture.requestViewing("").statusCode());
       }
-      assertEquals(0, fixture.boxes.get(0).countEvents("PUT"), "it drains");
+      assertEquals(0, fixture.boxes.get(0).countEvents("PUT"), "a draining box receives no set-up");
     }
   }
 
   @Test
   void aViewerThatDisconnectsCancelsItsSetUp() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       fixture.boxes.get(0).setUpHandler = request -> {};
       try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
         socket
             .getOutputStream()
             .write(httpGet("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
-        FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("PUT") == 1);
+        waitUntil(() -> fixture.boxes.get(0).countEvents("PUT") == 1);
       }
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               fixture.boxes.get(0).countEvents("closed") == 1
                   && fixture.boxes.get(0).countEvents("DELETE") == 1);
@@ -181,13 +182,13 @@
 
   @Test
   void twoRequestsWithTheSameKeyLeadToOneViewing() throws Exception {
-    try (FrontFixture fixture = startFixture(2)) {
+    try (FrontFixture fixture = start(2)) {
       fixture.boxes.forEach(
           box ->
               box.setUpHandler =
                   request -> fixture.vertx.setTimer(200, t -> box.acceptSetUp(request)));
       CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("&key=me");
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 1);
+      waitUntil(() -> fixture.state().getInteger("held") == 1);
       HttpResponse<String> second = fixture.requestViewing("&key=me");
       assertEquals(503, second.statusCode());
       assertEquals("1", second.headers().firstValue("Retry-After").orElseThrow());
@@ -195,8 +196,8 @@
       assertEquals(200, fixture.requestViewing("&key=me").statusCode());
       assertEquals(
           410,
-          fixture.get(fixture.viewerPort, FrontFixture.viewingPath(first.join())).statusCode(),
-          "the earlier one is over");
+          fixture.get(fixture.viewerPort, viewingPath(first.join())).statusCode(),
+          "the earlier viewing has been replaced");
       assertEquals(1, fixture.state().getInteger("held"));
     }
   }
@@ -209,9 +210,9 @@
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       box.setUpHandler = request -> fixture.vertx.setTimer(300, t -> box.acceptSetUp(request));
       CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("");
-      FrontFixture.waitUntil(() -> box.countEvents("PUT") == 1);
+      waitUntil(() -> box.countEvents("PUT") == 1);
       CompletableFuture<HttpResponse<String>> queued = fixture.requestViewingAsync("");
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 2);
+      waitUntil(() -> fixture.state().getInteger("held") == 2);
       fixture.discovery.set(box.place, "s", "draining", 0);
       assertEquals(200, first.join().statusCode());
       assertEquals(503, queued.join().statusCode());
@@ -227,20 +228,18 @@
                 "viewers: { firstByteMs: 300, headersMs: 300, requestLineBytes: 512, headerBytes: 1024, connections: 5 }, "
                     + "stop: { playingMs: 100 }")
             .start()) {
-      assertTrue(responseHead(fixture, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
+      assertTrue(statusLine(fixture, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
       assertTrue(
-          responseHead(fixture, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
+          statusLine(fixture, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
               .matches("HTTP/1.[01] 414"));
       assertTrue(
-          responseHead(fixture, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
+          statusLine(fixture, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
               .matches("HTTP/1.[01] 431"));
       assertTrue(
-          responseHead(fixture, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
+          statusLine(fixture, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
               .startsWith("HTTP/1.1 405"));
       assertEquals(
-          "",
-          responseHead(fixture, "GET /titles/t/ma"),
-          "half a request line, and the connection is closed");
+          "", statusLine(fixture, "GET /titles/t/ma"), "an incomplete request line times out");
       for (String bad :
           new String[] {
             "?package=none",
@@ -258,9 +257,8 @@
       for (int i = 0; i < idle.length; i++) {
         idle[i] = new Socket(Ports.HOST, fixture.viewerPort);
       }
-      FrontFixture.waitUntil(
-          () -> fixture.state().getJsonObject("door").getInteger("turnedAway") > 0);
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("viewerConnections") <= 1);
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turnedAway") > 0);
+      waitUntil(() -> fixture.state().getInteger("viewerConnections") <= 1);
       for (Socket socket : idle) {
         socket.close();
       }
@@ -268,8 +266,11 @@
     }
   }
 
-  /** What the front says to raw bytes until it closes the connection or has answered. */
-  private static String responseHead(FrontFixture fixture, String raw) throws IOException {
+  /**
+   * Sends raw bytes and returns the start of the status line, empty where the connection was
+   * closed.
+   */
+  private static String statusLine(FrontFixture fixture, String raw) throws IOException {
     try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
       socket.setSoTimeout(15_000);
       socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
@@ -281,7 +282,7 @@
 
   @Test
   void aStalledReaderAppliesBackPressureToItsBox() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       long totalBytes = 200L << 20;
       AtomicLong sent = new AtomicLong();
       fixture.boxes.get(0).segmentHandler =
@@ -291,23 +292,25 @@
             writeUntilFull(response, sent, totalBytes);
           };
       String segment =
-          FrontFixture.viewingPath(
-              fixture.get(
-                  fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
+          viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
       try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
         socket.getOutputStream().write(httpGet(segment));
-        FrontFixture.waitUntil(() -> sent.get() > 100_000);
+        waitUntil(() -> sent.get() > 100_000);
         long before;
         do {
           before = sent.get();
           Thread.sleep(300);
-        } while (sent.get() != before); // what the sockets hold is full
+        } while (sent.get() != before); // until the buffers of the sockets are full
         assertTrue(
             sent.get() < totalBytes / 4,
-            "the front took " + sent.get() + " of " + totalBytes + " for a reader of nothing");
+            "the front read "
+                + sent.get()
+                + " of "
+                + totalBytes
+                + " bytes for a viewer that reads nothing");
         assertEquals(200, fixture.requestViewing("").statusCode(), "others are served meanwhile");
       }
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 2);
+      waitUntil(() -> fixture.state().getInteger("held") == 2);
     }
   }
 
@@ -341,7 +344,7 @@
       assertEquals(
           1,
           plays,
-          "after its first answer a front that has itself just started sends nothing there");
+          "after the first response a front that has itself just started sends nothing to a cold box");
     }
   }
 
@@ -354,11 +357,10 @@
             .start()) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String segment =
-          FrontFixture.viewingPath(
-              fixture.get(
-                  fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
+          viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
       box.segmentHandler = request -> {};
-      assertEquals(504, fixture.get(fixture.viewerPort, segment).statusCode(), "nothing at all");
+      assertEquals(
+          504, fixture.get(fixture.viewerPort, segment).statusCode(), "the box sends nothing");
       box.segmentHandler = request -> request.response().setStatusCode(500).end();
       assertEquals(502, fixture.get(fixture.viewerPort, segment).statusCode());
       box.segmentHandler =
@@ -366,7 +368,7 @@
       assertThrows(
           AssertionError.class,
           () -> fixture.get(fixture.viewerPort, segment),
-          "a short body is not passed off as whole");
+          "a truncated body is not passed off as complete");
       box.segmentHandler = request -> request.response().end("again");
       assertEquals(
           "again",
@@ -379,11 +381,11 @@
             CompletableFuture.supplyAsync(() -> fixture.get(fixture.viewerPort, segment));
       }
       long before = box.countEvents("GET");
-      FrontFixture.waitUntil(() -> box.countEvents("GET") >= before + 4 || responses[0].isDone());
+      waitUntil(() -> box.countEvents("GET") >= before + 4 || responses[0].isDone());
       CompletableFuture.allOf(responses).join();
       box.segmentHandler = request -> request.response().setStatusCode(410).end();
       assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 0);
+      waitUntil(() -> fixture.state().getInteger("held") == 0);
     }
   }
 
@@ -402,7 +404,7 @@
           fixture
               .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
               .statusCode());
-      FrontFixture.waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE") == 1);
+      waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE") == 1);
       fixture.waitUntilIdle();
     }
   }
@@ -415,7 +417,7 @@
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       box.otherHandler = request -> request.response().setStatusCode(500).end();
       box.setUpHandler = request -> request.response().setStatusCode(500).end();
-      String media = FrontFixture.viewingPath(requestAccepted(fixture, box));
+      String media = viewingPath(requestAccepted(fixture, box));
       fixture.client.send(
           java.net.http.HttpRequest.newBuilder(
                   java.net.URI.create(
@@ -427,7 +429,7 @@
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      FrontFixture.waitUntil(() -> fixture.state().getLong("endsGivenUp") == 1);
+      waitUntil(() -> fixture.state().getLong("endsGivenUp") == 1);
       assertEquals(3, box.countEvents("DELETE"));
       fixture.waitUntilIdle();
     }
@@ -444,17 +446,17 @@
     try (FrontFixture fixture =
         new FrontFixture(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
             .start()) {
-      String media = FrontFixture.viewingPath(fixture.requestViewing(""));
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("noteStreamsInUse") == 1);
+      String media = viewingPath(fixture.requestViewing(""));
+      waitUntil(() -> fixture.state().getInteger("noteStreamsInUse") == 1);
       fixture.boxes.get(0).close();
-      FrontFixture.waitUntil(() -> fixture.state().getInteger("held") == 0);
+      waitUntil(() -> fixture.state().getInteger("held") == 0);
       assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, media).body());
     }
   }
 
   @Test
   void aLinkThatDropsDelaysOrResetsDeterminesTheOutcome() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       FaultyLink link = new FaultyLink(fixture.vertx, Ports.HOST, box.port);
       fixture.discovery.set(
@@ -462,36 +464,36 @@
           "s",
           "serving",
           0);
-      FrontFixture.waitUntil(() -> fixture.state().getLong("listRevision") == 3);
+      waitUntil(() -> fixture.state().getLong("listRevision") == 3);
       link.swallowAnswers(true);
       int status = fixture.requestViewing("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
       link.swallowAnswers(false);
       link.trickle(100);
-      FrontFixture.waitUntil(() -> fixture.requestViewing("").statusCode() == 200);
+      waitUntil(() -> fixture.requestViewing("").statusCode() == 200);
       link.trickle(0);
       link.resetOnAnswer(true);
       long before = box.countEvents("PUT");
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               fixture
                       .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
                       .statusCode()
                   == 502);
-      assertEquals(before + 1, box.countEvents("PUT"), "it may have run: not sent again");
+      assertEquals(before + 1, box.countEvents("PUT"), "a set-up that may have run is not retried");
       link.cut();
     }
   }
 
   @Test
   void aPortInUseFailsTheStart() throws Exception {
-    try (FrontFixture fixture = startFixture(1)) {
+    try (FrontFixture fixture = start(1)) {
       FrontServer second = fixture.newFront();
       Exception failure = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
       assertTrue(failure.getMessage().contains("in use"), failure.getMessage());
       second.stop();
       assertTrue(second.await(15_000));
-      assertFalse(fixture.front.await(1), "the first one runs on");
+      assertFalse(fixture.front.await(1), "the first front keeps running");
     }
   }
 }
--- a/src/test/java/linengauge/front/LeaseMembershipTest.java
+++ b/src/test/java/linengauge/front/LeaseMembershipTest.java
@@ -1,5 +1,6 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,7 +28,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front with a lease, kept by a control machine that is a process of the program. */
+/** A front with a lease from a control machine that runs as a separate process. */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class LeaseMembershipTest {
   private static final String KEY = "a key of the whole fleet";
@@ -102,7 +103,7 @@
 
           @Override
           public void superseded(long incarnation) {
-            // not of this test
+            // not covered by this test
           }
         };
     LeaseNode node =
@@ -117,8 +118,8 @@
     return node;
   }
 
-  private static JsonObject leaseState(FrontFixture rig) {
-    return rig.state().getJsonObject("lease");
+  private static JsonObject leaseState(FrontFixture fixture) {
+    return fixture.state().getJsonObject("lease");
   }
 
   @Test
@@ -128,59 +129,56 @@
     AtomicReference<DirectoryEntry> seen = new AtomicReference<>();
     try (LeaseNode other = startOtherFront(seen)) {
       // when
-      try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
+      try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
         // then
-        FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease", false));
-        FrontFixture.waitUntil(() -> leaseState(rig).getJsonArray("present").size() == 2);
-        assertEquals("CURRENT", leaseState(rig).getString("mode"));
-        FrontFixture.waitUntil(() -> seen.get() != null);
+        waitUntil(() -> leaseState(fixture).getBoolean("holdsLease", false));
+        waitUntil(() -> leaseState(fixture).getJsonArray("present").size() == 2);
+        assertEquals("CURRENT", leaseState(fixture).getString("mode"));
+        waitUntil(() -> seen.get() != null);
         assertEquals(DirectoryEntry.State.PRESENT, seen.get().state());
         assertEquals(address(ports.get(2)), seen.get().member().address());
       }
-      FrontFixture.waitUntil(() -> seen.get().state() == DirectoryEntry.State.LEFT);
+      waitUntil(() -> seen.get().state() == DirectoryEntry.State.LEFT);
       assertFalse(other.isSilent());
     }
   }
 
-  /**
-   * Guards against a fleet that is listed anew, front by front, after its control machine's
-   * restart.
-   */
+  /** Guards against a control machine that lists every front anew after its restart. */
   @Test
   void aRestartedControlMachineKeepsTheIncarnationOfTheFront() throws Exception {
     // given
     Process first = startControlMachine();
-    try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
-      FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease", false));
-      long incarnation = leaseState(rig).getLong("incarnation");
-      long version = leaseState(rig).getLong("version");
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
+      waitUntil(() -> leaseState(fixture).getBoolean("holdsLease", false));
+      long incarnation = leaseState(fixture).getLong("incarnation");
+      long version = leaseState(fixture).getLong("version");
       // when
       first.destroy();
       assertTrue(first.waitFor(10, TimeUnit.SECONDS));
-      FrontFixture.waitUntil(() -> !leaseState(rig).getBoolean("holdsLease"));
+      waitUntil(() -> !leaseState(fixture).getBoolean("holdsLease"));
       startControlMachine();
       // then
-      FrontFixture.waitUntil(() -> leaseState(rig).getBoolean("holdsLease"));
-      assertEquals(incarnation, leaseState(rig).getLong("incarnation"));
-      assertTrue(leaseState(rig).getLong("version") >= version);
-      assertEquals(1, leaseState(rig).getJsonArray("present").size());
+      waitUntil(() -> leaseState(fixture).getBoolean("holdsLease"));
+      assertEquals(incarnation, leaseState(fixture).getLong("incarnation"));
+      assertTrue(leaseState(fixture).getLong("version") >= version);
+      assertEquals(1, leaseState(fixture).getJsonArray("present").size());
     }
   }
 
   @Test
   void withoutControlMachinesTheFrontServesWithoutALease() throws Exception {
-    try (FrontFixture rig = new FrontFixture(1, leaseSettings(key)).start()) {
-      assertEquals("STARTING", leaseState(rig).getString("mode"));
-      assertEquals(false, leaseState(rig).getBoolean("holdsLease"));
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
+      assertEquals("STARTING", leaseState(fixture).getString("mode"));
+      assertEquals(false, leaseState(fixture).getBoolean("holdsLease"));
     }
   }
 
   @Test
   void aShortKeyFailsTheStart() throws Exception {
     Path tooShort = Files.writeString(folder.resolve("short"), "short");
-    try (FrontFixture rig = new FrontFixture(1, leaseSettings(tooShort))) {
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(tooShort))) {
       Exception e =
-          assertThrows(Exception.class, () -> FrontFixture.await(rig.newFront().start(7)));
+          assertThrows(Exception.class, () -> FrontFixture.await(fixture.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("lease.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -189,8 +187,8 @@
 
   @Test
   void withoutLeaseSettingsTheStateIsEmpty() throws Exception {
-    try (FrontFixture rig = new FrontFixture(1, "").start()) {
-      assertEquals(new JsonObject(), leaseState(rig));
+    try (FrontFixture fixture = new FrontFixture(1, "").start()) {
+      assertEquals(new JsonObject(), leaseState(fixture));
     }
   }
 }
--- a/src/test/java/linengauge/front/MembersTest.java
+++ b/src/test/java/linengauge/front/MembersTest.java
@@ -1,5 +1,6 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front among members, beside one that the test runs. */
+/** Fleet membership of a front, beside a member that the test runs. */
 class MembersTest {
   private static final String KEY = "a key of the whole fleet";
 
@@ -51,20 +52,20 @@
             KEY.getBytes(StandardCharsets.UTF_8),
             n -> {})) {
       other.start();
-      try (FrontFixture rig =
+      try (FrontFixture fixture =
           new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key)).start()) {
-        FrontFixture.waitUntil(
+        waitUntil(
             () ->
                 other.held().size() == 1
-                    && rig.state().getJsonObject("members").getJsonArray("others").size() == 1);
+                    && fixture.state().getJsonObject("members").getJsonArray("others").size() == 1);
         JsonObject seen =
-            rig.state().getJsonObject("members").getJsonArray("others").getJsonObject(0);
+            fixture.state().getJsonObject("members").getJsonArray("others").getJsonObject(0);
         assertEquals("ALIVE", seen.getString("standing"));
         assertEquals(2, seen.getInteger("region"));
         assertEquals(
             new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.held().get(0).member());
       }
-      FrontFixture.waitUntil(() -> other.held().get(0).standing() == MemberState.LEFT);
+      waitUntil(() -> other.held().get(0).standing() == MemberState.LEFT);
     }
   }
 
@@ -72,9 +73,10 @@
   void aShortKeyFailsTheStart() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), "short");
     List<Integer> ports = Ports.free(2);
-    try (FrontFixture rig = new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key))) {
+    try (FrontFixture fixture =
+        new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key))) {
       Exception e =
-          assertThrows(Exception.class, () -> FrontFixture.await(rig.newFront().start(7)));
+          assertThrows(Exception.class, () -> FrontFixture.await(fixture.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("members.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -83,8 +85,8 @@
 
   @Test
   void withoutMemberSettingsTheStateIsEmpty() throws Exception {
-    try (FrontFixture rig = new FrontFixture(1, "").start()) {
-      assertEquals(new JsonObject(), rig.state().getJsonObject("members"));
+    try (FrontFixture fixture = new FrontFixture(1, "").start()) {
+      assertEquals(new JsonObject(), fixture.state().getJsonObject("members"));
     }
   }
 }
--- a/src/test/java/linengauge/front/RetryOrderSocketsTest.java
+++ b/src/test/java/linengauge/front/RetryOrderSocketsTest.java
@@ -9,7 +9,10 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Over HTTP: a request goes to the same box again only once that has answered the end before. */
+/**
+ * A retry over HTTP goes to the same box only after the box has confirmed the end of the previous
+ * attempt.
+ */
 class RetryOrderSocketsTest {
   private static final String SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, rules: { coldMs: 0 },"
@@ -20,12 +23,12 @@
     return "answered tuneIn=" + tuneIn;
   }
 
-  /** Ends are answered late, and noted as they are. */
-  private static void delayEndResponses(FrontFixture rig, FrontFixture.ScriptedBox box) {
+  /** Delays the responses to ends, and records each as it is sent. */
+  private static void delayEndResponses(FrontFixture fixture, FrontFixture.ScriptedBox box) {
     box.otherHandler =
         request -> {
           if (request.method() == HttpMethod.DELETE) {
-            rig.vertx.setTimer(
+            fixture.vertx.setTimer(
                 END_RESPONSE_DELAY_MS,
                 t -> {
                   box.events.add(endConfirmed(Integer.parseInt(request.getParam("tuneIn"))));
@@ -49,34 +52,37 @@
         attempts++;
       }
     }
-    assertTrue(attempts > 1, "tried again once it was confirmed: " + events);
+    assertTrue(attempts > 1, "the set-up is retried once the end is confirmed: " + events);
   }
 
   /** Guards against a retry that a box reads before the end of the attempt that timed out. */
   @Test
   void aBoxThatTimedOutIsRetriedAfterItConfirmedTheEnd() throws Exception {
-    try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
-      FrontFixture.ScriptedBox box = rig.boxes.get(0);
-      delayEndResponses(rig, box);
+    try (FrontFixture fixture = new FrontFixture(1, SETTINGS).start()) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      delayEndResponses(fixture, box);
       box.setUpHandler =
           request -> {
             if (box.countEvents("PUT") > 1) {
               box.acceptSetUp(request);
             }
           };
-      CompletableFuture<HttpResponse<String>> joined = rig.requestViewingAsync("");
+      CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
       assertEquals(200, joined.join().statusCode());
       assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
     }
   }
 
-  /** Guards against an attempt that goes on at a box after its connection broke or was spoilt. */
+  /**
+   * Guards against an attempt that continues at a box after its connection broke or its answer was
+   * invalid.
+   */
   @Test
   void aBoxWithABrokenOrInvalidAnswerIsRetriedAfterItConfirmedTheEnd() throws Exception {
     for (boolean breaks : new boolean[] {true, false}) {
-      try (FrontFixture rig = new FrontFixture(1, SETTINGS).start()) {
-        FrontFixture.ScriptedBox box = rig.boxes.get(0);
-        delayEndResponses(rig, box);
+      try (FrontFixture fixture = new FrontFixture(1, SETTINGS).start()) {
+        FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+        delayEndResponses(fixture, box);
         box.setUpHandler =
             request -> {
               if (box.countEvents("PUT") > 1) {
@@ -87,7 +93,7 @@
                 request.response().setStatusCode(201).end("<html>");
               }
             };
-        CompletableFuture<HttpResponse<String>> joined = rig.requestViewingAsync("");
+        CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
         joined.join();
         assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
       }
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -30,7 +32,10 @@
 class SharedAddressTest {
   private static final Packets PACKETS = new Packets(false);
 
-  /** The other node: says what it is told to, and keeps the priorities that it hears. */
+  /**
+   * The other VRRP node: advertises a priority (none where it is negative) and records the
+   * priorities that it receives.
+   */
   private static final class Partner implements AutoCloseable {
     private final DatagramSocket socket;
     private final List<Integer> receivedPriorities =
@@ -74,7 +79,7 @@
         } catch (SocketTimeoutException e) {
           continue;
         } catch (Exception e) {
-          return; // closed
+          return; // the socket is closed
         }
       }
     }
@@ -116,20 +121,20 @@
         FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, ""))) {
       partner.advertisedPriority = 200;
       fixture.start();
-      FrontFixture.waitUntil(() -> fixture.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
+      waitUntil(() -> fixture.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
       HttpResponse<String> rejected = requestViewing(fixture, ports.get(2));
       assertEquals(503, rejected.statusCode());
       assertEquals(
           0,
           fixture.boxes.get(0).countEvents("PUT"),
-          "nothing is taken at an address that is another's");
+          "no request is accepted at an address that another front holds");
       assertEquals(
           200,
           requestViewing(fixture, fixture.viewerPort).statusCode(),
-          "its own address is always its own");
-      partner.advertisedPriority = -1; // the partner has died
+          "the front's own address is always served");
+      partner.advertisedPriority = -1; // the partner stops advertising
       List<HttpResponse<String>> responses = new ArrayList<>();
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               responses.add(requestViewing(fixture, ports.get(2)))
                   && responses.get(responses.size() - 1).statusCode() == 200);
@@ -137,9 +142,9 @@
       String own = "http://" + Ports.HOST + ":" + fixture.viewerPort;
       String media =
           playing.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
-      // A better one comes: the address goes, what plays stays.
+      // A partner of higher priority takes the address over; running viewings continue.
       partner.advertisedPriority = 200;
-      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 503);
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 503);
       assertEquals(
           200, fixture.get(fixture.viewerPort, media.substring(own.length())).statusCode());
     }
@@ -152,20 +157,20 @@
         FrontFixture fixture =
             new FrontFixture(1, vrrpSettings(ports, "") + ", stop: { playingMs: 60000 }")) {
       fixture.start();
-      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
       HttpResponse<String> playing = fixture.requestViewing("&key=last");
       CompletableFuture<Void> stop = CompletableFuture.runAsync(fixture.front::stop);
-      FrontFixture.waitUntil(() -> partner.receivedPriorities.contains(0));
+      waitUntil(() -> partner.receivedPriorities.contains(0));
       stop.get();
       int firstZero = partner.receivedPriorities.indexOf(0);
       Thread.sleep(300);
       List<Integer> priorities = List.copyOf(partner.receivedPriorities);
       assertTrue(
           priorities.subList(firstZero, priorities.size()).stream().allMatch(x -> x == 0),
-          "after giving up " + priorities);
-      assertTrue(priorities.size() - firstZero > 1, "a goodbye that is lost is said again");
-      assertEquals(
-          200, fixture.get(fixture.viewerPort, FrontFixture.viewingPath(playing)).statusCode());
+          "priorities after the release: " + priorities);
+      assertTrue(
+          priorities.size() - firstZero > 1, "the release is repeated, as a datagram may be lost");
+      assertEquals(200, fixture.get(fixture.viewerPort, viewingPath(playing)).statusCode());
       assertEquals(503, requestViewing(fixture, ports.get(2)).statusCode());
       fixture.endAll();
     }
@@ -176,16 +181,16 @@
     List<Integer> ports = Ports.free(3);
     try (Partner partner = new Partner(ports.get(1), ports.get(0));
         FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
-      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
       List<io.vertx.core.http.HttpServerRequest> pendingSetUps =
           Collections.synchronizedList(new ArrayList<>());
       fixture.boxes.get(0).setUpHandler = pendingSetUps::add;
       CompletableFuture<HttpResponse<String>> pendingResponse =
           CompletableFuture.supplyAsync(() -> requestViewing(fixture, ports.get(2)));
-      FrontFixture.waitUntil(() -> !pendingSetUps.isEmpty());
+      waitUntil(() -> !pendingSetUps.isEmpty());
       partner.advertisedPriority = 200;
-      FrontFixture.waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
-      // Where this took long, the module has withdrawn the first set-up and tries others.
+      waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
+      // If this took long, the module has cancelled the first set-up and sends others.
       fixture.boxes.get(0).setUpHandler = fixture.boxes.get(0)::acceptSetUp;
       List.copyOf(pendingSetUps)
           .forEach(
@@ -204,14 +209,15 @@
     try (Partner partner = new Partner(ports.get(1), ports.get(0));
         FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start();
         Socket idle = new Socket(Ports.HOST, ports.get(2))) {
-      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
-      idle.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      // Below the time limit after which an idle connection is closed anyway.
+      idle.setSoTimeout(10_000);
       idle.getOutputStream()
           .write("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       assertEquals('H', idle.getInputStream().read());
       partner.advertisedPriority = 200;
       while (idle.getInputStream().read() >= 0) {
-        continue; // the rest of its answer, and then the end
+        continue; // the rest of the response, then the end of the stream
       }
     }
   }
@@ -221,12 +227,12 @@
     List<Integer> ports = Ports.free(3);
     try (Partner partner = new Partner(ports.get(1), ports.get(0));
         FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
-      FrontFixture.waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
       try (Socket connection = new Socket(Ports.HOST, ports.get(2))) {
         int connections = fixture.state().getInteger("viewerConnections");
         assertTrue(connections > 0);
         partner.advertisedPriority = 200;
-        FrontFixture.waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
+        waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
         connection
             .getOutputStream()
             .write(
@@ -254,15 +260,15 @@
             new FrontFixture(1, vrrpSettings(ports, "unwellMinus: 60, unwellAfterMs: 50"))
                 .start()) {
       partner.advertisedPriority = 80;
-      FrontFixture.waitUntil(() -> partner.receivedPriorities.contains(100));
+      waitUntil(() -> partner.receivedPriorities.contains(100));
       fixture.discovery.set(fixture.boxes.get(0).place, "s", "draining", 0);
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               routerState(fixture).getBoolean("unwell")
                   && routerState(fixture).getInteger("priority") == 40
                   && routerState(fixture).getString("state").equals("BACKUP"));
       fixture.discovery.set(fixture.boxes.get(0).place, "s", "serving", 0);
-      FrontFixture.waitUntil(
+      waitUntil(
           () ->
               !routerState(fixture).getBoolean("unwell")
                   && routerState(fixture).getString("state").equals("ACTIVE"));
--- a/src/test/java/linengauge/front/SlowSocketsTest.java
+++ b/src/test/java/linengauge/front/SlowSocketsTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,26 +22,25 @@
 import linengauge.drill.Ports;
 import org.junit.jupiter.api.Test;
 
-/** Slow peers on sockets, each built with scripted boxes and raw callers. */
+/** Slow peers on sockets, with scripted boxes and raw client connections. */
 class SlowSocketsTest {
   private static final String FAST_SETTINGS =
       "stop: { playingMs: 100 }, flow: { beatMs: 50, lateMs: 5000, windowMs: 1600, "
           + "evidenceMs: 800, graceMs: 400 }, ";
 
-  private static FrontFixture startFixture(String extraSettings) throws Exception {
+  private static FrontFixture start(String extraSettings) throws Exception {
     return new FrontFixture(1, FAST_SETTINGS + extraSettings).start();
   }
 
   private static String segmentPath(FrontFixture fixture) {
-    return FrontFixture.viewingPath(
-        fixture.get(fixture.viewerPort, FrontFixture.viewingPath(fixture.requestViewing(""))));
+    return viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
   }
 
   private static byte[] httpGet(String path) {
     return ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** A caller that has asked for this and reads nothing. */
+  /** Opens a connection that requests the path and reads nothing. */
   private static Socket openStalledReader(FrontFixture fixture, String path) throws IOException {
     Socket socket = new Socket();
     socket.setReceiveBufferSize(8192);
@@ -68,7 +69,7 @@
 
   @Test
   void aStalledReaderIsClosedAndOthersOnTheSameBoxAndLoopAreServed() throws Exception {
-    try (FrontFixture fixture = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String slow = segmentPath(fixture);
       String healthy = segmentPath(fixture);
@@ -88,7 +89,7 @@
         }
       }
       assertEquals("ended: LET_GO\n", fixture.get(fixture.viewerPort, slow).body());
-      FrontFixture.waitUntil(() -> box.countEvents("DELETE") == 1);
+      waitUntil(() -> box.countEvents("DELETE") == 1);
       assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
       assertEquals(1, fixture.state().getInteger("held"));
     }
@@ -97,7 +98,7 @@
   @Test
   void stalledReadersOfABoxLeaveCapacityForOthers() throws Exception {
     try (FrontFixture fixture =
-        startFixture(
+        start(
             "viewers: { loops: 1, atOnce: 2 }, boxes: { mediaConnections: 40 }, desk: { idleMs: 60000 }")) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String healthy = segmentPath(fixture);
@@ -109,12 +110,12 @@
           stalledReaders.add(openStalledReader(fixture, slow));
           stalledReaders.add(openStalledReader(fixture, slow));
         }
-        FrontFixture.waitUntil(() -> box.countEvents("GET /viewings/") >= 37);
+        waitUntil(() -> box.countEvents("GET /viewings/") >= 37);
         box.segmentHandler = request -> request.response().end("segment");
         for (int i = 0; i < 20; i++) {
           assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
         }
-        FrontFixture.waitUntil(() -> fixture.state().getInteger("letGo") == 12);
+        waitUntil(() -> fixture.state().getInteger("letGo") == 12);
       } finally {
         for (Socket socket : stalledReaders) {
           socket.close();
@@ -126,7 +127,7 @@
 
   @Test
   void aBoxThatSendsTooSlowlyIsReportedAsLost() throws Exception {
-    try (FrontFixture fixture = startFixture("desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("desk: { idleMs: 60000 }")) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String segment = segmentPath(fixture);
       box.segmentHandler =
@@ -138,12 +139,11 @@
       try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
         socket.getOutputStream().write(httpGet(segment));
         assertTrue(
-            read(socket, 100_000).length() < 1000, "it breaks off, and is not passed off as whole");
+            read(socket, 100_000).length() < 1000,
+            "the response breaks off and is not passed off as complete");
       }
-      FrontFixture.waitUntil(
-          () ->
-              box.countEvents("DELETE")
-                  == 1); // the core hears of it on another loop than the one that broke off
+      // The session manager is notified on another event loop than the one that ended the transfer.
+      waitUntil(() -> box.countEvents("DELETE") == 1);
       assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, segment).body());
       assertEquals(1, fixture.state().getJsonObject("flow").getInteger("boxesLetGo"));
       fixture.waitUntilIdle();
@@ -152,7 +152,7 @@
 
   @Test
   void surplusBytesOfABoxReachNoOtherViewer() throws Exception {
-    try (FrontFixture fixture = startFixture("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
       FrontFixture.ScriptedBox box = fixture.boxes.get(0);
       String segment = segmentPath(fixture);
       box.segmentHandler =
@@ -172,7 +172,7 @@
         HttpResponse<String> next = fixture.get(fixture.viewerPort, segment);
         assertTrue(
             next.statusCode() == 502 || next.body().equals("segment"),
-            "never another's bytes: " + next.body());
+            "no bytes of another response: " + next.body());
       }
       assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
     }
@@ -180,8 +180,7 @@
 
   @Test
   void aBoxThatNeverEndsItsResponseTimesOut() throws Exception {
-    try (FrontFixture fixture =
-        startFixture("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
       String segment = segmentPath(fixture);
       fixture.boxes.get(0).segmentHandler =
           request -> request.response().setChunked(true).write("all there is");
@@ -190,7 +189,7 @@
         String response = read(socket, 10_000);
         assertTrue(
             response.contains("all there is") && !response.endsWith("0\r\n\r\n"),
-            "no end where the box gave none");
+            "no last chunk where the box sent none");
       }
     }
   }
@@ -198,7 +197,7 @@
   @Test
   void silentSlowAndIdleConnectionsAreClosedAndCountedSeparately() throws Exception {
     try (FrontFixture fixture =
-        startFixture("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
+        start("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
       try (Socket silent = new Socket(Ports.HOST, fixture.viewerPort);
           Socket slow = new Socket(Ports.HOST, fixture.viewerPort);
           Socket idle = new Socket(Ports.HOST, fixture.viewerPort)) {
@@ -221,52 +220,45 @@
         assertTrue(read(idle, 10_000).startsWith("HTTP/1.1 404"));
         slowSender.join();
       }
-      FrontFixture.waitUntil(
+      waitUntil(
           () -> {
             var flow = fixture.state().getJsonObject("flow");
             return flow.getInteger("noFirstByte") == 1
                 && flow.getInteger("headersTooSlow") == 1
                 && flow.getInteger("restedTooLong") >= 1;
           });
-      FrontFixture.waitUntil(
-          () -> fixture.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
+      waitUntil(() -> fixture.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
     }
   }
 
   @Test
   void aFullListenerRejectsNewConnectionsAndKeepsCapacityForOtherAddresses() throws Exception {
     try (FrontFixture fixture =
-        startFixture(
-            "viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
+        start("viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
       List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 30; i++) {
           connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        FrontFixture.waitUntil(
-            () -> fixture.state().getJsonObject("door").getInteger("served") == 30);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 30);
         for (int i = 0; i < 2; i++) {
           Socket socket = new Socket(Ports.HOST, fixture.viewerPort);
           connections.add(socket);
-          FrontFixture.waitUntil(
-              () -> fixture.state().getJsonObject("door").getInteger("turningAway") > 0);
+          waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") > 0);
         }
         for (Socket socket : connections.subList(30, 32)) {
           socket.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain"));
-          String response = read(socket, 10_000);
-          assertTrue(
-              response.startsWith("HTTP/1.1 503") && response.contains("Retry-After: 1"), response);
+          String reply = read(socket, 10_000);
+          assertTrue(reply.startsWith("HTTP/1.1 503") && reply.contains("Retry-After: 1"), reply);
         }
-        FrontFixture.waitUntil(
-            () -> fixture.state().getJsonObject("door").getInteger("turningAway") == 0);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") == 0);
         for (int i = 0; i < 2; i++) {
           connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        FrontFixture.waitUntil(
-            () -> fixture.state().getJsonObject("door").getInteger("turningAway") == 2);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") == 2);
         Socket refused = new Socket(Ports.HOST, fixture.viewerPort);
         connections.add(refused);
-        assertEquals("", read(refused, 10), "no place even to be told");
+        assertEquals("", read(refused, 10), "no capacity even for a rejection");
         try (Socket other =
             new Socket(
                 InetAddress.getByName(Ports.HOST),
@@ -281,14 +273,14 @@
           socket.close();
         }
       }
-      FrontFixture.waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 0);
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 0);
       assertEquals(200, fixture.requestViewing("").statusCode());
     }
   }
 
   @Test
   void tooManyHeadersAndTooManyRequestsOfOneKeyAreRejected() throws Exception {
-    try (FrontFixture fixture = startFixture("viewers: { headerCount: 8, keyAsks: 2 }")) {
+    try (FrontFixture fixture = start("viewers: { headerCount: 8, keyAsks: 2 }")) {
       try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
         socket
             .getOutputStream()
@@ -308,8 +300,7 @@
 
   @Test
   void pipelinedRequestsAreAnsweredInOrderOrTheConnectionEnds() throws Exception {
-    try (FrontFixture fixture =
-        startFixture("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
       String segment = segmentPath(fixture);
       try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
         byte[] request = httpGet(segment);
@@ -328,14 +319,13 @@
 
   @Test
   void aRequestPipelinedBehindAStalledReadLeavesNoOpenViewing() throws Exception {
-    try (FrontFixture fixture = startFixture("desk: { idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("desk: { idleMs: 60000 }")) {
       String slow = segmentPath(fixture);
       fixture.boxes.get(0).segmentHandler = request -> writeEndlessly(request.response());
       try (Socket socket = openStalledReader(fixture, slow)) {
-        socket
-            .getOutputStream()
-            .write(httpGet("/titles/t/main.m3u8?package=paid&patience=3000")); // behind the segment
-        FrontFixture.waitUntil(() -> fixture.state().getInteger("letGo") == 1);
+        // Pipelined behind the segment.
+        socket.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=paid&patience=3000"));
+        waitUntil(() -> fixture.state().getInteger("letGo") == 1);
       }
       fixture.waitUntilIdle();
       assertEquals(fixture.state().getLong("taken"), fixture.state().getLong("played"));
@@ -354,24 +344,21 @@
   @Test
   void controlConnectionsAreLimitedSeparately() throws Exception {
     try (FrontFixture fixture =
-        startFixture(
-            "control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
+        start("control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
       List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 300; i++) {
           connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        FrontFixture.waitUntil(
-            () -> fixture.state().getJsonObject("door").getInteger("shutOut") > 0);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("shutOut") > 0);
         for (int i = 0; i < 5; i++) {
           connections.add(new Socket(Ports.HOST, fixture.controlPort));
         }
         assertEquals(
             "",
             read(connections.get(connections.size() - 1), 1),
-            "the fourth and later are closed");
-        assertTrue(
-            fixture.state().getBoolean("ready"), "the one that asked before keeps its place");
+            "the fourth and later connections are closed");
+        assertTrue(fixture.state().getBoolean("ready"), "the earlier connection is kept");
       } finally {
         for (Socket socket : connections) {
           socket.close();
@@ -382,7 +369,7 @@
 
   @Test
   void requestsOverTheQueueLimitAreRejectedAndTheRestAreAnswered() throws Exception {
-    try (FrontFixture fixture = startFixture("desk: { waitingAsks: 1, idleMs: 60000 }")) {
+    try (FrontFixture fixture = start("desk: { waitingAsks: 1, idleMs: 60000 }")) {
       List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
       for (int i = 0; i < 150; i++) {
         responses.add(
@@ -404,8 +391,7 @@
         rejected += response.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
       }
       assertEquals(rejected, fixture.state().getJsonObject("door").getInteger("asksTurnedAway"));
-      FrontFixture.waitUntil(
-          () -> fixture.state().getJsonObject("door").getInteger("asksWaiting") == 0);
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("asksWaiting") == 0);
     }
   }
 }
