--- a/src/main/java/linengauge/front/FrontServer.java
+++ b/src/main/java/linengauge/front/FrontServer.java
@@ -146,7 +146,7 @@
     return admission;
   }
 
-  /** The lease that tells whether this front holds the shared address of a virtual router. */
+  /** The lease that shows whether this front holds the shared address of a virtual router. */
   Lease addressLease(int vrid) {
     return vrrp.lease(vrid);
   }
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -63,7 +63,7 @@
     return new InetSocketAddress(parsed.host(), parsed.port());
   }
 
-  /** The lease that tells whether this front holds the shared address of a virtual router. */
+  /** The lease that shows whether this front holds the shared address of a virtual router. */
   Lease lease(int vrid) {
     return node.lease(vrid);
   }
