--- a/src/bench/java/linengauge/flow/WatchBench.java
+++ b/src/bench/java/linengauge/flow/WatchBench.java
@@ -31,33 +31,33 @@
   @Param({"10", "1000"})
   public int stirring;
 
-  private OwnTime time;
-  private Watch watch;
-  private Account viewer;
-  private Account box;
+  private LoopClock time;
+  private SlowPeerDetector watch;
+  private PeerTraffic viewer;
+  private PeerTraffic box;
   private Moment now = new Moment(0);
 
   /** Takes all at once. */
-  private static final class Taker implements Account.Peer {
+  private static final class Taker implements PeerTraffic.Peer {
     @Override
-    public long waiting() {
+    public long queuedBytes() {
       return 0;
     }
 
     @Override
-    public void letGo(Account account) {}
+    public void disconnect(PeerTraffic account) {}
 
     @Override
-    public void moved() {}
+    public void progressed() {}
 
     @Override
-    public void goOn() {}
+    public void resume() {}
   }
 
   @Setup
   public void open() {
-    FlowTerms terms =
-        new FlowTerms(
+    FlowSettings terms =
+        new FlowSettings(
             true,
             Span.ofMillis(100),
             Span.ofMillis(200),
@@ -74,38 +74,38 @@
             Span.ofSeconds(5),
             10,
             4);
-    time = new OwnTime(terms.beat(), terms.late());
-    watch = new Watch(terms, time);
-    List<Account> all = new ArrayList<>();
+    time = new LoopClock(terms.tickInterval(), terms.lateTolerance());
+    watch = new SlowPeerDetector(terms, time);
+    List<PeerTraffic> all = new ArrayList<>();
     for (int i = 0; i < stirring; i++) {
-      all.add(watch.open(Account.Side.VIEWER, new Taker()));
-      all.get(i).begins(22_500);
+      all.add(watch.open(PeerTraffic.Side.VIEWER, new Taker()));
+      all.get(i).transferStarted(22_500);
     }
     viewer = all.get(0);
-    box = watch.open(Account.Side.BOX, new Taker());
-    box.begins(10_000);
-    box.wanted(true);
+    box = watch.open(PeerTraffic.Side.BOX, new Taker());
+    box.transferStarted(10_000);
+    box.setBytesWanted(true);
   }
 
   @Benchmark
   public boolean chunk() {
-    box.came(8192);
-    return viewer.queued(8192);
+    box.bytesReceived(8192);
+    return viewer.bytesQueued(8192);
   }
 
   @Benchmark
   public void transfer() {
-    Account b = watch.open(Account.Side.BOX, new Taker());
-    b.begins(10_000);
-    b.wanted(true);
-    viewer.begins(22_500);
-    viewer.ends();
+    PeerTraffic b = watch.open(PeerTraffic.Side.BOX, new Taker());
+    b.transferStarted(10_000);
+    b.setBytesWanted(true);
+    viewer.transferStarted(22_500);
+    viewer.transferEnded();
     b.close();
   }
 
   @Benchmark
   public void look() {
     now = now.plus(Span.ofMillis(100));
-    watch.look(time.beat(now));
+    watch.tick(time.tick(now));
   }
 }
--- a/src/main/java/linengauge/flow/Allowance.java
+++ b/src/main/java/linengauge/flow/Allowance.java
@@ -30,7 +30,7 @@
    */
   private final LinkedHashMap<Long, Moment> movers = new LinkedHashMap<>();
 
-  Allowance(FlowTerms terms) {
+  Allowance(FlowSettings terms) {
     this.slotMicros =
         Math.max(1, terms.letGoWindow().micros() / (SLOTS - 1)); // the present slot is not whole
     this.least = terms.letGoLeast();
--- a/src/main/java/linengauge/flow/Pool.java
+++ b/src/main/java/linengauge/flow/BufferBudget.java
@@ -8,14 +8,14 @@
  * against memory filled by many peers that do not read; it could hurt a fast viewer with a long
  * round trip while the pool is nearly full, which then has only its floor on the way.
  */
-public final class Pool {
-  private final FlowTerms terms;
+public final class BufferBudget {
+  private final FlowSettings terms;
   private final long shared;
-  private long waiting;
+  private long queuedBytes;
   private long over;
-  private long most;
+  private long peakQueuedBytes;
 
-  Pool(FlowTerms terms) {
+  BufferBudget(FlowSettings terms) {
     this.terms = terms;
     this.shared = terms.waitingBytes() - terms.peers() * (terms.floorBytes() + terms.chunkBytes());
   }
@@ -31,9 +31,9 @@
   }
 
   void changed(long from, long to) {
-    waiting += to - from;
+    queuedBytes += to - from;
     over += overFloor(to) - overFloor(from);
-    most = Math.max(most, waiting);
+    peakQueuedBytes = Math.max(peakQueuedBytes, queuedBytes);
   }
 
   private long overFloor(long bytes) {
@@ -41,12 +41,12 @@
   }
 
   /** Bytes that wait, by the last counts. */
-  public long waiting() {
-    return waiting;
+  public long queuedBytes() {
+    return queuedBytes;
   }
 
   /** The most that ever waited. */
-  public long most() {
-    return most;
+  public long peakQueuedBytes() {
+    return peakQueuedBytes;
   }
 }
--- a/src/main/java/linengauge/flow/Knock.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempt.java
@@ -14,7 +14,7 @@
  * BETWEEN      HEADERS        UNDER_WAY       -                                 between
  * </pre>
  */
-public final class Knock {
+public final class ConnectionAttempt {
   /** What the connection waits for. */
   public enum State {
     FIRST_BYTE,
@@ -24,13 +24,13 @@
   }
 
   /** The connection on its socket. */
-  public interface Caller {
+  public interface Connection {
     /** It has taken too long with what the state names. */
-    void tooLong(State state);
+    void timedOut(State state);
   }
 
-  private final Knocks knocks;
-  private final Caller caller;
+  private final ConnectionAttempts knocks;
+  private final Connection caller;
   final long number;
   private State state = State.FIRST_BYTE;
   private Moment stateSince;
@@ -39,7 +39,7 @@
   private boolean nextHasBegun;
   private boolean closed;
 
-  Knock(Knocks knocks, Caller caller, long number, Moment own) {
+  ConnectionAttempt(ConnectionAttempts knocks, Connection caller, long number, Moment own) {
     this.knocks = knocks;
     this.caller = caller;
     this.number = number;
@@ -51,11 +51,11 @@
   }
 
   /** An answer is owed to it. */
-  public boolean isOwed() {
+  public boolean isResponsePending() {
     return underWay > 0;
   }
 
-  Caller caller() {
+  Connection caller() {
     return caller;
   }
 
@@ -78,7 +78,7 @@
   }
 
   /** A byte has come. */
-  public void heard() {
+  public void byteReceived() {
     if (state == State.UNDER_WAY) {
       nextHasBegun = true;
     } else if (state != State.HEADERS) {
@@ -87,7 +87,7 @@
   }
 
   /** A request's headers are whole; false where too many wait on this connection already. */
-  public boolean asked() {
+  public boolean requestReceived() {
     if (underWay > knocks.pipelined()) {
       return false;
     }
@@ -100,7 +100,7 @@
   }
 
   /** A request's answer is written, or broken off. */
-  public void answered() {
+  public void responseEnded() {
     if (underWay > 0 && --underWay == 0 && !closed) {
       go(nextHasBegun ? State.HEADERS : State.BETWEEN, knocks.own());
       nextHasBegun = false;
--- a/src/main/java/linengauge/flow/Knocks.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempts.java
@@ -13,29 +13,30 @@
  * The connections of one loop that owe it a byte or the end of their headers, those due first in
  * front. A look touches only those whose time is over.
  */
-public final class Knocks {
-  private static final Comparator<Knock> DUE_FIRST =
-      Comparator.comparing(Knock::dueAt).thenComparingLong(k -> k.number);
+public final class ConnectionAttempts {
+  private static final Comparator<ConnectionAttempt> DUE_FIRST =
+      Comparator.comparing(ConnectionAttempt::dueAt).thenComparingLong(k -> k.number);
 
-  private final DoorTerms terms;
-  private final OwnTime time;
+  private final ListenerSettings terms;
+  private final LoopClock time;
 
   /**
    * Each leaves when its request is whole, when it is due, and when it is closed; bounded by the
    * door's places.
    */
-  private final TreeSet<Knock> due = new TreeSet<>(DUE_FIRST);
+  private final TreeSet<ConnectionAttempt> due = new TreeSet<>(DUE_FIRST);
 
-  private final Map<Knock.State, Long> tooLong = new EnumMap<>(Knock.State.class);
+  private final Map<ConnectionAttempt.State, Long> tooLong =
+      new EnumMap<>(ConnectionAttempt.State.class);
   private long number;
 
-  public Knocks(DoorTerms terms, OwnTime time) {
+  public ConnectionAttempts(ListenerSettings terms, LoopClock time) {
     this.terms = terms;
     this.time = time;
   }
 
-  public Knock open(Knock.Caller caller) {
-    return new Knock(this, caller, number++, time.own());
+  public ConnectionAttempt open(ConnectionAttempt.Connection caller) {
+    return new ConnectionAttempt(this, caller, number++, time.own());
   }
 
   Moment own() {
@@ -46,7 +47,7 @@
     return terms.guards() ? terms.pipelined() : Integer.MAX_VALUE;
   }
 
-  Span bound(Knock.State state) {
+  Span bound(ConnectionAttempt.State state) {
     if (!terms.guards()) {
       return null;
     }
@@ -58,24 +59,24 @@
     };
   }
 
-  void list(Knock k) {
+  void list(ConnectionAttempt k) {
     if (k.dueAt() != null) {
       due.add(k);
     }
   }
 
-  void unlist(Knock k) {
+  void unlist(ConnectionAttempt k) {
     if (k.dueAt() != null) {
       due.remove(k);
     }
   }
 
-  public int waiting() {
+  public int pending() {
     return due.size();
   }
 
   /** How many were closed for what they owed in this state. */
-  public long tooLong(Knock.State state) {
+  public long timeouts(ConnectionAttempt.State state) {
     return tooLong.getOrDefault(state, 0L);
   }
 
@@ -83,17 +84,17 @@
    * After each beat of the loop's own time; after a stand-still what waits in the sockets is read
    * first.
    */
-  public void look(boolean ran) {
+  public void tick(boolean ran) {
     if (!ran) {
       return;
     }
-    List<Knock> over = new ArrayList<>();
+    List<ConnectionAttempt> over = new ArrayList<>();
     while (!due.isEmpty() && !time.own().before(due.first().dueAt())) {
       over.add(due.pollFirst());
     }
-    for (Knock k : over) {
+    for (ConnectionAttempt k : over) {
       tooLong.merge(k.state(), 1L, Long::sum);
-      k.caller().tooLong(k.state());
+      k.caller().timedOut(k.state());
     }
   }
 }
--- a/src/main/java/linengauge/flow/DoorBook.java
+++ b/src/main/java/linengauge/flow/ConnectionLedger.java
@@ -13,24 +13,24 @@
  * places to turn away in; then it is shut out. One book for the whole front; whoever calls it sees
  * to it that one does at a time.
  */
-public final class DoorBook {
+public final class ConnectionLedger {
   /** What becomes of a connection. */
-  public enum Entry {
+  public enum Admission {
     SERVED,
-    TURNED_AWAY,
-    SHUT_OUT
+    REJECTED,
+    DROPPED
   }
 
-  private final DoorTerms terms;
+  private final ListenerSettings terms;
 
   /** Connections served, by address; an address leaves with its last one. */
   private final Map<String, Integer> byAddress = new HashMap<>();
 
   private int served;
-  private int turningAway;
-  private long turnedAway;
-  private long shutOut;
-  private long asksRefused;
+  private int rejecting;
+  private long rejected;
+  private long dropped;
+  private long rejectedRequests;
 
   /**
    * When each key asked, latest last; keys leave by age as others come, the least lately asking
@@ -39,7 +39,7 @@
   private final LinkedHashMap<String, ArrayDeque<Moment>> asks =
       new LinkedHashMap<>(16, 0.75f, true);
 
-  public DoorBook(DoorTerms terms) {
+  public ConnectionLedger(ListenerSettings terms) {
     this.terms = terms;
   }
 
@@ -47,44 +47,44 @@
     return served;
   }
 
-  public int turningAway() {
-    return turningAway;
+  public int rejecting() {
+    return rejecting;
   }
 
-  public long turnedAway() {
-    return turnedAway;
+  public long rejected() {
+    return rejected;
   }
 
-  public long shutOut() {
-    return shutOut;
+  public long dropped() {
+    return dropped;
   }
 
-  public long asksRefused() {
-    return asksRefused;
+  public long rejectedRequests() {
+    return rejectedRequests;
   }
 
   public int addresses() {
     return byAddress.size();
   }
 
-  public int keysRemembered() {
+  public int trackedKeys() {
     return asks.size();
   }
 
-  /** A connection from an address. What it got is to be given back with {@link #leaves}. */
-  public Entry enters(String address) {
+  /** A connection from an address. What it got is to be given back with {@link #release}. */
+  public Admission admit(String address) {
     if (!terms.guards() || hasPlaceFor(address)) {
       byAddress.merge(address, 1, Integer::sum);
       served++;
-      return Entry.SERVED;
+      return Admission.SERVED;
     }
-    if (turningAway < terms.turningAway()) {
-      turningAway++;
-      turnedAway++;
-      return Entry.TURNED_AWAY;
+    if (rejecting < terms.turningAway()) {
+      rejecting++;
+      rejected++;
+      return Admission.REJECTED;
     }
-    shutOut++;
-    return Entry.SHUT_OUT;
+    dropped++;
+    return Admission.DROPPED;
   }
 
   private boolean hasPlaceFor(String address) {
@@ -97,12 +97,12 @@
     return !crowded || has < Math.max(1, terms.connections() / addresses);
   }
 
-  public void leaves(String address, Entry entry) {
-    if (entry == Entry.SERVED) {
+  public void release(String address, Admission entry) {
+    if (entry == Admission.SERVED) {
       served--;
       byAddress.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
-    } else if (entry == Entry.TURNED_AWAY) {
-      turningAway--;
+    } else if (entry == Admission.REJECTED) {
+      rejecting--;
     }
   }
 
@@ -110,7 +110,7 @@
    * Whether one with this key may ask for a viewing now. Guards against a player that asks in a
    * tight loop.
    */
-  public boolean asks(String key, Moment now) {
+  public boolean admitRequest(String key, Moment now) {
     if (!terms.guards() || key == null) {
       return true;
     }
@@ -123,7 +123,7 @@
       past.removeFirst();
     }
     if (past.size() >= terms.keyAsks()) {
-      asksRefused++;
+      rejectedRequests++;
       return false;
     }
     past.addLast(now);
--- a/src/main/java/linengauge/flow/Intake.java
+++ b/src/main/java/linengauge/flow/DatagramRateLimiter.java
@@ -10,7 +10,7 @@
  * words may be lost anyway. It could hurt where a site grows and its bound is left as it was: words
  * are then passed over in their busiest seconds.
  */
-public final class Intake {
+public final class DatagramRateLimiter {
   private static final class Sender {
     private double left;
     private Moment heardAt;
@@ -18,7 +18,7 @@
 
   private final int perSecond;
   private final int most;
-  private long passedOver;
+  private long dropped;
 
   /**
    * By address; the one that was silent for longest leaves as another comes to a full table, and
@@ -27,12 +27,12 @@
   private final LinkedHashMap<String, Sender> senders = new LinkedHashMap<>(16, 0.75f, true);
 
   /** Senders remembered: as many as there are fronts, and some more for those that are none. */
-  public Intake(int perSecond, int senders) {
+  public DatagramRateLimiter(int perSecond, int senders) {
     this.perSecond = perSecond;
     this.most = senders;
   }
 
-  public boolean hears(String from, Moment now) {
+  public boolean accept(String from, Moment now) {
     Sender s = senders.get(from);
     if (s == null) {
       s = new Sender();
@@ -47,15 +47,15 @@
     s.left = Math.min(perSecond, s.left + since.seconds() * perSecond);
     s.heardAt = now;
     if (s.left < 1) {
-      passedOver++;
+      dropped++;
       return false;
     }
     s.left--;
     return true;
   }
 
-  public long passedOver() {
-    return passedOver;
+  public long dropped() {
+    return dropped;
   }
 
   public int senders() {
--- a/src/main/java/linengauge/flow/FlowTerms.java
+++ b/src/main/java/linengauge/flow/FlowSettings.java
@@ -5,11 +5,11 @@
 /**
  * What slow peers are held to, on one loop (a loop's part of the front's figures, where they are
  * sums). All spans are of the loop's own time, in which a stand-still of the loop does not count
- * ({@link OwnTime}).
+ * ({@link LoopClock}).
  *
  * @param guards false: nobody is held back or let go; only to show what the guards are for
- * @param beat how often the accounts are looked at; a look that comes `late` after that tells of a
- *     stand-still
+ * @param tickInterval how often the accounts are looked at; a look that comes `late` after that
+ *     tells of a stand-still
  * @param window over which what moved is weighed, and `evidence`, how much of it a peer must have
  *     been owed bytes in before it can be found slow; `grace` after its start nobody is
  * @param viewerShare of the lowest rung's rate that a viewer must take; boxShare, of the rung in
@@ -20,10 +20,10 @@
  * @param letGoWindow in which at most letGoLeast peers are let go, and letGoPerMover more for each
  *     peer that moves
  */
-public record FlowTerms(
+public record FlowSettings(
     boolean guards,
-    Span beat,
-    Span late,
+    Span tickInterval,
+    Span lateTolerance,
     Span window,
     Span evidence,
     Span grace,
--- a/src/main/java/linengauge/flow/DoorTerms.java
+++ b/src/main/java/linengauge/flow/ListenerSettings.java
@@ -15,7 +15,7 @@
  * @param keyAsks requests for viewings with one key in keyWindow; keys, how many keys are
  *     remembered
  */
-public record DoorTerms(
+public record ListenerSettings(
     boolean guards,
     int connections,
     int perAddress,
--- a/src/main/java/linengauge/flow/OwnTime.java
+++ b/src/main/java/linengauge/flow/LoopClock.java
@@ -9,14 +9,14 @@
  * was. Guards against letting peers go for our own stand-still. It could hurt where loops are
  * always late: waits grow by as much, at most by `beat + late` a look.
  */
-public final class OwnTime {
+public final class LoopClock {
   private final Span beat;
   private final Span late;
   private Moment wall;
   private Moment own = new Moment(0);
-  private Span stood = Span.NONE;
+  private Span pausedTime = Span.NONE;
 
-  public OwnTime(Span beat, Span late) {
+  public LoopClock(Span beat, Span late) {
     this.beat = beat;
     this.late = late;
   }
@@ -25,7 +25,7 @@
    * A beat at this moment; true where the loop has run since the last one, false where it has stood
    * still.
    */
-  public boolean beat(Moment now) {
+  public boolean tick(Moment now) {
     if (wall == null) {
       wall = now;
       return true;
@@ -37,7 +37,7 @@
     if (!most.under(since)) {
       return true;
     }
-    stood = stood.plus(since.minus(most));
+    pausedTime = pausedTime.plus(since.minus(most));
     return false;
   }
 
@@ -47,7 +47,7 @@
   }
 
   /** How long the loop has stood still in all. */
-  public Span stood() {
-    return stood;
+  public Span pausedTime() {
+    return pausedTime;
   }
 }
--- a/src/main/java/linengauge/flow/Account.java
+++ b/src/main/java/linengauge/flow/PeerTraffic.java
@@ -7,7 +7,7 @@
  * What waits for one peer and what moves: a viewer's connection, which takes, or a box's transfer,
  * which brings. On the path of bytes it only counts; everything is weighed at the loop's looks.
  */
-public final class Account {
+public final class PeerTraffic {
   /** Which way the peer moves bytes. */
   public enum Side {
     VIEWER,
@@ -17,31 +17,31 @@
   /** The peer on its socket. */
   public interface Peer {
     /** Bytes that wait in this front for the peer to take them, now. */
-    long waiting();
+    long queuedBytes();
 
     /**
      * The peer is found slow and within the budget: its bytes, places and streams are to be given
      * back now.
      */
-    void letGo(Account account);
+    void disconnect(PeerTraffic account);
 
     /** Bytes have moved since the last look: it is not idle. */
-    void moved();
+    void progressed();
 
     /** A viewer that was held back may be given more: the other side is read again. */
-    void goOn();
+    void resume();
   }
 
-  private final Watch watch;
+  private final SlowPeerDetector watch;
   private final Peer peer;
   private final Side side;
   private final long number;
   private final Moment since;
   private final Evidence evidence;
-  private double least;
+  private double minBytesPerSecond;
   private long total;
   private long totalAtLook;
-  private long waiting;
+  private long queuedBytes;
   private long waitingAtLook;
   private boolean open = true;
 
@@ -59,7 +59,8 @@
 
   private boolean wantedThroughout;
 
-  Account(Watch watch, Peer peer, Side side, long number, Moment since, Span window) {
+  PeerTraffic(
+      SlowPeerDetector watch, Peer peer, Side side, long number, Moment since, Span window) {
     this.watch = watch;
     this.peer = peer;
     this.side = side;
@@ -85,34 +86,34 @@
   }
 
   boolean isIdle() {
-    return underWay == 0 && waiting == 0;
+    return underWay == 0 && queuedBytes == 0;
   }
 
   /** Bytes that waited for it when it was last counted. */
-  public long waiting() {
-    return waiting;
+  public long queuedBytes() {
+    return queuedBytes;
   }
 
   /** Bytes a second that it must move while it is owed any. */
-  public double least() {
-    return least;
+  public double minBytesPerSecond() {
+    return minBytesPerSecond;
   }
 
   /** Bytes that it moved for each second in which it was owed any. */
-  public double rate() {
+  public double bytesPerSecond() {
     return evidence.rate();
   }
 
   /** How long within the window it was owed bytes. */
-  public Span owed() {
+  public Span owedTime() {
     return evidence.owed();
   }
 
   /* ---- told by the carrier ---- */
 
   /** A transfer begins, with what the peer must move at the least, in bytes a second. */
-  public void begins(double leastPerSecond) {
-    least = leastPerSecond;
+  public void transferStarted(double leastPerSecond) {
+    minBytesPerSecond = leastPerSecond;
     underWay++;
     if (idleSince != null && open) {
       evidence.passed(watch.own().since(idleSince), false, 0);
@@ -121,52 +122,52 @@
     watch.stirs(this);
   }
 
-  public void ends() {
+  public void transferEnded() {
     underWay--;
     recount();
   }
 
   /**
    * Bytes are handed on for a viewer to take; true where no more may wait for it now: the other
-   * side is not to be read until {@link #drained} says so or {@link Peer#goOn} is called.
+   * side is not to be read until {@link #bytesDrained} says so or {@link Peer#resume} is called.
    */
-  public boolean queued(long bytes) {
+  public boolean bytesQueued(long bytes) {
     total += bytes;
-    count(waiting + bytes);
-    if (!watch.pool().mayWait(waiting)) {
+    count(queuedBytes + bytes);
+    if (!watch.bufferBudget().mayWait(queuedBytes)) {
       recount(); // what was taken since the last count has not been told
-      held = !watch.pool().mayWait(waiting);
+      held = !watch.bufferBudget().mayWait(queuedBytes);
     }
     return held;
   }
 
   /** The carrier has seen bytes taken; true where more may wait now. */
-  public boolean drained() {
+  public boolean bytesDrained() {
     recount();
-    held &= !watch.pool().mayWait(waiting);
+    held &= !watch.bufferBudget().mayWait(queuedBytes);
     return !held;
   }
 
   private void recount() {
     if (side == Side.VIEWER && open) {
-      count(Math.max(0, peer.waiting()));
+      count(Math.max(0, peer.queuedBytes()));
     }
   }
 
   private void count(long bytes) {
-    watch.pool().changed(waiting, bytes);
-    waiting = bytes;
+    watch.bufferBudget().changed(queuedBytes, bytes);
+    queuedBytes = bytes;
   }
 
   /** Bytes have come from a box. */
-  public void came(long bytes) {
+  public void bytesReceived(long bytes) {
     total += bytes;
   }
 
   /**
    * Bytes are wanted of a box from now on, or no longer: the viewer holds it back, or all has come.
    */
-  public void wanted(boolean now) {
+  public void setBytesWanted(boolean now) {
     wanted = now;
     wantedThroughout &= now;
   }
@@ -188,10 +189,10 @@
     boolean owedThroughout;
     if (side == Side.VIEWER) {
       recount();
-      moved = Math.max(0, total - totalAtLook + waitingAtLook - waiting);
+      moved = Math.max(0, total - totalAtLook + waitingAtLook - queuedBytes);
       owedThroughout =
           waitingAtLook > 0; // also where it took the last of it: the wait for it has been counted
-      waitingAtLook = waiting;
+      waitingAtLook = queuedBytes;
     } else {
       moved = total - totalAtLook;
       owedThroughout = wantedThroughout && wanted;
@@ -200,17 +201,17 @@
     totalAtLook = total;
     evidence.passed(span, owedThroughout, moved);
     if (moved > 0) {
-      peer.moved();
+      peer.progressed();
     }
-    return moved > 0 && moved >= least * span.seconds();
+    return moved > 0 && moved >= minBytesPerSecond * span.seconds();
   }
 
   /**
    * After a look: one that was held back goes on where the pool has come to have something for it.
    */
   void mayGoOn() {
-    if (held && open && drained()) {
-      peer.goOn();
+    if (held && open && bytesDrained()) {
+      peer.resume();
     }
   }
 
@@ -220,15 +221,15 @@
   }
 
   /** Slow by evidence, at this moment of the loop's own time. */
-  boolean isSlow(Moment own, FlowTerms terms) {
-    return least > 0
+  boolean isSlow(Moment own, FlowSettings terms) {
+    return minBytesPerSecond > 0
         && !own.since(since).under(terms.grace())
         && !evidence.owed().under(terms.evidence())
-        && evidence.rate() < least;
+        && evidence.rate() < minBytesPerSecond;
   }
 
   /** How much of what it must move it moves; the smaller, the slower. */
   double part() {
-    return evidence.rate() / least;
+    return evidence.rate() / minBytesPerSecond;
   }
 }
--- a/src/main/java/linengauge/flow/Watch.java
+++ b/src/main/java/linengauge/flow/SlowPeerDetector.java
@@ -13,26 +13,26 @@
  * budget goes. Looks touch only peers with a transfer under way or bytes waiting, never all that
  * are connected.
  */
-public final class Watch {
+public final class SlowPeerDetector {
   /** Counts since the start, and what the last look saw. */
   public static final class Counts {
-    public long viewersLetGo;
-    public long boxesLetGo;
+    public long viewersDisconnected;
+    public long boxesDisconnected;
 
     /** Found slow and not let go, as the budget was used up; counted again at each look. */
     public long spared;
 
-    public long standStills;
-    public int movers;
-    public int slow;
+    public long processPauses;
+    public int progressingPeers;
+    public int slowPeers;
   }
 
-  private static final Comparator<Account> SLOWEST_FIRST =
-      Comparator.comparingDouble(Account::part).thenComparingLong(Account::number);
+  private static final Comparator<PeerTraffic> SLOWEST_FIRST =
+      Comparator.comparingDouble(PeerTraffic::part).thenComparingLong(PeerTraffic::number);
 
-  private final FlowTerms terms;
-  private final OwnTime time;
-  private final Pool pool;
+  private final FlowSettings terms;
+  private final LoopClock time;
+  private final BufferBudget bufferBudget;
   private final Allowance allowance;
   private final Counts counts = new Counts();
 
@@ -40,7 +40,7 @@
    * Peers with bytes on the way, in the order of their numbers; each leaves when it is idle at a
    * look, or closed.
    */
-  private final TreeMap<Long, Account> stirring = new TreeMap<>();
+  private final TreeMap<Long, PeerTraffic> stirring = new TreeMap<>();
 
   /** Those of them that are viewers; each has its floor kept. */
   private int viewers;
@@ -48,22 +48,22 @@
   private Moment lookedAt = new Moment(0);
   private long number;
 
-  public Watch(FlowTerms terms, OwnTime time) {
+  public SlowPeerDetector(FlowSettings terms, LoopClock time) {
     this.terms = terms;
     this.time = time;
-    this.pool = new Pool(terms);
+    this.bufferBudget = new BufferBudget(terms);
     this.allowance = new Allowance(terms);
   }
 
-  public Pool pool() {
-    return pool;
+  public BufferBudget bufferBudget() {
+    return bufferBudget;
   }
 
   public Counts counts() {
     return counts;
   }
 
-  public int stirring() {
+  public int activePeers() {
     return stirring.size();
   }
 
@@ -77,36 +77,36 @@
   }
 
   /** Opens the account of a peer; it costs nothing until a transfer begins. */
-  public Account open(Account.Side side, Account.Peer peer) {
-    return new Account(this, peer, side, number++, time.own(), terms.window());
+  public PeerTraffic open(PeerTraffic.Side side, PeerTraffic.Peer peer) {
+    return new PeerTraffic(this, peer, side, number++, time.own(), terms.window());
   }
 
-  void stirs(Account a) {
-    if (a.isOpen() && stirring.put(a.number(), a) == null && a.side() == Account.Side.VIEWER) {
+  void stirs(PeerTraffic a) {
+    if (a.isOpen() && stirring.put(a.number(), a) == null && a.side() == PeerTraffic.Side.VIEWER) {
       viewers++;
     }
   }
 
-  void leaves(Account a) {
+  void leaves(PeerTraffic a) {
     if (stirring.remove(a.number()) != null) {
       left(a);
     }
   }
 
-  private void left(Account a) {
-    viewers -= a.side() == Account.Side.VIEWER ? 1 : 0;
+  private void left(PeerTraffic a) {
+    viewers -= a.side() == PeerTraffic.Side.VIEWER ? 1 : 0;
   }
 
   /**
    * After each beat of the loop's own time; `ran` is what that said. After a stand-still nobody is
    * let go at once: what peers did meanwhile is still to be seen.
    */
-  public void look(boolean ran) {
+  public void tick(boolean ran) {
     Span span = time.own().since(lookedAt);
     lookedAt = time.own();
-    List<Account> slow = new ArrayList<>();
+    List<PeerTraffic> slow = new ArrayList<>();
     for (var i = stirring.values().iterator(); i.hasNext(); ) {
-      Account a = i.next();
+      PeerTraffic a = i.next();
       if (a.look(span)) {
         allowance.moved(a.number(), time.own());
       }
@@ -119,22 +119,22 @@
         a.rests(time.own());
       }
     }
-    counts.standStills += ran ? 0 : 1;
+    counts.processPauses += ran ? 0 : 1;
     allowance.passed(span, time.own());
-    counts.movers = allowance.movers();
-    counts.slow = slow.size();
+    counts.progressingPeers = allowance.movers();
+    counts.slowPeers = slow.size();
     if (terms.guards() && ran) {
       letGo(slow);
     }
-    for (Account a : List.copyOf(stirring.values())) {
+    for (PeerTraffic a : List.copyOf(stirring.values())) {
       a.mayGoOn();
     }
   }
 
-  private void letGo(List<Account> slow) {
+  private void letGo(List<PeerTraffic> slow) {
     slow.sort(SLOWEST_FIRST);
     int left = allowance.left();
-    for (Account a : slow) {
+    for (PeerTraffic a : slow) {
       if (!a.isOpen()) {
         continue; // it went with one let go before it
       }
@@ -143,12 +143,12 @@
         continue;
       }
       allowance.took();
-      if (a.side() == Account.Side.VIEWER) {
-        counts.viewersLetGo++;
+      if (a.side() == PeerTraffic.Side.VIEWER) {
+        counts.viewersDisconnected++;
       } else {
-        counts.boxesLetGo++;
+        counts.boxesDisconnected++;
       }
-      a.peer().letGo(a);
+      a.peer().disconnect(a);
       a.close();
     }
   }
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/Caller.java
@@ -9,9 +9,9 @@
 import io.vertx.core.net.impl.ConnectionBase;
 import java.util.Locale;
 import linengauge.carry.Sparse;
-import linengauge.flow.Account;
-import linengauge.flow.DoorBook;
-import linengauge.flow.Knock;
+import linengauge.flow.ConnectionAttempt;
+import linengauge.flow.ConnectionLedger;
+import linengauge.flow.PeerTraffic;
 import linengauge.vrrp.udp.Lease;
 
 /**
@@ -19,7 +19,7 @@
  * account of bytes. What waits is read off the library's channel, which counts it anyway; the
  * library (pinned) has no public way to ask for it.
  */
-final class Caller implements Account.Peer, Knock.Caller {
+final class Caller implements PeerTraffic.Peer, ConnectionAttempt.Connection {
   private final HttpConnection connection;
   private final Channel channel;
   private final FrontProgram program;
@@ -30,8 +30,8 @@
   private final Lease lease;
 
   private boolean lastAnswer;
-  private final Knock knock;
-  private final Account account;
+  private final ConnectionAttempt knock;
+  private final PeerTraffic account;
   private Runnable goOn = () -> {};
   private ViewerEnd takes;
 
@@ -43,7 +43,7 @@
 
   Caller(
       HttpConnection connection,
-      DoorBook.Entry entry,
+      ConnectionLedger.Admission entry,
       Lease lease,
       Loops here,
       FrontProgram program,
@@ -53,22 +53,22 @@
     this.channel = ((ConnectionBase) connection).channel();
     this.program = program;
     this.log = log;
-    this.turnedAway = entry == DoorBook.Entry.TURNED_AWAY;
+    this.turnedAway = entry == ConnectionLedger.Admission.REJECTED;
     this.knock = here.knocks().open(this);
-    this.account = here.watch().open(Account.Side.VIEWER, this);
+    this.account = here.watch().open(PeerTraffic.Side.VIEWER, this);
     channel
         .pipeline()
         .addFirst(
             new ChannelInboundHandlerAdapter() {
               @Override
               public void channelRead(ChannelHandlerContext context, Object bytes) {
-                knock.heard();
+                knock.byteReceived();
                 context.fireChannelRead(bytes);
               }
             });
   }
 
-  Account account() {
+  PeerTraffic account() {
     return account;
   }
 
@@ -83,7 +83,7 @@
    */
   void gaveUp() {
     lastAnswer = true;
-    if (knock.state() == Knock.State.BETWEEN) {
+    if (knock.state() == ConnectionAttempt.State.BETWEEN) {
       channel.close();
     }
   }
@@ -94,12 +94,12 @@
 
   /** A request has come; false where too many wait here. */
   boolean asked() {
-    return knock.asked();
+    return knock.requestReceived();
   }
 
   void answered() {
-    knock.answered();
-    if (turnedAway || lastAnswer && !knock.isOwed()) {
+    knock.responseEnded();
+    if (turnedAway || lastAnswer && !knock.isResponsePending()) {
       connection.close();
     }
   }
@@ -121,25 +121,25 @@
   }
 
   @Override
-  public long waiting() {
+  public long queuedBytes() {
     ChannelOutboundBuffer out = channel.unsafe().outboundBuffer();
     return out == null ? 0 : out.totalPendingWriteBytes();
   }
 
   @Override
-  public void moved() {
+  public void progressed() {
     if (takes != null) {
       takes.asked(); // one that reads a long segment asks for nothing meanwhile
     }
   }
 
   @Override
-  public void goOn() {
+  public void resume() {
     goOn.run();
   }
 
   @Override
-  public void letGo(Account a) {
+  public void disconnect(PeerTraffic a) {
     if (takes != null) {
       ViewerEnd viewer = takes;
       log.warn("viewer let go", viewer.held().id(), figures(a));
@@ -151,18 +151,18 @@
     channel.close();
   }
 
-  static String figures(Account a) {
+  static String figures(PeerTraffic a) {
     return String.format(
         Locale.ROOT,
         "%.0f bytes a second of %.0f over %.1f s, %d wait",
-        a.rate(),
-        a.least(),
-        a.owed().seconds(),
-        a.waiting());
+        a.bytesPerSecond(),
+        a.minBytesPerSecond(),
+        a.owedTime().seconds(),
+        a.queuedBytes());
   }
 
   @Override
-  public void tooLong(Knock.State state) {
+  public void timedOut(ConnectionAttempt.State state) {
     log.warn("caller closed", connection.remoteAddress().hostAddress(), state);
     channel
         .close(); // at once: the library's own close would wait until a caller that reads nothing
--- a/src/main/java/linengauge/front/Chores.java
+++ b/src/main/java/linengauge/front/Chores.java
@@ -5,10 +5,10 @@
 import linengauge.Span;
 import linengauge.carry.Wall;
 import linengauge.session.Carrier;
-import linengauge.work.Chore;
 import linengauge.work.Job;
-import linengauge.work.WorkTerms;
-import linengauge.work.Workbench;
+import linengauge.work.JobScheduler;
+import linengauge.work.ScheduledJob;
+import linengauge.work.WorkSettings;
 
 /**
  * Background work on the desk: asks the bench for the next job, runs it, and wakes when it is to be
@@ -16,13 +16,13 @@
  */
 final class Chores {
   private final FrontProgram program;
-  private final Workbench bench;
+  private final JobScheduler bench;
   private Carrier.Wake wake;
   private Moment wakeAt;
 
-  Chores(FrontProgram program, WorkTerms terms, long seed) {
+  Chores(FrontProgram program, WorkSettings terms, long seed) {
     this.program = program;
-    this.bench = new Workbench(terms, seed);
+    this.bench = new JobScheduler(terms, seed);
   }
 
   /**
@@ -33,33 +33,33 @@
    */
   boolean submit(String name, int urgency, Span after, Span thought, Runnable step) {
     Moment now = Wall.now();
-    Workbench.Submission submission =
+    JobScheduler.Submission submission =
         bench.submit(
-            new Chore(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> run(job, step)),
+            new Job(name, urgency, Span.NONE, Span.NONE, 1, thought, 0, job -> run(job, step)),
             now.plus(after),
             now);
     arm(now);
     return submission.job() != null;
   }
 
-  private static void run(Job job, Runnable step) {
+  private static void run(ScheduledJob job, Runnable step) {
     Moment from = Wall.now();
     try {
       step.run();
     } finally { // what throws is the desk's to report, and must not keep its place
       Moment now = Wall.now();
-      job.done(now, now.since(from), 0);
+      job.succeeded(now, now.since(from), 0);
     }
   }
 
   private void ask() {
     Moment now = Wall.now();
     // How late this very wake is tells how late the desk is.
-    bench.deskLate(now.since(wakeAt).orMore(Span.NONE));
+    bench.setLoopDelay(now.since(wakeAt).orMore(Span.NONE));
     wake = null;
     try {
-      for (Job j = bench.next(now); j != null; j = bench.next(Wall.now())) {
-        j.chore().step().run(j);
+      for (ScheduledJob j = bench.nextJob(now); j != null; j = bench.nextJob(Wall.now())) {
+        j.job().action().run(j);
       }
     } finally {
       arm(Wall.now());
@@ -67,7 +67,7 @@
   }
 
   private void arm(Moment now) {
-    Moment at = bench.askAt();
+    Moment at = bench.nextPollAt();
     if (at == null || wake != null && !at.before(wakeAt)) {
       return;
     }
@@ -79,12 +79,12 @@
   }
 
   JsonObject state() {
-    Workbench.Counts c = bench.counts();
+    JobScheduler.Counts c = bench.counts();
     return new JsonObject()
         .put("jobs", bench.jobs())
-        .put("done", c.done)
-        .put("refused", c.refused)
-        .put("displaced", c.displaced)
-        .put("heldBack", c.heldBack);
+        .put("done", c.succeeded)
+        .put("refused", c.rejected)
+        .put("displaced", c.evicted)
+        .put("heldBack", c.deferred);
   }
 }
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -19,7 +19,7 @@
 import linengauge.Span;
 import linengauge.carry.Sparse;
 import linengauge.carry.Wall;
-import linengauge.flow.DoorBook;
+import linengauge.flow.ConnectionLedger;
 import linengauge.hls.Paths;
 import linengauge.session.Held;
 import linengauge.session.Viewer;
@@ -135,8 +135,8 @@
 
   private void connected(HttpConnection connection, Lease lease) {
     String address = connection.remoteAddress().hostAddress();
-    DoorBook.Entry entry = program.gate().enters(address);
-    if (entry == DoorBook.Entry.SHUT_OUT) {
+    ConnectionLedger.Admission entry = program.gate().enters(address);
+    if (entry == ConnectionLedger.Admission.DROPPED) {
       connection.close();
       return;
     }
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -7,7 +7,7 @@
 import io.vertx.core.datagram.DatagramSocket;
 import java.util.function.Consumer;
 import linengauge.carry.Wall;
-import linengauge.flow.Intake;
+import linengauge.flow.DatagramRateLimiter;
 import linengauge.site.Site;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -18,13 +18,14 @@
 
   private final Vertx vertx;
   private final Site site;
-  private final Intake intake;
+  private final DatagramRateLimiter intake;
   private DatagramSocket socket;
 
   FrontDatagrams(Vertx vertx, Site site) {
     this.vertx = vertx;
     this.site = site;
-    this.intake = new Intake(site.fronts().wordsPerSecond(), 2 * site.fronts().count() + 8);
+    this.intake =
+        new DatagramRateLimiter(site.fronts().wordsPerSecond(), 2 * site.fronts().count() + 8);
   }
 
   /** Binds the socket, where the site file names one and lets fronts speak to each other. */
@@ -45,7 +46,7 @@
 
   private void receive(DatagramPacket packet, Consumer<byte[]> receiver) {
     String sender = packet.sender().hostAddress() + ":" + packet.sender().port();
-    if (!site.flow().guards() || intake.hears(sender, Wall.now())) {
+    if (!site.flow().guards() || intake.accept(sender, Wall.now())) {
       receiver.accept(packet.data().getBytes());
     }
   }
@@ -61,6 +62,6 @@
 
   /** Datagrams that were passed over since their senders sent too many. */
   long passedOver() {
-    return intake.passedOver();
+    return intake.dropped();
   }
 }
--- a/src/main/java/linengauge/front/Gate.java
+++ b/src/main/java/linengauge/front/Gate.java
@@ -2,41 +2,41 @@
 
 import io.vertx.core.json.JsonObject;
 import linengauge.Moment;
-import linengauge.flow.DoorBook;
-import linengauge.flow.DoorTerms;
+import linengauge.flow.ConnectionLedger;
+import linengauge.flow.ListenerSettings;
 
 /** The door's book, shared by the loops: one call at a time, each of some hundred nanoseconds. */
 final class Gate {
-  private final DoorBook book;
+  private final ConnectionLedger book;
 
-  Gate(DoorTerms terms) {
-    this.book = new DoorBook(terms);
+  Gate(ListenerSettings terms) {
+    this.book = new ConnectionLedger(terms);
   }
 
-  synchronized DoorBook.Entry enters(String address) {
-    return book.enters(address);
+  synchronized ConnectionLedger.Admission enters(String address) {
+    return book.admit(address);
   }
 
-  synchronized void leaves(String address, DoorBook.Entry entry) {
-    book.leaves(address, entry);
+  synchronized void leaves(String address, ConnectionLedger.Admission entry) {
+    book.release(address, entry);
   }
 
   synchronized boolean asks(String key, Moment now) {
-    return book.asks(key, now);
+    return book.admitRequest(key, now);
   }
 
   synchronized int served() {
-    return book.served() + book.turningAway();
+    return book.served() + book.rejecting();
   }
 
   synchronized JsonObject state() {
     return new JsonObject()
         .put("served", book.served())
         .put("addresses", book.addresses())
-        .put("turningAway", book.turningAway())
-        .put("turnedAway", book.turnedAway())
-        .put("shutOut", book.shutOut())
-        .put("keys", book.keysRemembered())
-        .put("keyAsksRefused", book.asksRefused());
+        .put("turningAway", book.rejecting())
+        .put("turnedAway", book.rejected())
+        .put("shutOut", book.dropped())
+        .put("keys", book.trackedKeys())
+        .put("keyAsksRefused", book.rejectedRequests());
   }
 }
--- a/src/main/java/linengauge/front/Loops.java
+++ b/src/main/java/linengauge/front/Loops.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import java.util.TreeMap;
 import linengauge.carry.Wall;
-import linengauge.flow.Knock;
-import linengauge.flow.Knocks;
-import linengauge.flow.OwnTime;
-import linengauge.flow.Watch;
+import linengauge.flow.ConnectionAttempt;
+import linengauge.flow.ConnectionAttempts;
+import linengauge.flow.LoopClock;
+import linengauge.flow.SlowPeerDetector;
 import linengauge.site.Site;
 
 /**
@@ -17,55 +17,55 @@
  * and its beat.
  */
 final class Loops {
-  private final OwnTime time;
-  private final Watch watch;
-  private final Knocks knocks;
+  private final LoopClock time;
+  private final SlowPeerDetector watch;
+  private final ConnectionAttempts knocks;
 
   /** What the last beat saw, for whoever asks on another loop. */
   private volatile Map<String, Long> seen = Map.of();
 
   Loops(Vertx vertx, Site site) {
     var terms = site.flowOfLoop();
-    this.time = new OwnTime(terms.beat(), terms.late());
-    this.watch = new Watch(terms, time);
-    this.knocks = new Knocks(site.door(), time);
-    time.beat(Wall.now());
+    this.time = new LoopClock(terms.tickInterval(), terms.lateTolerance());
+    this.watch = new SlowPeerDetector(terms, time);
+    this.knocks = new ConnectionAttempts(site.door(), time);
+    time.tick(Wall.now());
     tell();
     vertx.setPeriodic(site.flow().beatMs(), t -> beat());
   }
 
   private void beat() {
-    boolean ran = time.beat(Wall.now());
-    watch.look(ran);
-    knocks.look(ran);
+    boolean ran = time.tick(Wall.now());
+    watch.tick(ran);
+    knocks.tick(ran);
     tell();
   }
 
   private void tell() {
     Map<String, Long> m = new TreeMap<>();
-    Watch.Counts c = watch.counts();
-    m.put("viewersLetGo", c.viewersLetGo);
-    m.put("boxesLetGo", c.boxesLetGo);
+    SlowPeerDetector.Counts c = watch.counts();
+    m.put("viewersLetGo", c.viewersDisconnected);
+    m.put("boxesLetGo", c.boxesDisconnected);
     m.put("spared", c.spared);
-    m.put("standStills", c.standStills);
-    m.put("standStillMs", time.stood().micros() / 1000);
-    m.put("moving", (long) c.movers);
-    m.put("slow", (long) c.slow);
-    m.put("stirring", (long) watch.stirring());
-    m.put("waitingBytes", watch.pool().waiting());
-    m.put("mostWaitingBytes", watch.pool().most());
-    m.put("callersWaiting", (long) knocks.waiting());
-    m.put("noFirstByte", knocks.tooLong(Knock.State.FIRST_BYTE));
-    m.put("headersTooSlow", knocks.tooLong(Knock.State.HEADERS));
-    m.put("restedTooLong", knocks.tooLong(Knock.State.BETWEEN));
+    m.put("standStills", c.processPauses);
+    m.put("standStillMs", time.pausedTime().micros() / 1000);
+    m.put("moving", (long) c.progressingPeers);
+    m.put("slow", (long) c.slowPeers);
+    m.put("stirring", (long) watch.activePeers());
+    m.put("waitingBytes", watch.bufferBudget().queuedBytes());
+    m.put("mostWaitingBytes", watch.bufferBudget().peakQueuedBytes());
+    m.put("callersWaiting", (long) knocks.pending());
+    m.put("noFirstByte", knocks.timeouts(ConnectionAttempt.State.FIRST_BYTE));
+    m.put("headersTooSlow", knocks.timeouts(ConnectionAttempt.State.HEADERS));
+    m.put("restedTooLong", knocks.timeouts(ConnectionAttempt.State.BETWEEN));
     seen = m;
   }
 
-  Watch watch() {
+  SlowPeerDetector watch() {
     return watch;
   }
 
-  Knocks knocks() {
+  ConnectionAttempts knocks() {
     return knocks;
   }
 
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/Relay.java
@@ -16,7 +16,7 @@
 import java.util.Set;
 import linengauge.carry.Sparse;
 import linengauge.carry.Wall;
-import linengauge.flow.Account;
+import linengauge.flow.PeerTraffic;
 import linengauge.hls.BadPlaylist;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
@@ -92,9 +92,9 @@
   }
 
   /** One request of a viewer, answered by its box. */
-  private final class Pass implements Account.Peer {
+  private final class Pass implements PeerTraffic.Peer {
     private final Caller caller;
-    private final Account box;
+    private final PeerTraffic box;
     private final HttpServerRequest asked;
     private final HttpServerResponse to;
     private final ViewerEnd viewer;
@@ -112,7 +112,7 @@
 
     private Pass(HttpServerRequest asked, Caller caller, ViewerEnd viewer, String id, String at) {
       this.caller = caller;
-      this.box = here.watch().open(Account.Side.BOX, this);
+      this.box = here.watch().open(PeerTraffic.Side.BOX, this);
       this.asked = asked;
       this.to = asked.response();
       this.viewer = viewer;
@@ -125,10 +125,10 @@
       to.exceptionHandler(e -> end());
       to.closeHandler(v -> end());
       listen(site.boxes().firstByteMs());
-      caller.takes(viewer, this::goOn);
-      caller.account().begins(site.flow().viewerShare() * viewer.lowestBytes());
-      box.begins(site.flow().boxShare() * viewer.rungBytes());
-      box.wanted(true);
+      caller.takes(viewer, this::resume);
+      caller.account().transferStarted(site.flow().viewerShare() * viewer.lowestBytes());
+      box.transferStarted(site.flow().boxShare() * viewer.rungBytes());
+      box.setBytesWanted(true);
       client
           .request(
               new RequestOptions()
@@ -236,14 +236,14 @@
     private void passOn(HttpClientResponse r, Buffer bytes) {
       heardAt = Wall.micros();
       viewer.asked();
-      box.came(bytes.length());
+      box.bytesReceived(bytes.length());
       to.write(bytes);
-      if (caller.account().queued(bytes.length()) || to.writeQueueFull()) {
+      if (caller.account().bytesQueued(bytes.length()) || to.writeQueueFull()) {
         paused = true;
-        box.wanted(false);
+        box.setBytesWanted(false);
         r.pause();
         read(false);
-        to.drainHandler(v -> goOn());
+        to.drainHandler(v -> resume());
       }
     }
 
@@ -261,36 +261,36 @@
 
     /** The viewer has taken what waited, or the pool has come to have something for it. */
     @Override
-    public void goOn() {
-      if (paused && !over && caller.account().drained() && !to.writeQueueFull()) {
+    public void resume() {
+      if (paused && !over && caller.account().bytesDrained() && !to.writeQueueFull()) {
         paused = false;
         heardAt = Wall.micros();
         viewer.asked();
-        box.wanted(true);
+        box.setBytesWanted(true);
         read(true);
         response.resume();
       }
     }
 
     @Override
-    public void moved() {
+    public void progressed() {
       // a box that brings is heard by the handler of its bytes
     }
 
     @Override
-    public long waiting() {
+    public long queuedBytes() {
       return 0; // a box brings; what waits is its viewer's
     }
 
     @Override
-    public void letGo(Account account) {
+    public void disconnect(PeerTraffic account) {
       log.warn("box let go", viewer.held().id(), Caller.figures(account));
       program.onDesk(() -> viewer.held().boxLost());
       broken(504, "the media box brings too little");
     }
 
     private void more(Buffer b) {
-      box.came(b.length());
+      box.bytesReceived(b.length());
       heardAt = Wall.micros();
       playlist.appendBuffer(b);
       if (playlist.length() > site.boxes().playlistBytes()) {
@@ -305,7 +305,7 @@
       try {
         String base = at.contains("/") ? at.substring(0, at.lastIndexOf('/') + 1) : "";
         String text = Playlists.media(playlist.getBytes(), uri -> Paths.under(id, base, uri));
-        caller.account().queued(text.length());
+        caller.account().bytesQueued(text.length());
         finish();
         to.putHeader("Content-Type", "application/vnd.apple.mpegurl")
             .putHeader("Cache-Control", "no-store")
@@ -349,7 +349,7 @@
       read(true);
       viewer.underWay().decrementAndGet();
       box.close();
-      caller.account().ends();
+      caller.account().transferEnded();
       if (timer >= 0) {
         vertx.cancelTimer(timer);
       }
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -9,12 +9,12 @@
 import linengauge.Headend;
 import linengauge.PackageTerms;
 import linengauge.Span;
-import linengauge.flow.DoorTerms;
-import linengauge.flow.FlowTerms;
+import linengauge.flow.FlowSettings;
+import linengauge.flow.ListenerSettings;
 import linengauge.session.Desk;
 import linengauge.vrrp.NodeAddress;
 import linengauge.vrrp.RouterTerms;
-import linengauge.work.WorkTerms;
+import linengauge.work.WorkSettings;
 
 /**
  * What a site file says, each part as its reader needs it. Spans ending in Ms are in milliseconds.
@@ -212,8 +212,8 @@
       int ageingMs,
       int firstPauseMs,
       int mostPauseMs) {
-    public WorkTerms terms() {
-      return new WorkTerms(
+    public WorkSettings terms() {
+      return new WorkSettings(
           Span.ofMillis(windowMs),
           Span.ofMillis(deskMs),
           bytes,
@@ -367,8 +367,8 @@
   }
 
   /** What slow peers are held to on each loop of viewers' connections. */
-  public FlowTerms flowOfLoop() {
-    return new FlowTerms(
+  public FlowSettings flowOfLoop() {
+    return new FlowSettings(
         flow.guards,
         Span.ofMillis(flow.beatMs),
         Span.ofMillis(flow.lateMs),
@@ -396,8 +396,8 @@
   }
 
   /** What the door is held to. */
-  public DoorTerms door() {
-    return new DoorTerms(
+  public ListenerSettings door() {
+    return new ListenerSettings(
         flow.guards,
         viewers.connections,
         viewers.perAddress,
--- a/src/main/java/linengauge/work/Job.java
+++ b/src/main/java/linengauge/work/Job.java
@@ -1,172 +1,36 @@
 package linengauge.work;
 
-import linengauge.Moment;
 import linengauge.Span;
-import linengauge.session.Backoff;
 
 /**
- * One submission of a chore, from being taken up until it is done for good, given up or called off.
+ * Something to be done when there is time for it.
+ *
+ * @param name one job of a name waits at a time: a further submission is the same one
+ * @param urgency 0: before all others of a higher number
+ * @param within how soon it should have begun after it is submitted or due; from then on it goes
+ *     before all that are not late themselves
+ * @param every how long after it was done it is due again; none: it is done once
+ * @param tries how often it may fail in a row; 0: for ever
+ * @param deskTime that it is thought to take of the desk; learnt from what it takes
+ * @param bytes that it is thought to read or write; learnt too
+ * @param action does it, or begins it; must tell the job of its end, then or later
  */
-public final class Job {
-  /** Where it stands. */
-  public enum State {
-    WAITS,
-    RUNS,
-    OVER
-  }
-
-  private final Workbench bench;
-  private final Chore chore;
-  private final long number;
-  private final Backoff pause;
-  private State state = State.WAITS;
-  private Moment dueAt;
-  private int failures;
-
-  /** Submitted again while it runs: it is due at once when it ends. */
-  private boolean again;
-
-  private Span deskTime;
-  private long bytes;
-  private Span reservedTime = Span.NONE;
-  private long reservedBytes;
-
-  Job(Workbench bench, Chore chore, long number, Moment dueAt, Backoff pause) {
-    this.bench = bench;
-    this.chore = chore;
-    this.number = number;
-    this.dueAt = dueAt;
-    this.pause = pause;
-    this.deskTime = chore.deskTime();
-    this.bytes = chore.bytes();
-  }
-
-  public Chore chore() {
-    return chore;
-  }
-
-  public State state() {
-    return state;
-  }
-
-  /** Failures in a row. */
-  public int failures() {
-    return failures;
-  }
-
-  long number() {
-    return number;
-  }
-
-  Moment dueAt() {
-    return dueAt;
-  }
-
-  Span deskTime() {
-    return deskTime;
-  }
-
-  long bytes() {
-    return bytes;
-  }
-
-  /**
-   * Smaller goes first: urgency, less what it has waited; one that is late for its bound goes
-   * before all that are not.
-   */
-  long rank(Moment now, Span ageing) {
-    Span waited = now.since(dueAt).orMore(Span.NONE);
-    boolean late = Span.NONE.under(chore.within()) && !waited.under(chore.within());
-    return (late ? Long.MIN_VALUE / 2 : 0) + chore.urgency() * ageing.micros() - waited.micros();
-  }
-
-  void submittedAgain(Moment now) {
-    if (state == State.RUNS) {
-      again = true;
-    } else if (now.before(dueAt) && failures == 0) {
-      dueAt = now; // one that failed keeps its pause: wishing does not make what it needs come back
+public record Job(
+    String name,
+    int urgency,
+    Span within,
+    Span every,
+    int tries,
+    Span deskTime,
+    long bytes,
+    Action action) {
+  /** What is done. */
+  public interface Action {
+    void run(ScheduledJob job);
+
+    /** It has failed for the last time, or had to leave for more urgent ones. */
+    default void givenUp(ScheduledJob job) {
+      // most have nothing to take back
     }
   }
-
-  void begins() {
-    state = State.RUNS;
-    reservedTime = deskTime;
-    reservedBytes = bytes;
-  }
-
-  Span reservedTime() {
-    return reservedTime;
-  }
-
-  long reservedBytes() {
-    return reservedBytes;
-  }
-
-  /**
-   * It has been done, and took so much. What is done every so often is due again, counted from now:
-   * none is caught up on.
-   */
-  public void done(Moment now, Span took, long moved) {
-    if (state != State.RUNS) {
-      return;
-    }
-    learn(took, moved);
-    failures = 0;
-    pause.reset();
-    bench.ended(this, now, took, moved, true);
-    next(now, Span.NONE.under(chore.every()) ? now.plus(chore.every()) : null);
-  }
-
-  /** It has failed, and took so much; it is tried again after a pause, as often as it may. */
-  public void failed(Moment now, Span took, long moved) {
-    if (state != State.RUNS) {
-      return;
-    }
-    learn(took, moved);
-    bench.ended(this, now, took, moved, false);
-    failures++;
-    if (chore.tries() > 0 && failures >= chore.tries()) {
-      state = State.OVER;
-      bench.over(this, true);
-      return;
-    }
-    again = false;
-    next(now, now.plus(pause.next()));
-  }
-
-  private void next(Moment now, Moment then) {
-    if (again) {
-      again = false;
-      dueAt = now;
-      state = State.WAITS;
-    } else if (then != null) {
-      dueAt = then;
-      state = State.WAITS;
-    } else {
-      state = State.OVER;
-      bench.over(this, false);
-    }
-  }
-
-  /**
-   * What it took moves what it is thought to take: up at once, down slowly, so that budgets are
-   * rather kept than filled.
-   */
-  private void learn(Span took, long moved) {
-    deskTime = deskTime.under(took) ? took : deskTime.times(0.75).plus(took.times(0.25));
-    bytes = Math.max(moved, (long) (0.75 * bytes + 0.25 * moved));
-  }
-
-  /** It is not wanted any more. What it has begun is not undone; its end is passed over. */
-  public void callOff() {
-    if (state != State.OVER) {
-      boolean ran = state == State.RUNS;
-      state = State.OVER;
-      bench.calledOff(this, ran);
-    }
-  }
-
-  void leaves() {
-    state = State.OVER;
-  }
 }
--- a/src/main/java/linengauge/work/Workbench.java
+++ b/src/main/java/linengauge/work/JobScheduler.java
@@ -16,7 +16,7 @@
  * none waits for ever, and one that is late for its own bound goes before all that are not. It
  * holds no clock, thread or timer: the carrier asks for the next job, and when to ask again.
  */
-public final class Workbench {
+public final class JobScheduler {
   /** Why a submission was not taken up. */
   public enum Answer {
     TAKEN,
@@ -26,28 +26,28 @@
   }
 
   /** What became of a submission: the job that stands for it, or null where it was refused. */
-  public record Submission(Answer answer, Job job) {}
+  public record Submission(Answer answer, ScheduledJob job) {}
 
   /** Counts since the start. */
   public static final class Counts {
-    public long done;
+    public long succeeded;
     public long failed;
-    public long refused;
-    public long displaced;
+    public long rejected;
+    public long evicted;
     public long givenUp;
 
     /** Times that something due was held back by a budget. */
-    public long heldBack;
+    public long deferred;
   }
 
-  private final WorkTerms terms;
+  private final WorkSettings terms;
   private final SplittableRandom chance;
 
   /**
    * By name, in the order taken up; a job leaves when it is over, and there are never more than the
    * terms say.
    */
-  private final Map<String, Job> jobs = new LinkedHashMap<>();
+  private final Map<String, ScheduledJob> jobs = new LinkedHashMap<>();
 
   private final Spending desk;
   private final Spending bytes;
@@ -57,7 +57,7 @@
   private int running;
   private long number;
 
-  public Workbench(WorkTerms terms, long seed) {
+  public JobScheduler(WorkSettings terms, long seed) {
     this.terms = terms;
     this.chance = new SplittableRandom(seed);
     this.desk = new Spending(terms.window());
@@ -77,7 +77,7 @@
   }
 
   /** The desk is so late now; none: it keeps up. */
-  public void deskLate(Span by) {
+  public void setLoopDelay(Span by) {
     late = by;
   }
 
@@ -86,23 +86,23 @@
    * stands for it. Where all places are taken, the last in rank that is not running leaves for it,
    * if outranked, and is told so.
    */
-  public Submission submit(Chore chore, Moment from, Moment at) {
+  public Submission submit(Job chore, Moment from, Moment at) {
     tell(at);
-    Job same = jobs.get(chore.name());
+    ScheduledJob same = jobs.get(chore.name());
     if (same != null) {
       same.submittedAgain(from.orLater(now));
       return new Submission(Answer.ONE_WAITS, same);
     }
     if (terms.deskTime().under(chore.deskTime()) || chore.bytes() > terms.bytes()) {
-      counts.refused++;
+      counts.rejected++;
       return new Submission(Answer.TOO_LARGE, null);
     }
     if (jobs.size() >= terms.jobs() && !makeRoom(chore)) {
-      counts.refused++;
+      counts.rejected++;
       return new Submission(Answer.FULL, null);
     }
-    Job j =
-        new Job(
+    ScheduledJob j =
+        new ScheduledJob(
             this,
             chore,
             number++,
@@ -112,13 +112,13 @@
     return new Submission(Answer.TAKEN, j);
   }
 
-  private boolean makeRoom(Chore newcomer) {
+  private boolean makeRoom(Job newcomer) {
     // By rank and not by urgency alone: one that has waited long enough is not put out by each
     // newcomer.
     long rank = newcomer.urgency() * terms.ageing().micros();
-    Job least = null;
-    for (Job j : jobs.values()) {
-      if (j.state() == Job.State.WAITS
+    ScheduledJob least = null;
+    for (ScheduledJob j : jobs.values()) {
+      if (j.state() == ScheduledJob.State.WAITS
           && j.rank(now, terms.ageing()) > rank
           && (least == null || j.rank(now, terms.ageing()) >= least.rank(now, terms.ageing()))) {
         least = j;
@@ -127,10 +127,10 @@
     if (least == null) {
       return false;
     }
-    counts.displaced++;
-    jobs.remove(least.chore().name());
+    counts.evicted++;
+    jobs.remove(least.job().name());
     least.leaves();
-    least.chore().step().givenUp(least);
+    least.job().action().givenUp(least);
     return true;
   }
 
@@ -138,14 +138,14 @@
    * The job to be run now, which counts as begun; null where none is due, or there is no budget for
    * it.
    */
-  public Job next(Moment at) {
+  public ScheduledJob nextJob(Moment at) {
     tell(at);
     if (running >= terms.atOnce()) {
       return null;
     }
     boolean deskBlocked = false;
     boolean bytesBlocked = false;
-    for (Job j : due()) {
+    for (ScheduledJob j : due()) {
       boolean deskFits =
           j.deskTime().micros() == 0
               || !deskBlocked && fits(desk, j.deskTime().micros(), terms.deskTime().micros());
@@ -158,7 +158,7 @@
         bytes.spend(j.bytes(), now);
         return j;
       }
-      counts.heldBack++;
+      counts.deferred++;
       // What comes after it may not use up what it waits for, or a large job would wait for ever
       // behind small ones.
       deskBlocked |= j.deskTime().micros() > 0;
@@ -168,10 +168,10 @@
   }
 
   /** Those that wait and are due, the first to go in front. */
-  private List<Job> due() {
-    List<Job> due = new ArrayList<>();
-    for (Job j : jobs.values()) {
-      if (j.state() == Job.State.WAITS && !now.before(j.dueAt())) {
+  private List<ScheduledJob> due() {
+    List<ScheduledJob> due = new ArrayList<>();
+    for (ScheduledJob j : jobs.values()) {
+      if (j.state() == ScheduledJob.State.WAITS && !now.before(j.dueAt())) {
         due.add(j);
       }
     }
@@ -200,11 +200,11 @@
   }
 
   /** When to ask again, where nothing else happens; null: not before something does. */
-  public Moment askAt() {
+  public Moment nextPollAt() {
     Moment first = null;
     boolean held = false;
-    for (Job j : jobs.values()) {
-      if (j.state() == Job.State.WAITS) {
+    for (ScheduledJob j : jobs.values()) {
+      if (j.state() == ScheduledJob.State.WAITS) {
         held |= !now.before(j.dueAt());
         first =
             now.before(j.dueAt()) && (first == null || j.dueAt().before(first)) ? j.dueAt() : first;
@@ -225,27 +225,27 @@
 
   /* ---- what jobs tell ---- */
 
-  void ended(Job j, Moment at, Span took, long moved, boolean well) {
+  void ended(ScheduledJob j, Moment at, Span took, long moved, boolean well) {
     tell(at);
     running--;
     // What was reserved is spent; what it took over that is spent now. What it took less stays
     // spent till it leaves.
     desk.spend(Math.max(0, took.minus(j.reservedTime()).micros()), now);
     bytes.spend(Math.max(0, moved - j.reservedBytes()), now);
-    counts.done += well ? 1 : 0;
+    counts.succeeded += well ? 1 : 0;
     counts.failed += well ? 0 : 1;
   }
 
-  void calledOff(Job j, boolean ran) {
+  void calledOff(ScheduledJob j, boolean ran) {
     running -= ran ? 1 : 0;
-    jobs.remove(j.chore().name(), j);
+    jobs.remove(j.job().name(), j);
   }
 
-  void over(Job j, boolean givenUp) {
-    jobs.remove(j.chore().name(), j);
+  void over(ScheduledJob j, boolean givenUp) {
+    jobs.remove(j.job().name(), j);
     if (givenUp) {
       counts.givenUp++;
-      j.chore().step().givenUp(j);
+      j.job().action().givenUp(j);
     }
   }
 }
--- a/src/main/java/linengauge/work/WorkTerms.java
+++ b/src/main/java/linengauge/work/WorkSettings.java
@@ -15,7 +15,7 @@
  * @param ageing after which a job that waits counts as one step more urgent
  * @param firstPause and mostPause between tries of a job that fails
  */
-public record WorkTerms(
+public record WorkSettings(
     Span window,
     Span deskTime,
     long bytes,
--- a/src/main/java/linengauge/zones/Weighing.java
+++ b/src/main/java/linengauge/zones/FailoverController.java
@@ -12,8 +12,8 @@
  * table. Each front's word counts as one at the most, the worst and the best are left out, and
  * nothing is moved that has no room where it would go.
  */
-public final class Weighing {
-  private record Report(Moment at, Evidence evidence) {}
+public final class FailoverController {
+  private record Report(Moment at, ZoneObservation evidence) {}
 
   /** How one place has been of late. */
   private static final class Course {
@@ -28,7 +28,7 @@
 
   private static final int MOST_FRONTS = 1024;
 
-  private final WeighingTerms terms;
+  private final FailoverSettings terms;
   private final ZoneTable table;
 
   /** By place, then by front; what is older than it counts leaves with the next look. */
@@ -41,7 +41,7 @@
 
   private Moment sharedAt = Moment.DISTANT_PAST;
 
-  public Weighing(WeighingTerms terms, ZoneTable table) {
+  public FailoverController(FailoverSettings terms, ZoneTable table) {
     this.terms = terms;
     this.table = table;
   }
@@ -53,7 +53,7 @@
     }
   }
 
-  public void heard(Moment now, int front, int place, Evidence e) {
+  public void heard(Moment now, int front, int place, ZoneObservation e) {
     if (place < 0 || place >= ZoneTable.MOST_PLACES) {
       return;
     }
@@ -64,15 +64,16 @@
   }
 
   /** The rows that are to change now, all in one decision from the table's number; empty: none. */
-  public Map<Integer, Row> look(Moment now) {
+  public Map<Integer, ZoneEntry> look(Moment now) {
     reports
         .values()
         .forEach(ofPlace -> ofPlace.values().removeIf(t -> terms.holds().under(now.since(t.at()))));
-    TreeMap<Integer, Row> next = new TreeMap<>();
+    TreeMap<Integer, ZoneEntry> next = new TreeMap<>();
     for (int place : rooms.keySet()) {
-      Row r = table.row(place);
+      ZoneEntry r = table.row(place);
       if (r.order().isEmpty()) {
-        Row wanted = standing(place, r, courses.computeIfAbsent(place, p -> new Course()), now);
+        ZoneEntry wanted =
+            standing(place, r, courses.computeIfAbsent(place, p -> new Course()), now);
         next.put(place, wanted);
       }
     }
@@ -87,14 +88,14 @@
     sharedAt = next.isEmpty() ? sharedAt : now;
     next.forEach(
         (place, r) -> {
-          if (r.standing() == Standing.COMING_BACK) {
+          if (r.standing() == ZoneState.COMING_BACK) {
             courses.get(place).steppedAt = now;
           }
         });
     return next;
   }
 
-  private boolean isAlike(Row a, Row b) {
+  private boolean isAlike(ZoneEntry a, ZoneEntry b) {
     return a.standing() == b.standing()
         && a.relapses() == b.relapses()
         && Math.abs(a.stays() - b.stays()) < terms.worth()
@@ -102,29 +103,29 @@
   }
 
   /** Where it is to stand, by evidence that has held; how much of it goes where comes after. */
-  private Row standing(int place, Row r, Course c, Moment now) {
+  private ZoneEntry standing(int place, ZoneEntry r, Course c, Moment now) {
     follow(c, illness(place), r, now);
-    if (r.standing() != Standing.GIVEN_UP && hasLasted(c.badSince, terms.after(), now)) {
-      boolean relapsed = r.standing() == Standing.COMING_BACK || r.relapses() > 0;
-      return new Row(Standing.GIVEN_UP, 0, 0, relapsed ? r.relapses() + 1 : 1, "", 0);
+    if (r.standing() != ZoneState.GIVEN_UP && hasLasted(c.badSince, terms.after(), now)) {
+      boolean relapsed = r.standing() == ZoneState.COMING_BACK || r.relapses() > 0;
+      return new ZoneEntry(ZoneState.GIVEN_UP, 0, 0, relapsed ? r.relapses() + 1 : 1, "", 0);
     }
     return switch (r.standing()) {
       case GIVEN_UP ->
           hasLasted(c.wellSince, holdOff(r.relapses()), now)
-              ? new Row(Standing.COMING_BACK, terms.first(), 0, r.relapses(), "", 0)
+              ? new ZoneEntry(ZoneState.COMING_BACK, terms.first(), 0, r.relapses(), "", 0)
               : r;
       case COMING_BACK ->
           c.wellSince == null || now.before(c.steppedAt.plus(terms.step())) ? r : stepBack(r);
       default ->
           terms.rested().under(now.since(c.nearSince))
-              ? new Row(r.standing(), r.stays(), r.goes(), 0, "", 0)
+              ? new ZoneEntry(r.standing(), r.stays(), r.goes(), 0, "", 0)
               : r;
     };
   }
 
   /** Notes since when the place is bad, well, or near. */
-  private void follow(Course c, double ill, Row r, Moment now) {
-    boolean near = r.standing() == Standing.NEAR || r.standing() == Standing.SHARING;
+  private void follow(Course c, double ill, ZoneEntry r, Moment now) {
+    boolean near = r.standing() == ZoneState.NEAR || r.standing() == ZoneState.SHARING;
     c.badSince = since(ill >= terms.bad(), c.badSince, now);
     c.wellSince = since(ill >= 0 && ill < terms.well(), c.wellSince, now);
     c.nearSince = since(near, c.nearSince, now);
@@ -143,10 +144,10 @@
   }
 
   /** The next step of one that comes back: twice as much stays, up to all of it. */
-  private static Row stepBack(Row r) {
+  private static ZoneEntry stepBack(ZoneEntry r) {
     return r.stays() * 2 < 1
-        ? new Row(Standing.COMING_BACK, r.stays() * 2, 0, r.relapses(), "", 0)
-        : new Row(Standing.NEAR, 1, 0, r.relapses(), "", 0);
+        ? new ZoneEntry(ZoneState.COMING_BACK, r.stays() * 2, 0, r.relapses(), "", 0)
+        : new ZoneEntry(ZoneState.NEAR, 1, 0, r.relapses(), "", 0);
   }
 
   private Span holdOff(int relapses) {
@@ -164,7 +165,7 @@
   private double illness(int place) {
     List<double[]> sharesOfFailures = new ArrayList<>();
     for (Report t : reports.getOrDefault(place, new TreeMap<>()).values()) {
-      Evidence e = t.evidence();
+      ZoneObservation e = t.evidence();
       if (e.tries() > 0) {
         sharesOfFailures.add(
             new double[] {(double) e.failed() / e.tries(), Math.min(1, e.tries() / terms.full())});
@@ -196,15 +197,15 @@
    * nothing in, so that what fails over does not push it over as well. What fits nowhere is refused
    * where it asks.
    */
-  private void shares(TreeMap<Integer, Row> next) {
+  private void shares(TreeMap<Integer, ZoneEntry> next) {
     double spare = 0;
     double leaves = 0;
     for (Map.Entry<Integer, Double> room : rooms.entrySet()) {
-      Row r = next.getOrDefault(room.getKey(), table.row(room.getKey()));
+      ZoneEntry r = next.getOrDefault(room.getKey(), table.row(room.getKey()));
       double asked = asked(room.getKey());
       double kept = keeps(r, asked, room.getValue());
       leaves += asked * (1 - kept);
-      if (r.standing() == Standing.NEAR || r.standing() == Standing.SHARING) {
+      if (r.standing() == ZoneState.NEAR || r.standing() == ZoneState.SHARING) {
         spare += Math.max(0, terms.fill() * room.getValue() - asked);
       }
     }
@@ -212,16 +213,16 @@
     next.replaceAll(
         (place, r) -> {
           double kept = keeps(r, asked(place), rooms.get(place));
-          Standing s =
-              r.standing() != Standing.NEAR && r.standing() != Standing.SHARING
+          ZoneState s =
+              r.standing() != ZoneState.NEAR && r.standing() != ZoneState.SHARING
                   ? r.standing()
-                  : kept < 1 - terms.worth() ? Standing.SHARING : Standing.NEAR;
-          boolean all = s == Standing.NEAR;
+                  : kept < 1 - terms.worth() ? ZoneState.SHARING : ZoneState.NEAR;
+          boolean all = s == ZoneState.NEAR;
           // What fits nowhere stays where a place still serves, and is refused where it does not.
           double goes = all ? 0 : (1 - kept) * fits;
-          return new Row(
+          return new ZoneEntry(
               s,
-              all ? 1 : s == Standing.SHARING ? 1 - goes : kept,
+              all ? 1 : s == ZoneState.SHARING ? 1 - goes : kept,
               goes,
               r.relapses(),
               "",
@@ -229,7 +230,7 @@
         });
   }
 
-  private double keeps(Row r, double asked, double room) {
+  private double keeps(ZoneEntry r, double asked, double room) {
     if (!r.order().isEmpty()) {
       return r.stays();
     }
--- a/src/main/java/linengauge/zones/WeighingTerms.java
+++ b/src/main/java/linengauge/zones/FailoverSettings.java
@@ -17,7 +17,7 @@
  * @param fill of a place's room that newcomers may take
  * @param worth shares closer than this to the table's are left as they are
  */
-public record WeighingTerms(
+public record FailoverSettings(
     Span holds,
     double full,
     double bad,
@@ -30,8 +30,8 @@
     Span rested,
     double fill,
     double worth) {
-  public static final WeighingTerms ZONES =
-      new WeighingTerms(
+  public static final FailoverSettings ZONES =
+      new FailoverSettings(
           Span.ofSeconds(3),
           10,
           0.5,
@@ -44,8 +44,8 @@
           Span.ofSeconds(300),
           0.9,
           0.05);
-  public static final WeighingTerms REGIONS =
-      new WeighingTerms(
+  public static final FailoverSettings REGIONS =
+      new FailoverSettings(
           Span.ofSeconds(3),
           10,
           0.7,
--- a/src/main/java/linengauge/zones/Row.java
+++ b/src/main/java/linengauge/zones/ZoneEntry.java
@@ -13,13 +13,13 @@
  * @param order of an operator that holds it so, or ""
  * @param since the table's number with which it came to stand so
  */
-public record Row(
-    Standing standing, double stays, double goes, int relapses, String order, long since) {
+public record ZoneEntry(
+    ZoneState standing, double stays, double goes, int relapses, String order, long since) {
   private static final int MOST_ORDER = 256;
 
-  public static final Row AT_REST = new Row(Standing.NEAR, 1, 0, 0, "", 0);
+  public static final ZoneEntry AT_REST = new ZoneEntry(ZoneState.NEAR, 1, 0, 0, "", 0);
 
-  public Row {
+  public ZoneEntry {
     if (!(stays >= 0 && goes >= 0 && stays + goes <= 1 + 1e-9)
         || relapses < 0
         || order.length() > MOST_ORDER) {
@@ -31,9 +31,9 @@
     to.num(standing.ordinal()).real(stays).real(goes).num(relapses).text(order).num(since);
   }
 
-  static Row read(MessageReader from) {
-    return new Row(
-        from.one(Standing.values()),
+  static ZoneEntry read(MessageReader from) {
+    return new ZoneEntry(
+        from.one(ZoneState.values()),
         from.real(),
         from.real(),
         from.num(0, Integer.MAX_VALUE),
--- a/src/main/java/linengauge/zones/Evidence.java
+++ b/src/main/java/linengauge/zones/ZoneObservation.java
@@ -7,8 +7,8 @@
  * @param failed of these not reached, timed out or broken; full and refused ones are no failures
  * @param asked what its newcomers ask of the place, kB a second
  */
-public record Evidence(int tries, int failed, double asked) {
-  public Evidence {
+public record ZoneObservation(int tries, int failed, double asked) {
+  public ZoneObservation {
     if (tries < 0 || failed < 0 || failed > tries || !(asked >= 0) || asked > 1e9) {
       throw new IllegalArgumentException(
           "no evidence: " + tries + " tries, " + failed + " failed, " + asked + " kB");
--- a/src/main/java/linengauge/zones/Leaning.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -12,7 +12,7 @@
  * back the same way, so that no fleet turns at one moment. It only narrows: whatever it allows, the
  * module decides, and a place that it forgets to name was never needed for a rule.
  */
-public final class Leaning {
+public final class ZoneRouter {
   /** How the front stands to the table. */
   public enum Mode {
     TOGETHER,
@@ -60,7 +60,7 @@
   /**
    * @param own the place that the front is in
    */
-  public Leaning(Terms terms, int own, ZoneTable table, SplittableRandom chance) {
+  public ZoneRouter(Terms terms, int own, ZoneTable table, SplittableRandom chance) {
     this.terms = terms;
     this.own = own;
     this.table = table;
@@ -116,7 +116,7 @@
     if (chance.nextDouble() < loose(now)) {
       return new Choice(new TreeMap<>(), true, table.number());
     }
-    Row r = table.row(own);
+    ZoneEntry r = table.row(own);
     double drawn = chance.nextDouble();
     SortedMap<Integer, Double> to = new TreeMap<>();
     if (drawn < r.stays() && rooms.containsKey(own)) {
@@ -131,8 +131,8 @@
   private void elsewhere(SortedMap<Integer, Double> to) {
     double sum = 0;
     for (var room : rooms.entrySet()) {
-      Row r = table.row(room.getKey());
-      if (room.getKey() != own && r.standing() == Standing.NEAR) {
+      ZoneEntry r = table.row(room.getKey());
+      if (room.getKey() != own && r.standing() == ZoneState.NEAR) {
         to.put(room.getKey(), room.getValue());
         sum += room.getValue();
       }
--- a/src/main/java/linengauge/zones/Standing.java
+++ b/src/main/java/linengauge/zones/ZoneState.java
@@ -1,7 +1,7 @@
 package linengauge.zones;
 
 /** How a zone, or a region, stands in the table. */
-public enum Standing {
+public enum ZoneState {
   /** Its viewers are served in it. */
   NEAR,
   /** It is served and has not room for all: part of its newcomers goes elsewhere. */
@@ -12,7 +12,7 @@
   COMING_BACK;
 
   /** Whether it may stand so next; the way back from given up leads through coming back alone. */
-  boolean mayBecome(Standing next) {
+  boolean mayBecome(ZoneState next) {
     return switch (this) {
       case NEAR, SHARING -> next != COMING_BACK;
       case GIVEN_UP -> next == COMING_BACK || next == GIVEN_UP;
--- a/src/main/java/linengauge/zones/ZoneTable.java
+++ b/src/main/java/linengauge/zones/ZoneTable.java
@@ -23,7 +23,7 @@
     RELEASE
   }
 
-  private final SortedMap<Integer, Row> rows = new TreeMap<>();
+  private final SortedMap<Integer, ZoneEntry> rows = new TreeMap<>();
   private long number;
 
   /** Rises with every change that did something. */
@@ -31,24 +31,24 @@
     return number;
   }
 
-  public Row row(int place) {
-    return rows.getOrDefault(place, Row.AT_REST);
+  public ZoneEntry row(int place) {
+    return rows.getOrDefault(place, ZoneEntry.AT_REST);
   }
 
   /** All that do not simply stand near. */
-  public SortedMap<Integer, Row> rows() {
+  public SortedMap<Integer, ZoneEntry> rows() {
     return java.util.Collections.unmodifiableSortedMap(rows);
   }
 
   /** Nothing is on its way from one standing to another, and nobody leans on another. */
   public boolean isAtRest() {
-    return rows.values().stream().allMatch(r -> r.standing() == Standing.NEAR);
+    return rows.values().stream().allMatch(r -> r.standing() == ZoneState.NEAR);
   }
 
   /* ---- decisions ---- */
 
   /** All that changes at one moment, in one decision. */
-  public static byte[] change(long from, Map<Integer, Row> rows) {
+  public static byte[] change(long from, Map<Integer, ZoneEntry> rows) {
     MessageWriter to = new MessageWriter().num(Kind.CHANGE.ordinal()).num(from).num(rows.size());
     new TreeMap<>(rows)
         .forEach(
@@ -60,12 +60,13 @@
   }
 
   /** An operator holds a place as it says there, until it is released. */
-  public static byte[] hold(int place, Standing standing, double stays, double goes, String order) {
+  public static byte[] hold(
+      int place, ZoneState standing, double stays, double goes, String order) {
     if (order.isBlank()) {
       throw new IllegalArgumentException("an order without its author");
     }
     MessageWriter to = new MessageWriter().num(Kind.HOLD.ordinal()).num(place);
-    new Row(standing, stays, goes, 0, order, 0).write(to);
+    new ZoneEntry(standing, stays, goes, 0, order, 0).write(to);
     return to.done();
   }
 
@@ -85,20 +86,22 @@
         case CHANGE -> changed(from);
         case HOLD -> {
           int place = from.num(0, MOST_PLACES - 1);
-          Row r = Row.read(from);
+          ZoneEntry r = ZoneEntry.read(from);
           from.end();
           set(
               place,
-              new Row(
+              new ZoneEntry(
                   r.standing(), r.stays(), r.goes(), row(place).relapses(), r.order(), ++number));
         }
         default -> {
           int place = from.num(0, MOST_PLACES - 1);
           String order = from.text(1024);
           from.end();
-          Row r = row(place);
+          ZoneEntry r = row(place);
           if (!r.order().isEmpty() && r.order().equals(order)) {
-            set(place, new Row(r.standing(), r.stays(), r.goes(), r.relapses(), "", ++number));
+            set(
+                place,
+                new ZoneEntry(r.standing(), r.stays(), r.goes(), r.relapses(), "", ++number));
           }
         }
       }
@@ -109,10 +112,10 @@
 
   private void changed(MessageReader from) {
     long base = from.num();
-    SortedMap<Integer, Row> next = new TreeMap<>();
+    SortedMap<Integer, ZoneEntry> next = new TreeMap<>();
     for (int n = from.num(0, MOST_PLACES); n > 0; n--) {
       int place = from.num(0, MOST_PLACES - 1);
-      next.put(place, Row.read(from));
+      next.put(place, ZoneEntry.read(from));
     }
     from.end();
     next.entrySet()
@@ -129,7 +132,7 @@
           boolean asBefore = r.standing() == row(place).standing();
           set(
               place,
-              new Row(
+              new ZoneEntry(
                   r.standing(),
                   r.stays(),
                   r.goes(),
@@ -139,8 +142,8 @@
         });
   }
 
-  private void set(int place, Row r) {
-    if (r.standing() == Standing.NEAR && r.relapses() == 0 && r.order().isEmpty()) {
+  private void set(int place, ZoneEntry r) {
+    if (r.standing() == ZoneState.NEAR && r.relapses() == 0 && r.order().isEmpty()) {
       rows.remove(place);
     } else {
       rows.put(place, r);
@@ -167,7 +170,7 @@
       number = from.num();
       for (int n = from.num(0, MOST_PLACES); n > 0; n--) {
         int place = from.num(0, MOST_PLACES - 1);
-        rows.put(place, Row.read(from));
+        rows.put(place, ZoneEntry.read(from));
       }
       from.end();
     }
--- a/src/test/java/linengauge/flow/DoorTest.java
+++ b/src/test/java/linengauge/flow/DoorTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 class DoorTest {
-  private static final DoorTerms TERMS =
-      new DoorTerms(
+  private static final ListenerSettings TERMS =
+      new ListenerSettings(
           true,
           80,
           40,
@@ -26,115 +26,119 @@
           Span.ofSeconds(5),
           50);
 
-  private final DoorBook book = new DoorBook(TERMS);
-  private final OwnTime time = new OwnTime(Span.ofMillis(100), Span.ofMillis(200));
-  private final Knocks knocks = new Knocks(TERMS, time);
-  private final List<Knock.State> closed = new ArrayList<>();
+  private final ConnectionLedger book = new ConnectionLedger(TERMS);
+  private final LoopClock time = new LoopClock(Span.ofMillis(100), Span.ofMillis(200));
+  private final ConnectionAttempts knocks = new ConnectionAttempts(TERMS, time);
+  private final List<ConnectionAttempt.State> closed = new ArrayList<>();
   private Moment now = new Moment(5_000_000);
 
   private void run(double seconds) {
     for (int i = 0; i < seconds * 10; i++) {
       now = now.plus(Span.ofMillis(100));
-      knocks.look(time.beat(now));
+      knocks.tick(time.tick(now));
     }
   }
 
   @Test
   void oneAddressTakesNoMoreThanItsPlacesAndTheRestHearAnAnswerWhileThereAreMouths() {
     for (int i = 0; i < 40; i++) {
-      assertEquals(DoorBook.Entry.SERVED, book.enters("a"));
+      assertEquals(ConnectionLedger.Admission.SERVED, book.admit("a"));
     }
     for (int i = 0; i < 3; i++) {
-      assertEquals(DoorBook.Entry.TURNED_AWAY, book.enters("a"));
+      assertEquals(ConnectionLedger.Admission.REJECTED, book.admit("a"));
     }
-    assertEquals(DoorBook.Entry.SHUT_OUT, book.enters("a"));
-    assertEquals(DoorBook.Entry.SERVED, book.enters("b"), "another address finds its place");
-    book.leaves("a", DoorBook.Entry.TURNED_AWAY);
-    assertEquals(DoorBook.Entry.TURNED_AWAY, book.enters("a"));
+    assertEquals(ConnectionLedger.Admission.DROPPED, book.admit("a"));
+    assertEquals(
+        ConnectionLedger.Admission.SERVED, book.admit("b"), "another address finds its place");
+    book.release("a", ConnectionLedger.Admission.REJECTED);
+    assertEquals(ConnectionLedger.Admission.REJECTED, book.admit("a"));
   }
 
   @Test
   void theLastPlacesAreForAddressesThatHaveLessThanTheirEvenPart() {
     for (String address : List.of("a", "b")) {
       for (int i = 0; i < 35; i++) {
-        assertEquals(DoorBook.Entry.SERVED, book.enters(address));
+        assertEquals(ConnectionLedger.Admission.SERVED, book.admit(address));
       }
     }
     for (int i = 0; i < 10; i++) {
-      assertEquals(DoorBook.Entry.SERVED, book.enters("c"), "a newcomer gets the last places");
+      assertEquals(
+          ConnectionLedger.Admission.SERVED, book.admit("c"), "a newcomer gets the last places");
     }
     assertEquals(80, book.served());
-    assertEquals(DoorBook.Entry.TURNED_AWAY, book.enters("d"), "and none over the whole");
+    assertEquals(ConnectionLedger.Admission.REJECTED, book.admit("d"), "and none over the whole");
     for (int i = 0; i < 10; i++) {
-      book.leaves("c", DoorBook.Entry.SERVED);
+      book.release("c", ConnectionLedger.Admission.SERVED);
     }
-    assertEquals(DoorBook.Entry.SERVED, book.enters("c"));
-    assertEquals(DoorBook.Entry.TURNED_AWAY, book.enters("a"), "one that has its part does not");
+    assertEquals(ConnectionLedger.Admission.SERVED, book.admit("c"));
+    assertEquals(
+        ConnectionLedger.Admission.REJECTED, book.admit("a"), "one that has its part does not");
   }
 
   @Test
   void thePlacesAddUpAfterAnyComingAndGoing() {
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom chance = new SplittableRandom(seed);
-      DoorBook b = new DoorBook(TERMS);
+      ConnectionLedger b = new ConnectionLedger(TERMS);
       List<String> who = new ArrayList<>();
-      List<DoorBook.Entry> got = new ArrayList<>();
+      List<ConnectionLedger.Admission> got = new ArrayList<>();
       for (int i = 0; i < 2000; i++) {
         if (chance.nextInt(5) < 3) {
           String address = "" + chance.nextInt(1 + chance.nextInt(30));
           who.add(address);
-          got.add(b.enters(address));
+          got.add(b.admit(address));
         } else if (!who.isEmpty()) {
           int n = chance.nextInt(who.size());
-          b.leaves(who.remove(n), got.remove(n));
+          b.release(who.remove(n), got.remove(n));
         }
-        assertTrue(b.served() <= TERMS.connections() && b.turningAway() <= TERMS.turningAway());
-        assertEquals(got.stream().filter(e -> e == DoorBook.Entry.SERVED).count(), b.served());
+        assertTrue(b.served() <= TERMS.connections() && b.rejecting() <= TERMS.turningAway());
+        assertEquals(
+            got.stream().filter(e -> e == ConnectionLedger.Admission.SERVED).count(), b.served());
       }
       for (int n = who.size() - 1; n >= 0; n--) {
-        b.leaves(who.get(n), got.get(n));
+        b.release(who.get(n), got.get(n));
       }
-      assertEquals(0, b.served() + b.turningAway() + b.addresses());
+      assertEquals(0, b.served() + b.rejecting() + b.addresses());
     }
   }
 
   @Test
   void aKeyAsksSoOftenInAnyWindowAndTheTableOfKeysIsBounded() {
     for (int i = 0; i < 3; i++) {
-      assertTrue(book.asks("k", now));
+      assertTrue(book.admitRequest("k", now));
     }
-    assertFalse(book.asks("k", now));
-    assertTrue(book.asks("other", now));
-    assertFalse(book.asks("k", now.plus(Span.ofMillis(4999))));
-    assertTrue(book.asks("k", now.plus(Span.ofSeconds(5))));
+    assertFalse(book.admitRequest("k", now));
+    assertTrue(book.admitRequest("other", now));
+    assertFalse(book.admitRequest("k", now.plus(Span.ofMillis(4999))));
+    assertTrue(book.admitRequest("k", now.plus(Span.ofSeconds(5))));
     for (int i = 0; i < 1000; i++) {
-      book.asks("key " + i, now);
+      book.admitRequest("key " + i, now);
     }
-    assertEquals(TERMS.keys(), book.keysRemembered());
+    assertEquals(TERMS.keys(), book.trackedKeys());
   }
 
   @Test
   void aNeighbourThatSendsWithoutEndIsHeardAtItsRateAndTheOthersAtTheirs() {
-    Intake intake = new Intake(100, 4);
+    DatagramRateLimiter intake = new DatagramRateLimiter(100, 4);
     int heard = 0;
     int other = 0;
     for (int ms = 0; ms < 10_000; ms++) {
       now = now.plus(Span.ofMillis(1));
       for (int i = 0; i < 5; i++) {
-        heard += intake.hears("flood", now) ? 1 : 0;
+        heard += intake.accept("flood", now) ? 1 : 0;
       }
-      other += ms % 20 == 0 && intake.hears("quiet", now) ? 1 : 0;
+      other += ms % 20 == 0 && intake.accept("quiet", now) ? 1 : 0;
     }
     assertTrue(heard <= 100 + 1000 && heard > 1000, "" + heard);
     assertEquals(500, other);
-    assertEquals(50_000 - heard, intake.passedOver());
+    assertEquals(50_000 - heard, intake.dropped());
     for (int i = 0; i < 1000; i++) {
-      intake.hears("stranger " + i, now);
+      intake.accept("stranger " + i, now);
     }
     assertEquals(4, intake.senders());
   }
 
-  private Knock knock() {
+  private ConnectionAttempt knock() {
     return knocks.open(closed::add);
   }
 
@@ -145,63 +149,63 @@
     run(1.9);
     assertEquals(List.of(), closed);
     run(0.2);
-    assertEquals(List.of(Knock.State.FIRST_BYTE), closed);
-    assertEquals(0, knocks.waiting());
+    assertEquals(List.of(ConnectionAttempt.State.FIRST_BYTE), closed);
+    assertEquals(0, knocks.pending());
   }
 
   @Test
   void headersThatDripAreClosedHoweverOftenAByteComes() {
     run(1);
-    Knock k = knock();
+    ConnectionAttempt k = knock();
     for (int i = 0; i < 40; i++) {
       run(0.1);
-      k.heard();
+      k.byteReceived();
     }
-    assertEquals(List.of(Knock.State.HEADERS), closed);
+    assertEquals(List.of(ConnectionAttempt.State.HEADERS), closed);
   }
 
   @Test
   void oneThatIsAnsweredMayRestAndOneWhoseNextRequestHasBegunMayNot() {
     run(1);
-    Knock rests = knock();
-    Knock begun = knock();
-    for (Knock k : List.of(rests, begun)) {
-      k.heard();
-      assertTrue(k.asked());
+    ConnectionAttempt rests = knock();
+    ConnectionAttempt begun = knock();
+    for (ConnectionAttempt k : List.of(rests, begun)) {
+      k.byteReceived();
+      assertTrue(k.requestReceived());
     }
     run(100);
     assertEquals(List.of(), closed, "while it is answered nothing is due");
-    begun.heard();
-    rests.answered();
-    begun.answered();
+    begun.byteReceived();
+    rests.responseEnded();
+    begun.responseEnded();
     run(3.1);
-    assertEquals(List.of(Knock.State.HEADERS), closed);
+    assertEquals(List.of(ConnectionAttempt.State.HEADERS), closed);
     run(7);
-    assertEquals(List.of(Knock.State.HEADERS, Knock.State.BETWEEN), closed);
+    assertEquals(List.of(ConnectionAttempt.State.HEADERS, ConnectionAttempt.State.BETWEEN), closed);
   }
 
   @Test
   void moreThanSoManyRequestsMayNotWaitBehindOne() {
-    Knock k = knock();
-    assertTrue(k.asked() && k.asked() && k.asked());
-    assertFalse(k.asked());
-    k.answered();
-    assertTrue(k.asked());
+    ConnectionAttempt k = knock();
+    assertTrue(k.requestReceived() && k.requestReceived() && k.requestReceived());
+    assertFalse(k.requestReceived());
+    k.responseEnded();
+    assertTrue(k.requestReceived());
   }
 
   @Test
   void aLoopThatStoodStillClosesNobodyForIt() {
     run(1);
-    Knock k = knock();
+    ConnectionAttempt k = knock();
     run(1.5);
-    Knock silent = knock();
+    ConnectionAttempt silent = knock();
     now = now.plus(Span.ofSeconds(30));
-    knocks.look(time.beat(now));
-    k.heard(); // it had come meanwhile
+    knocks.tick(time.tick(now));
+    k.byteReceived(); // it had come meanwhile
     silent.close();
     run(2);
     assertEquals(List.of(), closed);
     k.close();
-    assertEquals(0, knocks.waiting());
+    assertEquals(0, knocks.pending());
   }
 }
--- a/src/test/java/linengauge/flow/LoopStage.java
+++ b/src/test/java/linengauge/flow/LoopStage.java
@@ -10,8 +10,8 @@
  * looked at by the beat.
  */
 final class LoopStage {
-  static final FlowTerms TERMS =
-      new FlowTerms(
+  static final FlowSettings TERMS =
+      new FlowSettings(
           true,
           Span.ofMillis(100),
           Span.ofMillis(200),
@@ -30,31 +30,31 @@
           4);
   static final int LEAST = 22_500; // 0.75 of a lowest rung of 30 kB/s
 
-  final FlowTerms terms;
-  final OwnTime time;
-  final Watch watch;
+  final FlowSettings terms;
+  final LoopClock time;
+  final SlowPeerDetector watch;
   final List<Taker> takers = new ArrayList<>();
   final List<String> gone = new ArrayList<>();
   final List<Moment> goneAt = new ArrayList<>();
   Moment now = new Moment(1_000_000_000L);
 
-  LoopStage(FlowTerms terms) {
+  LoopStage(FlowSettings terms) {
     this.terms = terms;
-    this.time = new OwnTime(terms.beat(), terms.late());
-    this.watch = new Watch(terms, time);
-    time.beat(now);
+    this.time = new LoopClock(terms.tickInterval(), terms.lateTolerance());
+    this.watch = new SlowPeerDetector(terms, time);
+    time.tick(now);
   }
 
   /**
    * A viewer that plays segments, one each `everyMs`, and takes them at a rate that the step may
    * change.
    */
-  final class Taker implements Account.Peer {
+  final class Taker implements PeerTraffic.Peer {
     final String name;
     final long segment;
     final long everyMs;
     double rate;
-    final Account account;
+    final PeerTraffic account;
     private long left;
     private double waiting;
     private long dueMs;
@@ -69,26 +69,26 @@
       this.segment = segment;
       this.everyMs = everyMs;
       this.lump = lump;
-      this.account = watch.open(Account.Side.VIEWER, this);
+      this.account = watch.open(PeerTraffic.Side.VIEWER, this);
       takers.add(this);
     }
 
     @Override
-    public long waiting() {
+    public long queuedBytes() {
       return (long) waiting;
     }
 
     @Override
-    public void letGo(Account a) {
+    public void disconnect(PeerTraffic a) {
       gone.add(name);
       goneAt.add(now);
     }
 
     @Override
-    public void moved() {}
+    public void progressed() {}
 
     @Override
-    public void goOn() {
+    public void resume() {
       held = false;
     }
 
@@ -101,25 +101,25 @@
         transfers = true;
         left = segment;
         dueMs = everyMs;
-        account.begins(LEAST);
+        account.transferStarted(LEAST);
       }
       credit = Math.min(waiting, credit + rate * ms / 1000);
       if (credit >= Math.min(lump, waiting)) { // a socket's window opens in lumps
         waiting -= credit;
         credit = 0;
       }
-      if (held && account.drained()) {
+      if (held && account.bytesDrained()) {
         held = false;
       }
       while (left > 0 && !held) {
         long chunk = Math.min(left, terms.chunkBytes());
         left -= chunk;
         waiting += chunk;
-        held = account.queued(chunk);
+        held = account.bytesQueued(chunk);
       }
       if (transfers && left == 0 && waiting == 0) {
         transfers = false;
-        account.ends();
+        account.transferEnded();
       }
     }
   }
@@ -128,8 +128,8 @@
     for (long ms = 0; ms < seconds * 1000; ms += 20) {
       now = now.plus(Span.ofMillis(20));
       takers.forEach(t -> t.step(20));
-      if (now.micros() % terms.beat().micros() == 0) {
-        watch.look(time.beat(now));
+      if (now.micros() % terms.tickInterval().micros() == 0) {
+        watch.tick(time.tick(now));
       }
     }
   }
@@ -137,7 +137,7 @@
   /** The loop itself does nothing; its peers' bytes stay where they are. */
   void standStill(double seconds) {
     now = now.plus(Span.ofMillis(Math.round(seconds * 1000) / 100 * 100));
-    watch.look(time.beat(now));
+    watch.tick(time.tick(now));
   }
 
   /** The most let go in any stretch of this length. */
--- a/src/test/java/linengauge/flow/WatchTest.java
+++ b/src/test/java/linengauge/flow/WatchTest.java
@@ -93,7 +93,7 @@
       loop.standStill(2 + i);
     }
     assertEquals(List.of(), loop.gone);
-    assertEquals(20, loop.watch.counts().standStills);
+    assertEquals(20, loop.watch.counts().processPauses);
   }
 
   @Test
@@ -102,8 +102,8 @@
     LoopStage.Taker t = loop.new Taker("comes back unseen", 1_000_000, 400_000, 500, 1);
     loop.run(6);
     t.rate = 0;
-    while (loop.watch.counts().slow == 0
-        && t.account.owed().under(loop.terms.evidence().minus(loop.terms.beat()))) {
+    while (loop.watch.counts().slowPeers == 0
+        && t.account.owedTime().under(loop.terms.evidence().minus(loop.terms.tickInterval()))) {
       loop.run(0.1);
     }
     t.rate = 0;
@@ -120,13 +120,13 @@
 
   @Test
   void aGraceLongerThanTheEvidenceIsKept() {
-    FlowTerms t = LoopStage.TERMS;
+    FlowSettings t = LoopStage.TERMS;
     LoopStage s =
         new LoopStage(
-            new FlowTerms(
+            new FlowSettings(
                 true,
-                t.beat(),
-                t.late(),
+                t.tickInterval(),
+                t.lateTolerance(),
                 t.window(),
                 t.evidence(),
                 Span.ofSeconds(20),
@@ -162,10 +162,10 @@
 
   @Test
   void thePlacesForTransfersAreViewersAndAreGivenBack() {
-    List<Account> boxes = new java.util.ArrayList<>();
+    List<PeerTraffic> boxes = new java.util.ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      boxes.add(loop.watch.open(Account.Side.BOX, new Gone("box")));
-      boxes.get(i).begins(1);
+      boxes.add(loop.watch.open(PeerTraffic.Side.BOX, new Gone("box")));
+      boxes.get(i).transferStarted(1);
     }
     assertEquals(false, loop.watch.isFull());
     for (int i = 0; i < 300; i++) {
@@ -173,13 +173,13 @@
     }
     for (int i = 0; i < 100; i++) {
       loop.run(0.1);
-      assertTrue(loop.watch.stirring() - boxes.size() <= loop.terms.peers());
+      assertTrue(loop.watch.activePeers() - boxes.size() <= loop.terms.peers());
     }
     assertTrue(loop.watch.isFull());
     loop.takers.forEach(t -> t.account.close());
     assertEquals(false, loop.watch.isFull());
-    boxes.forEach(Account::close);
-    assertEquals(0, loop.watch.stirring());
+    boxes.forEach(PeerTraffic::close);
+    assertEquals(0, loop.watch.activePeers());
   }
 
   @Test
@@ -195,8 +195,8 @@
   void noMoreWaitsThanTheBudgetAndNobodyUnderTheLimitIsHeldBack() {
     for (long seed = 1; seed <= 300; seed++) {
       SplittableRandom chance = new SplittableRandom(seed);
-      FlowTerms t = LoopStage.TERMS;
-      Pool pool = new Pool(t);
+      FlowSettings t = LoopStage.TERMS;
+      BufferBudget pool = new BufferBudget(t);
       long[] waiting = new long[t.peers()];
       for (int step = 0; step < 3000; step++) {
         int i = chance.nextInt(waiting.length);
@@ -217,15 +217,15 @@
         }
         pool.changed(waiting[i], to);
         waiting[i] = to;
-        assertTrue(pool.waiting() <= t.waitingBytes(), "seed " + seed);
+        assertTrue(pool.queuedBytes() <= t.waitingBytes(), "seed " + seed);
       }
     }
   }
 
   @Test
   void greedyPeersEndWithEqualPartsAndANewcomerGetsItsOwn() {
-    FlowTerms t = LoopStage.TERMS;
-    Pool pool = new Pool(t);
+    FlowSettings t = LoopStage.TERMS;
+    BufferBudget pool = new BufferBudget(t);
     long[] waiting = new long[100];
     int active = 90;
     for (int round = 0; round < 400; round++) {
@@ -237,7 +237,7 @@
       }
       active = round > 200 ? 100 : 90;
     }
-    assertTrue(pool.waiting() <= t.waitingBytes());
+    assertTrue(pool.queuedBytes() <= t.waitingBytes());
     long low = java.util.Arrays.stream(waiting).min().orElseThrow();
     long high = java.util.Arrays.stream(waiting).max().orElseThrow();
     assertTrue(high - low <= 2 * t.chunkBytes(), low + " to " + high);
@@ -251,8 +251,8 @@
       assertEquals(first.gone, again.gone);
       assertEquals(first.goneAt, again.goneAt);
       first.takers.forEach(t -> t.account.close());
-      assertEquals(0, first.watch.stirring());
-      assertEquals(0, first.watch.pool().waiting());
+      assertEquals(0, first.watch.activePeers());
+      assertEquals(0, first.watch.bufferBudget().queuedBytes());
     }
   }
 
@@ -274,8 +274,8 @@
         s.standStill(0.5 + chance.nextInt(30) / 10.0);
       }
       s.run(0.5);
-      assertTrue(s.watch.pool().waiting() <= s.terms.waitingBytes());
-      assertTrue(s.watch.stirring() <= s.terms.peers());
+      assertTrue(s.watch.bufferBudget().queuedBytes() <= s.terms.waitingBytes());
+      assertTrue(s.watch.activePeers() <= s.terms.peers());
     }
     assertTrue(
         s.gone.stream().noneMatch(n -> n.startsWith("good")), "seed " + seed + ": " + s.gone);
@@ -286,23 +286,23 @@
   @Test
   void aBoxIsJudgedOnlyWhileItsBytesAreWanted() {
     healthy(10);
-    Account silent = loop.watch.open(Account.Side.BOX, new Gone("silent"));
-    Account heldBack = loop.watch.open(Account.Side.BOX, new Gone("held back"));
-    Account drips = loop.watch.open(Account.Side.BOX, new Gone("drips"));
-    for (Account a : List.of(silent, heldBack, drips)) {
-      a.begins(5000);
-      a.wanted(true);
+    PeerTraffic silent = loop.watch.open(PeerTraffic.Side.BOX, new Gone("silent"));
+    PeerTraffic heldBack = loop.watch.open(PeerTraffic.Side.BOX, new Gone("held back"));
+    PeerTraffic drips = loop.watch.open(PeerTraffic.Side.BOX, new Gone("drips"));
+    for (PeerTraffic a : List.of(silent, heldBack, drips)) {
+      a.transferStarted(5000);
+      a.setBytesWanted(true);
     }
-    heldBack.wanted(false); // its viewer does not read
+    heldBack.setBytesWanted(false); // its viewer does not read
     for (int i = 0; i < 100; i++) {
       loop.run(0.1);
-      drips.came(100);
+      drips.bytesReceived(100);
     }
     assertEquals(List.of("silent", "drips"), loop.gone);
-    assertEquals(2, loop.watch.counts().boxesLetGo);
+    assertEquals(2, loop.watch.counts().boxesDisconnected);
   }
 
-  private final class Gone implements Account.Peer {
+  private final class Gone implements PeerTraffic.Peer {
     private final String name;
 
     private Gone(String name) {
@@ -310,19 +310,19 @@
     }
 
     @Override
-    public long waiting() {
+    public long queuedBytes() {
       return 0;
     }
 
     @Override
-    public void letGo(Account account) {
+    public void disconnect(PeerTraffic account) {
       loop.gone.add(name);
     }
 
     @Override
-    public void moved() {}
+    public void progressed() {}
 
     @Override
-    public void goOn() {}
+    public void resume() {}
   }
 }
--- a/src/test/java/linengauge/work/WorkbenchTest.java
+++ b/src/test/java/linengauge/work/WorkbenchTest.java
@@ -21,8 +21,8 @@
  */
 class WorkbenchTest {
   private static final Span WINDOW = Span.ofMillis(1000);
-  private static final WorkTerms TERMS =
-      new WorkTerms(
+  private static final WorkSettings TERMS =
+      new WorkSettings(
           WINDOW,
           Span.ofMillis(100),
           1000,
@@ -34,17 +34,17 @@
           Span.ofMillis(100),
           Span.ofMillis(1600));
 
-  private final Workbench bench = new Workbench(TERMS, 7);
+  private final JobScheduler bench = new JobScheduler(TERMS, 7);
   private final List<String> givenUp = new ArrayList<>();
   private Moment now = new Moment(0);
 
-  private Chore chore(String name, int urgency, double deskMs, long bytes) {
+  private Job chore(String name, int urgency, double deskMs, long bytes) {
     return chore(name, urgency, Span.NONE, Span.NONE, 0, deskMs, bytes);
   }
 
-  private Chore chore(
+  private Job chore(
       String name, int urgency, Span within, Span every, int tries, double deskMs, long bytes) {
-    return new Chore(
+    return new Job(
         name,
         urgency,
         within,
@@ -52,20 +52,20 @@
         tries,
         Span.ofSeconds(deskMs / 1000),
         bytes,
-        new Chore.Step() {
+        new Job.Action() {
           @Override
-          public void run(Job job) {
+          public void run(ScheduledJob job) {
             throw new AssertionError("the bench runs nothing itself");
           }
 
           @Override
-          public void givenUp(Job job) {
-            givenUp.add(job.chore().name());
+          public void givenUp(ScheduledJob job) {
+            givenUp.add(job.job().name());
           }
         });
   }
 
-  private Job submit(Chore c) {
+  private ScheduledJob submit(Job c) {
     return bench.submit(c, now, now).job();
   }
 
@@ -75,11 +75,11 @@
 
   /** Runs what comes next to its end at once; its name, or null where nothing is run. */
   private String does() {
-    Job j = bench.next(now);
+    ScheduledJob j = bench.nextJob(now);
     if (j != null) {
-      j.done(now, j.deskTime(), j.bytes());
+      j.succeeded(now, j.deskTime(), j.bytes());
     }
-    return j == null ? null : j.chore().name();
+    return j == null ? null : j.job().name();
   }
 
   @Test
@@ -103,7 +103,7 @@
       assertNotNull(does());
     }
     assertNull(does(), "a fourth would be over 100 ms");
-    Moment asks = bench.askAt();
+    Moment asks = bench.nextPollAt();
     assertTrue(now.before(asks) && !now.plus(WINDOW.times(1.1)).before(asks), "ask at " + asks);
     now = asks;
     assertNotNull(does());
@@ -142,65 +142,65 @@
 
   @Test
   void aLateDeskLeavesTheFloorAndAnEmptyWindowOneJob() {
-    bench.deskLate(Span.ofMillis(50));
+    bench.setLoopDelay(Span.ofMillis(50));
     submit(chore("a", 1, 4, 0));
     submit(chore("b", 1, 4, 0));
     submit(chore("c", 1, 4, 0));
     assertEquals("a", does());
     assertEquals("b", does());
     assertNull(does(), "12 ms would be over a tenth of 100");
-    bench.deskLate(Span.NONE);
+    bench.setLoopDelay(Span.NONE);
     assertEquals("c", does());
     pass(1100);
-    bench.deskLate(Span.ofMillis(80));
+    bench.setLoopDelay(Span.ofMillis(80));
     submit(chore("large", 1, 90, 0));
     assertEquals("large", does(), "else it would wait for as long as the desk is late");
   }
 
   @Test
   void oneOfANameWaitsAndAWishWhileItRunsIsDoneOnceMore() {
-    Job j = submit(chore("save", 1, 1, 0));
+    ScheduledJob j = submit(chore("save", 1, 1, 0));
     assertSame(j, submit(chore("save", 1, 1, 0)));
-    assertSame(j, bench.next(now));
+    assertSame(j, bench.nextJob(now));
     submit(chore("save", 1, 1, 0));
     submit(chore("save", 1, 1, 0));
-    assertNull(bench.next(now), "not beside itself");
-    j.done(now, Span.NONE, 0);
+    assertNull(bench.nextJob(now), "not beside itself");
+    j.succeeded(now, Span.NONE, 0);
     assertEquals("save", does());
     assertNull(does());
   }
 
   @Test
   void whatFailsPausesLongerAndLongerAndIsGivenUpAsOftenAsItMay() {
-    Job j = submit(chore("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
+    ScheduledJob j = submit(chore("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
     Span before = Span.NONE;
     for (int i = 1; i < 6; i++) {
-      assertSame(j, bench.next(now));
+      assertSame(j, bench.nextJob(now));
       j.failed(now, Span.NONE, 0);
       Span pause = j.dueAt().since(now);
       Span whole = Span.ofMillis(100L << i - 1);
       assertTrue(!whole.under(pause) && !pause.under(whole.times(0.5)), "pause " + pause);
       assertTrue(before.times(0.9).under(pause) || i == 1, "shorter than before");
       submit(chore("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
-      assertNull(bench.next(now), "wishing does not cut its pause");
-      now = bench.askAt();
+      assertNull(bench.nextJob(now), "wishing does not cut its pause");
+      now = bench.nextPollAt();
       before = pause;
     }
-    bench.next(now).failed(now, Span.NONE, 0);
+    bench.nextJob(now).failed(now, Span.NONE, 0);
     assertEquals(List.of("list"), givenUp);
-    assertEquals(Job.State.OVER, j.state());
+    assertEquals(ScheduledJob.State.OVER, j.state());
     assertEquals(0, bench.jobs());
   }
 
   @Test
   void whatIsDoneEverySoOftenIsNotCaughtUpOn() {
-    Job j = submit(chore("sweep", 1, Span.NONE, Span.ofMillis(200), 0, 1, 0));
+    ScheduledJob j = submit(chore("sweep", 1, Span.NONE, Span.ofMillis(200), 0, 1, 0));
     assertEquals("sweep", does());
     assertNull(does());
     pass(5000);
     assertEquals("sweep", does());
     assertNull(does(), "once, however long it could not");
-    now = bench.askAt();
+    now = bench.nextPollAt();
     assertEquals("sweep", does());
     j.callOff();
     pass(1000);
@@ -213,12 +213,13 @@
     for (int i = 0; i < 20; i++) {
       submit(chore("j" + i, 3, 1, 0));
     }
-    assertEquals(Workbench.Answer.FULL, bench.submit(chore("late", 3, 1, 0), now, now).answer());
-    assertEquals(Workbench.Answer.TAKEN, bench.submit(chore("urgent", 1, 1, 0), now, now).answer());
+    assertEquals(JobScheduler.Answer.FULL, bench.submit(chore("late", 3, 1, 0), now, now).answer());
+    assertEquals(
+        JobScheduler.Answer.TAKEN, bench.submit(chore("urgent", 1, 1, 0), now, now).answer());
     assertEquals(List.of("j19"), givenUp);
     assertEquals(20, bench.jobs());
     assertEquals(
-        Workbench.Answer.TOO_LARGE, bench.submit(chore("huge", 0, 101, 0), now, now).answer());
+        JobScheduler.Answer.TOO_LARGE, bench.submit(chore("huge", 0, 101, 0), now, now).answer());
     assertEquals("urgent", does());
   }
 
@@ -227,26 +228,26 @@
     submit(chore("a", 1, 0, 0));
     submit(chore("b", 1, 0, 0));
     submit(chore("c", 1, 0, 0));
-    Job a = bench.next(now);
-    assertNotNull(bench.next(now));
-    assertNull(bench.next(now), "two at once");
+    ScheduledJob a = bench.nextJob(now);
+    assertNotNull(bench.nextJob(now));
+    assertNull(bench.nextJob(now), "two at once");
     a.callOff();
-    a.done(now, Span.NONE, 0);
+    a.succeeded(now, Span.NONE, 0);
     a.failed(now, Span.NONE, 0);
     assertEquals(1, bench.running());
-    assertEquals("c", bench.next(now).chore().name());
-    assertEquals(0, bench.counts().done);
+    assertEquals("c", bench.nextJob(now).job().name());
+    assertEquals(0, bench.counts().succeeded);
   }
 
   @Test
   void whatTakesMoreThanItSaidIsBelievedLessTheNextTime() {
-    Chore c = chore("save", 1, Span.NONE, Span.ofMillis(10), 0, 5, 0);
+    Job c = chore("save", 1, Span.NONE, Span.ofMillis(10), 0, 5, 0);
     submit(c);
-    bench.next(now).done(now, Span.ofMillis(80), 0);
+    bench.nextJob(now).succeeded(now, Span.ofMillis(80), 0);
     pass(20);
-    assertNull(bench.next(now), "85 and 80 are over 100");
+    assertNull(bench.nextJob(now), "85 and 80 are over 100");
     pass(1100);
-    assertNotNull(bench.next(now));
+    assertNotNull(bench.nextJob(now));
   }
 
   /** What a window that ends now held, by what was really begun. */
@@ -261,24 +262,24 @@
 
   private static String day(long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Workbench w = new Workbench(TERMS, seed);
+    JobScheduler w = new JobScheduler(TERMS, seed);
     Moment at = new Moment(0);
     ArrayDeque<Begun> begun = new ArrayDeque<>();
-    List<Job> under = new ArrayList<>();
+    List<ScheduledJob> under = new ArrayList<>();
     Map<Integer, Integer> done = new HashMap<>();
     StringBuilder log = new StringBuilder();
-    Chore.Step none =
+    Job.Action none =
         job -> {
           throw new AssertionError("run by the bench");
         };
     for (int step = 0; step < 4000; step++) {
       at = at.plus(Span.ofMillis(chance.nextInt(30)));
       boolean late = step / 500 % 2 == 1;
-      w.deskLate(late ? Span.ofMillis(200) : Span.NONE);
+      w.setLoopDelay(late ? Span.ofMillis(200) : Span.NONE);
       int urgency = chance.nextInt(5);
       if (chance.nextInt(8) == 0) {
         w.submit(
-            new Chore(
+            new Job(
                 "n" + urgency + "-" + chance.nextInt(6),
                 urgency,
                 Span.NONE,
@@ -291,10 +292,10 @@
             at);
       }
       assertTrue(w.jobs() <= TERMS.jobs());
-      for (Job j = w.next(at); j != null; j = w.next(at)) {
+      for (ScheduledJob j = w.nextJob(at); j != null; j = w.nextJob(at)) {
         under.add(j);
         begun.addLast(new Begun(at, j.reservedTime(), j.reservedBytes()));
-        log.append(j.chore().name()).append(' ');
+        log.append(j.job().name()).append(' ');
         while (!at.minus(WINDOW).before(begun.peekFirst().at)) {
           begun.removeFirst();
         }
@@ -306,12 +307,12 @@
       }
       assertTrue(w.running() <= TERMS.atOnce());
       if (!under.isEmpty() && chance.nextBoolean()) {
-        Job j = under.remove(chance.nextInt(under.size()));
+        ScheduledJob j = under.remove(chance.nextInt(under.size()));
         if (chance.nextInt(4) == 0) {
           j.failed(at, j.reservedTime(), j.reservedBytes());
         } else {
-          j.done(at, j.reservedTime(), j.reservedBytes());
-          done.merge(j.chore().urgency(), 1, Integer::sum);
+          j.succeeded(at, j.reservedTime(), j.reservedBytes());
+          done.merge(j.job().urgency(), 1, Integer::sum);
         }
       }
     }
--- a/src/test/java/linengauge/zones/LeaningTest.java
+++ b/src/test/java/linengauge/zones/LeaningTest.java
@@ -14,8 +14,8 @@
 /** One front of zone 0 of three, and what it may do with its newcomers. */
 class LeaningTest {
   private final ZoneTable table = new ZoneTable();
-  private final Leaning leaning =
-      new Leaning(Leaning.Terms.USUAL, 0, table, new SplittableRandom(1));
+  private final ZoneRouter leaning =
+      new ZoneRouter(ZoneRouter.Terms.USUAL, 0, table, new SplittableRandom(1));
   private Moment now = new Moment(0);
   private long index;
 
@@ -25,11 +25,12 @@
     leaning.room(2, 3000);
   }
 
-  private void change(int zone, Standing standing, double stays, double goes) {
+  private void change(int zone, ZoneState standing, double stays, double goes) {
     table.apply(
         ++index,
         0,
-        ZoneTable.change(table.number(), Map.of(zone, new Row(standing, stays, goes, 1, "", 0))));
+        ZoneTable.change(
+            table.number(), Map.of(zone, new ZoneEntry(standing, stays, goes, 1, "", 0))));
   }
 
   private void pass(double seconds, boolean sure) {
@@ -50,7 +51,7 @@
   private Map<String, Double> parts() {
     Map<String, Double> all = new TreeMap<>();
     for (int i = 0; i < 10_000; i++) {
-      Leaning.Choice c = leaning.choice(now);
+      ZoneRouter.Choice c = leaning.choice(now);
       String what =
           c.alone()
               ? "alone"
@@ -66,13 +67,13 @@
   void atRestAllStayNear() {
     pass(10, true);
     assertEquals(Map.of("stays", 1.0).keySet(), parts().keySet());
-    assertEquals(Leaning.Mode.TOGETHER, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.TOGETHER, leaning.mode(now));
   }
 
   @Test
   void givenUpAllGoThatFitAndTheRestIsRefused() {
     pass(10, true);
-    change(0, Standing.GIVEN_UP, 0, 0.7);
+    change(0, ZoneState.GIVEN_UP, 0, 0.7);
     Map<String, Double> p = parts();
     assertEquals(0.7, p.get("goes {1=0.25, 2=0.75}"), 0.02);
     assertEquals(0.3, p.get("refused"), 0.02);
@@ -81,40 +82,40 @@
   @Test
   void whatIsGivenUpOrComingBackTakesNothingIn() {
     pass(10, true);
-    change(0, Standing.SHARING, 0.6, 0.4);
-    change(2, Standing.GIVEN_UP, 0, 0);
+    change(0, ZoneState.SHARING, 0.6, 0.4);
+    change(2, ZoneState.GIVEN_UP, 0, 0);
     Map<String, Double> p = parts();
     assertEquals(0.4, p.get("goes {1=1.0}"), 0.02);
     assertEquals(0.6, p.get("stays"), 0.02);
-    change(2, Standing.COMING_BACK, 0.4, 0);
+    change(2, ZoneState.COMING_BACK, 0.4, 0);
     assertEquals(0.4, parts().get("goes {1=1.0}"), 0.02);
   }
 
   @Test
   void withNoWordItGoesOverToAloneInStepsAndBackTheSameWay() {
     pass(10, true);
-    change(0, Standing.GIVEN_UP, 0, 1);
+    change(0, ZoneState.GIVEN_UP, 0, 1);
     pass(2.5, false);
-    assertEquals(Leaning.Mode.TOGETHER, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.TOGETHER, leaning.mode(now));
     pass(3, false);
-    assertEquals(Leaning.Mode.LOOSENING, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.LOOSENING, leaning.mode(now));
     double some = parts().get("alone");
     assertTrue(some > 0.2 && some < 0.8, "a share of them: " + some);
     pass(5, false);
-    assertEquals(Leaning.Mode.ALONE, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.ALONE, leaning.mode(now));
     assertEquals(1, parts().get("alone"), 1e-9);
     pass(2.5, true);
-    assertEquals(Leaning.Mode.TIGHTENING, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.TIGHTENING, leaning.mode(now));
     double left = parts().get("alone");
     assertTrue(left > 0.2 && left < 0.8, "a share of them: " + left);
     pass(5, true);
-    assertEquals(Leaning.Mode.TOGETHER, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.TOGETHER, leaning.mode(now));
   }
 
   @Test
   void aFrontThatHasNeverHeardIsAlone() {
     pass(1, false);
-    assertEquals(Leaning.Mode.ALONE, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.ALONE, leaning.mode(now));
     assertTrue(leaning.choice(now).allows(2));
   }
 
@@ -129,14 +130,14 @@
   void anOlderWordMakesItNoLessSure() {
     pass(10, true);
     leaning.sure(now.minus(Span.ofSeconds(100)));
-    assertEquals(Leaning.Mode.TOGETHER, leaning.mode(now));
+    assertEquals(ZoneRouter.Mode.TOGETHER, leaning.mode(now));
   }
 
   @Test
   void withoutBoxesOfItsOwnItsNewcomersGoElsewhere() {
     leaning.room(0, 0);
     pass(10, true);
-    Leaning.Choice c = leaning.choice(now);
+    ZoneRouter.Choice c = leaning.choice(now);
     assertFalse(c.isRefused());
     assertFalse(c.allows(0));
   }
--- a/src/test/java/linengauge/zones/ZonesTest.java
+++ b/src/test/java/linengauge/zones/ZonesTest.java
@@ -24,11 +24,11 @@
   private static final double ROOM = 1000;
 
   private final ZoneTable table = new ZoneTable();
-  private final Weighing weighing = new Weighing(WeighingTerms.ZONES, table);
+  private final FailoverController weighing = new FailoverController(FailoverSettings.ZONES, table);
   private final List<String> moves = new ArrayList<>();
   private final double[] asked = {600, 600, 600, 600};
   private Moment now = new Moment(0);
-  private Map<Integer, Row> wanted = Map.of();
+  private Map<Integer, ZoneEntry> wanted = Map.of();
   private int sick = -1;
   private long index;
 
@@ -48,7 +48,7 @@
               now,
               front,
               zone,
-              new Evidence(
+              new ZoneObservation(
                   front == sick ? 1_000_000 : 20,
                   (int) Math.round((front == sick ? 1_000_000 : 20) * share),
                   front / 3 == zone ? asked[zone] / 3 : 0));
@@ -97,10 +97,10 @@
     pass(60, lost(1));
     assertEquals(1, moves.size());
     pass(4.5, lost());
-    assertEquals(Standing.COMING_BACK, table.row(1).standing());
+    assertEquals(ZoneState.COMING_BACK, table.row(1).standing());
     assertEquals(0.1, table.row(1).stays(), 1e-9);
     pass(20, lost());
-    assertEquals(Standing.NEAR, table.row(1).standing());
+    assertEquals(ZoneState.NEAR, table.row(1).standing());
     assertEquals(
         List.of(
             "1 GIVEN_UP",
@@ -119,7 +119,7 @@
     for (int round = 0; round < 4; round++) {
       pass(3, lost(2));
       Moment from = now;
-      while (table.row(2).standing() == Standing.GIVEN_UP) {
+      while (table.row(2).standing() == ZoneState.GIVEN_UP) {
         pass(0.25, lost());
       }
       away.add(now.since(from).seconds());
@@ -132,11 +132,13 @@
   @Test
   void theLongestHoldOffIsTwoMinutes() {
     table.apply(
-        ++index, 0, ZoneTable.change(0, Map.of(2, new Row(Standing.GIVEN_UP, 0, 1, 9, "", 0))));
+        ++index,
+        0,
+        ZoneTable.change(0, Map.of(2, new ZoneEntry(ZoneState.GIVEN_UP, 0, 1, 9, "", 0))));
     pass(119, lost());
-    assertEquals(Standing.GIVEN_UP, table.row(2).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(2).standing());
     pass(3, lost());
-    assertEquals(Standing.COMING_BACK, table.row(2).standing());
+    assertEquals(ZoneState.COMING_BACK, table.row(2).standing());
   }
 
   @Test
@@ -147,7 +149,7 @@
       pass(2, lost());
     }
     assertTrue(moves.size() <= 3, moves.toString());
-    assertEquals(Standing.GIVEN_UP, table.row(3).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(3).standing());
   }
 
   @Test
@@ -156,11 +158,11 @@
     long before = table.number();
     pass(3, lost(0, 2));
     assertEquals(before + 1, table.number());
-    assertEquals(Standing.GIVEN_UP, table.row(0).standing());
-    assertEquals(Standing.GIVEN_UP, table.row(2).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(0).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(2).standing());
     // 1200 leave, and the two others have room for 600 under nine tenths.
     assertEquals(0.5, table.row(0).goes(), 0.01);
-    assertEquals(Standing.NEAR, table.row(1).standing());
+    assertEquals(ZoneState.NEAR, table.row(1).standing());
   }
 
   @Test
@@ -168,7 +170,7 @@
     Arrays.fill(asked, 0, 3, 900);
     pass(5, lost());
     pass(3, lost(3));
-    assertEquals(Standing.GIVEN_UP, table.row(3).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(3).standing());
     assertEquals(
         0, table.row(3).goes(), 1e-9, "refused where it asks, never pushed onto one that is full");
   }
@@ -177,7 +179,7 @@
   void atAThirdOverItsRoomOnlyTheExcessLeaves() {
     asked[0] = 1300;
     pass(5, lost());
-    assertEquals(Standing.SHARING, table.row(0).standing());
+    assertEquals(ZoneState.SHARING, table.row(0).standing());
     assertEquals(400 / 1300.0, table.row(0).goes(), 0.05);
     assertEquals(1, staysAndGoes(0), 1e-9);
     asked[0] = 600;
@@ -192,16 +194,16 @@
       pass(0.5, lost());
     }
     assertTrue(moves.size() <= 11, moves.toString());
-    assertEquals(Standing.SHARING, table.row(0).standing());
+    assertEquals(ZoneState.SHARING, table.row(0).standing());
   }
 
   @Test
   void twoFrontsAloneCondemnNobody() {
     weighing.room(0, ROOM);
     for (; now.before(new Moment(10_000_000)); now = now.plus(STEP)) {
-      weighing.heard(now, 1, 0, new Evidence(100, 100, 0));
+      weighing.heard(now, 1, 0, new ZoneObservation(100, 100, 0));
       if (now.micros() > 5_000_000) {
-        weighing.heard(now, 2, 0, new Evidence(100, 100, 0));
+        weighing.heard(now, 2, 0, new ZoneObservation(100, 100, 0));
       }
       assertEquals(Map.of(), weighing.look(now));
     }
@@ -214,26 +216,26 @@
     pass(30, lost());
     assertEquals(1, table.row(2).relapses());
     pass(290, lost());
-    assertEquals(Row.AT_REST, table.row(2));
+    assertEquals(ZoneEntry.AT_REST, table.row(2));
   }
 
   /** Regions by the same means, later and dearer: what gives a zone up leaves its region. */
   @Test
   void aRegionIsGivenUpLaterAndComesBackLater() {
-    Weighing regions = new Weighing(WeighingTerms.REGIONS, table);
+    FailoverController regions = new FailoverController(FailoverSettings.REGIONS, table);
     double gone = -1;
     double back = -1;
     for (int i = 0; i < 400; i++, now = now.plus(STEP)) {
       double at = now.micros() / 1e6;
       for (int front = 0; front < 6; front++) {
         regions.room(0, ROOM);
-        regions.heard(now, front, 0, new Evidence(20, at >= 5 && at < 15 ? 20 : 0, 50));
+        regions.heard(now, front, 0, new ZoneObservation(20, at >= 5 && at < 15 ? 20 : 0, 50));
       }
-      Map<Integer, Row> next = regions.look(now);
+      Map<Integer, ZoneEntry> next = regions.look(now);
       if (!next.isEmpty()) {
         table.apply(++index, 0, ZoneTable.change(table.number(), next));
-        gone = gone < 0 && table.row(0).standing() == Standing.GIVEN_UP ? at : gone;
-        back = back < 0 && table.row(0).standing() == Standing.COMING_BACK ? at : back;
+        gone = gone < 0 && table.row(0).standing() == ZoneState.GIVEN_UP ? at : gone;
+        back = back < 0 && table.row(0).standing() == ZoneState.COMING_BACK ? at : back;
       }
     }
     assertTrue(gone >= 9 && gone <= 10, "given up at " + gone);
@@ -253,7 +255,10 @@
     for (; now.before(new Moment(10_000_000)); now = now.plus(STEP)) {
       for (int front = 0; front < 4; front++) {
         weighing.heard(
-            now, front, 0, front == 0 ? new Evidence(100, 100, 0) : new Evidence(2, 0, 0));
+            now,
+            front,
+            0,
+            front == 0 ? new ZoneObservation(100, 100, 0) : new ZoneObservation(2, 0, 0));
       }
       assertEquals(Map.of(), weighing.look(now));
     }
@@ -268,7 +273,8 @@
   @Test
   void aChangeFromAnOlderNumberDoesNothing() {
     byte[] late =
-        ZoneTable.change(table.number(), Map.of(0, new Row(Standing.GIVEN_UP, 0, 1, 1, "", 0)));
+        ZoneTable.change(
+            table.number(), Map.of(0, new ZoneEntry(ZoneState.GIVEN_UP, 0, 1, 1, "", 0)));
     pass(5, lost());
     pass(3, lost(1));
     byte[] before = table.whole();
@@ -280,15 +286,16 @@
   void whatAnOperatorHoldsStaysUntilItIsReleased() {
     pass(1, lost());
     table.apply(
-        ++index, 0, ZoneTable.hold(1, Standing.GIVEN_UP, 0, 1, "maintenance, on-call 2026-12-02"));
+        ++index, 0, ZoneTable.hold(1, ZoneState.GIVEN_UP, 0, 1, "maintenance, on-call 2026-12-02"));
     pass(30, lost());
-    assertEquals(Standing.GIVEN_UP, table.row(1).standing());
+    assertEquals(ZoneState.GIVEN_UP, table.row(1).standing());
     table.apply(++index, 0, ZoneTable.release(1, "somebody else's"));
     assertEquals("maintenance, on-call 2026-12-02", table.row(1).order());
     table.apply(++index, 0, ZoneTable.release(1, "maintenance, on-call 2026-12-02"));
     pass(30, lost());
-    assertEquals(Standing.NEAR, table.row(1).standing(), "by the same steps as after a fault");
-    assertThrows(IllegalArgumentException.class, () -> ZoneTable.hold(1, Standing.NEAR, 1, 0, " "));
+    assertEquals(ZoneState.NEAR, table.row(1).standing(), "by the same steps as after a fault");
+    assertThrows(
+        IllegalArgumentException.class, () -> ZoneTable.hold(1, ZoneState.NEAR, 1, 0, " "));
   }
 
   /**
@@ -307,8 +314,8 @@
                   table.number() - chance.nextInt(2),
                   Map.of(
                       chance.nextInt(5),
-                      new Row(
-                          Standing.values()[chance.nextInt(4)],
+                      new ZoneEntry(
+                          ZoneState.values()[chance.nextInt(4)],
                           0.5,
                           0.5,
                           chance.nextInt(3),
@@ -318,7 +325,7 @@
         chance.nextBytes(d);
       }
       long number = table.number();
-      Map<Integer, Row> before = Map.copyOf(table.rows());
+      Map<Integer, ZoneEntry> before = Map.copyOf(table.rows());
       table.apply(i, 1, d);
       other.apply(i, 1, d);
       assertTrue(table.number() == number || table.number() == number + 1);
@@ -327,8 +334,8 @@
           .forEach(
               (z, r) ->
                   assertTrue(
-                      before.getOrDefault(z, Row.AT_REST).standing().mayBecome(r.standing())
-                          || before.getOrDefault(z, Row.AT_REST).standing() == r.standing()));
+                      before.getOrDefault(z, ZoneEntry.AT_REST).standing().mayBecome(r.standing())
+                          || before.getOrDefault(z, ZoneEntry.AT_REST).standing() == r.standing()));
       ZoneTable again = new ZoneTable();
       again.restore(other.whole());
       assertArrayEquals(table.whole(), again.whole());
