--- a/src/bench/java/linengauge/flow/WatchBench.java
+++ b/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
@@ -27,18 +27,18 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class WatchBench {
+public class SlowPeerDetectorBench {
   @Param({"10", "1000"})
-  public int stirring;
+  public int activePeers;
 
-  private LoopClock time;
-  private SlowPeerDetector watch;
+  private LoopClock clock;
+  private SlowPeerDetector detector;
   private PeerTraffic viewer;
   private PeerTraffic box;
   private Moment now = new Moment(0);
 
   /** Takes all at once. */
-  private static final class Taker implements PeerTraffic.Peer {
+  private static final class InstantPeer implements PeerTraffic.Peer {
     @Override
     public long queuedBytes() {
       return 0;
@@ -56,7 +56,7 @@
 
   @Setup
   public void open() {
-    FlowSettings terms =
+    FlowSettings settings =
         new FlowSettings(
             true,
             Span.ofMillis(100),
@@ -74,15 +74,15 @@
             Span.ofSeconds(5),
             10,
             4);
-    time = new LoopClock(terms.tickInterval(), terms.lateTolerance());
-    watch = new SlowPeerDetector(terms, time);
+    clock = new LoopClock(settings.tickInterval(), settings.lateTolerance());
+    detector = new SlowPeerDetector(settings, clock);
     List<PeerTraffic> all = new ArrayList<>();
-    for (int i = 0; i < stirring; i++) {
-      all.add(watch.open(PeerTraffic.Side.VIEWER, new Taker()));
+    for (int i = 0; i < activePeers; i++) {
+      all.add(detector.open(PeerTraffic.Side.VIEWER, new InstantPeer()));
       all.get(i).transferStarted(22_500);
     }
     viewer = all.get(0);
-    box = watch.open(PeerTraffic.Side.BOX, new Taker());
+    box = detector.open(PeerTraffic.Side.BOX, new InstantPeer());
     box.transferStarted(10_000);
     box.setBytesWanted(true);
   }
@@ -95,17 +95,17 @@
 
   @Benchmark
   public void transfer() {
-    PeerTraffic b = watch.open(PeerTraffic.Side.BOX, new Taker());
-    b.transferStarted(10_000);
-    b.setBytesWanted(true);
+    PeerTraffic transferred = detector.open(PeerTraffic.Side.BOX, new InstantPeer());
+    transferred.transferStarted(10_000);
+    transferred.setBytesWanted(true);
     viewer.transferStarted(22_500);
     viewer.transferEnded();
-    b.close();
+    transferred.close();
   }
 
   @Benchmark
-  public void look() {
+  public void tick() {
     now = now.plus(Span.ofMillis(100));
-    watch.tick(time.tick(now));
+    detector.tick(clock.tick(now));
   }
 }
--- a/src/main/java/linengauge/flow/BufferBudget.java
+++ b/src/main/java/linengauge/flow/BufferBudget.java
@@ -9,35 +9,39 @@
  * round trip while the pool is nearly full, which then has only its floor on the way.
  */
 public final class BufferBudget {
-  private final FlowSettings terms;
-  private final long shared;
+  private final FlowSettings settings;
+  private final long sharedBytes;
   private long queuedBytes;
-  private long over;
+  private long usedSharedBytes;
   private long peakQueuedBytes;
 
-  BufferBudget(FlowSettings terms) {
-    this.terms = terms;
-    this.shared = terms.waitingBytes() - terms.peers() * (terms.floorBytes() + terms.chunkBytes());
+  BufferBudget(FlowSettings settings) {
+    this.settings = settings;
+    this.sharedBytes =
+        settings.maxQueuedBytes()
+            - settings.maxPeers() * (settings.floorBytes() + settings.chunkBytes());
   }
 
   /** Whether a peer for which so much waits may be given another chunk. */
-  boolean mayWait(long waitingForIt) {
-    return !terms.guards() || waitingForIt < limit();
+  boolean mayQueue(long queuedForPeer) {
+    return !settings.enabled() || queuedForPeer < peerLimitBytes();
   }
 
   /** Bytes up to which any one peer may have more waiting now. */
-  public long limit() {
-    return Math.min(terms.peerBytes(), terms.floorBytes() + Math.max(0, shared - over));
+  public long peerLimitBytes() {
+    return Math.min(
+        settings.maxQueuedBytesPerPeer(),
+        settings.floorBytes() + Math.max(0, sharedBytes - usedSharedBytes));
   }
 
-  void changed(long from, long to) {
-    queuedBytes += to - from;
-    over += overFloor(to) - overFloor(from);
+  void update(long oldBytes, long newBytes) {
+    queuedBytes += newBytes - oldBytes;
+    usedSharedBytes += bytesOverFloor(newBytes) - bytesOverFloor(oldBytes);
     peakQueuedBytes = Math.max(peakQueuedBytes, queuedBytes);
   }
 
-  private long overFloor(long bytes) {
-    return Math.max(0, bytes - terms.floorBytes() - terms.chunkBytes());
+  private long bytesOverFloor(long bytes) {
+    return Math.max(0, bytes - settings.floorBytes() - settings.chunkBytes());
   }
 
   /** Bytes that wait, by the last counts. */
--- a/src/main/java/linengauge/flow/ConnectionAttempt.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempt.java
@@ -29,21 +29,21 @@
     void timedOut(State state);
   }
 
-  private final ConnectionAttempts knocks;
-  private final Connection caller;
-  final long number;
+  private final ConnectionAttempts attempts;
+  private final Connection connection;
+  final long id;
   private State state = State.FIRST_BYTE;
   private Moment stateSince;
-  private Moment dueAt;
-  private int underWay;
-  private boolean nextHasBegun;
+  private Moment deadline;
+  private int requestsInProgress;
+  private boolean nextRequestStarted;
   private boolean closed;
 
-  ConnectionAttempt(ConnectionAttempts knocks, Connection caller, long number, Moment own) {
-    this.knocks = knocks;
-    this.caller = caller;
-    this.number = number;
-    go(State.FIRST_BYTE, own);
+  ConnectionAttempt(ConnectionAttempts attempts, Connection connection, long id, Moment loopTime) {
+    this.attempts = attempts;
+    this.connection = connection;
+    this.id = id;
+    enter(State.FIRST_BYTE, loopTime);
   }
 
   public State state() {
@@ -52,63 +52,63 @@
 
   /** An answer is owed to it. */
   public boolean isResponsePending() {
-    return underWay > 0;
+    return requestsInProgress > 0;
   }
 
-  Connection caller() {
-    return caller;
+  Connection connection() {
+    return connection;
   }
 
   /** When it is to be closed, by the loop's own time; null while a request is under way. */
-  Moment dueAt() {
-    return dueAt;
+  Moment deadline() {
+    return deadline;
   }
 
   Moment stateSince() {
     return stateSince;
   }
 
-  private void go(State to, Moment own) {
-    knocks.unlist(this);
-    state = to;
-    stateSince = own;
-    Span bound = knocks.bound(to);
-    dueAt = bound == null || closed ? null : own.plus(bound);
-    knocks.list(this);
+  private void enter(State newState, Moment loopTime) {
+    attempts.removeDeadline(this);
+    state = newState;
+    stateSince = loopTime;
+    Span timeLimit = attempts.timeLimit(newState);
+    deadline = timeLimit == null || closed ? null : loopTime.plus(timeLimit);
+    attempts.addDeadline(this);
   }
 
   /** A byte has come. */
   public void byteReceived() {
     if (state == State.UNDER_WAY) {
-      nextHasBegun = true;
+      nextRequestStarted = true;
     } else if (state != State.HEADERS) {
-      go(State.HEADERS, knocks.own());
+      enter(State.HEADERS, attempts.loopTime());
     }
   }
 
   /** A request's headers are whole; false where too many wait on this connection already. */
   public boolean requestReceived() {
-    if (underWay > knocks.pipelined()) {
+    if (requestsInProgress > attempts.maxPipelinedRequests()) {
       return false;
     }
-    underWay++;
-    nextHasBegun = false;
+    requestsInProgress++;
+    nextRequestStarted = false;
     if (state != State.UNDER_WAY) {
-      go(State.UNDER_WAY, knocks.own());
+      enter(State.UNDER_WAY, attempts.loopTime());
     }
     return true;
   }
 
   /** A request's answer is written, or broken off. */
   public void responseEnded() {
-    if (underWay > 0 && --underWay == 0 && !closed) {
-      go(nextHasBegun ? State.HEADERS : State.BETWEEN, knocks.own());
-      nextHasBegun = false;
+    if (requestsInProgress > 0 && --requestsInProgress == 0 && !closed) {
+      enter(nextRequestStarted ? State.HEADERS : State.BETWEEN, attempts.loopTime());
+      nextRequestStarted = false;
     }
   }
 
   public void close() {
     closed = true;
-    knocks.unlist(this);
+    attempts.removeDeadline(this);
   }
 }
--- a/src/main/java/linengauge/flow/ConnectionAttempts.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempts.java
@@ -14,87 +14,87 @@
  * front. A look touches only those whose time is over.
  */
 public final class ConnectionAttempts {
-  private static final Comparator<ConnectionAttempt> DUE_FIRST =
-      Comparator.comparing(ConnectionAttempt::dueAt).thenComparingLong(k -> k.number);
+  private static final Comparator<ConnectionAttempt> BY_DEADLINE =
+      Comparator.comparing(ConnectionAttempt::deadline).thenComparingLong(attempt -> attempt.id);
 
-  private final ListenerSettings terms;
-  private final LoopClock time;
+  private final ListenerSettings settings;
+  private final LoopClock clock;
 
   /**
    * Each leaves when its request is whole, when it is due, and when it is closed; bounded by the
    * door's places.
    */
-  private final TreeSet<ConnectionAttempt> due = new TreeSet<>(DUE_FIRST);
+  private final TreeSet<ConnectionAttempt> byDeadline = new TreeSet<>(BY_DEADLINE);
 
-  private final Map<ConnectionAttempt.State, Long> tooLong =
+  private final Map<ConnectionAttempt.State, Long> timeoutsByState =
       new EnumMap<>(ConnectionAttempt.State.class);
-  private long number;
+  private long nextId;
 
-  public ConnectionAttempts(ListenerSettings terms, LoopClock time) {
-    this.terms = terms;
-    this.time = time;
+  public ConnectionAttempts(ListenerSettings settings, LoopClock clock) {
+    this.settings = settings;
+    this.clock = clock;
   }
 
-  public ConnectionAttempt open(ConnectionAttempt.Connection caller) {
-    return new ConnectionAttempt(this, caller, number++, time.own());
+  public ConnectionAttempt open(ConnectionAttempt.Connection connection) {
+    return new ConnectionAttempt(this, connection, nextId++, clock.loopTime());
   }
 
-  Moment own() {
-    return time.own();
+  Moment loopTime() {
+    return clock.loopTime();
   }
 
-  int pipelined() {
-    return terms.guards() ? terms.pipelined() : Integer.MAX_VALUE;
+  int maxPipelinedRequests() {
+    return settings.enabled() ? settings.maxPipelinedRequests() : Integer.MAX_VALUE;
   }
 
-  Span bound(ConnectionAttempt.State state) {
-    if (!terms.guards()) {
+  Span timeLimit(ConnectionAttempt.State state) {
+    if (!settings.enabled()) {
       return null;
     }
     return switch (state) {
-      case FIRST_BYTE -> terms.firstByte();
-      case HEADERS -> terms.headers();
-      case BETWEEN -> terms.between();
+      case FIRST_BYTE -> settings.firstByteTimeout();
+      case HEADERS -> settings.headersTimeout();
+      case BETWEEN -> settings.idleTimeout();
       case UNDER_WAY -> null;
     };
   }
 
-  void list(ConnectionAttempt k) {
-    if (k.dueAt() != null) {
-      due.add(k);
+  void addDeadline(ConnectionAttempt attempt) {
+    if (attempt.deadline() != null) {
+      byDeadline.add(attempt);
     }
   }
 
-  void unlist(ConnectionAttempt k) {
-    if (k.dueAt() != null) {
-      due.remove(k);
+  void removeDeadline(ConnectionAttempt attempt) {
+    if (attempt.deadline() != null) {
+      byDeadline.remove(attempt);
     }
   }
 
   public int pending() {
-    return due.size();
+    return byDeadline.size();
   }
 
   /** How many were closed for what they owed in this state. */
   public long timeouts(ConnectionAttempt.State state) {
-    return tooLong.getOrDefault(state, 0L);
+    return timeoutsByState.getOrDefault(state, 0L);
   }
 
   /**
    * After each beat of the loop's own time; after a stand-still what waits in the sockets is read
    * first.
    */
-  public void tick(boolean ran) {
-    if (!ran) {
+  public void tick(boolean ranOnTime) {
+    if (!ranOnTime) {
       return;
     }
-    List<ConnectionAttempt> over = new ArrayList<>();
-    while (!due.isEmpty() && !time.own().before(due.first().dueAt())) {
-      over.add(due.pollFirst());
+    List<ConnectionAttempt> expired = new ArrayList<>();
+    while (!byDeadline.isEmpty() && !clock.loopTime().before(byDeadline.first().deadline())) {
+      expired.add(byDeadline.pollFirst());
     }
-    for (ConnectionAttempt k : over) {
-      tooLong.merge(k.state(), 1L, Long::sum);
-      k.caller().timedOut(k.state());
+    for (ConnectionAttempt attempt : expired) {
+      timeoutsByState.merge(attempt.state(), 1L, Long::sum);
+      attempt.connection().timedOut(attempt.state());
     }
   }
 }
--- a/src/main/java/linengauge/flow/ConnectionLedger.java
+++ b/src/main/java/linengauge/flow/ConnectionLedger.java
@@ -21,10 +21,10 @@
     DROPPED
   }
 
-  private final ListenerSettings terms;
+  private final ListenerSettings settings;
 
   /** Connections served, by address; an address leaves with its last one. */
-  private final Map<String, Integer> byAddress = new HashMap<>();
+  private final Map<String, Integer> servedByAddress = new HashMap<>();
 
   private int served;
   private int rejecting;
@@ -36,11 +36,11 @@
    * When each key asked, latest last; keys leave by age as others come, the least lately asking
    * first.
    */
-  private final LinkedHashMap<String, ArrayDeque<Moment>> asks =
+  private final LinkedHashMap<String, ArrayDeque<Moment>> requestsByKey =
       new LinkedHashMap<>(16, 0.75f, true);
 
-  public ConnectionLedger(ListenerSettings terms) {
-    this.terms = terms;
+  public ConnectionLedger(ListenerSettings settings) {
+    this.settings = settings;
   }
 
   public int served() {
@@ -64,21 +64,21 @@
   }
 
   public int addresses() {
-    return byAddress.size();
+    return servedByAddress.size();
   }
 
   public int trackedKeys() {
-    return asks.size();
+    return requestsByKey.size();
   }
 
   /** A connection from an address. What it got is to be given back with {@link #release}. */
   public Admission admit(String address) {
-    if (!terms.guards() || hasPlaceFor(address)) {
-      byAddress.merge(address, 1, Integer::sum);
+    if (!settings.enabled() || hasRoomFor(address)) {
+      servedByAddress.merge(address, 1, Integer::sum);
       served++;
       return Admission.SERVED;
     }
-    if (rejecting < terms.turningAway()) {
+    if (rejecting < settings.maxRejecting()) {
       rejecting++;
       rejected++;
       return Admission.REJECTED;
@@ -87,21 +87,22 @@
     return Admission.DROPPED;
   }
 
-  private boolean hasPlaceFor(String address) {
-    int has = byAddress.getOrDefault(address, 0);
-    if (served >= terms.connections() || has >= terms.perAddress()) {
+  private boolean hasRoomFor(String address) {
+    int connections = servedByAddress.getOrDefault(address, 0);
+    if (served >= settings.maxConnections() || connections >= settings.maxConnectionsPerAddress()) {
       return false;
     }
-    int addresses = byAddress.size() + (has == 0 ? 1 : 0);
-    boolean crowded = served >= terms.connections() - terms.connections() / 8;
-    return !crowded || has < Math.max(1, terms.connections() / addresses);
+    int addressCount = servedByAddress.size() + (connections == 0 ? 1 : 0);
+    boolean isNearlyFull = served >= settings.maxConnections() - settings.maxConnections() / 8;
+    return !isNearlyFull || connections < Math.max(1, settings.maxConnections() / addressCount);
   }
 
-  public void release(String address, Admission entry) {
-    if (entry == Admission.SERVED) {
+  public void release(String address, Admission admission) {
+    if (admission == Admission.SERVED) {
       served--;
-      byAddress.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
-    } else if (entry == Admission.REJECTED) {
+      servedByAddress.computeIfPresent(
+          address, (sameAddress, count) -> count == 1 ? null : count - 1);
+    } else if (admission == Admission.REJECTED) {
       rejecting--;
     }
   }
@@ -111,22 +112,22 @@
    * tight loop.
    */
   public boolean admitRequest(String key, Moment now) {
-    if (!terms.guards() || key == null) {
+    if (!settings.enabled() || key == null) {
       return true;
     }
-    ArrayDeque<Moment> past = asks.computeIfAbsent(key, k -> new ArrayDeque<>(2));
-    if (asks.size() > terms.keys()) {
-      asks.remove(asks.keySet().iterator().next());
+    ArrayDeque<Moment> recent = requestsByKey.computeIfAbsent(key, newKey -> new ArrayDeque<>(2));
+    if (requestsByKey.size() > settings.maxTrackedKeys()) {
+      requestsByKey.remove(requestsByKey.keySet().iterator().next());
     }
-    Moment from = now.minus(terms.keyWindow());
-    while (!past.isEmpty() && !from.before(past.peekFirst())) {
-      past.removeFirst();
+    Moment windowStart = now.minus(settings.keyWindow());
+    while (!recent.isEmpty() && !windowStart.before(recent.peekFirst())) {
+      recent.removeFirst();
     }
-    if (past.size() >= terms.keyAsks()) {
+    if (recent.size() >= settings.maxRequestsPerKey()) {
       rejectedRequests++;
       return false;
     }
-    past.addLast(now);
+    recent.addLast(now);
     return true;
   }
 }
--- a/src/main/java/linengauge/flow/DatagramRateLimiter.java
+++ b/src/main/java/linengauge/flow/DatagramRateLimiter.java
@@ -12,12 +12,12 @@
  */
 public final class DatagramRateLimiter {
   private static final class Sender {
-    private double left;
-    private Moment heardAt;
+    private double tokens;
+    private Moment lastDatagramAt;
   }
 
   private final int perSecond;
-  private final int most;
+  private final int maxSenders;
   private long dropped;
 
   /**
@@ -27,30 +27,30 @@
   private final LinkedHashMap<String, Sender> senders = new LinkedHashMap<>(16, 0.75f, true);
 
   /** Senders remembered: as many as there are fronts, and some more for those that are none. */
-  public DatagramRateLimiter(int perSecond, int senders) {
+  public DatagramRateLimiter(int perSecond, int maxSenders) {
     this.perSecond = perSecond;
-    this.most = senders;
+    this.maxSenders = maxSenders;
   }
 
-  public boolean accept(String from, Moment now) {
-    Sender s = senders.get(from);
-    if (s == null) {
-      s = new Sender();
-      s.left = perSecond;
-      s.heardAt = now;
-      senders.put(from, s);
-      if (senders.size() > most) {
+  public boolean accept(String address, Moment now) {
+    Sender sender = senders.get(address);
+    if (sender == null) {
+      sender = new Sender();
+      sender.tokens = perSecond;
+      sender.lastDatagramAt = now;
+      senders.put(address, sender);
+      if (senders.size() > maxSenders) {
         senders.remove(senders.keySet().iterator().next());
       }
     }
-    Span since = now.since(s.heardAt).orMore(Span.NONE);
-    s.left = Math.min(perSecond, s.left + since.seconds() * perSecond);
-    s.heardAt = now;
-    if (s.left < 1) {
+    Span elapsed = now.since(sender.lastDatagramAt).orMore(Span.NONE);
+    sender.tokens = Math.min(perSecond, sender.tokens + elapsed.seconds() * perSecond);
+    sender.lastDatagramAt = now;
+    if (sender.tokens < 1) {
       dropped++;
       return false;
     }
-    s.left--;
+    sender.tokens--;
     return true;
   }
 
--- a/src/main/java/linengauge/flow/LoopClock.java
+++ b/src/main/java/linengauge/flow/LoopClock.java
@@ -10,15 +10,15 @@
  * always late: waits grow by as much, at most by `beat + late` a look.
  */
 public final class LoopClock {
-  private final Span beat;
-  private final Span late;
-  private Moment wall;
-  private Moment own = new Moment(0);
+  private final Span tickInterval;
+  private final Span lateTolerance;
+  private Moment lastTickAt;
+  private Moment loopTime = new Moment(0);
   private Span pausedTime = Span.NONE;
 
-  public LoopClock(Span beat, Span late) {
-    this.beat = beat;
-    this.late = late;
+  public LoopClock(Span tickInterval, Span lateTolerance) {
+    this.tickInterval = tickInterval;
+    this.lateTolerance = lateTolerance;
   }
 
   /**
@@ -26,24 +26,24 @@
    * still.
    */
   public boolean tick(Moment now) {
-    if (wall == null) {
-      wall = now;
+    if (lastTickAt == null) {
+      lastTickAt = now;
       return true;
     }
-    Span since = now.since(wall).orMore(Span.NONE);
-    Span most = beat.plus(late);
-    wall = wall.orLater(now);
-    own = own.plus(since.orLess(most));
-    if (!most.under(since)) {
+    Span elapsed = now.since(lastTickAt).orMore(Span.NONE);
+    Span maxElapsed = tickInterval.plus(lateTolerance);
+    lastTickAt = lastTickAt.orLater(now);
+    loopTime = loopTime.plus(elapsed.orLess(maxElapsed));
+    if (!maxElapsed.under(elapsed)) {
       return true;
     }
-    pausedTime = pausedTime.plus(since.minus(most));
+    pausedTime = pausedTime.plus(elapsed.minus(maxElapsed));
     return false;
   }
 
   /** On the loop's own clock, which starts at 0 and has nothing to do with the wall's. */
-  public Moment own() {
-    return own;
+  public Moment loopTime() {
+    return loopTime;
   }
 
   /** How long the loop has stood still in all. */
--- a/src/main/java/linengauge/flow/PeerTraffic.java
+++ b/src/main/java/linengauge/flow/PeerTraffic.java
@@ -32,49 +32,49 @@
     void resume();
   }
 
-  private final SlowPeerDetector watch;
+  private final SlowPeerDetector detector;
   private final Peer peer;
   private final Side side;
-  private final long number;
-  private final Moment since;
-  private final Evidence evidence;
+  private final long id;
+  private final Moment openedAt;
+  private final ThroughputWindow throughput;
   private double minBytesPerSecond;
-  private long total;
-  private long totalAtLook;
+  private long totalBytes;
+  private long totalBytesAtLastTick;
   private long queuedBytes;
-  private long waitingAtLook;
+  private long queuedBytesAtLastTick;
   private boolean open = true;
 
   /** A transfer is under way: the peer may come to be owed bytes. */
-  private int underWay;
+  private int transfersInProgress;
 
   /** For a viewer: the pool has nothing more for it now. */
-  private boolean held;
+  private boolean paused;
 
   /** Since when it has had nothing under way; null while it has, or had at the last look. */
   private Moment idleSince;
 
   /** For a box: bytes have been wanted of it since the last look without a break. */
-  private boolean wanted;
+  private boolean bytesWanted;
 
-  private boolean wantedThroughout;
+  private boolean bytesWantedSinceLastTick;
 
   PeerTraffic(
-      SlowPeerDetector watch, Peer peer, Side side, long number, Moment since, Span window) {
-    this.watch = watch;
+      SlowPeerDetector detector, Peer peer, Side side, long id, Moment openedAt, Span window) {
+    this.detector = detector;
     this.peer = peer;
     this.side = side;
-    this.number = number;
-    this.since = since;
-    this.evidence = new Evidence(window);
+    this.id = id;
+    this.openedAt = openedAt;
+    this.throughput = new ThroughputWindow(window);
   }
 
   public Side side() {
     return side;
   }
 
-  long number() {
-    return number;
+  long id() {
+    return id;
   }
 
   Peer peer() {
@@ -86,7 +86,7 @@
   }
 
   boolean isIdle() {
-    return underWay == 0 && queuedBytes == 0;
+    return transfersInProgress == 0 && queuedBytes == 0;
   }
 
   /** Bytes that waited for it when it was last counted. */
@@ -101,30 +101,30 @@
 
   /** Bytes that it moved for each second in which it was owed any. */
   public double bytesPerSecond() {
-    return evidence.rate();
+    return throughput.bytesPerSecond();
   }
 
   /** How long within the window it was owed bytes. */
   public Span owedTime() {
-    return evidence.owed();
+    return throughput.owedTime();
   }
 
   /* ---- told by the carrier ---- */
 
   /** A transfer begins, with what the peer must move at the least, in bytes a second. */
-  public void transferStarted(double leastPerSecond) {
-    minBytesPerSecond = leastPerSecond;
-    underWay++;
+  public void transferStarted(double minPerSecond) {
+    minBytesPerSecond = minPerSecond;
+    transfersInProgress++;
     if (idleSince != null && open) {
-      evidence.passed(watch.own().since(idleSince), false, 0);
+      throughput.advance(detector.loopTime().since(idleSince), false, 0);
       idleSince = null;
     }
-    watch.stirs(this);
+    detector.activate(this);
   }
 
   public void transferEnded() {
-    underWay--;
-    recount();
+    transfersInProgress--;
+    refreshQueuedBytes();
   }
 
   /**
@@ -132,104 +132,106 @@
    * side is not to be read until {@link #bytesDrained} says so or {@link Peer#resume} is called.
    */
   public boolean bytesQueued(long bytes) {
-    total += bytes;
-    count(queuedBytes + bytes);
-    if (!watch.bufferBudget().mayWait(queuedBytes)) {
-      recount(); // what was taken since the last count has not been told
-      held = !watch.bufferBudget().mayWait(queuedBytes);
+    totalBytes += bytes;
+    setQueuedBytes(queuedBytes + bytes);
+    if (!detector.bufferBudget().mayQueue(queuedBytes)) {
+      refreshQueuedBytes(); // what was taken since the last count has not been told
+      paused = !detector.bufferBudget().mayQueue(queuedBytes);
     }
-    return held;
+    return paused;
   }
 
   /** The carrier has seen bytes taken; true where more may wait now. */
   public boolean bytesDrained() {
-    recount();
-    held &= !watch.bufferBudget().mayWait(queuedBytes);
-    return !held;
+    refreshQueuedBytes();
+    paused &= !detector.bufferBudget().mayQueue(queuedBytes);
+    return !paused;
   }
 
-  private void recount() {
+  private void refreshQueuedBytes() {
     if (side == Side.VIEWER && open) {
-      count(Math.max(0, peer.queuedBytes()));
+      setQueuedBytes(Math.max(0, peer.queuedBytes()));
     }
   }
 
-  private void count(long bytes) {
-    watch.bufferBudget().changed(queuedBytes, bytes);
+  private void setQueuedBytes(long bytes) {
+    detector.bufferBudget().update(queuedBytes, bytes);
     queuedBytes = bytes;
   }
 
   /** Bytes have come from a box. */
   public void bytesReceived(long bytes) {
-    total += bytes;
+    totalBytes += bytes;
   }
 
   /**
    * Bytes are wanted of a box from now on, or no longer: the viewer holds it back, or all has come.
    */
-  public void setBytesWanted(boolean now) {
-    wanted = now;
-    wantedThroughout &= now;
+  public void setBytesWanted(boolean isWanted) {
+    bytesWanted = isWanted;
+    bytesWantedSinceLastTick &= isWanted;
   }
 
   /** Nothing more will be told; it leaves the loop's table at once. */
   public void close() {
     if (open) {
       open = false;
-      count(0);
-      watch.leaves(this);
+      setQueuedBytes(0);
+      detector.remove(this);
     }
   }
 
   /* ---- the loop's looks ---- */
 
   /** A span of own time has gone by since the last look; did it move? */
-  boolean look(Span span) {
-    long moved;
-    boolean owedThroughout;
+  boolean sample(Span span) {
+    long movedBytes;
+    boolean wasOwed;
     if (side == Side.VIEWER) {
-      recount();
-      moved = Math.max(0, total - totalAtLook + waitingAtLook - queuedBytes);
-      owedThroughout =
-          waitingAtLook > 0; // also where it took the last of it: the wait for it has been counted
-      waitingAtLook = queuedBytes;
+      refreshQueuedBytes();
+      movedBytes =
+          Math.max(0, totalBytes - totalBytesAtLastTick + queuedBytesAtLastTick - queuedBytes);
+      wasOwed =
+          queuedBytesAtLastTick
+              > 0; // also where it took the last of it: the wait for it has been counted
+      queuedBytesAtLastTick = queuedBytes;
     } else {
-      moved = total - totalAtLook;
-      owedThroughout = wantedThroughout && wanted;
-      wantedThroughout = wanted;
+      movedBytes = totalBytes - totalBytesAtLastTick;
+      wasOwed = bytesWantedSinceLastTick && bytesWanted;
+      bytesWantedSinceLastTick = bytesWanted;
     }
-    totalAtLook = total;
-    evidence.passed(span, owedThroughout, moved);
-    if (moved > 0) {
+    totalBytesAtLastTick = totalBytes;
+    throughput.advance(span, wasOwed, movedBytes);
+    if (movedBytes > 0) {
       peer.progressed();
     }
-    return moved > 0 && moved >= minBytesPerSecond * span.seconds();
+    return movedBytes > 0 && movedBytes >= minBytesPerSecond * span.seconds();
   }
 
   /**
    * After a look: one that was held back goes on where the pool has come to have something for it.
    */
-  void mayGoOn() {
-    if (held && open && bytesDrained()) {
+  void resumeIfAllowed() {
+    if (paused && open && bytesDrained()) {
       peer.resume();
     }
   }
 
   /** It leaves the looks until its next transfer. */
-  void rests(Moment own) {
-    idleSince = own;
+  void becameIdle(Moment loopTime) {
+    idleSince = loopTime;
   }
 
   /** Slow by evidence, at this moment of the loop's own time. */
-  boolean isSlow(Moment own, FlowSettings terms) {
+  boolean isSlow(Moment loopTime, FlowSettings settings) {
     return minBytesPerSecond > 0
-        && !own.since(since).under(terms.grace())
-        && !evidence.owed().under(terms.evidence())
-        && evidence.rate() < minBytesPerSecond;
+        && !loopTime.since(openedAt).under(settings.gracePeriod())
+        && !throughput.owedTime().under(settings.minOwedTime())
+        && throughput.bytesPerSecond() < minBytesPerSecond;
   }
 
   /** How much of what it must move it moves; the smaller, the slower. */
-  double part() {
-    return evidence.rate() / minBytesPerSecond;
+  double fractionOfMinimum() {
+    return throughput.bytesPerSecond() / minBytesPerSecond;
   }
 }
--- a/src/main/java/linengauge/flow/SlowPeerDetector.java
+++ b/src/main/java/linengauge/flow/SlowPeerDetector.java
@@ -28,31 +28,31 @@
   }
 
   private static final Comparator<PeerTraffic> SLOWEST_FIRST =
-      Comparator.comparingDouble(PeerTraffic::part).thenComparingLong(PeerTraffic::number);
+      Comparator.comparingDouble(PeerTraffic::fractionOfMinimum).thenComparingLong(PeerTraffic::id);
 
-  private final FlowSettings terms;
-  private final LoopClock time;
+  private final FlowSettings settings;
+  private final LoopClock clock;
   private final BufferBudget bufferBudget;
-  private final Allowance allowance;
+  private final DisconnectBudget disconnectBudget;
   private final Counts counts = new Counts();
 
   /**
    * Peers with bytes on the way, in the order of their numbers; each leaves when it is idle at a
    * look, or closed.
    */
-  private final TreeMap<Long, PeerTraffic> stirring = new TreeMap<>();
+  private final TreeMap<Long, PeerTraffic> activePeersById = new TreeMap<>();
 
   /** Those of them that are viewers; each has its floor kept. */
-  private int viewers;
+  private int activeViewers;
 
-  private Moment lookedAt = new Moment(0);
-  private long number;
+  private Moment lastTickAt = new Moment(0);
+  private long nextId;
 
-  public SlowPeerDetector(FlowSettings terms, LoopClock time) {
-    this.terms = terms;
-    this.time = time;
-    this.bufferBudget = new BufferBudget(terms);
-    this.allowance = new Allowance(terms);
+  public SlowPeerDetector(FlowSettings settings, LoopClock clock) {
+    this.settings = settings;
+    this.clock = clock;
+    this.bufferBudget = new BufferBudget(settings);
+    this.disconnectBudget = new DisconnectBudget(settings);
   }
 
   public BufferBudget bufferBudget() {
@@ -64,92 +64,94 @@
   }
 
   public int activePeers() {
-    return stirring.size();
+    return activePeersById.size();
   }
 
   /** No further transfer has its floor kept: the next one is turned away. */
   public boolean isFull() {
-    return terms.guards() && viewers >= terms.peers();
+    return settings.enabled() && activeViewers >= settings.maxPeers();
   }
 
-  Moment own() {
-    return time.own();
+  Moment loopTime() {
+    return clock.loopTime();
   }
 
   /** Opens the account of a peer; it costs nothing until a transfer begins. */
   public PeerTraffic open(PeerTraffic.Side side, PeerTraffic.Peer peer) {
-    return new PeerTraffic(this, peer, side, number++, time.own(), terms.window());
+    return new PeerTraffic(this, peer, side, nextId++, clock.loopTime(), settings.window());
   }
 
-  void stirs(PeerTraffic a) {
-    if (a.isOpen() && stirring.put(a.number(), a) == null && a.side() == PeerTraffic.Side.VIEWER) {
-      viewers++;
+  void activate(PeerTraffic traffic) {
+    if (traffic.isOpen()
+        && activePeersById.put(traffic.id(), traffic) == null
+        && traffic.side() == PeerTraffic.Side.VIEWER) {
+      activeViewers++;
     }
   }
 
-  void leaves(PeerTraffic a) {
-    if (stirring.remove(a.number()) != null) {
-      left(a);
+  void remove(PeerTraffic traffic) {
+    if (activePeersById.remove(traffic.id()) != null) {
+      releaseFloor(traffic);
     }
   }
 
-  private void left(PeerTraffic a) {
-    viewers -= a.side() == PeerTraffic.Side.VIEWER ? 1 : 0;
+  private void releaseFloor(PeerTraffic traffic) {
+    activeViewers -= traffic.side() == PeerTraffic.Side.VIEWER ? 1 : 0;
   }
 
   /**
    * After each beat of the loop's own time; `ran` is what that said. After a stand-still nobody is
    * let go at once: what peers did meanwhile is still to be seen.
    */
-  public void tick(boolean ran) {
-    Span span = time.own().since(lookedAt);
-    lookedAt = time.own();
-    List<PeerTraffic> slow = new ArrayList<>();
-    for (var i = stirring.values().iterator(); i.hasNext(); ) {
-      PeerTraffic a = i.next();
-      if (a.look(span)) {
-        allowance.moved(a.number(), time.own());
+  public void tick(boolean ranOnTime) {
+    Span elapsed = clock.loopTime().since(lastTickAt);
+    lastTickAt = clock.loopTime();
+    List<PeerTraffic> slowPeers = new ArrayList<>();
+    for (var peers = activePeersById.values().iterator(); peers.hasNext(); ) {
+      PeerTraffic traffic = peers.next();
+      if (traffic.sample(elapsed)) {
+        disconnectBudget.recordProgress(traffic.id(), clock.loopTime());
       }
-      if (a.isSlow(time.own(), terms)) {
-        slow.add(a);
+      if (traffic.isSlow(clock.loopTime(), settings)) {
+        slowPeers.add(traffic);
       }
-      if (a.isIdle()) {
-        i.remove();
-        left(a);
-        a.rests(time.own());
+      if (traffic.isIdle()) {
+        peers.remove();
+        releaseFloor(traffic);
+        traffic.becameIdle(clock.loopTime());
       }
     }
-    counts.processPauses += ran ? 0 : 1;
-    allowance.passed(span, time.own());
-    counts.progressingPeers = allowance.movers();
-    counts.slowPeers = slow.size();
-    if (terms.guards() && ran) {
-      letGo(slow);
+    counts.processPauses += ranOnTime ? 0 : 1;
+    disconnectBudget.advance(elapsed, clock.loopTime());
+    counts.progressingPeers = disconnectBudget.progressingPeers();
+    counts.slowPeers = slowPeers.size();
+    if (settings.enabled() && ranOnTime) {
+      disconnectSlowest(slowPeers);
     }
-    for (PeerTraffic a : List.copyOf(stirring.values())) {
-      a.mayGoOn();
+    for (PeerTraffic traffic : List.copyOf(activePeersById.values())) {
+      traffic.resumeIfAllowed();
     }
   }
 
-  private void letGo(List<PeerTraffic> slow) {
-    slow.sort(SLOWEST_FIRST);
-    int left = allowance.left();
-    for (PeerTraffic a : slow) {
-      if (!a.isOpen()) {
+  private void disconnectSlowest(List<PeerTraffic> slowPeers) {
+    slowPeers.sort(SLOWEST_FIRST);
+    int remaining = disconnectBudget.remaining();
+    for (PeerTraffic traffic : slowPeers) {
+      if (!traffic.isOpen()) {
         continue; // it went with one let go before it
       }
-      if (left-- <= 0) {
+      if (remaining-- <= 0) {
         counts.spared++;
         continue;
       }
-      allowance.took();
-      if (a.side() == PeerTraffic.Side.VIEWER) {
+      disconnectBudget.recordDisconnect();
+      if (traffic.side() == PeerTraffic.Side.VIEWER) {
         counts.viewersDisconnected++;
       } else {
         counts.boxesDisconnected++;
       }
-      a.peer().disconnect(a);
-      a.close();
+      traffic.peer().disconnect(traffic);
+      traffic.close();
     }
   }
 }
--- a/src/main/java/linengauge/work/JobScheduler.java
+++ b/src/main/java/linengauge/work/JobScheduler.java
@@ -18,15 +18,15 @@
  */
 public final class JobScheduler {
   /** Why a submission was not taken up. */
-  public enum Answer {
-    TAKEN,
-    ONE_WAITS,
+  public enum Result {
+    ACCEPTED,
+    ALREADY_SUBMITTED,
     FULL,
     TOO_LARGE
   }
 
   /** What became of a submission: the job that stands for it, or null where it was refused. */
-  public record Submission(Answer answer, ScheduledJob job) {}
+  public record Submission(Result result, ScheduledJob job) {}
 
   /** Counts since the start. */
   public static final class Counts {
@@ -34,14 +34,14 @@
     public long failed;
     public long rejected;
     public long evicted;
-    public long givenUp;
+    public long abandoned;
 
     /** Times that something due was held back by a budget. */
     public long deferred;
   }
 
-  private final WorkSettings terms;
-  private final SplittableRandom chance;
+  private final WorkSettings settings;
+  private final SplittableRandom random;
 
   /**
    * By name, in the order taken up; a job leaves when it is over, and there are never more than the
@@ -49,19 +49,19 @@
    */
   private final Map<String, ScheduledJob> jobs = new LinkedHashMap<>();
 
-  private final Spending desk;
-  private final Spending bytes;
+  private final UsageWindow loopTimeUsage;
+  private final UsageWindow bytesUsage;
   private final Counts counts = new Counts();
-  private Span late = Span.NONE;
+  private Span loopDelay = Span.NONE;
   private Moment now = Moment.DISTANT_PAST;
   private int running;
-  private long number;
+  private long nextId;
 
-  public JobScheduler(WorkSettings terms, long seed) {
-    this.terms = terms;
-    this.chance = new SplittableRandom(seed);
-    this.desk = new Spending(terms.window());
-    this.bytes = new Spending(terms.window());
+  public JobScheduler(WorkSettings settings, long seed) {
+    this.settings = settings;
+    this.random = new SplittableRandom(seed);
+    this.loopTimeUsage = new UsageWindow(settings.window());
+    this.bytesUsage = new UsageWindow(settings.window());
   }
 
   public Counts counts() {
@@ -77,8 +77,8 @@
   }
 
   /** The desk is so late now; none: it keeps up. */
-  public void setLoopDelay(Span by) {
-    late = by;
+  public void setLoopDelay(Span delay) {
+    loopDelay = delay;
   }
 
   /**
@@ -86,51 +86,53 @@
    * stands for it. Where all places are taken, the last in rank that is not running leaves for it,
    * if outranked, and is told so.
    */
-  public Submission submit(Job chore, Moment from, Moment at) {
-    tell(at);
-    ScheduledJob same = jobs.get(chore.name());
-    if (same != null) {
-      same.submittedAgain(from.orLater(now));
-      return new Submission(Answer.ONE_WAITS, same);
+  public Submission submit(Job job, Moment notBefore, Moment at) {
+    advanceTo(at);
+    ScheduledJob existing = jobs.get(job.name());
+    if (existing != null) {
+      existing.resubmitted(notBefore.orLater(now));
+      return new Submission(Result.ALREADY_SUBMITTED, existing);
     }
-    if (terms.deskTime().under(chore.deskTime()) || chore.bytes() > terms.bytes()) {
+    if (settings.loopTime().under(job.loopTime()) || job.bytes() > settings.bytes()) {
       counts.rejected++;
-      return new Submission(Answer.TOO_LARGE, null);
+      return new Submission(Result.TOO_LARGE, null);
     }
-    if (jobs.size() >= terms.jobs() && !makeRoom(chore)) {
+    if (jobs.size() >= settings.maxJobs() && !evictFor(job)) {
       counts.rejected++;
-      return new Submission(Answer.FULL, null);
+      return new Submission(Result.FULL, null);
     }
-    ScheduledJob j =
+    ScheduledJob scheduled =
         new ScheduledJob(
             this,
-            chore,
-            number++,
-            from.orLater(now),
-            new Backoff(terms.firstPause(), terms.mostPause(), chance.split()));
-    jobs.put(chore.name(), j);
-    return new Submission(Answer.TAKEN, j);
+            job,
+            nextId++,
+            notBefore.orLater(now),
+            new Backoff(settings.initialBackoff(), settings.maxBackoff(), random.split()));
+    jobs.put(job.name(), scheduled);
+    return new Submission(Result.ACCEPTED, scheduled);
   }
 
-  private boolean makeRoom(Job newcomer) {
+  private boolean evictFor(Job job) {
     // By rank and not by urgency alone: one that has waited long enough is not put out by each
     // newcomer.
-    long rank = newcomer.urgency() * terms.ageing().micros();
-    ScheduledJob least = null;
-    for (ScheduledJob j : jobs.values()) {
-      if (j.state() == ScheduledJob.State.WAITS
-          && j.rank(now, terms.ageing()) > rank
-          && (least == null || j.rank(now, terms.ageing()) >= least.rank(now, terms.ageing()))) {
-        least = j;
+    long rank = job.urgency() * settings.agingInterval().micros();
+    ScheduledJob lowest = null;
+    for (ScheduledJob scheduled : jobs.values()) {
+      if (scheduled.state() == ScheduledJob.State.WAITING
+          && scheduled.rank(now, settings.agingInterval()) > rank
+          && (lowest == null
+              || scheduled.rank(now, settings.agingInterval())
+                  >= lowest.rank(now, settings.agingInterval()))) {
+        lowest = scheduled;
       }
     }
-    if (least == null) {
+    if (lowest == null) {
       return false;
     }
     counts.evicted++;
-    jobs.remove(least.job().name());
-    least.leaves();
-    least.job().action().givenUp(least);
+    jobs.remove(lowest.job().name());
+    lowest.evicted();
+    lowest.job().action().abandoned(lowest);
     return true;
   }
 
@@ -139,30 +141,37 @@
    * it.
    */
   public ScheduledJob nextJob(Moment at) {
-    tell(at);
-    if (running >= terms.atOnce()) {
+    advanceTo(at);
+    if (running >= settings.maxRunning()) {
       return null;
     }
-    boolean deskBlocked = false;
-    boolean bytesBlocked = false;
-    for (ScheduledJob j : due()) {
-      boolean deskFits =
-          j.deskTime().micros() == 0
-              || !deskBlocked && fits(desk, j.deskTime().micros(), terms.deskTime().micros());
-      boolean bytesFit = j.bytes() == 0 || !bytesBlocked && fits(bytes, j.bytes(), terms.bytes());
-      if (deskFits && bytesFit) {
-        j.begins();
+    boolean isLoopTimeBlocked = false;
+    boolean isBytesBlocked = false;
+    for (ScheduledJob scheduled : due()) {
+      boolean loopTimeFits =
+          scheduled.estimatedLoopTime().micros() == 0
+              || !isLoopTimeBlocked
+                  && fitsBudget(
+                      loopTimeUsage,
+                      scheduled.estimatedLoopTime().micros(),
+                      settings.loopTime().micros());
+      boolean bytesFit =
+          scheduled.estimatedBytes() == 0
+              || !isBytesBlocked
+                  && fitsBudget(bytesUsage, scheduled.estimatedBytes(), settings.bytes());
+      if (loopTimeFits && bytesFit) {
+        scheduled.started();
         running++;
         // Reserved now, so that those at once cannot spend the same; set right when it ends.
-        desk.spend(j.deskTime().micros(), now);
-        bytes.spend(j.bytes(), now);
-        return j;
+        loopTimeUsage.add(scheduled.estimatedLoopTime().micros(), now);
+        bytesUsage.add(scheduled.estimatedBytes(), now);
+        return scheduled;
       }
       counts.deferred++;
       // What comes after it may not use up what it waits for, or a large job would wait for ever
       // behind small ones.
-      deskBlocked |= j.deskTime().micros() > 0;
-      bytesBlocked |= j.bytes() > 0;
+      isLoopTimeBlocked |= scheduled.estimatedLoopTime().micros() > 0;
+      isBytesBlocked |= scheduled.estimatedBytes() > 0;
     }
     return null;
   }
@@ -170,15 +179,17 @@
   /** Those that wait and are due, the first to go in front. */
   private List<ScheduledJob> due() {
     List<ScheduledJob> due = new ArrayList<>();
-    for (ScheduledJob j : jobs.values()) {
-      if (j.state() == ScheduledJob.State.WAITS && !now.before(j.dueAt())) {
-        due.add(j);
+    for (ScheduledJob scheduled : jobs.values()) {
+      if (scheduled.state() == ScheduledJob.State.WAITING && !now.before(scheduled.dueAt())) {
+        due.add(scheduled);
       }
     }
     due.sort(
         (a, b) -> {
-          int byRank = Long.compare(a.rank(now, terms.ageing()), b.rank(now, terms.ageing()));
-          return byRank != 0 ? byRank : Long.compare(a.number(), b.number());
+          int byRank =
+              Long.compare(
+                  a.rank(now, settings.agingInterval()), b.rank(now, settings.agingInterval()));
+          return byRank != 0 ? byRank : Long.compare(a.id(), b.id());
         });
     return due;
   }
@@ -187,65 +198,68 @@
    * Whether so much may be spent. While the desk is late a window that holds nothing may take one
    * job, however large.
    */
-  private boolean fits(Spending spending, long much, long budget) {
-    long spent = spending.spent(now);
-    if (!isLate()) {
-      return spent + much <= budget;
+  private boolean fitsBudget(UsageWindow usage, long amount, long budget) {
+    long used = usage.used(now);
+    if (!isLoopLate()) {
+      return used + amount <= budget;
     }
-    return spent == 0 || spent + much <= (long) (budget * terms.floor());
+    return used == 0 || used + amount <= (long) (budget * settings.floor());
   }
 
-  private boolean isLate() {
-    return !late.under(terms.lateFrom());
+  private boolean isLoopLate() {
+    return !loopDelay.under(settings.lateThreshold());
   }
 
   /** When to ask again, where nothing else happens; null: not before something does. */
   public Moment nextPollAt() {
     Moment first = null;
-    boolean held = false;
-    for (ScheduledJob j : jobs.values()) {
-      if (j.state() == ScheduledJob.State.WAITS) {
-        held |= !now.before(j.dueAt());
+    boolean isAnyDue = false;
+    for (ScheduledJob scheduled : jobs.values()) {
+      if (scheduled.state() == ScheduledJob.State.WAITING) {
+        isAnyDue |= !now.before(scheduled.dueAt());
         first =
-            now.before(j.dueAt()) && (first == null || j.dueAt().before(first)) ? j.dueAt() : first;
+            now.before(scheduled.dueAt()) && (first == null || scheduled.dueAt().before(first))
+                ? scheduled.dueAt()
+                : first;
       }
     }
-    if (held && running < terms.atOnce()) {
-      for (Spending s : List.of(desk, bytes)) {
-        Moment eases = s.easesAt();
-        first = eases != null && (first == null || eases.before(first)) ? eases : first;
+    if (isAnyDue && running < settings.maxRunning()) {
+      for (UsageWindow usage : List.of(loopTimeUsage, bytesUsage)) {
+        Moment expiryAt = usage.nextExpiryAt();
+        first = expiryAt != null && (first == null || expiryAt.before(first)) ? expiryAt : first;
       }
     }
     return first;
   }
 
-  private void tell(Moment at) {
+  private void advanceTo(Moment at) {
     now = now.orLater(at);
   }
 
   /* ---- what jobs tell ---- */
 
-  void ended(ScheduledJob j, Moment at, Span took, long moved, boolean well) {
-    tell(at);
+  void ended(
+      ScheduledJob scheduled, Moment at, Span loopTime, long movedBytes, boolean hasSucceeded) {
+    advanceTo(at);
     running--;
     // What was reserved is spent; what it took over that is spent now. What it took less stays
     // spent till it leaves.
-    desk.spend(Math.max(0, took.minus(j.reservedTime()).micros()), now);
-    bytes.spend(Math.max(0, moved - j.reservedBytes()), now);
-    counts.succeeded += well ? 1 : 0;
-    counts.failed += well ? 0 : 1;
+    loopTimeUsage.add(Math.max(0, loopTime.minus(scheduled.reservedLoopTime()).micros()), now);
+    bytesUsage.add(Math.max(0, movedBytes - scheduled.reservedBytes()), now);
+    counts.succeeded += hasSucceeded ? 1 : 0;
+    counts.failed += hasSucceeded ? 0 : 1;
   }
 
-  void calledOff(ScheduledJob j, boolean ran) {
-    running -= ran ? 1 : 0;
-    jobs.remove(j.job().name(), j);
+  void cancelled(ScheduledJob scheduled, boolean wasRunning) {
+    running -= wasRunning ? 1 : 0;
+    jobs.remove(scheduled.job().name(), scheduled);
   }
 
-  void over(ScheduledJob j, boolean givenUp) {
-    jobs.remove(j.job().name(), j);
-    if (givenUp) {
-      counts.givenUp++;
-      j.job().action().givenUp(j);
+  void finished(ScheduledJob scheduled, boolean isAbandoned) {
+    jobs.remove(scheduled.job().name(), scheduled);
+    if (isAbandoned) {
+      counts.abandoned++;
+      scheduled.job().action().abandoned(scheduled);
     }
   }
 }
--- a/src/main/java/linengauge/work/ScheduledJob.java
+++ b/src/main/java/linengauge/work/ScheduledJob.java
@@ -10,35 +10,35 @@
 public final class ScheduledJob {
   /** Where it stands. */
   public enum State {
-    WAITS,
-    RUNS,
-    OVER
+    WAITING,
+    RUNNING,
+    ENDED
   }
 
-  private final JobScheduler bench;
+  private final JobScheduler scheduler;
   private final Job job;
-  private final long number;
-  private final Backoff pause;
-  private State state = State.WAITS;
+  private final long id;
+  private final Backoff backoff;
+  private State state = State.WAITING;
   private Moment dueAt;
   private int failures;
 
   /** Submitted again while it runs: it is due at once when it ends. */
-  private boolean again;
+  private boolean rerunRequested;
 
-  private Span deskTime;
-  private long bytes;
-  private Span reservedTime = Span.NONE;
+  private Span estimatedLoopTime;
+  private long estimatedBytes;
+  private Span reservedLoopTime = Span.NONE;
   private long reservedBytes;
 
-  ScheduledJob(JobScheduler bench, Job chore, long number, Moment dueAt, Backoff pause) {
-    this.bench = bench;
-    this.job = chore;
-    this.number = number;
+  ScheduledJob(JobScheduler scheduler, Job job, long id, Moment dueAt, Backoff backoff) {
+    this.scheduler = scheduler;
+    this.job = job;
+    this.id = id;
     this.dueAt = dueAt;
-    this.pause = pause;
-    this.deskTime = chore.deskTime();
-    this.bytes = chore.bytes();
+    this.backoff = backoff;
+    this.estimatedLoopTime = job.loopTime();
+    this.estimatedBytes = job.bytes();
   }
 
   public Job job() {
@@ -54,20 +54,20 @@
     return failures;
   }
 
-  long number() {
-    return number;
+  long id() {
+    return id;
   }
 
   Moment dueAt() {
     return dueAt;
   }
 
-  Span deskTime() {
-    return deskTime;
+  Span estimatedLoopTime() {
+    return estimatedLoopTime;
   }
 
-  long bytes() {
-    return bytes;
+  long estimatedBytes() {
+    return estimatedBytes;
   }
 
   /**
@@ -76,26 +76,26 @@
    */
   long rank(Moment now, Span ageing) {
     Span waited = now.since(dueAt).orMore(Span.NONE);
-    boolean late = Span.NONE.under(job.within()) && !waited.under(job.within());
-    return (late ? Long.MIN_VALUE / 2 : 0) + job.urgency() * ageing.micros() - waited.micros();
+    boolean isLate = Span.NONE.under(job.startWithin()) && !waited.under(job.startWithin());
+    return (isLate ? Long.MIN_VALUE / 2 : 0) + job.urgency() * ageing.micros() - waited.micros();
   }
 
-  void submittedAgain(Moment now) {
-    if (state == State.RUNS) {
-      again = true;
+  void resubmitted(Moment now) {
+    if (state == State.RUNNING) {
+      rerunRequested = true;
     } else if (now.before(dueAt) && failures == 0) {
       dueAt = now; // one that failed keeps its pause: wishing does not make what it needs come back
     }
   }
 
-  void begins() {
-    state = State.RUNS;
-    reservedTime = deskTime;
-    reservedBytes = bytes;
+  void started() {
+    state = State.RUNNING;
+    reservedLoopTime = estimatedLoopTime;
+    reservedBytes = estimatedBytes;
   }
 
-  Span reservedTime() {
-    return reservedTime;
+  Span reservedLoopTime() {
+    return reservedLoopTime;
   }
 
   long reservedBytes() {
@@ -106,45 +106,45 @@
    * It has been done, and took so much. What is done every so often is due again, counted from now:
    * none is caught up on.
    */
-  public void succeeded(Moment now, Span took, long moved) {
-    if (state != State.RUNS) {
+  public void succeeded(Moment now, Span loopTime, long bytes) {
+    if (state != State.RUNNING) {
       return;
     }
-    learn(took, moved);
+    updateEstimates(loopTime, bytes);
     failures = 0;
-    pause.reset();
-    bench.ended(this, now, took, moved, true);
-    next(now, Span.NONE.under(job.every()) ? now.plus(job.every()) : null);
+    backoff.reset();
+    scheduler.ended(this, now, loopTime, bytes, true);
+    scheduleNext(now, Span.NONE.under(job.interval()) ? now.plus(job.interval()) : null);
   }
 
   /** It has failed, and took so much; it is tried again after a pause, as often as it may. */
-  public void failed(Moment now, Span took, long moved) {
-    if (state != State.RUNS) {
+  public void failed(Moment now, Span loopTime, long bytes) {
+    if (state != State.RUNNING) {
       return;
     }
-    learn(took, moved);
-    bench.ended(this, now, took, moved, false);
+    updateEstimates(loopTime, bytes);
+    scheduler.ended(this, now, loopTime, bytes, false);
     failures++;
-    if (job.tries() > 0 && failures >= job.tries()) {
-      state = State.OVER;
-      bench.over(this, true);
+    if (job.maxAttempts() > 0 && failures >= job.maxAttempts()) {
+      state = State.ENDED;
+      scheduler.finished(this, true);
       return;
     }
-    again = false;
-    next(now, now.plus(pause.next()));
+    rerunRequested = false;
+    scheduleNext(now, now.plus(backoff.next()));
   }
 
-  private void next(Moment now, Moment then) {
-    if (again) {
-      again = false;
+  private void scheduleNext(Moment now, Moment nextDueAt) {
+    if (rerunRequested) {
+      rerunRequested = false;
       dueAt = now;
-      state = State.WAITS;
-    } else if (then != null) {
-      dueAt = then;
-      state = State.WAITS;
+      state = State.WAITING;
+    } else if (nextDueAt != null) {
+      dueAt = nextDueAt;
+      state = State.WAITING;
     } else {
-      state = State.OVER;
-      bench.over(this, false);
+      state = State.ENDED;
+      scheduler.finished(this, false);
     }
   }
 
@@ -152,21 +152,24 @@
    * What it took moves what it is thought to take: up at once, down slowly, so that budgets are
    * rather kept than filled.
    */
-  private void learn(Span took, long moved) {
-    deskTime = deskTime.under(took) ? took : deskTime.times(0.75).plus(took.times(0.25));
-    bytes = Math.max(moved, (long) (0.75 * bytes + 0.25 * moved));
+  private void updateEstimates(Span loopTime, long bytes) {
+    estimatedLoopTime =
+        estimatedLoopTime.under(loopTime)
+            ? loopTime
+            : estimatedLoopTime.times(0.75).plus(loopTime.times(0.25));
+    estimatedBytes = Math.max(bytes, (long) (0.75 * estimatedBytes + 0.25 * bytes));
   }
 
   /** It is not wanted any more. What it has begun is not undone; its end is passed over. */
-  public void callOff() {
-    if (state != State.OVER) {
-      boolean ran = state == State.RUNS;
-      state = State.OVER;
-      bench.calledOff(this, ran);
+  public void cancel() {
+    if (state != State.ENDED) {
+      boolean wasRunning = state == State.RUNNING;
+      state = State.ENDED;
+      scheduler.cancelled(this, wasRunning);
     }
   }
 
-  void leaves() {
-    state = State.OVER;
+  void evicted() {
+    state = State.ENDED;
   }
 }
--- a/src/main/java/linengauge/zones/FailoverController.java
+++ b/src/main/java/linengauge/zones/FailoverController.java
@@ -13,130 +13,157 @@
  * nothing is moved that has no room where it would go.
  */
 public final class FailoverController {
-  private record Report(Moment at, ZoneObservation evidence) {}
+  private record TimedReport(Moment receivedAt, ZoneObservation observation) {}
 
   /** How one place has been of late. */
-  private static final class Course {
-    private Moment badSince;
-    private Moment wellSince;
-    private Moment nearSince;
-    private Moment steppedAt = Moment.DISTANT_PAST;
+  private static final class ZoneHistory {
+    private Moment unhealthySince;
+    private Moment healthySince;
+    private Moment servingSince;
+    private Moment lastStepAt = Moment.DISTANT_PAST;
   }
 
   /** Fewer reports than this condemn nobody. */
-  private static final int LEAST_REPORTS = 3;
+  private static final int MIN_REPORTS = 3;
 
-  private static final int MOST_FRONTS = 1024;
+  private static final int MAX_FRONTS = 1024;
 
-  private final FailoverSettings terms;
+  private final FailoverSettings settings;
   private final ZoneTable table;
 
   /** By place, then by front; what is older than it counts leaves with the next look. */
-  private final TreeMap<Integer, TreeMap<Integer, Report>> reports = new TreeMap<>();
+  private final TreeMap<Integer, TreeMap<Integer, TimedReport>> reports = new TreeMap<>();
 
-  private final TreeMap<Integer, Course> courses = new TreeMap<>();
+  private final TreeMap<Integer, ZoneHistory> histories = new TreeMap<>();
 
   /** What each place can serve, kB a second; one without room known takes nothing in. */
-  private final TreeMap<Integer, Double> rooms = new TreeMap<>();
+  private final TreeMap<Integer, Double> capacitiesKbPerSecond = new TreeMap<>();
 
-  private Moment sharedAt = Moment.DISTANT_PAST;
+  private Moment lastDecisionAt = Moment.DISTANT_PAST;
 
-  public FailoverController(FailoverSettings terms, ZoneTable table) {
-    this.terms = terms;
+  public FailoverController(FailoverSettings settings, ZoneTable table) {
+    this.settings = settings;
     this.table = table;
   }
 
   /** What the place's boxes can serve, by the list. */
-  public void room(int place, double kb) {
-    if (place >= 0 && place < ZoneTable.MOST_PLACES && kb >= 0) {
-      rooms.put(place, kb);
+  public void setCapacity(int zone, double kbPerSecond) {
+    if (zone >= 0 && zone < ZoneTable.MAX_ZONES && kbPerSecond >= 0) {
+      capacitiesKbPerSecond.put(zone, kbPerSecond);
     }
   }
 
-  public void heard(Moment now, int front, int place, ZoneObservation e) {
-    if (place < 0 || place >= ZoneTable.MOST_PLACES) {
+  public void report(Moment now, int front, int zone, ZoneObservation observation) {
+    if (zone < 0 || zone >= ZoneTable.MAX_ZONES) {
       return;
     }
-    TreeMap<Integer, Report> ofPlace = reports.computeIfAbsent(place, p -> new TreeMap<>());
-    if (ofPlace.size() < MOST_FRONTS || ofPlace.containsKey(front)) {
-      ofPlace.put(front, new Report(now, e));
+    TreeMap<Integer, TimedReport> reportsByFront =
+        reports.computeIfAbsent(zone, newZone -> new TreeMap<>());
+    if (reportsByFront.size() < MAX_FRONTS || reportsByFront.containsKey(front)) {
+      reportsByFront.put(front, new TimedReport(now, observation));
     }
   }
 
   /** The rows that are to change now, all in one decision from the table's number; empty: none. */
-  public Map<Integer, ZoneEntry> look(Moment now) {
+  public Map<Integer, ZoneEntry> decide(Moment now) {
     reports
         .values()
-        .forEach(ofPlace -> ofPlace.values().removeIf(t -> terms.holds().under(now.since(t.at()))));
+        .forEach(
+            reportsByFront ->
+                reportsByFront
+                    .values()
+                    .removeIf(
+                        report -> settings.reportLifetime().under(now.since(report.receivedAt()))));
     TreeMap<Integer, ZoneEntry> next = new TreeMap<>();
-    for (int place : rooms.keySet()) {
-      ZoneEntry r = table.row(place);
-      if (r.order().isEmpty()) {
+    for (int zone : capacitiesKbPerSecond.keySet()) {
+      ZoneEntry entry = table.entry(zone);
+      if (entry.holdReason().isEmpty()) {
         ZoneEntry wanted =
-            standing(place, r, courses.computeIfAbsent(place, p -> new Course()), now);
-        next.put(place, wanted);
+            nextEntry(
+                zone, entry, histories.computeIfAbsent(zone, newZone -> new ZoneHistory()), now);
+        next.put(zone, wanted);
       }
     }
-    shares(next);
-    next.entrySet().removeIf(e -> isAlike(table.row(e.getKey()), e.getValue()));
+    assignShares(next);
+    next.entrySet()
+        .removeIf(
+            observation -> isSimilar(table.entry(observation.getKey()), observation.getValue()));
     if (next.entrySet().stream()
-            .allMatch(e -> table.row(e.getKey()).standing() == e.getValue().standing())
-        && now.before(sharedAt.plus(terms.step()))) {
+            .allMatch(
+                observation ->
+                    table.entry(observation.getKey()).state() == observation.getValue().state())
+        && now.before(lastDecisionAt.plus(settings.stepInterval()))) {
       return Map
           .of(); // demand that rocks is followed at a pace: each change is news to the whole fleet
     }
-    sharedAt = next.isEmpty() ? sharedAt : now;
+    lastDecisionAt = next.isEmpty() ? lastDecisionAt : now;
     next.forEach(
-        (place, r) -> {
-          if (r.standing() == ZoneState.COMING_BACK) {
-            courses.get(place).steppedAt = now;
+        (zone, entry) -> {
+          if (entry.state() == ZoneState.COMING_BACK) {
+            histories.get(zone).lastStepAt = now;
           }
         });
     return next;
   }
 
-  private boolean isAlike(ZoneEntry a, ZoneEntry b) {
-    return a.standing() == b.standing()
-        && a.relapses() == b.relapses()
-        && Math.abs(a.stays() - b.stays()) < terms.worth()
-        && Math.abs(a.goes() - b.goes()) < terms.worth();
+  private boolean isSimilar(ZoneEntry current, ZoneEntry wanted) {
+    return current.state() == wanted.state()
+        && current.relapses() == wanted.relapses()
+        && Math.abs(current.localShare() - wanted.localShare()) < settings.minShareChange()
+        && Math.abs(current.remoteShare() - wanted.remoteShare()) < settings.minShareChange();
   }
 
   /** Where it is to stand, by evidence that has held; how much of it goes where comes after. */
-  private ZoneEntry standing(int place, ZoneEntry r, Course c, Moment now) {
-    follow(c, illness(place), r, now);
-    if (r.standing() != ZoneState.GIVEN_UP && hasLasted(c.badSince, terms.after(), now)) {
-      boolean relapsed = r.standing() == ZoneState.COMING_BACK || r.relapses() > 0;
-      return new ZoneEntry(ZoneState.GIVEN_UP, 0, 0, relapsed ? r.relapses() + 1 : 1, "", 0);
+  private ZoneEntry nextEntry(int zone, ZoneEntry entry, ZoneHistory history, Moment now) {
+    updateHistory(history, failureShare(zone), entry, now);
+    if (entry.state() != ZoneState.GIVEN_UP
+        && hasLasted(history.unhealthySince, settings.failoverDelay(), now)) {
+      boolean hasRelapsed = entry.state() == ZoneState.COMING_BACK || entry.relapses() > 0;
+      return new ZoneEntry(ZoneState.GIVEN_UP, 0, 0, hasRelapsed ? entry.relapses() + 1 : 1, "", 0);
     }
-    return switch (r.standing()) {
+    return switch (entry.state()) {
       case GIVEN_UP ->
-          hasLasted(c.wellSince, holdOff(r.relapses()), now)
-              ? new ZoneEntry(ZoneState.COMING_BACK, terms.first(), 0, r.relapses(), "", 0)
-              : r;
+          hasLasted(history.healthySince, recoveryDelay(entry.relapses()), now)
+              ? new ZoneEntry(
+                  ZoneState.COMING_BACK,
+                  settings.initialRecoveryShare(),
+                  0,
+                  entry.relapses(),
+                  "",
+                  0)
+              : entry;
       case COMING_BACK ->
-          c.wellSince == null || now.before(c.steppedAt.plus(terms.step())) ? r : stepBack(r);
+          history.healthySince == null
+                  || now.before(history.lastStepAt.plus(settings.stepInterval()))
+              ? entry
+              : nextRecoveryStep(entry);
       default ->
-          terms.rested().under(now.since(c.nearSince))
-              ? new ZoneEntry(r.standing(), r.stays(), r.goes(), 0, "", 0)
-              : r;
+          settings.relapseResetTime().under(now.since(history.servingSince))
+              ? new ZoneEntry(entry.state(), entry.localShare(), entry.remoteShare(), 0, "", 0)
+              : entry;
     };
   }
 
   /** Notes since when the place is bad, well, or near. */
-  private void follow(Course c, double ill, ZoneEntry r, Moment now) {
-    boolean near = r.standing() == ZoneState.NEAR || r.standing() == ZoneState.SHARING;
-    c.badSince = since(ill >= terms.bad(), c.badSince, now);
-    c.wellSince = since(ill >= 0 && ill < terms.well(), c.wellSince, now);
-    c.nearSince = since(near, c.nearSince, now);
+  private void updateHistory(
+      ZoneHistory history, double failureShare, ZoneEntry entry, Moment now) {
+    boolean isServing = entry.state() == ZoneState.NEAR || entry.state() == ZoneState.SHARING;
+    history.unhealthySince =
+        since(failureShare >= settings.unhealthyFailureShare(), history.unhealthySince, now);
+    history.healthySince =
+        since(
+            failureShare >= 0 && failureShare < settings.healthyFailureShare(),
+            history.healthySince,
+            now);
+    history.servingSince = since(isServing, history.servingSince, now);
   }
 
   /** Since when that is so; null where it is not. */
-  private static Moment since(boolean so, Moment before, Moment now) {
-    if (!so) {
+  private static Moment since(boolean isTrue, Moment previous, Moment now) {
+    if (!isTrue) {
       return null;
     }
-    return before == null ? now : before;
+    return previous == null ? now : previous;
   }
 
   private static boolean hasLasted(Moment since, Span span, Moment now) {
@@ -144,17 +171,17 @@
   }
 
   /** The next step of one that comes back: twice as much stays, up to all of it. */
-  private static ZoneEntry stepBack(ZoneEntry r) {
-    return r.stays() * 2 < 1
-        ? new ZoneEntry(ZoneState.COMING_BACK, r.stays() * 2, 0, r.relapses(), "", 0)
-        : new ZoneEntry(ZoneState.NEAR, 1, 0, r.relapses(), "", 0);
+  private static ZoneEntry nextRecoveryStep(ZoneEntry entry) {
+    return entry.localShare() * 2 < 1
+        ? new ZoneEntry(ZoneState.COMING_BACK, entry.localShare() * 2, 0, entry.relapses(), "", 0)
+        : new ZoneEntry(ZoneState.NEAR, 1, 0, entry.relapses(), "", 0);
   }
 
-  private Span holdOff(int relapses) {
-    return terms
-        .back()
+  private Span recoveryDelay(int relapses) {
+    return settings
+        .recoveryDelay()
         .times(1L << Math.min(10, Math.max(0, relapses - 1)))
-        .orLess(terms.backAtMost());
+        .orLess(settings.maxRecoveryDelay());
   }
 
   /**
@@ -162,32 +189,35 @@
    * against one sick front that condemns a place, or one that praises it. It could hurt where two
    * alone see a place: it is never given up for them.
    */
-  private double illness(int place) {
-    List<double[]> sharesOfFailures = new ArrayList<>();
-    for (Report t : reports.getOrDefault(place, new TreeMap<>()).values()) {
-      ZoneObservation e = t.evidence();
-      if (e.tries() > 0) {
-        sharesOfFailures.add(
-            new double[] {(double) e.failed() / e.tries(), Math.min(1, e.tries() / terms.full())});
+  private double failureShare(int zone) {
+    List<double[]> weightedShares = new ArrayList<>();
+    for (TimedReport report : reports.getOrDefault(zone, new TreeMap<>()).values()) {
+      ZoneObservation observation = report.observation();
+      if (observation.attempts() > 0) {
+        weightedShares.add(
+            new double[] {
+              (double) observation.failed() / observation.attempts(),
+              Math.min(1, observation.attempts() / settings.fullWeightAttempts())
+            });
       }
     }
-    if (sharesOfFailures.size() < LEAST_REPORTS) {
+    if (weightedShares.size() < MIN_REPORTS) {
       return -1;
     }
-    sharesOfFailures.sort((a, b) -> Double.compare(a[0], b[0]));
-    double bad = 0;
-    double all = 0;
-    for (double[] w : sharesOfFailures.subList(1, sharesOfFailures.size() - 1)) {
-      bad += w[0] * w[1];
-      all += w[1];
+    weightedShares.sort((a, b) -> Double.compare(a[0], b[0]));
+    double weightedFailures = 0;
+    double totalWeight = 0;
+    for (double[] weighted : weightedShares.subList(1, weightedShares.size() - 1)) {
+      weightedFailures += weighted[0] * weighted[1];
+      totalWeight += weighted[1];
     }
-    return all > 0 ? bad / all : -1;
+    return totalWeight > 0 ? weightedFailures / totalWeight : -1;
   }
 
-  private double asked(int place) {
+  private double demandKbPerSecond(int zone) {
     double sum = 0;
-    for (Report t : reports.getOrDefault(place, new TreeMap<>()).values()) {
-      sum += t.evidence().asked();
+    for (TimedReport report : reports.getOrDefault(zone, new TreeMap<>()).values()) {
+      sum += report.observation().demandKbPerSecond();
     }
     return sum;
   }
@@ -197,47 +227,52 @@
    * nothing in, so that what fails over does not push it over as well. What fits nowhere is refused
    * where it asks.
    */
-  private void shares(TreeMap<Integer, ZoneEntry> next) {
-    double spare = 0;
-    double leaves = 0;
-    for (Map.Entry<Integer, Double> room : rooms.entrySet()) {
-      ZoneEntry r = next.getOrDefault(room.getKey(), table.row(room.getKey()));
-      double asked = asked(room.getKey());
-      double kept = keeps(r, asked, room.getValue());
-      leaves += asked * (1 - kept);
-      if (r.standing() == ZoneState.NEAR || r.standing() == ZoneState.SHARING) {
-        spare += Math.max(0, terms.fill() * room.getValue() - asked);
+  private void assignShares(TreeMap<Integer, ZoneEntry> next) {
+    double spareKbPerSecond = 0;
+    double leavingKbPerSecond = 0;
+    for (Map.Entry<Integer, Double> capacity : capacitiesKbPerSecond.entrySet()) {
+      ZoneEntry entry = next.getOrDefault(capacity.getKey(), table.entry(capacity.getKey()));
+      double demand = demandKbPerSecond(capacity.getKey());
+      double keptShare = localShare(entry, demand, capacity.getValue());
+      leavingKbPerSecond += demand * (1 - keptShare);
+      if (entry.state() == ZoneState.NEAR || entry.state() == ZoneState.SHARING) {
+        spareKbPerSecond += Math.max(0, settings.maxUtilization() * capacity.getValue() - demand);
       }
     }
-    double fits = leaves > 0 ? Math.min(1, spare / leaves) : 1;
+    double fittingShare =
+        leavingKbPerSecond > 0 ? Math.min(1, spareKbPerSecond / leavingKbPerSecond) : 1;
     next.replaceAll(
-        (place, r) -> {
-          double kept = keeps(r, asked(place), rooms.get(place));
-          ZoneState s =
-              r.standing() != ZoneState.NEAR && r.standing() != ZoneState.SHARING
-                  ? r.standing()
-                  : kept < 1 - terms.worth() ? ZoneState.SHARING : ZoneState.NEAR;
-          boolean all = s == ZoneState.NEAR;
+        (zone, entry) -> {
+          double keptShare =
+              localShare(entry, demandKbPerSecond(zone), capacitiesKbPerSecond.get(zone));
+          ZoneState state =
+              entry.state() != ZoneState.NEAR && entry.state() != ZoneState.SHARING
+                  ? entry.state()
+                  : keptShare < 1 - settings.minShareChange() ? ZoneState.SHARING : ZoneState.NEAR;
+          boolean servesAll = state == ZoneState.NEAR;
           // What fits nowhere stays where a place still serves, and is refused where it does not.
-          double goes = all ? 0 : (1 - kept) * fits;
+          double remoteShare = servesAll ? 0 : (1 - keptShare) * fittingShare;
           return new ZoneEntry(
-              s,
-              all ? 1 : s == ZoneState.SHARING ? 1 - goes : kept,
-              goes,
-              r.relapses(),
+              state,
+              servesAll ? 1 : state == ZoneState.SHARING ? 1 - remoteShare : keptShare,
+              remoteShare,
+              entry.relapses(),
               "",
-              r.since());
+              entry.stateSinceVersion());
         });
   }
 
-  private double keeps(ZoneEntry r, double asked, double room) {
-    if (!r.order().isEmpty()) {
-      return r.stays();
+  private double localShare(ZoneEntry entry, double demand, double capacity) {
+    if (!entry.holdReason().isEmpty()) {
+      return entry.localShare();
     }
-    return switch (r.standing()) {
+    return switch (entry.state()) {
       case GIVEN_UP -> 0;
-      case COMING_BACK -> r.stays();
-      default -> asked <= room * terms.fill() ? 1 : room * terms.fill() / asked;
+      case COMING_BACK -> entry.localShare();
+      default ->
+          demand <= capacity * settings.maxUtilization()
+              ? 1
+              : capacity * settings.maxUtilization() / demand;
     };
   }
 }
--- a/src/main/java/linengauge/zones/FailoverSettings.java
+++ b/src/main/java/linengauge/zones/FailoverSettings.java
@@ -5,31 +5,32 @@
 /**
  * How soon evidence becomes a change. Regions have the same further, dearer, later.
  *
- * @param holds evidence counts so long
- * @param full so many tries make a front's word a whole one; it is never more
- * @param bad share of failures at which a place is to be given up, and below which it is well
- * @param after it has to be bad for so long
- * @param back it has to be well for so long to come back, doubled with each relapse
- * @param backAtMost the longest of these
- * @param step between two rises of the share taken back
- * @param first share taken back, doubled with each step
- * @param rested near for so long, a place's relapses are forgotten
- * @param fill of a place's room that newcomers may take
- * @param worth shares closer than this to the table's are left as they are
+ * @param reportLifetime evidence counts so long
+ * @param fullWeightAttempts so many tries make a front's word a whole one; it is never more
+ * @param unhealthyFailureShare share of failures at which a place is to be given up, and below
+ *     which it is well
+ * @param failoverDelay it has to be bad for so long
+ * @param recoveryDelay it has to be well for so long to come back, doubled with each relapse
+ * @param maxRecoveryDelay the longest of these
+ * @param stepInterval between two rises of the share taken back
+ * @param initialRecoveryShare share taken back, doubled with each step
+ * @param relapseResetTime near for so long, a place's relapses are forgotten
+ * @param maxUtilization of a place's room that newcomers may take
+ * @param minShareChange shares closer than this to the table's are left as they are
  */
 public record FailoverSettings(
-    Span holds,
-    double full,
-    double bad,
-    double well,
-    Span after,
-    Span back,
-    Span backAtMost,
-    Span step,
-    double first,
-    Span rested,
-    double fill,
-    double worth) {
+    Span reportLifetime,
+    double fullWeightAttempts,
+    double unhealthyFailureShare,
+    double healthyFailureShare,
+    Span failoverDelay,
+    Span recoveryDelay,
+    Span maxRecoveryDelay,
+    Span stepInterval,
+    double initialRecoveryShare,
+    Span relapseResetTime,
+    double maxUtilization,
+    double minShareChange) {
   public static final FailoverSettings ZONES =
       new FailoverSettings(
           Span.ofSeconds(3),
--- a/src/main/java/linengauge/zones/ZoneEntry.java
+++ b/src/main/java/linengauge/zones/ZoneEntry.java
@@ -6,38 +6,50 @@
 /**
  * One place's row.
  *
- * @param stays share of its newcomers that it serves itself, 0 to 1
- * @param goes share that is sent elsewhere; what is left, 1 - stays - goes, is refused where it
- *     asks
+ * @param localShare share of its newcomers that it serves itself, 0 to 1
+ * @param remoteShare share that is sent elsewhere; what is left, 1 - stays - goes, is refused where
+ *     it asks
  * @param relapses how often it was given up again since it last stood near for long
- * @param order of an operator that holds it so, or ""
- * @param since the table's number with which it came to stand so
+ * @param holdReason of an operator that holds it so, or ""
+ * @param stateSinceVersion the table's number with which it came to stand so
  */
 public record ZoneEntry(
-    ZoneState standing, double stays, double goes, int relapses, String order, long since) {
-  private static final int MOST_ORDER = 256;
+    ZoneState state,
+    double localShare,
+    double remoteShare,
+    int relapses,
+    String holdReason,
+    long stateSinceVersion) {
+  private static final int MAX_HOLD_REASON_CHARS = 256;
 
-  public static final ZoneEntry AT_REST = new ZoneEntry(ZoneState.NEAR, 1, 0, 0, "", 0);
+  public static final ZoneEntry DEFAULT = new ZoneEntry(ZoneState.NEAR, 1, 0, 0, "", 0);
 
   public ZoneEntry {
-    if (!(stays >= 0 && goes >= 0 && stays + goes <= 1 + 1e-9)
+    if (!(localShare >= 0 && remoteShare >= 0 && localShare + remoteShare <= 1 + 1e-9)
         || relapses < 0
-        || order.length() > MOST_ORDER) {
-      throw new IllegalArgumentException("no row: " + stays + " stays, " + goes + " goes");
+        || holdReason.length() > MAX_HOLD_REASON_CHARS) {
+      throw new IllegalArgumentException(
+          "no row: " + localShare + " stays, " + remoteShare + " goes");
     }
   }
 
-  void write(MessageWriter to) {
-    to.num(standing.ordinal()).real(stays).real(goes).num(relapses).text(order).num(since);
+  void write(MessageWriter writer) {
+    writer
+        .num(state.ordinal())
+        .real(localShare)
+        .real(remoteShare)
+        .num(relapses)
+        .text(holdReason)
+        .num(stateSinceVersion);
   }
 
-  static ZoneEntry read(MessageReader from) {
+  static ZoneEntry read(MessageReader reader) {
     return new ZoneEntry(
-        from.one(ZoneState.values()),
-        from.real(),
-        from.real(),
-        from.num(0, Integer.MAX_VALUE),
-        from.text(4 * MOST_ORDER),
-        from.num());
+        reader.one(ZoneState.values()),
+        reader.real(),
+        reader.real(),
+        reader.num(0, Integer.MAX_VALUE),
+        reader.text(4 * MAX_HOLD_REASON_CHARS),
+        reader.num());
   }
 }
--- a/src/main/java/linengauge/zones/ZoneRouter.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -15,129 +15,134 @@
 public final class ZoneRouter {
   /** How the front stands to the table. */
   public enum Mode {
-    TOGETHER,
-    LOOSENING,
-    ALONE,
-    TIGHTENING
+    COORDINATED,
+    DETACHING,
+    INDEPENDENT,
+    REATTACHING
   }
 
   /**
-   * @param lease a word of the table counts in full while it is no older
-   * @param over so long it takes from all newcomers by the table to none, and back
+   * @param maxTableAge a word of the table counts in full while it is no older
+   * @param transitionTime so long it takes from all newcomers by the table to none, and back
    */
-  public record Terms(Span lease, Span over) {
-    public static final Terms USUAL = new Terms(Span.ofSeconds(3), Span.ofSeconds(5));
+  public record Settings(Span maxTableAge, Span transitionTime) {
+    public static final Settings DEFAULT = new Settings(Span.ofSeconds(3), Span.ofSeconds(5));
   }
 
   /**
    * One newcomer's places.
    *
-   * @param shares by place, how much each is to be preferred, in sum 1; empty where it is refused
+   * @param weights by place, how much each is to be preferred, in sum 1; empty where it is refused
    *     at once, or where all are allowed
-   * @param alone all places are allowed, as without a table
-   * @param number the table's, which it goes by
+   * @param unrestricted all places are allowed, as without a table
+   * @param tableVersion the table's, which it goes by
    */
-  public record Choice(SortedMap<Integer, Double> shares, boolean alone, long number) {
-    public boolean isRefused() {
-      return !alone && shares.isEmpty();
+  public record Route(SortedMap<Integer, Double> weights, boolean unrestricted, long tableVersion) {
+    public boolean isRejected() {
+      return !unrestricted && weights.isEmpty();
     }
 
     /** Whether a box of that place may be used. */
-    public boolean allows(int place) {
-      return alone || shares.containsKey(place);
+    public boolean allows(int zone) {
+      return unrestricted || weights.containsKey(zone);
     }
   }
 
-  private final Terms terms;
-  private final int own;
+  private final Settings settings;
+  private final int ownZone;
   private final ZoneTable table;
-  private final SplittableRandom chance;
-  private final SortedMap<Integer, Double> rooms = new TreeMap<>();
-  private Moment sureAt = Moment.DISTANT_PAST;
-  private Moment lookedAt;
-  private double loose = 1;
+  private final SplittableRandom random;
+  private final SortedMap<Integer, Double> capacitiesKbPerSecond = new TreeMap<>();
+  private Moment tableConfirmedAt = Moment.DISTANT_PAST;
+  private Moment updatedAt;
+  private double independentShare = 1;
 
   /**
-   * @param own the place that the front is in
+   * @param ownZone the place that the front is in
    */
-  public ZoneRouter(Terms terms, int own, ZoneTable table, SplittableRandom chance) {
-    this.terms = terms;
-    this.own = own;
+  public ZoneRouter(Settings settings, int ownZone, ZoneTable table, SplittableRandom random) {
+    this.settings = settings;
+    this.ownZone = ownZone;
     this.table = table;
-    this.chance = chance;
+    this.random = random;
   }
 
   /** What a place's boxes can serve, by the list; 0: it has none. */
-  public void room(int place, double kb) {
-    if (kb > 0) {
-      rooms.put(place, kb);
+  public void setCapacity(int zone, double kbPerSecond) {
+    if (kbPerSecond > 0) {
+      capacitiesKbPerSecond.put(zone, kbPerSecond);
     } else {
-      rooms.remove(place);
+      capacitiesKbPerSecond.remove(zone);
     }
   }
 
   /** The latest moment at which, as it knows, the council was at work; it never goes back. */
-  public void sure(Moment at) {
-    sureAt = sureAt.orLater(at);
+  public void confirmTable(Moment at) {
+    tableConfirmedAt = tableConfirmedAt.orLater(at);
   }
 
-  private boolean isAged(Moment now) {
-    return terms.lease().under(now.since(sureAt));
+  private boolean isTableStale(Moment now) {
+    return settings.maxTableAge().under(now.since(tableConfirmedAt));
   }
 
   /**
    * The share of newcomers that go by no table. A stand-still counts as one look: nobody was placed
    * in it.
    */
-  public double loose(Moment now) {
-    if (lookedAt != null) {
-      double by =
+  public double updateIndependentShare(Moment now) {
+    if (updatedAt != null) {
+      double change =
           Math.min(
               1,
-              now.since(lookedAt).orMore(Span.NONE).orLess(terms.over().times(0.25)).seconds()
-                  / terms.over().seconds());
-      loose = Math.max(0, Math.min(1, loose + (isAged(now) ? by : -by)));
+              now.since(updatedAt)
+                      .orMore(Span.NONE)
+                      .orLess(settings.transitionTime().times(0.25))
+                      .seconds()
+                  / settings.transitionTime().seconds());
+      independentShare =
+          Math.max(0, Math.min(1, independentShare + (isTableStale(now) ? change : -change)));
     }
-    lookedAt = now;
-    return loose;
+    updatedAt = now;
+    return independentShare;
   }
 
   public Mode mode(Moment now) {
-    double l = loose(now);
-    return l <= 0
-        ? Mode.TOGETHER
-        : isAged(now)
-            ? l >= 1 ? Mode.ALONE : Mode.LOOSENING
-            : l >= 1 ? Mode.ALONE : Mode.TIGHTENING;
+    double share = updateIndependentShare(now);
+    return share <= 0
+        ? Mode.COORDINATED
+        : isTableStale(now)
+            ? share >= 1 ? Mode.INDEPENDENT : Mode.DETACHING
+            : share >= 1 ? Mode.INDEPENDENT : Mode.REATTACHING;
   }
 
   /** Where this newcomer may go: its own place, or elsewhere, or nowhere. */
-  public Choice choice(Moment now) {
-    if (chance.nextDouble() < loose(now)) {
-      return new Choice(new TreeMap<>(), true, table.number());
+  public Route route(Moment now) {
+    if (random.nextDouble() < updateIndependentShare(now)) {
+      return new Route(new TreeMap<>(), true, table.version());
     }
-    ZoneEntry r = table.row(own);
-    double drawn = chance.nextDouble();
-    SortedMap<Integer, Double> to = new TreeMap<>();
-    if (drawn < r.stays() && rooms.containsKey(own)) {
-      to.put(own, 1.0);
-    } else if (drawn < r.stays() + r.goes() || !rooms.containsKey(own)) {
-      elsewhere(to);
+    ZoneEntry entry = table.entry(ownZone);
+    double drawn = random.nextDouble();
+    SortedMap<Integer, Double> weights = new TreeMap<>();
+    if (drawn < entry.localShare() && capacitiesKbPerSecond.containsKey(ownZone)) {
+      weights.put(ownZone, 1.0);
+    } else if (drawn < entry.localShare() + entry.remoteShare()
+        || !capacitiesKbPerSecond.containsKey(ownZone)) {
+      addOtherZones(weights);
     }
-    return new Choice(to, false, table.number());
+    return new Route(weights, false, table.version());
   }
 
   /** By their rooms, those that take in: near, or taken back so far. */
-  private void elsewhere(SortedMap<Integer, Double> to) {
+  private void addOtherZones(SortedMap<Integer, Double> weights) {
     double sum = 0;
-    for (var room : rooms.entrySet()) {
-      ZoneEntry r = table.row(room.getKey());
-      if (room.getKey() != own && r.standing() == ZoneState.NEAR) {
-        to.put(room.getKey(), room.getValue());
-        sum += room.getValue();
+    for (var capacity : capacitiesKbPerSecond.entrySet()) {
+      ZoneEntry entry = table.entry(capacity.getKey());
+      if (capacity.getKey() != ownZone && entry.state() == ZoneState.NEAR) {
+        weights.put(capacity.getKey(), capacity.getValue());
+        sum += capacity.getValue();
       }
     }
-    double all = sum;
-    to.replaceAll((place, kb) -> kb / all);
+    double total = sum;
+    weights.replaceAll((zone, kbPerSecond) -> kbPerSecond / total);
   }
 }
--- a/src/main/java/linengauge/zones/ZoneTable.java
+++ b/src/main/java/linengauge/zones/ZoneTable.java
@@ -15,7 +15,7 @@
  */
 public final class ZoneTable implements StateMachine {
   /** Places at the most; one that no table names stands near. */
-  public static final int MOST_PLACES = 256;
+  public static final int MAX_ZONES = 256;
 
   private enum Kind {
     CHANGE,
@@ -23,85 +23,97 @@
     RELEASE
   }
 
-  private final SortedMap<Integer, ZoneEntry> rows = new TreeMap<>();
-  private long number;
+  private final SortedMap<Integer, ZoneEntry> entries = new TreeMap<>();
+  private long version;
 
   /** Rises with every change that did something. */
-  public long number() {
-    return number;
+  public long version() {
+    return version;
   }
 
-  public ZoneEntry row(int place) {
-    return rows.getOrDefault(place, ZoneEntry.AT_REST);
+  public ZoneEntry entry(int zone) {
+    return entries.getOrDefault(zone, ZoneEntry.DEFAULT);
   }
 
   /** All that do not simply stand near. */
-  public SortedMap<Integer, ZoneEntry> rows() {
-    return java.util.Collections.unmodifiableSortedMap(rows);
+  public SortedMap<Integer, ZoneEntry> entries() {
+    return java.util.Collections.unmodifiableSortedMap(entries);
   }
 
   /** Nothing is on its way from one standing to another, and nobody leans on another. */
-  public boolean isAtRest() {
-    return rows.values().stream().allMatch(r -> r.standing() == ZoneState.NEAR);
+  public boolean isAllNear() {
+    return entries.values().stream().allMatch(entry -> entry.state() == ZoneState.NEAR);
   }
 
   /* ---- decisions ---- */
 
   /** All that changes at one moment, in one decision. */
-  public static byte[] change(long from, Map<Integer, ZoneEntry> rows) {
-    MessageWriter to = new MessageWriter().num(Kind.CHANGE.ordinal()).num(from).num(rows.size());
-    new TreeMap<>(rows)
+  public static byte[] change(long baseVersion, Map<Integer, ZoneEntry> entries) {
+    MessageWriter writer =
+        new MessageWriter().num(Kind.CHANGE.ordinal()).num(baseVersion).num(entries.size());
+    new TreeMap<>(entries)
         .forEach(
-            (place, row) -> {
-              to.num(place);
-              row.write(to);
+            (zone, entry) -> {
+              writer.num(zone);
+              entry.write(writer);
             });
-    return to.done();
+    return writer.done();
   }
 
   /** An operator holds a place as it says there, until it is released. */
   public static byte[] hold(
-      int place, ZoneState standing, double stays, double goes, String order) {
-    if (order.isBlank()) {
+      int zone, ZoneState state, double localShare, double remoteShare, String holdReason) {
+    if (holdReason.isBlank()) {
       throw new IllegalArgumentException("an order without its author");
     }
-    MessageWriter to = new MessageWriter().num(Kind.HOLD.ordinal()).num(place);
-    new ZoneEntry(standing, stays, goes, 0, order, 0).write(to);
-    return to.done();
+    MessageWriter writer = new MessageWriter().num(Kind.HOLD.ordinal()).num(zone);
+    new ZoneEntry(state, localShare, remoteShare, 0, holdReason, 0).write(writer);
+    return writer.done();
   }
 
   /**
    * That order ends, by an operator or as its time is over; what the place stands in goes on from
    * there.
    */
-  public static byte[] release(int place, String order) {
-    return new MessageWriter().num(Kind.RELEASE.ordinal()).num(place).text(order).done();
+  public static byte[] release(int zone, String holdReason) {
+    return new MessageWriter().num(Kind.RELEASE.ordinal()).num(zone).text(holdReason).done();
   }
 
   @Override
   public void apply(long index, long author, byte[] decision) {
     try {
-      MessageReader from = new MessageReader(decision);
-      switch (from.one(Kind.values())) {
-        case CHANGE -> changed(from);
+      MessageReader reader = new MessageReader(decision);
+      switch (reader.one(Kind.values())) {
+        case CHANGE -> applyChange(reader);
         case HOLD -> {
-          int place = from.num(0, MOST_PLACES - 1);
-          ZoneEntry r = ZoneEntry.read(from);
-          from.end();
-          set(
-              place,
+          int zone = reader.num(0, MAX_ZONES - 1);
+          ZoneEntry entry = ZoneEntry.read(reader);
+          reader.end();
+          putEntry(
+              zone,
               new ZoneEntry(
-                  r.standing(), r.stays(), r.goes(), row(place).relapses(), r.order(), ++number));
+                  entry.state(),
+                  entry.localShare(),
+                  entry.remoteShare(),
+                  entry(zone).relapses(),
+                  entry.holdReason(),
+                  ++version));
         }
         default -> {
-          int place = from.num(0, MOST_PLACES - 1);
-          String order = from.text(1024);
-          from.end();
-          ZoneEntry r = row(place);
-          if (!r.order().isEmpty() && r.order().equals(order)) {
-            set(
-                place,
-                new ZoneEntry(r.standing(), r.stays(), r.goes(), r.relapses(), "", ++number));
+          int zone = reader.num(0, MAX_ZONES - 1);
+          String holdReason = reader.text(1024);
+          reader.end();
+          ZoneEntry entry = entry(zone);
+          if (!entry.holdReason().isEmpty() && entry.holdReason().equals(holdReason)) {
+            putEntry(
+                zone,
+                new ZoneEntry(
+                    entry.state(),
+                    entry.localShare(),
+                    entry.remoteShare(),
+                    entry.relapses(),
+                    "",
+                    ++version));
           }
         }
       }
@@ -110,69 +122,69 @@
     }
   }
 
-  private void changed(MessageReader from) {
-    long base = from.num();
+  private void applyChange(MessageReader reader) {
+    long baseVersion = reader.num();
     SortedMap<Integer, ZoneEntry> next = new TreeMap<>();
-    for (int n = from.num(0, MOST_PLACES); n > 0; n--) {
-      int place = from.num(0, MOST_PLACES - 1);
-      next.put(place, ZoneEntry.read(from));
+    for (int remaining = reader.num(0, MAX_ZONES); remaining > 0; remaining--) {
+      int zone = reader.num(0, MAX_ZONES - 1);
+      next.put(zone, ZoneEntry.read(reader));
     }
-    from.end();
+    reader.end();
     next.entrySet()
         .removeIf(
-            e ->
-                !row(e.getKey()).order().isEmpty()
-                    || !row(e.getKey()).standing().mayBecome(e.getValue().standing()));
-    if (base != number || next.isEmpty()) {
+            change ->
+                !entry(change.getKey()).holdReason().isEmpty()
+                    || !entry(change.getKey()).state().mayBecome(change.getValue().state()));
+    if (baseVersion != version || next.isEmpty()) {
       return;
     }
-    number++;
+    version++;
     next.forEach(
-        (place, r) -> {
-          boolean asBefore = r.standing() == row(place).standing();
-          set(
-              place,
+        (zone, entry) -> {
+          boolean isStateUnchanged = entry.state() == entry(zone).state();
+          putEntry(
+              zone,
               new ZoneEntry(
-                  r.standing(),
-                  r.stays(),
-                  r.goes(),
-                  r.relapses(),
+                  entry.state(),
+                  entry.localShare(),
+                  entry.remoteShare(),
+                  entry.relapses(),
                   "",
-                  asBefore ? row(place).since() : number));
+                  isStateUnchanged ? entry(zone).stateSinceVersion() : version));
         });
   }
 
-  private void set(int place, ZoneEntry r) {
-    if (r.standing() == ZoneState.NEAR && r.relapses() == 0 && r.order().isEmpty()) {
-      rows.remove(place);
+  private void putEntry(int zone, ZoneEntry entry) {
+    if (entry.state() == ZoneState.NEAR && entry.relapses() == 0 && entry.holdReason().isEmpty()) {
+      entries.remove(zone);
     } else {
-      rows.put(place, r);
+      entries.put(zone, entry);
     }
   }
 
   @Override
   public byte[] whole() {
-    MessageWriter to = new MessageWriter().num(number).num(rows.size());
-    rows.forEach(
-        (place, r) -> {
-          to.num(place);
-          r.write(to);
+    MessageWriter writer = new MessageWriter().num(version).num(entries.size());
+    entries.forEach(
+        (zone, entry) -> {
+          writer.num(zone);
+          entry.write(writer);
         });
-    return to.done();
+    return writer.done();
   }
 
   @Override
   public void restore(byte[] whole) {
-    rows.clear();
-    number = 0;
+    entries.clear();
+    version = 0;
     if (whole.length > 0) {
-      MessageReader from = new MessageReader(whole);
-      number = from.num();
-      for (int n = from.num(0, MOST_PLACES); n > 0; n--) {
-        int place = from.num(0, MOST_PLACES - 1);
-        rows.put(place, ZoneEntry.read(from));
+      MessageReader reader = new MessageReader(whole);
+      version = reader.num();
+      for (int remaining = reader.num(0, MAX_ZONES); remaining > 0; remaining--) {
+        int zone = reader.num(0, MAX_ZONES - 1);
+        entries.put(zone, ZoneEntry.read(reader));
       }
-      from.end();
+      reader.end();
     }
   }
 }
--- /dev/null
+++ b/src/test/java/linengauge/work/JobSchedulerTest.java
@@ -0,0 +1,341 @@
+package linengauge.work;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNotNull;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertSame;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import linengauge.Moment;
+import linengauge.Span;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Background jobs in virtual time: each bound by the trouble that would pass it, and seeded days.
+ */
+class JobSchedulerTest {
+  private static final Span WINDOW = Span.ofMillis(1000);
+  private static final WorkSettings SETTINGS =
+      new WorkSettings(
+          WINDOW,
+          Span.ofMillis(100),
+          1000,
+          0.1,
+          Span.ofMillis(50),
+          20,
+          2,
+          Span.ofMillis(500),
+          Span.ofMillis(100),
+          Span.ofMillis(1600));
+
+  private final JobScheduler scheduler = new JobScheduler(SETTINGS, 7);
+  private final List<String> abandoned = new ArrayList<>();
+  private Moment now = new Moment(0);
+
+  private Job job(String name, int urgency, double loopMs, long bytes) {
+    return job(name, urgency, Span.NONE, Span.NONE, 0, loopMs, bytes);
+  }
+
+  private Job job(
+      String name,
+      int urgency,
+      Span startWithin,
+      Span interval,
+      int maxAttempts,
+      double loopMs,
+      long bytes) {
+    return new Job(
+        name,
+        urgency,
+        startWithin,
+        interval,
+        maxAttempts,
+        Span.ofSeconds(loopMs / 1000),
+        bytes,
+        new Job.Action() {
+          @Override
+          public void run(ScheduledJob job) {
+            throw new AssertionError("the bench runs nothing itself");
+          }
+
+          @Override
+          public void abandoned(ScheduledJob job) {
+            abandoned.add(job.job().name());
+          }
+        });
+  }
+
+  private ScheduledJob submit(Job job) {
+    return scheduler.submit(job, now, now).job();
+  }
+
+  private void advance(double ms) {
+    now = now.plus(Span.ofSeconds(ms / 1000));
+  }
+
+  /** Runs what comes next to its end at once; its name, or null where nothing is run. */
+  private String runNext() {
+    ScheduledJob scheduled = scheduler.nextJob(now);
+    if (scheduled != null) {
+      scheduled.succeeded(now, scheduled.estimatedLoopTime(), scheduled.estimatedBytes());
+    }
+    return scheduled == null ? null : scheduled.job().name();
+  }
+
+  @Test
+  void mostUrgentRunsFirstAndTiesRunInSubmissionOrder() {
+    submit(job("c", 2, 1, 0));
+    submit(job("a", 1, 1, 0));
+    submit(job("b", 1, 1, 0));
+    assertEquals("a", runNext());
+    assertEquals("b", runNext());
+    assertEquals("c", runNext());
+    assertNull(runNext());
+    assertEquals(0, scheduler.jobs());
+  }
+
+  @Test
+  void windowBudgetIsKeptAndFreedAtTheNextPoll() {
+    for (int i = 0; i < 10; i++) {
+      submit(job("j" + i, 1, 30, 0));
+    }
+    for (int i = 0; i < 3; i++) {
+      assertNotNull(runNext());
+    }
+    assertNull(runNext(), "a fourth would be over 100 ms");
+    Moment pollAt = scheduler.nextPollAt();
+    assertTrue(
+        now.before(pollAt) && !now.plus(WINDOW.times(1.1)).before(pollAt), "ask at " + pollAt);
+    now = pollAt;
+    assertNotNull(runNext());
+  }
+
+  @Test
+  void smallJobsDoNotStarveALargeOneOfItsBudget() {
+    submit(job("first", 1, 60, 0));
+    assertEquals("first", runNext());
+    submit(job("large", 1, 90, 0));
+    submit(job("small", 2, 10, 0));
+    submit(job("reads", 2, 0, 500));
+    assertEquals("reads", runNext(), "it takes nothing that the large one waits for");
+    assertNull(runNext());
+    advance(1100);
+    assertEquals("large", runNext());
+    assertEquals("small", runNext());
+  }
+
+  @Test
+  void agingJobsOvertakeMoreUrgentOnes() {
+    submit(job("patient", 5, 1, 0));
+    for (int i = 0; i < 3; i++) {
+      advance(500);
+      submit(job("urgent" + i, 1, 1, 0));
+      assertEquals("urgent" + i, runNext());
+    }
+    advance(600);
+    submit(job("urgent", 1, 1, 0)); // four steps are over
+    assertEquals("patient", runNext());
+    submit(job("bound", 9, Span.ofMillis(300), Span.NONE, 0, 1, 0));
+    advance(300);
+    submit(job("other", 0, 1, 0));
+    assertEquals("bound", runNext(), "it is late for its own bound");
+  }
+
+  @Test
+  void lateLoopLeavesTheFloorAndOneJobInAnEmptyWindow() {
+    scheduler.setLoopDelay(Span.ofMillis(50));
+    submit(job("a", 1, 4, 0));
+    submit(job("b", 1, 4, 0));
+    submit(job("c", 1, 4, 0));
+    assertEquals("a", runNext());
+    assertEquals("b", runNext());
+    assertNull(runNext(), "12 ms would be over a tenth of 100");
+    scheduler.setLoopDelay(Span.NONE);
+    assertEquals("c", runNext());
+    advance(1100);
+    scheduler.setLoopDelay(Span.ofMillis(80));
+    submit(job("large", 1, 90, 0));
+    assertEquals("large", runNext(), "else it would wait for as long as the desk is late");
+  }
+
+  @Test
+  void resubmissionWhileRunningRunsTheJobOnceMore() {
+    ScheduledJob scheduled = submit(job("save", 1, 1, 0));
+    assertSame(scheduled, submit(job("save", 1, 1, 0)));
+    assertSame(scheduled, scheduler.nextJob(now));
+    submit(job("save", 1, 1, 0));
+    submit(job("save", 1, 1, 0));
+    assertNull(scheduler.nextJob(now), "not beside itself");
+    scheduled.succeeded(now, Span.NONE, 0);
+    assertEquals("save", runNext());
+    assertNull(runNext());
+  }
+
+  @Test
+  void failingJobBacksOffAndIsAbandonedAfterItsAttempts() {
+    ScheduledJob scheduled = submit(job("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
+    Span previousPause = Span.NONE;
+    for (int i = 1; i < 6; i++) {
+      assertSame(scheduled, scheduler.nextJob(now));
+      scheduled.failed(now, Span.NONE, 0);
+      Span pause = scheduled.dueAt().since(now);
+      Span maxPause = Span.ofMillis(100L << i - 1);
+      assertTrue(!maxPause.under(pause) && !pause.under(maxPause.times(0.5)), "pause " + pause);
+      assertTrue(previousPause.times(0.9).under(pause) || i == 1, "shorter than before");
+      submit(job("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
+      assertNull(scheduler.nextJob(now), "wishing does not cut its pause");
+      now = scheduler.nextPollAt();
+      previousPause = pause;
+    }
+    scheduler.nextJob(now).failed(now, Span.NONE, 0);
+    assertEquals(List.of("list"), abandoned);
+    assertEquals(ScheduledJob.State.ENDED, scheduled.state());
+    assertEquals(0, scheduler.jobs());
+  }
+
+  @Test
+  void missedPeriodicRunsAreNotCaughtUp() {
+    ScheduledJob scheduled = submit(job("sweep", 1, Span.NONE, Span.ofMillis(200), 0, 1, 0));
+    assertEquals("sweep", runNext());
+    assertNull(runNext());
+    advance(5000);
+    assertEquals("sweep", runNext());
+    assertNull(runNext(), "once, however long it could not");
+    now = scheduler.nextPollAt();
+    assertEquals("sweep", runNext());
+    scheduled.cancel();
+    advance(1000);
+    assertNull(runNext());
+    assertEquals(0, scheduler.jobs());
+  }
+
+  @Test
+  void fullSchedulerEvictsTheLeastUrgentJobAndNotifiesIt() {
+    for (int i = 0; i < 20; i++) {
+      submit(job("j" + i, 3, 1, 0));
+    }
+    assertEquals(
+        JobScheduler.Result.FULL, scheduler.submit(job("late", 3, 1, 0), now, now).result());
+    assertEquals(
+        JobScheduler.Result.ACCEPTED, scheduler.submit(job("urgent", 1, 1, 0), now, now).result());
+    assertEquals(List.of("j19"), abandoned);
+    assertEquals(20, scheduler.jobs());
+    assertEquals(
+        JobScheduler.Result.TOO_LARGE, scheduler.submit(job("huge", 0, 101, 0), now, now).result());
+    assertEquals("urgent", runNext());
+  }
+
+  @Test
+  void cancellingARunningJobFreesItsSlotAndIgnoresItsResult() {
+    submit(job("a", 1, 0, 0));
+    submit(job("b", 1, 0, 0));
+    submit(job("c", 1, 0, 0));
+    ScheduledJob a = scheduler.nextJob(now);
+    assertNotNull(scheduler.nextJob(now));
+    assertNull(scheduler.nextJob(now), "two at once");
+    a.cancel();
+    a.succeeded(now, Span.NONE, 0);
+    a.failed(now, Span.NONE, 0);
+    assertEquals(1, scheduler.running());
+    assertEquals("c", scheduler.nextJob(now).job().name());
+    assertEquals(0, scheduler.counts().succeeded);
+  }
+
+  @Test
+  void estimateIsRaisedToTheMeasuredLoopTime() {
+    Job job = job("save", 1, Span.NONE, Span.ofMillis(10), 0, 5, 0);
+    submit(job);
+    scheduler.nextJob(now).succeeded(now, Span.ofMillis(80), 0);
+    advance(20);
+    assertNull(scheduler.nextJob(now), "85 and 80 are over 100");
+    advance(1100);
+    assertNotNull(scheduler.nextJob(now));
+  }
+
+  /** What a window that ends now held, by what was really begun. */
+  private record StartedJob(Moment at, Span loopTime, long bytes) {}
+
+  @Test
+  void seededSimulationsKeepEveryBudgetAndStarveNoUrgency() {
+    for (long seed = 1; seed <= 20; seed++) {
+      assertEquals(simulate(seed), simulate(seed), "the same seed, another day");
+    }
+  }
+
+  private static String simulate(long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    JobScheduler scheduler = new JobScheduler(SETTINGS, seed);
+    Moment now = new Moment(0);
+    ArrayDeque<StartedJob> startedInWindow = new ArrayDeque<>();
+    List<ScheduledJob> running = new ArrayList<>();
+    Map<Integer, Integer> succeededByUrgency = new HashMap<>();
+    StringBuilder log = new StringBuilder();
+    Job.Action unused =
+        job -> {
+          throw new AssertionError("run by the bench");
+        };
+    for (int step = 0; step < 4000; step++) {
+      now = now.plus(Span.ofMillis(random.nextInt(30)));
+      boolean isLoopLate = step / 500 % 2 == 1;
+      scheduler.setLoopDelay(isLoopLate ? Span.ofMillis(200) : Span.NONE);
+      int urgency = random.nextInt(5);
+      if (random.nextInt(8) == 0) {
+        scheduler.submit(
+            new Job(
+                "n" + urgency + "-" + random.nextInt(6),
+                urgency,
+                Span.NONE,
+                Span.NONE,
+                4,
+                Span.ofMillis(1 + random.nextInt(40)),
+                random.nextInt(300),
+                unused),
+            now,
+            now);
+      }
+      assertTrue(scheduler.jobs() <= SETTINGS.maxJobs());
+      for (ScheduledJob scheduled = scheduler.nextJob(now);
+          scheduled != null;
+          scheduled = scheduler.nextJob(now)) {
+        running.add(scheduled);
+        startedInWindow.addLast(
+            new StartedJob(now, scheduled.reservedLoopTime(), scheduled.reservedBytes()));
+        log.append(scheduled.job().name()).append(' ');
+        while (!now.minus(WINDOW).before(startedInWindow.peekFirst().at)) {
+          startedInWindow.removeFirst();
+        }
+        long loopMicros =
+            startedInWindow.stream().mapToLong(started -> started.loopTime.micros()).sum();
+        long bytes = startedInWindow.stream().mapToLong(StartedJob::bytes).sum();
+        assertTrue(
+            loopMicros <= SETTINGS.loopTime().micros() && bytes <= SETTINGS.bytes(),
+            "seed " + seed + " step " + step + ": " + loopMicros + " us, " + bytes + " bytes");
+      }
+      assertTrue(scheduler.running() <= SETTINGS.maxRunning());
+      if (!running.isEmpty() && random.nextBoolean()) {
+        ScheduledJob scheduled = running.remove(random.nextInt(running.size()));
+        if (random.nextInt(4) == 0) {
+          scheduled.failed(now, scheduled.reservedLoopTime(), scheduled.reservedBytes());
+        } else {
+          scheduled.succeeded(now, scheduled.reservedLoopTime(), scheduled.reservedBytes());
+          succeededByUrgency.merge(scheduled.job().urgency(), 1, Integer::sum);
+        }
+      }
+    }
+    for (int level = 0; level < 5; level++) {
+      assertTrue(
+          succeededByUrgency.getOrDefault(level, 0) >= 5,
+          "seed " + seed + ": urgency " + level + " starved: " + succeededByUrgency);
+    }
+    assertTrue(
+        succeededByUrgency.get(0) > succeededByUrgency.get(4),
+        "urgency counts for nothing: " + succeededByUrgency);
+    return log.toString();
+  }
+}
