--- a/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
+++ b/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
@@ -18,8 +18,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The cost of accounting: for one chunk relayed, for one transfer, and for one look at so many
- * peers that stir.
+ * The cost of traffic accounting: per relayed chunk, per transfer, and per tick with a number of
+ * active peers.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -37,7 +37,7 @@
   private PeerTraffic box;
   private Moment now = new Moment(0);
 
-  /** Takes all at once. */
+  /** Reads everything at once. */
   private static final class InstantPeer implements PeerTraffic.Peer {
     @Override
     public long queuedBytes() {
--- a/src/main/java/linengauge/flow/BufferBudget.java
+++ b/src/main/java/linengauge/flow/BufferBudget.java
@@ -1,12 +1,14 @@
 package linengauge.flow;
 
 /**
- * The budget of bytes that wait on one loop. Every peer has a floor that is kept for it; what is
- * over is shared by one limit for all, the part of the pool that is still free: a peer over the
- * limit gets nothing more until it takes, one under it always may. With n greedy peers each comes
- * to hold a part in n + 1 of it, and the last part stays free for the next peer that comes. Guards
- * against memory filled by many peers that do not read; it could hurt a fast viewer with a long
- * round trip while the pool is nearly full, which then has only its floor on the way.
+ * Limits the bytes queued on one loop. A floor is reserved for every peer; the rest of the budget
+ * is shared. A single limit applies to all peers: the floor plus the part of the shared budget that
+ * is still free. A peer above the limit receives nothing more until it has read some of its bytes,
+ * and a peer below the limit may always queue more. With n greedy peers each converges to a share
+ * of 1/(n + 1), and the last share stays free for the next peer.
+ *
+ * <p>This prevents many peers that do not read from filling the memory. The cost: while the budget
+ * is nearly used up, a fast viewer with a long round-trip time has only its floor in flight.
  */
 public final class BufferBudget {
   private final FlowSettings settings;
@@ -22,12 +24,12 @@
             - settings.maxPeers() * (settings.floorBytes() + settings.chunkBytes());
   }
 
-  /** Whether a peer for which so much waits may be given another chunk. */
+  /** Whether a peer with this many queued bytes may queue another chunk. */
   boolean mayQueue(long queuedForPeer) {
     return !settings.enabled() || queuedForPeer < peerLimitBytes();
   }
 
-  /** Bytes up to which any one peer may have more waiting now. */
+  /** A peer with fewer queued bytes than this may queue another chunk. */
   public long peerLimitBytes() {
     return Math.min(
         settings.maxQueuedBytesPerPeer(),
@@ -44,12 +46,12 @@
     return Math.max(0, bytes - settings.floorBytes() - settings.chunkBytes());
   }
 
-  /** Bytes that wait, by the last counts. */
+  /** Bytes queued for all peers, as of their latest updates. */
   public long queuedBytes() {
     return queuedBytes;
   }
 
-  /** The most that ever waited. */
+  /** The highest value of {@link #queuedBytes} so far. */
   public long peakQueuedBytes() {
     return peakQueuedBytes;
   }
--- a/src/main/java/linengauge/flow/ConnectionAttempt.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempt.java
@@ -4,18 +4,18 @@
 import linengauge.Span;
 
 /**
- * How far a connection has come with its next request, and until when it may take for it.
+ * The request state of one connection and the deadline for what the connection sends next.
  *
  * <pre>
- * state        a byte comes   headers whole   answered                          due after
- * FIRST_BYTE   HEADERS        UNDER_WAY       -                                 firstByte
- * HEADERS      -              UNDER_WAY       -                                 headers
- * UNDER_WAY    (noted)        one more        HEADERS if noted, else BETWEEN    never
- * BETWEEN      HEADERS        UNDER_WAY       -                                 between
+ * state        byte received  headers complete  response ended                         time limit
+ * FIRST_BYTE   HEADERS        UNDER_WAY         -                                      firstByteTimeout
+ * HEADERS      -              UNDER_WAY         -                                      headersTimeout
+ * UNDER_WAY    (recorded)     another request   HEADERS if recorded, otherwise BETWEEN none
+ * BETWEEN      HEADERS        UNDER_WAY         -                                      idleTimeout
  * </pre>
  */
 public final class ConnectionAttempt {
-  /** What the connection waits for. */
+  /** What the connection waits for; {@code BETWEEN} is idle between two requests. */
   public enum State {
     FIRST_BYTE,
     HEADERS,
@@ -23,9 +23,9 @@
     BETWEEN
   }
 
-  /** The connection on its socket. */
+  /** The underlying network connection. */
   public interface Connection {
-    /** It has taken too long with what the state names. */
+    /** The time limit of this state has passed; the connection is to be closed. */
     void timedOut(State state);
   }
 
@@ -50,7 +50,7 @@
     return state;
   }
 
-  /** An answer is owed to it. */
+  /** Whether a response is still to be completed. */
   public boolean isResponsePending() {
     return requestsInProgress > 0;
   }
@@ -59,7 +59,7 @@
     return connection;
   }
 
-  /** When it is to be closed, by the loop's own time; null while a request is under way. */
+  /** When the connection times out, in loop time; null while no time limit applies. */
   Moment deadline() {
     return deadline;
   }
@@ -77,7 +77,7 @@
     attempts.addDeadline(this);
   }
 
-  /** A byte has come. */
+  /** Called when bytes have been received. */
   public void byteReceived() {
     if (state == State.UNDER_WAY) {
       nextRequestStarted = true;
@@ -86,7 +86,7 @@
     }
   }
 
-  /** A request's headers are whole; false where too many wait on this connection already. */
+  /** Called when a request's headers are complete; false if too many requests are pipelined. */
   public boolean requestReceived() {
     if (requestsInProgress > attempts.maxPipelinedRequests()) {
       return false;
@@ -99,7 +99,7 @@
     return true;
   }
 
-  /** A request's answer is written, or broken off. */
+  /** Called when a response has been written or has failed. */
   public void responseEnded() {
     if (requestsInProgress > 0 && --requestsInProgress == 0 && !closed) {
       enter(nextRequestStarted ? State.HEADERS : State.BETWEEN, attempts.loopTime());
--- a/src/main/java/linengauge/flow/ConnectionAttempts.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempts.java
@@ -10,8 +10,8 @@
 import linengauge.Span;
 
 /**
- * The connections of one loop that owe it a byte or the end of their headers, those due first in
- * front. A look touches only those whose time is over.
+ * The connections of one loop that have a deadline for the first byte or the headers of a request,
+ * ordered by deadline. A tick touches only the expired ones.
  */
 public final class ConnectionAttempts {
   private static final Comparator<ConnectionAttempt> BY_DEADLINE =
@@ -21,8 +21,8 @@
   private final LoopClock clock;
 
   /**
-   * Each leaves when its request is whole, when it is due, and when it is closed; bounded by the
-   * door's places.
+   * An attempt is removed when its request is complete, when its deadline has passed and when its
+   * connection closes. The size is bounded by the connection limits of {@link ListenerSettings}.
    */
   private final TreeSet<ConnectionAttempt> byDeadline = new TreeSet<>(BY_DEADLINE);
 
@@ -75,14 +75,14 @@
     return byDeadline.size();
   }
 
-  /** How many were closed for what they owed in this state. */
+  /** The number of connections that timed out in this state. */
   public long timeouts(ConnectionAttempt.State state) {
     return timeoutsByState.getOrDefault(state, 0L);
   }
 
   /**
-   * After each beat of the loop's own time; after a stand-still what waits in the sockets is read
-   * first.
+   * Closes the expired connections. Called after each tick of the loop clock. After a process pause
+   * nothing expires in this tick, so that bytes that already wait in the sockets are read first.
    */
   public void tick(boolean ranOnTime) {
     if (!ranOnTime) {
--- a/src/main/java/linengauge/flow/ConnectionLedger.java
+++ b/src/main/java/linengauge/flow/ConnectionLedger.java
@@ -7,14 +7,15 @@
 import linengauge.Moment;
 
 /**
- * Who comes in. Places are shared by address: while there is room an address may take what one may;
- * the last eighth is kept for addresses that have less than their even part. A newcomer for whom
- * there is no place is read for one request, so that it hears a clear answer, while there are
- * places to turn away in; then it is shut out. One book for the whole front; whoever calls it sees
- * to it that one does at a time.
+ * Decides which connections are admitted. An address may use up to its own limit while there is
+ * room; the last eighth of all connections is reserved for addresses that have less than an equal
+ * share. A connection over the limits is rejected: one request is read so that the client receives
+ * a clear response. When too many rejected connections are open, further ones are dropped at once.
+ *
+ * <p>One ledger serves all loops of a front. It is not thread-safe; callers serialize access.
  */
 public final class ConnectionLedger {
-  /** What becomes of a connection. */
+  /** How a new connection is handled. */
   public enum Admission {
     SERVED,
     REJECTED,
@@ -23,7 +24,7 @@
 
   private final ListenerSettings settings;
 
-  /** Connections served, by address; an address leaves with its last one. */
+  /** Number of served connections by address; an entry is removed with its last connection. */
   private final Map<String, Integer> servedByAddress = new HashMap<>();
 
   private int served;
@@ -33,8 +34,8 @@
   private long rejectedRequests;
 
   /**
-   * When each key asked, latest last; keys leave by age as others come, the least lately asking
-   * first.
+   * The recent requests of each key, oldest first. When the table is full, the key that was used
+   * least recently is removed.
    */
   private final LinkedHashMap<String, ArrayDeque<Moment>> requestsByKey =
       new LinkedHashMap<>(16, 0.75f, true);
@@ -71,7 +72,7 @@
     return requestsByKey.size();
   }
 
-  /** A connection from an address. What it got is to be given back with {@link #release}. */
+  /** Admits a connection; the result has to be returned with {@link #release}. */
   public Admission admit(String address) {
     if (!settings.enabled() || hasRoomFor(address)) {
       servedByAddress.merge(address, 1, Integer::sum);
@@ -108,8 +109,8 @@
   }
 
   /**
-   * Whether one with this key may ask for a viewing now. Guards against a player that asks in a
-   * tight loop.
+   * Whether a viewing may be requested with this key now. This limits a player that sends requests
+   * in a tight loop.
    */
   public boolean admitRequest(String key, Moment now) {
     if (!settings.enabled() || key == null) {
--- a/src/main/java/linengauge/flow/DatagramRateLimiter.java
+++ b/src/main/java/linengauge/flow/DatagramRateLimiter.java
@@ -5,10 +5,10 @@
 import linengauge.Span;
 
 /**
- * How many datagrams of each neighbour are heard: so many a second on average, and as many at once.
- * Guards the desk against a neighbour, or anybody else on its network, that sends without end;
- * words may be lost anyway. It could hurt where a site grows and its bound is left as it was: words
- * are then passed over in their busiest seconds.
+ * Limits the datagrams accepted from each neighbour with a token bucket: {@code perSecond} on
+ * average and in a burst. This protects the session loop from a neighbour, or any other host on its
+ * network, that floods it. The protocol tolerates lost messages. A limit that is not raised as a
+ * site grows drops messages in the busiest seconds.
  */
 public final class DatagramRateLimiter {
   private static final class Sender {
@@ -21,12 +21,12 @@
   private long dropped;
 
   /**
-   * By address; the one that was silent for longest leaves as another comes to a full table, and
-   * starts anew.
+   * Senders by address. When the table is full, the sender that has been silent for the longest
+   * time is removed and starts with a full bucket if it returns.
    */
   private final LinkedHashMap<String, Sender> senders = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** Senders remembered: as many as there are fronts, and some more for those that are none. */
+  /** {@code maxSenders} covers all fronts, with some room for hosts that are no fronts. */
   public DatagramRateLimiter(int perSecond, int maxSenders) {
     this.perSecond = perSecond;
     this.maxSenders = maxSenders;
--- a/src/main/java/linengauge/flow/DisconnectBudget.java
+++ b/src/main/java/linengauge/flow/DisconnectBudget.java
@@ -5,12 +5,14 @@
 import linengauge.Span;
 
 /**
- * How many peers may be let go in a window: a least number, and more for each peer that moves. A
- * peer counts as moving for half the span that evidence takes, so that by the time anybody is found
- * slow for a fault of ours, those who moved before it are forgotten. Guards against emptying the
- * house for a fault of our own: where our uplink is full or our machine starved nobody moves, and
- * hardly anybody is let go. It could hurt where nobody but slow peers is there: they are then let
- * go no faster than the least number.
+ * Limits how many slow peers may be disconnected within a window: a base number, plus a number for
+ * each peer that makes progress. Progress counts for half of the owed time after which a peer can
+ * be found slow. When peers are found slow because of a local fault, the progress made before that
+ * fault has therefore expired.
+ *
+ * <p>This prevents a local fault from disconnecting everybody: when the uplink is saturated or the
+ * machine is starved, no peer makes progress and hardly any peer is disconnected. The cost: where
+ * all peers are slow, they are disconnected no faster than the base number allows.
  */
 final class DisconnectBudget {
   private static final int SLOT_COUNT = 16;
@@ -25,8 +27,8 @@
   private int currentSlot;
 
   /**
-   * When each peer last moved, the latest last; each leaves after its span, and the first where
-   * there are too many.
+   * When each peer last made progress, latest last. An entry expires after {@code
+   * progressLifetime}; the oldest is removed when there are too many.
    */
   private final LinkedHashMap<Long, Moment> lastProgressByPeer = new LinkedHashMap<>();
 
@@ -35,7 +37,7 @@
         Math.max(
             1,
             settings.disconnectWindow().micros()
-                / (SLOT_COUNT - 1)); // the present slot is not whole
+                / (SLOT_COUNT - 1)); // the current slot is incomplete
     this.baseDisconnects = settings.baseDisconnects();
     this.disconnectsPerProgressingPeer = settings.disconnectsPerProgressingPeer();
     this.progressLifetime = settings.minOwedTime().times(0.5);
@@ -50,7 +52,7 @@
     }
   }
 
-  /** A span has gone by, up to this moment of the loop's own time. */
+  /** Advances the window by the elapsed time, up to this moment in loop time. */
   void advance(Span span, Moment loopTime) {
     lastProgressByPeer
         .values()
--- a/src/main/java/linengauge/flow/FlowSettings.java
+++ b/src/main/java/linengauge/flow/FlowSettings.java
@@ -3,22 +3,28 @@
 import linengauge.Span;
 
 /**
- * What slow peers are held to, on one loop (a loop's part of the front's figures, where they are
- * sums). All spans are of the loop's own time, in which a stand-still of the loop does not count
- * ({@link LoopClock}).
+ * Settings for the detection of slow peers on one loop; sums are the loop's part of the front's
+ * totals. All spans are in loop time, which excludes process pauses (see {@link LoopClock}).
  *
- * @param enabled false: nobody is held back or let go; only to show what the guards are for
- * @param tickInterval how often the accounts are looked at; a look that comes `late` after that
- *     tells of a stand-still
- * @param window over which what moved is weighed, and `evidence`, how much of it a peer must have
- *     been owed bytes in before it can be found slow; `grace` after its start nobody is
- * @param viewerRateFraction of the lowest rung's rate that a viewer must take; boxShare, of the
- *     rung in force, that a box must bring
- * @param maxQueuedBytes that may wait for all peers of the loop; peerBytes for one; floorBytes that
- *     each of at most `peers` may always have waiting; chunkBytes, the most that is read at once
- *     for a peer
- * @param disconnectWindow in which at most letGoLeast peers are let go, and letGoPerMover more for
- *     each peer that moves
+ * @param enabled false: no peer is paused or disconnected; meant only to show the effect of the
+ *     limits
+ * @param tickInterval how often peers are evaluated
+ * @param lateTolerance a tick that is later than this indicates a process pause
+ * @param window over which the throughput of a peer is measured
+ * @param minOwedTime how long within the window a peer must have been owed bytes before it can be
+ *     found slow
+ * @param gracePeriod after a peer connects, in which it is never found slow
+ * @param viewerRateFraction of the lowest rung's rate that a viewer must read at
+ * @param boxRateFraction of the current rung's rate that a box must send at
+ * @param maxQueuedBytes for all peers of the loop
+ * @param maxQueuedBytesPerPeer for one peer
+ * @param floorBytes that each of at most {@code maxPeers} peers may always have queued
+ * @param chunkBytes the most that is read at once for a peer
+ * @param maxPeers viewers with a transfer in progress at the same time
+ * @param disconnectWindow for which the number of disconnected peers is limited
+ * @param baseDisconnects peers that may be disconnected within the window in any case
+ * @param disconnectsPerProgressingPeer further peers that may be disconnected for each peer that
+ *     makes progress
  */
 public record FlowSettings(
     boolean enabled,
--- a/src/main/java/linengauge/flow/ListenerSettings.java
+++ b/src/main/java/linengauge/flow/ListenerSettings.java
@@ -3,18 +3,21 @@
 import linengauge.Span;
 
 /**
- * What the door is held to. Spans are of a loop's own time.
+ * Limits for incoming connections. Spans are in the time of the loop that serves the connection.
  *
- * @param enabled false: everybody comes in and may wait for ever; only to show what the guards are
- *     for
- * @param maxConnections served at once over all loops, perAddress from one address, turningAway
- *     those beyond that are still read for one request, to be told so
- * @param firstByteTimeout from the connection to its first byte, headers from a request's first
- *     byte to the end of its headers, between from an answer to the next first byte
- * @param maxPipelinedRequests requests that may wait on one connection behind the one that is being
- *     answered
- * @param maxRequestsPerKey requests for viewings with one key in keyWindow; keys, how many keys are
- *     remembered
+ * @param enabled false: every connection is admitted and none times out; meant only to show the
+ *     effect of the limits
+ * @param maxConnections served at the same time over all loops
+ * @param maxConnectionsPerAddress served at the same time from one address
+ * @param maxRejecting connections over the limits from which one request is still read in order to
+ *     reject it with a response
+ * @param firstByteTimeout from the connection to its first byte
+ * @param headersTimeout from the first byte of a request to the end of its headers
+ * @param idleTimeout from a response to the first byte of the next request
+ * @param maxPipelinedRequests that may wait on a connection behind the one in progress
+ * @param maxRequestsPerKey requests for viewings with one key within {@code keyWindow}
+ * @param keyWindow for which the requests of a key are counted
+ * @param maxTrackedKeys keys for which requests are counted
  */
 public record ListenerSettings(
     boolean enabled,
--- a/src/main/java/linengauge/flow/LoopClock.java
+++ b/src/main/java/linengauge/flow/LoopClock.java
@@ -4,10 +4,12 @@
 import linengauge.Span;
 
 /**
- * The time in which a loop ran. A loop that was stopped, swapped out or busy with one thing hears
- * of everything at once afterwards: by the wall everybody has been silent for that long, and nobody
- * was. Guards against letting peers go for our own stand-still. It could hurt where loops are
- * always late: waits grow by as much, at most by `beat + late` a look.
+ * Measures the time during which a loop was running. A loop that was stopped, swapped out or busy
+ * with one task receives all pending events at once afterwards. By the wall clock every peer then
+ * seems to have been silent for that long, although none was. Loop time leaves such process pauses
+ * out, so that no peer is disconnected because of them. The cost: where ticks are always late,
+ * timeouts grow accordingly; one tick advances the loop time by at most {@code tickInterval +
+ * lateTolerance}.
  */
 public final class LoopClock {
   private final Span tickInterval;
@@ -21,10 +23,7 @@
     this.lateTolerance = lateTolerance;
   }
 
-  /**
-   * A beat at this moment; true where the loop has run since the last one, false where it has stood
-   * still.
-   */
+  /** Advances the clock to this moment; false if the loop was paused since the last tick. */
   public boolean tick(Moment now) {
     if (lastTickAt == null) {
       lastTickAt = now;
@@ -41,12 +40,12 @@
     return false;
   }
 
-  /** On the loop's own clock, which starts at 0 and has nothing to do with the wall's. */
+  /** The current loop time, which starts at 0 and is unrelated to the wall clock. */
   public Moment loopTime() {
     return loopTime;
   }
 
-  /** How long the loop has stood still in all. */
+  /** The total time in which the loop was paused. */
   public Span pausedTime() {
     return pausedTime;
   }
--- a/src/main/java/linengauge/flow/PeerTraffic.java
+++ b/src/main/java/linengauge/flow/PeerTraffic.java
@@ -4,31 +4,32 @@
 import linengauge.Span;
 
 /**
- * What waits for one peer and what moves: a viewer's connection, which takes, or a box's transfer,
- * which brings. On the path of bytes it only counts; everything is weighed at the loop's looks.
+ * Counts the queued and transferred bytes of one peer: a viewer's connection, which reads, or a
+ * box's transfer, which sends. The data path only updates counters; they are evaluated at the ticks
+ * of the loop.
  */
 public final class PeerTraffic {
-  /** Which way the peer moves bytes. */
+  /** The kind of peer: a viewer reads bytes, a box sends them. */
   public enum Side {
     VIEWER,
     BOX
   }
 
-  /** The peer on its socket. */
+  /** The connection of the peer. */
   public interface Peer {
-    /** Bytes that wait in this front for the peer to take them, now. */
+    /** Bytes that are queued in this process for the peer to read. */
     long queuedBytes();
 
     /**
-     * The peer is found slow and within the budget: its bytes, places and streams are to be given
-     * back now.
+     * The peer is too slow, and the budget allows its disconnection: it must release its bytes,
+     * connections and streams now.
      */
     void disconnect(PeerTraffic account);
 
-    /** Bytes have moved since the last look: it is not idle. */
+    /** Called when bytes were transferred since the last tick: the peer is not idle. */
     void progressed();
 
-    /** A viewer that was held back may be given more: the other side is read again. */
+    /** More bytes may be queued for a paused viewer: reading from the box resumes. */
     void resume();
   }
 
@@ -45,16 +46,18 @@
   private long queuedBytesAtLastTick;
   private boolean open = true;
 
-  /** A transfer is under way: the peer may come to be owed bytes. */
+  /** While a transfer is in progress the peer may be owed bytes. */
   private int transfersInProgress;
 
-  /** For a viewer: the pool has nothing more for it now. */
+  /** For a viewer: whether the buffer budget allows it no further bytes. */
   private boolean paused;
 
-  /** Since when it has had nothing under way; null while it has, or had at the last look. */
+  /**
+   * Start of the idle time; null while a transfer is in progress, or if one was at the last tick.
+   */
   private Moment idleSince;
 
-  /** For a box: bytes have been wanted of it since the last look without a break. */
+  /** For a box: whether bytes have been wanted since the last tick without interruption. */
   private boolean bytesWanted;
 
   private boolean bytesWantedSinceLastTick;
@@ -89,29 +92,29 @@
     return transfersInProgress == 0 && queuedBytes == 0;
   }
 
-  /** Bytes that waited for it when it was last counted. */
+  /** Bytes queued for the peer, as of the last update. */
   public long queuedBytes() {
     return queuedBytes;
   }
 
-  /** Bytes a second that it must move while it is owed any. */
+  /** Minimum rate of the peer while it is owed bytes. */
   public double minBytesPerSecond() {
     return minBytesPerSecond;
   }
 
-  /** Bytes that it moved for each second in which it was owed any. */
+  /** Transferred bytes per second of owed time. */
   public double bytesPerSecond() {
     return throughput.bytesPerSecond();
   }
 
-  /** How long within the window it was owed bytes. */
+  /** How long within the window the peer was owed bytes. */
   public Span owedTime() {
     return throughput.owedTime();
   }
 
-  /* ---- told by the carrier ---- */
+  /* ---- notifications from the transport ---- */
 
-  /** A transfer begins, with what the peer must move at the least, in bytes a second. */
+  /** A transfer starts, with the minimum rate in bytes per second. */
   public void transferStarted(double minPerSecond) {
     minBytesPerSecond = minPerSecond;
     transfersInProgress++;
@@ -128,20 +131,20 @@
   }
 
   /**
-   * Bytes are handed on for a viewer to take; true where no more may wait for it now: the other
-   * side is not to be read until {@link #bytesDrained} says so or {@link Peer#resume} is called.
+   * Bytes were queued for a viewer. If true, no more may be queued: nothing is to be read from the
+   * box until {@link #bytesDrained} returns true or {@link Peer#resume} is called.
    */
   public boolean bytesQueued(long bytes) {
     totalBytes += bytes;
     setQueuedBytes(queuedBytes + bytes);
     if (!detector.bufferBudget().mayQueue(queuedBytes)) {
-      refreshQueuedBytes(); // what was taken since the last count has not been told
+      refreshQueuedBytes(); // the viewer may have read bytes since the last update
       paused = !detector.bufferBudget().mayQueue(queuedBytes);
     }
     return paused;
   }
 
-  /** The carrier has seen bytes taken; true where more may wait now. */
+  /** The transport reports that the viewer has read bytes; true if more may be queued. */
   public boolean bytesDrained() {
     refreshQueuedBytes();
     paused &= !detector.bufferBudget().mayQueue(queuedBytes);
@@ -159,20 +162,21 @@
     queuedBytes = bytes;
   }
 
-  /** Bytes have come from a box. */
+  /** Bytes were received from a box. */
   public void bytesReceived(long bytes) {
     totalBytes += bytes;
   }
 
   /**
-   * Bytes are wanted of a box from now on, or no longer: the viewer holds it back, or all has come.
+   * Whether bytes are wanted from the box. None are while the viewer blocks the transfer and after
+   * the last byte.
    */
   public void setBytesWanted(boolean isWanted) {
     bytesWanted = isWanted;
     bytesWantedSinceLastTick &= isWanted;
   }
 
-  /** Nothing more will be told; it leaves the loop's table at once. */
+  /** Removes the peer from the loop; no further notifications follow. */
   public void close() {
     if (open) {
       open = false;
@@ -181,9 +185,9 @@
     }
   }
 
-  /* ---- the loop's looks ---- */
+  /* ---- ticks of the loop ---- */
 
-  /** A span of own time has gone by since the last look; did it move? */
+  /** Records the loop time since the last tick; whether the peer moved at its minimum rate. */
   boolean sample(Span span) {
     long movedBytes;
     boolean wasOwed;
@@ -193,7 +197,7 @@
           Math.max(0, totalBytes - totalBytesAtLastTick + queuedBytesAtLastTick - queuedBytes);
       wasOwed =
           queuedBytesAtLastTick
-              > 0; // also where it took the last of it: the wait for it has been counted
+              > 0; // also if the peer has read everything since: it was owed those bytes until then
       queuedBytesAtLastTick = queuedBytes;
     } else {
       movedBytes = totalBytes - totalBytesAtLastTick;
@@ -208,21 +212,19 @@
     return movedBytes > 0 && movedBytes >= minBytesPerSecond * span.seconds();
   }
 
-  /**
-   * After a look: one that was held back goes on where the pool has come to have something for it.
-   */
+  /** Called after a tick: resumes a paused viewer if the buffer budget has room for it again. */
   void resumeIfAllowed() {
     if (paused && open && bytesDrained()) {
       peer.resume();
     }
   }
 
-  /** It leaves the looks until its next transfer. */
+  /** The peer is not sampled until its next transfer. */
   void becameIdle(Moment loopTime) {
     idleSince = loopTime;
   }
 
-  /** Slow by evidence, at this moment of the loop's own time. */
+  /** Whether the peer is slow at this moment in loop time. */
   boolean isSlow(Moment loopTime, FlowSettings settings) {
     return minBytesPerSecond > 0
         && !loopTime.since(openedAt).under(settings.gracePeriod())
@@ -230,7 +232,7 @@
         && throughput.bytesPerSecond() < minBytesPerSecond;
   }
 
-  /** How much of what it must move it moves; the smaller, the slower. */
+  /** Throughput as a fraction of the minimum rate; the smaller, the slower. */
   double fractionOfMinimum() {
     return throughput.bytesPerSecond() / minBytesPerSecond;
   }
--- a/src/main/java/linengauge/flow/SlowPeerDetector.java
+++ b/src/main/java/linengauge/flow/SlowPeerDetector.java
@@ -8,18 +8,17 @@
 import linengauge.Span;
 
 /**
- * The accounts of one loop and the verdicts on them. At each look every peer that has bytes on the
- * way is weighed; those that are slow by evidence are let go, the slowest first, as far as the
- * budget goes. Looks touch only peers with a transfer under way or bytes waiting, never all that
- * are connected.
+ * Detects and disconnects slow peers of one loop. Each tick evaluates every peer with a transfer in
+ * progress or with queued bytes. Those that stay below their minimum rate are disconnected, the
+ * slowest first, as far as the disconnect budget allows. A tick never touches idle connections.
  */
 public final class SlowPeerDetector {
-  /** Counts since the start, and what the last look saw. */
+  /** Counters since the start, and gauges as of the last tick. */
   public static final class Counts {
     public long viewersDisconnected;
     public long boxesDisconnected;
 
-    /** Found slow and not let go, as the budget was used up; counted again at each look. */
+    /** Slow but not disconnected, as the budget was used up; counted again at each tick. */
     public long spared;
 
     public long processPauses;
@@ -37,12 +36,12 @@
   private final Counts counts = new Counts();
 
   /**
-   * Peers with bytes on the way, in the order of their numbers; each leaves when it is idle at a
-   * look, or closed.
+   * Peers with a transfer in progress or queued bytes, by id. A peer is removed when it is idle at
+   * a tick, or closed.
    */
   private final TreeMap<Long, PeerTraffic> activePeersById = new TreeMap<>();
 
-  /** Those of them that are viewers; each has its floor kept. */
+  /** The number of active peers that are viewers; a floor is reserved for each. */
   private int activeViewers;
 
   private Moment lastTickAt = new Moment(0);
@@ -67,7 +66,7 @@
     return activePeersById.size();
   }
 
-  /** No further transfer has its floor kept: the next one is turned away. */
+  /** Whether no floor is left for a further viewer: the next transfer is rejected. */
   public boolean isFull() {
     return settings.enabled() && activeViewers >= settings.maxPeers();
   }
@@ -76,7 +75,7 @@
     return clock.loopTime();
   }
 
-  /** Opens the account of a peer; it costs nothing until a transfer begins. */
+  /** Starts counting for a peer; this has no cost until a transfer starts. */
   public PeerTraffic open(PeerTraffic.Side side, PeerTraffic.Peer peer) {
     return new PeerTraffic(this, peer, side, nextId++, clock.loopTime(), settings.window());
   }
@@ -100,8 +99,9 @@
   }
 
   /**
-   * After each beat of the loop's own time; `ran` is what that said. After a stand-still nobody is
-   * let go at once: what peers did meanwhile is still to be seen.
+   * Evaluates the active peers. Called after each tick of the loop clock with its result. After a
+   * process pause no peer is disconnected in this tick, since what the peers did during the pause
+   * has not been read yet.
    */
   public void tick(boolean ranOnTime) {
     Span elapsed = clock.loopTime().since(lastTickAt);
@@ -138,7 +138,7 @@
     int remaining = disconnectBudget.remaining();
     for (PeerTraffic traffic : slowPeers) {
       if (!traffic.isOpen()) {
-        continue; // it went with one let go before it
+        continue; // closed together with a peer disconnected before it
       }
       if (remaining-- <= 0) {
         counts.spared++;
--- a/src/main/java/linengauge/flow/ThroughputWindow.java
+++ b/src/main/java/linengauge/flow/ThroughputWindow.java
@@ -3,10 +3,10 @@
 import linengauge.Span;
 
 /**
- * How long a peer was owed bytes, and how many moved, over a window that slides in slots while it
- * has bytes on the way. What it took at once counts for it too: one that pauses and then catches up
- * has taken its part. What it took before the window does not, so that a fast start excuses no
- * later standstill.
+ * Measures, over a sliding window, how long a peer was owed bytes and how many were transferred.
+ * The window advances only while the peer is active. Bytes transferred in a burst count fully, so
+ * that a peer that pauses and then catches up is not slow. Bytes transferred before the window do
+ * not count, so that a fast start does not excuse a later stall.
  */
 final class ThroughputWindow {
   private static final int SLOT_COUNT = 16;
@@ -23,7 +23,7 @@
     this.slotMicros = Math.max(1, window.micros() / SLOT_COUNT);
   }
 
-  /** A span has gone by, in which the peer was owed bytes or not, and so many moved. */
+  /** Advances the window: whether the peer was owed bytes in this span, and how many moved. */
   void advance(Span span, boolean wasOwed, long bytes) {
     movedBytesBySlot[currentSlot] += bytes;
     totalMovedBytes += bytes;
@@ -47,7 +47,7 @@
     return new Span(totalOwedMicros);
   }
 
-  /** Bytes for each second in which bytes were owed; what was never owed counts as endless. */
+  /** Transferred bytes per second of owed time; infinite if no bytes were owed. */
   double bytesPerSecond() {
     return totalOwedMicros == 0
         ? Double.POSITIVE_INFINITY
--- a/src/main/java/linengauge/work/Job.java
+++ b/src/main/java/linengauge/work/Job.java
@@ -3,17 +3,19 @@
 import linengauge.Span;
 
 /**
- * Something to be done when there is time for it.
+ * A background job, run when the budgets allow it.
  *
- * @param name one job of a name waits at a time: a further submission is the same one
- * @param urgency 0: before all others of a higher number
- * @param startWithin how soon it should have begun after it is submitted or due; from then on it
- *     goes before all that are not late themselves
- * @param interval how long after it was done it is due again; none: it is done once
- * @param maxAttempts how often it may fail in a row; 0: for ever
- * @param loopTime that it is thought to take of the desk; learnt from what it takes
- * @param bytes that it is thought to read or write; learnt too
- * @param action does it, or begins it; must tell the job of its end, then or later
+ * @param name identifies the job: a submission under the name of a job that is still scheduled does
+ *     not add another one
+ * @param urgency 0 is the most urgent
+ * @param startWithin time limit for the start after the job is submitted or due; a job over its
+ *     limit precedes all that are not; none: no limit
+ * @param interval after which a completed job is due again; none: it runs once
+ * @param maxAttempts failures in a row after which the job is abandoned; 0: no limit
+ * @param loopTime estimated time on the session loop; corrected by measured times
+ * @param bytes estimated bytes read or written; corrected by measured values
+ * @param action performs or starts the work; must report its result to the scheduled job, at once
+ *     or later
  */
 public record Job(
     String name,
@@ -24,13 +26,13 @@
     Span loopTime,
     long bytes,
     Action action) {
-  /** What is done. */
+  /** The work to be done. */
   public interface Action {
     void run(ScheduledJob job);
 
-    /** It has failed for the last time, or had to leave for more urgent ones. */
+    /** The job has failed for the last time, or was evicted by a more urgent one. */
     default void abandoned(ScheduledJob job) {
-      // most have nothing to take back
+      // most actions have nothing to release
     }
   }
 }
--- a/src/main/java/linengauge/work/JobScheduler.java
+++ b/src/main/java/linengauge/work/JobScheduler.java
@@ -10,14 +10,14 @@
 import linengauge.session.Backoff;
 
 /**
- * Decides which background job is done next, and when none is. Viewers come first: jobs have a
- * budget of the desk's time and of bytes in any window, and only a floor of both while the desk is
- * late. Among those that are due the most urgent goes first; each grows more urgent as it waits, so
- * none waits for ever, and one that is late for its own bound goes before all that are not. It
- * holds no clock, thread or timer: the carrier asks for the next job, and when to ask again.
+ * Decides which background job runs next, if any. Viewers take precedence: in any window jobs have
+ * limited budgets of session loop time and of bytes, and only the floor of both while the session
+ * loop is late. The most urgent due job runs first. Urgency grows with waiting time, so that no job
+ * starves, and a job over its own start limit precedes all that are not. The scheduler has no
+ * clock, thread or timer: the caller polls for the next job, and asks when to poll again.
  */
 public final class JobScheduler {
-  /** Why a submission was not taken up. */
+  /** The result of a submission. */
   public enum Result {
     ACCEPTED,
     ALREADY_SUBMITTED,
@@ -25,10 +25,12 @@
     TOO_LARGE
   }
 
-  /** What became of a submission: the job that stands for it, or null where it was refused. */
+  /**
+   * A submission's result, with the scheduled job; the job is null if the submission was rejected.
+   */
   public record Submission(Result result, ScheduledJob job) {}
 
-  /** Counts since the start. */
+  /** Counters since the start. */
   public static final class Counts {
     public long succeeded;
     public long failed;
@@ -36,7 +38,7 @@
     public long evicted;
     public long abandoned;
 
-    /** Times that something due was held back by a budget. */
+    /** How often a due job was deferred by a budget. */
     public long deferred;
   }
 
@@ -44,8 +46,8 @@
   private final SplittableRandom random;
 
   /**
-   * By name, in the order taken up; a job leaves when it is over, and there are never more than the
-   * terms say.
+   * Jobs by name, in the order of submission. A job is removed when it has ended; the size is
+   * limited by {@link WorkSettings#maxJobs}.
    */
   private final Map<String, ScheduledJob> jobs = new LinkedHashMap<>();
 
@@ -76,15 +78,15 @@
     return running;
   }
 
-  /** The desk is so late now; none: it keeps up. */
+  /** Sets how late the session loop is; none: it is on time. */
   public void setLoopDelay(Span delay) {
     loopDelay = delay;
   }
 
   /**
-   * Submits a chore to be done, from a moment on. One of the same name that waits or runs already
-   * stands for it. Where all places are taken, the last in rank that is not running leaves for it,
-   * if outranked, and is told so.
+   * Submits a job that is due at {@code notBefore}. If a job of the same name is waiting or
+   * running, that one is returned. If the scheduler is full, the waiting job of the lowest rank is
+   * evicted and notified, provided that the new job outranks it.
    */
   public Submission submit(Job job, Moment notBefore, Moment at) {
     advanceTo(at);
@@ -113,8 +115,8 @@
   }
 
   private boolean evictFor(Job job) {
-    // By rank and not by urgency alone: one that has waited long enough is not put out by each
-    // newcomer.
+    // By rank rather than by urgency alone: otherwise every new job could evict a job that has
+    // been waiting for a long time.
     long rank = job.urgency() * settings.agingInterval().micros();
     ScheduledJob lowest = null;
     for (ScheduledJob scheduled : jobs.values()) {
@@ -137,8 +139,8 @@
   }
 
   /**
-   * The job to be run now, which counts as begun; null where none is due, or there is no budget for
-   * it.
+   * Returns the job to run now and marks it as started; null if no job is due or the budgets allow
+   * none.
    */
   public ScheduledJob nextJob(Moment at) {
     advanceTo(at);
@@ -162,21 +164,22 @@
       if (loopTimeFits && bytesFit) {
         scheduled.started();
         running++;
-        // Reserved now, so that those at once cannot spend the same; set right when it ends.
+        // Reserved at the start, so that concurrent jobs cannot use the same budget; corrected at
+        // the end.
         loopTimeUsage.add(scheduled.estimatedLoopTime().micros(), now);
         bytesUsage.add(scheduled.estimatedBytes(), now);
         return scheduled;
       }
       counts.deferred++;
-      // What comes after it may not use up what it waits for, or a large job would wait for ever
-      // behind small ones.
+      // A later job may not use the budget that this one waits for: otherwise small jobs could
+      // starve a large one.
       isLoopTimeBlocked |= scheduled.estimatedLoopTime().micros() > 0;
       isBytesBlocked |= scheduled.estimatedBytes() > 0;
     }
     return null;
   }
 
-  /** Those that wait and are due, the first to go in front. */
+  /** Jobs that are waiting and due, highest rank first. */
   private List<ScheduledJob> due() {
     List<ScheduledJob> due = new ArrayList<>();
     for (ScheduledJob scheduled : jobs.values()) {
@@ -195,8 +198,8 @@
   }
 
   /**
-   * Whether so much may be spent. While the desk is late a window that holds nothing may take one
-   * job, however large.
+   * Whether the budget allows this amount. While the session loop is late, an empty window admits
+   * one job of any size; otherwise a job larger than the floor would never run.
    */
   private boolean fitsBudget(UsageWindow usage, long amount, long budget) {
     long used = usage.used(now);
@@ -210,7 +213,7 @@
     return !loopDelay.under(settings.lateThreshold());
   }
 
-  /** When to ask again, where nothing else happens; null: not before something does. */
+  /** When to poll again if nothing else happens; null: only after another event. */
   public Moment nextPollAt() {
     Moment first = null;
     boolean isAnyDue = false;
@@ -236,14 +239,14 @@
     now = now.orLater(at);
   }
 
-  /* ---- what jobs tell ---- */
+  /* ---- notifications from jobs ---- */
 
   void ended(
       ScheduledJob scheduled, Moment at, Span loopTime, long movedBytes, boolean hasSucceeded) {
     advanceTo(at);
     running--;
-    // What was reserved is spent; what it took over that is spent now. What it took less stays
-    // spent till it leaves.
+    // The reserved amount is used already, so only the excess is added. An amount reserved but not
+    // used stays counted until it leaves the window.
     loopTimeUsage.add(Math.max(0, loopTime.minus(scheduled.reservedLoopTime()).micros()), now);
     bytesUsage.add(Math.max(0, movedBytes - scheduled.reservedBytes()), now);
     counts.succeeded += hasSucceeded ? 1 : 0;
--- a/src/main/java/linengauge/work/ScheduledJob.java
+++ b/src/main/java/linengauge/work/ScheduledJob.java
@@ -4,11 +4,9 @@
 import linengauge.Span;
 import linengauge.session.Backoff;
 
-/**
- * One submission of a chore, from being taken up until it is done for good, given up or called off.
- */
+/** A submitted job, from its submission until it has ended, is abandoned or is cancelled. */
 public final class ScheduledJob {
-  /** Where it stands. */
+  /** The lifecycle state. */
   public enum State {
     WAITING,
     RUNNING,
@@ -23,7 +21,7 @@
   private Moment dueAt;
   private int failures;
 
-  /** Submitted again while it runs: it is due at once when it ends. */
+  /** Submitted again while running: the job is due at once when it ends. */
   private boolean rerunRequested;
 
   private Span estimatedLoopTime;
@@ -49,7 +47,7 @@
     return state;
   }
 
-  /** Failures in a row. */
+  /** Consecutive failures. */
   public int failures() {
     return failures;
   }
@@ -71,8 +69,8 @@
   }
 
   /**
-   * Smaller goes first: urgency, less what it has waited; one that is late for its bound goes
-   * before all that are not.
+   * The rank; the smallest runs first. It is the urgency reduced by the waiting time; a job over
+   * its start limit precedes all that are not.
    */
   long rank(Moment now, Span ageing) {
     Span waited = now.since(dueAt).orMore(Span.NONE);
@@ -84,7 +82,8 @@
     if (state == State.RUNNING) {
       rerunRequested = true;
     } else if (now.before(dueAt) && failures == 0) {
-      dueAt = now; // one that failed keeps its pause: wishing does not make what it needs come back
+      dueAt =
+          now; // a failed job keeps its backoff: resubmission does not repair what it depends on
     }
   }
 
@@ -103,8 +102,8 @@
   }
 
   /**
-   * It has been done, and took so much. What is done every so often is due again, counted from now:
-   * none is caught up on.
+   * The job has succeeded, having used this loop time and these bytes. A periodic job is due one
+   * interval from now: missed runs are not caught up.
    */
   public void succeeded(Moment now, Span loopTime, long bytes) {
     if (state != State.RUNNING) {
@@ -117,7 +116,7 @@
     scheduleNext(now, Span.NONE.under(job.interval()) ? now.plus(job.interval()) : null);
   }
 
-  /** It has failed, and took so much; it is tried again after a pause, as often as it may. */
+  /** The job has failed; it is retried after a backoff, up to its maximum of attempts. */
   public void failed(Moment now, Span loopTime, long bytes) {
     if (state != State.RUNNING) {
       return;
@@ -149,8 +148,8 @@
   }
 
   /**
-   * What it took moves what it is thought to take: up at once, down slowly, so that budgets are
-   * rather kept than filled.
+   * Adjusts the estimates to the measured values: up at once and down slowly, so that the budgets
+   * are rather underused than exceeded.
    */
   private void updateEstimates(Span loopTime, long bytes) {
     estimatedLoopTime =
@@ -160,7 +159,7 @@
     estimatedBytes = Math.max(bytes, (long) (0.75 * estimatedBytes + 0.25 * bytes));
   }
 
-  /** It is not wanted any more. What it has begun is not undone; its end is passed over. */
+  /** Cancels the job. Work that has started is not undone; its result is ignored. */
   public void cancel() {
     if (state != State.ENDED) {
       boolean wasRunning = state == State.RUNNING;
--- a/src/main/java/linengauge/work/UsageWindow.java
+++ b/src/main/java/linengauge/work/UsageWindow.java
@@ -5,9 +5,9 @@
 import linengauge.Span;
 
 /**
- * What has been spent in a window that moves on. Spends lie in a bounded number of slots, each of
- * which counts whole until all of it has left the window: never too little is counted, and at most
- * a slot too much.
+ * The amount used within a sliding window. Amounts are grouped in a bounded number of slots. A slot
+ * counts in full until all of it has left the window: usage is never underestimated, and
+ * overestimated by at most one slot.
  */
 final class UsageWindow {
   private static final int SLOT_COUNT = 32;
@@ -25,8 +25,8 @@
   private final Span slotLength;
 
   /**
-   * Oldest first; a slot leaves when its end has left the window, so there are {@link #SLOT_COUNT}
-   * and two at the most.
+   * Oldest first. A slot is removed when its end has left the window, so there are at most {@link
+   * #SLOT_COUNT} + 2.
    */
   private final ArrayDeque<Slot> slots = new ArrayDeque<>(SLOT_COUNT + 2);
 
@@ -51,7 +51,7 @@
     return total;
   }
 
-  /** When something leaves the window next; null where nothing is in it. */
+  /** When the next amount leaves the window; null if the window is empty. */
   Moment nextExpiryAt() {
     return slots.isEmpty() ? null : slots.peekFirst().startsAt.plus(slotLength).plus(window);
   }
--- a/src/main/java/linengauge/work/WorkSettings.java
+++ b/src/main/java/linengauge/work/WorkSettings.java
@@ -3,17 +3,19 @@
 import linengauge.Span;
 
 /**
- * What background work is held to.
+ * Limits for background jobs.
  *
- * @param window in any one of which the budgets hold
- * @param loopTime of the desk that jobs may take in a window
+ * @param window for which the budgets hold, wherever it starts
+ * @param loopTime of the session loop that jobs may use in a window
  * @param bytes that jobs may read or write in a window
- * @param floor part of both budgets that is left while the desk is late, over 0 and at most 1
- * @param lateThreshold how late the desk must be for that
- * @param maxJobs that may wait or run at once
- * @param maxRunning jobs under way at once
- * @param agingInterval after which a job that waits counts as one step more urgent
- * @param initialBackoff and mostPause between tries of a job that fails
+ * @param floor fraction of both budgets that remains while the session loop is late, above 0 and at
+ *     most 1
+ * @param lateThreshold delay from which the session loop counts as late
+ * @param maxJobs waiting or running at the same time
+ * @param maxRunning running at the same time
+ * @param agingInterval waiting time by which a job gains one level of urgency
+ * @param initialBackoff between the first two attempts of a failing job
+ * @param maxBackoff between two attempts of a failing job
  */
 public record WorkSettings(
     Span window,
--- a/src/main/java/linengauge/zones/FailoverController.java
+++ b/src/main/java/linengauge/zones/FailoverController.java
@@ -8,14 +8,14 @@
 import linengauge.Span;
 
 /**
- * From what fronts tell to the change that is wanted: whoever leads the council runs it beside the
- * table. Each front's word counts as one at the most, the worst and the best are left out, and
- * nothing is moved that has no room where it would go.
+ * Derives changes of the zone table from the reports of the fronts. It runs beside the table on the
+ * leader of the council. Each front's report has a weight of at most one, the best and the worst
+ * reports are discarded, and load is moved only to where there is capacity for it.
  */
 public final class FailoverController {
   private record TimedReport(Moment receivedAt, ZoneObservation observation) {}
 
-  /** How one place has been of late. */
+  /** The recent health of one zone. */
   private static final class ZoneHistory {
     private Moment unhealthySince;
     private Moment healthySince;
@@ -23,7 +23,7 @@
     private Moment lastStepAt = Moment.DISTANT_PAST;
   }
 
-  /** Fewer reports than this condemn nobody. */
+  /** With fewer reports than this no zone is given up. */
   private static final int MIN_REPORTS = 3;
 
   private static final int MAX_FRONTS = 1024;
@@ -31,12 +31,12 @@
   private final FailoverSettings settings;
   private final ZoneTable table;
 
-  /** By place, then by front; what is older than it counts leaves with the next look. */
+  /** By zone, then by front. Expired reports are removed with the next decision. */
   private final TreeMap<Integer, TreeMap<Integer, TimedReport>> reports = new TreeMap<>();
 
   private final TreeMap<Integer, ZoneHistory> histories = new TreeMap<>();
 
-  /** What each place can serve, kB a second; one without room known takes nothing in. */
+  /** Serving capacity of each zone; a zone of unknown capacity receives no load. */
   private final TreeMap<Integer, Double> capacitiesKbPerSecond = new TreeMap<>();
 
   private Moment lastDecisionAt = Moment.DISTANT_PAST;
@@ -46,7 +46,7 @@
     this.table = table;
   }
 
-  /** What the place's boxes can serve, by the list. */
+  /** Sets what the zone's boxes can serve according to discovery. */
   public void setCapacity(int zone, double kbPerSecond) {
     if (zone >= 0 && zone < ZoneTable.MAX_ZONES && kbPerSecond >= 0) {
       capacitiesKbPerSecond.put(zone, kbPerSecond);
@@ -64,7 +64,7 @@
     }
   }
 
-  /** The rows that are to change now, all in one decision from the table's number; empty: none. */
+  /** The entries to change now, in one decision based on the table's version; empty: none. */
   public Map<Integer, ZoneEntry> decide(Moment now) {
     reports
         .values()
@@ -94,7 +94,8 @@
                     table.entry(observation.getKey()).state() == observation.getValue().state())
         && now.before(lastDecisionAt.plus(settings.stepInterval()))) {
       return Map
-          .of(); // demand that rocks is followed at a pace: each change is news to the whole fleet
+          .of(); // oscillating demand is followed at a limited rate: each change is sent to the
+      // whole fleet
     }
     lastDecisionAt = next.isEmpty() ? lastDecisionAt : now;
     next.forEach(
@@ -113,7 +114,7 @@
         && Math.abs(current.remoteShare() - wanted.remoteShare()) < settings.minShareChange();
   }
 
-  /** Where it is to stand, by evidence that has held; how much of it goes where comes after. */
+  /** The next state, once the evidence has lasted; the remote shares are assigned afterwards. */
   private ZoneEntry nextEntry(int zone, ZoneEntry entry, ZoneHistory history, Moment now) {
     updateHistory(history, failureShare(zone), entry, now);
     if (entry.state() != ZoneState.GIVEN_UP
@@ -144,7 +145,7 @@
     };
   }
 
-  /** Notes since when the place is bad, well, or near. */
+  /** Records since when the zone has been unhealthy, healthy, or serving its viewers. */
   private void updateHistory(
       ZoneHistory history, double failureShare, ZoneEntry entry, Moment now) {
     boolean isServing = entry.state() == ZoneState.NEAR || entry.state() == ZoneState.SHARING;
@@ -158,7 +159,7 @@
     history.servingSince = since(isServing, history.servingSince, now);
   }
 
-  /** Since when that is so; null where it is not. */
+  /** Since when the condition has held; null if it does not. */
   private static Moment since(boolean isTrue, Moment previous, Moment now) {
     if (!isTrue) {
       return null;
@@ -170,7 +171,7 @@
     return since != null && !now.before(since.plus(span));
   }
 
-  /** The next step of one that comes back: twice as much stays, up to all of it. */
+  /** The next recovery step: the local share doubles, up to all viewers. */
   private static ZoneEntry nextRecoveryStep(ZoneEntry entry) {
     return entry.localShare() * 2 < 1
         ? new ZoneEntry(ZoneState.COMING_BACK, entry.localShare() * 2, 0, entry.relapses(), "", 0)
@@ -185,9 +186,9 @@
   }
 
   /**
-   * The share of failures, the worst and the best report left out; -1 where too few speak. Guards
-   * against one sick front that condemns a place, or one that praises it. It could hurt where two
-   * alone see a place: it is never given up for them.
+   * The share of failed attempts without the best and the worst report; -1 if there are too few
+   * reports. A single faulty front can therefore neither give up a zone nor keep it in service. The
+   * cost: a zone that only two fronts report on is never given up.
    */
   private double failureShare(int zone) {
     List<double[]> weightedShares = new ArrayList<>();
@@ -223,9 +224,9 @@
   }
 
   /**
-   * Who keeps what, and how much of the rest fits elsewhere: a place that has no room over takes
-   * nothing in, so that what fails over does not push it over as well. What fits nowhere is refused
-   * where it asks.
+   * Assigns the share of viewers that each zone serves itself, and the share of the rest that fits
+   * elsewhere. A zone without spare capacity receives no load, so that failover does not overload
+   * it as well. Viewers that fit nowhere are rejected by their own zone.
    */
   private void assignShares(TreeMap<Integer, ZoneEntry> next) {
     double spareKbPerSecond = 0;
@@ -250,7 +251,8 @@
                   ? entry.state()
                   : keptShare < 1 - settings.minShareChange() ? ZoneState.SHARING : ZoneState.NEAR;
           boolean servesAll = state == ZoneState.NEAR;
-          // What fits nowhere stays where a place still serves, and is refused where it does not.
+          // What fits nowhere stays in a zone that still serves, and is rejected by one that does
+          // not.
           double remoteShare = servesAll ? 0 : (1 - keptShare) * fittingShare;
           return new ZoneEntry(
               state,
--- a/src/main/java/linengauge/zones/FailoverSettings.java
+++ b/src/main/java/linengauge/zones/FailoverSettings.java
@@ -3,20 +3,24 @@
 import linengauge.Span;
 
 /**
- * How soon evidence becomes a change. Regions have the same further, dearer, later.
+ * How quickly reports lead to a change. Failover between regions is more costly, so it has higher
+ * thresholds and longer delays.
  *
- * @param reportLifetime evidence counts so long
- * @param fullWeightAttempts so many tries make a front's word a whole one; it is never more
- * @param unhealthyFailureShare share of failures at which a place is to be given up, and below
- *     which it is well
- * @param failoverDelay it has to be bad for so long
- * @param recoveryDelay it has to be well for so long to come back, doubled with each relapse
- * @param maxRecoveryDelay the longest of these
- * @param stepInterval between two rises of the share taken back
- * @param initialRecoveryShare share taken back, doubled with each step
- * @param relapseResetTime near for so long, a place's relapses are forgotten
- * @param maxUtilization of a place's room that newcomers may take
- * @param minShareChange shares closer than this to the table's are left as they are
+ * @param reportLifetime how long a report counts
+ * @param fullWeightAttempts attempts that give a front's report its full weight, which is the
+ *     maximum
+ * @param unhealthyFailureShare share of failed attempts from which a zone is unhealthy
+ * @param healthyFailureShare share of failed attempts below which a zone is healthy
+ * @param failoverDelay how long a zone must be unhealthy before it is given up
+ * @param recoveryDelay how long a zone must be healthy before it recovers; doubles with each
+ *     relapse
+ * @param maxRecoveryDelay upper limit of the recovery delay
+ * @param stepInterval minimum time between two increases of the local share, and between two
+ *     changes of shares alone
+ * @param initialRecoveryShare local share at the start of a recovery; doubles with each step
+ * @param relapseResetTime serving time after which a zone's relapses are reset
+ * @param maxUtilization fraction of a zone's capacity up to which viewers are assigned to it
+ * @param minShareChange smaller changes of a share are ignored
  */
 public record FailoverSettings(
     Span reportLifetime,
--- a/src/main/java/linengauge/zones/ZoneEntry.java
+++ b/src/main/java/linengauge/zones/ZoneEntry.java
@@ -4,14 +4,14 @@
 import linengauge.consensus.MessageWriter;
 
 /**
- * One place's row.
+ * The table entry of a zone or region.
  *
- * @param localShare share of its newcomers that it serves itself, 0 to 1
- * @param remoteShare share that is sent elsewhere; what is left, 1 - stays - goes, is refused where
- *     it asks
- * @param relapses how often it was given up again since it last stood near for long
- * @param holdReason of an operator that holds it so, or ""
- * @param stateSinceVersion the table's number with which it came to stand so
+ * @param localShare share of its new viewers that the zone serves itself, 0 to 1
+ * @param remoteShare share of its new viewers that is sent elsewhere; the rest, 1 - localShare -
+ *     remoteShare, is rejected by the zone
+ * @param relapses how often the zone was given up since it last served for a long time
+ * @param holdReason given by the operator that holds the entry, or ""
+ * @param stateSinceVersion version of the table in which the state last changed
  */
 public record ZoneEntry(
     ZoneState state,
@@ -29,7 +29,7 @@
         || relapses < 0
         || holdReason.length() > MAX_HOLD_REASON_CHARS) {
       throw new IllegalArgumentException(
-          "no row: " + localShare + " stays, " + remoteShare + " goes");
+          "invalid zone entry: " + localShare + " local share, " + remoteShare + " remote share");
     }
   }
 
--- a/src/main/java/linengauge/zones/ZoneObservation.java
+++ b/src/main/java/linengauge/zones/ZoneObservation.java
@@ -1,11 +1,12 @@
 package linengauge.zones;
 
 /**
- * What one front has seen of a place in the last second or so.
+ * What one front has observed of a zone in the last second or so.
  *
- * @param attempts set-ups made there, and tests
- * @param failed of these not reached, timed out or broken; full and refused ones are no failures
- * @param demandKbPerSecond what its newcomers ask of the place, kB a second
+ * @param attempts tune-ins and probes in the zone
+ * @param failed attempts that found the box unreachable, timed out or broke; rejections, for
+ *     example by a full box, do not count
+ * @param demandKbPerSecond bandwidth that the front's new viewers request of the zone
  */
 public record ZoneObservation(int attempts, int failed, double demandKbPerSecond) {
   public ZoneObservation {
@@ -15,13 +16,13 @@
         || !(demandKbPerSecond >= 0)
         || demandKbPerSecond > 1e9) {
       throw new IllegalArgumentException(
-          "no evidence: "
+          "invalid zone observation: "
               + attempts
-              + " tries, "
+              + " attempts, "
               + failed
               + " failed, "
               + demandKbPerSecond
-              + " kB");
+              + " kB/s");
     }
   }
 }
--- a/src/main/java/linengauge/zones/ZoneRouter.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -7,13 +7,14 @@
 import linengauge.Span;
 
 /**
- * Where one front may place each of its newcomers by the table, and how it goes over to deciding
- * alone when its word of the table is too old: newcomer by newcomer, a rising share of them, and
- * back the same way, so that no fleet turns at one moment. It only narrows: whatever it allows, the
- * module decides, and a place that it forgets to name was never needed for a rule.
+ * Selects the zones in which one front may place each new viewer, according to the zone table. When
+ * the front's view of the table becomes stale, it goes over to independent operation: a rising
+ * share of new viewers ignores the table. It returns in the same way, so that no fleet switches at
+ * a single moment. The router only narrows the choice: the module decides among the zones that it
+ * allows.
  */
 public final class ZoneRouter {
-  /** How the front stands to the table. */
+  /** How far the front follows the table. */
   public enum Mode {
     COORDINATED,
     DETACHING,
@@ -22,27 +23,27 @@
   }
 
   /**
-   * @param maxTableAge a word of the table counts in full while it is no older
-   * @param transitionTime so long it takes from all newcomers by the table to none, and back
+   * @param maxTableAge age of the last confirmation up to which the table is fully followed
+   * @param transitionTime from following the table for all new viewers to none, and back
    */
   public record Settings(Span maxTableAge, Span transitionTime) {
     public static final Settings DEFAULT = new Settings(Span.ofSeconds(3), Span.ofSeconds(5));
   }
 
   /**
-   * One newcomer's places.
+   * The zones for one new viewer.
    *
-   * @param weights by place, how much each is to be preferred, in sum 1; empty where it is refused
-   *     at once, or where all are allowed
-   * @param unrestricted all places are allowed, as without a table
-   * @param tableVersion the table's, which it goes by
+   * @param weights preference by zone, summing to 1; empty if the viewer is rejected, or if all
+   *     zones are allowed
+   * @param unrestricted whether all zones are allowed, as without a table
+   * @param tableVersion version of the table that was used
    */
   public record Route(SortedMap<Integer, Double> weights, boolean unrestricted, long tableVersion) {
     public boolean isRejected() {
       return !unrestricted && weights.isEmpty();
     }
 
-    /** Whether a box of that place may be used. */
+    /** Whether a box of this zone may be used. */
     public boolean allows(int zone) {
       return unrestricted || weights.containsKey(zone);
     }
@@ -58,7 +59,7 @@
   private double independentShare = 1;
 
   /**
-   * @param ownZone the place that the front is in
+   * @param ownZone the zone of the front
    */
   public ZoneRouter(Settings settings, int ownZone, ZoneTable table, SplittableRandom random) {
     this.settings = settings;
@@ -67,7 +68,7 @@
     this.random = random;
   }
 
-  /** What a place's boxes can serve, by the list; 0: it has none. */
+  /** Sets what a zone's boxes can serve according to discovery; 0: it has none. */
   public void setCapacity(int zone, double kbPerSecond) {
     if (kbPerSecond > 0) {
       capacitiesKbPerSecond.put(zone, kbPerSecond);
@@ -76,7 +77,7 @@
     }
   }
 
-  /** The latest moment at which, as it knows, the council was at work; it never goes back. */
+  /** Records the latest moment at which the council is known to work; it never decreases. */
   public void confirmTable(Moment at) {
     tableConfirmedAt = tableConfirmedAt.orLater(at);
   }
@@ -86,8 +87,8 @@
   }
 
   /**
-   * The share of newcomers that go by no table. A stand-still counts as one look: nobody was placed
-   * in it.
+   * Updates and returns the share of new viewers that ignore the table. A process pause changes it
+   * by at most one quarter, since no viewer was placed during the pause.
    */
   public double updateIndependentShare(Moment now) {
     if (updatedAt != null) {
@@ -115,7 +116,7 @@
             : share >= 1 ? Mode.INDEPENDENT : Mode.REATTACHING;
   }
 
-  /** Where this newcomer may go: its own place, or elsewhere, or nowhere. */
+  /** Selects the zones for a new viewer: its own zone, others, or none. */
   public Route route(Moment now) {
     if (random.nextDouble() < updateIndependentShare(now)) {
       return new Route(new TreeMap<>(), true, table.version());
@@ -132,7 +133,7 @@
     return new Route(weights, false, table.version());
   }
 
-  /** By their rooms, those that take in: near, or taken back so far. */
+  /** Adds the other zones in state {@code NEAR}, weighted by capacity. */
   private void addOtherZones(SortedMap<Integer, Double> weights) {
     double sum = 0;
     for (var capacity : capacitiesKbPerSecond.entrySet()) {
--- a/src/main/java/linengauge/zones/ZoneState.java
+++ b/src/main/java/linengauge/zones/ZoneState.java
@@ -1,17 +1,17 @@
 package linengauge.zones;
 
-/** How a zone, or a region, stands in the table. */
+/** The state of a zone or region in the table. */
 public enum ZoneState {
-  /** Its viewers are served in it. */
+  /** The zone serves its own viewers. */
   NEAR,
-  /** It is served and has not room for all: part of its newcomers goes elsewhere. */
+  /** The zone serves, but lacks capacity: a share of its new viewers is sent elsewhere. */
   SHARING,
-  /** Nothing new is sent to it. */
+  /** The zone receives no new viewers. */
   GIVEN_UP,
-  /** It is taken back by a share that rises. */
+  /** The zone recovers: it serves a growing share of its new viewers. */
   COMING_BACK;
 
-  /** Whether it may stand so next; the way back from given up leads through coming back alone. */
+  /** Whether a transition is allowed; a zone that was given up returns only by COMING_BACK. */
   boolean mayBecome(ZoneState next) {
     return switch (this) {
       case NEAR, SHARING -> next != COMING_BACK;
--- a/src/main/java/linengauge/zones/ZoneTable.java
+++ b/src/main/java/linengauge/zones/ZoneTable.java
@@ -8,13 +8,13 @@
 import linengauge.consensus.StateMachine;
 
 /**
- * The numbered table of places that decisions change: the same at every front after the same
- * decisions. A change names the number that it goes out from and does nothing to any other: two
- * that were thought of at once are one, and the second is thought of again. A row that an operator
- * holds changes by an operator's word alone.
+ * The versioned table of zones, replicated by the council: every front that has applied the same
+ * decisions has the same table. A change names the version that it is based on and is ignored for
+ * any other, so of two concurrent changes one takes effect and the other has to be derived again.
+ * An entry held by an operator changes only by operator commands.
  */
 public final class ZoneTable implements StateMachine {
-  /** Places at the most; one that no table names stands near. */
+  /** Maximum number of zones; a zone without an entry has the state {@code NEAR}. */
   public static final int MAX_ZONES = 256;
 
   private enum Kind {
@@ -26,7 +26,7 @@
   private final SortedMap<Integer, ZoneEntry> entries = new TreeMap<>();
   private long version;
 
-  /** Rises with every change that did something. */
+  /** Increases with every effective change. */
   public long version() {
     return version;
   }
@@ -35,19 +35,19 @@
     return entries.getOrDefault(zone, ZoneEntry.DEFAULT);
   }
 
-  /** All that do not simply stand near. */
+  /** All entries but those in the default state. */
   public SortedMap<Integer, ZoneEntry> entries() {
     return java.util.Collections.unmodifiableSortedMap(entries);
   }
 
-  /** Nothing is on its way from one standing to another, and nobody leans on another. */
+  /** Whether every zone serves its own viewers. */
   public boolean isAllNear() {
     return entries.values().stream().allMatch(entry -> entry.state() == ZoneState.NEAR);
   }
 
   /* ---- decisions ---- */
 
-  /** All that changes at one moment, in one decision. */
+  /** Encodes changes of several entries as one decision. */
   public static byte[] change(long baseVersion, Map<Integer, ZoneEntry> entries) {
     MessageWriter writer =
         new MessageWriter().num(Kind.CHANGE.ordinal()).num(baseVersion).num(entries.size());
@@ -60,11 +60,11 @@
     return writer.done();
   }
 
-  /** An operator holds a place as it says there, until it is released. */
+  /** Encodes an operator's hold: the entry stays as given until it is released. */
   public static byte[] hold(
       int zone, ZoneState state, double localShare, double remoteShare, String holdReason) {
     if (holdReason.isBlank()) {
-      throw new IllegalArgumentException("an order without its author");
+      throw new IllegalArgumentException("operator hold without a reason");
     }
     MessageWriter writer = new MessageWriter().num(Kind.HOLD.ordinal()).num(zone);
     new ZoneEntry(state, localShare, remoteShare, 0, holdReason, 0).write(writer);
@@ -72,8 +72,8 @@
   }
 
   /**
-   * That order ends, by an operator or as its time is over; what the place stands in goes on from
-   * there.
+   * Encodes the end of a hold, by an operator or because it has expired; the zone continues from
+   * its current state.
    */
   public static byte[] release(int zone, String holdReason) {
     return new MessageWriter().num(Kind.RELEASE.ordinal()).num(zone).text(holdReason).done();
@@ -118,7 +118,7 @@
         }
       }
     } catch (IllegalArgumentException e) {
-      return; // makes no sense, to every front alike
+      return; // a malformed decision is ignored, in the same way on every front
     }
   }
 
--- a/src/test/java/linengauge/flow/ConnectionLimitsTest.java
+++ b/src/test/java/linengauge/flow/ConnectionLimitsTest.java
@@ -48,8 +48,7 @@
       assertEquals(ConnectionLedger.Admission.REJECTED, ledger.admit("a"));
     }
     assertEquals(ConnectionLedger.Admission.DROPPED, ledger.admit("a"));
-    assertEquals(
-        ConnectionLedger.Admission.SERVED, ledger.admit("b"), "another address finds its place");
+    assertEquals(ConnectionLedger.Admission.SERVED, ledger.admit("b"), "another address is served");
     ledger.release("a", ConnectionLedger.Admission.REJECTED);
     assertEquals(ConnectionLedger.Admission.REJECTED, ledger.admit("a"));
   }
@@ -63,16 +62,21 @@
     }
     for (int i = 0; i < 10; i++) {
       assertEquals(
-          ConnectionLedger.Admission.SERVED, ledger.admit("c"), "a newcomer gets the last places");
+          ConnectionLedger.Admission.SERVED,
+          ledger.admit("c"),
+          "a new address is served from the reserved part");
     }
     assertEquals(80, ledger.served());
-    assertEquals(ConnectionLedger.Admission.REJECTED, ledger.admit("d"), "and none over the whole");
+    assertEquals(
+        ConnectionLedger.Admission.REJECTED, ledger.admit("d"), "nothing over the total limit");
     for (int i = 0; i < 10; i++) {
       ledger.release("c", ConnectionLedger.Admission.SERVED);
     }
     assertEquals(ConnectionLedger.Admission.SERVED, ledger.admit("c"));
     assertEquals(
-        ConnectionLedger.Admission.REJECTED, ledger.admit("a"), "one that has its part does not");
+        ConnectionLedger.Admission.REJECTED,
+        ledger.admit("a"),
+        "an address at its equal share is not");
   }
 
   @Test
@@ -179,7 +183,7 @@
       assertTrue(attempt.requestReceived());
     }
     run(100);
-    assertEquals(List.of(), timedOutStates, "while it is answered nothing is due");
+    assertEquals(List.of(), timedOutStates, "no deadline while a response is pending");
     pipelining.byteReceived();
     idle.responseEnded();
     pipelining.responseEnded();
@@ -207,7 +211,7 @@
     ConnectionAttempt silent = openAttempt();
     now = now.plus(Span.ofSeconds(30));
     attempts.tick(clock.tick(now));
-    attempt.byteReceived(); // it had come meanwhile
+    attempt.byteReceived(); // the byte arrived during the pause
     silent.close();
     run(2);
     assertEquals(List.of(), timedOutStates);
--- a/src/test/java/linengauge/flow/LoopSimulation.java
+++ b/src/test/java/linengauge/flow/LoopSimulation.java
@@ -6,8 +6,8 @@
 import linengauge.Span;
 
 /**
- * One loop in virtual time: viewers that take bytes at rates of their own, fed as the watch says;
- * looked at by the beat.
+ * One loop in virtual time with viewers that read at individual rates. Bytes are queued as the
+ * detector allows, and the detector is ticked by the loop clock.
  */
 final class LoopSimulation {
   static final FlowSettings SETTINGS =
@@ -46,8 +46,8 @@
   }
 
   /**
-   * A viewer that plays segments, one each `everyMs`, and takes them at a rate that the step may
-   * change.
+   * A viewer that requests a segment every {@code segmentIntervalMs} and reads it at a rate that a
+   * test may change.
    */
   final class SimulatedViewer implements PeerTraffic.Peer {
     final String name;
@@ -109,7 +109,8 @@
         traffic.transferStarted(MIN_BYTES_PER_SECOND);
       }
       readableBytes = Math.min(queued, readableBytes + bytesPerSecond * elapsedMs / 1000);
-      if (readableBytes >= Math.min(minReadBytes, queued)) { // a socket's window opens in lumps
+      if (readableBytes
+          >= Math.min(minReadBytes, queued)) { // the window of a socket opens in steps
         queued -= readableBytes;
         readableBytes = 0;
       }
@@ -139,13 +140,13 @@
     }
   }
 
-  /** The loop itself does nothing; its peers' bytes stay where they are. */
+  /** The loop does not run; its peers' bytes stay where they are. */
   void pause(double seconds) {
     now = now.plus(Span.ofMillis(Math.round(seconds * 1000) / 100 * 100));
     detector.tick(clock.tick(now));
   }
 
-  /** The most let go in any stretch of this length. */
+  /** The highest number of disconnections in any span of this length. */
   int maxDisconnectsWithin(Span span) {
     int maxCount = 0;
     for (int i = 0; i < disconnectedAt.size(); i++) {
--- a/src/test/java/linengauge/flow/SlowPeerDetectorTest.java
+++ b/src/test/java/linengauge/flow/SlowPeerDetectorTest.java
@@ -24,7 +24,7 @@
     loop.new SimulatedViewer("weaker", 15_000, 60_000, 2000, 1);
     loop.new SimulatedViewer("dead", 1, 60_000, 2000, 1);
     loop.run(4);
-    assertEquals(List.of(), loop.disconnected, "nobody for the first slow seconds");
+    assertEquals(List.of(), loop.disconnected, "nobody is disconnected within the first seconds");
     loop.run(8);
     assertEquals(List.of("dead", "weaker"), loop.disconnected);
     loop.run(60);
@@ -44,7 +44,8 @@
     }
     assertEquals(List.of(), loop.disconnected);
     loop.run(20);
-    assertEquals(List.of("pauses"), loop.disconnected, "one that does not come back is let go");
+    assertEquals(
+        List.of("pauses"), loop.disconnected, "a viewer that does not resume is disconnected");
   }
 
   @Test
@@ -64,11 +65,11 @@
       loop.new SimulatedViewer("viewer " + i, 200_000, 200_000, 2000, 1);
     }
     loop.run(20);
-    loop.viewers.forEach(viewer -> viewer.bytesPerSecond = 2000); // our own uplink is full
+    loop.viewers.forEach(viewer -> viewer.bytesPerSecond = 2000); // the uplink is saturated
     loop.run(60);
-    assertTrue(loop.disconnected.size() > 20, "slowly all the same");
-    // Before the movers of better times have left the window somewhat more may go, but evidence
-    // takes longer than that.
+    assertTrue(loop.disconnected.size() > 20, "disconnected slowly");
+    // A larger budget would apply until earlier progress has expired, but the minimum owed time is
+    // longer than that.
     assertTrue(
         loop.maxDisconnectsWithin(loop.settings.disconnectWindow())
             <= loop.settings.baseDisconnects(),
@@ -214,11 +215,11 @@
           if (budget.mayQueue(queued[i])) {
             to = queued[i] + 1 + random.nextInt((int) settings.chunkBytes());
           } else {
-            assertTrue(queued[i] >= settings.floorBytes(), "its floor is kept for everybody");
+            assertTrue(queued[i] >= settings.floorBytes(), "the floor is reserved for every peer");
             for (int j = 0; j < queued.length; j += 7) {
               assertTrue(
                   queued[j] < queued[i] || !budget.mayQueue(queued[j]),
-                  "one that has more is granted more while one that has less is refused");
+                  "a peer with more bytes may queue while one with fewer may not");
             }
           }
         } else if (queued[i] > 0) {
--- a/src/test/java/linengauge/work/JobSchedulerTest.java
+++ b/src/test/java/linengauge/work/JobSchedulerTest.java
@@ -16,9 +16,7 @@
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 
-/**
- * Background jobs in virtual time: each bound by the trouble that would pass it, and seeded days.
- */
+/** The scheduler in virtual time: one test for each limit, and seeded simulations. */
 class JobSchedulerTest {
   private static final Span WINDOW = Span.ofMillis(1000);
   private static final WorkSettings SETTINGS =
@@ -61,7 +59,7 @@
         new Job.Action() {
           @Override
           public void run(ScheduledJob job) {
-            throw new AssertionError("the bench runs nothing itself");
+            throw new AssertionError("the scheduler must not run actions");
           }
 
           @Override
@@ -79,7 +77,7 @@
     now = now.plus(Span.ofSeconds(ms / 1000));
   }
 
-  /** Runs what comes next to its end at once; its name, or null where nothing is run. */
+  /** Runs the next job to its end; returns its name, or null if there is none. */
   private String runNext() {
     ScheduledJob scheduled = scheduler.nextJob(now);
     if (scheduled != null) {
@@ -108,10 +106,11 @@
     for (int i = 0; i < 3; i++) {
       assertNotNull(runNext());
     }
-    assertNull(runNext(), "a fourth would be over 100 ms");
+    assertNull(runNext(), "a fourth job would exceed 100 ms");
     Moment pollAt = scheduler.nextPollAt();
     assertTrue(
-        now.before(pollAt) && !now.plus(WINDOW.times(1.1)).before(pollAt), "ask at " + pollAt);
+        now.before(pollAt) && !now.plus(WINDOW.times(1.1)).before(pollAt),
+        "next poll at " + pollAt);
     now = pollAt;
     assertNotNull(runNext());
   }
@@ -123,7 +122,7 @@
     submit(job("large", 1, 90, 0));
     submit(job("small", 2, 10, 0));
     submit(job("reads", 2, 0, 500));
-    assertEquals("reads", runNext(), "it takes nothing that the large one waits for");
+    assertEquals("reads", runNext(), "it uses none of the budget that the large job waits for");
     assertNull(runNext());
     advance(1100);
     assertEquals("large", runNext());
@@ -139,12 +138,12 @@
       assertEquals("urgent" + i, runNext());
     }
     advance(600);
-    submit(job("urgent", 1, 1, 0)); // four steps are over
+    submit(job("urgent", 1, 1, 0)); // four aging intervals have passed
     assertEquals("patient", runNext());
     submit(job("bound", 9, Span.ofMillis(300), Span.NONE, 0, 1, 0));
     advance(300);
     submit(job("other", 0, 1, 0));
-    assertEquals("bound", runNext(), "it is late for its own bound");
+    assertEquals("bound", runNext(), "it is over its start limit");
   }
 
   @Test
@@ -155,13 +154,13 @@
     submit(job("c", 1, 4, 0));
     assertEquals("a", runNext());
     assertEquals("b", runNext());
-    assertNull(runNext(), "12 ms would be over a tenth of 100");
+    assertNull(runNext(), "12 ms would exceed a tenth of 100 ms");
     scheduler.setLoopDelay(Span.NONE);
     assertEquals("c", runNext());
     advance(1100);
     scheduler.setLoopDelay(Span.ofMillis(80));
     submit(job("large", 1, 90, 0));
-    assertEquals("large", runNext(), "else it would wait for as long as the desk is late");
+    assertEquals("large", runNext(), "otherwise it would wait for as long as the loop is late");
   }
 
   @Test
@@ -171,7 +170,7 @@
     assertSame(scheduled, scheduler.nextJob(now));
     submit(job("save", 1, 1, 0));
     submit(job("save", 1, 1, 0));
-    assertNull(scheduler.nextJob(now), "not beside itself");
+    assertNull(scheduler.nextJob(now), "the job must not run concurrently with itself");
     scheduled.succeeded(now, Span.NONE, 0);
     assertEquals("save", runNext());
     assertNull(runNext());
@@ -187,9 +186,9 @@
       Span pause = scheduled.dueAt().since(now);
       Span maxPause = Span.ofMillis(100L << i - 1);
       assertTrue(!maxPause.under(pause) && !pause.under(maxPause.times(0.5)), "pause " + pause);
-      assertTrue(previousPause.times(0.9).under(pause) || i == 1, "shorter than before");
+      assertTrue(previousPause.times(0.9).under(pause) || i == 1, "backoff is shorter than before");
       submit(job("list", 1, Span.NONE, Span.NONE, 6, 0, 0));
-      assertNull(scheduler.nextJob(now), "wishing does not cut its pause");
+      assertNull(scheduler.nextJob(now), "resubmission does not shorten the backoff");
       now = scheduler.nextPollAt();
       previousPause = pause;
     }
@@ -206,7 +205,7 @@
     assertNull(runNext());
     advance(5000);
     assertEquals("sweep", runNext());
-    assertNull(runNext(), "once, however long it could not");
+    assertNull(runNext(), "runs once, regardless of the delay");
     now = scheduler.nextPollAt();
     assertEquals("sweep", runNext());
     scheduled.cancel();
@@ -238,7 +237,7 @@
     submit(job("c", 1, 0, 0));
     ScheduledJob a = scheduler.nextJob(now);
     assertNotNull(scheduler.nextJob(now));
-    assertNull(scheduler.nextJob(now), "two at once");
+    assertNull(scheduler.nextJob(now), "at most two run at once");
     a.cancel();
     a.succeeded(now, Span.NONE, 0);
     a.failed(now, Span.NONE, 0);
@@ -253,18 +252,18 @@
     submit(job);
     scheduler.nextJob(now).succeeded(now, Span.ofMillis(80), 0);
     advance(20);
-    assertNull(scheduler.nextJob(now), "85 and 80 are over 100");
+    assertNull(scheduler.nextJob(now), "85 ms and 80 ms exceed 100 ms");
     advance(1100);
     assertNotNull(scheduler.nextJob(now));
   }
 
-  /** What a window that ends now held, by what was really begun. */
+  /** A started job with its reserved amounts. */
   private record StartedJob(Moment at, Span loopTime, long bytes) {}
 
   @Test
   void seededSimulationsKeepEveryBudgetAndStarveNoUrgency() {
     for (long seed = 1; seed <= 20; seed++) {
-      assertEquals(simulate(seed), simulate(seed), "the same seed, another day");
+      assertEquals(simulate(seed), simulate(seed), "the same seed gave a different result");
     }
   }
 
@@ -278,7 +277,7 @@
     StringBuilder log = new StringBuilder();
     Job.Action unused =
         job -> {
-          throw new AssertionError("run by the bench");
+          throw new AssertionError("the scheduler must not run actions");
         };
     for (int step = 0; step < 4000; step++) {
       now = now.plus(Span.ofMillis(random.nextInt(30)));
@@ -335,7 +334,7 @@
     }
     assertTrue(
         succeededByUrgency.get(0) > succeededByUrgency.get(4),
-        "urgency counts for nothing: " + succeededByUrgency);
+        "urgency has no effect: " + succeededByUrgency);
     return log.toString();
   }
 }
--- a/src/test/java/linengauge/zones/FailoverControllerTest.java
+++ b/src/test/java/linengauge/zones/FailoverControllerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Four zones, three fronts in each, in steps of a quarter second; a change wanted is decided with
- * the next step.
+ * Four zones with three fronts each, in steps of a quarter of a second. A proposed change is
+ * applied with the next step.
  */
 class FailoverControllerTest {
   private static final Span STEP = Span.ofMillis(250);
@@ -94,7 +94,7 @@
     advance(5, failedZones());
     advance(3, failedZones(1));
     assertEquals(List.of("1 GIVEN_UP"), changes);
-    assertEquals(1, table.entry(1).remoteShare(), 1e-9, "there is room for 600 elsewhere");
+    assertEquals(1, table.entry(1).remoteShare(), 1e-9, "600 kB/s fit elsewhere");
     advance(60, failedZones(1));
     assertEquals(1, changes.size());
     advance(4.5, failedZones());
@@ -162,7 +162,7 @@
     assertEquals(before + 1, table.version());
     assertEquals(ZoneState.GIVEN_UP, table.entry(0).state());
     assertEquals(ZoneState.GIVEN_UP, table.entry(2).state());
-    // 1200 leave, and the two others have room for 600 under nine tenths.
+    // 1200 kB/s leave, and the other two zones have 600 kB/s free below 90 % utilization.
     assertEquals(0.5, table.entry(0).remoteShare(), 0.01);
     assertEquals(ZoneState.NEAR, table.entry(1).state());
   }
@@ -177,7 +177,7 @@
         0,
         table.entry(3).remoteShare(),
         1e-9,
-        "refused where it asks, never pushed onto one that is full");
+        "rejected by its own zone rather than sent to a full one");
   }
 
   @Test
@@ -224,7 +224,7 @@
     assertEquals(ZoneEntry.DEFAULT, table.entry(2));
   }
 
-  /** Regions by the same means, later and dearer: what gives a zone up leaves its region. */
+  /** Regions use the same controller with slower settings, so that a zone fails over first. */
   @Test
   void regionsFailOverAndRecoverLaterThanZones() {
     FailoverController regions = new FailoverController(FailoverSettings.REGIONS, table);
@@ -245,7 +245,7 @@
       }
     }
     assertTrue(givenUpAt >= 9 && givenUpAt <= 10, "given up at " + givenUpAt);
-    assertTrue(recoveringAt >= 35 && recoveringAt <= 36, "back at " + recoveringAt);
+    assertTrue(recoveringAt >= 35 && recoveringAt <= 36, "recovering at " + recoveringAt);
   }
 
   @Test
@@ -299,14 +299,15 @@
     assertEquals("maintenance, on-call 2026-12-02", table.entry(1).holdReason());
     table.apply(++index, 0, ZoneTable.release(1, "maintenance, on-call 2026-12-02"));
     advance(30, failedZones());
-    assertEquals(ZoneState.NEAR, table.entry(1).state(), "by the same steps as after a fault");
+    assertEquals(
+        ZoneState.NEAR, table.entry(1).state(), "recovers by the same steps as after a fault");
     assertThrows(
         IllegalArgumentException.class, () -> ZoneTable.hold(1, ZoneState.NEAR, 1, 0, " "));
   }
 
   /**
-   * Whatever is decided, sense or not: the same table everywhere, its number never falls, no way
-   * round the way back.
+   * Arbitrary decisions, valid or not, leave all replicas identical. The version never decreases,
+   * and every change of state is an allowed transition.
    */
   @Test
   void arbitraryDecisionsKeepReplicasIdentical() {
--- a/src/test/java/linengauge/zones/ZoneRouterTest.java
+++ b/src/test/java/linengauge/zones/ZoneRouterTest.java
@@ -11,7 +11,7 @@
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 
-/** One front of zone 0 of three, and what it may do with its newcomers. */
+/** The router of one front in zone 0 of three. */
 class ZoneRouterTest {
   private final ZoneTable table = new ZoneTable();
   private final ZoneRouter router =
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Of 10,000 newcomers at one moment: the parts that stay, go to 1, go to 2, are refused, and go
-   * by no table.
+   * The outcomes of 10,000 new viewers at one moment, as shares: local, sent elsewhere, rejected,
+   * and placed without the table.
    */
   private Map<String, Double> routeShares() {
     Map<String, Double> shares = new TreeMap<>();
@@ -101,14 +101,14 @@
     advance(3, false);
     assertEquals(ZoneRouter.Mode.DETACHING, router.mode(now));
     double share = routeShares().get("alone");
-    assertTrue(share > 0.2 && share < 0.8, "a share of them: " + share);
+    assertTrue(share > 0.2 && share < 0.8, "a share of the viewers: " + share);
     advance(5, false);
     assertEquals(ZoneRouter.Mode.INDEPENDENT, router.mode(now));
     assertEquals(1, routeShares().get("alone"), 1e-9);
     advance(2.5, true);
     assertEquals(ZoneRouter.Mode.REATTACHING, router.mode(now));
     double remaining = routeShares().get("alone");
-    assertTrue(remaining > 0.2 && remaining < 0.8, "a share of them: " + remaining);
+    assertTrue(remaining > 0.2 && remaining < 0.8, "a share of the viewers: " + remaining);
     advance(5, true);
     assertEquals(ZoneRouter.Mode.COORDINATED, router.mode(now));
   }
@@ -124,7 +124,7 @@
   void processPauseChangesTheShareByOneStepOnly() {
     advance(10, true);
     now = now.plus(Span.ofSeconds(60));
-    assertTrue(router.updateIndependentShare(now) <= 0.25, "one look after it");
+    assertTrue(router.updateIndependentShare(now) <= 0.25, "changes by one step after the pause");
   }
 
   @Test
