--- a/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
+++ b/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
@@ -45,7 +45,7 @@
     }
 
     @Override
-    public void disconnect(PeerTraffic account) {}
+    public void disconnect(PeerTraffic traffic) {}
 
     @Override
     public void progressed() {}
@@ -76,12 +76,12 @@
             4);
     clock = new LoopClock(settings.tickInterval(), settings.lateTolerance());
     detector = new SlowPeerDetector(settings, clock);
-    List<PeerTraffic> all = new ArrayList<>();
+    List<PeerTraffic> viewers = new ArrayList<>();
     for (int i = 0; i < activePeers; i++) {
-      all.add(detector.open(PeerTraffic.Side.VIEWER, new InstantPeer()));
-      all.get(i).transferStarted(22_500);
+      viewers.add(detector.open(PeerTraffic.Side.VIEWER, new InstantPeer()));
+      viewers.get(i).transferStarted(22_500);
     }
-    viewer = all.get(0);
+    viewer = viewers.get(0);
     box = detector.open(PeerTraffic.Side.BOX, new InstantPeer());
     box.transferStarted(10_000);
     box.setBytesWanted(true);
--- a/src/main/java/linengauge/flow/DisconnectBudget.java
+++ b/src/main/java/linengauge/flow/DisconnectBudget.java
@@ -33,11 +33,8 @@
   private final LinkedHashMap<Long, Moment> lastProgressByPeer = new LinkedHashMap<>();
 
   DisconnectBudget(FlowSettings settings) {
-    this.slotMicros =
-        Math.max(
-            1,
-            settings.disconnectWindow().micros()
-                / (SLOT_COUNT - 1)); // the current slot is incomplete
+    // One slot less, since the current slot is incomplete.
+    this.slotMicros = Math.max(1, settings.disconnectWindow().micros() / (SLOT_COUNT - 1));
     this.baseDisconnects = settings.baseDisconnects();
     this.disconnectsPerProgressingPeer = settings.disconnectsPerProgressingPeer();
     this.progressLifetime = settings.minOwedTime().times(0.5);
--- a/src/main/java/linengauge/flow/PeerTraffic.java
+++ b/src/main/java/linengauge/flow/PeerTraffic.java
@@ -24,7 +24,7 @@
      * The peer is too slow, and the budget allows its disconnection: it must release its bytes,
      * connections and streams now.
      */
-    void disconnect(PeerTraffic account);
+    void disconnect(PeerTraffic traffic);
 
     /** Called when bytes were transferred since the last tick: the peer is not idle. */
     void progressed();
@@ -187,7 +187,7 @@
 
   /* ---- ticks of the loop ---- */
 
-  /** Records the loop time since the last tick; whether the peer moved at its minimum rate. */
+  /** Records the loop time since the last tick; whether the minimum rate was reached. */
   boolean sample(Span span) {
     long movedBytes;
     boolean wasOwed;
@@ -195,9 +195,8 @@
       refreshQueuedBytes();
       movedBytes =
           Math.max(0, totalBytes - totalBytesAtLastTick + queuedBytesAtLastTick - queuedBytes);
-      wasOwed =
-          queuedBytesAtLastTick
-              > 0; // also if the peer has read everything since: it was owed those bytes until then
+      // Also true if the peer has read everything since: it was owed those bytes until then.
+      wasOwed = queuedBytesAtLastTick > 0;
       queuedBytesAtLastTick = queuedBytes;
     } else {
       movedBytes = totalBytes - totalBytesAtLastTick;
--- a/src/main/java/linengauge/work/JobScheduler.java
+++ b/src/main/java/linengauge/work/JobScheduler.java
@@ -188,11 +188,12 @@
       }
     }
     due.sort(
-        (a, b) -> {
+        (first, second) -> {
           int byRank =
               Long.compare(
-                  a.rank(now, settings.agingInterval()), b.rank(now, settings.agingInterval()));
-          return byRank != 0 ? byRank : Long.compare(a.id(), b.id());
+                  first.rank(now, settings.agingInterval()),
+                  second.rank(now, settings.agingInterval()));
+          return byRank != 0 ? byRank : Long.compare(first.id(), second.id());
         });
     return due;
   }
--- a/src/main/java/linengauge/work/ScheduledJob.java
+++ b/src/main/java/linengauge/work/ScheduledJob.java
@@ -72,18 +72,20 @@
    * The rank; the smallest runs first. It is the urgency reduced by the waiting time; a job over
    * its start limit precedes all that are not.
    */
-  long rank(Moment now, Span ageing) {
+  long rank(Moment now, Span agingInterval) {
     Span waited = now.since(dueAt).orMore(Span.NONE);
     boolean isLate = Span.NONE.under(job.startWithin()) && !waited.under(job.startWithin());
-    return (isLate ? Long.MIN_VALUE / 2 : 0) + job.urgency() * ageing.micros() - waited.micros();
+    return (isLate ? Long.MIN_VALUE / 2 : 0)
+        + job.urgency() * agingInterval.micros()
+        - waited.micros();
   }
 
   void resubmitted(Moment now) {
     if (state == State.RUNNING) {
       rerunRequested = true;
     } else if (now.before(dueAt) && failures == 0) {
-      dueAt =
-          now; // a failed job keeps its backoff: resubmission does not repair what it depends on
+      // A failed job keeps its backoff: resubmission does not repair what it depends on.
+      dueAt = now;
     }
   }
 
--- a/src/main/java/linengauge/zones/FailoverController.java
+++ b/src/main/java/linengauge/zones/FailoverController.java
@@ -85,17 +85,12 @@
       }
     }
     assignShares(next);
-    next.entrySet()
-        .removeIf(
-            observation -> isSimilar(table.entry(observation.getKey()), observation.getValue()));
+    next.entrySet().removeIf(change -> isSimilar(table.entry(change.getKey()), change.getValue()));
     if (next.entrySet().stream()
-            .allMatch(
-                observation ->
-                    table.entry(observation.getKey()).state() == observation.getValue().state())
+            .allMatch(change -> table.entry(change.getKey()).state() == change.getValue().state())
         && now.before(lastDecisionAt.plus(settings.stepInterval()))) {
-      return Map
-          .of(); // oscillating demand is followed at a limited rate: each change is sent to the
-      // whole fleet
+      // Oscillating demand is followed at a limited rate: each change is sent to the whole fleet.
+      return Map.of();
     }
     lastDecisionAt = next.isEmpty() ? lastDecisionAt : now;
     next.forEach(
--- a/src/main/java/linengauge/zones/FailoverSettings.java
+++ b/src/main/java/linengauge/zones/FailoverSettings.java
@@ -3,7 +3,7 @@
 import linengauge.Span;
 
 /**
- * How quickly reports lead to a change. Failover between regions is more costly, so it has higher
+ * How quickly reports lead to a change. Failover between regions is more costly, so it has stricter
  * thresholds and longer delays.
  *
  * @param reportLifetime how long a report counts
--- a/src/main/java/linengauge/zones/ZoneRouter.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -122,11 +122,11 @@
       return new Route(new TreeMap<>(), true, table.version());
     }
     ZoneEntry entry = table.entry(ownZone);
-    double drawn = random.nextDouble();
+    double draw = random.nextDouble();
     SortedMap<Integer, Double> weights = new TreeMap<>();
-    if (drawn < entry.localShare() && capacitiesKbPerSecond.containsKey(ownZone)) {
+    if (draw < entry.localShare() && capacitiesKbPerSecond.containsKey(ownZone)) {
       weights.put(ownZone, 1.0);
-    } else if (drawn < entry.localShare() + entry.remoteShare()
+    } else if (draw < entry.localShare() + entry.remoteShare()
         || !capacitiesKbPerSecond.containsKey(ownZone)) {
       addOtherZones(weights);
     }
--- a/src/test/java/linengauge/flow/LoopSimulation.java
+++ b/src/test/java/linengauge/flow/LoopSimulation.java
@@ -109,8 +109,8 @@
         traffic.transferStarted(MIN_BYTES_PER_SECOND);
       }
       readableBytes = Math.min(queued, readableBytes + bytesPerSecond * elapsedMs / 1000);
-      if (readableBytes
-          >= Math.min(minReadBytes, queued)) { // the window of a socket opens in steps
+      // The window of a socket opens in steps.
+      if (readableBytes >= Math.min(minReadBytes, queued)) {
         queued -= readableBytes;
         readableBytes = 0;
       }
--- a/src/test/java/linengauge/flow/SlowPeerDetectorTest.java
+++ b/src/test/java/linengauge/flow/SlowPeerDetectorTest.java
@@ -210,10 +210,10 @@
       long[] queued = new long[settings.maxPeers()];
       for (int step = 0; step < 3000; step++) {
         int i = random.nextInt(queued.length);
-        long to = queued[i];
+        long newBytes = queued[i];
         if (random.nextInt(20) > 0) {
           if (budget.mayQueue(queued[i])) {
-            to = queued[i] + 1 + random.nextInt((int) settings.chunkBytes());
+            newBytes = queued[i] + 1 + random.nextInt((int) settings.chunkBytes());
           } else {
             assertTrue(queued[i] >= settings.floorBytes(), "the floor is reserved for every peer");
             for (int j = 0; j < queued.length; j += 7) {
@@ -223,10 +223,10 @@
             }
           }
         } else if (queued[i] > 0) {
-          to = random.nextLong(queued[i]);
+          newBytes = random.nextLong(queued[i]);
         }
-        budget.update(queued[i], to);
-        queued[i] = to;
+        budget.update(queued[i], newBytes);
+        queued[i] = newBytes;
         assertTrue(budget.queuedBytes() <= settings.maxQueuedBytes(), "seed " + seed);
       }
     }
@@ -240,12 +240,12 @@
     int active = 90;
     for (int round = 0; round < 400; round++) {
       for (int i = 0; i < active; i++) {
-        long to =
+        long newBytes =
             budget.mayQueue(queued[i])
                 ? queued[i] + settings.chunkBytes()
                 : Math.max(0, queued[i] - 3000);
-        budget.update(queued[i], to);
-        queued[i] = to;
+        budget.update(queued[i], newBytes);
+        queued[i] = newBytes;
       }
       active = round > 200 ? 100 : 90;
     }
@@ -272,12 +272,14 @@
     LoopSimulation simulation = new LoopSimulation(LoopSimulation.SETTINGS);
     SplittableRandom random = new SplittableRandom(seed);
     for (int step = 0; step < 120; step++) {
-      for (int n = random.nextInt(6); n > 0 && simulation.viewers.size() < 300; n--) {
-        boolean good = random.nextInt(2) == 0;
+      for (int remaining = random.nextInt(6);
+          remaining > 0 && simulation.viewers.size() < 300;
+          remaining--) {
+        boolean isHealthy = random.nextInt(2) == 0;
         simulation
         .new SimulatedViewer(
-            (good ? "good " : "slow ") + simulation.viewers.size(),
-            good ? 60_000 + random.nextInt(3_000_000) : random.nextInt(18_000),
+            (isHealthy ? "good " : "slow ") + simulation.viewers.size(),
+            isHealthy ? 60_000 + random.nextInt(3_000_000) : random.nextInt(18_000),
             40_000 + random.nextInt(200_000),
             2000,
             1 + random.nextInt(20_000));
@@ -291,7 +293,7 @@
       assertTrue(simulation.detector.activePeers() <= simulation.settings.maxPeers());
     }
     assertTrue(
-        simulation.disconnected.stream().noneMatch(n -> n.startsWith("good")),
+        simulation.disconnected.stream().noneMatch(name -> name.startsWith("good")),
         "seed " + seed + ": " + simulation.disconnected);
     assertTrue(simulation.disconnected.size() > 10, "seed " + seed);
     return simulation;
@@ -301,16 +303,16 @@
   void boxIsMeasuredOnlyWhileItsBytesAreWanted() {
     addHealthyViewers(10);
     PeerTraffic silent = loop.detector.open(PeerTraffic.Side.BOX, new RecordingPeer("silent"));
-    PeerTraffic heldBack = loop.detector.open(PeerTraffic.Side.BOX, new RecordingPeer("held back"));
-    PeerTraffic drips = loop.detector.open(PeerTraffic.Side.BOX, new RecordingPeer("drips"));
-    for (PeerTraffic traffic : List.of(silent, heldBack, drips)) {
+    PeerTraffic paused = loop.detector.open(PeerTraffic.Side.BOX, new RecordingPeer("held back"));
+    PeerTraffic slow = loop.detector.open(PeerTraffic.Side.BOX, new RecordingPeer("drips"));
+    for (PeerTraffic traffic : List.of(silent, paused, slow)) {
       traffic.transferStarted(5000);
       traffic.setBytesWanted(true);
     }
-    heldBack.setBytesWanted(false); // its viewer does not read
+    paused.setBytesWanted(false); // its viewer does not read
     for (int i = 0; i < 100; i++) {
       loop.run(0.1);
-      drips.bytesReceived(100);
+      slow.bytesReceived(100);
     }
     assertEquals(List.of("silent", "drips"), loop.disconnected);
     assertEquals(2, loop.detector.counts().boxesDisconnected);
@@ -329,7 +331,7 @@
     }
 
     @Override
-    public void disconnect(PeerTraffic account) {
+    public void disconnect(PeerTraffic traffic) {
       loop.disconnected.add(name);
     }
 
--- a/src/test/java/linengauge/work/JobSchedulerTest.java
+++ b/src/test/java/linengauge/work/JobSchedulerTest.java
@@ -58,13 +58,13 @@
         bytes,
         new Job.Action() {
           @Override
-          public void run(ScheduledJob job) {
+          public void run(ScheduledJob scheduled) {
             throw new AssertionError("the scheduler must not run actions");
           }
 
           @Override
-          public void abandoned(ScheduledJob job) {
-            abandoned.add(job.job().name());
+          public void abandoned(ScheduledJob scheduled) {
+            abandoned.add(scheduled.job().name());
           }
         });
   }
--- a/src/test/java/linengauge/zones/FailoverControllerTest.java
+++ b/src/test/java/linengauge/zones/FailoverControllerTest.java
@@ -119,11 +119,11 @@
     List<Double> recoverySeconds = new ArrayList<>();
     for (int round = 0; round < 4; round++) {
       advance(3, failedZones(2));
-      Moment from = now;
+      Moment healthyAt = now;
       while (table.entry(2).state() == ZoneState.GIVEN_UP) {
         advance(0.25, failedZones());
       }
-      recoverySeconds.add(now.since(from).seconds());
+      recoverySeconds.add(now.since(healthyAt).seconds());
     }
     for (int i = 1; i < recoverySeconds.size(); i++) {
       assertTrue(
@@ -278,13 +278,13 @@
 
   @Test
   void changeFromAnOlderVersionIsIgnored() {
-    byte[] late =
+    byte[] outdated =
         ZoneTable.change(
             table.version(), Map.of(0, new ZoneEntry(ZoneState.GIVEN_UP, 0, 1, 1, "", 0)));
     advance(5, failedZones());
     advance(3, failedZones(1));
     byte[] before = table.whole();
-    table.apply(++index, 0, late);
+    table.apply(++index, 0, outdated);
     assertArrayEquals(before, table.whole());
   }
 
