--- a/src/main/java/linengauge/zones/ZoneRouter.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -11,7 +11,7 @@
  * the front's view of the table becomes stale, it goes over to independent operation: a rising
  * share of new viewers ignores the table. It returns in the same way, so that no fleet switches at
  * a single moment. The router only narrows the choice: the module decides among the zones that it
- * allows.
+ * allows, and no rule depends on a zone that is left out.
  */
 public final class ZoneRouter {
   /** How far the front follows the table. */
