--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -19,10 +19,10 @@
  * A media box of the fleet in virtual time, as it speaks on the platform
  * (docs/protocol/platform.md, "Boxes").
  */
-final class BoxModel implements Roads.Place {
+final class BoxModel implements NetworkModel.Acceptor {
   /** What becomes of set-ups. */
-  enum Mood {
-    WELL,
+  enum Behavior {
+    HEALTHY,
     ERRORS,
     SILENT,
     SLOW
@@ -32,64 +32,64 @@
 
   /** The uplink that the boxes of a rack share. */
   static final class Rack {
-    private final double sizeKb;
-    private double askedKb;
+    private final double capacityKb;
+    private double demandKb;
 
     Rack(double sizeKb) {
-      this.sizeKb = sizeKb;
+      this.capacityKb = sizeKb;
     }
   }
 
-  private static final class Playing {
-    private final Viewers.Watch watch;
+  private static final class ActiveViewing {
+    private final Viewers.Viewer viewer;
     private int rung;
-    private double kb;
-    private Pipe.End end;
+    private double rateKb;
+    private SimulatedConnection.Endpoint endpoint;
 
     /** Its answer went astray. */
-    private boolean lost;
+    private boolean answerLost;
 
-    private Playing(Viewers.Watch watch) {
-      this.watch = watch;
+    private ActiveViewing(Viewers.Viewer watch) {
+      this.viewer = watch;
     }
   }
 
-  private final FleetDay day;
-  private final Clockwork clock;
-  private final Ledger ledger;
-  private final SplittableRandom chance;
+  private final FleetSimulation simulation;
+  private final VirtualClock clock;
+  private final TrafficRecorder recorder;
+  private final SplittableRandom random;
   private final long id;
   private final String address;
   private final int cell;
   private final int zone;
   private final Rack rack;
   private final double linkKb;
-  private final Host host;
-  private final List<Pipe.End> ends = new ArrayList<>();
-  private final Map<String, Playing> playing = new LinkedHashMap<>();
+  private final SimulatedProcess process;
+  private final List<SimulatedConnection.Endpoint> endpoints = new ArrayList<>();
+  private final Map<String, ActiveViewing> activeViewings = new LinkedHashMap<>();
 
   /** Set-ups heard and not yet answered, by viewing. */
-  private final Map<String, Pipe.End> settingUp = new LinkedHashMap<>();
+  private final Map<String, SimulatedConnection.Endpoint> pendingSetUps = new LinkedHashMap<>();
 
   /**
    * Ends, to be said to their fronts on the next connection from these: once more, or for the first
    * time.
    */
-  private final Map<String, List<String>> untold = new LinkedHashMap<>();
+  private final Map<String, List<String>> unreportedEnds = new LinkedHashMap<>();
 
   /** Those whose end a front has written; each leaves as that arrives, or with the box's life. */
-  private final Set<String> givenUp = new HashSet<>();
+  private final Set<String> endedByFront = new HashSet<>();
 
-  private double askedKb;
+  private double demandKb;
   private Moment startedAt;
-  private Mood mood = Mood.WELL;
+  private Behavior behavior = Behavior.HEALTHY;
   private boolean up = true;
 
   /** Counts lives: what an earlier one had under way is nothing to a later one. */
-  private int life;
+  private int incarnation;
 
   BoxModel(
-      FleetDay day,
+      FleetSimulation day,
       long id,
       String address,
       int cell,
@@ -97,10 +97,10 @@
       Rack rack,
       double linkKb,
       Moment startedAt) {
-    this.day = day;
+    this.simulation = day;
     this.clock = day.clock();
-    this.ledger = day.ledger();
-    this.chance = day.chance().split();
+    this.recorder = day.recorder();
+    this.random = day.random().split();
     this.id = id;
     this.address = address;
     this.cell = cell;
@@ -108,8 +108,15 @@
     this.rack = rack;
     this.linkKb = linkKb;
     this.startedAt = startedAt;
-    this.host = Host.idle(clock);
-    ledger.saw("box-started", "box", id, "cold", startedAt != null, "streams", FleetDay.STREAMS);
+    this.process = SimulatedProcess.instantaneous(clock);
+    recorder.record(
+        "box-started",
+        "box",
+        id,
+        "cold",
+        startedAt != null,
+        "streams",
+        FleetSimulation.MAX_VIEWINGS_PER_BOX);
   }
 
   long id() {
@@ -129,7 +136,7 @@
   }
 
   double weight() {
-    return linkKb / FleetDay.KB_PER_WEIGHT;
+    return linkKb / FleetSimulation.KB_PER_WEIGHT;
   }
 
   long bootMs() {
@@ -140,116 +147,118 @@
     return up;
   }
 
-  void mood(Mood m) {
-    mood = m;
+  void setBehavior(Behavior m) {
+    behavior = m;
   }
 
   /** Its process dies: what it plays is cut, connections are reset, new ones refused. */
-  void die() {
+  void crash() {
     up = false;
-    life++;
-    day.roads().shut(address);
-    List.copyOf(ends).forEach(this::broken);
-    List.copyOf(playing.values()).forEach(p -> drop(p).cut(this));
-    playing.clear();
-    settingUp.clear();
-    givenUp.clear();
-    untold.clear();
-    day.roads().died(address, p -> {});
-    ends.clear();
-    ledger.saw("box-lost", "box", id);
+    incarnation++;
+    simulation.network().stopListening(address);
+    List.copyOf(endpoints).forEach(this::recordBrokenSetUps);
+    List.copyOf(activeViewings.values()).forEach(p -> releaseRate(p).viewingCut(this));
+    activeViewings.clear();
+    pendingSetUps.clear();
+    endedByFront.clear();
+    unreportedEnds.clear();
+    simulation.network().breakConnections(address, p -> {});
+    endpoints.clear();
+    recorder.record("box-lost", "box", id);
   }
 
   /** It comes back under its name, cold. */
-  void comeBack() {
+  void restart() {
     up = true;
     startedAt = clock.now();
-    day.roads().open(address, this);
-    ledger.saw("box-started", "box", id, "cold", true, "streams", FleetDay.STREAMS);
+    simulation.network().listen(address, this);
+    recorder.record(
+        "box-started", "box", id, "cold", true, "streams", FleetSimulation.MAX_VIEWINGS_PER_BOX);
   }
 
   @Override
-  public Host host() {
-    return host;
+  public SimulatedProcess process() {
+    return process;
   }
 
   @Override
-  public boolean takes(Pipe.End end) {
-    ends.removeIf(e -> !e.isOpen());
-    if (ends.size() >= FleetDay.CONNECTIONS) {
+  public boolean accept(SimulatedConnection.Endpoint end) {
+    endpoints.removeIf(e -> !e.isOpen());
+    if (endpoints.size() >= FleetSimulation.MAX_CONNECTIONS_PER_BOX) {
       return false;
     }
-    ends.add(end);
+    endpoints.add(end);
     StringBuilder part = new StringBuilder();
     end.hears(
         data -> {
           part.append(new String(data, StandardCharsets.UTF_8));
           for (int nl = part.indexOf("\n"); nl >= 0; nl = part.indexOf("\n")) {
-            heard(end, part.substring(0, nl));
+            receive(end, part.substring(0, nl));
             part.delete(0, nl + 1);
           }
         },
-        () -> closed(end));
-    end.pipe().tap(written -> tapped(end, written));
-    for (String line : untold.getOrDefault(end.peer(), List.of())) {
-      say(end, line);
+        () -> connectionClosed(end));
+    end.connection().observeWrites(written -> observeWrite(end, written));
+    for (String line : unreportedEnds.getOrDefault(end.peer(), List.of())) {
+      send(end, line);
     }
-    untold.remove(end.peer());
+    unreportedEnds.remove(end.peer());
     return true;
   }
 
-  private void closed(Pipe.End end) {
-    ends.remove(end);
-    broken(end);
-    settingUp.values().removeIf(by -> by == end);
+  private void connectionClosed(SimulatedConnection.Endpoint end) {
+    endpoints.remove(end);
+    recordBrokenSetUps(end);
+    pendingSetUps.values().removeIf(by -> by == end);
   }
 
   /** Set-ups that are open on it end with it. */
-  private void broken(Pipe.End end) {
+  private void recordBrokenSetUps(SimulatedConnection.Endpoint end) {
     List<String> tags = new ArrayList<>();
-    settingUp.forEach(
+    pendingSetUps.forEach(
         (tag, by) -> {
           if (by == end) {
             tags.add(tag);
           }
         });
-    playing.forEach(
+    activeViewings.forEach(
         (tag, p) -> {
-          if (p.lost && p.end == end) {
+          if (p.answerLost && p.endpoint == end) {
             tags.add(tag);
           }
         });
     tags.forEach(
         tag ->
-            ledger.saw(
+            recorder.record(
                 "set-up-broken",
                 "box",
                 id,
                 "viewing",
-                day.viewers().viewing(tag),
+                simulation.viewers().viewingId(tag),
                 "tuneIn",
-                day.viewers().tuneIn(tag)));
+                simulation.viewers().lastTuneIn(tag)));
   }
 
   /**
    * What a front writes is seen as it is written: an end counts from then, though the way to the
    * box may be cut.
    */
-  private void tapped(Pipe.End end, byte[] written) {
+  private void observeWrite(SimulatedConnection.Endpoint end, byte[] written) {
     if (written.length == 0) {
-      broken(end);
+      recordBrokenSetUps(end);
       return;
     }
     for (String line : new String(written, StandardCharsets.UTF_8).split("\n")) {
       if (line.startsWith("{\"verb\":\"FINISH\"")) {
         String tag = line.replaceFirst(".*\"tag\":\"([0-9a-f]{16})\".*", "$1");
-        givenUp.add(tag);
-        ledger.saw("ended", "box", id, "viewing", day.viewers().viewing(tag), "why", "asked");
+        endedByFront.add(tag);
+        recorder.record(
+            "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
       }
     }
   }
 
-  private void heard(Pipe.End end, String line) {
+  private void receive(SimulatedConnection.Endpoint end, String line) {
     JsonNode n;
     try {
       n = JSON.readTree(line);
@@ -258,24 +267,24 @@
     }
     String tag = n.path("tag").asText();
     switch (n.path("verb").asText()) {
-      case "START" -> setUp(end, n, tag);
-      case "FINISH" -> finished(tag);
+      case "START" -> handleSetUp(end, n, tag);
+      case "FINISH" -> handleFinish(tag);
       case "RATE" -> {
-        Playing p = playing.get(tag);
+        ActiveViewing p = activeViewings.get(tag);
         if (p != null) {
-          ledger.count("changes of rung", 1);
-          rung(p, n.path("opts").path("rung").asInt());
-          ledger.saw("rung", "box", id, "viewing", p.watch.viewing(), "rung", p.rung);
+          recorder.count("changes of rung", 1);
+          setRung(p, n.path("opts").path("rung").asInt());
+          recorder.record("rung", "box", id, "viewing", p.viewer.viewingId(), "rung", p.rung);
         }
       }
       case "ECHO" -> {
-        ledger.count("tests", 1);
-        clock.after(
+        recorder.count("tests", 1);
+        clock.scheduleAfter(
             Span.ofMillis(3),
             () ->
-                say(
+                send(
                     end,
-                    line(
+                    message(
                         "ECHOED",
                         tag,
                         1,
@@ -284,79 +293,82 @@
                         String.format(
                             java.util.Locale.ROOT,
                             "outstanding:%d;x0:%.3f;x1:%.3f",
-                            playing.size(),
-                            asked(),
-                            rack.askedKb / rack.sizeKb))));
+                            activeViewings.size(),
+                            linkLoad(),
+                            rack.demandKb / rack.capacityKb))));
       }
       default -> throw new IllegalStateException("a front wrote " + line);
     }
   }
 
-  private double linkNow() {
+  private double currentLinkKb() {
     double age = startedAt == null ? 1e9 : clock.now().since(startedAt).seconds();
     return linkKb
         * Math.min(
             1,
-            FleetDay.START_CAPACITY
-                + (1 - FleetDay.START_CAPACITY) * age / FleetDay.COLD.seconds());
+            FleetSimulation.START_CAPACITY
+                + (1 - FleetSimulation.START_CAPACITY)
+                    * age
+                    / FleetSimulation.COLD_DURATION.seconds());
   }
 
-  private double asked() {
-    return askedKb / linkNow();
+  private double linkLoad() {
+    return demandKb / currentLinkKb();
   }
 
   /** The share of their rates that viewings get here now. */
-  private double share() {
+  private double deliveredShare() {
     return Math.min(
-        1, Math.min(1 / Math.max(0.01, asked()), rack.sizeKb / Math.max(1, rack.askedKb)));
+        1, Math.min(1 / Math.max(0.01, linkLoad()), rack.capacityKb / Math.max(1, rack.demandKb)));
   }
 
-  private void setUp(Pipe.End end, JsonNode n, String tag) {
-    Viewers.Watch watch = day.viewers().watch(tag);
-    if (givenUp.contains(tag)) {
+  private void handleSetUp(SimulatedConnection.Endpoint end, JsonNode n, String tag) {
+    Viewers.Viewer watch = simulation.viewers().find(tag);
+    if (endedByFront.contains(tag)) {
       // held up on its way until its front had given it up: never out, and what ends it follows
       return;
     }
     if (watch == null) {
-      if (!day.viewers().sent(tag)) {
+      if (!simulation.viewers().wasIssued(tag)) {
         throw new IllegalStateException("a set-up that no viewer sent: " + tag);
       }
       return; // held up on its way until its viewer had gone; what ends it follows
     }
     int front = Integer.parseInt(end.peer().substring(1));
     int rung = n.path("opts").path("rung").asInt();
-    int tuneIn = watch.tunedIn(front);
-    sawSetUp(watch, front, tuneIn, rung, tag);
-    settingUp.put(tag, end);
-    int mine = life;
-    Span takes = Span.ofMillis(mood == Mood.SLOW ? 1500 : 15 + chance.nextInt(25));
-    Mood now = mood;
-    if (now == Mood.SILENT) {
+    int tuneIn = watch.nextTuneIn(front);
+    recordSetUp(watch, front, tuneIn, rung, tag);
+    pendingSetUps.put(tag, end);
+    int mine = incarnation;
+    Span takes = Span.ofMillis(behavior == Behavior.SLOW ? 1500 : 15 + random.nextInt(25));
+    Behavior now = behavior;
+    if (now == Behavior.SILENT) {
       return;
     }
-    clock.after(
+    clock.scheduleAfter(
         takes,
         () -> {
-          if (mine != life || settingUp.get(tag) != end) {
+          if (mine != incarnation || pendingSetUps.get(tag) != end) {
             return;
           }
-          settingUp.remove(tag);
-          if (now == Mood.ERRORS || playing.size() >= FleetDay.STREAMS) {
-            answered(watch, tuneIn, now == Mood.ERRORS ? "error" : "turned-away");
-            say(end, line("FINISH", tag, now == Mood.ERRORS ? 47 : 34, null));
+          pendingSetUps.remove(tag);
+          if (now == Behavior.ERRORS
+              || activeViewings.size() >= FleetSimulation.MAX_VIEWINGS_PER_BOX) {
+            recordAnswer(watch, tuneIn, now == Behavior.ERRORS ? "error" : "turned-away");
+            send(end, message("FINISH", tag, now == Behavior.ERRORS ? 47 : 34, null));
           } else {
-            play(end, watch, tag, tuneIn, rung);
+            startViewing(end, watch, tag, tuneIn, rung);
           }
         });
   }
 
-  private void sawSetUp(Viewers.Watch watch, int front, int tuneIn, int rung, String tag) {
-    ledger.saw(
+  private void recordSetUp(Viewers.Viewer watch, int front, int tuneIn, int rung, String tag) {
+    recorder.record(
         "set-up",
         "box",
         id,
         "viewing",
-        watch.viewing(),
+        watch.viewingId(),
         "front",
         front,
         "tuneIn",
@@ -364,88 +376,91 @@
         "title",
         watch.title(),
         "package",
-        watch.pack(),
+        watch.packageName(),
         "rung",
         rung,
         "key",
         tag);
-    ledger.count("set-ups", 1);
-    if (startedAt != null && clock.now().since(startedAt).under(FleetDay.COLD)) {
-      ledger.count("set-ups on cold boxes", 1);
+    recorder.count("set-ups", 1);
+    if (startedAt != null && clock.now().since(startedAt).under(FleetSimulation.COLD_DURATION)) {
+      recorder.count("set-ups on cold boxes", 1);
     }
   }
 
-  private void play(Pipe.End end, Viewers.Watch watch, String tag, int tuneIn, int rung) {
-    Playing p = new Playing(watch);
-    p.end = end;
-    playing.put(tag, p);
-    rung(p, rung);
-    boolean lost = day.answersLost() > 0 && chance.nextDouble() < day.answersLost();
-    answered(watch, tuneIn, lost ? "swallowed" : "plays");
-    watch.plays(this);
+  private void startViewing(
+      SimulatedConnection.Endpoint end, Viewers.Viewer watch, String tag, int tuneIn, int rung) {
+    ActiveViewing p = new ActiveViewing(watch);
+    p.endpoint = end;
+    activeViewings.put(tag, p);
+    setRung(p, rung);
+    boolean lost =
+        simulation.answerLossRate() > 0 && random.nextDouble() < simulation.answerLossRate();
+    recordAnswer(watch, tuneIn, lost ? "swallowed" : "plays");
+    watch.startedAt(this);
     if (!lost) {
-      say(end, line("STARTED", tag, -1, "made for " + tag));
+      send(end, message("STARTED", tag, -1, "made for " + tag));
     }
-    p.lost = lost;
-    clock.after(watch.length(), () -> over(tag, p));
+    p.answerLost = lost;
+    clock.scheduleAfter(watch.remaining(), () -> completeViewing(tag, p));
   }
 
-  private void answered(Viewers.Watch watch, int tuneIn, String how) {
-    ledger.saw(
-        "set-up-answered", "box", id, "viewing", watch.viewing(), "tuneIn", tuneIn, "how", how);
+  private void recordAnswer(Viewers.Viewer watch, int tuneIn, String how) {
+    recorder.record(
+        "set-up-answered", "box", id, "viewing", watch.viewingId(), "tuneIn", tuneIn, "how", how);
   }
 
   /** It plays here already, as a day begins. */
-  void playsAlready(Viewers.Watch watch, int rung) {
-    Playing p = new Playing(watch);
-    playing.put(watch.tag(), p);
-    rung(p, rung);
-    watch.plays(this);
-    clock.after(watch.length(), () -> over(watch.tag(), p));
-  }
-
-  private void rung(Playing p, int to) {
-    double kb = to < 0 ? 0 : FleetDay.LADDER_KB[to] * p.watch.rateFactor();
-    askedKb += kb - p.kb;
-    rack.askedKb += kb - p.kb;
-    p.kb = kb;
+  void addExistingViewing(Viewers.Viewer watch, int rung) {
+    ActiveViewing p = new ActiveViewing(watch);
+    activeViewings.put(watch.tag(), p);
+    setRung(p, rung);
+    watch.startedAt(this);
+    clock.scheduleAfter(watch.remaining(), () -> completeViewing(watch.tag(), p));
+  }
+
+  private void setRung(ActiveViewing p, int to) {
+    double kb = to < 0 ? 0 : FleetSimulation.LADDER_KB[to] * p.viewer.rateFactor();
+    demandKb += kb - p.rateKb;
+    rack.demandKb += kb - p.rateKb;
+    p.rateKb = kb;
     p.rung = to;
   }
 
-  private Viewers.Watch drop(Playing p) {
-    rung(p, -1);
-    return p.watch;
+  private Viewers.Viewer releaseRate(ActiveViewing p) {
+    setRung(p, -1);
+    return p.viewer;
   }
 
   /** It has come to its end. */
-  private void over(String tag, Playing p) {
-    if (playing.remove(tag, p)) {
-      drop(p).over(this);
-      ledger.saw("ended", "box", id, "viewing", p.watch.viewing(), "why", "lease");
-      String said = line("FINISH", tag, 16, null);
-      Pipe.End by =
-          p.end != null && p.end.isOpen()
-              ? p.end
-              : ends.stream()
-                  .filter(e -> e.isOpen() && e.peer().equals("f" + p.watch.front()))
+  private void completeViewing(String tag, ActiveViewing p) {
+    if (activeViewings.remove(tag, p)) {
+      releaseRate(p).viewingCompleted(this);
+      recorder.record("ended", "box", id, "viewing", p.viewer.viewingId(), "why", "lease");
+      String said = message("FINISH", tag, 16, null);
+      SimulatedConnection.Endpoint by =
+          p.endpoint != null && p.endpoint.isOpen()
+              ? p.endpoint
+              : endpoints.stream()
+                  .filter(e -> e.isOpen() && e.peer().equals("f" + p.viewer.front()))
                   .findFirst()
                   .orElse(null);
       if (by != null) {
-        say(by, said);
+        send(by, said);
       }
-      untold.computeIfAbsent("f" + p.watch.front(), k -> new ArrayList<>()).add(said);
+      unreportedEnds.computeIfAbsent("f" + p.viewer.front(), k -> new ArrayList<>()).add(said);
     }
   }
 
-  private void finished(String tag) {
-    givenUp.remove(tag);
-    settingUp.remove(tag);
-    Playing p = playing.remove(tag);
+  private void handleFinish(String tag) {
+    endedByFront.remove(tag);
+    pendingSetUps.remove(tag);
+    ActiveViewing p = activeViewings.remove(tag);
     if (p != null) {
-      drop(p).cut(this);
+      releaseRate(p).viewingCut(this);
     }
     // Once more as it arrives: the set-up itself may have come no sooner.
-    ledger.saw("ended", "box", id, "viewing", day.viewers().viewing(tag), "why", "asked");
+    recorder.record(
+        "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
   }
 
   /**
@@ -453,13 +468,15 @@
    * of a shortage.
    */
   void serve(Span span, boolean notes) {
-    double share = share();
-    Map<Integer, Playing> byFront = new LinkedHashMap<>();
-    for (Playing p : playing.values()) {
-      double stall = Math.max(0, 1 - FleetDay.STALL * Math.max(0, 0.98 - share));
-      ledger.count("served", span.seconds() * p.watch.worth() * FleetDay.WORTH[p.rung] * stall);
-      if (p.end != null && p.end.isOpen()) {
-        byFront.putIfAbsent(p.watch.front(), p);
+    double share = deliveredShare();
+    Map<Integer, ActiveViewing> byFront = new LinkedHashMap<>();
+    for (ActiveViewing p : activeViewings.values()) {
+      double stall = Math.max(0, 1 - FleetSimulation.STALL_FACTOR * Math.max(0, 0.98 - share));
+      recorder.count(
+          "served",
+          span.seconds() * p.viewer.worth() * FleetSimulation.WORTH_BY_RUNG[p.rung] * stall);
+      if (p.endpoint != null && p.endpoint.isOpen()) {
+        byFront.putIfAbsent(p.viewer.front(), p);
       }
     }
     if (notes && share < 0.98) {
@@ -468,17 +485,17 @@
           .values()
           .forEach(
               p ->
-                  clock.after(
+                  clock.scheduleAfter(
                       Span.ofMillis(300),
                       () -> {
-                        if (p.end.isOpen() && playing.containsKey(p.watch.tag())) {
-                          say(p.end, note(p.watch.tag(), told));
+                        if (p.endpoint.isOpen() && activeViewings.containsKey(p.viewer.tag())) {
+                          send(p.endpoint, shortageNotice(p.viewer.tag(), told));
                         }
                       }));
     }
   }
 
-  private static String note(String tag, double share) {
+  private static String shortageNotice(String tag, double share) {
     return "{\"verb\":\"NOTICE\",\"tag\":\""
         + tag
         + "\",\"opts\":{\"note\":\"got\",\"value\":"
@@ -486,13 +503,13 @@
         + "}}";
   }
 
-  private void say(Pipe.End end, String line) {
+  private void send(SimulatedConnection.Endpoint end, String line) {
     if (up) {
       end.write((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  private static String line(String verb, String tag, int cause, String blob, String... fields) {
+  private static String message(String verb, String tag, int cause, String blob, String... fields) {
     ObjectNode n = JSON.createObjectNode().put("verb", verb).put("tag", tag);
     ObjectNode opts = n.putObject("opts");
     for (int i = 0; i < fields.length; i += 2) {
--- a/src/main/java/linengauge/rehearsal/ListModel.java
+++ b/src/main/java/linengauge/rehearsal/DiscoveryModel.java
@@ -11,107 +11,107 @@
  * The journal service of a fleet: the boxes' list by events, told late, to each front on the
  * connection it keeps.
  */
-final class ListModel implements Roads.Place {
-  private static final int RECORD = 27;
-  private static final int SERVING = 0;
-  private static final String[] WORDS = {"up", "draining", "removed"};
+final class DiscoveryModel implements NetworkModel.Acceptor {
+  private static final int RECORD_BYTES = 27;
+  private static final int STATE_SERVING = 0;
+  private static final String[] STATE_NAMES = {"up", "draining", "removed"};
 
-  private record Reader(Pipe.End end, int front) {}
+  private record Subscriber(SimulatedConnection.Endpoint endpoint, int front) {}
 
-  private final Clockwork clock;
-  private final Ledger ledger;
-  private final Host host;
+  private final VirtualClock clock;
+  private final TrafficRecorder ledger;
+  private final SimulatedProcess process;
   private final List<byte[]> events = new ArrayList<>();
-  private final Map<Long, byte[]> latest = new LinkedHashMap<>();
-  private final List<Reader> readers = new ArrayList<>();
-  private Span late = Span.ofMillis(300);
+  private final Map<Long, byte[]> latestRecords = new LinkedHashMap<>();
+  private final List<Subscriber> subscribers = new ArrayList<>();
+  private Span reportDelay = Span.ofMillis(300);
 
   private final String zonePrefix;
 
-  ListModel(Clockwork clock, Ledger ledger, String zonePrefix) {
+  DiscoveryModel(VirtualClock clock, TrafficRecorder ledger, String zonePrefix) {
     this.zonePrefix = zonePrefix;
     this.clock = clock;
     this.ledger = ledger;
-    this.host = Host.idle(clock);
-    signs();
+    this.process = SimulatedProcess.instantaneous(clock);
+    scheduleKeepAlive();
   }
 
-  private void signs() {
-    clock.after(
+  private void scheduleKeepAlive() {
+    clock.scheduleAfter(
         Span.ofSeconds(1),
         () -> {
           ByteBuffer nothing =
               ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0);
-          readers.removeIf(r -> !r.end.isOpen());
-          readers.forEach(r -> r.end.write(nothing.array()));
-          signs();
+          subscribers.removeIf(r -> !r.endpoint.isOpen());
+          subscribers.forEach(r -> r.endpoint.write(nothing.array()));
+          scheduleKeepAlive();
         });
   }
 
   /** From now on changes are told so late. */
-  void late(Span span) {
-    late = span;
+  void setReportDelay(Span span) {
+    reportDelay = span;
   }
 
   @Override
-  public Host host() {
-    return host;
+  public SimulatedProcess process() {
+    return process;
   }
 
   @Override
-  public boolean takes(Pipe.End end) {
+  public boolean accept(SimulatedConnection.Endpoint end) {
     end.hears(
         data -> {
           if (data.length != 8) {
             return;
           }
           long from = ByteBuffer.wrap(data).getLong();
-          Reader r = new Reader(end, Integer.parseInt(end.peer().substring(1)));
+          Subscriber r = new Subscriber(end, Integer.parseInt(end.peer().substring(1)));
           for (long n = from; n < events.size(); n++) {
-            tell(r, events.get((int) n));
+            send(r, events.get((int) n));
           }
-          readers.add(r);
+          subscribers.add(r);
         },
         () -> {});
     return true;
   }
 
   /** The box's state has changed: it stands in the service a little later. */
-  void changed(BoxModel box, int state) {
-    clock.after(late, () -> now(box, state));
+  void changeLater(BoxModel box, int state) {
+    clock.scheduleAfter(reportDelay, () -> changeNow(box, state));
   }
 
   /** The same at once, as at the start of a day. */
-  void now(BoxModel box, int state) {
-    byte[] row = row(box, state);
-    latest.put(box.id(), row);
+  void changeNow(BoxModel box, int state) {
+    byte[] row = encode(box, state);
+    latestRecords.put(box.id(), row);
     byte[] event =
-        ByteBuffer.allocate(13 + RECORD)
-            .putInt(9 + RECORD)
+        ByteBuffer.allocate(13 + RECORD_BYTES)
+            .putInt(9 + RECORD_BYTES)
             .putLong(events.size() + 1)
             .put((byte) 2)
             .put(row)
             .array();
     events.add(event);
-    readers.removeIf(r -> !r.end.isOpen());
-    readers.forEach(r -> tell(r, event));
+    subscribers.removeIf(r -> !r.endpoint.isOpen());
+    subscribers.forEach(r -> send(r, event));
   }
 
-  private void tell(Reader r, byte[] event) {
+  private void send(Subscriber r, byte[] event) {
     ByteBuffer e = ByteBuffer.wrap(event);
-    ledger.saw(
+    ledger.record(
         "told",
         "front",
         r.front,
         "box",
         e.getInt(13) & 0xffffffffL,
         "state",
-        e.get(13 + 10) == SERVING ? "serving" : "not");
-    r.end.write(event);
+        e.get(13 + 10) == STATE_SERVING ? "serving" : "not");
+    r.endpoint.write(event);
   }
 
-  private static byte[] row(BoxModel box, int state) {
-    ByteBuffer b = ByteBuffer.allocate(RECORD).putInt((int) box.id());
+  private static byte[] encode(BoxModel box, int state) {
+    ByteBuffer b = ByteBuffer.allocate(RECORD_BYTES).putInt((int) box.id());
     String[] address = box.address().split("[.:]");
     for (int i = 0; i < 4; i++) {
       b.put((byte) Integer.parseInt(address[i]));
@@ -127,9 +127,9 @@
   }
 
   /** What a front that starts now is told under `known`. */
-  String known() {
+  String knownState() {
     StringBuilder rows = new StringBuilder();
-    latest
+    latestRecords
         .values()
         .forEach(
             r -> {
@@ -149,7 +149,7 @@
                             zonePrefix,
                             r[11],
                             b.getShort(13),
-                            WORDS[r[10]],
+                            STATE_NAMES[r[10]],
                             b.getInt(15) / 1000.0,
                             b.getLong(19)));
               }
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetSimulation.java
@@ -25,29 +25,29 @@
  * service round them. The record of what the stand-ins saw is judged by {@link Judge}; the counts
  * are over the whole fleet. Its figures are the model's own.
  */
-public final class FleetDay {
+public final class FleetSimulation {
   static final double[] LADDER_KB = {240, 420, 730, 1270, 2200};
-  static final double[] WORTH = {0.16, 0.4, 0.61, 0.81, 1};
-  static final Span PATIENCE = Span.ofMillis(1030);
-  static final Span COLD = Span.ofSeconds(12);
+  static final double[] WORTH_BY_RUNG = {0.16, 0.4, 0.61, 0.81, 1};
+  static final Span SET_UP_TIME_LIMIT = Span.ofMillis(1030);
+  static final Span COLD_DURATION = Span.ofSeconds(12);
   static final double START_CAPACITY = 0.4;
-  static final double STALL = 6;
-  static final int STREAMS = 240;
-  static final int CONNECTIONS = 160;
-  static final int TITLES = 120;
+  static final double STALL_FACTOR = 6;
+  static final int MAX_VIEWINGS_PER_BOX = 240;
+  static final int MAX_CONNECTIONS_PER_BOX = 160;
+  static final int TITLE_COUNT = 120;
   static final double KB_PER_WEIGHT = 4268;
-  static final String JOURNAL_NET = "10.9.";
-  private static final Moment BEGIN = new Moment(1_800_000_000_000_000L);
-  private static final Span SLICE = Span.ofMillis(250);
+  static final String DISCOVERY_ADDRESS_PREFIX = "10.9.";
+  private static final Moment START_TIME = new Moment(1_800_000_000_000_000L);
+  private static final Span ACCOUNTING_INTERVAL = Span.ofMillis(250);
 
   /** From the start of a process until it listens. */
-  private static final Span STARTING = Span.ofMillis(1900);
+  private static final Span FRONT_START_DURATION = Span.ofMillis(1900);
 
   /** Viewings last some seconds; those that come last have ended by then. */
-  private static final Span AFTERWARDS = Span.ofSeconds(100);
+  private static final Span SETTLING_DURATION = Span.ofSeconds(100);
 
-  private static final int ZONES = 3;
-  private static final int BOXES_A_RACK = 8;
+  private static final int ZONE_COUNT = 3;
+  private static final int BOXES_PER_RACK = 8;
 
   /**
    * How large the fleet is, how long the day, how many viewers come a second, and how quick its
@@ -57,12 +57,12 @@
       int fronts,
       int boxes,
       Span length,
-      double viewersASecond,
-      Span firstStep,
-      Span warmStep,
-      int stepsToWarm) {
+      double viewersPerSecond,
+      Span firstStepCost,
+      Span warmStepCost,
+      int stepsUntilWarm) {
     /** Of the kind that the operators' days at full size have, a little smaller. */
-    public static Size usual() {
+    public static Size standard() {
       return new Size(60, 40, Span.ofSeconds(16), 150, Span.ofMillis(6), new Span(800), 400);
     }
   }
@@ -71,8 +71,9 @@
    * What things are called: the cheap class and the dear one, zones, and servers by their number.
    * Nothing may hang on it.
    */
-  public record Names(String cheap, String dear, String zonePrefix, LongUnaryOperator server) {
-    public static Names usual() {
+  public record Names(
+      String lowWorthClass, String highWorthClass, String zonePrefix, LongUnaryOperator serverId) {
+    public static Names standard() {
       return new Names("lesson", "review", "z", n -> 0x100000L + n * 977L);
     }
   }
@@ -87,9 +88,9 @@
       Map<String, Double> counts,
       Span longestTurn,
       List<String> record,
-      List<PlatformFront.Figures> halfWay,
-      List<PlatformFront.Figures> atTheEnd,
-      List<PlatformFront.Figures> afterwards) {
+      List<PlatformFront.Figures> figuresHalfWay,
+      List<PlatformFront.Figures> figuresAtLastArrival,
+      List<PlatformFront.Figures> figuresAfterSettling) {
     public double count(String what) {
       return counts.getOrDefault(what, 0.0);
     }
@@ -98,7 +99,7 @@
       return count("served") / Math.max(1, count("wanted"));
     }
 
-    public String line() {
+    public String summary() {
       StringBuilder s =
           new StringBuilder(
               String.format(
@@ -113,55 +114,55 @@
 
   private final Size size;
   private final Names names;
-  private final SplittableRandom chance;
-  private final Clockwork clock = new Clockwork(BEGIN);
-  private final Ledger ledger;
-  private final Roads roads;
-  private final ListModel list;
+  private final SplittableRandom random;
+  private final VirtualClock clock = new VirtualClock(START_TIME);
+  private final TrafficRecorder recorder;
+  private final NetworkModel network;
+  private final DiscoveryModel discovery;
   private final Viewers viewers;
   private final List<SimulatedFront> simulatedFronts = new ArrayList<>();
   private final List<BoxModel> boxes = new ArrayList<>();
   private final List<BoxModel.Rack> racks = new ArrayList<>();
   private final double linkKb = 58_000;
-  private double answersLost;
+  private double answerLossRate;
   private Span longestTurn = Span.NONE;
-  private int journals;
+  private int discoveryNumber;
 
-  public FleetDay(Size size, long seed) {
-    this(size, seed, Names.usual());
+  public FleetSimulation(Size size, long seed) {
+    this(size, seed, Names.standard());
   }
 
-  public FleetDay(Size size, long seed, Names names) {
+  public FleetSimulation(Size size, long seed, Names names) {
     this.size = size;
     this.names = names;
-    this.chance = new SplittableRandom(seed);
-    this.ledger = new Ledger(clock);
-    sawTerms();
-    this.roads = new Roads(clock, Span.ofMillis(250));
-    this.list = new ListModel(clock, ledger, names.zonePrefix());
-    roads.open(journal(), list);
+    this.random = new SplittableRandom(seed);
+    this.recorder = new TrafficRecorder(clock);
+    recordTerms();
+    this.network = new NetworkModel(clock, Span.ofMillis(250));
+    this.discovery = new DiscoveryModel(clock, recorder, names.zonePrefix());
+    network.listen(discoveryAddress(), discovery);
     this.viewers = new Viewers(this, size.fronts());
-    int shelves = Math.max(1, size.boxes() / BOXES_A_RACK);
+    int shelves = Math.max(1, size.boxes() / BOXES_PER_RACK);
     for (int i = 0; i < shelves; i++) {
       racks.add(
           new BoxModel.Rack(
-              0.68 * linkKb * size.boxes() / shelves * (0.85 + 0.3 * chance.nextDouble())));
+              0.68 * linkKb * size.boxes() / shelves * (0.85 + 0.3 * random.nextDouble())));
     }
     for (int i = 0; i < size.boxes(); i++) {
-      list.now(newBox(i, "10.1." + i / 200 + "." + (1 + i % 200) + ":3868", null), 0);
+      discovery.changeNow(newBox(i, "10.1." + i / 200 + "." + (1 + i % 200) + ":3868", null), 0);
     }
-    drawPartsOfFronts();
+    drawTrafficShares();
   }
 
-  private void sawTerms() {
-    ledger.saw(
+  private void recordTerms() {
+    recorder.record(
         "terms",
         "packages",
-        List.of(pack(names.cheap()), pack(names.dear())),
+        List.of(packageTerms(names.lowWorthClass()), packageTerms(names.highWorthClass())),
         "drainGraceMs",
         1000,
         "coldMs",
-        COLD.micros() / 1000,
+        COLD_DURATION.micros() / 1000,
         "startCapacity",
         START_CAPACITY,
         "fallMultiple",
@@ -179,65 +180,65 @@
   }
 
   /** Viewers come to fronts in unequal parts. */
-  private void drawPartsOfFronts() {
+  private void drawTrafficShares() {
     double all = 0;
     for (int i = 0; i < size.fronts(); i++) {
       SimulatedFront s = new SimulatedFront();
-      s.part = Math.exp(1.1 * (chance.nextDouble() + chance.nextDouble() - 1) * 2);
-      all += s.part;
+      s.trafficShare = Math.exp(1.1 * (random.nextDouble() + random.nextDouble() - 1) * 2);
+      all += s.trafficShare;
       simulatedFronts.add(s);
     }
     for (SimulatedFront s : simulatedFronts) {
-      s.part /= all;
+      s.trafficShare /= all;
     }
   }
 
-  private static Map<String, Object> pack(String name) {
+  private static Map<String, Object> packageTerms(String name) {
     return Map.of(
         "name", name, "lowestRung", 0, "highestRung", 4, "seats", 0, "paidAtSetUp", false);
   }
 
-  Clockwork clock() {
+  VirtualClock clock() {
     return clock;
   }
 
-  Ledger ledger() {
-    return ledger;
+  TrafficRecorder recorder() {
+    return recorder;
   }
 
-  SplittableRandom chance() {
-    return chance;
+  SplittableRandom random() {
+    return random;
   }
 
-  Roads roads() {
-    return roads;
+  NetworkModel network() {
+    return network;
   }
 
   Viewers viewers() {
     return viewers;
   }
 
-  double answersLost() {
-    return answersLost;
+  double answerLossRate() {
+    return answerLossRate;
   }
 
-  int cells() {
+  int cellCount() {
     return size.boxes();
   }
 
-  boolean isUp(int front) {
-    return simulatedFronts.get(front).takenIn;
+  boolean isInService(int front) {
+    return simulatedFronts.get(front).inService;
   }
 
-  int life(int front) {
-    return simulatedFronts.get(front).life;
+  int incarnation(int front) {
+    return simulatedFronts.get(front).incarnation;
   }
 
-  private String journal() {
-    return JOURNAL_NET + journals + ".1:7070";
+  private String discoveryAddress() {
+    return DISCOVERY_ADDRESS_PREFIX + discoveryNumber + ".1:7070";
   }
 
-  String address(int front) {
+  String frontAddress(int front) {
     return "10.2." + front / 200 + "." + (1 + front % 200) + ":3868";
   }
 
@@ -245,27 +246,27 @@
     BoxModel box =
         new BoxModel(
             this,
-            names.server().applyAsLong(boxes.size()),
+            names.serverId().applyAsLong(boxes.size()),
             address,
             cell,
-            cell % ZONES,
+            cell % ZONE_COUNT,
             racks.get(cell % racks.size()),
-            linkKb * (0.8 + 0.4 * chance.nextDouble()),
+            linkKb * (0.8 + 0.4 * random.nextDouble()),
             startedAt);
     boxes.add(box);
-    roads.open(address, box);
+    network.listen(address, box);
     return box;
   }
 
-  BoxModel holder(int home, int copies, SplittableRandom by) {
+  BoxModel drawHolder(int home, int copies, SplittableRandom by) {
     int cell = (home + by.nextInt(copies)) % size.boxes();
     return boxes.stream().filter(b -> b.cell() == cell && b.isUp()).findFirst().orElseThrow();
   }
 
   /** Where a viewer of that front's goes: to it, or to another while it is away. */
-  int frontFor(int wanted, SplittableRandom by) {
+  int drawReachableFront(int wanted, SplittableRandom by) {
     int f = wanted;
-    for (int i = 0; i < 50 && !simulatedFronts.get(f).takenIn; i++) {
+    for (int i = 0; i < 50 && !simulatedFronts.get(f).inService; i++) {
       f = by.nextInt(simulatedFronts.size());
     }
     return f;
@@ -289,30 +290,30 @@
             + "{\"aimUs\":280000,\"deadlineUs\":%d,\"idempotency\":\"safe\",\"name\":\"%s\",\"worth\":1},"
             + "{\"aimUs\":350000,\"deadlineUs\":%d,\"idempotency\":\"safe\",\"name\":\"%s\",\"worth\":3}],\"weights\":\"rough\"}}",
         number,
-        address(number),
-        chance.nextLong(),
-        journal(),
-        list.known(),
+        frontAddress(number),
+        random.nextLong(),
+        discoveryAddress(),
+        discovery.knownState(),
         size.fronts(),
         number,
-        number % ZONES,
+        number % ZONE_COUNT,
         linkKb * size.boxes(),
         size.boxes(),
-        STREAMS,
+        MAX_VIEWINGS_PER_BOX,
         racks.size(),
         0.68 * linkKb * size.boxes() / racks.size(),
         KB_PER_WEIGHT,
-        COLD.micros(),
+        COLD_DURATION.micros(),
         START_CAPACITY,
-        zones(),
-        PATIENCE.micros(),
-        names.cheap(),
-        PATIENCE.micros(),
-        names.dear());
+        zoneNames(),
+        SET_UP_TIME_LIMIT.micros(),
+        names.lowWorthClass(),
+        SET_UP_TIME_LIMIT.micros(),
+        names.highWorthClass());
   }
 
-  private String zones() {
-    return IntStream.range(0, ZONES)
+  private String zoneNames() {
+    return IntStream.range(0, ZONE_COUNT)
         .mapToObj(z -> "\"" + names.zonePrefix() + z + "\"")
         .collect(Collectors.joining(","));
   }
@@ -321,24 +322,25 @@
     return names;
   }
 
-  private void start(int number) {
+  private void startFront(int number) {
     SimulatedFront s = simulatedFronts.get(number);
-    s.life++;
-    int mine = s.life;
-    ledger.saw("front-started", "front", number);
-    clock.after(
-        STARTING,
+    s.incarnation++;
+    int mine = s.incarnation;
+    recorder.record("front-started", "front", number);
+    clock.scheduleAfter(
+        FRONT_START_DURATION,
         () -> {
-          if (mine != s.life) {
+          if (mine != s.incarnation) {
             return;
           }
-          FrontNet net =
-              new FrontNet(
+          SimulatedNet net =
+              new SimulatedNet(
                   "f" + number,
                   clock,
-                  roads,
-                  new FrontNet.Pace(size.firstStep(), size.warmStep(), size.stepsToWarm()),
-                  ledger);
+                  network,
+                  new SimulatedNet.StepCost(
+                      size.firstStepCost(), size.warmStepCost(), size.stepsUntilWarm()),
+                  recorder);
           s.net = net;
           net.later(
               () -> {
@@ -348,25 +350,25 @@
                           Configuration.read(
                               configuration(number).getBytes(StandardCharsets.UTF_8)),
                           net,
-                          new Log(number));
+                          new FrontListener(number));
                 } catch (BadBriefing e) {
                   throw new IllegalStateException(e);
                 }
-                s.front.start(failed -> viewers.test(number));
+                s.front.start(failed -> viewers.testFront(number));
               });
         });
   }
 
-  private final class Log implements PlatformFront.Told {
+  private final class FrontListener implements PlatformFront.Told {
     private final int number;
 
-    private Log(int number) {
+    private FrontListener(int number) {
       this.number = number;
     }
 
     @Override
     public void warn(String kind, Object about, String detail) {
-      ledger.count("said: " + kind, 1);
+      recorder.count("said: " + kind, 1);
     }
 
     @Override
@@ -379,181 +381,182 @@
       if (cause != null) {
         throw cause;
       }
-      dies(number);
+      killFront(number);
     }
   }
 
   /**
    * A front has passed its first test: what it holds from before is handed to it, and viewers come.
    */
-  void tookIn(int number) {
-    if (!simulatedFronts.get(number).takenIn) {
-      simulatedFronts.get(number).takenIn = true;
-      viewers.handOver(number);
+  void putInService(int number) {
+    if (!simulatedFronts.get(number).inService) {
+      simulatedFronts.get(number).inService = true;
+      viewers.handOverViewings(number);
     }
   }
 
-  private void dies(int number) {
+  private void killFront(int number) {
     SimulatedFront s = simulatedFronts.get(number);
     if (s.net == null || s.net.isDead()) {
       return;
     }
-    longestTurn = longestTurn.orMore(s.net.longest());
+    longestTurn = longestTurn.orMore(s.net.longestTurn());
     s.net.die();
-    s.takenIn = false;
-    ledger.saw("front-killed", "front", number);
-    roads.shut(address(number));
-    roads.died("f" + number, p -> {});
-    roads.died(address(number), p -> {});
+    s.inService = false;
+    recorder.record("front-killed", "front", number);
+    network.stopListening(frontAddress(number));
+    network.breakConnections("f" + number, p -> {});
+    network.breakConnections(frontAddress(number), p -> {});
     viewers.frontDied(number);
   }
 
   /* ---- troubles, to be set before the day is played; moments are spans from its start ---- */
 
-  public FleetDay at(Span when, Runnable deed) {
-    clock.at(BEGIN.plus(warmUp()).plus(when), deed);
+  public FleetSimulation schedule(Span when, Runnable deed) {
+    clock.scheduleAt(START_TIME.plus(startUpDuration()).plus(when), deed);
     return this;
   }
 
-  private static Span warmUp() {
-    return STARTING.plus(Span.ofSeconds(1));
+  private static Span startUpDuration() {
+    return FRONT_START_DURATION.plus(Span.ofSeconds(1));
   }
 
   /** Killed outright, and started again at once. */
-  public void kill(int number) {
-    dies(number);
-    start(number);
+  public void killAndRestart(int number) {
+    killFront(number);
+    startFront(number);
   }
 
   /** Told to stop, killed where it has not ended by then, and started again. */
   public void restart(int number) {
     SimulatedFront s = simulatedFronts.get(number);
-    FrontNet net = s.net;
+    SimulatedNet net = s.net;
     net.later(() -> s.front.stop());
-    clock.after(Span.ofMillis(300), () -> s.takenIn = false);
-    clock.after(
+    clock.scheduleAfter(Span.ofMillis(300), () -> s.inService = false);
+    clock.scheduleAfter(
         Span.ofSeconds(3.7),
         () -> {
           if (s.net == net) {
-            dies(number);
-            start(number);
+            killFront(number);
+            startFront(number);
           }
         });
   }
 
   /** Boxes that drain, go a while later, and are followed by new ones that start cold. */
-  public void replace(int box) {
+  public void replaceBox(int box) {
     BoxModel old = boxes.get(box);
-    list.changed(old, 1);
-    clock.after(
+    discovery.changeLater(old, 1);
+    clock.scheduleAfter(
         Span.ofSeconds(3),
         () -> {
-          old.die();
-          list.changed(old, 2);
+          old.crash();
+          discovery.changeLater(old, 2);
           BoxModel next =
               newBox(
                   old.cell(),
                   "10.3." + boxes.size() / 200 + "." + (1 + boxes.size() % 200) + ":3868",
                   clock.now());
-          list.changed(next, 0);
+          discovery.changeLater(next, 0);
         });
   }
 
   /** A box's process dies and comes back cold after the span. */
-  public void lose(int box, Span away) {
+  public void crashBox(int box, Span away) {
     BoxModel b = boxes.get(box);
-    b.die();
-    list.changed(b, 2);
-    clock.after(
+    b.crash();
+    discovery.changeLater(b, 2);
+    clock.scheduleAfter(
         away,
         () -> {
-          b.comeBack();
-          list.changed(b, 0);
+          b.restart();
+          discovery.changeLater(b, 0);
         });
   }
 
   /** One box in so many answers with errors, not at all, or late, in turn. */
-  public void spoil(int oneIn) {
+  public void degradeBoxes(int oneIn) {
     for (int i = 0; i < boxes.size(); i += oneIn) {
-      boxes.get(i).mood(BoxModel.Mood.values()[1 + i / oneIn % 3]);
+      boxes.get(i).setBehavior(BoxModel.Behavior.values()[1 + i / oneIn % 3]);
     }
   }
 
   /** A fifth of the boxes falls silent for the span: nothing comes through to them or from them. */
-  public void silence(Span span) {
+  public void silenceBoxes(Span span) {
     Runnable again =
-        roads.cut(
+        network.partition(
             from -> from.startsWith("f"), to -> to.startsWith("10.1.") && to.hashCode() % 5 == 0);
-    clock.after(span, again);
+    clock.scheduleAfter(span, again);
   }
 
   /** Fronts of one zone and the boxes of the others are cut off from each other for the span. */
-  public void cutOffZone(int zone, Span span) {
+  public void isolateZone(int zone, Span span) {
     Runnable again =
-        roads.cut(
-            from -> from.startsWith("f") && Integer.parseInt(from.substring(1)) % ZONES == zone,
+        network.partition(
+            from ->
+                from.startsWith("f") && Integer.parseInt(from.substring(1)) % ZONE_COUNT == zone,
             to -> boxes.stream().anyMatch(b -> b.address().equals(to) && b.zone() != zone));
-    clock.after(span, again);
+    clock.scheduleAfter(span, again);
   }
 
   /**
    * Changes of the list are told so late; one answer in so many is lost (0: none), connections are
    * reset meanwhile.
    */
-  public void disturb(Span listLate, double lost, Span span) {
-    list.late(listLate);
-    answersLost = lost;
+  public void degradeNetwork(Span listLate, double lost, Span span) {
+    discovery.setReportDelay(listLate);
+    answerLossRate = lost;
     Moment until = clock.now().plus(span);
-    resets(until);
-    clock.at(until, () -> answersLost = 0);
+    scheduleResets(until);
+    clock.scheduleAt(until, () -> answerLossRate = 0);
   }
 
-  private void resets(Moment until) {
+  private void scheduleResets(Moment until) {
     if (clock.now().before(until)) {
-      roads.resetSome(to -> to.startsWith("10.1."), p -> chance.nextInt(60) == 0);
-      clock.after(Span.ofMillis(500), () -> resets(until));
+      network.resetConnections(to -> to.startsWith("10.1."), p -> random.nextInt(60) == 0);
+      clock.scheduleAfter(Span.ofMillis(500), () -> scheduleResets(until));
     }
   }
 
-  public int fronts() {
+  public int frontCount() {
     return simulatedFronts.size();
   }
 
-  public int boxes() {
+  public int boxCount() {
     return size.boxes();
   }
 
   /* ---- the day ---- */
 
-  public Outcome play() throws BadRecord {
+  public Outcome run() throws BadRecord {
     for (int i = 0; i < simulatedFronts.size(); i++) {
-      start(i);
+      startFront(i);
     }
     // What plays already as the day begins, spread as traffic is.
-    int already = (int) (size.viewersASecond() * 11);
+    int already = (int) (size.viewersPerSecond() * 11);
     for (int i = 0; i < already; i++) {
-      viewers.playsAlready(drawFront(), 1 + chance.nextInt(3));
+      viewers.addExistingViewing(drawFront(), 1 + random.nextInt(3));
     }
-    Moment from = BEGIN.plus(warmUp());
+    Moment from = START_TIME.plus(startUpDuration());
     Moment until = from.plus(size.length());
-    clock.run(from);
-    arrive(until);
-    slice(until, 0);
-    clock.run(from.plus(size.length().times(0.5)));
+    clock.runUntil(from);
+    scheduleArrivals(until);
+    scheduleAccounting(until, 0);
+    clock.runUntil(from.plus(size.length().times(0.5)));
     List<PlatformFront.Figures> halfWay = figures();
-    clock.run(until);
+    clock.runUntil(until);
     List<PlatformFront.Figures> atTheEnd = figures();
-    Map<String, Double> counts = new LinkedHashMap<>(ledger.counts());
-    clock.run(until.plus(AFTERWARDS));
+    Map<String, Double> counts = new LinkedHashMap<>(recorder.counts());
+    clock.runUntil(until.plus(SETTLING_DURATION));
     for (SimulatedFront s : simulatedFronts) {
-      longestTurn = longestTurn.orMore(s.net.longest());
+      longestTurn = longestTurn.orMore(s.net.longestTurn());
     }
-    counts.put("left standing", ledger.counts().getOrDefault("left standing", 0.0));
+    counts.put("left standing", recorder.counts().getOrDefault("left standing", 0.0));
     return new Outcome(
-        Judge.judge(ledger.record()),
+        Judge.judge(recorder.lines()),
         counts,
         longestTurn,
-        ledger.record(),
+        recorder.lines(),
         halfWay,
         atTheEnd,
         figures());
@@ -567,9 +570,9 @@
   }
 
   private int drawFront() {
-    double u = chance.nextDouble();
+    double u = random.nextDouble();
     for (int i = 0; i < simulatedFronts.size(); i++) {
-      u -= simulatedFronts.get(i).part;
+      u -= simulatedFronts.get(i).trafficShare;
       if (u < 0) {
         return i;
       }
@@ -577,20 +580,20 @@
     return simulatedFronts.size() - 1;
   }
 
-  private void arrive(Moment until) {
+  private void scheduleArrivals(Moment until) {
     if (clock.now().before(until)) {
-      viewers.come(drawFront());
-      clock.after(
-          Span.ofSeconds(-Math.log(1 - chance.nextDouble()) / size.viewersASecond()),
-          () -> arrive(until));
+      viewers.arrive(drawFront());
+      clock.scheduleAfter(
+          Span.ofSeconds(-Math.log(1 - random.nextDouble()) / size.viewersPerSecond()),
+          () -> scheduleArrivals(until));
     }
   }
 
-  private void slice(Moment until, int number) {
+  private void scheduleAccounting(Moment until, int number) {
     if (clock.now().before(until)) {
-      viewers.want(SLICE);
-      boxes.forEach(b -> b.serve(SLICE, number % 4 == 0));
-      clock.after(SLICE, () -> slice(until, number + 1));
+      viewers.countWanted(ACCOUNTING_INTERVAL);
+      boxes.forEach(b -> b.serve(ACCOUNTING_INTERVAL, number % 4 == 0));
+      clock.scheduleAfter(ACCOUNTING_INTERVAL, () -> scheduleAccounting(until, number + 1));
     }
   }
 }
--- a/src/main/java/linengauge/rehearsal/SimulatedFront.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedFront.java
@@ -5,16 +5,16 @@
 /** One front of a simulated fleet, through all its lives. */
 final class SimulatedFront {
   /** Counts its starts. */
-  int life;
+  int incarnation;
 
-  FrontNet net;
+  SimulatedNet net;
 
   /** Null before it is first started. */
   PlatformFront front;
 
   /** Viewers come to it. */
-  boolean takenIn;
+  boolean inService;
 
   /** What part of all viewers come to it. */
-  double part;
+  double trafficShare;
 }
--- /dev/null
+++ b/src/main/java/linengauge/rehearsal/SimulatedNet.java
@@ -0,0 +1,167 @@
+package linengauge.rehearsal;
+
+import java.util.ArrayDeque;
+import linengauge.Moment;
+import linengauge.Span;
+import linengauge.platform.Net;
+import linengauge.session.Carrier.Wake;
+
+/**
+ * What carries one life of a front in virtual time. Its clock moves on by the processor time it
+ * uses: each look at the time stands for one message or step, and costs more while the process is
+ * young. Events wait while it is at work.
+ */
+final class SimulatedNet implements Net {
+  /** What a step costs at the start of a process, and once it has run so many. */
+  record StepCost(Span first, Span warm, int stepsUntilWarm) {
+    Span afterSteps(int steps) {
+      double young = Math.max(0, 1 - (double) steps / stepsUntilWarm);
+      return warm.plus(first.minus(warm).times(young));
+    }
+  }
+
+  private final String name;
+  private final VirtualClock clock;
+  private final NetworkModel network;
+  private final StepCost stepCost;
+  private final TrafficRecorder recorder;
+  private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
+
+  /** Where it is in time while it is at work, and how long it was. */
+  private Moment localTime;
+
+  private boolean running;
+  private boolean scheduled;
+  private boolean dead;
+  private int steps;
+  private Span longestTurn = Span.NONE;
+  private final SimulatedProcess process =
+      new SimulatedProcess() {
+        @Override
+        public void deliver(Runnable deed) {
+          if (!dead) {
+            pendingEvents.add(deed);
+            scheduleNext();
+          }
+        }
+
+        @Override
+        public Moment now() {
+          return running ? localTime : localTime.orLater(clock.now());
+        }
+      };
+
+  SimulatedNet(
+      String name, VirtualClock clock, NetworkModel roads, StepCost pace, TrafficRecorder ledger) {
+    this.name = name;
+    this.clock = clock;
+    this.network = roads;
+    this.stepCost = pace;
+    this.recorder = ledger;
+    this.localTime = clock.now();
+  }
+
+  void die() {
+    dead = true;
+    pendingEvents.clear();
+  }
+
+  boolean isDead() {
+    return dead;
+  }
+
+  /** The longest turn so far. */
+  Span longestTurn() {
+    return longestTurn;
+  }
+
+  private void scheduleNext() {
+    if (!scheduled && !pendingEvents.isEmpty()) {
+      scheduled = true;
+      clock.scheduleAt(localTime, this::runNext);
+    }
+  }
+
+  private void runNext() {
+    scheduled = false;
+    Runnable deed = pendingEvents.poll();
+    if (dead || deed == null) {
+      return;
+    }
+    Moment begun = localTime.orLater(clock.now());
+    localTime = begun;
+    running = true;
+    deed.run();
+    running = false;
+    longestTurn = longestTurn.orMore(localTime.since(begun));
+    scheduleNext();
+  }
+
+  @Override
+  public Moment now() {
+    if (running) {
+      localTime = localTime.plus(stepCost.afterSteps(steps++));
+    }
+    return process.now();
+  }
+
+  @Override
+  public void connect(String address, int mostUnread, Tried then) {
+    recorder.countConnection(address);
+    network.connect(name, process, address, then);
+  }
+
+  @Override
+  public void listen(String address, int mostUnread, Listener listener) {
+    network.listen(
+        address,
+        new NetworkModel.Acceptor() {
+          @Override
+          public SimulatedProcess process() {
+            return process;
+          }
+
+          @Override
+          public boolean accept(SimulatedConnection.Endpoint end) {
+            process.deliver(() -> listener.arrived(end));
+            return !dead;
+          }
+        });
+    later(() -> listener.listens(null));
+  }
+
+  @Override
+  public Wake after(Span span, Runnable step) {
+    boolean[] off = {false};
+    clock.scheduleAt(
+        process.now().plus(span),
+        () ->
+            process.deliver(
+                () -> {
+                  if (!off[0]) {
+                    step.run();
+                  }
+                }));
+    return () -> off[0] = true;
+  }
+
+  @Override
+  public void every(Span span, Runnable step) {
+    after(
+        span,
+        () -> {
+          step.run();
+          every(span, step);
+        });
+  }
+
+  @Override
+  public void later(Runnable step) {
+    process.deliver(step);
+  }
+
+  @Override
+  public void written(Span atMost, Runnable step) {
+    later(step); // what is written here leaves at once
+  }
+}
--- a/src/main/java/linengauge/rehearsal/Host.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedProcess.java
@@ -3,18 +3,18 @@
 import linengauge.Moment;
 
 /** A process that takes part: what comes to it are events, run one after another. */
-interface Host {
+interface SimulatedProcess {
   /** Something comes; it is dropped where the process has died. */
-  void event(Runnable deed);
+  void deliver(Runnable deed);
 
   /** Where the process is in time: ahead of the world's clock while it is at work on an event. */
   Moment now();
 
   /** One that takes no time over anything and never dies: all stand-ins. */
-  static Host idle(Clockwork clock) {
-    return new Host() {
+  static SimulatedProcess instantaneous(VirtualClock clock) {
+    return new SimulatedProcess() {
       @Override
-      public void event(Runnable deed) {
+      public void deliver(Runnable deed) {
         deed.run();
       }
 
--- a/src/main/java/linengauge/rehearsal/Ledger.java
+++ b/src/main/java/linengauge/rehearsal/TrafficRecorder.java
@@ -12,27 +12,27 @@
  * What the stand-ins of a fleet saw: the record of traffic (docs/protocol/traffic.md), and counts
  * over the whole fleet.
  */
-final class Ledger {
+final class TrafficRecorder {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final Clockwork clock;
-  private final Moment begin;
-  private final List<String> record = new ArrayList<>();
+  private final VirtualClock clock;
+  private final Moment startTime;
+  private final List<String> lines = new ArrayList<>();
   private final Map<String, Double> counts = new LinkedHashMap<>();
 
-  Ledger(Clockwork clock) {
+  TrafficRecorder(VirtualClock clock) {
     this.clock = clock;
-    this.begin = clock.now();
+    this.startTime = clock.now();
   }
 
   /** One line; fields are names and values in turn. */
-  void saw(String what, Object... fields) {
+  void record(String what, Object... fields) {
     ObjectNode n =
-        JSON.createObjectNode().put("at", clock.now().since(begin).micros()).put("what", what);
+        JSON.createObjectNode().put("at", clock.now().since(startTime).micros()).put("what", what);
     for (int i = 0; i < fields.length; i += 2) {
       n.putPOJO((String) fields[i], fields[i + 1]);
     }
-    record.add(n.toString());
+    lines.add(n.toString());
   }
 
   void count(String what, double more) {
@@ -40,12 +40,16 @@
   }
 
   /** A front tries a connection. */
-  void connected(String address) {
-    count(address.startsWith(FleetDay.JOURNAL_NET) ? "calls for the list" : "connections", 1);
+  void countConnection(String address) {
+    count(
+        address.startsWith(FleetSimulation.DISCOVERY_ADDRESS_PREFIX)
+            ? "calls for the list"
+            : "connections",
+        1);
   }
 
-  List<String> record() {
-    return record;
+  List<String> lines() {
+    return lines;
   }
 
   Map<String, Double> counts() {
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -17,94 +17,96 @@
  * what became of it.
  */
 final class Viewers {
-  private static final int SET_UP = 1;
-  private static final int ANSWER = 9;
-  private static final int END = 12;
-  private static final int TEST = 52;
-  private static final int TESTED = 53;
+  private static final int SET_UP_MESSAGE = 1;
+  private static final int ANSWER_MESSAGE = 9;
+  private static final int END_MESSAGE = 12;
+  private static final int TEST_MESSAGE = 52;
+  private static final int TEST_PASSED_MESSAGE = 53;
 
   /** So much after the patience an answer earns nothing and is still one. */
-  private static final Span LATE = Span.ofMillis(500);
+  private static final Span LATE_ANSWER_WINDOW = Span.ofMillis(500);
 
   /** A set-up that crosses the close of its connection within this is sent again, once. */
-  private static final Span CROSSES = Span.ofMillis(50);
+  private static final Span RESEND_WINDOW = Span.ofMillis(50);
 
-  private static final Span RESTS = Span.ofSeconds(4);
-  private static final int KEPT = 3;
-  private static final int TRIES = 3;
+  private static final Span IDLE_CLOSE_DELAY = Span.ofSeconds(4);
+  private static final int USUAL_CONNECTIONS_PER_FRONT = 3;
+  private static final int MAX_TRIES = 3;
 
   /** One connection from viewers to a front. */
-  private final class Line {
+  private final class FrontConnection {
     private final int front;
-    private Pipe.End end;
-    private byte[] part = new byte[0];
-    private final List<byte[]> first = new ArrayList<>();
-    private final List<Watch> waiting = new ArrayList<>();
-    private Moment usedAt = clock.now();
+    private SimulatedConnection.Endpoint endpoint;
+    private byte[] partialMessage = new byte[0];
+    private final List<byte[]> unsent = new ArrayList<>();
+    private final List<Viewer> waiting = new ArrayList<>();
+    private Moment lastUsedAt = clock.now();
     private boolean closed;
 
-    private Line(int front) {
+    private FrontConnection(int front) {
       this.front = front;
     }
 
     private void open() {
-      day.roads()
+      simulation
+          .network()
           .connect(
               "v" + front,
-              host,
-              day.address(front),
+              process,
+              simulation.frontAddress(front),
               new Net.Tried() {
                 @Override
                 public void up(Net.Connection connection) {
-                  end = (Pipe.End) connection;
-                  end.hears(Line.this::heard, Line.this::gone);
-                  first.forEach(end::write);
-                  first.clear();
+                  endpoint = (SimulatedConnection.Endpoint) connection;
+                  endpoint.hears(
+                      FrontConnection.this::receive, FrontConnection.this::connectionClosed);
+                  unsent.forEach(endpoint::write);
+                  unsent.clear();
                 }
 
                 @Override
                 public void failed(boolean refused, String why) {
                   closed = true;
-                  lines.get(front).remove(Line.this);
-                  for (Watch w : List.copyOf(waiting)) {
-                    w.notReached();
+                  connections.get(front).remove(FrontConnection.this);
+                  for (Viewer w : List.copyOf(waiting)) {
+                    w.connectionFailed();
                   }
                 }
               });
     }
 
     private void write(byte[] message) {
-      usedAt = clock.now();
-      if (end == null) {
-        first.add(message);
+      lastUsedAt = clock.now();
+      if (endpoint == null) {
+        unsent.add(message);
       } else {
-        end.write(message);
+        endpoint.write(message);
       }
     }
 
-    private void gone() {
+    private void connectionClosed() {
       closed = true;
-      lines.get(front).remove(this);
-      for (Watch w : List.copyOf(waiting)) {
-        w.broke();
+      connections.get(front).remove(this);
+      for (Viewer w : List.copyOf(waiting)) {
+        w.connectionBroke();
       }
       waiting.clear();
     }
 
-    private void heard(byte[] data) {
-      byte[] all = java.util.Arrays.copyOf(part, part.length + data.length);
-      System.arraycopy(data, 0, all, part.length, data.length);
+    private void receive(byte[] data) {
+      byte[] all = java.util.Arrays.copyOf(partialMessage, partialMessage.length + data.length);
+      System.arraycopy(data, 0, all, partialMessage.length, data.length);
       int at = 0;
       while (all.length - at >= 2
           && all.length - at - 2 >= (ByteBuffer.wrap(all).getShort(at) & 0xffff)) {
         int length = ByteBuffer.wrap(all).getShort(at) & 0xffff;
-        said(ByteBuffer.wrap(all, at + 2, length));
+        handle(ByteBuffer.wrap(all, at + 2, length));
         at += 2 + length;
       }
-      part = java.util.Arrays.copyOfRange(all, at, all.length);
+      partialMessage = java.util.Arrays.copyOfRange(all, at, all.length);
     }
 
-    private void said(ByteBuffer m) {
+    private void handle(ByteBuffer m) {
       int type = m.get() & 0xff;
       String tag = String.format("%016x", m.getLong());
       int cause = -1;
@@ -116,23 +118,23 @@
         cause = code == 61 ? value[0] & 0xff : cause;
         advice = code == 45 ? Long.parseLong(new String(value, StandardCharsets.US_ASCII)) : advice;
       }
-      Watch w = watches.get(tag);
-      if (type == TESTED) {
-        day.tookIn(front);
-      } else if (w != null && type == ANSWER) {
-        w.answered("plays", 0);
-      } else if (w != null && type == END) {
-        w.ended(cause, advice);
+      Viewer w = viewersByTag.get(tag);
+      if (type == TEST_PASSED_MESSAGE) {
+        simulation.putInService(front);
+      } else if (w != null && type == ANSWER_MESSAGE) {
+        w.handleAnswer("plays", 0);
+      } else if (w != null && type == END_MESSAGE) {
+        w.handleEnd(cause, advice);
       }
     }
   }
 
   /** One viewing wanted by one viewer, from its first request on. */
-  final class Watch {
-    private final String pack;
+  final class Viewer {
+    private final String packageName;
     private final String title;
-    private final int home;
-    private final int copies;
+    private final int homeCell;
+    private final int copyCount;
     private final double worth;
     private final double rateFactor;
     private final Moment wantedUntil;
@@ -140,21 +142,22 @@
     private int front;
     private int tries;
     private int tuneIns;
-    private Line line;
+    private FrontConnection connection;
     private boolean answered;
-    private boolean plays;
-    private Moment askedAt;
-    private byte[] setUp;
-    private boolean sentAgain;
+    private boolean playing;
+    private Moment requestedAt;
+    private byte[] sentSetUp;
+    private boolean resent;
     private boolean done;
-    private BoxModel at;
+    private BoxModel currentBox;
 
-    private Watch(int front, int titleNumber, boolean dear, Span length) {
+    private Viewer(int front, int titleNumber, boolean dear, Span length) {
       this.front = front;
       this.title = String.format("%016x", 0x7f00L + titleNumber);
-      this.home = titleNumber * 7 % day.cells();
-      this.copies = 3 + titleNumber % 4;
-      this.pack = dear ? day.names().dear() : day.names().cheap();
+      this.homeCell = titleNumber * 7 % simulation.cellCount();
+      this.copyCount = 3 + titleNumber % 4;
+      this.packageName =
+          dear ? simulation.names().highWorthClass() : simulation.names().lowWorthClass();
       this.worth = dear ? 3 : 1;
       this.rateFactor = dear ? 1.4 : 0.7;
       this.wantedUntil = clock.now().plus(length);
@@ -168,8 +171,8 @@
       return title;
     }
 
-    String pack() {
-      return pack;
+    String packageName() {
+      return packageName;
     }
 
     double worth() {
@@ -185,57 +188,58 @@
     }
 
     /** What is left of it. */
-    Span length() {
+    Span remaining() {
       return wantedUntil.since(clock.now()).orMore(Span.ofMillis(1));
     }
 
     /** As the record names it: front, life of it, and the viewing. */
-    String viewing() {
-      return front + "-" + day.life(front) + "-" + tag;
+    String viewingId() {
+      return front + "-" + simulation.incarnation(front) + "-" + tag;
     }
 
-    int tunedIn(int by) {
+    int nextTuneIn(int by) {
       front = by;
       return tuneIns++;
     }
 
-    void plays(BoxModel box) {
-      at = box;
+    void startedAt(BoxModel box) {
+      currentBox = box;
     }
 
-    private String figures(String more) {
-      return "home:" + home + ";copies:" + copies + ";top:4;viewer:" + tag + more;
+    private String viewingFields(String more) {
+      return "home:" + homeCell + ";copies:" + copyCount + ";top:4;viewer:" + tag + more;
     }
 
-    private void ask() {
+    private void request() {
       if (done || !clock.now().before(wantedUntil)) {
         done = true;
         return;
       }
       tries++;
       if (tag != null) {
-        watches.remove(tag);
+        viewersByTag.remove(tag);
       }
-      tag = String.format("%016x", ++number);
-      watches.put(tag, this);
+      tag = String.format("%016x", ++lastTagNumber);
+      viewersByTag.put(tag, this);
       tuneIns = 0;
       answered = false;
-      plays = false;
-      at = null;
-      front = day.frontFor(front, chance);
-      line = line(front);
-      line.waiting.add(this);
-      sawAsked();
-      askedAt = clock.now();
-      sentAgain = false;
-      setUp = setUpMessage();
-      line.write(setUp);
+      playing = false;
+      currentBox = null;
+      front = simulation.drawReachableFront(front, random);
+      connection = connectionTo(front);
+      connection.waiting.add(this);
+      recordRequest();
+      requestedAt = clock.now();
+      resent = false;
+      sentSetUp = setUpMessage();
+      connection.write(sentSetUp);
       String mine = tag;
-      clock.after(FleetDay.PATIENCE.plus(LATE), () -> giveUp(mine));
+      clock.scheduleAfter(
+          FleetSimulation.SET_UP_TIME_LIMIT.plus(LATE_ANSWER_WINDOW), () -> giveUp(mine));
     }
 
-    private void sawAsked() {
-      ledger.saw(
+    private void recordRequest() {
+      recorder.record(
           "asked",
           "ask",
           tag,
@@ -246,26 +250,26 @@
           "title",
           title,
           "package",
-          pack,
+          packageName,
           "ceiling",
           4,
           "patienceMs",
-          FleetDay.PATIENCE.micros() / 1000);
-      ledger.count("asked", 1);
+          FleetSimulation.SET_UP_TIME_LIMIT.micros() / 1000);
+      recorder.count("asked", 1);
     }
 
     private byte[] setUpMessage() {
       return PlatformViewers.message(
-          SET_UP,
+          SET_UP_MESSAGE,
           Long.parseUnsignedLong(tag, 16),
           33,
-          pack,
+          packageName,
           35,
-          FleetDay.PATIENCE.micros() / 1000,
+          FleetSimulation.SET_UP_TIME_LIMIT.micros() / 1000,
           41,
           title,
           43,
-          figures(tries > 1 ? ";again:1" : ""),
+          viewingFields(tries > 1 ? ";again:1" : ""),
           63,
           "m=audio of " + tag);
     }
@@ -273,58 +277,60 @@
     /** Its patience is over: what it asked for by that tag is ended, and it asks again. */
     private void giveUp(String mine) {
       if (!answered && mine.equals(tag) && !done) {
-        end("gave-up");
-        line.write(
-            PlatformViewers.message(END, Long.parseUnsignedLong(mine, 16), 61, new byte[] {16}));
-        again(Span.ofMillis(200));
+        recordFailure("gave-up");
+        connection.write(
+            PlatformViewers.message(
+                END_MESSAGE, Long.parseUnsignedLong(mine, 16), 61, new byte[] {16}));
+        retryAfter(Span.ofMillis(200));
       }
     }
 
-    private void end(String what) {
+    private void recordFailure(String what) {
       answered = true;
-      line.waiting.remove(this);
-      ledger.saw(what, "ask", tag, "front", front);
-      ledger.count(what, 1);
+      connection.waiting.remove(this);
+      recorder.record(what, "ask", tag, "front", front);
+      recorder.count(what, 1);
     }
 
-    private void answered(String how, long advice) {
-      if (answered && !plays) {
+    private void handleAnswer(String how, long advice) {
+      if (answered && !playing) {
         return; // it had given up
       }
-      ledger.saw("answered", "ask", tag, "front", front, "how", how, "viewing", viewing());
+      recorder.record("answered", "ask", tag, "front", front, "how", how, "viewing", viewingId());
       if (answered) {
         return; // a second answer: the record shows it
       }
       answered = true;
-      line.waiting.remove(this);
-      ledger.count(how, 1);
+      connection.waiting.remove(this);
+      recorder.count(how, 1);
       if (how.equals("plays")) {
-        plays = true;
-        if (at == null) {
-          owed(); // it has been cut meanwhile
+        playing = true;
+        if (currentBox == null) {
+          expectEndMessage(); // it has been cut meanwhile
         }
       } else {
-        again(how.equals("blocked") ? Span.ofMillis(Math.max(50, advice)) : Span.ofMillis(200));
+        retryAfter(
+            how.equals("blocked") ? Span.ofMillis(Math.max(50, advice)) : Span.ofMillis(200));
       }
     }
 
     /** Its front says that it is over, or refuses it. */
-    private void ended(int cause, long advice) {
+    private void handleEnd(int cause, long advice) {
       if (!answered) {
-        answered(cause == 34 || cause == 42 || cause == 102 ? "blocked" : "aborted", advice);
-      } else if (plays) {
-        plays = false;
+        handleAnswer(cause == 34 || cause == 42 || cause == 102 ? "blocked" : "aborted", advice);
+      } else if (playing) {
+        playing = false;
         if (cause != 16) {
-          again(Span.ofMillis(500));
+          retryAfter(Span.ofMillis(500));
         } else {
           forget();
         }
       }
     }
 
-    private void again(Span after) {
-      if (tries < TRIES) {
-        clock.after(after, this::ask);
+    private void retryAfter(Span after) {
+      if (tries < MAX_TRIES) {
+        clock.scheduleAfter(after, this::request);
       }
     }
 
@@ -332,193 +338,196 @@
      * The connection on which it waited broke: the front has died, or has closed it. What crosses a
      * close is sent again.
      */
-    private void broke() {
-      if (!answered && !sentAgain && clock.now().since(askedAt).under(CROSSES) && day.isUp(front)) {
-        sentAgain = true;
-        line = new Line(front);
-        lines.get(front).add(line);
-        line.waiting.add(this);
-        line.open();
-        line.write(setUp);
+    private void connectionBroke() {
+      if (!answered
+          && !resent
+          && clock.now().since(requestedAt).under(RESEND_WINDOW)
+          && simulation.isInService(front)) {
+        resent = true;
+        connection = new FrontConnection(front);
+        connections.get(front).add(connection);
+        connection.waiting.add(this);
+        connection.open();
+        connection.write(sentSetUp);
       } else if (!answered) {
-        end("broke");
-        again(Span.ofMillis(300));
+        recordFailure("broke");
+        retryAfter(Span.ofMillis(300));
       }
     }
 
-    private void notReached() {
+    private void connectionFailed() {
       if (!answered) {
         answered = true;
-        line.waiting.remove(this);
-        ledger.saw("not-reached", "ask", tag, "front", front);
-        again(Span.ofMillis(300));
+        connection.waiting.remove(this);
+        recorder.record("not-reached", "ask", tag, "front", front);
+        retryAfter(Span.ofMillis(300));
       }
     }
 
     /** It has come to its end at a box; where it played there, its front has to tell it. */
-    void over(BoxModel by) {
-      if (at != by) {
+    void viewingCompleted(BoxModel by) {
+      if (currentBox != by) {
         return; // set up there once, and given up by its front
       }
-      at = null;
+      currentBox = null;
       done = true;
-      owed();
+      expectEndMessage();
     }
 
     /** It was cut at a box. */
-    void cut(BoxModel by) {
-      if (at == by) {
-        at = null;
-        if (plays) {
-          owed();
+    void viewingCut(BoxModel by) {
+      if (currentBox == by) {
+        currentBox = null;
+        if (playing) {
+          expectEndMessage();
         }
       }
     }
 
-    private void owed() {
-      ledger.saw("viewing-over", "viewing", viewing());
+    private void expectEndMessage() {
+      recorder.record("viewing-over", "viewing", viewingId());
       String mine = tag;
-      int lifeThen = day.life(front);
-      clock.after(
+      int lifeThen = simulation.incarnation(front);
+      clock.scheduleAfter(
           Span.ofSeconds(8.5),
           () -> {
-            if (plays && mine.equals(tag) && day.life(front) == lifeThen) {
-              ledger.count("left standing", 1);
-              ledger.saw("left-standing", "viewing", viewing());
+            if (playing && mine.equals(tag) && simulation.incarnation(front) == lifeThen) {
+              recorder.count("left standing", 1);
+              recorder.record("left-standing", "viewing", viewingId());
               forget();
             }
           });
     }
 
     private void forget() {
-      plays = false;
+      playing = false;
       done = true;
-      watches.remove(tag);
+      viewersByTag.remove(tag);
     }
 
     /** Handed over to the front that has started anew, by the set-up that says where it plays. */
-    private void handOver(Line by) {
+    private void handOver(FrontConnection by) {
       by.write(
           PlatformViewers.message(
-              SET_UP,
+              SET_UP_MESSAGE,
               Long.parseUnsignedLong(tag, 16),
               33,
-              pack,
+              packageName,
               35,
               0,
               41,
               title,
               43,
-              figures(String.format(";at:s-%08x", at.id()))));
-      ledger.count("handed over", 1);
+              viewingFields(String.format(";at:s-%08x", currentBox.id()))));
+      recorder.count("handed over", 1);
     }
   }
 
-  private final FleetDay day;
-  private final Clockwork clock;
-  private final Ledger ledger;
-  private final SplittableRandom chance;
-  private final Host host;
-  private final List<List<Line>> lines = new ArrayList<>();
+  private final FleetSimulation simulation;
+  private final VirtualClock clock;
+  private final TrafficRecorder recorder;
+  private final SplittableRandom random;
+  private final SimulatedProcess process;
+  private final List<List<FrontConnection>> connections = new ArrayList<>();
 
   /** Those that are wanted or play, by their latest id on the wire; each leaves with its end. */
-  private final Map<String, Watch> watches = new LinkedHashMap<>();
+  private final Map<String, Viewer> viewersByTag = new LinkedHashMap<>();
 
-  private final List<Watch> wanting = new ArrayList<>();
-  private long number = 0x1000;
+  private final List<Viewer> wantingViewers = new ArrayList<>();
+  private long lastTagNumber = 0x1000;
 
-  Viewers(FleetDay day, int fronts) {
-    this.day = day;
+  Viewers(FleetSimulation day, int fronts) {
+    this.simulation = day;
     this.clock = day.clock();
-    this.ledger = day.ledger();
-    this.chance = day.chance().split();
-    this.host = Host.idle(clock);
+    this.recorder = day.recorder();
+    this.random = day.random().split();
+    this.process = SimulatedProcess.instantaneous(clock);
     for (int i = 0; i < fronts; i++) {
-      lines.add(new ArrayList<>());
+      connections.add(new ArrayList<>());
     }
   }
 
-  Watch watch(String tag) {
-    return watches.get(tag);
+  Viewer find(String tag) {
+    return viewersByTag.get(tag);
   }
 
   /** Whether a viewer has ever had that id. */
-  boolean sent(String tag) {
-    return Long.parseUnsignedLong(tag, 16) <= number;
+  boolean wasIssued(String tag) {
+    return Long.parseUnsignedLong(tag, 16) <= lastTagNumber;
   }
 
-  String viewing(String tag) {
-    Watch w = watches.get(tag);
-    return w == null ? "gone-" + tag : w.viewing();
+  String viewingId(String tag) {
+    Viewer w = viewersByTag.get(tag);
+    return w == null ? "gone-" + tag : w.viewingId();
   }
 
-  int tuneIn(String tag) {
-    Watch w = watches.get(tag);
+  int lastTuneIn(String tag) {
+    Viewer w = viewersByTag.get(tag);
     return w == null ? 0 : Math.max(0, w.tuneIns - 1);
   }
 
-  private Watch anyone(int front) {
-    double u = chance.nextDouble();
-    int title = (int) (FleetDay.TITLES * u * u); // some are asked for more
-    Span length = Span.ofSeconds(-12 * Math.log(1 - chance.nextDouble()) + 1);
-    Watch w = new Watch(front, title, chance.nextDouble() < 0.3, length);
-    wanting.add(w);
+  private Viewer drawViewer(int front) {
+    double u = random.nextDouble();
+    int title = (int) (FleetSimulation.TITLE_COUNT * u * u); // some are asked for more
+    Span length = Span.ofSeconds(-12 * Math.log(1 - random.nextDouble()) + 1);
+    Viewer w = new Viewer(front, title, random.nextDouble() < 0.3, length);
+    wantingViewers.add(w);
     return w;
   }
 
   /** A viewer comes to this front's door. */
-  void come(int front) {
-    anyone(front).ask();
+  void arrive(int front) {
+    drawViewer(front).request();
   }
 
   /** One that plays already at some holder as the day begins, held by the front. */
-  void playsAlready(int front, int rung) {
-    Watch w = anyone(front);
-    w.tag = String.format("%016x", ++number);
+  void addExistingViewing(int front, int rung) {
+    Viewer w = drawViewer(front);
+    w.tag = String.format("%016x", ++lastTagNumber);
     w.answered = true;
-    w.plays = true;
+    w.playing = true;
     w.tries = 1;
-    watches.put(w.tag, w);
-    day.holder(w.home, w.copies, chance).playsAlready(w, rung);
+    viewersByTag.put(w.tag, w);
+    simulation.drawHolder(w.homeCell, w.copyCount, random).addExistingViewing(w, rung);
   }
 
-  private Line line(int front) {
-    List<Line> of = lines.get(front);
-    for (Line l : List.copyOf(of)) {
+  private FrontConnection connectionTo(int front) {
+    List<FrontConnection> of = connections.get(front);
+    for (FrontConnection l : List.copyOf(of)) {
       if (l.waiting.isEmpty()
-          && RESTS.under(clock.now().since(l.usedAt))
-          && l.end != null
-          && watches.values().stream().noneMatch(w -> w.line == l && w.plays)) {
+          && IDLE_CLOSE_DELAY.under(clock.now().since(l.lastUsedAt))
+          && l.endpoint != null
+          && viewersByTag.values().stream().noneMatch(w -> w.connection == l && w.playing)) {
         of.remove(l);
         l.closed = true;
-        l.end.close();
+        l.endpoint.close();
       }
     }
-    if (of.size() < KEPT || chance.nextDouble() < 0.1) {
-      Line fresh = new Line(front);
+    if (of.size() < USUAL_CONNECTIONS_PER_FRONT || random.nextDouble() < 0.1) {
+      FrontConnection fresh = new FrontConnection(front);
       of.add(fresh);
       fresh.open();
       return fresh;
     }
-    return of.get(chance.nextInt(of.size()));
+    return of.get(random.nextInt(of.size()));
   }
 
   /** The platform tests a front that has started. */
-  void test(int front) {
-    Line l = new Line(front);
-    lines.get(front).add(l);
+  void testFront(int front) {
+    FrontConnection l = new FrontConnection(front);
+    connections.get(front).add(l);
     l.open();
-    l.write(PlatformViewers.message(TEST, 1, 61, new byte[] {0}));
+    l.write(PlatformViewers.message(TEST_MESSAGE, 1, 61, new byte[] {0}));
   }
 
   /** What plays under this front is handed to its new life. */
-  void handOver(int front) {
-    Line by = line(front);
-    for (Watch w : List.copyOf(watches.values())) {
-      if (w.front == front && w.plays && w.at != null) {
-        w.line = by;
+  void handOverViewings(int front) {
+    FrontConnection by = connectionTo(front);
+    for (Viewer w : List.copyOf(viewersByTag.values())) {
+      if (w.front == front && w.playing && w.currentBox != null) {
+        w.connection = by;
         w.handOver(by);
-      } else if (w.front == front && w.plays) {
+      } else if (w.front == front && w.playing) {
         w.forget();
       }
     }
@@ -526,15 +535,15 @@
 
   /** What the front that has died owed is owed no more: who waited comes again. */
   void frontDied(int front) {
-    for (Line l : List.copyOf(lines.get(front))) {
+    for (FrontConnection l : List.copyOf(connections.get(front))) {
       l.closed = true;
-      l.waiting.forEach(w -> clock.at(clock.now(), w::broke));
+      l.waiting.forEach(w -> clock.scheduleAt(clock.now(), w::connectionBroke));
     }
   }
 
   /** Counts what is wanted over the span. */
-  void want(Span span) {
-    wanting.removeIf(w -> !clock.now().before(w.wantedUntil));
-    wanting.forEach(w -> ledger.count("wanted", span.seconds() * w.worth));
+  void countWanted(Span span) {
+    wantingViewers.removeIf(w -> !clock.now().before(w.wantedUntil));
+    wantingViewers.forEach(w -> recorder.count("wanted", span.seconds() * w.worth));
   }
 }
--- a/src/main/java/linengauge/rehearsal/Clockwork.java
+++ b/src/main/java/linengauge/rehearsal/VirtualClock.java
@@ -5,10 +5,10 @@
 import linengauge.virtualtime.EventQueue;
 
 /** The virtual time of a rehearsal. */
-public final class Clockwork {
+public final class VirtualClock {
   private final EventQueue events;
 
-  public Clockwork(Moment begin) {
+  public VirtualClock(Moment begin) {
     this.events = new EventQueue(begin);
   }
 
@@ -17,16 +17,16 @@
   }
 
   /** Runs it then; now where that has passed. */
-  public void at(Moment moment, Runnable task) {
+  public void scheduleAt(Moment moment, Runnable task) {
     events.schedule(moment, task);
   }
 
-  public void after(Span span, Runnable task) {
-    at(now().plus(span), task);
+  public void scheduleAfter(Span span, Runnable task) {
+    scheduleAt(now().plus(span), task);
   }
 
   /** Runs everything up to that moment. */
-  public void run(Moment until) {
+  public void runUntil(Moment until) {
     while (events.nextAt() != null && !until.before(events.nextAt())) {
       events.runNext();
     }
--- a/src/test/java/linengauge/rehearsal/FleetDayTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
@@ -20,42 +20,42 @@
  * Sixty fronts as they run on the platform, in virtual time from a seed, judged from what their
  * peers saw.
  */
-class FleetDayTest {
-  private static FleetDay.Outcome play(Shape shape, double viewersASecond, long seed)
+class FleetSimulationTest {
+  private static FleetSimulation.Outcome run(Scenario shape, double viewersASecond, long seed)
       throws Exception {
-    FleetDay.Size u = FleetDay.Size.usual();
+    FleetSimulation.Size u = FleetSimulation.Size.standard();
     return shape
-        .day(
-            new FleetDay.Size(
+        .simulation(
+            new FleetSimulation.Size(
                 u.fronts(),
                 u.boxes(),
                 u.length(),
                 viewersASecond,
-                u.firstStep(),
-                u.warmStep(),
-                u.stepsToWarm()),
+                u.firstStepCost(),
+                u.warmStepCost(),
+                u.stepsUntilWarm()),
             seed)
-        .play();
+        .run();
   }
 
   @ParameterizedTest
   @EnumSource
-  void onADayOfEachShapeEveryRuleIsKeptAndNoViewingIsLeftStanding(Shape shape) throws Exception {
-    FleetDay.Outcome o = play(shape, 110, 1);
-    assertEquals(List.of(), o.verdict().breaches(), o.line());
-    assertEquals(0, o.count("left standing"), o.line());
+  void everyScenarioKeepsEveryRuleAndLeavesNoOrphanedViewing(Scenario shape) throws Exception {
+    FleetSimulation.Outcome o = run(shape, 110, 1);
+    assertEquals(List.of(), o.verdict().breaches(), o.summary());
+    assertEquals(0, o.count("left standing"), o.summary());
     assertTrue(
         o.verdict().checked("one-answer") > 1000 && o.verdict().checked("no-double-set-up") > 1000,
-        o.line());
+        o.summary());
     assertTrue(
-        shape != Shape.ROLL && shape != Shape.JOIN || o.verdict().checked("drains") > 1000,
-        o.line());
-    assertTrue(shape != Shape.HERD || o.count("handed over") > 1200, o.line());
+        shape != Scenario.ROLL && shape != Scenario.JOIN || o.verdict().checked("drains") > 1000,
+        o.summary());
+    assertTrue(shape != Scenario.HERD || o.count("handed over") > 1200, o.summary());
   }
 
   @Test
-  void theSameSeedPlaysTheSameDay() throws Exception {
-    assertEquals(play(Shape.HERD, 40, 3).record(), play(Shape.HERD, 40, 3).record());
+  void sameSeedGivesSameTrafficRecord() throws Exception {
+    assertEquals(run(Scenario.HERD, 40, 3).record(), run(Scenario.HERD, 40, 3).record());
   }
 
   /**
@@ -64,32 +64,33 @@
    */
   @ParameterizedTest
   @EnumSource(names = {"ROLL", "SPLIT", "JOIN"})
-  void whatClassesZonesAndServersAreCalledDecidesNothing(Shape shape) throws Exception {
-    FleetDay.Size u = FleetDay.Size.usual();
-    FleetDay.Size size =
-        new FleetDay.Size(20, 24, u.length(), 60, u.firstStep(), u.warmStep(), u.stepsToWarm());
-    FleetDay.Names usual = FleetDay.Names.usual();
-    FleetDay.Names other =
-        new FleetDay.Names("review", "lesson", "hall-", n -> 0xfff00000L - n * 7919L);
-    List<String> record = shape.day(size, 6, usual).play().record();
-    List<String> named = shape.day(size, 6, other).play().record();
+  void namesOfClassesZonesAndServersDoNotAffectDecisions(Scenario shape) throws Exception {
+    FleetSimulation.Size u = FleetSimulation.Size.standard();
+    FleetSimulation.Size size =
+        new FleetSimulation.Size(
+            20, 24, u.length(), 60, u.firstStepCost(), u.warmStepCost(), u.stepsUntilWarm());
+    FleetSimulation.Names usual = FleetSimulation.Names.standard();
+    FleetSimulation.Names other =
+        new FleetSimulation.Names("review", "lesson", "hall-", n -> 0xfff00000L - n * 7919L);
+    List<String> record = shape.simulation(size, 6, usual).run().record();
+    List<String> named = shape.simulation(size, 6, other).run().record();
     assertEquals(record.size(), named.size());
     for (int i = 0; i < record.size(); i++) {
-      assertEquals(unnamed(record.get(i), usual), unnamed(named.get(i), other));
+      assertEquals(withoutNames(record.get(i), usual), withoutNames(named.get(i), other));
     }
     assertTrue(record.stream().filter(l -> l.contains("\"set-up\"")).count() > 500);
   }
 
-  private static String unnamed(String line, FleetDay.Names names) {
+  private static String withoutNames(String line, FleetSimulation.Names names) {
     String l =
-        line.replace("\"" + names.cheap() + "\"", "\"cheap class\"")
-            .replace("\"" + names.dear() + "\"", "\"dear class\"");
+        line.replace("\"" + names.lowWorthClass() + "\"", "\"cheap class\"")
+            .replace("\"" + names.highWorthClass() + "\"", "\"dear class\"");
     Matcher m = Pattern.compile("\"box\":(\\d+)").matcher(l);
     return m.replaceAll(
         found -> {
           long id = Long.parseLong(found.group(1));
           long number = 0;
-          while (names.server().applyAsLong(number) != id) {
+          while (names.serverId().applyAsLong(number) != id) {
             number++;
           }
           return "\"box\":" + number;
@@ -101,10 +102,10 @@
    * five a viewing.
    */
   @Test
-  void onACalmDayConnectionsAndTestsStayUnderOneAndTwoAViewing() throws Exception {
-    FleetDay.Outcome o = play(Shape.CALM, 110, 2);
-    assertTrue(o.count("connections") < 0.8 * o.count("asked"), o.line());
-    assertTrue(o.count("tests") < 1.5 * o.count("asked"), o.line());
+  void withoutFaultsConnectionsAndProbesPerRequestStayBounded() throws Exception {
+    FleetSimulation.Outcome o = run(Scenario.CALM, 110, 2);
+    assertTrue(o.count("connections") < 0.8 * o.count("asked"), o.summary());
+    assertTrue(o.count("tests") < 1.5 * o.count("asked"), o.summary());
     assertEquals(60, o.count("calls for the list"), "one a front");
   }
 
@@ -113,21 +114,21 @@
    * was wanted.
    */
   @Test
-  void onACrowdedDayNewcomersTakeTheirPart() throws Exception {
-    FleetDay.Outcome o = play(Shape.CALM, 150, 1);
-    assertTrue(o.servedShare() > 0.6, o.line());
+  void underHighLoadNewViewingsGetTheirShare() throws Exception {
+    FleetSimulation.Outcome o = run(Scenario.CALM, 150, 1);
+    assertTrue(o.servedShare() > 0.6, o.summary());
   }
 
   @Test
-  void overALongDayTablesDoNotGrowAndAreEmptyInTheEnd() throws Exception {
-    FleetDay.Outcome o =
-        Shape.JOIN
-            .day(
-                new FleetDay.Size(
+  void tablesStayBoundedOverALongRunAndAreEmptyAfterwards() throws Exception {
+    FleetSimulation.Outcome o =
+        Scenario.JOIN
+            .simulation(
+                new FleetSimulation.Size(
                     3, 12, Span.ofSeconds(600), 20, Span.ofMillis(2), new Span(500), 400),
                 5)
-            .play();
-    assertEquals(List.of(), o.verdict().breaches(), o.line());
+            .run();
+    assertEquals(List.of(), o.verdict().breaches(), o.summary());
     for (ToIntFunction<Figures> table :
         List.<ToIntFunction<Figures>>of(
             Figures::viewings,
@@ -137,20 +138,23 @@
             Figures::titles,
             Figures::boxes,
             Figures::viewersConnections)) {
-      int half = o.halfWay().stream().mapToInt(table).sum();
-      int end = o.atTheEnd().stream().mapToInt(table).sum();
+      int half = o.figuresHalfWay().stream().mapToInt(table).sum();
+      int end = o.figuresAtLastArrival().stream().mapToInt(table).sum();
       assertTrue(half > 0 && end <= 1.5 * half + 6, half + " half way, " + end + " at the end");
     }
     for (ToIntFunction<Figures> table :
         List.<ToIntFunction<Figures>>of(
             Figures::viewings, Figures::ids, Figures::titles, Figures::endsUntold)) {
-      assertEquals(0, o.afterwards().stream().mapToInt(table).sum(), o.afterwards().toString());
+      assertEquals(
+          0,
+          o.figuresAfterSettling().stream().mapToInt(table).sum(),
+          o.figuresAfterSettling().toString());
     }
   }
 
   @Test
-  void theJudgeFindsWhatIsPutIntoARecord() throws Exception {
-    List<String> record = play(Shape.CALM, 40, 4).record();
+  void judgeDetectsBreachesInjectedIntoATrafficRecord() throws Exception {
+    List<String> record = run(Scenario.CALM, 40, 4).record();
     String answered =
         record.stream()
             .filter(l -> l.contains("\"answered\"") && l.contains("plays"))
@@ -158,14 +162,14 @@
             .orElseThrow();
     List<String> twice = new ArrayList<>(record);
     twice.add(twice.indexOf(answered), answered);
-    assertEquals(1, broken(twice, "one-answer"));
+    assertEquals(1, countBreaches(twice, "one-answer"));
     List<String> never = new ArrayList<>(record);
     never.remove(answered);
-    assertEquals(1, broken(never, "one-answer"));
+    assertEquals(1, countBreaches(never, "one-answer"));
     String setUp = record.stream().filter(l -> l.contains("\"set-up\"")).findFirst().orElseThrow();
     List<String> again = new ArrayList<>(record);
     again.add(again.indexOf(setUp), setUp);
-    assertTrue(broken(again, "no-double-set-up") > 0);
+    assertTrue(countBreaches(again, "no-double-set-up") > 0);
     List<String> gone = new ArrayList<>(record);
     String box = setUp.replaceFirst(".*\"box\":(\\d+).*", "$1");
     String front = setUp.replaceFirst(".*\"front\":(\\d+).*", "$1");
@@ -181,10 +185,10 @@
             + ",\"box\":"
             + box
             + ",\"state\":\"not\"}");
-    assertTrue(broken(gone, "drains") > 0);
+    assertTrue(countBreaches(gone, "drains") > 0);
   }
 
-  private static long broken(List<String> record, String rule) throws Exception {
+  private static long countBreaches(List<String> record, String rule) throws Exception {
     Verdict v = Judge.judge(record);
     return v.broken(rule);
   }
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -20,12 +20,12 @@
   private static final int ANSWERED = 9;
   private static final int RELEASED = 12;
   private static final int MOVED = 51;
-  private static final int MOST_CONNECTIONS = 4;
+  private static final int MAX_CONNECTIONS = 4;
   private static final int TICK_MS = 3;
-  private static final int GIVE_UP = 16;
-  private static final long CROSSING_MICROS = 55_000;
-  private static final int BAD_BYTES = 4096;
-  private static final List<Integer> REFUSALS = List.of(34, 42, 102);
+  private static final int CANCEL_CAUSE = 16;
+  private static final long RESEND_WINDOW_MICROS = 55_000;
+  private static final int MAX_INVALID_BYTES = 4096;
+  private static final List<Integer> REJECTION_CAUSES = List.of(34, 42, 102);
 
   private final class Connection {
     private final PlatformViewers socket;
@@ -38,35 +38,35 @@
 
   private final SoakFront front;
   private final SoakTerms terms;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<Connection> connections = new ArrayList<>();
-  private final List<PlatformViewers> bad = new ArrayList<>();
+  private final List<PlatformViewers> invalidClients = new ArrayList<>();
   private final Map<Long, SoakRequest> requests = new HashMap<>();
   private long nextId;
-  private volatile boolean asking = true;
+  private volatile boolean sending = true;
   private volatile boolean running = true;
-  private volatile int burst;
-  private volatile boolean handOver;
+  private volatile int burstSize;
+  private volatile boolean handOverPending;
 
   SoakClients(SoakFront front, SoakTerms terms, SplittableRandom chance) {
     this.front = front;
     this.terms = terms;
-    this.chance = chance;
+    this.random = chance;
     this.nextId = (front.number + 1L) * 1_000_000;
   }
 
   /** So many requests at once, with the next turn. */
-  void burst(int more) {
-    burst = more;
+  void scheduleBurst(int more) {
+    burstSize = more;
   }
 
   /** The front has come back after it was killed: what stands is handed over to it. */
-  void handOver() {
-    handOver = true;
+  void scheduleHandOver() {
+    handOverPending = true;
   }
 
-  void stopAsking() {
-    asking = false;
+  void stopSending() {
+    sending = false;
   }
 
   void stop() {
@@ -83,9 +83,9 @@
     try {
       while (running) {
         Thread.sleep(TICK_MS);
-        turn(asking && FaultyServer.nowMicros() >= nextAt);
+        turn(sending && FaultyServer.nowMicros() >= nextAt);
         if (FaultyServer.nowMicros() >= nextAt) {
-          nextAt = FaultyServer.nowMicros() + 1000L * (10 + chance.nextInt(70));
+          nextAt = FaultyServer.nowMicros() + 1000L * (10 + random.nextInt(70));
         }
       }
     } catch (InterruptedException e) {
@@ -95,79 +95,79 @@
 
   private synchronized void turn(boolean asks) throws InterruptedException {
     for (Connection connection : List.copyOf(connections)) {
-      hear(connection);
+      receive(connection);
     }
     endSessions();
-    if (handOver) {
-      handOver = false;
-      handOverStanding();
+    if (handOverPending) {
+      handOverPending = false;
+      handOverSessions();
     }
-    int count = (asks ? 1 : 0) + burst;
-    burst = 0;
+    int count = (asks ? 1 : 0) + burstSize;
+    burstSize = 0;
     for (int i = 0; i < count; i++) {
-      ask();
+      sendRequest();
     }
-    if (asks && chance.nextInt(12) == 0) {
-      beBad();
+    if (asks && random.nextInt(12) == 0) {
+      sendInvalid();
     }
   }
 
   /* ---- asking ---- */
 
-  private void ask() throws InterruptedException {
+  private void sendRequest() throws InterruptedException {
     long[] deadlines = {terms.deadlineMs(), terms.deadlineMs(), terms.deadlineMs() / 2};
     SoakRequest request =
         new SoakRequest(
             nextId++,
-            chance.nextInt(4) == 0,
+            random.nextInt(4) == 0,
             front.number,
-            deadlines[chance.nextInt(deadlines.length)]);
+            deadlines[random.nextInt(deadlines.length)]);
     requests.put(request.id, request);
-    send(request, chance.nextInt(4) > 0);
+    send(request, random.nextInt(4) > 0);
   }
 
   private void send(SoakRequest request, boolean onOpenOne) throws InterruptedException {
-    Connection by = onOpenOne && !connections.isEmpty() ? any() : connect();
+    Connection by = onOpenOne && !connections.isEmpty() ? anyConnection() : connect();
     if (by == null) {
-      request.notTaken = true;
+      request.notConnected = true;
       return;
     }
     byte[] message =
         PlatformViewers.setUp(request.id, request.paid ? "paid" : "lesson", request.deadlineMs, "");
     try {
-      int first = chance.nextInt(8) == 0 ? 1 + chance.nextInt(message.length - 1) : message.length;
+      int first = random.nextInt(8) == 0 ? 1 + random.nextInt(message.length - 1) : message.length;
       by.socket.send(java.util.Arrays.copyOf(message, first));
       if (first < message.length) {
-        Thread.sleep(1 + chance.nextInt(4));
+        Thread.sleep(1 + random.nextInt(4));
         by.socket.send(java.util.Arrays.copyOfRange(message, first, message.length));
       }
       request.sentAt = FaultyServer.nowMicros();
       by.waiting.put(request.id, request);
-      afterSending(by, request);
+      abandonSome(by, request);
     } catch (IOException e) {
       request.sentAt = FaultyServer.nowMicros();
       by.waiting.put(request.id, request);
-      ended(by);
+      connectionEnded(by);
     }
   }
 
   /** Some leave at once: by an end right behind it, or by closing the connection. */
-  private void afterSending(Connection by, SoakRequest request) throws IOException {
-    int how = chance.nextInt(40);
+  private void abandonSome(Connection by, SoakRequest request) throws IOException {
+    int how = random.nextInt(40);
     if (how == 0) {
-      giveUp(by, request);
+      cancel(by, request);
     } else if (how == 1) {
-      closeByClient(by);
+      closeFromClient(by);
     }
   }
 
-  private Connection any() {
-    return connections.get(chance.nextInt(connections.size()));
+  private Connection anyConnection() {
+    return connections.get(random.nextInt(connections.size()));
   }
 
   private Connection connect() {
-    if (connections.size() >= MOST_CONNECTIONS) {
-      return any();
+    if (connections.size() >= MAX_CONNECTIONS) {
+      return anyConnection();
     }
     try {
       Connection anew = new Connection();
@@ -180,79 +180,79 @@
     }
   }
 
-  private void giveUp(Connection by, SoakRequest request) throws IOException {
-    by.socket.end(request.id, GIVE_UP);
-    request.gaveUpAt = FaultyServer.nowMicros();
+  private void cancel(Connection by, SoakRequest request) throws IOException {
+    by.socket.end(request.id, CANCEL_CAUSE);
+    request.cancelledAt = FaultyServer.nowMicros();
     by.waiting.remove(request.id);
   }
 
-  private void closeByClient(Connection by) throws IOException {
+  private void closeFromClient(Connection by) throws IOException {
     connections.remove(by);
     for (SoakRequest request : by.waiting.values()) {
-      request.gaveUpAt = FaultyServer.nowMicros();
-      request.leftByClose = true;
+      request.cancelledAt = FaultyServer.nowMicros();
+      request.abandonedByClose = true;
     }
     by.socket.close();
   }
 
   /* ---- hearing ---- */
 
-  private void hear(Connection by) throws InterruptedException {
+  private void receive(Connection by) throws InterruptedException {
     for (Said said = by.socket.next(0); said != null; said = by.socket.next(0)) {
       if (said == Said.CLOSED) {
-        ended(by);
+        connectionEnded(by);
         return;
       }
       SoakRequest request = requests.get(said.id());
       if (request != null) {
-        hear(request, said);
+        handle(request, said);
         by.waiting.remove(said.id());
       }
     }
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : List.copyOf(by.waiting.values())) {
-      if (now - request.sentAt > 1000 * request.deadlineMs / 4 && chance.nextInt(2000) == 0) {
+      if (now - request.sentAt > 1000 * request.deadlineMs / 4 && random.nextInt(2000) == 0) {
         try {
-          giveUp(by, request);
+          cancel(by, request);
         } catch (IOException e) {
-          ended(by);
+          connectionEnded(by);
           return;
         }
       }
     }
   }
 
-  private void hear(SoakRequest request, Said said) {
+  private void handle(SoakRequest request, Said said) {
     long now = FaultyServer.nowMicros();
     if (said.type() == ANSWERED) {
-      answered(request, said, now);
+      handleAnswer(request, said, now);
     } else if (said.type() == RELEASED || said.type() == MOVED) {
       if (request.answers.contains("answered")) {
         request.releasedAt = Math.min(request.releasedAt, now);
       } else {
-        settle(request, REFUSALS.contains(said.cause()) ? "refused" : "failed", now);
+        recordAnswer(request, REJECTION_CAUSES.contains(said.cause()) ? "refused" : "failed", now);
       }
     }
   }
 
-  private void answered(SoakRequest request, Said said, long now) {
-    settle(request, "answered", now);
+  private void handleAnswer(SoakRequest request, Said said, long now) {
+    recordAnswer(request, "answered", now);
     String made = "m=audio of " + request.id + "\r\nat ";
     if (said.description() == null || !said.description().startsWith(made)) {
-      request.wrong = "answered with what no server made for it: " + said.description();
+      request.wrongAnswer = "answered with what no server made for it: " + said.description();
     } else {
       request.server = said.description().substring(made.length()).strip();
-      request.standsUntil = now + 1000L * (200 + chance.nextInt(3000));
+      request.sessionUntil = now + 1000L * (200 + random.nextInt(3000));
     }
   }
 
-  private static void settle(SoakRequest request, String how, long now) {
+  private static void recordAnswer(SoakRequest request, String how, long now) {
     request.answers.add(how);
     request.answeredAt = Math.min(request.answeredAt, now);
   }
 
   /** The connection has ended from the other side; what crossed its end is sent again, once. */
-  private void ended(Connection by) throws InterruptedException {
+  private void connectionEnded(Connection by) throws InterruptedException {
     connections.remove(by);
     try {
       by.socket.close();
@@ -261,11 +261,11 @@
     }
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : List.copyOf(by.waiting.values())) {
-      if (now - request.sentAt <= CROSSING_MICROS && !request.sentAgain) {
-        request.sentAgain = true;
+      if (now - request.sentAt <= RESEND_WINDOW_MICROS && !request.resent) {
+        request.resent = true;
         send(request, false);
       } else {
-        request.cutAt = now;
+        request.connectionLostAt = now;
       }
     }
   }
@@ -275,13 +275,13 @@
   private void endSessions() {
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : requests.values()) {
-      if (request.stands() && request.standsUntil < now && !connections.isEmpty()) {
-        Connection by = any();
+      if (request.hasSession() && request.sessionUntil < now && !connections.isEmpty()) {
+        Connection by = anyConnection();
         try {
-          by.socket.end(request.id, GIVE_UP);
+          by.socket.end(request.id, CANCEL_CAUSE);
           request.endedByClientAt = now;
-          if (chance.nextInt(25) == 0) {
-            closeByClient(by); // right behind what it wrote
+          if (random.nextInt(25) == 0) {
+            closeFromClient(by); // right behind what it wrote
           }
         } catch (IOException e) {
           return; // told again with the next turn
@@ -290,10 +290,10 @@
     }
   }
 
-  private void handOverStanding() {
+  private void handOverSessions() {
     Connection by = connect();
     for (SoakRequest request : requests.values()) {
-      if (by != null && request.stands()) {
+      if (by != null && request.hasSession()) {
         try {
           by.socket.send(
               PlatformViewers.setUp(
@@ -307,18 +307,18 @@
 
   /* ---- bad clients ---- */
 
-  private void beBad() {
+  private void sendInvalid() {
     try {
       PlatformViewers socket = new PlatformViewers(front.port);
-      bad.add(socket);
-      if (bad.size() > 10) {
-        bad.remove(0).close();
+      invalidClients.add(socket);
+      if (invalidClients.size() > 10) {
+        invalidClients.remove(0).close();
       }
-      byte[] noise = new byte[chance.nextInt(BAD_BYTES) + 1];
-      switch (chance.nextInt(5)) {
+      byte[] noise = new byte[random.nextInt(MAX_INVALID_BYTES) + 1];
+      switch (random.nextInt(5)) {
         case 0 -> {
           for (int i = 0; i < noise.length; i++) {
-            noise[i] = (byte) chance.nextInt(256);
+            noise[i] = (byte) random.nextInt(256);
           }
           socket.send(noise);
         }
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -26,54 +26,54 @@
   private static final int FRONTS = 3;
   private static final int SERVERS = 6;
   private static final int CELLS = 2;
-  private static final int FAULTY_MS = 9000;
-  private static final int SETTLES_MS = 2500;
+  private static final int FAULT_PHASE_MS = 9000;
+  private static final int SETTLING_MS = 2500;
   private static final int TEST_PASSED = 53;
-  private static final long MICROS = 1000;
+  private static final long MICROS_PER_MS = 1000;
 
-  private record Listed(FaultyServer server, int number, int cell, long startedMs) {}
+  private record ListedServer(FaultyServer server, int number, int cell, long startedMs) {}
 
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
 
   /** For what runs beside the script, so that this depends on the seed alone. */
-  private final SplittableRandom asideChance;
+  private final SplittableRandom backgroundRandom;
 
   private final SoakTerms terms;
   private final Path folder;
   private final SoakDiscovery discovery;
   private final List<SoakFront> fronts = new ArrayList<>();
   private final List<SoakClients> clients = new ArrayList<>();
-  private final List<Listed> listed = new CopyOnWriteArrayList<>();
+  private final List<ListedServer> listedServers = new CopyOnWriteArrayList<>();
   private final List<FaultyServer> servers = new CopyOnWriteArrayList<>();
   private final Map<String, Long> coldSince = new LinkedHashMap<>();
-  private final List<Long> moves = new CopyOnWriteArrayList<>();
-  private final List<CompletableFuture<Void>> under = new CopyOnWriteArrayList<>();
-  private final List<String> limits = new CopyOnWriteArrayList<>();
+  private final List<Long> discoveryMoves = new CopyOnWriteArrayList<>();
+  private final List<CompletableFuture<Void>> backgroundSteps = new CopyOnWriteArrayList<>();
+  private final List<String> limitViolations = new CopyOnWriteArrayList<>();
 
   /** What was done, with its time; for whoever looks into a day. */
   private final List<String> script = new CopyOnWriteArrayList<>();
 
-  private final long begunAt = FaultyServer.nowMicros();
-  private int serverNumber;
+  private final long startedAt = FaultyServer.nowMicros();
+  private int lastServerNumber;
 
   SoakDay(long seed, Path folder) throws IOException {
-    this.chance = new SplittableRandom(seed);
-    this.asideChance = chance.split();
-    this.terms = SoakTerms.draw(chance);
+    this.random = new SplittableRandom(seed);
+    this.backgroundRandom = random.split();
+    this.terms = SoakTerms.draw(random);
     this.folder = folder;
-    this.discovery = new SoakDiscovery(chance.split());
+    this.discovery = new SoakDiscovery(random.split());
     for (int i = 0; i < SERVERS; i++) {
       addServer(0, 0);
     }
     for (int i = 0; i < FRONTS; i++) {
       SoakFront front = new SoakFront(i, PlatformTryOut.freePort(), folder);
       fronts.add(front);
-      clients.add(new SoakClients(front, terms, chance.split()));
+      clients.add(new SoakClients(front, terms, random.split()));
     }
   }
 
   /** Plays the day and returns what was broken. */
-  List<String> play() throws Exception {
+  List<String> run() throws Exception {
     for (SoakFront front : fronts) {
       start(front);
     }
@@ -82,29 +82,29 @@
       thread.setDaemon(true);
       thread.start();
     }
-    long until = FaultyServer.nowMicros() + FAULTY_MS * MICROS;
-    aside(this::restartAll);
+    long until = FaultyServer.nowMicros() + FAULT_PHASE_MS * MICROS_PER_MS;
+    runInBackground(this::restartAll);
     while (FaultyServer.nowMicros() < until) {
-      Thread.sleep(80 + chance.nextInt(400));
-      oneFault();
-      sampleLimits();
+      Thread.sleep(80 + random.nextInt(400));
+      injectFault();
+      checkLimits();
     }
-    for (CompletableFuture<Void> step : under) {
+    for (CompletableFuture<Void> step : backgroundSteps) {
       step.join();
     }
     return settle();
   }
 
   private List<String> settle() throws Exception {
-    for (Listed one : listed) {
+    for (ListedServer one : listedServers) {
       one.server.faults(healthy());
     }
-    clients.forEach(SoakClients::stopAsking);
+    clients.forEach(SoakClients::stopSending);
     Thread.sleep(terms.deadlineMs() + 4000); // the last answers, and the last sessions' ends
-    Thread.sleep(SETTLES_MS);
-    List<String> standing = standing();
+    Thread.sleep(SETTLING_MS);
+    List<String> standing = orphanedRequests();
     for (SoakFront front : fronts) {
-      front.tellToStop();
+      front.requestStop();
     }
     Thread.sleep(terms.killAfterMs());
     for (SoakFront front : fronts) {
@@ -115,26 +115,26 @@
     clients.forEach(SoakClients::stop);
     List<SoakRequest> requests = new ArrayList<>();
     clients.forEach(of -> requests.addAll(of.requests()));
-    SoakJudge.Day day =
-        new SoakJudge.Day(
+    SoakJudge.Observations day =
+        new SoakJudge.Observations(
             terms,
             fronts,
             requests,
             servers,
             coldSince,
-            discovery.withdrawn(),
+            discovery.removals(),
             discovery.outages(),
-            moves,
+            discoveryMoves,
             standing,
             endedAt);
     List<String> broken = SoakJudge.judge(day);
-    broken.addAll(limits);
-    broken.addAll(crashesLogged());
-    figures(requests);
+    broken.addAll(limitViolations);
+    broken.addAll(loggedCrashes());
+    writeScript(requests);
     return broken;
   }
 
-  private void figures(List<SoakRequest> requests) throws IOException {
+  private void writeScript(List<SoakRequest> requests) throws IOException {
     long answered = requests.stream().filter(r -> r.answers.contains("answered")).count();
     long attempts = servers.stream().mapToLong(s -> s.attempts().size()).sum();
     script.add(
@@ -155,15 +155,18 @@
   }
 
   /** Requests that stand at a server though their client has left, or never heard of it. */
-  private List<String> standing() {
+  private List<String> orphanedRequests() {
     Map<String, SoakRequest> byTag = new LinkedHashMap<>();
     clients.forEach(of -> of.requests().forEach(r -> byTag.put(r.tag, r)));
     List<String> standing = new ArrayList<>();
-    for (Listed one : listed) {
+    for (ListedServer one : listedServers) {
       for (String tag : one.server.open()) {
         SoakRequest request = byTag.get(tag);
-        boolean wanted = request != null && request.stands();
-        if (request != null && !wanted && !request.leftByClose && !diedMeanwhile(request)) {
+        boolean wanted = request != null && request.hasSession();
+        if (request != null
+            && !wanted
+            && !request.abandonedByClose
+            && !frontWasKilledMeanwhile(request)) {
           standing.add(tag + " at " + one.server.id() + ", " + request);
         }
       }
@@ -172,19 +175,19 @@
   }
 
   /** Its front was killed while it was out: nobody is left who knows of the attempt. */
-  private boolean diedMeanwhile(SoakRequest request) {
-    return fronts.get(request.front).lives.stream()
+  private boolean frontWasKilledMeanwhile(SoakRequest request) {
+    return fronts.get(request.front).runs.stream()
         .anyMatch(
             life ->
-                life.killedAt != SoakFront.Life.NEVER
+                life.killedAt != SoakFront.ProcessRun.NEVER
                     && life.startedAt < request.sentAt
                     && request.sentAt < life.killedAt);
   }
 
-  private List<String> crashesLogged() throws IOException {
+  private List<String> loggedCrashes() throws IOException {
     List<String> found = new ArrayList<>();
     for (SoakFront front : fronts) {
-      for (String line : Files.readAllLines(front.log())) {
+      for (String line : Files.readAllLines(front.logFile())) {
         if (line.contains("Exception") || line.matches("\\S+ ERROR .*")) {
           found.add("crash front " + front.number + " logged: " + line);
         }
@@ -193,19 +196,19 @@
     return found;
   }
 
-  private void sampleLimits() {
+  private void checkLimits() {
     for (SoakFront front : fronts) {
       int[] usage = front.isAlive() ? front.usage() : null;
       if (usage != null && (usage[0] > SoakTerms.MEMORY_MB || usage[1] > SoakTerms.DESCRIPTORS)) {
-        limits.add("limits front " + front.number + ": " + usage[0] + " MB, " + usage[1]);
+        limitViolations.add("limits front " + front.number + ": " + usage[0] + " MB, " + usage[1]);
       }
     }
   }
 
   /* ---- faults ---- */
 
-  private void aside(Callable<Void> step) {
-    under.add(
+  private void runInBackground(Callable<Void> step) {
+    backgroundSteps.add(
         CompletableFuture.runAsync(
             () -> {
               try {
@@ -221,38 +224,38 @@
             }));
   }
 
-  private void note(String what) {
-    script.add((FaultyServer.nowMicros() - begunAt) / MICROS + " ms " + what);
+  private void addToScript(String what) {
+    script.add((FaultyServer.nowMicros() - startedAt) / MICROS_PER_MS + " ms " + what);
   }
 
-  private void oneFault() throws Exception {
-    Listed one = listed.get(chance.nextInt(listed.size()));
-    int span = 200 + chance.nextInt(2500);
-    switch (chance.nextInt(12)) {
-      case 0 -> forAWhile(one, "hangs", span, one.server::hang);
-      case 1 -> forAWhile(one, "vanishes", span, () -> vanish(one));
+  private void injectFault() throws Exception {
+    ListedServer one = listedServers.get(random.nextInt(listedServers.size()));
+    int span = 200 + random.nextInt(2500);
+    switch (random.nextInt(12)) {
+      case 0 -> injectFaultFor(one, "hangs", span, one.server::hang);
+      case 1 -> injectFaultFor(one, "vanishes", span, () -> vanish(one));
       case 2 -> {
-        note(one.server.id() + " resets its connections");
+        addToScript(one.server.id() + " resets its connections");
         one.server.resetAll();
       }
       case 3, 4 -> {
         Faults faults = drawFaults();
-        note(one.server.id() + " " + faults);
+        addToScript(one.server.id() + " " + faults);
         one.server.faults(faults);
       }
-      case 5 -> aside(() -> replace(one, span));
-      case 6 -> silence(span);
-      case 7 -> outage(span);
+      case 5 -> runInBackground(() -> replaceServer(one, span));
+      case 6 -> silenceDiscovery(span);
+      case 7 -> interruptDiscovery(span);
       case 8 -> moveDiscovery();
       case 9 -> {
-        note("a crowd");
-        clients.get(chance.nextInt(clients.size())).burst(40 + chance.nextInt(120));
+        addToScript("a crowd");
+        clients.get(random.nextInt(clients.size())).scheduleBurst(40 + random.nextInt(120));
       }
       case 10 -> {
-        note(one.server.id() + " ends some sessions");
+        addToScript(one.server.id() + " ends some sessions");
         one.server.endSome(0.5);
       }
-      default -> killOutright();
+      default -> killSomeFront();
     }
   }
 
@@ -262,18 +265,18 @@
 
   private Faults drawFaults() {
     return new Faults(
-        chance.nextInt(150),
-        chance.nextDouble() * 0.5,
-        chance.nextDouble() * 0.2,
-        chance.nextDouble() * 0.3,
-        chance.nextDouble() * 0.15,
+        random.nextInt(150),
+        random.nextDouble() * 0.5,
+        random.nextDouble() * 0.2,
+        random.nextDouble() * 0.3,
+        random.nextDouble() * 0.15,
         1,
-        1 + chance.nextInt(400),
-        chance.nextBoolean(),
-        chance.nextDouble() * 0.3);
+        1 + random.nextInt(400),
+        random.nextBoolean(),
+        random.nextDouble() * 0.3);
   }
 
-  private static void vanish(Listed one) {
+  private static void vanish(ListedServer one) {
     try {
       one.server.vanish();
     } catch (IOException e) {
@@ -281,9 +284,9 @@
     }
   }
 
-  private void forAWhile(Listed one, String what, int ms, Runnable fault) {
-    note(one.server.id() + " " + what + " for " + ms + " ms");
-    aside(
+  private void injectFaultFor(ListedServer one, String what, int ms, Runnable fault) {
+    addToScript(one.server.id() + " " + what + " for " + ms + " ms");
+    runInBackground(
         () -> {
           fault.run();
           Thread.sleep(ms);
@@ -294,39 +297,39 @@
 
   private boolean discoveryFaulty;
 
-  private synchronized boolean takeDiscovery() {
+  private synchronized boolean acquireDiscovery() {
     boolean free = !discoveryFaulty;
     discoveryFaulty = true;
     return free;
   }
 
-  private synchronized void giveDiscoveryBack() {
+  private synchronized void releaseDiscovery() {
     discoveryFaulty = false;
   }
 
-  private void silence(int ms) {
-    if (takeDiscovery()) {
-      note("discovery silent for " + ms + " ms");
-      aside(
+  private void silenceDiscovery(int ms) {
+    if (acquireDiscovery()) {
+      addToScript("discovery silent for " + ms + " ms");
+      runInBackground(
           () -> {
-            discovery.fallSilent();
+            discovery.startSilence();
             Thread.sleep(ms);
-            discovery.speakAgain();
-            giveDiscoveryBack();
+            discovery.endSilence();
+            releaseDiscovery();
             return null;
           });
     }
   }
 
-  private void outage(int ms) {
-    if (takeDiscovery()) {
-      note("discovery down for " + ms + " ms");
-      aside(
+  private void interruptDiscovery(int ms) {
+    if (acquireDiscovery()) {
+      addToScript("discovery down for " + ms + " ms");
+      runInBackground(
           () -> {
-            discovery.goDown();
+            discovery.stop();
             Thread.sleep(ms);
-            discovery.comeBack();
-            giveDiscoveryBack();
+            discovery.restart();
+            releaseDiscovery();
             return null;
           });
     }
@@ -334,45 +337,45 @@
 
   /** A new address, and then the same configuration once more, in quick succession. */
   private void moveDiscovery() throws Exception {
-    if (takeDiscovery()) {
-      note("discovery moves");
+    if (acquireDiscovery()) {
+      addToScript("discovery moves");
       discovery.move();
-      moves.add(FaultyServer.nowMicros());
+      discoveryMoves.add(FaultyServer.nowMicros());
       for (SoakFront front : fronts) {
-        aside(() -> reload(front));
+        runInBackground(() -> reload(front));
       }
-      giveDiscoveryBack();
+      releaseDiscovery();
     }
   }
 
   /** Not before it is ready, nor in its first second, as the operators do. */
   private Void reload(SoakFront front) throws Exception {
-    boolean young = !front.isAlive() || !ready(front);
-    while (!front.isAlive() || !ready(front)) {
+    boolean young = !front.isAlive() || !isReady(front);
+    while (!front.isAlive() || !isReady(front)) {
       Thread.sleep(50);
     }
     if (young) {
       Thread.sleep(1000);
-      moves.add(FaultyServer.nowMicros());
+      discoveryMoves.add(FaultyServer.nowMicros());
     }
     for (int i = 0; i < 2 && front.isAlive(); i++) {
-      post(front);
+      writeConfiguration(front);
       front.reload();
     }
     return null;
   }
 
   /** A server drains, is gone, dies, and a new one comes, at its address or another one. */
-  private Void replace(Listed one, int ms) throws Exception {
+  private Void replaceServer(ListedServer one, int ms) throws Exception {
     synchronized (this) {
-      if (!listed.remove(one) || listed.size() < SERVERS / 2) {
+      if (!listedServers.remove(one) || listedServers.size() < SERVERS / 2) {
         return null;
       }
     }
-    note(one.server.id() + " is replaced");
-    tell(one, 1);
+    addToScript(one.server.id() + " is replaced");
+    publish(one, 1);
     Thread.sleep(ms);
-    tell(one, 2);
+    publish(one, 2);
     one.server.close();
     Thread.sleep(100);
     addServer(ms % 2 == 0 ? one.server.port() : 0, System.currentTimeMillis());
@@ -380,38 +383,38 @@
   }
 
   private synchronized void addServer(int port, long startedMs) throws IOException {
-    int number = ++serverNumber;
+    int number = ++lastServerNumber;
     String id = String.format("s-%08x", number);
-    FaultyServer server = new FaultyServer(id, asideChance.nextLong(), port, healthy());
-    Listed one = new Listed(server, number, number % CELLS, startedMs);
+    FaultyServer server = new FaultyServer(id, backgroundRandom.nextLong(), port, healthy());
+    ListedServer one = new ListedServer(server, number, number % CELLS, startedMs);
     servers.add(server);
-    listed.add(one);
+    listedServers.add(one);
     if (startedMs > 0) {
       coldSince.put(id, FaultyServer.nowMicros());
     }
-    tell(one, 0);
+    publish(one, 0);
   }
 
-  private void tell(Listed one, int state) {
+  private void publish(ListedServer one, int state) {
     discovery.changed(
         one.server.id(),
         state == 0,
         PlatformJournal.record(one.number, one.server.port(), state, one.cell, one.startedMs));
   }
 
-  private void killOutright() {
-    SoakFront front = fronts.get(chance.nextInt(fronts.size()));
-    if (chance.nextInt(3) > 0) {
+  private void killSomeFront() {
+    SoakFront front = fronts.get(random.nextInt(fronts.size()));
+    if (random.nextInt(3) > 0) {
       return;
     }
-    aside(
+    runInBackground(
         () -> {
           synchronized (front) {
-            note("front " + front.number + " is killed");
+            addToScript("front " + front.number + " is killed");
             front.kill();
             start(front);
           }
-          clients.get(front.number).handOver();
+          clients.get(front.number).scheduleHandOver();
           return null;
         });
   }
@@ -420,7 +423,7 @@
   private Void restartAll() throws Exception {
     Thread.sleep(1000);
     for (SoakFront front : fronts) {
-      aside(() -> restart(front, (front.number + serverNumber) % 3));
+      runInBackground(() -> restart(front, (front.number + lastServerNumber) % 3));
       Thread.sleep(terms.killAfterMs() / 2);
     }
     return null;
@@ -431,8 +434,8 @@
       if (!front.isAlive()) {
         return null;
       }
-      note("front " + front.number + " is told to stop");
-      front.tellToStop();
+      addToScript("front " + front.number + " is told to stop");
+      front.requestStop();
       for (int i = 0; i < signals; i++) {
         front.signal(i == 0 ? "HUP" : "TERM");
       }
@@ -440,21 +443,21 @@
       front.kill();
       start(front);
     }
-    clients.get(front.number).handOver();
+    clients.get(front.number).scheduleHandOver();
     return null;
   }
 
   /* ---- fronts ---- */
 
   private void start(SoakFront front) throws Exception {
-    post(front);
+    writeConfiguration(front);
     front.start();
-    for (int i = 0; i < 2000 && !ready(front); i++) {
+    for (int i = 0; i < 2000 && !isReady(front); i++) {
       Thread.sleep(10);
     }
   }
 
-  private boolean ready(SoakFront front) throws InterruptedException {
+  private boolean isReady(SoakFront front) throws InterruptedException {
     try (var viewers = new PlatformViewers(front.port)) {
       viewers.test();
       PlatformViewers.Said said = viewers.next(2000);
@@ -464,9 +467,9 @@
     }
   }
 
-  private synchronized void post(SoakFront front) throws IOException {
+  private synchronized void writeConfiguration(SoakFront front) throws IOException {
     StringBuilder targets = new StringBuilder();
-    for (Listed one : listed) {
+    for (ListedServer one : listedServers) {
       targets
           .append(targets.isEmpty() ? "" : ",")
           .append(
@@ -476,7 +479,7 @@
                   one.server.id(), one.server.port(), one.cell, one.startedMs));
     }
     int position = discovery.position();
-    front.post(
+    front.writeConfiguration(
         String.format(
             "{\"name\":\"n%d\",\"listen\":\"127.0.0.1:%d\",\"seed\":\"%x\",\"limits\":{\"cores\":1,"
                 + "\"memory_mb\":%d,\"sockets\":%d},\"journal\":\"127.0.0.1:%d\",\"known\":"
@@ -484,7 +487,7 @@
                 + "\"targets\":[%s]}}]},\"settings\":%s}",
             front.number,
             front.port,
-            asideChance.nextLong(),
+            backgroundRandom.nextLong(),
             SoakTerms.MEMORY_MB,
             SoakTerms.DESCRIPTORS,
             discovery.port(),
--- a/src/test/java/linengauge/soak/SoakDiscovery.java
+++ b/src/test/java/linengauge/soak/SoakDiscovery.java
@@ -18,29 +18,29 @@
  * that falls silent, breaks off amid an event, tells events twice, and is down for a while.
  */
 final class SoakDiscovery implements AutoCloseable {
-  private static final long SIGN_EVERY_MS = 1000;
-  private static final int HEAD = 9;
+  private static final long KEEP_ALIVE_INTERVAL_MS = 1000;
+  private static final int HEADER_BYTES = 9;
 
   /** When a server was last said to drain or be gone, and from when a front must have been told. */
-  record Told(String server, long had) {}
+  record Removal(String server, long recordedAt) {}
 
   /** A span in which the service did not tell what it had. */
-  record Outage(long from, long until, boolean down) {}
+  record Outage(long from, long until, boolean lasting) {}
 
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<byte[]> frames = new ArrayList<>();
-  private final List<Told> withdrawn = new ArrayList<>();
+  private final List<Removal> removals = new ArrayList<>();
   private final List<Outage> outages = new ArrayList<>();
-  private final List<Socket> readers = new CopyOnWriteArrayList<>();
+  private final List<Socket> subscribers = new CopyOnWriteArrayList<>();
   private ServerSocket listener;
   private volatile boolean silent;
   private volatile boolean closed;
   private long outageSince;
 
   SoakDiscovery(SplittableRandom chance) throws IOException {
-    this.chance = chance;
+    this.random = chance;
     open(0);
-    start(this::signs);
+    start(this::sendKeepAlives);
   }
 
   private void open(int port) throws IOException {
@@ -81,7 +81,7 @@
     try {
       long last = new DataInputStream(reader.getInputStream()).readLong();
       synchronized (this) {
-        readers.add(reader);
+        subscribers.add(reader);
         for (int n = (int) Math.max(0, last); n < frames.size() && !silent; n++) {
           reader.getOutputStream().write(frames.get(n));
         }
@@ -91,11 +91,11 @@
     }
   }
 
-  private void signs() {
+  private void sendKeepAlives() {
     try {
       while (!closed) {
-        Thread.sleep(SIGN_EVERY_MS);
-        tell(frame(0, position(), new byte[0]));
+        Thread.sleep(KEEP_ALIVE_INTERVAL_MS);
+        send(frame(0, position(), new byte[0]));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -103,23 +103,23 @@
   }
 
   private static byte[] frame(int kind, long number, byte[] records) {
-    return ByteBuffer.allocate(4 + HEAD + records.length)
-        .putInt(HEAD + records.length)
+    return ByteBuffer.allocate(4 + HEADER_BYTES + records.length)
+        .putInt(HEADER_BYTES + records.length)
         .putLong(number)
         .put((byte) kind)
         .put(records)
         .array();
   }
 
-  private synchronized void tell(byte[] bytes) {
+  private synchronized void send(byte[] bytes) {
     if (silent) {
       return;
     }
-    for (Socket reader : readers) {
+    for (Socket reader : subscribers) {
       try {
         reader.getOutputStream().write(bytes);
       } catch (IOException e) {
-        readers.remove(reader);
+        subscribers.remove(reader);
       }
     }
   }
@@ -129,23 +129,23 @@
     byte[] frame = frame(2, frames.size() + 1L, records);
     frames.add(frame);
     if (!serves) {
-      withdrawn.add(new Told(server, FaultyServer.nowMicros()));
+      removals.add(new Removal(server, FaultyServer.nowMicros()));
     }
-    int how = chance.nextInt(10);
+    int how = random.nextInt(10);
     if (how == 0 && !silent) {
-      breakOff(frame);
+      sendTruncated(frame);
     } else {
-      tell(frame);
+      send(frame);
       if (how == 1) {
-        tell(frame);
+        send(frame);
       }
     }
   }
 
-  private void breakOff(byte[] frame) {
+  private void sendTruncated(byte[] frame) {
     long now = FaultyServer.nowMicros();
     outages.add(new Outage(now, now, false));
-    for (Socket reader : readers) {
+    for (Socket reader : subscribers) {
       try {
         reader.getOutputStream().write(frame, 0, frame.length / 2);
         reader.close();
@@ -153,29 +153,29 @@
         // its front has gone
       }
     }
-    readers.clear();
+    subscribers.clear();
   }
 
   /** Open streams stay open and tell nothing, new ones too. */
-  synchronized void fallSilent() {
+  synchronized void startSilence() {
     silent = true;
     outageSince = FaultyServer.nowMicros();
   }
 
   /** Streams that fell silent stay so; whoever asks anew is told. */
-  synchronized void speakAgain() {
+  synchronized void endSilence() {
     silent = false;
-    readers.clear();
+    subscribers.clear();
     outages.add(new Outage(outageSince, FaultyServer.nowMicros(), true));
   }
 
-  synchronized void goDown() throws IOException {
+  synchronized void stop() throws IOException {
     outageSince = FaultyServer.nowMicros();
     listener.close();
-    closeReaders();
+    closeSubscribers();
   }
 
-  synchronized void comeBack() throws IOException {
+  synchronized void restart() throws IOException {
     open(listener.getLocalPort());
     outages.add(new Outage(outageSince, FaultyServer.nowMicros(), true));
   }
@@ -183,23 +183,23 @@
   /** Another address from now on; the old one takes nobody and tells nothing more. */
   synchronized void move() throws IOException {
     listener.close();
-    readers.clear();
+    subscribers.clear();
     open(0);
   }
 
-  private void closeReaders() {
-    for (Socket reader : readers) {
+  private void closeSubscribers() {
+    for (Socket reader : subscribers) {
       try {
         reader.close();
       } catch (IOException e) {
         // closed already
       }
     }
-    readers.clear();
+    subscribers.clear();
   }
 
-  synchronized List<Told> withdrawn() {
-    return List.copyOf(withdrawn);
+  synchronized List<Removal> removals() {
+    return List.copyOf(removals);
   }
 
   synchronized List<Outage> outages() {
@@ -210,6 +210,6 @@
   public synchronized void close() throws IOException {
     closed = true;
     listener.close();
-    closeReaders();
+    closeSubscribers();
   }
 }
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -14,16 +14,16 @@
 /** One front as a process, over all its lives. */
 final class SoakFront {
   /** From its start to its end; signals as they were sent. NEVER: not yet, or not at all. */
-  static final class Life {
+  static final class ProcessRun {
     static final long NEVER = Long.MAX_VALUE;
     final long startedAt = FaultyServer.nowMicros();
-    long toldToStopAt = NEVER;
+    long stopRequestedAt = NEVER;
     long killedAt = NEVER;
     long endedAt = NEVER;
     long lastReloadAt = Long.MIN_VALUE;
-    int exit = -1;
+    int exitCode = -1;
 
-    boolean covers(long at) {
+    boolean isAliveAt(long at) {
       return startedAt <= at && at < endedAt;
     }
   }
@@ -31,30 +31,30 @@
   final int number;
   final int port;
   private final Path folder;
-  private final Path file;
-  final List<Life> lives = new ArrayList<>();
+  private final Path configurationFile;
+  final List<ProcessRun> runs = new ArrayList<>();
   private volatile Process process;
 
   SoakFront(int number, int port, Path folder) {
     this.number = number;
     this.port = port;
     this.folder = folder;
-    this.file = folder.resolve("front-" + number + ".json");
+    this.configurationFile = folder.resolve("front-" + number + ".json");
   }
 
-  Life life() {
-    return lives.get(lives.size() - 1);
+  ProcessRun currentRun() {
+    return runs.get(runs.size() - 1);
   }
 
-  Path log() {
+  Path logFile() {
     return folder.resolve("front-" + number + ".log");
   }
 
   /** Replaces the configuration whole, as the operators do. */
-  void post(String configuration) throws IOException {
+  void writeConfiguration(String configuration) throws IOException {
     Path anew = folder.resolve("front-" + number + ".new");
     Files.writeString(anew, configuration);
-    Files.move(anew, file, StandardCopyOption.ATOMIC_MOVE);
+    Files.move(anew, configurationFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
   void start() throws IOException {
@@ -72,20 +72,20 @@
             System.getProperty("java.class.path"),
             Main.class.getName(),
             "serve");
-    run.environment().put("PROXY_CONFIG", file.toString());
+    run.environment().put("PROXY_CONFIG", configurationFile.toString());
     run.environment().put("MALLOC_ARENA_MAX", "1");
-    lives.add(new Life());
+    runs.add(new ProcessRun());
     process =
         run.redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
             .start();
-    Life life = life();
-    process.onExit().thenAccept(p -> ended(life, p.exitValue()));
+    ProcessRun life = currentRun();
+    process.onExit().thenAccept(p -> recordExit(life, p.exitValue()));
   }
 
-  private void ended(Life life, int exit) {
+  private void recordExit(ProcessRun life, int exit) {
     life.endedAt = FaultyServer.nowMicros();
-    life.exit = exit;
+    life.exitCode = exit;
   }
 
   boolean isAlive() {
@@ -93,18 +93,18 @@
   }
 
   void reload() throws IOException, InterruptedException {
-    life().lastReloadAt = FaultyServer.nowMicros();
+    currentRun().lastReloadAt = FaultyServer.nowMicros();
     signal("HUP");
   }
 
-  void tellToStop() throws IOException, InterruptedException {
-    life().toldToStopAt = FaultyServer.nowMicros();
+  void requestStop() throws IOException, InterruptedException {
+    currentRun().stopRequestedAt = FaultyServer.nowMicros();
     signal("TERM");
   }
 
   void kill() throws InterruptedException {
     if (isAlive()) {
-      life().killedAt = FaultyServer.nowMicros();
+      currentRun().killedAt = FaultyServer.nowMicros();
     }
     process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
   }
--- a/src/test/java/linengauge/soak/SoakRequest.java
+++ b/src/test/java/linengauge/soak/SoakRequest.java
@@ -19,26 +19,26 @@
   long answeredAt = NEVER;
 
   /** The client stopped waiting, or closed the connection on which it waited. */
-  long gaveUpAt = NEVER;
+  long cancelledAt = NEVER;
 
   /** Its connection ended from the other side before an answer. */
-  long cutAt = NEVER;
+  long connectionLostAt = NEVER;
 
   /** The client closed the connection as it waited: an answer under way is read by nobody. */
-  boolean leftByClose;
+  boolean abandonedByClose;
 
-  boolean sentAgain;
+  boolean resent;
 
   /** It never reached a front: no connection was taken. */
-  boolean notTaken;
+  boolean notConnected;
 
   /** The server of its session, while it stands for the client. */
   String server;
 
-  long standsUntil;
+  long sessionUntil;
   long endedByClientAt = NEVER;
   long releasedAt = NEVER;
-  String wrong;
+  String wrongAnswer;
 
   SoakRequest(long id, boolean paid, int front, long deadlineMs) {
     this.id = id;
@@ -49,10 +49,10 @@
   }
 
   boolean isOpen() {
-    return answers.isEmpty() && gaveUpAt == NEVER && cutAt == NEVER && !notTaken;
+    return answers.isEmpty() && cancelledAt == NEVER && connectionLostAt == NEVER && !notConnected;
   }
 
-  boolean stands() {
+  boolean hasSession() {
     return server != null && endedByClientAt == NEVER && releasedAt == NEVER;
   }
 
@@ -63,11 +63,11 @@
     StringBuilder times = new StringBuilder("front " + front + " " + answers);
     times.append(" sent ").append(unixMs / 1000.0);
     add(times, "answered", answeredAt);
-    add(times, "gave up", gaveUpAt);
-    add(times, "cut", cutAt);
+    add(times, "gave up", cancelledAt);
+    add(times, "cut", connectionLostAt);
     add(times, "ended by its client", endedByClientAt);
     add(times, "released", releasedAt);
-    return times.append(leftByClose ? ", left by a close" : "").toString();
+    return times.append(abandonedByClose ? ", left by a close" : "").toString();
   }
 
   private void add(StringBuilder times, String what, long at) {
--- a/src/test/java/linengauge/soak/SoakTerms.java
+++ b/src/test/java/linengauge/soak/SoakTerms.java
@@ -8,13 +8,13 @@
  */
 record SoakTerms(long deadlineMs, int coldMs, int tipMs, int maxAttempts) {
   static final int DRAIN_GRACE_MS = 1000;
-  static final int PLACES = 30;
+  static final int SESSIONS_PER_SERVER = 30;
   static final double FALL_MULTIPLE = 2.5;
   static final double START_CAPACITY = 0.4;
   static final double FREE_RETRIES = 5;
   static final double RETRY_RATIO = 0.3;
   static final int RETRY_SPAN_MS = 5000;
-  static final int FLOOR_OF_PAID = 1;
+  static final int FLOOR_OF_PAID_CLASS = 1;
   static final int TOP_RUNG = 4;
   static final int MEMORY_MB = 128;
   static final int DESCRIPTORS = 320;
@@ -24,7 +24,7 @@
    */
   static final long KILL_AFTER_DEADLINE_MS = 700;
 
-  static final long LONGEST_COUNTED_MS = 3000;
+  static final long MAX_COUNTED_DEADLINE_MS = 3000;
 
   static SoakTerms draw(SplittableRandom chance) {
     long[] deadlines = {400, 900, 1500, 3000};
@@ -33,7 +33,7 @@
   }
 
   long killAfterMs() {
-    return Math.min(deadlineMs, LONGEST_COUNTED_MS) + KILL_AFTER_DEADLINE_MS;
+    return Math.min(deadlineMs, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS;
   }
 
   /** The configuration's `settings`. */
@@ -55,10 +55,10 @@
           {"aimUs":400000,"deadlineUs":%d,"idempotency":"unsafe","name":"paid","worth":2}],
          "weights":"rough","zone":0}"""
         .formatted(
-            FLOOR_OF_PAID,
+            FLOOR_OF_PAID_CLASS,
             TOP_RUNG,
             TOP_RUNG,
-            PLACES,
+            SESSIONS_PER_SERVER,
             1000 * coldMs,
             1000 * DRAIN_GRACE_MS,
             FALL_MULTIPLE,
--- a/src/test/java/linengauge/soak/SoakTest.java
+++ b/src/test/java/linengauge/soak/SoakTest.java
@@ -28,11 +28,11 @@
   /** Guards against any rule of the operators' page broken under several faults at once. */
   @ParameterizedTest
   @MethodSource("seeds")
-  void noRuleIsBrokenOnADayOfManyFaults(long seed) throws Exception {
+  void noRuleIsBrokenUnderManyFaults(long seed) throws Exception {
     Path folder = KEEP == null ? temporary : Path.of(KEEP, "seed-" + seed);
     Files.createDirectories(folder);
     try (SoakDay day = new SoakDay(seed, folder)) {
-      List<String> broken = day.play();
+      List<String> broken = day.run();
       Files.write(folder.resolve("broken"), broken);
       System.out.println("soak seed " + seed + ": " + broken.size() + " broken; " + day.summary());
       assertEquals(List.of(), broken, "seed " + seed);
