--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -16,11 +16,11 @@
 import linengauge.Span;
 
 /**
- * A media box of the fleet in virtual time, as it speaks on the platform
+ * A media box of the fleet in virtual time, speaking the platform's protocol
  * (docs/protocol/platform.md, "Boxes").
  */
 final class BoxModel implements NetworkModel.Acceptor {
-  /** What becomes of set-ups. */
+  /** How the box handles set-ups. */
   enum Behavior {
     HEALTHY,
     ERRORS,
@@ -30,7 +30,7 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The uplink that the boxes of a rack share. */
+  /** The uplink shared by the boxes of a rack. */
   static final class Rack {
     private final double capacityKb;
     private double demandKb;
@@ -46,7 +46,7 @@
     private double rateKb;
     private SimulatedConnection.Endpoint endpoint;
 
-    /** Its answer went astray. */
+    /** Whether the answer to the set-up was lost on its way. */
     private boolean answerLost;
 
     private ActiveViewing(Viewers.Viewer watch) {
@@ -68,16 +68,19 @@
   private final List<SimulatedConnection.Endpoint> endpoints = new ArrayList<>();
   private final Map<String, ActiveViewing> activeViewings = new LinkedHashMap<>();
 
-  /** Set-ups heard and not yet answered, by viewing. */
+  /** Set-ups that were received and are not answered yet, by the viewing's tag. */
   private final Map<String, SimulatedConnection.Endpoint> pendingSetUps = new LinkedHashMap<>();
 
   /**
-   * Ends, to be said to their fronts on the next connection from these: once more, or for the first
-   * time.
+   * END messages, by front, that are sent on the front's next connection. They repeat those that
+   * were sent already, since these may have been lost, and hold those that found no connection.
    */
   private final Map<String, List<String>> unreportedEnds = new LinkedHashMap<>();
 
-  /** Those whose end a front has written; each leaves as that arrives, or with the box's life. */
+  /**
+   * Tags of viewings whose end a front has written. A tag is removed as the message arrives, or
+   * when the box crashes.
+   */
   private final Set<String> endedByFront = new HashSet<>();
 
   private double demandKb;
@@ -85,7 +88,7 @@
   private Behavior behavior = Behavior.HEALTHY;
   private boolean up = true;
 
-  /** Counts lives: what an earlier one had under way is nothing to a later one. */
+  /** Counts the box's starts. Work that was scheduled before a crash is ignored after it. */
   private int incarnation;
 
   BoxModel(
@@ -151,7 +154,7 @@
     behavior = m;
   }
 
-  /** Its process dies: what it plays is cut, connections are reset, new ones refused. */
+  /** Crashes the process: viewings are cut, connections break and new ones are refused. */
   void crash() {
     up = false;
     incarnation++;
@@ -167,7 +170,7 @@
     recorder.record("box-lost", "box", id);
   }
 
-  /** It comes back under its name, cold. */
+  /** Restarts the box under its old name, cold. */
   void restart() {
     up = true;
     startedAt = clock.now();
@@ -212,7 +215,7 @@
     pendingSetUps.values().removeIf(by -> by == end);
   }
 
-  /** Set-ups that are open on it end with it. */
+  /** Records that the set-ups which are open on a connection have ended with it. */
   private void recordBrokenSetUps(SimulatedConnection.Endpoint end) {
     List<String> tags = new ArrayList<>();
     pendingSetUps.forEach(
@@ -240,8 +243,8 @@
   }
 
   /**
-   * What a front writes is seen as it is written: an end counts from then, though the way to the
-   * box may be cut.
+   * Observes what a front writes at the moment it is written: an end counts from then on, even
+   * where the network delays its arrival.
    */
   private void observeWrite(SimulatedConnection.Endpoint end, byte[] written) {
     if (written.length == 0) {
@@ -263,7 +266,7 @@
     try {
       n = JSON.readTree(line);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a front wrote what is no JSON: " + line, e);
+      throw new IllegalStateException("a front wrote a line that is not JSON: " + line, e);
     }
     String tag = n.path("tag").asText();
     switch (n.path("verb").asText()) {
@@ -297,7 +300,7 @@
                             linkLoad(),
                             rack.demandKb / rack.capacityKb))));
       }
-      default -> throw new IllegalStateException("a front wrote " + line);
+      default -> throw new IllegalStateException("a front wrote an unknown message: " + line);
     }
   }
 
@@ -316,7 +319,7 @@
     return demandKb / currentLinkKb();
   }
 
-  /** The share of their rates that viewings get here now. */
+  /** The share of their rates that viewings on this box receive now. */
   private double deliveredShare() {
     return Math.min(
         1, Math.min(1 / Math.max(0.01, linkLoad()), rack.capacityKb / Math.max(1, rack.demandKb)));
@@ -325,14 +328,15 @@
   private void handleSetUp(SimulatedConnection.Endpoint end, JsonNode n, String tag) {
     Viewers.Viewer watch = simulation.viewers().find(tag);
     if (endedByFront.contains(tag)) {
-      // held up on its way until its front had given it up: never out, and what ends it follows
+      // The network held the set-up until its front had ended it. It never started, and the end
+      // follows.
       return;
     }
     if (watch == null) {
       if (!simulation.viewers().wasIssued(tag)) {
-        throw new IllegalStateException("a set-up that no viewer sent: " + tag);
+        throw new IllegalStateException("received a set-up that no viewer sent: " + tag);
       }
-      return; // held up on its way until its viewer had gone; what ends it follows
+      return; // The network held the set-up until its viewer had left. The end follows.
     }
     int front = Integer.parseInt(end.peer().substring(1));
     int rung = n.path("opts").path("rung").asInt();
@@ -409,7 +413,7 @@
         "set-up-answered", "box", id, "viewing", watch.viewingId(), "tuneIn", tuneIn, "how", how);
   }
 
-  /** It plays here already, as a day begins. */
+  /** Adds a viewing that is playing on this box before the simulation starts. */
   void addExistingViewing(Viewers.Viewer watch, int rung) {
     ActiveViewing p = new ActiveViewing(watch);
     activeViewings.put(watch.tag(), p);
@@ -431,7 +435,7 @@
     return p.viewer;
   }
 
-  /** It has come to its end. */
+  /** Ends a viewing that has played to its end. */
   private void completeViewing(String tag, ActiveViewing p) {
     if (activeViewings.remove(tag, p)) {
       releaseRate(p).viewingCompleted(this);
@@ -458,14 +462,15 @@
     if (p != null) {
       releaseRate(p).viewingCut(this);
     }
-    // Once more as it arrives: the set-up itself may have come no sooner.
+    // The end is recorded again on arrival, since the set-up itself may have arrived just before
+    // it.
     recorder.record(
         "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
   }
 
   /**
-   * Counts what is served here over the span, of what its viewers want; and tells one of each front
-   * of a shortage.
+   * Counts what is served over the span, weighted by worth and rung, and where the box is short of
+   * capacity notifies one viewing of each front.
    */
   void serve(Span span, boolean notes) {
     double share = deliveredShare();
--- a/src/main/java/linengauge/rehearsal/DiscoveryModel.java
+++ b/src/main/java/linengauge/rehearsal/DiscoveryModel.java
@@ -8,8 +8,8 @@
 import linengauge.Span;
 
 /**
- * The journal service of a fleet: the boxes' list by events, told late, to each front on the
- * connection it keeps.
+ * The discovery service of a fleet: it sends the events of the box table, with a delay, to each
+ * front on its open connection.
  */
 final class DiscoveryModel implements NetworkModel.Acceptor {
   private static final int RECORD_BYTES = 27;
@@ -48,7 +48,7 @@
         });
   }
 
-  /** From now on changes are told so late. */
+  /** Sets the delay after which later changes are reported. */
   void setReportDelay(Span span) {
     reportDelay = span;
   }
@@ -76,12 +76,12 @@
     return true;
   }
 
-  /** The box's state has changed: it stands in the service a little later. */
+  /** Reports a box's new state after the delay. */
   void changeLater(BoxModel box, int state) {
     clock.scheduleAfter(reportDelay, () -> changeNow(box, state));
   }
 
-  /** The same at once, as at the start of a day. */
+  /** Reports a box's new state at once, as at the start of the simulation. */
   void changeNow(BoxModel box, int state) {
     byte[] row = encode(box, state);
     latestRecords.put(box.id(), row);
@@ -126,7 +126,7 @@
         .array();
   }
 
-  /** What a front that starts now is told under `known`. */
+  /** The value of `known` in the configuration of a front that starts now. */
   String knownState() {
     StringBuilder rows = new StringBuilder();
     latestRecords
--- a/src/main/java/linengauge/rehearsal/FleetSimulation.java
+++ b/src/main/java/linengauge/rehearsal/FleetSimulation.java
@@ -20,10 +20,11 @@
 import linengauge.rules.Verdict;
 
 /**
- * A fleet of the platform's fronts in virtual time, all of it from a seed: fronts as they run
- * (door, connections, core, module) on a model of the network, with boxes, viewers and the journal
- * service round them. The record of what the stand-ins saw is judged by {@link Judge}; the counts
- * are over the whole fleet. Its figures are the model's own.
+ * Simulates a fleet of the platform's fronts in virtual time, with all randomness from one seed.
+ * The fronts run the production code (listener, connections, core, module) on a model of the
+ * network, among models of boxes, viewers and the discovery service. {@link Judge} checks the
+ * traffic record of these models; the counts cover the whole fleet. Figures hold for the model
+ * only, not for real hardware.
  */
 public final class FleetSimulation {
   static final double[] LADDER_KB = {240, 420, 730, 1270, 2200};
@@ -43,15 +44,15 @@
   /** From the start of a process until it listens. */
   private static final Span FRONT_START_DURATION = Span.ofMillis(1900);
 
-  /** Viewings last some seconds; those that come last have ended by then. */
+  /** Viewings last some seconds; the last of them have ended within this span. */
   private static final Span SETTLING_DURATION = Span.ofSeconds(100);
 
   private static final int ZONE_COUNT = 3;
   private static final int BOXES_PER_RACK = 8;
 
   /**
-   * How large the fleet is, how long the day, how many viewers come a second, and how quick its
-   * processes are.
+   * The number of fronts and boxes, the length of the run, the arrival rate of viewers, and the
+   * processor time that a step of a front costs.
    */
   public record Size(
       int fronts,
@@ -61,15 +62,15 @@
       Span firstStepCost,
       Span warmStepCost,
       int stepsUntilWarm) {
-    /** Of the kind that the operators' days at full size have, a little smaller. */
+    /** Like the operators' test days at full size, a little smaller. */
     public static Size standard() {
       return new Size(60, 40, Span.ofSeconds(16), 150, Span.ofMillis(6), new Span(800), 400);
     }
   }
 
   /**
-   * What things are called: the cheap class and the dear one, zones, and servers by their number.
-   * Nothing may hang on it.
+   * The names in use: the request class of low worth and that of high worth, the prefix of zones,
+   * and the id of each server by its number. No decision may depend on them.
    */
   public record Names(
       String lowWorthClass, String highWorthClass, String zonePrefix, LongUnaryOperator serverId) {
@@ -79,9 +80,9 @@
   }
 
   /**
-   * What a day came to: the judge's verdict, counts by name until the last viewer came, the longest
-   * turn of any front, the record; and the fronts' tables half way, as the last viewer came, and
-   * once all is over.
+   * The result of a run: the judge's verdict, counts by name until the last viewer arrived, the
+   * longest event loop turn of any front, the traffic record, and the table sizes of the fronts
+   * half way, when the last viewer arrived, and after everything has ended.
    */
   public record Outcome(
       Verdict verdict,
@@ -179,7 +180,7 @@
         500);
   }
 
-  /** Viewers come to fronts in unequal parts. */
+  /** Draws the share of all viewers that each front receives; the shares are unequal. */
   private void drawTrafficShares() {
     double all = 0;
     for (int i = 0; i < size.fronts(); i++) {
@@ -263,7 +264,9 @@
     return boxes.stream().filter(b -> b.cell() == cell && b.isUp()).findFirst().orElseThrow();
   }
 
-  /** Where a viewer of that front's goes: to it, or to another while it is away. */
+  /**
+   * The front that a viewer reaches: the wanted one, or another while that one is out of service.
+   */
   int drawReachableFront(int wanted, SplittableRandom by) {
     int f = wanted;
     for (int i = 0; i < 50 && !simulatedFronts.get(f).inService; i++) {
@@ -272,7 +275,7 @@
     return f;
   }
 
-  /* ---- lives of fronts ---- */
+  /* ---- life cycle of fronts ---- */
 
   private String configuration(int number) {
     return String.format(
@@ -373,7 +376,7 @@
 
     @Override
     public void info(String line) {
-      // what operators read
+      // The operators' log is not part of the simulation.
     }
 
     @Override
@@ -386,7 +389,8 @@
   }
 
   /**
-   * A front has passed its first test: what it holds from before is handed to it, and viewers come.
+   * Puts a front in service that has passed its first test: viewers reach it, and the viewings that
+   * it held before its restart are handed over to it.
    */
   void putInService(int number) {
     if (!simulatedFronts.get(number).inService) {
@@ -410,7 +414,7 @@
     viewers.frontDied(number);
   }
 
-  /* ---- troubles, to be set before the day is played; moments are spans from its start ---- */
+  /* ---- faults; they are scheduled before the run, as spans from its start ---- */
 
   public FleetSimulation schedule(Span when, Runnable deed) {
     clock.scheduleAt(START_TIME.plus(startUpDuration()).plus(when), deed);
@@ -421,13 +425,13 @@
     return FRONT_START_DURATION.plus(Span.ofSeconds(1));
   }
 
-  /** Killed outright, and started again at once. */
+  /** Kills a front without notice and restarts it at once. */
   public void killAndRestart(int number) {
     killFront(number);
     startFront(number);
   }
 
-  /** Told to stop, killed where it has not ended by then, and started again. */
+  /** Stops a front, kills it where it has not ended in time, and restarts it. */
   public void restart(int number) {
     SimulatedFront s = simulatedFronts.get(number);
     SimulatedNet net = s.net;
@@ -443,7 +447,7 @@
         });
   }
 
-  /** Boxes that drain, go a while later, and are followed by new ones that start cold. */
+  /** Drains a box, removes it a while later, and adds a new one that starts cold. */
   public void replaceBox(int box) {
     BoxModel old = boxes.get(box);
     discovery.changeLater(old, 1);
@@ -461,7 +465,7 @@
         });
   }
 
-  /** A box's process dies and comes back cold after the span. */
+  /** Crashes a box and restarts it, cold, after the span. */
   public void crashBox(int box, Span away) {
     BoxModel b = boxes.get(box);
     b.crash();
@@ -474,14 +478,14 @@
         });
   }
 
-  /** One box in so many answers with errors, not at all, or late, in turn. */
+  /** Makes one box in so many answer with errors, not at all, or late, in turn. */
   public void degradeBoxes(int oneIn) {
     for (int i = 0; i < boxes.size(); i += oneIn) {
       boxes.get(i).setBehavior(BoxModel.Behavior.values()[1 + i / oneIn % 3]);
     }
   }
 
-  /** A fifth of the boxes falls silent for the span: nothing comes through to them or from them. */
+  /** Cuts a fifth of the boxes off for the span: no traffic reaches or leaves them. */
   public void silenceBoxes(Span span) {
     Runnable again =
         network.partition(
@@ -489,7 +493,7 @@
     clock.scheduleAfter(span, again);
   }
 
-  /** Fronts of one zone and the boxes of the others are cut off from each other for the span. */
+  /** Cuts the fronts of one zone off from the boxes of the other zones for the span. */
   public void isolateZone(int zone, Span span) {
     Runnable again =
         network.partition(
@@ -500,8 +504,8 @@
   }
 
   /**
-   * Changes of the list are told so late; one answer in so many is lost (0: none), connections are
-   * reset meanwhile.
+   * Delays the reports of discovery from now on. During the span the given share of the boxes'
+   * answers is lost, and connections are reset.
    */
   public void degradeNetwork(Span listLate, double lost, Span span) {
     discovery.setReportDelay(listLate);
@@ -526,13 +530,13 @@
     return size.boxes();
   }
 
-  /* ---- the day ---- */
+  /* ---- the run ---- */
 
   public Outcome run() throws BadRecord {
     for (int i = 0; i < simulatedFronts.size(); i++) {
       startFront(i);
     }
-    // What plays already as the day begins, spread as traffic is.
+    // Viewings that are playing before the start are spread over the fronts as later traffic is.
     int already = (int) (size.viewersPerSecond() * 11);
     for (int i = 0; i < already; i++) {
       viewers.addExistingViewing(drawFront(), 1 + random.nextInt(3));
--- a/src/main/java/linengauge/rehearsal/NetworkModel.java
+++ b/src/main/java/linengauge/rehearsal/NetworkModel.java
@@ -9,13 +9,13 @@
 import linengauge.Span;
 import linengauge.platform.Net;
 
-/** The network of a fleet: who listens where, and what of it is cut. */
+/** The network of a fleet: its listeners, its connections and its partitions. */
 final class NetworkModel {
-  /** Whoever listens at an address. */
+  /** A listener at an address. */
   interface Acceptor {
     SimulatedProcess process();
 
-    /** False: its table of connections is full, and the new one is refused. */
+    /** Accepts a connection; false where its table of connections is full and it refuses. */
     boolean accept(SimulatedConnection.Endpoint end);
   }
 
@@ -25,10 +25,13 @@
   private final Span dialTimeout;
   private final Map<String, Acceptor> acceptors = new HashMap<>();
 
-  /** Connections that stand, of each process that has a name; bounded by what processes open. */
+  /**
+   * Open connections by "from to". The number of keys is bounded by the processes of the fleet, the
+   * lists by what these open.
+   */
   private final Map<String, List<SimulatedConnection>> connections = new HashMap<>();
 
-  /** From whom to which address nothing comes through. */
+  /** Pairs of sources and addresses between which no traffic passes. */
   private final List<Partition> partitions = new ArrayList<>();
 
   private record Partition(Predicate<String> from, Predicate<String> to) {}
@@ -42,15 +45,12 @@
     acceptors.put(address, place);
   }
 
-  /**
-   * Nothing listens there any more: new connections are refused, or, where the machine is gone,
-   * never come up.
-   */
+  /** Removes the listener at an address; new connections to it are refused. */
   void stopListening(String address) {
     acceptors.remove(address);
   }
 
-  /** Between these nothing comes through from now on, until the returned step is run. */
+  /** Blocks all traffic between sources and addresses until the returned step is run. */
   Runnable partition(Predicate<String> from, Predicate<String> to) {
     Partition cut = new Partition(from, to);
     partitions.add(cut);
@@ -75,7 +75,7 @@
     return partitions.stream().anyMatch(c -> c.from.test(from) && c.to.test(to));
   }
 
-  /** Tries a connection from a process to an address. */
+  /** Tries to open a connection from a process to an address. */
   void connect(String from, SimulatedProcess host, String to, Net.Tried then) {
     if (isPartitioned(from, to)) {
       clock.scheduleAt(
@@ -99,7 +99,7 @@
         });
   }
 
-  /** The process has died: all its connections break, and the other ends hear of it. */
+  /** Breaks all connections of a process that has died; the other ends are notified. */
   void breakConnections(String process, Consumer<SimulatedConnection> each) {
     connections.forEach(
         (way, list) -> {
@@ -115,7 +115,7 @@
         });
   }
 
-  /** Breaks one in so many of the connections that lead to such addresses. */
+  /** Resets the chosen connections that lead to the given addresses. */
   void resetConnections(Predicate<String> to, Predicate<SimulatedConnection> which) {
     connections.forEach(
         (way, list) -> {
--- a/src/main/java/linengauge/rehearsal/Scenario.java
+++ b/src/main/java/linengauge/rehearsal/Scenario.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 import linengauge.Span;
 
-/** What befalls a fleet on one of the operators' days at full size, in outline. */
+/** The faults of one of the operators' test days at full size, in outline. */
 public enum Scenario {
-  /** No fault. */
+  /** No faults. */
   CALM(day -> {}),
   /** Half of the boxes are replaced in steps while all fronts are restarted, a tenth at a time. */
   ROLL(
@@ -19,7 +19,7 @@
           day.schedule(Span.ofSeconds(1 + f * 10 / day.frontCount()), () -> day.restart(front));
         }
       }),
-  /** Seven in ten fronts are killed at once; one box in eight is bad. */
+  /** Seven in ten fronts are killed at once; one box in eight is degraded. */
   HERD(
       day -> {
         day.schedule(Span.NONE, () -> day.degradeBoxes(8));
@@ -34,8 +34,8 @@
             });
       }),
   /**
-   * All boxes of a zone are lost for five seconds and come back cold; a zone is cut off from the
-   * others; some are bad.
+   * All boxes of a zone crash and restart cold after five seconds; a zone is cut off from the
+   * others; one box in eight is degraded.
    */
   ZONE(
       day -> {
@@ -47,8 +47,8 @@
         day.schedule(Span.ofSeconds(10), () -> day.isolateZone(2, Span.ofSeconds(3)));
       }),
   /**
-   * A fifth of the boxes is silent for six seconds; the list is late, answers get lost, connections
-   * are reset.
+   * A fifth of the boxes is unreachable for six seconds; discovery reports late, answers are lost
+   * and connections are reset.
    */
   SPLIT(
       day -> {
@@ -74,7 +74,7 @@
     this.faults = troubles;
   }
 
-  /** A day of this shape, not yet played. */
+  /** A simulation of this scenario that has not run yet. */
   public FleetSimulation simulation(FleetSimulation.Size size, long seed) {
     return simulation(size, seed, FleetSimulation.Names.standard());
   }
--- a/src/main/java/linengauge/rehearsal/SimulatedConnection.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedConnection.java
@@ -7,14 +7,14 @@
 import linengauge.platform.Net;
 
 /**
- * A connection in virtual time. What is written arrives whole, in order, after the latency of the
- * way.
+ * A connection in virtual time. Each message arrives whole and in order after the latency of the
+ * network.
  */
 final class SimulatedConnection {
-  /** What the tap hears as the near end closes it. */
+  /** Passed to the observer of writes when the client end closes the connection. */
   static final byte[] CLOSE_MARKER = {};
 
-  /** Bytes that one reading brings at the most. */
+  /** The most bytes that one read returns. */
   private static final int MAX_READ_BYTES = 64 * 1024;
 
   private final VirtualClock clock;
@@ -23,17 +23,17 @@
   private final Endpoint serverEnd;
 
   /**
-   * Nothing arrives, and nobody is told: the way is cut. What was sent meanwhile arrives once it is
-   * mended, as it does over TCP.
+   * Whether a partition holds the traffic back. Neither end is notified, and what was sent
+   * meanwhile arrives after the partition, as over TCP.
    */
   private boolean stalled;
 
   private final ArrayDeque<Runnable> inTransit = new ArrayDeque<>();
 
-  /** Broken from outside: nothing arrives any more. */
+  /** Whether the network has reset the connection: nothing arrives any more. */
   private boolean wasReset;
 
-  /** Hears what the near end writes, as it is written. */
+  /** Receives what the client end writes, as it is written. */
   private Consumer<byte[]> writeObserver = data -> {};
 
   SimulatedConnection(
@@ -44,7 +44,7 @@
     this.serverEnd = new Endpoint(far, name);
   }
 
-  /** The end of whoever tried the connection. */
+  /** The end of the process that opened the connection. */
   Endpoint clientEnd() {
     return clientEnd;
   }
@@ -64,7 +64,7 @@
     }
   }
 
-  /** Brings something to an end of it, after the latency of the way. */
+  /** Runs a delivery at the other end after the latency of the network. */
   private void transmit(SimulatedProcess from, Runnable deed) {
     clock.scheduleAt(
         from.now().plus(latency),
@@ -80,14 +80,14 @@
         });
   }
 
-  /** Closed from outside: both ends hear it, and what is under way is lost. */
+  /** Resets the connection: both ends are notified, and what is in transit is lost. */
   void reset() {
     wasReset = true;
     clientEnd.notifyClosed();
     serverEnd.notifyClosed();
   }
 
-  /** The process at that end has died; the other hears it after the latency. */
+  /** Notifies the other end, after the latency, that the process at this end has died. */
   void processDied(Endpoint end) {
     Endpoint other = end == clientEnd ? serverEnd : clientEnd;
     transmit(end.process, other::notifyClosed);
@@ -97,7 +97,7 @@
     private final SimulatedProcess process;
     private final String name;
 
-    /** What came before anybody listened, or while it did not read. */
+    /** What arrived before a handler was set, or while reading was paused. */
     private final ArrayDeque<byte[]> unread = new ArrayDeque<>();
 
     private Consumer<byte[]> dataHandler;
@@ -140,7 +140,10 @@
       }
     }
 
-    /** What is held, as one piece: a connection keeps no borders between what was written. */
+    /**
+     * Takes unread messages as one piece, up to the limit of a read: a byte stream does not
+     * preserve message boundaries.
+     */
     private byte[] takeUnread() {
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       while (!unread.isEmpty()
--- a/src/main/java/linengauge/rehearsal/SimulatedFront.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedFront.java
@@ -2,19 +2,19 @@
 
 import linengauge.platform.PlatformFront;
 
-/** One front of a simulated fleet, through all its lives. */
+/** One front of a simulated fleet, across its restarts. */
 final class SimulatedFront {
   /** Counts its starts. */
   int incarnation;
 
   SimulatedNet net;
 
-  /** Null before it is first started. */
+  /** Null before its first start. */
   PlatformFront front;
 
-  /** Viewers come to it. */
+  /** Whether viewers reach it. */
   boolean inService;
 
-  /** What part of all viewers come to it. */
+  /** The share of all viewers that it receives. */
   double trafficShare;
 }
--- a/src/main/java/linengauge/rehearsal/SimulatedNet.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedNet.java
@@ -7,12 +7,12 @@
 import linengauge.session.Carrier.Wake;
 
 /**
- * What carries one life of a front in virtual time. Its clock moves on by the processor time it
- * uses: each look at the time stands for one message or step, and costs more while the process is
- * young. Events wait while it is at work.
+ * The network interface and event loop of one front process in virtual time. Its clock advances by
+ * the processor time it uses: each reading of the time stands for one message or step, and costs
+ * more while the process is young. Events queue up while another one runs.
  */
 final class SimulatedNet implements Net {
-  /** What a step costs at the start of a process, and once it has run so many. */
+  /** The cost of a step in a new process, when warm, and the steps until the process is warm. */
   record StepCost(Span first, Span warm, int stepsUntilWarm) {
     Span afterSteps(int steps) {
       double young = Math.max(0, 1 - (double) steps / stepsUntilWarm);
@@ -27,7 +27,9 @@
   private final TrafficRecorder recorder;
   private final ArrayDeque<Runnable> pendingEvents = new ArrayDeque<>();
 
-  /** Where it is in time while it is at work, and how long it was. */
+  /**
+   * The process's own time: ahead of the clock while an event runs, and until the clock follows.
+   */
   private Moment localTime;
 
   private boolean running;
@@ -162,6 +164,6 @@
 
   @Override
   public void written(Span atMost, Runnable step) {
-    later(step); // what is written here leaves at once
+    later(step); // Writes are sent at once.
   }
 }
--- a/src/main/java/linengauge/rehearsal/SimulatedProcess.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedProcess.java
@@ -2,15 +2,15 @@
 
 import linengauge.Moment;
 
-/** A process that takes part: what comes to it are events, run one after another. */
+/** A process of the simulation, which runs the events delivered to it one after another. */
 interface SimulatedProcess {
-  /** Something comes; it is dropped where the process has died. */
+  /** Delivers an event; it is dropped where the process has died. */
   void deliver(Runnable deed);
 
-  /** Where the process is in time: ahead of the world's clock while it is at work on an event. */
+  /** The process's own time, which is ahead of the virtual clock while it runs an event. */
   Moment now();
 
-  /** One that takes no time over anything and never dies: all stand-ins. */
+  /** A process that runs events in no time and never dies, as all models of peers do. */
   static SimulatedProcess instantaneous(VirtualClock clock) {
     return new SimulatedProcess() {
       @Override
--- a/src/main/java/linengauge/rehearsal/TrafficRecorder.java
+++ b/src/main/java/linengauge/rehearsal/TrafficRecorder.java
@@ -9,8 +9,8 @@
 import linengauge.Moment;
 
 /**
- * What the stand-ins of a fleet saw: the record of traffic (docs/protocol/traffic.md), and counts
- * over the whole fleet.
+ * Records what the models of a fleet observe: the traffic record (docs/protocol/traffic.md), and
+ * counts over the whole fleet.
  */
 final class TrafficRecorder {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -25,7 +25,7 @@
     this.startTime = clock.now();
   }
 
-  /** One line; fields are names and values in turn. */
+  /** Adds one line; fields are alternating keys and values. */
   void record(String what, Object... fields) {
     ObjectNode n =
         JSON.createObjectNode().put("at", clock.now().since(startTime).micros()).put("what", what);
@@ -39,7 +39,7 @@
     counts.merge(what, more, Double::sum);
   }
 
-  /** A front tries a connection. */
+  /** Counts an attempt of a front to open a connection. */
   void countConnection(String address) {
     count(
         address.startsWith(FleetSimulation.DISCOVERY_ADDRESS_PREFIX)
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -13,8 +13,8 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * The viewers of a fleet in virtual time (docs/protocol/platform.md, "Viewers"): who asks whom, and
- * what became of it.
+ * The viewers of a fleet in virtual time (docs/protocol/platform.md, "Viewers"): their requests,
+ * the answers to them, and their retries.
  */
 final class Viewers {
   private static final int SET_UP_MESSAGE = 1;
@@ -23,10 +23,13 @@
   private static final int TEST_MESSAGE = 52;
   private static final int TEST_PASSED_MESSAGE = 53;
 
-  /** So much after the patience an answer earns nothing and is still one. */
+  /** For this span after the time limit an answer earns nothing but is still valid. */
   private static final Span LATE_ANSWER_WINDOW = Span.ofMillis(500);
 
-  /** A set-up that crosses the close of its connection within this is sent again, once. */
+  /**
+   * A set-up whose connection closes within this span of its sending is sent again, once: the front
+   * may never have read it.
+   */
   private static final Span RESEND_WINDOW = Span.ofMillis(50);
 
   private static final Span IDLE_CLOSE_DELAY = Span.ofSeconds(4);
@@ -129,7 +132,7 @@
     }
   }
 
-  /** One viewing wanted by one viewer, from its first request on. */
+  /** One viewer and the viewing it wants, from its first request on. */
   final class Viewer {
     private final String packageName;
     private final String title;
@@ -187,12 +190,12 @@
       return front;
     }
 
-    /** What is left of it. */
+    /** The rest of the viewing's length. */
     Span remaining() {
       return wantedUntil.since(clock.now()).orMore(Span.ofMillis(1));
     }
 
-    /** As the record names it: front, life of it, and the viewing. */
+    /** The viewing's id in the traffic record: the front, its count of starts, and the tag. */
     String viewingId() {
       return front + "-" + simulation.incarnation(front) + "-" + tag;
     }
@@ -274,7 +277,7 @@
           "m=audio of " + tag);
     }
 
-    /** Its patience is over: what it asked for by that tag is ended, and it asks again. */
+    /** Ends the request of that tag, whose time limit has passed, and retries. */
     private void giveUp(String mine) {
       if (!answered && mine.equals(tag) && !done) {
         recordFailure("gave-up");
@@ -294,11 +297,11 @@
 
     private void handleAnswer(String how, long advice) {
       if (answered && !playing) {
-        return; // it had given up
+        return; // The viewer has cancelled the request.
       }
       recorder.record("answered", "ask", tag, "front", front, "how", how, "viewing", viewingId());
       if (answered) {
-        return; // a second answer: the record shows it
+        return; // The judge finds a second answer in the record.
       }
       answered = true;
       connection.waiting.remove(this);
@@ -306,7 +309,7 @@
       if (how.equals("plays")) {
         playing = true;
         if (currentBox == null) {
-          expectEndMessage(); // it has been cut meanwhile
+          expectEndMessage(); // The box has ended the viewing meanwhile.
         }
       } else {
         retryAfter(
@@ -314,7 +317,7 @@
       }
     }
 
-    /** Its front says that it is over, or refuses it. */
+    /** Handles an END from the front, which ends the viewing or rejects the request. */
     private void handleEnd(int cause, long advice) {
       if (!answered) {
         handleAnswer(cause == 34 || cause == 42 || cause == 102 ? "blocked" : "aborted", advice);
@@ -335,8 +338,8 @@
     }
 
     /**
-     * The connection on which it waited broke: the front has died, or has closed it. What crosses a
-     * close is sent again.
+     * Handles the end of the connection on which the viewer waits: the front has died or has closed
+     * it. A set-up that was sent just before a close is sent again.
      */
     private void connectionBroke() {
       if (!answered
@@ -364,17 +367,17 @@
       }
     }
 
-    /** It has come to its end at a box; where it played there, its front has to tell it. */
+    /** The viewing has played to its end at a box; its front has to notify the viewer. */
     void viewingCompleted(BoxModel by) {
       if (currentBox != by) {
-        return; // set up there once, and given up by its front
+        return; // A former attempt at that box, which the front has ended.
       }
       currentBox = null;
       done = true;
       expectEndMessage();
     }
 
-    /** It was cut at a box. */
+    /** The viewing was cut at a box. */
     void viewingCut(BoxModel by) {
       if (currentBox == by) {
         currentBox = null;
@@ -405,7 +408,7 @@
       viewersByTag.remove(tag);
     }
 
-    /** Handed over to the front that has started anew, by the set-up that says where it plays. */
+    /** Hands the viewing over to a restarted front with a set-up that names its box. */
     private void handOver(FrontConnection by) {
       by.write(
           PlatformViewers.message(
@@ -430,7 +433,7 @@
   private final SimulatedProcess process;
   private final List<List<FrontConnection>> connections = new ArrayList<>();
 
-  /** Those that are wanted or play, by their latest id on the wire; each leaves with its end. */
+  /** Viewers with a request or a viewing, by their latest tag; removed with the viewing's end. */
   private final Map<String, Viewer> viewersByTag = new LinkedHashMap<>();
 
   private final List<Viewer> wantingViewers = new ArrayList<>();
@@ -451,7 +454,7 @@
     return viewersByTag.get(tag);
   }
 
-  /** Whether a viewer has ever had that id. */
+  /** Whether the tag was ever assigned to a request. */
   boolean wasIssued(String tag) {
     return Long.parseUnsignedLong(tag, 16) <= lastTagNumber;
   }
@@ -468,19 +471,20 @@
 
   private Viewer drawViewer(int front) {
     double u = random.nextDouble();
-    int title = (int) (FleetSimulation.TITLE_COUNT * u * u); // some are asked for more
+    int title =
+        (int) (FleetSimulation.TITLE_COUNT * u * u); // Low numbers are requested more often.
     Span length = Span.ofSeconds(-12 * Math.log(1 - random.nextDouble()) + 1);
     Viewer w = new Viewer(front, title, random.nextDouble() < 0.3, length);
     wantingViewers.add(w);
     return w;
   }
 
-  /** A viewer comes to this front's door. */
+  /** A new viewer sends its request to this front. */
   void arrive(int front) {
     drawViewer(front).request();
   }
 
-  /** One that plays already at some holder as the day begins, held by the front. */
+  /** Adds a viewing of this front that is playing at some holder before the start. */
   void addExistingViewing(int front, int rung) {
     Viewer w = drawViewer(front);
     w.tag = String.format("%016x", ++lastTagNumber);
@@ -512,7 +516,7 @@
     return of.get(random.nextInt(of.size()));
   }
 
-  /** The platform tests a front that has started. */
+  /** Sends the platform's readiness test to a front that has started. */
   void testFront(int front) {
     FrontConnection l = new FrontConnection(front);
     connections.get(front).add(l);
@@ -520,7 +524,7 @@
     l.write(PlatformViewers.message(TEST_MESSAGE, 1, 61, new byte[] {0}));
   }
 
-  /** What plays under this front is handed to its new life. */
+  /** Hands the viewings of this front over to its new process. */
   void handOverViewings(int front) {
     FrontConnection by = connectionTo(front);
     for (Viewer w : List.copyOf(viewersByTag.values())) {
@@ -533,7 +537,7 @@
     }
   }
 
-  /** What the front that has died owed is owed no more: who waited comes again. */
+  /** Fails the waiting requests of a front that has died; their viewers retry. */
   void frontDied(int front) {
     for (FrontConnection l : List.copyOf(connections.get(front))) {
       l.closed = true;
@@ -541,7 +545,7 @@
     }
   }
 
-  /** Counts what is wanted over the span. */
+  /** Counts the demand over the span, weighted by worth. */
   void countWanted(Span span) {
     wantingViewers.removeIf(w -> !clock.now().before(w.wantedUntil));
     wantingViewers.forEach(w -> recorder.count("wanted", span.seconds() * w.worth));
--- a/src/main/java/linengauge/rehearsal/VirtualClock.java
+++ b/src/main/java/linengauge/rehearsal/VirtualClock.java
@@ -4,7 +4,7 @@
 import linengauge.Span;
 import linengauge.virtualtime.EventQueue;
 
-/** The virtual time of a rehearsal. */
+/** The virtual time of a simulation. */
 public final class VirtualClock {
   private final EventQueue events;
 
@@ -16,7 +16,7 @@
     return events.now();
   }
 
-  /** Runs it then; now where that has passed. */
+  /** Schedules a task for a moment, or for now where that has passed. */
   public void scheduleAt(Moment moment, Runnable task) {
     events.schedule(moment, task);
   }
@@ -25,7 +25,7 @@
     scheduleAt(now().plus(span), task);
   }
 
-  /** Runs everything up to that moment. */
+  /** Runs all tasks up to a moment. */
   public void runUntil(Moment until) {
     while (events.nextAt() != null && !until.before(events.nextAt())) {
       events.runNext();
--- a/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Sixty fronts as they run on the platform, in virtual time from a seed, judged from what their
- * peers saw.
+ * Runs sixty fronts of the platform in virtual time from a seed, and judges them by the record of
+ * their peers.
  */
 class FleetSimulationTest {
   private static FleetSimulation.Outcome run(Scenario shape, double viewersASecond, long seed)
@@ -59,8 +59,8 @@
   }
 
   /**
-   * The same day, class names exchanged and all names others, in another order: every front decides
-   * the same.
+   * Runs the same scenario with the names of the classes swapped and all other names changed, so
+   * that they sort differently. No front's decision may depend on names.
    */
   @ParameterizedTest
   @EnumSource(names = {"ROLL", "SPLIT", "JOIN"})
@@ -98,8 +98,8 @@
   }
 
   /**
-   * What each front does about silence adds up: a new connection to each silent box each 2.5 s were
-   * five a viewing.
+   * Guards against reconnects of all fronts to silent boxes that add up: one new connection to each
+   * silent box every 2.5 s makes five connections a request.
    */
   @Test
   void withoutFaultsConnectionsAndProbesPerRequestStayBounded() throws Exception {
@@ -110,8 +110,8 @@
   }
 
   /**
-   * Where news is too dear, starts at the lowest rung and at the top in turn served 0.54 of what
-   * was wanted.
+   * Guards against a charge for discovery that is too high: starts that alternate between the
+   * lowest rung and the top then serve only 0.54 of the demand.
    */
   @Test
   void underHighLoadNewViewingsGetTheirShare() throws Exception {
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -12,9 +12,9 @@
 import linengauge.standin.PlatformViewers.Said;
 
 /**
- * The clients of one front, on a thread of their own: usual ones, some that give up early, repeat,
- * write in pieces or close as they write, and bad ones. They use open connections as long as these
- * are open, and come again at once where one ends.
+ * The clients of one front, on one thread: regular ones, some that cancel early, repeat, write in
+ * pieces or close the connection right after writing, and some that send invalid data. They reuse
+ * open connections as long as these last, and retry at once when one ends.
  */
 final class SoakClients implements Runnable {
   private static final int ANSWERED = 9;
@@ -55,12 +55,12 @@
     this.nextId = (front.number + 1L) * 1_000_000;
   }
 
-  /** So many requests at once, with the next turn. */
+  /** Sends so many requests at once in the next turn. */
   void scheduleBurst(int more) {
     burstSize = more;
   }
 
-  /** The front has come back after it was killed: what stands is handed over to it. */
+  /** Hands the open sessions over in the next turn, after the front has restarted. */
   void scheduleHandOver() {
     handOverPending = true;
   }
@@ -112,7 +112,7 @@
     }
   }
 
-  /* ---- asking ---- */
+  /* ---- requests ---- */
 
   private void sendRequest() throws InterruptedException {
     long[] deadlines = {terms.deadlineMs(), terms.deadlineMs(), terms.deadlineMs() / 2};
@@ -151,7 +151,9 @@
     }
   }
 
-  /** Some leave at once: by an end right behind it, or by closing the connection. */
+  /**
+   * Some leave at once: by a cancellation right behind the request, or by closing the connection.
+   */
   private void abandonSome(Connection by, SoakRequest request) throws IOException {
     int how = random.nextInt(40);
     if (how == 0) {
@@ -174,7 +176,7 @@
       connections.add(anew);
       return anew;
     } catch (ConnectException e) {
-      return null; // nobody listens
+      return null; // Nothing listens there.
     } catch (IOException e) {
       return null;
     }
@@ -195,7 +197,7 @@
     by.socket.close();
   }
 
-  /* ---- hearing ---- */
+  /* ---- answers ---- */
 
   private void receive(Connection by) throws InterruptedException {
     for (Said said = by.socket.next(0); said != null; said = by.socket.next(0)) {
@@ -239,7 +241,8 @@
     recordAnswer(request, "answered", now);
     String made = "m=audio of " + request.id + "\r\nat ";
     if (said.description() == null || !said.description().startsWith(made)) {
-      request.wrongAnswer = "answered with what no server made for it: " + said.description();
+      request.wrongAnswer =
+          "answered with a description that no server made for it: " + said.description();
     } else {
       request.server = said.description().substring(made.length()).strip();
       request.sessionUntil = now + 1000L * (200 + random.nextInt(3000));
@@ -251,13 +254,16 @@
     request.answeredAt = Math.min(request.answeredAt, now);
   }
 
-  /** The connection has ended from the other side; what crossed its end is sent again, once. */
+  /**
+   * Handles a connection that the other side has closed: a request that was sent just before is
+   * sent again, once.
+   */
   private void connectionEnded(Connection by) throws InterruptedException {
     connections.remove(by);
     try {
       by.socket.close();
     } catch (IOException e) {
-      // closed already
+      // The socket is closed already.
     }
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : List.copyOf(by.waiting.values())) {
@@ -281,10 +287,10 @@
           by.socket.end(request.id, CANCEL_CAUSE);
           request.endedByClientAt = now;
           if (random.nextInt(25) == 0) {
-            closeFromClient(by); // right behind what it wrote
+            closeFromClient(by); // Closes right behind the message it wrote.
           }
         } catch (IOException e) {
-          return; // told again with the next turn
+          return; // The next turn sends the end again.
         }
       }
     }
@@ -305,7 +311,7 @@
     }
   }
 
-  /* ---- bad clients ---- */
+  /* ---- invalid clients ---- */
 
   private void sendInvalid() {
     try {
@@ -330,11 +336,11 @@
           socket.close();
         }
         default -> {
-          // connects and says nothing
+          // Connects and sends nothing.
         }
       }
     } catch (IOException e) {
-      // closed on it, as it should be
+      // The front has closed the connection, as it should.
     }
   }
 }
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -19,8 +19,9 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * One short dense day: a few fronts as real processes, their servers, discovery and clients, with
- * faults drawn from a seed, several at once. What was broken is told by {@link SoakJudge}.
+ * One short and dense run: a few fronts as real processes with their servers, discovery and
+ * clients, and with faults drawn from a seed, several at a time. {@link SoakJudge} finds the rules
+ * that were broken.
  */
 final class SoakDay implements AutoCloseable {
   private static final int FRONTS = 3;
@@ -35,7 +36,7 @@
 
   private final SplittableRandom random;
 
-  /** For what runs beside the script, so that this depends on the seed alone. */
+  /** For the background steps, so that the script depends on the seed alone. */
   private final SplittableRandom backgroundRandom;
 
   private final SoakTerms terms;
@@ -50,7 +51,7 @@
   private final List<CompletableFuture<Void>> backgroundSteps = new CopyOnWriteArrayList<>();
   private final List<String> limitViolations = new CopyOnWriteArrayList<>();
 
-  /** What was done, with its time; for whoever looks into a day. */
+  /** The faults with their times, for whoever investigates a run. */
   private final List<String> script = new CopyOnWriteArrayList<>();
 
   private final long startedAt = FaultyServer.nowMicros();
@@ -72,7 +73,7 @@
     }
   }
 
-  /** Plays the day and returns what was broken. */
+  /** Runs the script and returns the broken rules. */
   List<String> run() throws Exception {
     for (SoakFront front : fronts) {
       start(front);
@@ -100,7 +101,8 @@
       one.server.faults(healthy());
     }
     clients.forEach(SoakClients::stopSending);
-    Thread.sleep(terms.deadlineMs() + 4000); // the last answers, and the last sessions' ends
+    Thread.sleep(
+        terms.deadlineMs() + 4000); // Until the last answers and the ends of the last sessions.
     Thread.sleep(SETTLING_MS);
     List<String> standing = orphanedRequests();
     for (SoakFront front : fronts) {
@@ -149,12 +151,12 @@
     Files.write(folder.resolve("script"), script);
   }
 
-  /** What was asked, answered and done, in one line. */
+  /** The settings and the numbers of requests, answers and attempts, in one line. */
   String summary() {
     return script.get(script.size() - 1);
   }
 
-  /** Requests that stand at a server though their client has left, or never heard of it. */
+  /** Requests that are open at a server though their client has left or never got an answer. */
   private List<String> orphanedRequests() {
     Map<String, SoakRequest> byTag = new LinkedHashMap<>();
     clients.forEach(of -> of.requests().forEach(r -> byTag.put(r.tag, r)));
@@ -174,7 +176,9 @@
     return standing;
   }
 
-  /** Its front was killed while it was out: nobody is left who knows of the attempt. */
+  /**
+   * Whether the front was killed while the request was open, so that no process knows the attempt.
+   */
   private boolean frontWasKilledMeanwhile(SoakRequest request) {
     return fronts.get(request.front).runs.stream()
         .anyMatch(
@@ -248,7 +252,7 @@
       case 7 -> interruptDiscovery(span);
       case 8 -> moveDiscovery();
       case 9 -> {
-        addToScript("a crowd");
+        addToScript("a burst of requests");
         clients.get(random.nextInt(clients.size())).scheduleBurst(40 + random.nextInt(120));
       }
       case 10 -> {
@@ -335,7 +339,9 @@
     }
   }
 
-  /** A new address, and then the same configuration once more, in quick succession. */
+  /**
+   * Moves discovery to a new address; each front then gets the same configuration twice in a row.
+   */
   private void moveDiscovery() throws Exception {
     if (acquireDiscovery()) {
       addToScript("discovery moves");
@@ -348,7 +354,7 @@
     }
   }
 
-  /** Not before it is ready, nor in its first second, as the operators do. */
+  /** Reloads a front, as the operators do: never before it is ready nor in its first second. */
   private Void reload(SoakFront front) throws Exception {
     boolean young = !front.isAlive() || !isReady(front);
     while (!front.isAlive() || !isReady(front)) {
@@ -365,7 +371,7 @@
     return null;
   }
 
-  /** A server drains, is gone, dies, and a new one comes, at its address or another one. */
+  /** Drains, removes and closes a server, and adds a new one at its address or at another one. */
   private Void replaceServer(ListedServer one, int ms) throws Exception {
     synchronized (this) {
       if (!listedServers.remove(one) || listedServers.size() < SERVERS / 2) {
@@ -419,7 +425,9 @@
         });
   }
 
-  /** One after another, each told while the one before still ends; signals in series. */
+  /**
+   * Restarts the fronts one after another, each while the one before is ending; repeats signals.
+   */
   private Void restartAll() throws Exception {
     Thread.sleep(1000);
     for (SoakFront front : fronts) {
@@ -434,7 +442,7 @@
       if (!front.isAlive()) {
         return null;
       }
-      addToScript("front " + front.number + " is told to stop");
+      addToScript("front " + front.number + " is asked to stop");
       front.requestStop();
       for (int i = 0; i < signals; i++) {
         front.signal(i == 0 ? "HUP" : "TERM");
@@ -463,7 +471,7 @@
       PlatformViewers.Said said = viewers.next(2000);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
-      return false; // not listening yet, or any more
+      return false; // The front is not listening yet, or no longer.
     }
   }
 
--- a/src/test/java/linengauge/soak/SoakDiscovery.java
+++ b/src/test/java/linengauge/soak/SoakDiscovery.java
@@ -14,17 +14,18 @@
 import linengauge.standin.FaultyServer;
 
 /**
- * The discovery service of a day: one store of numbered events, told at one address after another,
- * that falls silent, breaks off amid an event, tells events twice, and is down for a while.
+ * The discovery service of a run: one store of numbered events, served at changing addresses. It
+ * falls silent, cuts the connection in the middle of an event, repeats events, and is down for a
+ * while.
  */
 final class SoakDiscovery implements AutoCloseable {
   private static final long KEEP_ALIVE_INTERVAL_MS = 1000;
   private static final int HEADER_BYTES = 9;
 
-  /** When a server was last said to drain or be gone, and from when a front must have been told. */
+  /** A server that was reported as draining or removed, and when the event was stored. */
   record Removal(String server, long recordedAt) {}
 
-  /** A span in which the service did not tell what it had. */
+  /** A span in which the service did not report what it had stored; lasting unless it was a cut. */
   record Outage(long from, long until, boolean lasting) {}
 
   private final SplittableRandom random;
@@ -73,7 +74,7 @@
         start(() -> serve(reader));
       }
     } catch (IOException e) {
-      // closed
+      // The listener is closed.
     }
   }
 
@@ -87,7 +88,7 @@
         }
       }
     } catch (IOException e) {
-      // its front has gone
+      // The front has closed the connection.
     }
   }
 
@@ -124,7 +125,7 @@
     }
   }
 
-  /** An event is had from now on; one in ten is told twice, one in ten breaks off midway. */
+  /** Stores and sends an event; one in ten is sent twice, one in ten is cut off half way. */
   synchronized void changed(String server, boolean serves, byte[] records) {
     byte[] frame = frame(2, frames.size() + 1L, records);
     frames.add(frame);
@@ -150,19 +151,19 @@
         reader.getOutputStream().write(frame, 0, frame.length / 2);
         reader.close();
       } catch (IOException e) {
-        // its front has gone
+        // The front has closed the connection.
       }
     }
     subscribers.clear();
   }
 
-  /** Open streams stay open and tell nothing, new ones too. */
+  /** Keeps streams open, old and new, and sends nothing on them. */
   synchronized void startSilence() {
     silent = true;
     outageSince = FaultyServer.nowMicros();
   }
 
-  /** Streams that fell silent stay so; whoever asks anew is told. */
+  /** Serves new streams again; those that fell silent stay silent. */
   synchronized void endSilence() {
     silent = false;
     subscribers.clear();
@@ -180,7 +181,7 @@
     outages.add(new Outage(outageSince, FaultyServer.nowMicros(), true));
   }
 
-  /** Another address from now on; the old one takes nobody and tells nothing more. */
+  /** Moves to another address; the old one accepts no connections and sends nothing any more. */
   synchronized void move() throws IOException {
     listener.close();
     subscribers.clear();
@@ -192,7 +193,7 @@
       try {
         reader.close();
       } catch (IOException e) {
-        // closed already
+        // The socket is closed already.
       }
     }
     subscribers.clear();
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -11,9 +11,11 @@
 import linengauge.cli.Main;
 import linengauge.standin.FaultyServer;
 
-/** One front as a process, over all its lives. */
+/** One front as a process, across its restarts. */
 final class SoakFront {
-  /** From its start to its end; signals as they were sent. NEVER: not yet, or not at all. */
+  /**
+   * One process from its start to its end, with the times of signals; NEVER where none was sent.
+   */
   static final class ProcessRun {
     static final long NEVER = Long.MAX_VALUE;
     final long startedAt = FaultyServer.nowMicros();
@@ -50,7 +52,7 @@
     return folder.resolve("front-" + number + ".log");
   }
 
-  /** Replaces the configuration whole, as the operators do. */
+  /** Replaces the configuration file atomically, as the operators do. */
   void writeConfiguration(String configuration) throws IOException {
     Path anew = folder.resolve("front-" + number + ".new");
     Files.writeString(anew, configuration);
@@ -113,7 +115,7 @@
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Resident memory in MB, and sockets; null where it has ended. */
+  /** Resident memory in MB and the number of sockets; null where the process has ended. */
   int[] usage() {
     try {
       Path of = Path.of("/proc", Long.toString(process.pid()));
@@ -137,7 +139,7 @@
     try {
       return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
     } catch (IOException e) {
-      return false; // closed meanwhile
+      return false; // The descriptor was closed meanwhile.
     }
   }
 }
--- a/src/test/java/linengauge/soak/SoakJudge.java
+++ b/src/test/java/linengauge/soak/SoakJudge.java
@@ -10,17 +10,17 @@
 import linengauge.standin.FaultyServer.Attempt;
 
 /**
- * Judges a day by the rules of the operators' page, from what clients, servers and discovery saw,
- * and from the lives of the processes; never from what a front says of itself.
+ * Judges a run by the operators' rules, from what clients, servers and discovery observed and from
+ * the process runs; never from what a front reports about itself.
  */
 final class SoakJudge {
   private static final long MILLISECOND = 1000;
   private static final long SECOND = 1_000_000;
 
-  /** The page: every time limit on sockets is 50 ms longer. */
+  /** The operators' rules extend every time limit by 50 ms where real sockets are used. */
   private static final long SLACK = 50 * MILLISECOND;
 
-  /** After a deadline an answer earns nothing for so long; later it is lost. */
+  /** For this span after the deadline an answer earns nothing; later it counts as lost. */
   private static final long LATE_ANSWER_WINDOW = 500 * MILLISECOND;
 
   private static final long TERMINATION_WINDOW = 700 * MILLISECOND;
@@ -31,7 +31,7 @@
   private static final long RELEASE_LIMIT = SECOND;
   private static final long LATE_RELEASE_LIMIT = 8 * SECOND;
 
-  /** What a day left to be judged. */
+  /** What was observed in a run. */
   record Observations(
       SoakTerms terms,
       List<SoakFront> fronts,
@@ -60,7 +60,7 @@
     attempts.values().forEach(list -> list.sort(Comparator.comparingLong(a -> a.arrivedAt)));
   }
 
-  /** What was broken, a line each; empty where the rules were kept. */
+  /** The broken rules, a line each; empty where all were kept. */
   static List<String> judge(Observations day) {
     SoakJudge judge = new SoakJudge(day);
     day.requests.forEach(judge::judgeAnswers);
@@ -112,10 +112,10 @@
     boolean told = life.stopRequestedAt != SoakFront.ProcessRun.NEVER;
     long endedAt = Math.min(life.killedAt, life.endedAt);
     if (life.killedAt != SoakFront.ProcessRun.NEVER && !told) {
-      return; // killed outright
+      return; // The front was killed without notice.
     }
     if (endedAt != SoakFront.ProcessRun.NEVER && endedAt - request.sentAt <= SLACK) {
-      return; // crossed the end, and was sent again to nobody
+      return; // The request was sent as the process ended, and sent again when nothing listened.
     }
     String when =
         told ? ", sent " + elapsed(life.stopRequestedAt, request.sentAt) + " after SIGTERM" : "";
@@ -215,12 +215,12 @@
             + told.server()
             + " "
             + elapsed(told.recordedAt(), attempt.arrivedAt)
-            + " after discovery had its end, told "
+            + " after discovery stored its end, which counts as reported "
             + elapsed(told.recordedAt(), by)
             + " after that");
   }
 
-  /** The latest moment at which a front counts as told of what discovery had then. */
+  /** The latest moment by which a front must know what discovery stored at the given time. */
   private long latestReportTime(long had) {
     long by = had;
     for (SoakDiscovery.Outage outage : observed.outages) {
@@ -245,7 +245,7 @@
       if (since == null) {
         continue;
       }
-      long told = latestReportTime(since); // only what comes from fronts that know counts
+      long told = latestReportTime(since); // Only set-ups by fronts that know the server count.
       List<Long> window = new ArrayList<>();
       for (Attempt attempt : server.attempts()) {
         long age = attempt.arrivedAt - since;
@@ -349,11 +349,12 @@
                 && life != null
                 && by < Math.min(life.endedAt, observed.endedAt);
         if (judged && request.releasedAt > by) {
-          addViolation("standing", request.tag, "its client was not told the end at its server");
+          addViolation(
+              "standing", request.tag, "its client was not notified of the end at its server");
         }
       }
     }
     observed.orphanedRequests.forEach(
-        tag -> addViolation("standing", tag, "at its server, for nobody"));
+        tag -> addViolation("standing", tag, "open at its server without a client"));
   }
 }
--- a/src/test/java/linengauge/soak/SoakRequest.java
+++ b/src/test/java/linengauge/soak/SoakRequest.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One request of a client, and what became of it as the client saw it; moments in microseconds. */
+/** One request of a client and its outcome as the client observed it; times are microseconds. */
 final class SoakRequest {
   static final long NEVER = Long.MAX_VALUE;
   final long id;
@@ -13,26 +13,26 @@
   final long deadlineMs;
   long sentAt = NEVER;
 
-  /** What the front said that ends it: answered, refused, failed. */
+  /** The front's final answers: answered, refused or failed. */
   final List<String> answers = new ArrayList<>();
 
   long answeredAt = NEVER;
 
-  /** The client stopped waiting, or closed the connection on which it waited. */
+  /** When the client stopped waiting, or closed the connection on which it waited. */
   long cancelledAt = NEVER;
 
-  /** Its connection ended from the other side before an answer. */
+  /** When the other side closed the connection before an answer. */
   long connectionLostAt = NEVER;
 
-  /** The client closed the connection as it waited: an answer under way is read by nobody. */
+  /** Whether the client closed the connection while it waited, so that nobody reads the answer. */
   boolean abandonedByClose;
 
   boolean resent;
 
-  /** It never reached a front: no connection was taken. */
+  /** Whether no connection to a front could be opened. */
   boolean notConnected;
 
-  /** The server of its session, while it stands for the client. */
+  /** The server of its session, as long as the client has one. */
   String server;
 
   long sessionUntil;
@@ -56,18 +56,18 @@
     return server != null && endedByClientAt == NEVER && releasedAt == NEVER;
   }
 
-  /** Its moments, in milliseconds after it was sent, whose Unix time comes first. */
+  /** Its times, in milliseconds after it was sent; the sending itself as Unix time. */
   @Override
   public String toString() {
     long unixMs = System.currentTimeMillis() - (System.nanoTime() / 1000 - sentAt) / 1000;
     StringBuilder times = new StringBuilder("front " + front + " " + answers);
     times.append(" sent ").append(unixMs / 1000.0);
     add(times, "answered", answeredAt);
-    add(times, "gave up", cancelledAt);
+    add(times, "cancelled", cancelledAt);
     add(times, "cut", connectionLostAt);
     add(times, "ended by its client", endedByClientAt);
     add(times, "released", releasedAt);
-    return times.append(abandonedByClose ? ", left by a close" : "").toString();
+    return times.append(abandonedByClose ? ", left by closing its connection" : "").toString();
   }
 
   private void add(StringBuilder times, String what, long at) {
--- a/src/test/java/linengauge/soak/SoakTerms.java
+++ b/src/test/java/linengauge/soak/SoakTerms.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /**
- * What one day's fronts are told to keep, drawn from its seed; in the settings' own units,
+ * The settings of one run's fronts, drawn from its seed, in the units of the configuration:
  * microseconds and milliseconds.
  */
 record SoakTerms(long deadlineMs, int coldMs, int tipMs, int maxAttempts) {
@@ -20,7 +20,8 @@
   static final int DESCRIPTORS = 320;
 
   /**
-   * The operators' page: killed so long after the longest deadline, which counts as 3 s at most.
+   * The operators' rules: a process is killed this long after the longest deadline, of which at
+   * most 3 s count.
    */
   static final long KILL_AFTER_DEADLINE_MS = 700;
 
@@ -36,7 +37,7 @@
     return Math.min(deadlineMs, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS;
   }
 
-  /** The configuration's `settings`. */
+  /** The value of `settings` in the configuration. */
   String settings() {
     return """
         {"balancers":3,"charges":{"probe":0.01,"handshake":0.01},
--- a/src/test/java/linengauge/soak/SoakTest.java
+++ b/src/test/java/linengauge/soak/SoakTest.java
@@ -12,9 +12,8 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Short dense days of real processes. More of them by hand: `mvn test -Dtest=SoakTest
- * -Dsoak.first=1 -Dsoak.last=50`; what each left (logs, script) stays where `-Dsoak.keep=FOLDER`
- * says.
+ * Short and dense runs of real processes under faults. For more of them: `mvn test -Dtest=SoakTest
+ * -Dsoak.first=1 -Dsoak.last=50`; `-Dsoak.keep=FOLDER` keeps the logs and the script of each run.
  */
 @Timeout(120)
 class SoakTest {
@@ -25,7 +24,7 @@
     return LongStream.rangeClosed(Long.getLong("soak.first", 1), Long.getLong("soak.last", 3));
   }
 
-  /** Guards against any rule of the operators' page broken under several faults at once. */
+  /** Guards against any operators' rule that breaks under several faults at once. */
   @ParameterizedTest
   @MethodSource("seeds")
   void noRuleIsBrokenUnderManyFaults(long seed) throws Exception {
