--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -35,8 +35,8 @@
     private final double capacityKb;
     private double demandKb;
 
-    Rack(double sizeKb) {
-      this.capacityKb = sizeKb;
+    Rack(double capacityKb) {
+      this.capacityKb = capacityKb;
     }
   }
 
@@ -49,8 +49,8 @@
     /** Whether the answer to the set-up was lost on its way. */
     private boolean answerLost;
 
-    private ActiveViewing(Viewers.Viewer watch) {
-      this.viewer = watch;
+    private ActiveViewing(Viewers.Viewer viewer) {
+      this.viewer = viewer;
     }
   }
 
@@ -92,7 +92,7 @@
   private int incarnation;
 
   BoxModel(
-      FleetSimulation day,
+      FleetSimulation simulation,
       long id,
       String address,
       int cell,
@@ -100,10 +100,10 @@
       Rack rack,
       double linkKb,
       Moment startedAt) {
-    this.simulation = day;
-    this.clock = day.clock();
-    this.recorder = day.recorder();
-    this.random = day.random().split();
+    this.simulation = simulation;
+    this.clock = simulation.clock();
+    this.recorder = simulation.recorder();
+    this.random = simulation.random().split();
     this.id = id;
     this.address = address;
     this.cell = cell;
@@ -150,8 +150,8 @@
     return up;
   }
 
-  void setBehavior(Behavior m) {
-    behavior = m;
+  void setBehavior(Behavior newBehavior) {
+    behavior = newBehavior;
   }
 
   /** Crashes the process: viewings are cut, connections break and new ones are refused. */
@@ -160,12 +160,12 @@
     incarnation++;
     simulation.network().stopListening(address);
     List.copyOf(endpoints).forEach(this::recordBrokenSetUps);
-    List.copyOf(activeViewings.values()).forEach(p -> releaseRate(p).viewingCut(this));
+    List.copyOf(activeViewings.values()).forEach(viewing -> releaseRate(viewing).viewingCut(this));
     activeViewings.clear();
     pendingSetUps.clear();
     endedByFront.clear();
     unreportedEnds.clear();
-    simulation.network().breakConnections(address, p -> {});
+    simulation.network().breakConnections(address, viewing -> {});
     endpoints.clear();
     recorder.record("box-lost", "box", id);
   }
@@ -185,48 +185,50 @@
   }
 
   @Override
-  public boolean accept(SimulatedConnection.Endpoint end) {
-    endpoints.removeIf(e -> !e.isOpen());
+  public boolean accept(SimulatedConnection.Endpoint endpoint) {
+    endpoints.removeIf(open -> !open.isOpen());
     if (endpoints.size() >= FleetSimulation.MAX_CONNECTIONS_PER_BOX) {
       return false;
     }
-    endpoints.add(end);
-    StringBuilder part = new StringBuilder();
-    end.hears(
+    endpoints.add(endpoint);
+    StringBuilder partialLine = new StringBuilder();
+    endpoint.hears(
         data -> {
-          part.append(new String(data, StandardCharsets.UTF_8));
-          for (int nl = part.indexOf("\n"); nl >= 0; nl = part.indexOf("\n")) {
-            receive(end, part.substring(0, nl));
-            part.delete(0, nl + 1);
+          partialLine.append(new String(data, StandardCharsets.UTF_8));
+          for (int newline = partialLine.indexOf("\n");
+              newline >= 0;
+              newline = partialLine.indexOf("\n")) {
+            receive(endpoint, partialLine.substring(0, newline));
+            partialLine.delete(0, newline + 1);
           }
         },
-        () -> connectionClosed(end));
-    end.connection().observeWrites(written -> observeWrite(end, written));
-    for (String line : unreportedEnds.getOrDefault(end.peer(), List.of())) {
-      send(end, line);
+        () -> connectionClosed(endpoint));
+    endpoint.connection().observeWrites(written -> observeWrite(endpoint, written));
+    for (String line : unreportedEnds.getOrDefault(endpoint.peer(), List.of())) {
+      send(endpoint, line);
     }
-    unreportedEnds.remove(end.peer());
+    unreportedEnds.remove(endpoint.peer());
     return true;
   }
 
-  private void connectionClosed(SimulatedConnection.Endpoint end) {
-    endpoints.remove(end);
-    recordBrokenSetUps(end);
-    pendingSetUps.values().removeIf(by -> by == end);
+  private void connectionClosed(SimulatedConnection.Endpoint endpoint) {
+    endpoints.remove(endpoint);
+    recordBrokenSetUps(endpoint);
+    pendingSetUps.values().removeIf(usedEndpoint -> usedEndpoint == endpoint);
   }
 
   /** Records that the set-ups which are open on a connection have ended with it. */
-  private void recordBrokenSetUps(SimulatedConnection.Endpoint end) {
+  private void recordBrokenSetUps(SimulatedConnection.Endpoint endpoint) {
     List<String> tags = new ArrayList<>();
     pendingSetUps.forEach(
-        (tag, by) -> {
-          if (by == end) {
+        (tag, usedEndpoint) -> {
+          if (usedEndpoint == endpoint) {
             tags.add(tag);
           }
         });
     activeViewings.forEach(
-        (tag, p) -> {
-          if (p.answerLost && p.endpoint == end) {
+        (tag, viewing) -> {
+          if (viewing.answerLost && viewing.endpoint == endpoint) {
             tags.add(tag);
           }
         });
@@ -246,9 +248,9 @@
    * Observes what a front writes at the moment it is written: an end counts from then on, even
    * where the network delays its arrival.
    */
-  private void observeWrite(SimulatedConnection.Endpoint end, byte[] written) {
+  private void observeWrite(SimulatedConnection.Endpoint endpoint, byte[] written) {
     if (written.length == 0) {
-      recordBrokenSetUps(end);
+      recordBrokenSetUps(endpoint);
       return;
     }
     for (String line : new String(written, StandardCharsets.UTF_8).split("\n")) {
@@ -261,23 +263,24 @@
     }
   }
 
-  private void receive(SimulatedConnection.Endpoint end, String line) {
-    JsonNode n;
+  private void receive(SimulatedConnection.Endpoint endpoint, String line) {
+    JsonNode json;
     try {
-      n = JSON.readTree(line);
+      json = JSON.readTree(line);
     } catch (JsonProcessingException e) {
       throw new IllegalStateException("a front wrote a line that is not JSON: " + line, e);
     }
-    String tag = n.path("tag").asText();
-    switch (n.path("verb").asText()) {
-      case "START" -> handleSetUp(end, n, tag);
+    String tag = json.path("tag").asText();
+    switch (json.path("verb").asText()) {
+      case "START" -> handleSetUp(endpoint, json, tag);
       case "FINISH" -> handleFinish(tag);
       case "RATE" -> {
-        ActiveViewing p = activeViewings.get(tag);
-        if (p != null) {
+        ActiveViewing viewing = activeViewings.get(tag);
+        if (viewing != null) {
           recorder.count("changes of rung", 1);
-          setRung(p, n.path("opts").path("rung").asInt());
-          recorder.record("rung", "box", id, "viewing", p.viewer.viewingId(), "rung", p.rung);
+          setRung(viewing, json.path("opts").path("rung").asInt());
+          recorder.record(
+              "rung", "box", id, "viewing", viewing.viewer.viewingId(), "rung", viewing.rung);
         }
       }
       case "ECHO" -> {
@@ -286,7 +289,7 @@
             Span.ofMillis(3),
             () ->
                 send(
-                    end,
+                    endpoint,
                     message(
                         "ECHOED",
                         tag,
@@ -305,13 +308,13 @@
   }
 
   private double currentLinkKb() {
-    double age = startedAt == null ? 1e9 : clock.now().since(startedAt).seconds();
+    double ageSeconds = startedAt == null ? 1e9 : clock.now().since(startedAt).seconds();
     return linkKb
         * Math.min(
             1,
             FleetSimulation.START_CAPACITY
                 + (1 - FleetSimulation.START_CAPACITY)
-                    * age
+                    * ageSeconds
                     / FleetSimulation.COLD_DURATION.seconds());
   }
 
@@ -325,62 +328,65 @@
         1, Math.min(1 / Math.max(0.01, linkLoad()), rack.capacityKb / Math.max(1, rack.demandKb)));
   }
 
-  private void handleSetUp(SimulatedConnection.Endpoint end, JsonNode n, String tag) {
-    Viewers.Viewer watch = simulation.viewers().find(tag);
+  private void handleSetUp(SimulatedConnection.Endpoint endpoint, JsonNode json, String tag) {
+    Viewers.Viewer viewer = simulation.viewers().find(tag);
     if (endedByFront.contains(tag)) {
       // The network held the set-up until its front had ended it. It never started, and the end
       // follows.
       return;
     }
-    if (watch == null) {
+    if (viewer == null) {
       if (!simulation.viewers().wasIssued(tag)) {
         throw new IllegalStateException("received a set-up that no viewer sent: " + tag);
       }
       return; // The network held the set-up until its viewer had left. The end follows.
     }
-    int front = Integer.parseInt(end.peer().substring(1));
-    int rung = n.path("opts").path("rung").asInt();
-    int tuneIn = watch.nextTuneIn(front);
-    recordSetUp(watch, front, tuneIn, rung, tag);
-    pendingSetUps.put(tag, end);
-    int mine = incarnation;
-    Span takes = Span.ofMillis(behavior == Behavior.SLOW ? 1500 : 15 + random.nextInt(25));
-    Behavior now = behavior;
-    if (now == Behavior.SILENT) {
+    int front = Integer.parseInt(endpoint.peer().substring(1));
+    int rung = json.path("opts").path("rung").asInt();
+    int tuneIn = viewer.nextTuneIn(front);
+    recordSetUp(viewer, front, tuneIn, rung, tag);
+    pendingSetUps.put(tag, endpoint);
+    int thisIncarnation = incarnation;
+    Span answerDelay = Span.ofMillis(behavior == Behavior.SLOW ? 1500 : 15 + random.nextInt(25));
+    Behavior currentBehavior = behavior;
+    if (currentBehavior == Behavior.SILENT) {
       return;
     }
     clock.scheduleAfter(
-        takes,
+        answerDelay,
         () -> {
-          if (mine != incarnation || pendingSetUps.get(tag) != end) {
+          if (thisIncarnation != incarnation || pendingSetUps.get(tag) != endpoint) {
             return;
           }
           pendingSetUps.remove(tag);
-          if (now == Behavior.ERRORS
+          if (currentBehavior == Behavior.ERRORS
               || activeViewings.size() >= FleetSimulation.MAX_VIEWINGS_PER_BOX) {
-            recordAnswer(watch, tuneIn, now == Behavior.ERRORS ? "error" : "turned-away");
-            send(end, message("FINISH", tag, now == Behavior.ERRORS ? 47 : 34, null));
+            recordAnswer(
+                viewer, tuneIn, currentBehavior == Behavior.ERRORS ? "error" : "turned-away");
+            send(
+                endpoint,
+                message("FINISH", tag, currentBehavior == Behavior.ERRORS ? 47 : 34, null));
           } else {
-            startViewing(end, watch, tag, tuneIn, rung);
+            startViewing(endpoint, viewer, tag, tuneIn, rung);
           }
         });
   }
 
-  private void recordSetUp(Viewers.Viewer watch, int front, int tuneIn, int rung, String tag) {
+  private void recordSetUp(Viewers.Viewer viewer, int front, int tuneIn, int rung, String tag) {
     recorder.record(
         "set-up",
         "box",
         id,
         "viewing",
-        watch.viewingId(),
+        viewer.viewingId(),
         "front",
         front,
         "tuneIn",
         tuneIn,
         "title",
-        watch.title(),
+        viewer.title(),
         "package",
-        watch.packageName(),
+        viewer.packageName(),
         "rung",
         rung,
         "key",
@@ -392,75 +398,90 @@
   }
 
   private void startViewing(
-      SimulatedConnection.Endpoint end, Viewers.Viewer watch, String tag, int tuneIn, int rung) {
-    ActiveViewing p = new ActiveViewing(watch);
-    p.endpoint = end;
-    activeViewings.put(tag, p);
-    setRung(p, rung);
-    boolean lost =
+      SimulatedConnection.Endpoint endpoint,
+      Viewers.Viewer viewer,
+      String tag,
+      int tuneIn,
+      int rung) {
+    ActiveViewing viewing = new ActiveViewing(viewer);
+    viewing.endpoint = endpoint;
+    activeViewings.put(tag, viewing);
+    setRung(viewing, rung);
+    boolean answerLost =
         simulation.answerLossRate() > 0 && random.nextDouble() < simulation.answerLossRate();
-    recordAnswer(watch, tuneIn, lost ? "swallowed" : "plays");
-    watch.startedAt(this);
-    if (!lost) {
-      send(end, message("STARTED", tag, -1, "made for " + tag));
+    recordAnswer(viewer, tuneIn, answerLost ? "swallowed" : "plays");
+    viewer.startedAt(this);
+    if (!answerLost) {
+      send(endpoint, message("STARTED", tag, -1, "made for " + tag));
     }
-    p.answerLost = lost;
-    clock.scheduleAfter(watch.remaining(), () -> completeViewing(tag, p));
+    viewing.answerLost = answerLost;
+    clock.scheduleAfter(viewer.remaining(), () -> completeViewing(tag, viewing));
   }
 
-  private void recordAnswer(Viewers.Viewer watch, int tuneIn, String how) {
+  private void recordAnswer(Viewers.Viewer viewer, int tuneIn, String outcome) {
     recorder.record(
-        "set-up-answered", "box", id, "viewing", watch.viewingId(), "tuneIn", tuneIn, "how", how);
+        "set-up-answered",
+        "box",
+        id,
+        "viewing",
+        viewer.viewingId(),
+        "tuneIn",
+        tuneIn,
+        "how",
+        outcome);
   }
 
   /** Adds a viewing that is playing on this box before the simulation starts. */
-  void addExistingViewing(Viewers.Viewer watch, int rung) {
-    ActiveViewing p = new ActiveViewing(watch);
-    activeViewings.put(watch.tag(), p);
-    setRung(p, rung);
-    watch.startedAt(this);
-    clock.scheduleAfter(watch.remaining(), () -> completeViewing(watch.tag(), p));
+  void addExistingViewing(Viewers.Viewer viewer, int rung) {
+    ActiveViewing viewing = new ActiveViewing(viewer);
+    activeViewings.put(viewer.tag(), viewing);
+    setRung(viewing, rung);
+    viewer.startedAt(this);
+    clock.scheduleAfter(viewer.remaining(), () -> completeViewing(viewer.tag(), viewing));
   }
 
-  private void setRung(ActiveViewing p, int to) {
-    double kb = to < 0 ? 0 : FleetSimulation.LADDER_KB[to] * p.viewer.rateFactor();
-    demandKb += kb - p.rateKb;
-    rack.demandKb += kb - p.rateKb;
-    p.rateKb = kb;
-    p.rung = to;
+  private void setRung(ActiveViewing viewing, int newRung) {
+    double newRateKb =
+        newRung < 0 ? 0 : FleetSimulation.LADDER_KB[newRung] * viewing.viewer.rateFactor();
+    demandKb += newRateKb - viewing.rateKb;
+    rack.demandKb += newRateKb - viewing.rateKb;
+    viewing.rateKb = newRateKb;
+    viewing.rung = newRung;
   }
 
-  private Viewers.Viewer releaseRate(ActiveViewing p) {
-    setRung(p, -1);
-    return p.viewer;
+  private Viewers.Viewer releaseRate(ActiveViewing viewing) {
+    setRung(viewing, -1);
+    return viewing.viewer;
   }
 
   /** Ends a viewing that has played to its end. */
-  private void completeViewing(String tag, ActiveViewing p) {
-    if (activeViewings.remove(tag, p)) {
-      releaseRate(p).viewingCompleted(this);
-      recorder.record("ended", "box", id, "viewing", p.viewer.viewingId(), "why", "lease");
-      String said = message("FINISH", tag, 16, null);
-      SimulatedConnection.Endpoint by =
-          p.endpoint != null && p.endpoint.isOpen()
-              ? p.endpoint
+  private void completeViewing(String tag, ActiveViewing viewing) {
+    if (activeViewings.remove(tag, viewing)) {
+      releaseRate(viewing).viewingCompleted(this);
+      recorder.record("ended", "box", id, "viewing", viewing.viewer.viewingId(), "why", "lease");
+      String endMessage = message("FINISH", tag, 16, null);
+      SimulatedConnection.Endpoint openEndpoint =
+          viewing.endpoint != null && viewing.endpoint.isOpen()
+              ? viewing.endpoint
               : endpoints.stream()
-                  .filter(e -> e.isOpen() && e.peer().equals("f" + p.viewer.front()))
+                  .filter(open -> open.isOpen() && open.peer().equals("f" + viewing.viewer.front()))
                   .findFirst()
                   .orElse(null);
-      if (by != null) {
-        send(by, said);
+      if (openEndpoint != null) {
+        send(openEndpoint, endMessage);
       }
-      unreportedEnds.computeIfAbsent("f" + p.viewer.front(), k -> new ArrayList<>()).add(said);
+      unreportedEnds
+          .computeIfAbsent("f" + viewing.viewer.front(), front -> new ArrayList<>())
+          .add(endMessage);
     }
   }
 
   private void handleFinish(String tag) {
     endedByFront.remove(tag);
     pendingSetUps.remove(tag);
-    ActiveViewing p = activeViewings.remove(tag);
-    if (p != null) {
-      releaseRate(p).viewingCut(this);
+    ActiveViewing viewing = activeViewings.remove(tag);
+    if (viewing != null) {
+      releaseRate(viewing).viewingCut(this);
     }
     // The end is recorded again on arrival, since the set-up itself may have arrived just before
     // it.
@@ -475,26 +496,32 @@
   void serve(Span span, boolean notes) {
     double share = deliveredShare();
     Map<Integer, ActiveViewing> byFront = new LinkedHashMap<>();
-    for (ActiveViewing p : activeViewings.values()) {
+    for (ActiveViewing viewing : activeViewings.values()) {
       double stall = Math.max(0, 1 - FleetSimulation.STALL_FACTOR * Math.max(0, 0.98 - share));
       recorder.count(
           "served",
-          span.seconds() * p.viewer.worth() * FleetSimulation.WORTH_BY_RUNG[p.rung] * stall);
-      if (p.endpoint != null && p.endpoint.isOpen()) {
-        byFront.putIfAbsent(p.viewer.front(), p);
+          span.seconds()
+              * viewing.viewer.worth()
+              * FleetSimulation.WORTH_BY_RUNG[viewing.rung]
+              * stall);
+      if (viewing.endpoint != null && viewing.endpoint.isOpen()) {
+        byFront.putIfAbsent(viewing.viewer.front(), viewing);
       }
     }
     if (notes && share < 0.98) {
-      double told = share;
+      double reportedShare = share;
       byFront
           .values()
           .forEach(
-              p ->
+              viewing ->
                   clock.scheduleAfter(
                       Span.ofMillis(300),
                       () -> {
-                        if (p.endpoint.isOpen() && activeViewings.containsKey(p.viewer.tag())) {
-                          send(p.endpoint, shortageNotice(p.viewer.tag(), told));
+                        if (viewing.endpoint.isOpen()
+                            && activeViewings.containsKey(viewing.viewer.tag())) {
+                          send(
+                              viewing.endpoint,
+                              shortageNotice(viewing.viewer.tag(), reportedShare));
                         }
                       }));
     }
@@ -508,21 +535,21 @@
         + "}}";
   }
 
-  private void send(SimulatedConnection.Endpoint end, String line) {
+  private void send(SimulatedConnection.Endpoint endpoint, String line) {
     if (up) {
-      end.write((line + "\n").getBytes(StandardCharsets.UTF_8));
+      endpoint.write((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
   }
 
   private static String message(String verb, String tag, int cause, String blob, String... fields) {
-    ObjectNode n = JSON.createObjectNode().put("verb", verb).put("tag", tag);
-    ObjectNode opts = n.putObject("opts");
+    ObjectNode json = JSON.createObjectNode().put("verb", verb).put("tag", tag);
+    ObjectNode options = json.putObject("opts");
     for (int i = 0; i < fields.length; i += 2) {
-      opts.put(fields[i], fields[i + 1]);
+      options.put(fields[i], fields[i + 1]);
     }
     if (cause >= 0) {
-      n.put("rc", cause);
+      json.put("rc", cause);
     }
-    return (blob == null ? n : n.put("blob", blob)).toString();
+    return (blob == null ? json : json.put("blob", blob)).toString();
   }
 }
--- a/src/main/java/linengauge/rehearsal/DiscoveryModel.java
+++ b/src/main/java/linengauge/rehearsal/DiscoveryModel.java
@@ -40,10 +40,10 @@
     clock.scheduleAfter(
         Span.ofSeconds(1),
         () -> {
-          ByteBuffer nothing =
+          ByteBuffer keepAlive =
               ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0);
-          subscribers.removeIf(r -> !r.endpoint.isOpen());
-          subscribers.forEach(r -> r.endpoint.write(nothing.array()));
+          subscribers.removeIf(subscriber -> !subscriber.endpoint.isOpen());
+          subscribers.forEach(subscriber -> subscriber.endpoint.write(keepAlive.array()));
           scheduleKeepAlive();
         });
   }
@@ -59,18 +59,19 @@
   }
 
   @Override
-  public boolean accept(SimulatedConnection.Endpoint end) {
-    end.hears(
+  public boolean accept(SimulatedConnection.Endpoint endpoint) {
+    endpoint.hears(
         data -> {
           if (data.length != 8) {
             return;
           }
-          long from = ByteBuffer.wrap(data).getLong();
-          Subscriber r = new Subscriber(end, Integer.parseInt(end.peer().substring(1)));
-          for (long n = from; n < events.size(); n++) {
-            send(r, events.get((int) n));
+          long position = ByteBuffer.wrap(data).getLong();
+          Subscriber subscriber =
+              new Subscriber(endpoint, Integer.parseInt(endpoint.peer().substring(1)));
+          for (long number = position; number < events.size(); number++) {
+            send(subscriber, events.get((int) number));
           }
-          subscribers.add(r);
+          subscribers.add(subscriber);
         },
         () -> {});
     return true;
@@ -83,40 +84,41 @@
 
   /** Reports a box's new state at once, as at the start of the simulation. */
   void changeNow(BoxModel box, int state) {
-    byte[] row = encode(box, state);
-    latestRecords.put(box.id(), row);
+    byte[] encoded = encode(box, state);
+    latestRecords.put(box.id(), encoded);
     byte[] event =
         ByteBuffer.allocate(13 + RECORD_BYTES)
             .putInt(9 + RECORD_BYTES)
             .putLong(events.size() + 1)
             .put((byte) 2)
-            .put(row)
+            .put(encoded)
             .array();
     events.add(event);
-    subscribers.removeIf(r -> !r.endpoint.isOpen());
-    subscribers.forEach(r -> send(r, event));
+    subscribers.removeIf(subscriber -> !subscriber.endpoint.isOpen());
+    subscribers.forEach(subscriber -> send(subscriber, event));
   }
 
-  private void send(Subscriber r, byte[] event) {
-    ByteBuffer e = ByteBuffer.wrap(event);
+  private void send(Subscriber subscriber, byte[] event) {
+    ByteBuffer buffer = ByteBuffer.wrap(event);
     ledger.record(
         "told",
         "front",
-        r.front,
+        subscriber.front,
         "box",
-        e.getInt(13) & 0xffffffffL,
+        buffer.getInt(13) & 0xffffffffL,
         "state",
-        e.get(13 + 10) == STATE_SERVING ? "serving" : "not");
-    r.endpoint.write(event);
+        buffer.get(13 + 10) == STATE_SERVING ? "serving" : "not");
+    subscriber.endpoint.write(event);
   }
 
   private static byte[] encode(BoxModel box, int state) {
-    ByteBuffer b = ByteBuffer.allocate(RECORD_BYTES).putInt((int) box.id());
+    ByteBuffer buffer = ByteBuffer.allocate(RECORD_BYTES).putInt((int) box.id());
     String[] address = box.address().split("[.:]");
     for (int i = 0; i < 4; i++) {
-      b.put((byte) Integer.parseInt(address[i]));
+      buffer.put((byte) Integer.parseInt(address[i]));
     }
-    return b.putShort((short) Integer.parseInt(address[4]))
+    return buffer
+        .putShort((short) Integer.parseInt(address[4]))
         .put((byte) state)
         .put((byte) box.zone())
         .put((byte) 0)
@@ -132,26 +134,26 @@
     latestRecords
         .values()
         .forEach(
-            r -> {
-              ByteBuffer b = ByteBuffer.wrap(r);
-              if (b.get(10) < 2) {
+            encoded -> {
+              ByteBuffer buffer = ByteBuffer.wrap(encoded);
+              if (buffer.get(10) < 2) {
                 rows.append(rows.length() == 0 ? "" : ",")
                     .append(
                         String.format(
                             "{\"uid\":\"s-%08x\",\"endpoint\":\"%d.%d.%d.%d:%d\","
                                 + "\"az\":\"%s%d\",\"model\":\"box\",\"pod_group\":%d,\"state\":\"%s\",\"capacity_hint\":%.3f,\"boot_ms\":%d}",
-                            b.getInt(0),
-                            r[4] & 0xff,
-                            r[5] & 0xff,
-                            r[6] & 0xff,
-                            r[7] & 0xff,
-                            b.getShort(8) & 0xffff,
+                            buffer.getInt(0),
+                            encoded[4] & 0xff,
+                            encoded[5] & 0xff,
+                            encoded[6] & 0xff,
+                            encoded[7] & 0xff,
+                            buffer.getShort(8) & 0xffff,
                             zonePrefix,
-                            r[11],
-                            b.getShort(13),
-                            STATE_NAMES[r[10]],
-                            b.getInt(15) / 1000.0,
-                            b.getLong(19)));
+                            encoded[11],
+                            buffer.getShort(13),
+                            STATE_NAMES[encoded[10]],
+                            buffer.getInt(15) / 1000.0,
+                            buffer.getLong(19)));
               }
             });
     return String.format(
--- a/src/main/java/linengauge/rehearsal/FleetSimulation.java
+++ b/src/main/java/linengauge/rehearsal/FleetSimulation.java
@@ -75,7 +75,7 @@
   public record Names(
       String lowWorthClass, String highWorthClass, String zonePrefix, LongUnaryOperator serverId) {
     public static Names standard() {
-      return new Names("lesson", "review", "z", n -> 0x100000L + n * 977L);
+      return new Names("lesson", "review", "z", number -> 0x100000L + number * 977L);
     }
   }
 
@@ -92,8 +92,8 @@
       List<PlatformFront.Figures> figuresHalfWay,
       List<PlatformFront.Figures> figuresAtLastArrival,
       List<PlatformFront.Figures> figuresAfterSettling) {
-    public double count(String what) {
-      return counts.getOrDefault(what, 0.0);
+    public double count(String name) {
+      return counts.getOrDefault(name, 0.0);
     }
 
     public double servedShare() {
@@ -101,15 +101,16 @@
     }
 
     public String summary() {
-      StringBuilder s =
+      StringBuilder text =
           new StringBuilder(
               String.format(
                   Locale.ROOT,
                   "served %.3f, longest turn %.0f ms",
                   servedShare(),
                   longestTurn.seconds() * 1000));
-      counts.forEach((k, v) -> s.append(String.format(Locale.ROOT, ", %s %.0f", k, v)));
-      return s.toString();
+      counts.forEach(
+          (name, value) -> text.append(String.format(Locale.ROOT, ", %s %.0f", name, value)));
+      return text.toString();
     }
   }
 
@@ -143,11 +144,11 @@
     this.discovery = new DiscoveryModel(clock, recorder, names.zonePrefix());
     network.listen(discoveryAddress(), discovery);
     this.viewers = new Viewers(this, size.fronts());
-    int shelves = Math.max(1, size.boxes() / BOXES_PER_RACK);
-    for (int i = 0; i < shelves; i++) {
+    int rackCount = Math.max(1, size.boxes() / BOXES_PER_RACK);
+    for (int i = 0; i < rackCount; i++) {
       racks.add(
           new BoxModel.Rack(
-              0.68 * linkKb * size.boxes() / shelves * (0.85 + 0.3 * random.nextDouble())));
+              0.68 * linkKb * size.boxes() / rackCount * (0.85 + 0.3 * random.nextDouble())));
     }
     for (int i = 0; i < size.boxes(); i++) {
       discovery.changeNow(newBox(i, "10.1." + i / 200 + "." + (1 + i % 200) + ":3868", null), 0);
@@ -182,15 +183,15 @@
 
   /** Draws the share of all viewers that each front receives; the shares are unequal. */
   private void drawTrafficShares() {
-    double all = 0;
+    double total = 0;
     for (int i = 0; i < size.fronts(); i++) {
-      SimulatedFront s = new SimulatedFront();
-      s.trafficShare = Math.exp(1.1 * (random.nextDouble() + random.nextDouble() - 1) * 2);
-      all += s.trafficShare;
-      simulatedFronts.add(s);
+      SimulatedFront front = new SimulatedFront();
+      front.trafficShare = Math.exp(1.1 * (random.nextDouble() + random.nextDouble() - 1) * 2);
+      total += front.trafficShare;
+      simulatedFronts.add(front);
     }
-    for (SimulatedFront s : simulatedFronts) {
-      s.trafficShare /= all;
+    for (SimulatedFront front : simulatedFronts) {
+      front.trafficShare /= total;
     }
   }
 
@@ -259,20 +260,20 @@
     return box;
   }
 
-  BoxModel drawHolder(int home, int copies, SplittableRandom by) {
-    int cell = (home + by.nextInt(copies)) % size.boxes();
-    return boxes.stream().filter(b -> b.cell() == cell && b.isUp()).findFirst().orElseThrow();
+  BoxModel drawHolder(int homeCell, int copyCount, SplittableRandom source) {
+    int cell = (homeCell + source.nextInt(copyCount)) % size.boxes();
+    return boxes.stream().filter(box -> box.cell() == cell && box.isUp()).findFirst().orElseThrow();
   }
 
   /**
    * The front that a viewer reaches: the wanted one, or another while that one is out of service.
    */
-  int drawReachableFront(int wanted, SplittableRandom by) {
-    int f = wanted;
-    for (int i = 0; i < 50 && !simulatedFronts.get(f).inService; i++) {
-      f = by.nextInt(simulatedFronts.size());
+  int drawReachableFront(int preferred, SplittableRandom source) {
+    int front = preferred;
+    for (int i = 0; i < 50 && !simulatedFronts.get(front).inService; i++) {
+      front = source.nextInt(simulatedFronts.size());
     }
-    return f;
+    return front;
   }
 
   /* ---- life cycle of fronts ---- */
@@ -317,7 +318,7 @@
 
   private String zoneNames() {
     return IntStream.range(0, ZONE_COUNT)
-        .mapToObj(z -> "\"" + names.zonePrefix() + z + "\"")
+        .mapToObj(zone -> "\"" + names.zonePrefix() + zone + "\"")
         .collect(Collectors.joining(","));
   }
 
@@ -326,14 +327,14 @@
   }
 
   private void startFront(int number) {
-    SimulatedFront s = simulatedFronts.get(number);
-    s.incarnation++;
-    int mine = s.incarnation;
+    SimulatedFront front = simulatedFronts.get(number);
+    front.incarnation++;
+    int thisIncarnation = front.incarnation;
     recorder.record("front-started", "front", number);
     clock.scheduleAfter(
         FRONT_START_DURATION,
         () -> {
-          if (mine != s.incarnation) {
+          if (thisIncarnation != front.incarnation) {
             return;
           }
           SimulatedNet net =
@@ -344,11 +345,11 @@
                   new SimulatedNet.StepCost(
                       size.firstStepCost(), size.warmStepCost(), size.stepsUntilWarm()),
                   recorder);
-          s.net = net;
+          front.net = net;
           net.later(
               () -> {
                 try {
-                  s.front =
+                  front.front =
                       new PlatformFront(
                           Configuration.read(
                               configuration(number).getBytes(StandardCharsets.UTF_8)),
@@ -357,7 +358,7 @@
                 } catch (BadBriefing e) {
                   throw new IllegalStateException(e);
                 }
-                s.front.start(failed -> viewers.testFront(number));
+                front.front.start(failed -> viewers.testFront(number));
               });
         });
   }
@@ -400,24 +401,24 @@
   }
 
   private void killFront(int number) {
-    SimulatedFront s = simulatedFronts.get(number);
-    if (s.net == null || s.net.isDead()) {
+    SimulatedFront front = simulatedFronts.get(number);
+    if (front.net == null || front.net.isDead()) {
       return;
     }
-    longestTurn = longestTurn.orMore(s.net.longestTurn());
-    s.net.die();
-    s.inService = false;
+    longestTurn = longestTurn.orMore(front.net.longestTurn());
+    front.net.die();
+    front.inService = false;
     recorder.record("front-killed", "front", number);
     network.stopListening(frontAddress(number));
-    network.breakConnections("f" + number, p -> {});
-    network.breakConnections(frontAddress(number), p -> {});
+    network.breakConnections("f" + number, connection -> {});
+    network.breakConnections(frontAddress(number), connection -> {});
     viewers.frontDied(number);
   }
 
   /* ---- faults; they are scheduled before the run, as spans from its start ---- */
 
-  public FleetSimulation schedule(Span when, Runnable deed) {
-    clock.scheduleAt(START_TIME.plus(startUpDuration()).plus(when), deed);
+  public FleetSimulation schedule(Span when, Runnable fault) {
+    clock.scheduleAt(START_TIME.plus(startUpDuration()).plus(when), fault);
     return this;
   }
 
@@ -433,14 +434,14 @@
 
   /** Stops a front, kills it where it has not ended in time, and restarts it. */
   public void restart(int number) {
-    SimulatedFront s = simulatedFronts.get(number);
-    SimulatedNet net = s.net;
-    net.later(() -> s.front.stop());
-    clock.scheduleAfter(Span.ofMillis(300), () -> s.inService = false);
+    SimulatedFront front = simulatedFronts.get(number);
+    SimulatedNet net = front.net;
+    net.later(() -> front.front.stop());
+    clock.scheduleAfter(Span.ofMillis(300), () -> front.inService = false);
     clock.scheduleAfter(
         Span.ofSeconds(3.7),
         () -> {
-          if (s.net == net) {
+          if (front.net == net) {
             killFront(number);
             startFront(number);
           }
@@ -448,33 +449,33 @@
   }
 
   /** Drains a box, removes it a while later, and adds a new one that starts cold. */
-  public void replaceBox(int box) {
-    BoxModel old = boxes.get(box);
-    discovery.changeLater(old, 1);
+  public void replaceBox(int boxNumber) {
+    BoxModel oldBox = boxes.get(boxNumber);
+    discovery.changeLater(oldBox, 1);
     clock.scheduleAfter(
         Span.ofSeconds(3),
         () -> {
-          old.crash();
-          discovery.changeLater(old, 2);
-          BoxModel next =
+          oldBox.crash();
+          discovery.changeLater(oldBox, 2);
+          BoxModel replacement =
               newBox(
-                  old.cell(),
+                  oldBox.cell(),
                   "10.3." + boxes.size() / 200 + "." + (1 + boxes.size() % 200) + ":3868",
                   clock.now());
-          discovery.changeLater(next, 0);
+          discovery.changeLater(replacement, 0);
         });
   }
 
   /** Crashes a box and restarts it, cold, after the span. */
-  public void crashBox(int box, Span away) {
-    BoxModel b = boxes.get(box);
-    b.crash();
-    discovery.changeLater(b, 2);
+  public void crashBox(int boxNumber, Span downtime) {
+    BoxModel crashed = boxes.get(boxNumber);
+    crashed.crash();
+    discovery.changeLater(crashed, 2);
     clock.scheduleAfter(
-        away,
+        downtime,
         () -> {
-          b.restart();
-          discovery.changeLater(b, 0);
+          crashed.restart();
+          discovery.changeLater(crashed, 0);
         });
   }
 
@@ -487,29 +488,29 @@
 
   /** Cuts a fifth of the boxes off for the span: no traffic reaches or leaves them. */
   public void silenceBoxes(Span span) {
-    Runnable again =
+    Runnable restore =
         network.partition(
             from -> from.startsWith("f"), to -> to.startsWith("10.1.") && to.hashCode() % 5 == 0);
-    clock.scheduleAfter(span, again);
+    clock.scheduleAfter(span, restore);
   }
 
   /** Cuts the fronts of one zone off from the boxes of the other zones for the span. */
   public void isolateZone(int zone, Span span) {
-    Runnable again =
+    Runnable restore =
         network.partition(
             from ->
                 from.startsWith("f") && Integer.parseInt(from.substring(1)) % ZONE_COUNT == zone,
-            to -> boxes.stream().anyMatch(b -> b.address().equals(to) && b.zone() != zone));
-    clock.scheduleAfter(span, again);
+            to -> boxes.stream().anyMatch(box -> box.address().equals(to) && box.zone() != zone));
+    clock.scheduleAfter(span, restore);
   }
 
   /**
    * Delays the reports of discovery from now on. During the span the given share of the boxes'
    * answers is lost, and connections are reset.
    */
-  public void degradeNetwork(Span listLate, double lost, Span span) {
-    discovery.setReportDelay(listLate);
-    answerLossRate = lost;
+  public void degradeNetwork(Span newReportDelay, double lossRate, Span span) {
+    discovery.setReportDelay(newReportDelay);
+    answerLossRate = lossRate;
     Moment until = clock.now().plus(span);
     scheduleResets(until);
     clock.scheduleAt(until, () -> answerLossRate = 0);
@@ -517,7 +518,7 @@
 
   private void scheduleResets(Moment until) {
     if (clock.now().before(until)) {
-      network.resetConnections(to -> to.startsWith("10.1."), p -> random.nextInt(60) == 0);
+      network.resetConnections(to -> to.startsWith("10.1."), connection -> random.nextInt(60) == 0);
       clock.scheduleAfter(Span.ofMillis(500), () -> scheduleResets(until));
     }
   }
@@ -537,23 +538,23 @@
       startFront(i);
     }
     // Viewings that are playing before the start are spread over the fronts as later traffic is.
-    int already = (int) (size.viewersPerSecond() * 11);
-    for (int i = 0; i < already; i++) {
+    int initialViewings = (int) (size.viewersPerSecond() * 11);
+    for (int i = 0; i < initialViewings; i++) {
       viewers.addExistingViewing(drawFront(), 1 + random.nextInt(3));
     }
-    Moment from = START_TIME.plus(startUpDuration());
-    Moment until = from.plus(size.length());
-    clock.runUntil(from);
+    Moment start = START_TIME.plus(startUpDuration());
+    Moment until = start.plus(size.length());
+    clock.runUntil(start);
     scheduleArrivals(until);
     scheduleAccounting(until, 0);
-    clock.runUntil(from.plus(size.length().times(0.5)));
+    clock.runUntil(start.plus(size.length().times(0.5)));
     List<PlatformFront.Figures> halfWay = figures();
     clock.runUntil(until);
     List<PlatformFront.Figures> atTheEnd = figures();
     Map<String, Double> counts = new LinkedHashMap<>(recorder.counts());
     clock.runUntil(until.plus(SETTLING_DURATION));
-    for (SimulatedFront s : simulatedFronts) {
-      longestTurn = longestTurn.orMore(s.net.longestTurn());
+    for (SimulatedFront front : simulatedFronts) {
+      longestTurn = longestTurn.orMore(front.net.longestTurn());
     }
     counts.put("left standing", recorder.counts().getOrDefault("left standing", 0.0));
     return new Outcome(
@@ -568,16 +569,16 @@
 
   private List<PlatformFront.Figures> figures() {
     return simulatedFronts.stream()
-        .filter(s -> s.front != null)
-        .map(s -> s.front.figures())
+        .filter(front -> front.front != null)
+        .map(front -> front.front.figures())
         .toList();
   }
 
   private int drawFront() {
-    double u = random.nextDouble();
+    double draw = random.nextDouble();
     for (int i = 0; i < simulatedFronts.size(); i++) {
-      u -= simulatedFronts.get(i).trafficShare;
-      if (u < 0) {
+      draw -= simulatedFronts.get(i).trafficShare;
+      if (draw < 0) {
         return i;
       }
     }
--- a/src/main/java/linengauge/rehearsal/NetworkModel.java
+++ b/src/main/java/linengauge/rehearsal/NetworkModel.java
@@ -16,7 +16,7 @@
     SimulatedProcess process();
 
     /** Accepts a connection; false where its table of connections is full and it refuses. */
-    boolean accept(SimulatedConnection.Endpoint end);
+    boolean accept(SimulatedConnection.Endpoint endpoint);
   }
 
   private static final Span LATENCY = Span.ofMillis(1);
@@ -36,13 +36,13 @@
 
   private record Partition(Predicate<String> from, Predicate<String> to) {}
 
-  NetworkModel(VirtualClock clock, Span dial) {
+  NetworkModel(VirtualClock clock, Span dialTimeout) {
     this.clock = clock;
-    this.dialTimeout = dial;
+    this.dialTimeout = dialTimeout;
   }
 
-  void listen(String address, Acceptor place) {
-    acceptors.put(address, place);
+  void listen(String address, Acceptor acceptor) {
+    acceptors.put(address, acceptor);
   }
 
   /** Removes the listener at an address; new connections to it are refused. */
@@ -52,65 +52,69 @@
 
   /** Blocks all traffic between sources and addresses until the returned step is run. */
   Runnable partition(Predicate<String> from, Predicate<String> to) {
-    Partition cut = new Partition(from, to);
-    partitions.add(cut);
-    stallConnections(cut, true);
+    Partition partition = new Partition(from, to);
+    partitions.add(partition);
+    stallConnections(partition, true);
     return () -> {
-      partitions.remove(cut);
-      stallConnections(cut, false);
+      partitions.remove(partition);
+      stallConnections(partition, false);
     };
   }
 
-  private void stallConnections(Partition cut, boolean silent) {
+  private void stallConnections(Partition partition, boolean stalled) {
     connections.forEach(
-        (way, list) -> {
-          String[] ends = way.split(" ");
-          if (cut.from.test(ends[0]) && cut.to.test(ends[1])) {
-            list.forEach(p -> p.setStalled(silent));
+        (route, routeConnections) -> {
+          String[] routeEnds = route.split(" ");
+          if (partition.from.test(routeEnds[0]) && partition.to.test(routeEnds[1])) {
+            routeConnections.forEach(connection -> connection.setStalled(stalled));
           }
         });
   }
 
   private boolean isPartitioned(String from, String to) {
-    return partitions.stream().anyMatch(c -> c.from.test(from) && c.to.test(to));
+    return partitions.stream()
+        .anyMatch(partition -> partition.from.test(from) && partition.to.test(to));
   }
 
   /** Tries to open a connection from a process to an address. */
-  void connect(String from, SimulatedProcess host, String to, Net.Tried then) {
+  void connect(String from, SimulatedProcess process, String to, Net.Tried callback) {
     if (isPartitioned(from, to)) {
       clock.scheduleAt(
-          host.now().plus(dialTimeout), () -> host.deliver(() -> then.failed(false, "Timeout")));
+          process.now().plus(dialTimeout),
+          () -> process.deliver(() -> callback.failed(false, "Timeout")));
       return;
     }
     clock.scheduleAt(
-        host.now().plus(LATENCY),
+        process.now().plus(LATENCY),
         () -> {
-          Acceptor place = acceptors.get(to);
-          SimulatedConnection pipe =
-              place == null
+          Acceptor acceptor = acceptors.get(to);
+          SimulatedConnection connection =
+              acceptor == null
                   ? null
-                  : new SimulatedConnection(clock, LATENCY, host, place.process(), from);
-          if (pipe == null || !place.accept(pipe.serverEnd())) {
-            clock.scheduleAfter(LATENCY, () -> host.deliver(() -> then.failed(true, "refused")));
+                  : new SimulatedConnection(clock, LATENCY, process, acceptor.process(), from);
+          if (connection == null || !acceptor.accept(connection.serverEnd())) {
+            clock.scheduleAfter(
+                LATENCY, () -> process.deliver(() -> callback.failed(true, "refused")));
             return;
           }
-          connections.computeIfAbsent(from + " " + to, k -> new ArrayList<>()).add(pipe);
-          clock.scheduleAfter(LATENCY, () -> host.deliver(() -> then.up(pipe.clientEnd())));
+          connections.computeIfAbsent(from + " " + to, route -> new ArrayList<>()).add(connection);
+          clock.scheduleAfter(
+              LATENCY, () -> process.deliver(() -> callback.up(connection.clientEnd())));
         });
   }
 
   /** Breaks all connections of a process that has died; the other ends are notified. */
   void breakConnections(String process, Consumer<SimulatedConnection> each) {
     connections.forEach(
-        (way, list) -> {
-          String[] ends = way.split(" ");
-          boolean near = ends[0].equals(process);
-          if (near || ends[1].equals(process)) {
-            for (SimulatedConnection p : list) {
-              p.processDied(near ? p.clientEnd() : p.serverEnd());
-              each.accept(p);
+        (route, routeConnections) -> {
+          String[] routeEnds = route.split(" ");
+          boolean atClient = routeEnds[0].equals(process);
+          if (atClient || routeEnds[1].equals(process)) {
+            for (SimulatedConnection connection : routeConnections) {
+              connection.processDied(atClient ? connection.clientEnd() : connection.serverEnd());
+              each.accept(connection);
             }
-            list.clear();
+            routeConnections.clear();
           }
         });
   }
@@ -118,15 +122,16 @@
   /** Resets the chosen connections that lead to the given addresses. */
   void resetConnections(Predicate<String> to, Predicate<SimulatedConnection> which) {
     connections.forEach(
-        (way, list) -> {
-          if (to.test(way.split(" ")[1])) {
-            list.removeIf(
-                p -> {
-                  boolean chosen = p.clientEnd().isOpen() && which.test(p);
+        (route, routeConnections) -> {
+          if (to.test(route.split(" ")[1])) {
+            routeConnections.removeIf(
+                connection -> {
+                  boolean chosen = connection.clientEnd().isOpen() && which.test(connection);
                   if (chosen) {
-                    p.reset();
+                    connection.reset();
                   }
-                  return chosen || !p.clientEnd().isOpen() && !p.serverEnd().isOpen();
+                  return chosen
+                      || !connection.clientEnd().isOpen() && !connection.serverEnd().isOpen();
                 });
           }
         });
--- a/src/main/java/linengauge/rehearsal/Scenario.java
+++ b/src/main/java/linengauge/rehearsal/Scenario.java
@@ -6,29 +6,33 @@
 /** The faults of one of the operators' test days at full size, in outline. */
 public enum Scenario {
   /** No faults. */
-  CALM(day -> {}),
+  CALM(simulation -> {}),
   /** Half of the boxes are replaced in steps while all fronts are restarted, a tenth at a time. */
   ROLL(
-      day -> {
-        for (int box = 0; box < day.boxCount(); box += 2) {
-          int b = box;
-          day.schedule(Span.ofSeconds(2 + 8.0 * box / day.boxCount()), () -> day.replaceBox(b));
+      simulation -> {
+        for (int box = 0; box < simulation.boxCount(); box += 2) {
+          int boxNumber = box;
+          simulation.schedule(
+              Span.ofSeconds(2 + 8.0 * box / simulation.boxCount()),
+              () -> simulation.replaceBox(boxNumber));
         }
-        for (int f = 0; f < day.frontCount(); f++) {
-          int front = f;
-          day.schedule(Span.ofSeconds(1 + f * 10 / day.frontCount()), () -> day.restart(front));
+        for (int number = 0; number < simulation.frontCount(); number++) {
+          int front = number;
+          simulation.schedule(
+              Span.ofSeconds(1 + number * 10 / simulation.frontCount()),
+              () -> simulation.restart(front));
         }
       }),
   /** Seven in ten fronts are killed at once; one box in eight is degraded. */
   HERD(
-      day -> {
-        day.schedule(Span.NONE, () -> day.degradeBoxes(8));
-        day.schedule(
+      simulation -> {
+        simulation.schedule(Span.NONE, () -> simulation.degradeBoxes(8));
+        simulation.schedule(
             Span.ofSeconds(4),
             () -> {
-              for (int f = 0; f < day.frontCount(); f++) {
-                if (f % 10 < 7) {
-                  day.killAndRestart(f);
+              for (int number = 0; number < simulation.frontCount(); number++) {
+                if (number % 10 < 7) {
+                  simulation.killAndRestart(number);
                 }
               }
             });
@@ -38,40 +42,43 @@
    * others; one box in eight is degraded.
    */
   ZONE(
-      day -> {
-        day.schedule(Span.NONE, () -> day.degradeBoxes(8));
-        for (int box = 1; box < day.boxCount(); box += 3) {
-          int b = box;
-          day.schedule(Span.ofSeconds(3), () -> day.crashBox(b, Span.ofSeconds(5)));
+      simulation -> {
+        simulation.schedule(Span.NONE, () -> simulation.degradeBoxes(8));
+        for (int box = 1; box < simulation.boxCount(); box += 3) {
+          int boxNumber = box;
+          simulation.schedule(
+              Span.ofSeconds(3), () -> simulation.crashBox(boxNumber, Span.ofSeconds(5)));
         }
-        day.schedule(Span.ofSeconds(10), () -> day.isolateZone(2, Span.ofSeconds(3)));
+        simulation.schedule(Span.ofSeconds(10), () -> simulation.isolateZone(2, Span.ofSeconds(3)));
       }),
   /**
    * A fifth of the boxes is unreachable for six seconds; discovery reports late, answers are lost
    * and connections are reset.
    */
   SPLIT(
-      day -> {
-        day.schedule(Span.ofSeconds(3), () -> day.silenceBoxes(Span.ofSeconds(6)));
-        day.schedule(
+      simulation -> {
+        simulation.schedule(Span.ofSeconds(3), () -> simulation.silenceBoxes(Span.ofSeconds(6)));
+        simulation.schedule(
             Span.ofSeconds(2),
-            () -> day.degradeNetwork(Span.ofSeconds(3), 0.03, Span.ofSeconds(10)));
+            () -> simulation.degradeNetwork(Span.ofSeconds(3), 0.03, Span.ofSeconds(10)));
       }),
   /** Six in ten boxes are replaced within seven seconds. */
   JOIN(
-      day -> {
-        for (int box = 0; box < day.boxCount(); box++) {
-          int b = box;
+      simulation -> {
+        for (int box = 0; box < simulation.boxCount(); box++) {
+          int boxNumber = box;
           if (box % 10 < 6) {
-            day.schedule(Span.ofSeconds(2 + 7.0 * box / day.boxCount()), () -> day.replaceBox(b));
+            simulation.schedule(
+                Span.ofSeconds(2 + 7.0 * box / simulation.boxCount()),
+                () -> simulation.replaceBox(boxNumber));
           }
         }
       });
 
   private final Consumer<FleetSimulation> faults;
 
-  Scenario(Consumer<FleetSimulation> troubles) {
-    this.faults = troubles;
+  Scenario(Consumer<FleetSimulation> faults) {
+    this.faults = faults;
   }
 
   /** A simulation of this scenario that has not run yet. */
@@ -81,8 +88,8 @@
 
   public FleetSimulation simulation(
       FleetSimulation.Size size, long seed, FleetSimulation.Names names) {
-    FleetSimulation day = new FleetSimulation(size, seed, names);
-    faults.accept(day);
-    return day;
+    FleetSimulation simulation = new FleetSimulation(size, seed, names);
+    faults.accept(simulation);
+    return simulation;
   }
 }
--- a/src/main/java/linengauge/rehearsal/SimulatedConnection.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedConnection.java
@@ -37,11 +37,15 @@
   private Consumer<byte[]> writeObserver = data -> {};
 
   SimulatedConnection(
-      VirtualClock clock, Span latency, SimulatedProcess near, SimulatedProcess far, String name) {
+      VirtualClock clock,
+      Span latency,
+      SimulatedProcess client,
+      SimulatedProcess server,
+      String name) {
     this.clock = clock;
     this.latency = latency;
-    this.clientEnd = new Endpoint(near, name);
-    this.serverEnd = new Endpoint(far, name);
+    this.clientEnd = new Endpoint(client, name);
+    this.serverEnd = new Endpoint(server, name);
   }
 
   /** The end of the process that opened the connection. */
@@ -53,29 +57,29 @@
     return serverEnd;
   }
 
-  void observeWrites(Consumer<byte[]> hears) {
-    writeObserver = hears;
+  void observeWrites(Consumer<byte[]> observer) {
+    writeObserver = observer;
   }
 
-  void setStalled(boolean cut) {
-    stalled = cut;
+  void setStalled(boolean stall) {
+    stalled = stall;
     while (!stalled && !inTransit.isEmpty()) {
       inTransit.poll().run();
     }
   }
 
   /** Runs a delivery at the other end after the latency of the network. */
-  private void transmit(SimulatedProcess from, Runnable deed) {
+  private void transmit(SimulatedProcess sender, Runnable delivery) {
     clock.scheduleAt(
-        from.now().plus(latency),
+        sender.now().plus(latency),
         () -> {
           if (wasReset) {
             return;
           }
           if (stalled) {
-            inTransit.add(deed);
+            inTransit.add(delivery);
           } else {
-            deed.run();
+            delivery.run();
           }
         });
   }
@@ -106,8 +110,8 @@
     private boolean closed;
     private boolean closeNotified;
 
-    private Endpoint(SimulatedProcess host, String name) {
-      this.process = host;
+    private Endpoint(SimulatedProcess process, String name) {
+      this.process = process;
       this.name = name;
     }
 
@@ -124,9 +128,9 @@
     }
 
     @Override
-    public void hears(Consumer<byte[]> d, Runnable c) {
-      dataHandler = d;
-      closeHandler = c;
+    public void hears(Consumer<byte[]> onData, Runnable onClose) {
+      dataHandler = onData;
+      closeHandler = onClose;
       deliverUnread();
     }
 
@@ -145,12 +149,12 @@
      * preserve message boundaries.
      */
     private byte[] takeUnread() {
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
+      ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       while (!unread.isEmpty()
-          && (all.size() == 0 || all.size() + unread.peek().length <= MAX_READ_BYTES)) {
-        all.writeBytes(unread.poll());
+          && (bytes.size() == 0 || bytes.size() + unread.peek().length <= MAX_READ_BYTES)) {
+        bytes.writeBytes(unread.poll());
       }
-      return all.toByteArray();
+      return bytes.toByteArray();
     }
 
     @Override
--- a/src/main/java/linengauge/rehearsal/SimulatedNet.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedNet.java
@@ -15,8 +15,8 @@
   /** The cost of a step in a new process, when warm, and the steps until the process is warm. */
   record StepCost(Span first, Span warm, int stepsUntilWarm) {
     Span afterSteps(int steps) {
-      double young = Math.max(0, 1 - (double) steps / stepsUntilWarm);
-      return warm.plus(first.minus(warm).times(young));
+      double coldShare = Math.max(0, 1 - (double) steps / stepsUntilWarm);
+      return warm.plus(first.minus(warm).times(coldShare));
     }
   }
 
@@ -40,9 +40,9 @@
   private final SimulatedProcess process =
       new SimulatedProcess() {
         @Override
-        public void deliver(Runnable deed) {
+        public void deliver(Runnable event) {
           if (!dead) {
-            pendingEvents.add(deed);
+            pendingEvents.add(event);
             scheduleNext();
           }
         }
@@ -54,12 +54,16 @@
       };
 
   SimulatedNet(
-      String name, VirtualClock clock, NetworkModel roads, StepCost pace, TrafficRecorder ledger) {
+      String name,
+      VirtualClock clock,
+      NetworkModel network,
+      StepCost stepCost,
+      TrafficRecorder recorder) {
     this.name = name;
     this.clock = clock;
-    this.network = roads;
-    this.stepCost = pace;
-    this.recorder = ledger;
+    this.network = network;
+    this.stepCost = stepCost;
+    this.recorder = recorder;
     this.localTime = clock.now();
   }
 
@@ -86,16 +90,16 @@
 
   private void runNext() {
     scheduled = false;
-    Runnable deed = pendingEvents.poll();
-    if (dead || deed == null) {
+    Runnable event = pendingEvents.poll();
+    if (dead || event == null) {
       return;
     }
-    Moment begun = localTime.orLater(clock.now());
-    localTime = begun;
+    Moment turnStart = localTime.orLater(clock.now());
+    localTime = turnStart;
     running = true;
-    deed.run();
+    event.run();
     running = false;
-    longestTurn = longestTurn.orMore(localTime.since(begun));
+    longestTurn = longestTurn.orMore(localTime.since(turnStart));
     scheduleNext();
   }
 
@@ -108,9 +112,9 @@
   }
 
   @Override
-  public void connect(String address, int mostUnread, Tried then) {
+  public void connect(String address, int mostUnread, Tried callback) {
     recorder.countConnection(address);
-    network.connect(name, process, address, then);
+    network.connect(name, process, address, callback);
   }
 
   @Override
@@ -124,8 +128,8 @@
           }
 
           @Override
-          public boolean accept(SimulatedConnection.Endpoint end) {
-            process.deliver(() -> listener.arrived(end));
+          public boolean accept(SimulatedConnection.Endpoint endpoint) {
+            process.deliver(() -> listener.arrived(endpoint));
             return !dead;
           }
         });
@@ -133,37 +137,37 @@
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
-    boolean[] off = {false};
+  public Wake after(Span span, Runnable task) {
+    boolean[] cancelled = {false};
     clock.scheduleAt(
         process.now().plus(span),
         () ->
             process.deliver(
                 () -> {
-                  if (!off[0]) {
-                    step.run();
+                  if (!cancelled[0]) {
+                    task.run();
                   }
                 }));
-    return () -> off[0] = true;
+    return () -> cancelled[0] = true;
   }
 
   @Override
-  public void every(Span span, Runnable step) {
+  public void every(Span span, Runnable task) {
     after(
         span,
         () -> {
-          step.run();
-          every(span, step);
+          task.run();
+          every(span, task);
         });
   }
 
   @Override
-  public void later(Runnable step) {
-    process.deliver(step);
+  public void later(Runnable task) {
+    process.deliver(task);
   }
 
   @Override
-  public void written(Span atMost, Runnable step) {
-    later(step); // Writes are sent at once.
+  public void written(Span atMost, Runnable task) {
+    later(task); // Writes are sent at once.
   }
 }
--- a/src/main/java/linengauge/rehearsal/SimulatedProcess.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedProcess.java
@@ -5,7 +5,7 @@
 /** A process of the simulation, which runs the events delivered to it one after another. */
 interface SimulatedProcess {
   /** Delivers an event; it is dropped where the process has died. */
-  void deliver(Runnable deed);
+  void deliver(Runnable event);
 
   /** The process's own time, which is ahead of the virtual clock while it runs an event. */
   Moment now();
@@ -14,8 +14,8 @@
   static SimulatedProcess instantaneous(VirtualClock clock) {
     return new SimulatedProcess() {
       @Override
-      public void deliver(Runnable deed) {
-        deed.run();
+      public void deliver(Runnable event) {
+        event.run();
       }
 
       @Override
--- a/src/main/java/linengauge/rehearsal/TrafficRecorder.java
+++ b/src/main/java/linengauge/rehearsal/TrafficRecorder.java
@@ -26,17 +26,17 @@
   }
 
   /** Adds one line; fields are alternating keys and values. */
-  void record(String what, Object... fields) {
-    ObjectNode n =
-        JSON.createObjectNode().put("at", clock.now().since(startTime).micros()).put("what", what);
+  void record(String event, Object... fields) {
+    ObjectNode json =
+        JSON.createObjectNode().put("at", clock.now().since(startTime).micros()).put("what", event);
     for (int i = 0; i < fields.length; i += 2) {
-      n.putPOJO((String) fields[i], fields[i + 1]);
+      json.putPOJO((String) fields[i], fields[i + 1]);
     }
-    lines.add(n.toString());
+    lines.add(json.toString());
   }
 
-  void count(String what, double more) {
-    counts.merge(what, more, Double::sum);
+  void count(String name, double amount) {
+    counts.merge(name, amount, Double::sum);
   }
 
   /** Counts an attempt of a front to open a connection. */
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -71,8 +71,8 @@
                 public void failed(boolean refused, String why) {
                   closed = true;
                   connections.get(front).remove(FrontConnection.this);
-                  for (Viewer w : List.copyOf(waiting)) {
-                    w.connectionFailed();
+                  for (Viewer viewer : List.copyOf(waiting)) {
+                    viewer.connectionFailed();
                   }
                 }
               });
@@ -90,44 +90,47 @@
     private void connectionClosed() {
       closed = true;
       connections.get(front).remove(this);
-      for (Viewer w : List.copyOf(waiting)) {
-        w.connectionBroke();
+      for (Viewer viewer : List.copyOf(waiting)) {
+        viewer.connectionBroke();
       }
       waiting.clear();
     }
 
     private void receive(byte[] data) {
-      byte[] all = java.util.Arrays.copyOf(partialMessage, partialMessage.length + data.length);
-      System.arraycopy(data, 0, all, partialMessage.length, data.length);
-      int at = 0;
-      while (all.length - at >= 2
-          && all.length - at - 2 >= (ByteBuffer.wrap(all).getShort(at) & 0xffff)) {
-        int length = ByteBuffer.wrap(all).getShort(at) & 0xffff;
-        handle(ByteBuffer.wrap(all, at + 2, length));
-        at += 2 + length;
+      byte[] bytes = java.util.Arrays.copyOf(partialMessage, partialMessage.length + data.length);
+      System.arraycopy(data, 0, bytes, partialMessage.length, data.length);
+      int offset = 0;
+      while (bytes.length - offset >= 2
+          && bytes.length - offset - 2 >= (ByteBuffer.wrap(bytes).getShort(offset) & 0xffff)) {
+        int length = ByteBuffer.wrap(bytes).getShort(offset) & 0xffff;
+        handle(ByteBuffer.wrap(bytes, offset + 2, length));
+        offset += 2 + length;
       }
-      partialMessage = java.util.Arrays.copyOfRange(all, at, all.length);
+      partialMessage = java.util.Arrays.copyOfRange(bytes, offset, bytes.length);
     }
 
-    private void handle(ByteBuffer m) {
-      int type = m.get() & 0xff;
-      String tag = String.format("%016x", m.getLong());
+    private void handle(ByteBuffer message) {
+      int type = message.get() & 0xff;
+      String tag = String.format("%016x", message.getLong());
       int cause = -1;
-      long advice = 0;
-      while (m.hasRemaining()) {
-        int code = m.get() & 0xff;
-        byte[] value = new byte[m.getShort() & 0xffff];
-        m.get(value);
+      long retryAfterMs = 0;
+      while (message.hasRemaining()) {
+        int code = message.get() & 0xff;
+        byte[] value = new byte[message.getShort() & 0xffff];
+        message.get(value);
         cause = code == 61 ? value[0] & 0xff : cause;
-        advice = code == 45 ? Long.parseLong(new String(value, StandardCharsets.US_ASCII)) : advice;
+        retryAfterMs =
+            code == 45
+                ? Long.parseLong(new String(value, StandardCharsets.US_ASCII))
+                : retryAfterMs;
       }
-      Viewer w = viewersByTag.get(tag);
+      Viewer viewer = viewersByTag.get(tag);
       if (type == TEST_PASSED_MESSAGE) {
         simulation.putInService(front);
-      } else if (w != null && type == ANSWER_MESSAGE) {
-        w.handleAnswer("plays", 0);
-      } else if (w != null && type == END_MESSAGE) {
-        w.handleEnd(cause, advice);
+      } else if (viewer != null && type == ANSWER_MESSAGE) {
+        viewer.handleAnswer("plays", 0);
+      } else if (viewer != null && type == END_MESSAGE) {
+        viewer.handleEnd(cause, retryAfterMs);
       }
     }
   }
@@ -154,15 +157,15 @@
     private boolean done;
     private BoxModel currentBox;
 
-    private Viewer(int front, int titleNumber, boolean dear, Span length) {
+    private Viewer(int front, int titleNumber, boolean highWorth, Span length) {
       this.front = front;
       this.title = String.format("%016x", 0x7f00L + titleNumber);
       this.homeCell = titleNumber * 7 % simulation.cellCount();
       this.copyCount = 3 + titleNumber % 4;
       this.packageName =
-          dear ? simulation.names().highWorthClass() : simulation.names().lowWorthClass();
-      this.worth = dear ? 3 : 1;
-      this.rateFactor = dear ? 1.4 : 0.7;
+          highWorth ? simulation.names().highWorthClass() : simulation.names().lowWorthClass();
+      this.worth = highWorth ? 3 : 1;
+      this.rateFactor = highWorth ? 1.4 : 0.7;
       this.wantedUntil = clock.now().plus(length);
     }
 
@@ -200,8 +203,8 @@
       return front + "-" + simulation.incarnation(front) + "-" + tag;
     }
 
-    int nextTuneIn(int by) {
-      front = by;
+    int nextTuneIn(int servingFront) {
+      front = servingFront;
       return tuneIns++;
     }
 
@@ -209,8 +212,8 @@
       currentBox = box;
     }
 
-    private String viewingFields(String more) {
-      return "home:" + homeCell + ";copies:" + copyCount + ";top:4;viewer:" + tag + more;
+    private String viewingFields(String extraFields) {
+      return "home:" + homeCell + ";copies:" + copyCount + ";top:4;viewer:" + tag + extraFields;
     }
 
     private void request() {
@@ -236,9 +239,9 @@
       resent = false;
       sentSetUp = setUpMessage();
       connection.write(sentSetUp);
-      String mine = tag;
+      String requestTag = tag;
       clock.scheduleAfter(
-          FleetSimulation.SET_UP_TIME_LIMIT.plus(LATE_ANSWER_WINDOW), () -> giveUp(mine));
+          FleetSimulation.SET_UP_TIME_LIMIT.plus(LATE_ANSWER_WINDOW), () -> giveUp(requestTag));
     }
 
     private void recordRequest() {
@@ -278,49 +281,53 @@
     }
 
     /** Ends the request of that tag, whose time limit has passed, and retries. */
-    private void giveUp(String mine) {
-      if (!answered && mine.equals(tag) && !done) {
+    private void giveUp(String requestTag) {
+      if (!answered && requestTag.equals(tag) && !done) {
         recordFailure("gave-up");
         connection.write(
             PlatformViewers.message(
-                END_MESSAGE, Long.parseUnsignedLong(mine, 16), 61, new byte[] {16}));
+                END_MESSAGE, Long.parseUnsignedLong(requestTag, 16), 61, new byte[] {16}));
         retryAfter(Span.ofMillis(200));
       }
     }
 
-    private void recordFailure(String what) {
+    private void recordFailure(String event) {
       answered = true;
       connection.waiting.remove(this);
-      recorder.record(what, "ask", tag, "front", front);
-      recorder.count(what, 1);
+      recorder.record(event, "ask", tag, "front", front);
+      recorder.count(event, 1);
     }
 
-    private void handleAnswer(String how, long advice) {
+    private void handleAnswer(String outcome, long retryAfterMs) {
       if (answered && !playing) {
         return; // The viewer has cancelled the request.
       }
-      recorder.record("answered", "ask", tag, "front", front, "how", how, "viewing", viewingId());
+      recorder.record(
+          "answered", "ask", tag, "front", front, "how", outcome, "viewing", viewingId());
       if (answered) {
         return; // The judge finds a second answer in the record.
       }
       answered = true;
       connection.waiting.remove(this);
-      recorder.count(how, 1);
-      if (how.equals("plays")) {
+      recorder.count(outcome, 1);
+      if (outcome.equals("plays")) {
         playing = true;
         if (currentBox == null) {
           expectEndMessage(); // The box has ended the viewing meanwhile.
         }
       } else {
         retryAfter(
-            how.equals("blocked") ? Span.ofMillis(Math.max(50, advice)) : Span.ofMillis(200));
+            outcome.equals("blocked")
+                ? Span.ofMillis(Math.max(50, retryAfterMs))
+                : Span.ofMillis(200));
       }
     }
 
     /** Handles an END from the front, which ends the viewing or rejects the request. */
-    private void handleEnd(int cause, long advice) {
+    private void handleEnd(int cause, long retryAfterMs) {
       if (!answered) {
-        handleAnswer(cause == 34 || cause == 42 || cause == 102 ? "blocked" : "aborted", advice);
+        handleAnswer(
+            cause == 34 || cause == 42 || cause == 102 ? "blocked" : "aborted", retryAfterMs);
       } else if (playing) {
         playing = false;
         if (cause != 16) {
@@ -331,9 +338,9 @@
       }
     }
 
-    private void retryAfter(Span after) {
+    private void retryAfter(Span delay) {
       if (tries < MAX_TRIES) {
-        clock.scheduleAfter(after, this::request);
+        clock.scheduleAfter(delay, this::request);
       }
     }
 
@@ -368,8 +375,8 @@
     }
 
     /** The viewing has played to its end at a box; its front has to notify the viewer. */
-    void viewingCompleted(BoxModel by) {
-      if (currentBox != by) {
+    void viewingCompleted(BoxModel endingBox) {
+      if (currentBox != endingBox) {
         return; // A former attempt at that box, which the front has ended.
       }
       currentBox = null;
@@ -378,8 +385,8 @@
     }
 
     /** The viewing was cut at a box. */
-    void viewingCut(BoxModel by) {
-      if (currentBox == by) {
+    void viewingCut(BoxModel endingBox) {
+      if (currentBox == endingBox) {
         currentBox = null;
         if (playing) {
           expectEndMessage();
@@ -389,12 +396,14 @@
 
     private void expectEndMessage() {
       recorder.record("viewing-over", "viewing", viewingId());
-      String mine = tag;
-      int lifeThen = simulation.incarnation(front);
+      String requestTag = tag;
+      int incarnationThen = simulation.incarnation(front);
       clock.scheduleAfter(
           Span.ofSeconds(8.5),
           () -> {
-            if (playing && mine.equals(tag) && simulation.incarnation(front) == lifeThen) {
+            if (playing
+                && requestTag.equals(tag)
+                && simulation.incarnation(front) == incarnationThen) {
               recorder.count("left standing", 1);
               recorder.record("left-standing", "viewing", viewingId());
               forget();
@@ -409,8 +418,8 @@
     }
 
     /** Hands the viewing over to a restarted front with a set-up that names its box. */
-    private void handOver(FrontConnection by) {
-      by.write(
+    private void handOver(FrontConnection newConnection) {
+      newConnection.write(
           PlatformViewers.message(
               SET_UP_MESSAGE,
               Long.parseUnsignedLong(tag, 16),
@@ -439,11 +448,11 @@
   private final List<Viewer> wantingViewers = new ArrayList<>();
   private long lastTagNumber = 0x1000;
 
-  Viewers(FleetSimulation day, int fronts) {
-    this.simulation = day;
-    this.clock = day.clock();
-    this.recorder = day.recorder();
-    this.random = day.random().split();
+  Viewers(FleetSimulation simulation, int fronts) {
+    this.simulation = simulation;
+    this.clock = simulation.clock();
+    this.recorder = simulation.recorder();
+    this.random = simulation.random().split();
     this.process = SimulatedProcess.instantaneous(clock);
     for (int i = 0; i < fronts; i++) {
       connections.add(new ArrayList<>());
@@ -460,23 +469,23 @@
   }
 
   String viewingId(String tag) {
-    Viewer w = viewersByTag.get(tag);
-    return w == null ? "gone-" + tag : w.viewingId();
+    Viewer viewer = viewersByTag.get(tag);
+    return viewer == null ? "gone-" + tag : viewer.viewingId();
   }
 
   int lastTuneIn(String tag) {
-    Viewer w = viewersByTag.get(tag);
-    return w == null ? 0 : Math.max(0, w.tuneIns - 1);
+    Viewer viewer = viewersByTag.get(tag);
+    return viewer == null ? 0 : Math.max(0, viewer.tuneIns - 1);
   }
 
   private Viewer drawViewer(int front) {
-    double u = random.nextDouble();
+    double draw = random.nextDouble();
     int title =
-        (int) (FleetSimulation.TITLE_COUNT * u * u); // Low numbers are requested more often.
+        (int) (FleetSimulation.TITLE_COUNT * draw * draw); // Low numbers are requested more often.
     Span length = Span.ofSeconds(-12 * Math.log(1 - random.nextDouble()) + 1);
-    Viewer w = new Viewer(front, title, random.nextDouble() < 0.3, length);
-    wantingViewers.add(w);
-    return w;
+    Viewer viewer = new Viewer(front, title, random.nextDouble() < 0.3, length);
+    wantingViewers.add(viewer);
+    return viewer;
   }
 
   /** A new viewer sends its request to this front. */
@@ -486,68 +495,71 @@
 
   /** Adds a viewing of this front that is playing at some holder before the start. */
   void addExistingViewing(int front, int rung) {
-    Viewer w = drawViewer(front);
-    w.tag = String.format("%016x", ++lastTagNumber);
-    w.answered = true;
-    w.playing = true;
-    w.tries = 1;
-    viewersByTag.put(w.tag, w);
-    simulation.drawHolder(w.homeCell, w.copyCount, random).addExistingViewing(w, rung);
+    Viewer viewer = drawViewer(front);
+    viewer.tag = String.format("%016x", ++lastTagNumber);
+    viewer.answered = true;
+    viewer.playing = true;
+    viewer.tries = 1;
+    viewersByTag.put(viewer.tag, viewer);
+    simulation
+        .drawHolder(viewer.homeCell, viewer.copyCount, random)
+        .addExistingViewing(viewer, rung);
   }
 
   private FrontConnection connectionTo(int front) {
-    List<FrontConnection> of = connections.get(front);
-    for (FrontConnection l : List.copyOf(of)) {
-      if (l.waiting.isEmpty()
-          && IDLE_CLOSE_DELAY.under(clock.now().since(l.lastUsedAt))
-          && l.endpoint != null
-          && viewersByTag.values().stream().noneMatch(w -> w.connection == l && w.playing)) {
-        of.remove(l);
-        l.closed = true;
-        l.endpoint.close();
+    List<FrontConnection> frontConnections = connections.get(front);
+    for (FrontConnection connection : List.copyOf(frontConnections)) {
+      if (connection.waiting.isEmpty()
+          && IDLE_CLOSE_DELAY.under(clock.now().since(connection.lastUsedAt))
+          && connection.endpoint != null
+          && viewersByTag.values().stream()
+              .noneMatch(viewer -> viewer.connection == connection && viewer.playing)) {
+        frontConnections.remove(connection);
+        connection.closed = true;
+        connection.endpoint.close();
       }
     }
-    if (of.size() < USUAL_CONNECTIONS_PER_FRONT || random.nextDouble() < 0.1) {
-      FrontConnection fresh = new FrontConnection(front);
-      of.add(fresh);
-      fresh.open();
-      return fresh;
+    if (frontConnections.size() < USUAL_CONNECTIONS_PER_FRONT || random.nextDouble() < 0.1) {
+      FrontConnection newConnection = new FrontConnection(front);
+      frontConnections.add(newConnection);
+      newConnection.open();
+      return newConnection;
     }
-    return of.get(random.nextInt(of.size()));
+    return frontConnections.get(random.nextInt(frontConnections.size()));
   }
 
   /** Sends the platform's readiness test to a front that has started. */
   void testFront(int front) {
-    FrontConnection l = new FrontConnection(front);
-    connections.get(front).add(l);
-    l.open();
-    l.write(PlatformViewers.message(TEST_MESSAGE, 1, 61, new byte[] {0}));
+    FrontConnection connection = new FrontConnection(front);
+    connections.get(front).add(connection);
+    connection.open();
+    connection.write(PlatformViewers.message(TEST_MESSAGE, 1, 61, new byte[] {0}));
   }
 
   /** Hands the viewings of this front over to its new process. */
   void handOverViewings(int front) {
-    FrontConnection by = connectionTo(front);
-    for (Viewer w : List.copyOf(viewersByTag.values())) {
-      if (w.front == front && w.playing && w.currentBox != null) {
-        w.connection = by;
-        w.handOver(by);
-      } else if (w.front == front && w.playing) {
-        w.forget();
+    FrontConnection newConnection = connectionTo(front);
+    for (Viewer viewer : List.copyOf(viewersByTag.values())) {
+      if (viewer.front == front && viewer.playing && viewer.currentBox != null) {
+        viewer.connection = newConnection;
+        viewer.handOver(newConnection);
+      } else if (viewer.front == front && viewer.playing) {
+        viewer.forget();
       }
     }
   }
 
   /** Fails the waiting requests of a front that has died; their viewers retry. */
   void frontDied(int front) {
-    for (FrontConnection l : List.copyOf(connections.get(front))) {
-      l.closed = true;
-      l.waiting.forEach(w -> clock.scheduleAt(clock.now(), w::connectionBroke));
+    for (FrontConnection connection : List.copyOf(connections.get(front))) {
+      connection.closed = true;
+      connection.waiting.forEach(viewer -> clock.scheduleAt(clock.now(), viewer::connectionBroke));
     }
   }
 
   /** Counts the demand over the span, weighted by worth. */
   void countWanted(Span span) {
-    wantingViewers.removeIf(w -> !clock.now().before(w.wantedUntil));
-    wantingViewers.forEach(w -> recorder.count("wanted", span.seconds() * w.worth));
+    wantingViewers.removeIf(viewer -> !clock.now().before(viewer.wantedUntil));
+    wantingViewers.forEach(viewer -> recorder.count("wanted", span.seconds() * viewer.worth));
   }
 }
--- a/src/main/java/linengauge/rehearsal/VirtualClock.java
+++ b/src/main/java/linengauge/rehearsal/VirtualClock.java
@@ -8,8 +8,8 @@
 public final class VirtualClock {
   private final EventQueue events;
 
-  public VirtualClock(Moment begin) {
-    this.events = new EventQueue(begin);
+  public VirtualClock(Moment start) {
+    this.events = new EventQueue(start);
   }
 
   public Moment now() {
--- a/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
@@ -21,36 +21,38 @@
  * their peers.
  */
 class FleetSimulationTest {
-  private static FleetSimulation.Outcome run(Scenario shape, double viewersASecond, long seed)
+  private static FleetSimulation.Outcome run(Scenario scenario, double viewersASecond, long seed)
       throws Exception {
-    FleetSimulation.Size u = FleetSimulation.Size.standard();
-    return shape
+    FleetSimulation.Size standard = FleetSimulation.Size.standard();
+    return scenario
         .simulation(
             new FleetSimulation.Size(
-                u.fronts(),
-                u.boxes(),
-                u.length(),
+                standard.fronts(),
+                standard.boxes(),
+                standard.length(),
                 viewersASecond,
-                u.firstStepCost(),
-                u.warmStepCost(),
-                u.stepsUntilWarm()),
+                standard.firstStepCost(),
+                standard.warmStepCost(),
+                standard.stepsUntilWarm()),
             seed)
         .run();
   }
 
   @ParameterizedTest
   @EnumSource
-  void everyScenarioKeepsEveryRuleAndLeavesNoOrphanedViewing(Scenario shape) throws Exception {
-    FleetSimulation.Outcome o = run(shape, 110, 1);
-    assertEquals(List.of(), o.verdict().breaches(), o.summary());
-    assertEquals(0, o.count("left standing"), o.summary());
+  void everyScenarioKeepsEveryRuleAndLeavesNoOrphanedViewing(Scenario scenario) throws Exception {
+    FleetSimulation.Outcome outcome = run(scenario, 110, 1);
+    assertEquals(List.of(), outcome.verdict().breaches(), outcome.summary());
+    assertEquals(0, outcome.count("left standing"), outcome.summary());
     assertTrue(
-        o.verdict().checked("one-answer") > 1000 && o.verdict().checked("no-double-set-up") > 1000,
-        o.summary());
+        outcome.verdict().checked("one-answer") > 1000
+            && outcome.verdict().checked("no-double-set-up") > 1000,
+        outcome.summary());
     assertTrue(
-        shape != Scenario.ROLL && shape != Scenario.JOIN || o.verdict().checked("drains") > 1000,
-        o.summary());
-    assertTrue(shape != Scenario.HERD || o.count("handed over") > 1200, o.summary());
+        scenario != Scenario.ROLL && scenario != Scenario.JOIN
+            || outcome.verdict().checked("drains") > 1000,
+        outcome.summary());
+    assertTrue(scenario != Scenario.HERD || outcome.count("handed over") > 1200, outcome.summary());
   }
 
   @Test
@@ -64,29 +66,37 @@
    */
   @ParameterizedTest
   @EnumSource(names = {"ROLL", "SPLIT", "JOIN"})
-  void namesOfClassesZonesAndServersDoNotAffectDecisions(Scenario shape) throws Exception {
-    FleetSimulation.Size u = FleetSimulation.Size.standard();
+  void namesOfClassesZonesAndServersDoNotAffectDecisions(Scenario scenario) throws Exception {
+    FleetSimulation.Size standard = FleetSimulation.Size.standard();
     FleetSimulation.Size size =
         new FleetSimulation.Size(
-            20, 24, u.length(), 60, u.firstStepCost(), u.warmStepCost(), u.stepsUntilWarm());
-    FleetSimulation.Names usual = FleetSimulation.Names.standard();
-    FleetSimulation.Names other =
+            20,
+            24,
+            standard.length(),
+            60,
+            standard.firstStepCost(),
+            standard.warmStepCost(),
+            standard.stepsUntilWarm());
+    FleetSimulation.Names standardNames = FleetSimulation.Names.standard();
+    FleetSimulation.Names otherNames =
         new FleetSimulation.Names("review", "lesson", "hall-", n -> 0xfff00000L - n * 7919L);
-    List<String> record = shape.simulation(size, 6, usual).run().record();
-    List<String> named = shape.simulation(size, 6, other).run().record();
-    assertEquals(record.size(), named.size());
+    List<String> record = scenario.simulation(size, 6, standardNames).run().record();
+    List<String> renamedRecord = scenario.simulation(size, 6, otherNames).run().record();
+    assertEquals(record.size(), renamedRecord.size());
     for (int i = 0; i < record.size(); i++) {
-      assertEquals(withoutNames(record.get(i), usual), withoutNames(named.get(i), other));
+      assertEquals(
+          withoutNames(record.get(i), standardNames),
+          withoutNames(renamedRecord.get(i), otherNames));
     }
-    assertTrue(record.stream().filter(l -> l.contains("\"set-up\"")).count() > 500);
+    assertTrue(record.stream().filter(line -> line.contains("\"set-up\"")).count() > 500);
   }
 
   private static String withoutNames(String line, FleetSimulation.Names names) {
-    String l =
+    String text =
         line.replace("\"" + names.lowWorthClass() + "\"", "\"cheap class\"")
             .replace("\"" + names.highWorthClass() + "\"", "\"dear class\"");
-    Matcher m = Pattern.compile("\"box\":(\\d+)").matcher(l);
-    return m.replaceAll(
+    Matcher matcher = Pattern.compile("\"box\":(\\d+)").matcher(text);
+    return matcher.replaceAll(
         found -> {
           long id = Long.parseLong(found.group(1));
           long number = 0;
@@ -103,10 +113,10 @@
    */
   @Test
   void withoutFaultsConnectionsAndProbesPerRequestStayBounded() throws Exception {
-    FleetSimulation.Outcome o = run(Scenario.CALM, 110, 2);
-    assertTrue(o.count("connections") < 0.8 * o.count("asked"), o.summary());
-    assertTrue(o.count("tests") < 1.5 * o.count("asked"), o.summary());
-    assertEquals(60, o.count("calls for the list"), "one a front");
+    FleetSimulation.Outcome outcome = run(Scenario.CALM, 110, 2);
+    assertTrue(outcome.count("connections") < 0.8 * outcome.count("asked"), outcome.summary());
+    assertTrue(outcome.count("tests") < 1.5 * outcome.count("asked"), outcome.summary());
+    assertEquals(60, outcome.count("calls for the list"), "one a front");
   }
 
   /**
@@ -115,20 +125,20 @@
    */
   @Test
   void underHighLoadNewViewingsGetTheirShare() throws Exception {
-    FleetSimulation.Outcome o = run(Scenario.CALM, 150, 1);
-    assertTrue(o.servedShare() > 0.6, o.summary());
+    FleetSimulation.Outcome outcome = run(Scenario.CALM, 150, 1);
+    assertTrue(outcome.servedShare() > 0.6, outcome.summary());
   }
 
   @Test
   void tablesStayBoundedOverALongRunAndAreEmptyAfterwards() throws Exception {
-    FleetSimulation.Outcome o =
+    FleetSimulation.Outcome outcome =
         Scenario.JOIN
             .simulation(
                 new FleetSimulation.Size(
                     3, 12, Span.ofSeconds(600), 20, Span.ofMillis(2), new Span(500), 400),
                 5)
             .run();
-    assertEquals(List.of(), o.verdict().breaches(), o.summary());
+    assertEquals(List.of(), outcome.verdict().breaches(), outcome.summary());
     for (ToIntFunction<Figures> table :
         List.<ToIntFunction<Figures>>of(
             Figures::viewings,
@@ -138,17 +148,19 @@
             Figures::titles,
             Figures::boxes,
             Figures::viewersConnections)) {
-      int half = o.figuresHalfWay().stream().mapToInt(table).sum();
-      int end = o.figuresAtLastArrival().stream().mapToInt(table).sum();
-      assertTrue(half > 0 && end <= 1.5 * half + 6, half + " half way, " + end + " at the end");
+      int halfWay = outcome.figuresHalfWay().stream().mapToInt(table).sum();
+      int atLastArrival = outcome.figuresAtLastArrival().stream().mapToInt(table).sum();
+      assertTrue(
+          halfWay > 0 && atLastArrival <= 1.5 * halfWay + 6,
+          halfWay + " half way, " + atLastArrival + " at the end");
     }
     for (ToIntFunction<Figures> table :
         List.<ToIntFunction<Figures>>of(
             Figures::viewings, Figures::ids, Figures::titles, Figures::endsUntold)) {
       assertEquals(
           0,
-          o.figuresAfterSettling().stream().mapToInt(table).sum(),
-          o.figuresAfterSettling().toString());
+          outcome.figuresAfterSettling().stream().mapToInt(table).sum(),
+          outcome.figuresAfterSettling().toString());
     }
   }
 
@@ -157,7 +169,7 @@
     List<String> record = run(Scenario.CALM, 40, 4).record();
     String answered =
         record.stream()
-            .filter(l -> l.contains("\"answered\"") && l.contains("plays"))
+            .filter(line -> line.contains("\"answered\"") && line.contains("plays"))
             .findFirst()
             .orElseThrow();
     List<String> twice = new ArrayList<>(record);
@@ -166,7 +178,8 @@
     List<String> never = new ArrayList<>(record);
     never.remove(answered);
     assertEquals(1, countBreaches(never, "one-answer"));
-    String setUp = record.stream().filter(l -> l.contains("\"set-up\"")).findFirst().orElseThrow();
+    String setUp =
+        record.stream().filter(line -> line.contains("\"set-up\"")).findFirst().orElseThrow();
     List<String> again = new ArrayList<>(record);
     again.add(again.indexOf(setUp), setUp);
     assertTrue(countBreaches(again, "no-double-set-up") > 0);
@@ -175,8 +188,8 @@
     String front = setUp.replaceFirst(".*\"front\":(\\d+).*", "$1");
     String started =
         record.stream()
-            .filter(l -> l.contains("\"front-started\""))
-            .reduce((a, b) -> b)
+            .filter(line -> line.contains("\"front-started\""))
+            .reduce((earlier, later) -> later)
             .orElseThrow();
     gone.add(
         gone.indexOf(started) + 1,
@@ -189,7 +202,7 @@
   }
 
   private static long countBreaches(List<String> record, String rule) throws Exception {
-    Verdict v = Judge.judge(record);
-    return v.broken(rule);
+    Verdict verdict = Judge.judge(record);
+    return verdict.broken(rule);
   }
 }
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -48,16 +48,16 @@
   private volatile int burstSize;
   private volatile boolean handOverPending;
 
-  SoakClients(SoakFront front, SoakTerms terms, SplittableRandom chance) {
+  SoakClients(SoakFront front, SoakTerms terms, SplittableRandom random) {
     this.front = front;
     this.terms = terms;
-    this.random = chance;
+    this.random = random;
     this.nextId = (front.number + 1L) * 1_000_000;
   }
 
   /** Sends so many requests at once in the next turn. */
-  void scheduleBurst(int more) {
-    burstSize = more;
+  void scheduleBurst(int size) {
+    burstSize = size;
   }
 
   /** Hands the open sessions over in the next turn, after the front has restarted. */
@@ -93,7 +93,7 @@
     }
   }
 
-  private synchronized void turn(boolean asks) throws InterruptedException {
+  private synchronized void turn(boolean requestDue) throws InterruptedException {
     for (Connection connection : List.copyOf(connections)) {
       receive(connection);
     }
@@ -102,12 +102,12 @@
       handOverPending = false;
       handOverSessions();
     }
-    int count = (asks ? 1 : 0) + burstSize;
+    int count = (requestDue ? 1 : 0) + burstSize;
     burstSize = 0;
     for (int i = 0; i < count; i++) {
       sendRequest();
     }
-    if (asks && random.nextInt(12) == 0) {
+    if (requestDue && random.nextInt(12) == 0) {
       sendInvalid();
     }
   }
@@ -126,40 +126,41 @@
     send(request, random.nextInt(4) > 0);
   }
 
-  private void send(SoakRequest request, boolean onOpenOne) throws InterruptedException {
-    Connection by = onOpenOne && !connections.isEmpty() ? anyConnection() : connect();
-    if (by == null) {
+  private void send(SoakRequest request, boolean reuseConnection) throws InterruptedException {
+    Connection connection = reuseConnection && !connections.isEmpty() ? anyConnection() : connect();
+    if (connection == null) {
       request.notConnected = true;
       return;
     }
     byte[] message =
         PlatformViewers.setUp(request.id, request.paid ? "paid" : "lesson", request.deadlineMs, "");
     try {
-      int first = random.nextInt(8) == 0 ? 1 + random.nextInt(message.length - 1) : message.length;
-      by.socket.send(java.util.Arrays.copyOf(message, first));
-      if (first < message.length) {
+      int firstLength =
+          random.nextInt(8) == 0 ? 1 + random.nextInt(message.length - 1) : message.length;
+      connection.socket.send(java.util.Arrays.copyOf(message, firstLength));
+      if (firstLength < message.length) {
         Thread.sleep(1 + random.nextInt(4));
-        by.socket.send(java.util.Arrays.copyOfRange(message, first, message.length));
+        connection.socket.send(java.util.Arrays.copyOfRange(message, firstLength, message.length));
       }
       request.sentAt = FaultyServer.nowMicros();
-      by.waiting.put(request.id, request);
-      abandonSome(by, request);
+      connection.waiting.put(request.id, request);
+      abandonSome(connection, request);
     } catch (IOException e) {
       request.sentAt = FaultyServer.nowMicros();
-      by.waiting.put(request.id, request);
-      connectionEnded(by);
+      connection.waiting.put(request.id, request);
+      connectionEnded(connection);
     }
   }
 
   /**
    * Some leave at once: by a cancellation right behind the request, or by closing the connection.
    */
-  private void abandonSome(Connection by, SoakRequest request) throws IOException {
-    int how = random.nextInt(40);
-    if (how == 0) {
-      cancel(by, request);
-    } else if (how == 1) {
-      closeFromClient(by);
+  private void abandonSome(Connection connection, SoakRequest request) throws IOException {
+    int outcome = random.nextInt(40);
+    if (outcome == 0) {
+      cancel(connection, request);
+    } else if (outcome == 1) {
+      closeFromClient(connection);
     }
   }
 
@@ -172,9 +173,9 @@
       return anyConnection();
     }
     try {
-      Connection anew = new Connection();
-      connections.add(anew);
-      return anew;
+      Connection opened = new Connection();
+      connections.add(opened);
+      return opened;
     } catch (ConnectException e) {
       return null; // Nothing listens there.
     } catch (IOException e) {
@@ -182,75 +183,78 @@
     }
   }
 
-  private void cancel(Connection by, SoakRequest request) throws IOException {
-    by.socket.end(request.id, CANCEL_CAUSE);
+  private void cancel(Connection connection, SoakRequest request) throws IOException {
+    connection.socket.end(request.id, CANCEL_CAUSE);
     request.cancelledAt = FaultyServer.nowMicros();
-    by.waiting.remove(request.id);
+    connection.waiting.remove(request.id);
   }
 
-  private void closeFromClient(Connection by) throws IOException {
-    connections.remove(by);
-    for (SoakRequest request : by.waiting.values()) {
+  private void closeFromClient(Connection connection) throws IOException {
+    connections.remove(connection);
+    for (SoakRequest request : connection.waiting.values()) {
       request.cancelledAt = FaultyServer.nowMicros();
       request.abandonedByClose = true;
     }
-    by.socket.close();
+    connection.socket.close();
   }
 
   /* ---- answers ---- */
 
-  private void receive(Connection by) throws InterruptedException {
-    for (Said said = by.socket.next(0); said != null; said = by.socket.next(0)) {
-      if (said == Said.CLOSED) {
-        connectionEnded(by);
+  private void receive(Connection connection) throws InterruptedException {
+    for (Said message = connection.socket.next(0);
+        message != null;
+        message = connection.socket.next(0)) {
+      if (message == Said.CLOSED) {
+        connectionEnded(connection);
         return;
       }
-      SoakRequest request = requests.get(said.id());
+      SoakRequest request = requests.get(message.id());
       if (request != null) {
-        handle(request, said);
-        by.waiting.remove(said.id());
+        handle(request, message);
+        connection.waiting.remove(message.id());
       }
     }
     long now = FaultyServer.nowMicros();
-    for (SoakRequest request : List.copyOf(by.waiting.values())) {
+    for (SoakRequest request : List.copyOf(connection.waiting.values())) {
       if (now - request.sentAt > 1000 * request.deadlineMs / 4 && random.nextInt(2000) == 0) {
         try {
-          cancel(by, request);
+          cancel(connection, request);
         } catch (IOException e) {
-          connectionEnded(by);
+          connectionEnded(connection);
           return;
         }
       }
     }
   }
 
-  private void handle(SoakRequest request, Said said) {
+  private void handle(SoakRequest request, Said message) {
     long now = FaultyServer.nowMicros();
-    if (said.type() == ANSWERED) {
-      handleAnswer(request, said, now);
-    } else if (said.type() == RELEASED || said.type() == MOVED) {
+    if (message.type() == ANSWERED) {
+      handleAnswer(request, message, now);
+    } else if (message.type() == RELEASED || message.type() == MOVED) {
       if (request.answers.contains("answered")) {
         request.releasedAt = Math.min(request.releasedAt, now);
       } else {
-        recordAnswer(request, REJECTION_CAUSES.contains(said.cause()) ? "refused" : "failed", now);
+        recordAnswer(
+            request, REJECTION_CAUSES.contains(message.cause()) ? "refused" : "failed", now);
       }
     }
   }
 
-  private void handleAnswer(SoakRequest request, Said said, long now) {
+  private void handleAnswer(SoakRequest request, Said message, long now) {
     recordAnswer(request, "answered", now);
-    String made = "m=audio of " + request.id + "\r\nat ";
-    if (said.description() == null || !said.description().startsWith(made)) {
+    String expectedStart = "m=audio of " + request.id + "\r\nat ";
+    if (message.description() == null || !message.description().startsWith(expectedStart)) {
       request.wrongAnswer =
-          "answered with a description that no server made for it: " + said.description();
+          "answered with a description that no server made for it: " + message.description();
     } else {
-      request.server = said.description().substring(made.length()).strip();
+      request.server = message.description().substring(expectedStart.length()).strip();
       request.sessionUntil = now + 1000L * (200 + random.nextInt(3000));
     }
   }
 
-  private static void recordAnswer(SoakRequest request, String how, long now) {
-    request.answers.add(how);
+  private static void recordAnswer(SoakRequest request, String outcome, long now) {
+    request.answers.add(outcome);
     request.answeredAt = Math.min(request.answeredAt, now);
   }
 
@@ -258,15 +262,15 @@
    * Handles a connection that the other side has closed: a request that was sent just before is
    * sent again, once.
    */
-  private void connectionEnded(Connection by) throws InterruptedException {
-    connections.remove(by);
+  private void connectionEnded(Connection connection) throws InterruptedException {
+    connections.remove(connection);
     try {
-      by.socket.close();
+      connection.socket.close();
     } catch (IOException e) {
       // The socket is closed already.
     }
     long now = FaultyServer.nowMicros();
-    for (SoakRequest request : List.copyOf(by.waiting.values())) {
+    for (SoakRequest request : List.copyOf(connection.waiting.values())) {
       if (now - request.sentAt <= RESEND_WINDOW_MICROS && !request.resent) {
         request.resent = true;
         send(request, false);
@@ -282,12 +286,12 @@
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : requests.values()) {
       if (request.hasSession() && request.sessionUntil < now && !connections.isEmpty()) {
-        Connection by = anyConnection();
+        Connection connection = anyConnection();
         try {
-          by.socket.end(request.id, CANCEL_CAUSE);
+          connection.socket.end(request.id, CANCEL_CAUSE);
           request.endedByClientAt = now;
           if (random.nextInt(25) == 0) {
-            closeFromClient(by); // Closes right behind the message it wrote.
+            closeFromClient(connection); // Closes right behind the message it wrote.
           }
         } catch (IOException e) {
           return; // The next turn sends the end again.
@@ -297,11 +301,11 @@
   }
 
   private void handOverSessions() {
-    Connection by = connect();
+    Connection connection = connect();
     for (SoakRequest request : requests.values()) {
-      if (by != null && request.hasSession()) {
+      if (connection != null && request.hasSession()) {
         try {
-          by.socket.send(
+          connection.socket.send(
               PlatformViewers.setUp(
                   request.id, request.paid ? "paid" : "lesson", 0, ";at:" + request.server));
         } catch (IOException e) {
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -78,8 +78,8 @@
     for (SoakFront front : fronts) {
       start(front);
     }
-    for (SoakClients of : clients) {
-      Thread thread = new Thread(of, "soak-clients");
+    for (SoakClients frontClients : clients) {
+      Thread thread = new Thread(frontClients, "soak-clients");
       thread.setDaemon(true);
       thread.start();
     }
@@ -97,8 +97,8 @@
   }
 
   private List<String> settle() throws Exception {
-    for (ListedServer one : listedServers) {
-      one.server.faults(healthy());
+    for (ListedServer target : listedServers) {
+      target.server.faults(healthy());
     }
     clients.forEach(SoakClients::stopSending);
     Thread.sleep(
@@ -116,7 +116,7 @@
     long endedAt = FaultyServer.nowMicros();
     clients.forEach(SoakClients::stop);
     List<SoakRequest> requests = new ArrayList<>();
-    clients.forEach(of -> requests.addAll(of.requests()));
+    clients.forEach(frontClients -> requests.addAll(frontClients.requests()));
     SoakJudge.Observations day =
         new SoakJudge.Observations(
             terms,
@@ -129,16 +129,17 @@
             discoveryMoves,
             standing,
             endedAt);
-    List<String> broken = SoakJudge.judge(day);
-    broken.addAll(limitViolations);
-    broken.addAll(loggedCrashes());
+    List<String> violations = SoakJudge.judge(day);
+    violations.addAll(limitViolations);
+    violations.addAll(loggedCrashes());
     writeScript(requests);
-    return broken;
+    return violations;
   }
 
   private void writeScript(List<SoakRequest> requests) throws IOException {
-    long answered = requests.stream().filter(r -> r.answers.contains("answered")).count();
-    long attempts = servers.stream().mapToLong(s -> s.attempts().size()).sum();
+    long answered =
+        requests.stream().filter(request -> request.answers.contains("answered")).count();
+    long attempts = servers.stream().mapToLong(server -> server.attempts().size()).sum();
     script.add(
         terms
             + ": "
@@ -159,17 +160,19 @@
   /** Requests that are open at a server though their client has left or never got an answer. */
   private List<String> orphanedRequests() {
     Map<String, SoakRequest> byTag = new LinkedHashMap<>();
-    clients.forEach(of -> of.requests().forEach(r -> byTag.put(r.tag, r)));
+    clients.forEach(
+        frontClients ->
+            frontClients.requests().forEach(request -> byTag.put(request.tag, request)));
     List<String> standing = new ArrayList<>();
-    for (ListedServer one : listedServers) {
-      for (String tag : one.server.open()) {
+    for (ListedServer target : listedServers) {
+      for (String tag : target.server.open()) {
         SoakRequest request = byTag.get(tag);
         boolean wanted = request != null && request.hasSession();
         if (request != null
             && !wanted
             && !request.abandonedByClose
             && !frontWasKilledMeanwhile(request)) {
-          standing.add(tag + " at " + one.server.id() + ", " + request);
+          standing.add(tag + " at " + target.server.id() + ", " + request);
         }
       }
     }
@@ -182,10 +185,10 @@
   private boolean frontWasKilledMeanwhile(SoakRequest request) {
     return fronts.get(request.front).runs.stream()
         .anyMatch(
-            life ->
-                life.killedAt != SoakFront.ProcessRun.NEVER
-                    && life.startedAt < request.sentAt
-                    && request.sentAt < life.killedAt);
+            run ->
+                run.killedAt != SoakFront.ProcessRun.NEVER
+                    && run.startedAt < request.sentAt
+                    && request.sentAt < run.killedAt);
   }
 
   private List<String> loggedCrashes() throws IOException {
@@ -228,36 +231,36 @@
             }));
   }
 
-  private void addToScript(String what) {
-    script.add((FaultyServer.nowMicros() - startedAt) / MICROS_PER_MS + " ms " + what);
+  private void addToScript(String text) {
+    script.add((FaultyServer.nowMicros() - startedAt) / MICROS_PER_MS + " ms " + text);
   }
 
   private void injectFault() throws Exception {
-    ListedServer one = listedServers.get(random.nextInt(listedServers.size()));
-    int span = 200 + random.nextInt(2500);
+    ListedServer target = listedServers.get(random.nextInt(listedServers.size()));
+    int durationMs = 200 + random.nextInt(2500);
     switch (random.nextInt(12)) {
-      case 0 -> injectFaultFor(one, "hangs", span, one.server::hang);
-      case 1 -> injectFaultFor(one, "vanishes", span, () -> vanish(one));
+      case 0 -> injectFaultFor(target, "hangs", durationMs, target.server::hang);
+      case 1 -> injectFaultFor(target, "vanishes", durationMs, () -> vanish(target));
       case 2 -> {
-        addToScript(one.server.id() + " resets its connections");
-        one.server.resetAll();
+        addToScript(target.server.id() + " resets its connections");
+        target.server.resetAll();
       }
       case 3, 4 -> {
         Faults faults = drawFaults();
-        addToScript(one.server.id() + " " + faults);
-        one.server.faults(faults);
+        addToScript(target.server.id() + " " + faults);
+        target.server.faults(faults);
       }
-      case 5 -> runInBackground(() -> replaceServer(one, span));
-      case 6 -> silenceDiscovery(span);
-      case 7 -> interruptDiscovery(span);
+      case 5 -> runInBackground(() -> replaceServer(target, durationMs));
+      case 6 -> silenceDiscovery(durationMs);
+      case 7 -> interruptDiscovery(durationMs);
       case 8 -> moveDiscovery();
       case 9 -> {
         addToScript("a burst of requests");
         clients.get(random.nextInt(clients.size())).scheduleBurst(40 + random.nextInt(120));
       }
       case 10 -> {
-        addToScript(one.server.id() + " ends some sessions");
-        one.server.endSome(0.5);
+        addToScript(target.server.id() + " ends some sessions");
+        target.server.endSome(0.5);
       }
       default -> killSomeFront();
     }
@@ -280,21 +283,21 @@
         random.nextDouble() * 0.3);
   }
 
-  private static void vanish(ListedServer one) {
+  private static void vanish(ListedServer target) {
     try {
-      one.server.vanish();
+      target.server.vanish();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void injectFaultFor(ListedServer one, String what, int ms, Runnable fault) {
-    addToScript(one.server.id() + " " + what + " for " + ms + " ms");
+  private void injectFaultFor(ListedServer target, String text, int durationMs, Runnable fault) {
+    addToScript(target.server.id() + " " + text + " for " + durationMs + " ms");
     runInBackground(
         () -> {
           fault.run();
-          Thread.sleep(ms);
-          one.server.goOn();
+          Thread.sleep(durationMs);
+          target.server.goOn();
           return null;
         });
   }
@@ -311,13 +314,13 @@
     discoveryFaulty = false;
   }
 
-  private void silenceDiscovery(int ms) {
+  private void silenceDiscovery(int durationMs) {
     if (acquireDiscovery()) {
-      addToScript("discovery silent for " + ms + " ms");
+      addToScript("discovery silent for " + durationMs + " ms");
       runInBackground(
           () -> {
             discovery.startSilence();
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
             discovery.endSilence();
             releaseDiscovery();
             return null;
@@ -325,13 +328,13 @@
     }
   }
 
-  private void interruptDiscovery(int ms) {
+  private void interruptDiscovery(int durationMs) {
     if (acquireDiscovery()) {
-      addToScript("discovery down for " + ms + " ms");
+      addToScript("discovery down for " + durationMs + " ms");
       runInBackground(
           () -> {
             discovery.stop();
-            Thread.sleep(ms);
+            Thread.sleep(durationMs);
             discovery.restart();
             releaseDiscovery();
             return null;
@@ -356,11 +359,11 @@
 
   /** Reloads a front, as the operators do: never before it is ready nor in its first second. */
   private Void reload(SoakFront front) throws Exception {
-    boolean young = !front.isAlive() || !isReady(front);
+    boolean waited = !front.isAlive() || !isReady(front);
     while (!front.isAlive() || !isReady(front)) {
       Thread.sleep(50);
     }
-    if (young) {
+    if (waited) {
       Thread.sleep(1000);
       discoveryMoves.add(FaultyServer.nowMicros());
     }
@@ -372,19 +375,19 @@
   }
 
   /** Drains, removes and closes a server, and adds a new one at its address or at another one. */
-  private Void replaceServer(ListedServer one, int ms) throws Exception {
+  private Void replaceServer(ListedServer target, int durationMs) throws Exception {
     synchronized (this) {
-      if (!listedServers.remove(one) || listedServers.size() < SERVERS / 2) {
+      if (!listedServers.remove(target) || listedServers.size() < SERVERS / 2) {
         return null;
       }
     }
-    addToScript(one.server.id() + " is replaced");
-    publish(one, 1);
-    Thread.sleep(ms);
-    publish(one, 2);
-    one.server.close();
+    addToScript(target.server.id() + " is replaced");
+    publish(target, 1);
+    Thread.sleep(durationMs);
+    publish(target, 2);
+    target.server.close();
     Thread.sleep(100);
-    addServer(ms % 2 == 0 ? one.server.port() : 0, System.currentTimeMillis());
+    addServer(durationMs % 2 == 0 ? target.server.port() : 0, System.currentTimeMillis());
     return null;
   }
 
@@ -392,20 +395,21 @@
     int number = ++lastServerNumber;
     String id = String.format("s-%08x", number);
     FaultyServer server = new FaultyServer(id, backgroundRandom.nextLong(), port, healthy());
-    ListedServer one = new ListedServer(server, number, number % CELLS, startedMs);
+    ListedServer target = new ListedServer(server, number, number % CELLS, startedMs);
     servers.add(server);
-    listedServers.add(one);
+    listedServers.add(target);
     if (startedMs > 0) {
       coldSince.put(id, FaultyServer.nowMicros());
     }
-    publish(one, 0);
+    publish(target, 0);
   }
 
-  private void publish(ListedServer one, int state) {
+  private void publish(ListedServer target, int state) {
     discovery.changed(
-        one.server.id(),
+        target.server.id(),
         state == 0,
-        PlatformJournal.record(one.number, one.server.port(), state, one.cell, one.startedMs));
+        PlatformJournal.record(
+            target.number, target.server.port(), state, target.cell, target.startedMs));
   }
 
   private void killSomeFront() {
@@ -468,8 +472,8 @@
   private boolean isReady(SoakFront front) throws InterruptedException {
     try (var viewers = new PlatformViewers(front.port)) {
       viewers.test();
-      PlatformViewers.Said said = viewers.next(2000);
-      return said != null && said.type() == TEST_PASSED;
+      PlatformViewers.Said message = viewers.next(2000);
+      return message != null && message.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // The front is not listening yet, or no longer.
     }
@@ -477,14 +481,14 @@
 
   private synchronized void writeConfiguration(SoakFront front) throws IOException {
     StringBuilder targets = new StringBuilder();
-    for (ListedServer one : listedServers) {
+    for (ListedServer target : listedServers) {
       targets
           .append(targets.isEmpty() ? "" : ",")
           .append(
               String.format(
                   "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:%d\",\"az\":\"hall\",\"model\":\"box\","
                       + "\"pod_group\":%d,\"state\":\"up\",\"capacity_hint\":2,\"boot_ms\":%d}",
-                  one.server.id(), one.server.port(), one.cell, one.startedMs));
+                  target.server.id(), target.server.port(), target.cell, target.startedMs));
     }
     int position = discovery.position();
     front.writeConfiguration(
--- a/src/test/java/linengauge/soak/SoakDiscovery.java
+++ b/src/test/java/linengauge/soak/SoakDiscovery.java
@@ -38,18 +38,18 @@
   private volatile boolean closed;
   private long outageSince;
 
-  SoakDiscovery(SplittableRandom chance) throws IOException {
-    this.random = chance;
+  SoakDiscovery(SplittableRandom random) throws IOException {
+    this.random = random;
     open(0);
     start(this::sendKeepAlives);
   }
 
   private void open(int port) throws IOException {
-    ServerSocket anew = new ServerSocket();
-    anew.setReuseAddress(true);
-    anew.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
-    listener = anew;
-    start(() -> accept(anew));
+    ServerSocket newListener = new ServerSocket();
+    newListener.setReuseAddress(true);
+    newListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
+    listener = newListener;
+    start(() -> accept(newListener));
   }
 
   private static void start(Runnable job) {
@@ -67,10 +67,10 @@
     return frames.size();
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket serverSocket) {
     try {
       while (true) {
-        Socket reader = from.accept();
+        Socket reader = serverSocket.accept();
         start(() -> serve(reader));
       }
     } catch (IOException e) {
@@ -83,8 +83,8 @@
       long last = new DataInputStream(reader.getInputStream()).readLong();
       synchronized (this) {
         subscribers.add(reader);
-        for (int n = (int) Math.max(0, last); n < frames.size() && !silent; n++) {
-          reader.getOutputStream().write(frames.get(n));
+        for (int number = (int) Math.max(0, last); number < frames.size() && !silent; number++) {
+          reader.getOutputStream().write(frames.get(number));
         }
       }
     } catch (IOException e) {
@@ -132,12 +132,12 @@
     if (!serves) {
       removals.add(new Removal(server, FaultyServer.nowMicros()));
     }
-    int how = random.nextInt(10);
-    if (how == 0 && !silent) {
+    int variant = random.nextInt(10);
+    if (variant == 0 && !silent) {
       sendTruncated(frame);
     } else {
       send(frame);
-      if (how == 1) {
+      if (variant == 1) {
         send(frame);
       }
     }
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -54,13 +54,13 @@
 
   /** Replaces the configuration file atomically, as the operators do. */
   void writeConfiguration(String configuration) throws IOException {
-    Path anew = folder.resolve("front-" + number + ".new");
-    Files.writeString(anew, configuration);
-    Files.move(anew, configurationFile, StandardCopyOption.ATOMIC_MOVE);
+    Path temporaryFile = folder.resolve("front-" + number + ".new");
+    Files.writeString(temporaryFile, configuration);
+    Files.move(temporaryFile, configurationFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
   void start() throws IOException {
-    ProcessBuilder run =
+    ProcessBuilder builder =
         new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xms24m",
@@ -74,20 +74,21 @@
             System.getProperty("java.class.path"),
             Main.class.getName(),
             "serve");
-    run.environment().put("PROXY_CONFIG", configurationFile.toString());
-    run.environment().put("MALLOC_ARENA_MAX", "1");
+    builder.environment().put("PROXY_CONFIG", configurationFile.toString());
+    builder.environment().put("MALLOC_ARENA_MAX", "1");
     runs.add(new ProcessRun());
     process =
-        run.redirectErrorStream(true)
+        builder
+            .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
             .start();
-    ProcessRun life = currentRun();
-    process.onExit().thenAccept(p -> recordExit(life, p.exitValue()));
+    ProcessRun run = currentRun();
+    process.onExit().thenAccept(exited -> recordExit(run, exited.exitValue()));
   }
 
-  private void recordExit(ProcessRun life, int exit) {
-    life.endedAt = FaultyServer.nowMicros();
-    life.exitCode = exit;
+  private void recordExit(ProcessRun run, int exit) {
+    run.endedAt = FaultyServer.nowMicros();
+    run.exitCode = exit;
   }
 
   boolean isAlive() {
@@ -118,13 +119,13 @@
   /** Resident memory in MB and the number of sockets; null where the process has ended. */
   int[] usage() {
     try {
-      Path of = Path.of("/proc", Long.toString(process.pid()));
+      Path processFolder = Path.of("/proc", Long.toString(process.pid()));
       String resident =
-          Files.readAllLines(of.resolve("status")).stream()
+          Files.readAllLines(processFolder.resolve("status")).stream()
               .filter(line -> line.startsWith("VmRSS"))
               .findFirst()
               .orElse("VmRSS: 0 kB");
-      try (var descriptors = Files.list(of.resolve("fd"))) {
+      try (var descriptors = Files.list(processFolder.resolve("fd"))) {
         return new int[] {
           Integer.parseInt(resident.replaceAll("\\D", "")) / 1024,
           (int) descriptors.filter(SoakFront::isSocket).count()
--- a/src/test/java/linengauge/soak/SoakJudge.java
+++ b/src/test/java/linengauge/soak/SoakJudge.java
@@ -49,27 +49,29 @@
   private final Map<String, SoakRequest> byTag = new HashMap<>();
   private final Map<String, List<Attempt>> attempts = new TreeMap<>();
 
-  private SoakJudge(Observations day) {
-    this.observed = day;
-    day.requests.forEach(r -> byTag.put(r.tag, r));
-    for (FaultyServer server : day.servers) {
+  private SoakJudge(Observations observations) {
+    this.observed = observations;
+    observations.requests.forEach(r -> byTag.put(r.tag, r));
+    for (FaultyServer server : observations.servers) {
       for (Attempt attempt : server.attempts()) {
-        attempts.computeIfAbsent(attempt.request, t -> new ArrayList<>()).add(attempt);
+        attempts.computeIfAbsent(attempt.request, tag -> new ArrayList<>()).add(attempt);
       }
     }
-    attempts.values().forEach(list -> list.sort(Comparator.comparingLong(a -> a.arrivedAt)));
+    attempts
+        .values()
+        .forEach(list -> list.sort(Comparator.comparingLong(attempt -> attempt.arrivedAt)));
   }
 
   /** The broken rules, a line each; empty where all were kept. */
-  static List<String> judge(Observations day) {
-    SoakJudge judge = new SoakJudge(day);
-    day.requests.forEach(judge::judgeAnswers);
+  static List<String> judge(Observations observations) {
+    SoakJudge judge = new SoakJudge(observations);
+    observations.requests.forEach(judge::judgeAnswers);
     judge.attempts.forEach(judge::judgeAttempts);
-    day.servers.forEach(s -> judge.violations.addAll(s.overtaken()));
+    observations.servers.forEach(server -> judge.violations.addAll(server.overtaken()));
     judge.judgeDrains();
     judge.judgeColdServers();
-    day.fronts.forEach(judge::judgeRetryBudget);
-    day.fronts.forEach(judge::judgeProcesses);
+    observations.fronts.forEach(judge::judgeRetryBudget);
+    observations.fronts.forEach(judge::judgeProcesses);
     judge.judgeSessions();
     return judge.violations;
   }
@@ -95,30 +97,32 @@
     if (request.answers.size() > 1 && !request.abandonedByClose) {
       addViolation("lost", request.tag, "answered " + request.answers);
     }
-    SoakFront.ProcessRun life = runAt(request.front, request.sentAt);
-    if (life == null || request.cancelledAt != SoakRequest.NEVER) {
+    SoakFront.ProcessRun run = runAt(request.front, request.sentAt);
+    if (run == null || request.cancelledAt != SoakRequest.NEVER) {
       return;
     }
     long deadline = request.sentAt + request.deadlineMs * MILLISECOND;
     if (request.answers.isEmpty()) {
-      judgeUnanswered(request, life);
+      judgeUnanswered(request, run);
     } else if (request.answeredAt > deadline + LATE_ANSWER_WINDOW + SLACK) {
       addViolation(
           "lost", request.tag, "answered late by " + elapsed(deadline, request.answeredAt));
     }
   }
 
-  private void judgeUnanswered(SoakRequest request, SoakFront.ProcessRun life) {
-    boolean told = life.stopRequestedAt != SoakFront.ProcessRun.NEVER;
-    long endedAt = Math.min(life.killedAt, life.endedAt);
-    if (life.killedAt != SoakFront.ProcessRun.NEVER && !told) {
+  private void judgeUnanswered(SoakRequest request, SoakFront.ProcessRun run) {
+    boolean stopRequested = run.stopRequestedAt != SoakFront.ProcessRun.NEVER;
+    long endedAt = Math.min(run.killedAt, run.endedAt);
+    if (run.killedAt != SoakFront.ProcessRun.NEVER && !stopRequested) {
       return; // The front was killed without notice.
     }
     if (endedAt != SoakFront.ProcessRun.NEVER && endedAt - request.sentAt <= SLACK) {
       return; // The request was sent as the process ended, and sent again when nothing listened.
     }
     String when =
-        told ? ", sent " + elapsed(life.stopRequestedAt, request.sentAt) + " after SIGTERM" : "";
+        stopRequested
+            ? ", sent " + elapsed(run.stopRequestedAt, request.sentAt) + " after SIGTERM"
+            : "";
     if (request.connectionLostAt != SoakRequest.NEVER) {
       addViolation(
           "lost",
@@ -134,9 +138,9 @@
   }
 
   private SoakFront.ProcessRun runAt(int front, long at) {
-    for (SoakFront.ProcessRun life : observed.fronts.get(front).runs) {
-      if (life.isAliveAt(at)) {
-        return life;
+    for (SoakFront.ProcessRun run : observed.fronts.get(front).runs) {
+      if (run.isAliveAt(at)) {
+        return run;
       }
     }
     return null;
@@ -161,7 +165,7 @@
       }
     }
     boolean refused = request.answers.contains("refused");
-    if (request.paid && refused && all.stream().anyMatch(a -> !a.neverRan)) {
+    if (request.paid && refused && all.stream().anyMatch(attempt -> !attempt.neverRan)) {
       addViolation("duplicates", tag, "refused though it may have run and must not be repeated");
     }
   }
@@ -195,46 +199,52 @@
   /* ---- drains ---- */
 
   private void judgeDrains() {
-    for (SoakDiscovery.Removal told : observed.removals) {
-      long by = latestReportTime(told.recordedAt());
+    for (SoakDiscovery.Removal removal : observed.removals) {
+      long reportedBy = latestReportTime(removal.recordedAt());
       for (FaultyServer server : observed.servers) {
-        if (server.id().equals(told.server())) {
+        if (server.id().equals(removal.server())) {
           server.attempts().stream()
-              .filter(a -> a.arrivedAt > by + SoakTerms.DRAIN_GRACE_MS * MILLISECOND + SLACK)
-              .forEach(a -> addDrainViolation(told, a, by));
+              .filter(
+                  attempt ->
+                      attempt.arrivedAt
+                          > reportedBy + SoakTerms.DRAIN_GRACE_MS * MILLISECOND + SLACK)
+              .forEach(attempt -> addDrainViolation(removal, attempt, reportedBy));
         }
       }
     }
   }
 
-  private void addDrainViolation(SoakDiscovery.Removal told, Attempt attempt, long by) {
+  private void addDrainViolation(SoakDiscovery.Removal removal, Attempt attempt, long reportedBy) {
     addViolation(
         "drain",
         attempt.request,
         "sent to "
-            + told.server()
+            + removal.server()
             + " "
-            + elapsed(told.recordedAt(), attempt.arrivedAt)
+            + elapsed(removal.recordedAt(), attempt.arrivedAt)
             + " after discovery stored its end, which counts as reported "
-            + elapsed(told.recordedAt(), by)
+            + elapsed(removal.recordedAt(), reportedBy)
             + " after that");
   }
 
   /** The latest moment by which a front must know what discovery stored at the given time. */
-  private long latestReportTime(long had) {
-    long by = had;
+  private long latestReportTime(long storedAt) {
+    long latest = storedAt;
     for (SoakDiscovery.Outage outage : observed.outages) {
       if (!outage.lasting()) {
-        by = outage.from() <= had ? Math.max(by, outage.from() + REPORTED_AFTER_BREAK) : by;
-      } else if (outage.from() <= had) {
-        by = Math.max(by, outage.from() + REPORTED_AFTER_SILENCE);
-        by = Math.max(by, outage.until() + REPORTED_AFTER_OUTAGE);
+        latest =
+            outage.from() <= storedAt
+                ? Math.max(latest, outage.from() + REPORTED_AFTER_BREAK)
+                : latest;
+      } else if (outage.from() <= storedAt) {
+        latest = Math.max(latest, outage.from() + REPORTED_AFTER_SILENCE);
+        latest = Math.max(latest, outage.until() + REPORTED_AFTER_OUTAGE);
       }
     }
     for (long move : observed.discoveryMoves) {
-      by = move <= had + SLACK ? Math.max(by, move + REPORTED_AFTER_RELOAD) : by;
+      latest = move <= storedAt + SLACK ? Math.max(latest, move + REPORTED_AFTER_RELOAD) : latest;
     }
-    return by;
+    return latest;
   }
 
   /* ---- cold servers ---- */
@@ -245,14 +255,15 @@
       if (since == null) {
         continue;
       }
-      long told = latestReportTime(since); // Only set-ups by fronts that know the server count.
+      long reportedAt =
+          latestReportTime(since); // Only set-ups by fronts that know the server count.
       List<Long> window = new ArrayList<>();
       for (Attempt attempt : server.attempts()) {
         long age = attempt.arrivedAt - since;
         if (age > observed.terms.coldMs() * MILLISECOND) {
           break;
         }
-        if (attempt.arrivedAt > told + SLACK) {
+        if (attempt.arrivedAt > reportedAt + SLACK) {
           window.add(attempt.arrivedAt);
         }
         window.removeIf(at -> at <= attempt.arrivedAt - observed.terms.tipMs() * MILLISECOND);
@@ -283,7 +294,7 @@
   /* ---- retries ---- */
 
   private void judgeRetryBudget(SoakFront front) {
-    for (SoakFront.ProcessRun life : front.runs) {
+    for (SoakFront.ProcessRun run : front.runs) {
       List<Long> retries = new ArrayList<>();
       attempts.forEach(
           (tag, all) -> {
@@ -291,24 +302,24 @@
             if (request != null && request.front == front.number) {
               all.stream()
                   .skip(1)
-                  .filter(a -> life.isAliveAt(a.arrivedAt))
-                  .forEach(a -> retries.add(a.arrivedAt));
+                  .filter(attempt -> run.isAliveAt(attempt.arrivedAt))
+                  .forEach(attempt -> retries.add(attempt.arrivedAt));
             }
           });
       retries.sort(Long::compare);
       for (int i = 0; i < retries.size(); i++) {
-        judgeRetry(front, life, retries.subList(0, i + 1));
+        judgeRetry(front, run, retries.subList(0, i + 1));
       }
     }
   }
 
-  private void judgeRetry(SoakFront front, SoakFront.ProcessRun life, List<Long> soFar) {
+  private void judgeRetry(SoakFront front, SoakFront.ProcessRun run, List<Long> soFar) {
     long at = soFar.get(soFar.size() - 1);
     long from = at - SoakTerms.RETRY_SPAN_MS * MILLISECOND;
     long made = soFar.stream().filter(r -> r > from + SLACK).count();
     long taken =
         observed.requests.stream()
-            .filter(r -> r.front == front.number && !r.notConnected && life.isAliveAt(r.sentAt))
+            .filter(r -> r.front == front.number && !r.notConnected && run.isAliveAt(r.sentAt))
             .filter(r -> r.sentAt > from - SLACK && r.sentAt <= at + SLACK)
             .count();
     double allowed = SoakTerms.FREE_RETRIES + SoakTerms.RETRY_RATIO * taken;
@@ -320,13 +331,13 @@
   /* ---- processes ---- */
 
   private void judgeProcesses(SoakFront front) {
-    for (SoakFront.ProcessRun life : front.runs) {
-      boolean ended = life.endedAt != SoakFront.ProcessRun.NEVER;
-      boolean killed = life.killedAt != SoakFront.ProcessRun.NEVER;
+    for (SoakFront.ProcessRun run : front.runs) {
+      boolean ended = run.endedAt != SoakFront.ProcessRun.NEVER;
+      boolean killed = run.killedAt != SoakFront.ProcessRun.NEVER;
       if (ended
           && !killed
-          && (life.exitCode != 0 || life.stopRequestedAt == SoakFront.ProcessRun.NEVER)) {
-        addViolation("crash", "front " + front.number, "ended with " + life.exitCode);
+          && (run.exitCode != 0 || run.stopRequestedAt == SoakFront.ProcessRun.NEVER)) {
+        addViolation("crash", "front " + front.number, "ended with " + run.exitCode);
       }
     }
   }
@@ -338,17 +349,17 @@
       if (request.server == null || request.endedByClientAt != SoakRequest.NEVER) {
         continue;
       }
-      SoakFront.ProcessRun life = runAt(request.front, request.answeredAt);
+      SoakFront.ProcessRun run = runAt(request.front, request.answeredAt);
       for (Attempt attempt : attempts.getOrDefault(request.tag, List.of())) {
         long limit =
             attempt.endedBy == FaultyServer.End.RELEASED ? RELEASE_LIMIT : LATE_RELEASE_LIMIT;
-        long by = attempt.overAt + limit + SLACK;
+        long limitAt = attempt.overAt + limit + SLACK;
         boolean judged =
             attempt.server.equals(request.server)
                 && attempt.endedBy != FaultyServer.End.OPEN
-                && life != null
-                && by < Math.min(life.endedAt, observed.endedAt);
-        if (judged && request.releasedAt > by) {
+                && run != null
+                && limitAt < Math.min(run.endedAt, observed.endedAt);
+        if (judged && request.releasedAt > limitAt) {
           addViolation(
               "standing", request.tag, "its client was not notified of the end at its server");
         }
--- a/src/test/java/linengauge/soak/SoakRequest.java
+++ b/src/test/java/linengauge/soak/SoakRequest.java
@@ -70,9 +70,9 @@
     return times.append(abandonedByClose ? ", left by closing its connection" : "").toString();
   }
 
-  private void add(StringBuilder times, String what, long at) {
+  private void add(StringBuilder times, String name, long at) {
     if (at != NEVER) {
-      times.append(", ").append(what).append(" +").append((at - sentAt) / 1000);
+      times.append(", ").append(name).append(" +").append((at - sentAt) / 1000);
     }
   }
 }
--- a/src/test/java/linengauge/soak/SoakTerms.java
+++ b/src/test/java/linengauge/soak/SoakTerms.java
@@ -27,10 +27,10 @@
 
   static final long MAX_COUNTED_DEADLINE_MS = 3000;
 
-  static SoakTerms draw(SplittableRandom chance) {
+  static SoakTerms draw(SplittableRandom random) {
     long[] deadlines = {400, 900, 1500, 3000};
     return new SoakTerms(
-        deadlines[chance.nextInt(deadlines.length)], 3000, 500, 2 + chance.nextInt(3));
+        deadlines[random.nextInt(deadlines.length)], 3000, 500, 2 + random.nextInt(3));
   }
 
   long killAfterMs() {
--- a/src/test/java/linengauge/soak/SoakTest.java
+++ b/src/test/java/linengauge/soak/SoakTest.java
@@ -31,10 +31,11 @@
     Path folder = KEEP == null ? temporary : Path.of(KEEP, "seed-" + seed);
     Files.createDirectories(folder);
     try (SoakDay day = new SoakDay(seed, folder)) {
-      List<String> broken = day.run();
-      Files.write(folder.resolve("broken"), broken);
-      System.out.println("soak seed " + seed + ": " + broken.size() + " broken; " + day.summary());
-      assertEquals(List.of(), broken, "seed " + seed);
+      List<String> violations = day.run();
+      Files.write(folder.resolve("broken"), violations);
+      System.out.println(
+          "soak seed " + seed + ": " + violations.size() + " broken; " + day.summary());
+      assertEquals(List.of(), violations, "seed " + seed);
     }
   }
 }
