--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -72,8 +72,8 @@
   private final Map<String, SimulatedConnection.Endpoint> pendingSetUps = new LinkedHashMap<>();
 
   /**
-   * END messages, by front, that are sent on the front's next connection. They repeat those that
-   * were sent already, since these may have been lost, and hold those that found no connection.
+   * END messages, by front, that are sent on the front's next connection. They repeat ends that
+   * were sent already and hold those that found no open connection.
    */
   private final Map<String, List<String>> unreportedEnds = new LinkedHashMap<>();
 
@@ -339,7 +339,8 @@
       if (!simulation.viewers().wasIssued(tag)) {
         throw new IllegalStateException("received a set-up that no viewer sent: " + tag);
       }
-      return; // The network held the set-up until its viewer had left. The end follows.
+      // The network held the set-up until its viewer had left. The end follows.
+      return;
     }
     int front = Integer.parseInt(endpoint.peer().substring(1));
     int rung = json.path("opts").path("rung").asInt();
@@ -410,7 +411,7 @@
     boolean answerLost =
         simulation.answerLossRate() > 0 && random.nextDouble() < simulation.answerLossRate();
     recordAnswer(viewer, tuneIn, answerLost ? "swallowed" : "plays");
-    viewer.startedAt(this);
+    viewer.setCurrentBox(this);
     if (!answerLost) {
       send(endpoint, message("STARTED", tag, -1, "made for " + tag));
     }
@@ -436,7 +437,7 @@
     ActiveViewing viewing = new ActiveViewing(viewer);
     activeViewings.put(viewer.tag(), viewing);
     setRung(viewing, rung);
-    viewer.startedAt(this);
+    viewer.setCurrentBox(this);
     clock.scheduleAfter(viewer.remaining(), () -> completeViewing(viewer.tag(), viewing));
   }
 
@@ -483,8 +484,7 @@
     if (viewing != null) {
       releaseRate(viewing).viewingCut(this);
     }
-    // The end is recorded again on arrival, since the set-up itself may have arrived just before
-    // it.
+    // The end is recorded again on arrival: the set-up itself may have arrived just before it.
     recorder.record(
         "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
   }
--- a/src/main/java/linengauge/rehearsal/DiscoveryModel.java
+++ b/src/main/java/linengauge/rehearsal/DiscoveryModel.java
@@ -19,7 +19,7 @@
   private record Subscriber(SimulatedConnection.Endpoint endpoint, int front) {}
 
   private final VirtualClock clock;
-  private final TrafficRecorder ledger;
+  private final TrafficRecorder recorder;
   private final SimulatedProcess process;
   private final List<byte[]> events = new ArrayList<>();
   private final Map<Long, byte[]> latestRecords = new LinkedHashMap<>();
@@ -28,10 +28,10 @@
 
   private final String zonePrefix;
 
-  DiscoveryModel(VirtualClock clock, TrafficRecorder ledger, String zonePrefix) {
+  DiscoveryModel(VirtualClock clock, TrafficRecorder recorder, String zonePrefix) {
     this.zonePrefix = zonePrefix;
     this.clock = clock;
-    this.ledger = ledger;
+    this.recorder = recorder;
     this.process = SimulatedProcess.instantaneous(clock);
     scheduleKeepAlive();
   }
@@ -100,7 +100,7 @@
 
   private void send(Subscriber subscriber, byte[] event) {
     ByteBuffer buffer = ByteBuffer.wrap(event);
-    ledger.record(
+    recorder.record(
         "told",
         "front",
         subscriber.front,
@@ -130,14 +130,15 @@
 
   /** The value of `known` in the configuration of a front that starts now. */
   String knownState() {
-    StringBuilder rows = new StringBuilder();
+    StringBuilder targets = new StringBuilder();
     latestRecords
         .values()
         .forEach(
             encoded -> {
               ByteBuffer buffer = ByteBuffer.wrap(encoded);
               if (buffer.get(10) < 2) {
-                rows.append(rows.length() == 0 ? "" : ",")
+                targets
+                    .append(targets.length() == 0 ? "" : ",")
                     .append(
                         String.format(
                             "{\"uid\":\"s-%08x\",\"endpoint\":\"%d.%d.%d.%d:%d\","
@@ -158,6 +159,6 @@
             });
     return String.format(
         "{\"pos\":%d,\"entries\":[{\"pos\":%d,\"hosts\":{\"rev\":%d,\"all\":true,\"targets\":[%s]}}]}",
-        events.size(), events.size(), events.size(), rows);
+        events.size(), events.size(), events.size(), targets);
   }
 }
--- a/src/main/java/linengauge/rehearsal/FleetSimulation.java
+++ b/src/main/java/linengauge/rehearsal/FleetSimulation.java
@@ -23,8 +23,8 @@
  * Simulates a fleet of the platform's fronts in virtual time, with all randomness from one seed.
  * The fronts run the production code (listener, connections, core, module) on a model of the
  * network, among models of boxes, viewers and the discovery service. {@link Judge} checks the
- * traffic record of these models; the counts cover the whole fleet. Figures hold for the model
- * only, not for real hardware.
+ * traffic record of these models; the counts cover the whole fleet. The figures are those of the
+ * model.
  */
 public final class FleetSimulation {
   static final double[] LADDER_KB = {240, 420, 730, 1270, 2200};
@@ -548,9 +548,9 @@
     scheduleArrivals(until);
     scheduleAccounting(until, 0);
     clock.runUntil(start.plus(size.length().times(0.5)));
-    List<PlatformFront.Figures> halfWay = figures();
+    List<PlatformFront.Figures> figuresHalfWay = figures();
     clock.runUntil(until);
-    List<PlatformFront.Figures> atTheEnd = figures();
+    List<PlatformFront.Figures> figuresAtLastArrival = figures();
     Map<String, Double> counts = new LinkedHashMap<>(recorder.counts());
     clock.runUntil(until.plus(SETTLING_DURATION));
     for (SimulatedFront front : simulatedFronts) {
@@ -562,8 +562,8 @@
         counts,
         longestTurn,
         recorder.lines(),
-        halfWay,
-        atTheEnd,
+        figuresHalfWay,
+        figuresAtLastArrival,
         figures());
   }
 
@@ -597,7 +597,7 @@
   private void scheduleAccounting(Moment until, int number) {
     if (clock.now().before(until)) {
       viewers.countWanted(ACCOUNTING_INTERVAL);
-      boxes.forEach(b -> b.serve(ACCOUNTING_INTERVAL, number % 4 == 0));
+      boxes.forEach(box -> box.serve(ACCOUNTING_INTERVAL, number % 4 == 0));
       clock.scheduleAfter(ACCOUNTING_INTERVAL, () -> scheduleAccounting(until, number + 1));
     }
   }
--- a/src/main/java/linengauge/rehearsal/NetworkModel.java
+++ b/src/main/java/linengauge/rehearsal/NetworkModel.java
@@ -104,7 +104,7 @@
   }
 
   /** Breaks all connections of a process that has died; the other ends are notified. */
-  void breakConnections(String process, Consumer<SimulatedConnection> each) {
+  void breakConnections(String process, Consumer<SimulatedConnection> action) {
     connections.forEach(
         (route, routeConnections) -> {
           String[] routeEnds = route.split(" ");
@@ -112,7 +112,7 @@
           if (atClient || routeEnds[1].equals(process)) {
             for (SimulatedConnection connection : routeConnections) {
               connection.processDied(atClient ? connection.clientEnd() : connection.serverEnd());
-              each.accept(connection);
+              action.accept(connection);
             }
             routeConnections.clear();
           }
--- a/src/main/java/linengauge/rehearsal/SimulatedConnection.java
+++ b/src/main/java/linengauge/rehearsal/SimulatedConnection.java
@@ -97,6 +97,7 @@
     transmit(end.process, other::notifyClosed);
   }
 
+  /** One end of the connection; closing either end notifies the other after the latency. */
   final class Endpoint implements Net.Connection {
     private final SimulatedProcess process;
     private final String name;
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -208,7 +208,7 @@
       return tuneIns++;
     }
 
-    void startedAt(BoxModel box) {
+    void setCurrentBox(BoxModel box) {
       currentBox = box;
     }
 
@@ -480,8 +480,8 @@
 
   private Viewer drawViewer(int front) {
     double draw = random.nextDouble();
-    int title =
-        (int) (FleetSimulation.TITLE_COUNT * draw * draw); // Low numbers are requested more often.
+    // Low numbers are requested more often.
+    int title = (int) (FleetSimulation.TITLE_COUNT * draw * draw);
     Span length = Span.ofSeconds(-12 * Math.log(1 - random.nextDouble()) + 1);
     Viewer viewer = new Viewer(front, title, random.nextDouble() < 0.3, length);
     wantingViewers.add(viewer);
--- a/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetSimulationTest.java
@@ -21,7 +21,7 @@
  * their peers.
  */
 class FleetSimulationTest {
-  private static FleetSimulation.Outcome run(Scenario scenario, double viewersASecond, long seed)
+  private static FleetSimulation.Outcome run(Scenario scenario, double viewersPerSecond, long seed)
       throws Exception {
     FleetSimulation.Size standard = FleetSimulation.Size.standard();
     return scenario
@@ -30,7 +30,7 @@
                 standard.fronts(),
                 standard.boxes(),
                 standard.length(),
-                viewersASecond,
+                viewersPerSecond,
                 standard.firstStepCost(),
                 standard.warmStepCost(),
                 standard.stepsUntilWarm()),
@@ -79,7 +79,8 @@
             standard.stepsUntilWarm());
     FleetSimulation.Names standardNames = FleetSimulation.Names.standard();
     FleetSimulation.Names otherNames =
-        new FleetSimulation.Names("review", "lesson", "hall-", n -> 0xfff00000L - n * 7919L);
+        new FleetSimulation.Names(
+            "review", "lesson", "hall-", number -> 0xfff00000L - number * 7919L);
     List<String> record = scenario.simulation(size, 6, standardNames).run().record();
     List<String> renamedRecord = scenario.simulation(size, 6, otherNames).run().record();
     assertEquals(record.size(), renamedRecord.size());
@@ -108,20 +109,20 @@
   }
 
   /**
-   * Guards against reconnects of all fronts to silent boxes that add up: one new connection to each
-   * silent box every 2.5 s makes five connections a request.
+   * Guards against connections to silent boxes that add up over all fronts: one new connection of
+   * each front to each silent box every 2.5 s makes five connections a viewing.
    */
   @Test
   void withoutFaultsConnectionsAndProbesPerRequestStayBounded() throws Exception {
     FleetSimulation.Outcome outcome = run(Scenario.CALM, 110, 2);
     assertTrue(outcome.count("connections") < 0.8 * outcome.count("asked"), outcome.summary());
     assertTrue(outcome.count("tests") < 1.5 * outcome.count("asked"), outcome.summary());
-    assertEquals(60, outcome.count("calls for the list"), "one a front");
+    assertEquals(60, outcome.count("calls for the list"), "one per front");
   }
 
   /**
-   * Guards against a charge for discovery that is too high: starts that alternate between the
-   * lowest rung and the top then serve only 0.54 of the demand.
+   * Guards against updates that are charged too much: starts that alternate between the lowest rung
+   * and the top then serve only 0.54 of the demand.
    */
   @Test
   void underHighLoadNewViewingsGetTheirShare() throws Exception {
@@ -152,7 +153,7 @@
       int atLastArrival = outcome.figuresAtLastArrival().stream().mapToInt(table).sum();
       assertTrue(
           halfWay > 0 && atLastArrival <= 1.5 * halfWay + 6,
-          halfWay + " half way, " + atLastArrival + " at the end");
+          halfWay + " half way, " + atLastArrival + " at the last arrival");
     }
     for (ToIntFunction<Figures> table :
         List.<ToIntFunction<Figures>>of(
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -156,10 +156,10 @@
    * Some leave at once: by a cancellation right behind the request, or by closing the connection.
    */
   private void abandonSome(Connection connection, SoakRequest request) throws IOException {
-    int outcome = random.nextInt(40);
-    if (outcome == 0) {
+    int choice = random.nextInt(40);
+    if (choice == 0) {
       cancel(connection, request);
-    } else if (outcome == 1) {
+    } else if (choice == 1) {
       closeFromClient(connection);
     }
   }
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -101,10 +101,10 @@
       target.server.faults(healthy());
     }
     clients.forEach(SoakClients::stopSending);
-    Thread.sleep(
-        terms.deadlineMs() + 4000); // Until the last answers and the ends of the last sessions.
+    // Until the last answers have come and the last sessions have ended.
+    Thread.sleep(terms.deadlineMs() + 4000);
     Thread.sleep(SETTLING_MS);
-    List<String> standing = orphanedRequests();
+    List<String> orphaned = orphanedRequests();
     for (SoakFront front : fronts) {
       front.requestStop();
     }
@@ -117,7 +117,7 @@
     clients.forEach(SoakClients::stop);
     List<SoakRequest> requests = new ArrayList<>();
     clients.forEach(frontClients -> requests.addAll(frontClients.requests()));
-    SoakJudge.Observations day =
+    SoakJudge.Observations observations =
         new SoakJudge.Observations(
             terms,
             fronts,
@@ -127,9 +127,9 @@
             discovery.removals(),
             discovery.outages(),
             discoveryMoves,
-            standing,
+            orphaned,
             endedAt);
-    List<String> violations = SoakJudge.judge(day);
+    List<String> violations = SoakJudge.judge(observations);
     violations.addAll(limitViolations);
     violations.addAll(loggedCrashes());
     writeScript(requests);
@@ -163,7 +163,7 @@
     clients.forEach(
         frontClients ->
             frontClients.requests().forEach(request -> byTag.put(request.tag, request)));
-    List<String> standing = new ArrayList<>();
+    List<String> orphaned = new ArrayList<>();
     for (ListedServer target : listedServers) {
       for (String tag : target.server.open()) {
         SoakRequest request = byTag.get(tag);
@@ -172,11 +172,11 @@
             && !wanted
             && !request.abandonedByClose
             && !frontWasKilledMeanwhile(request)) {
-          standing.add(tag + " at " + target.server.id() + ", " + request);
+          orphaned.add(tag + " at " + target.server.id() + ", " + request);
         }
       }
     }
-    return standing;
+    return orphaned;
   }
 
   /**
@@ -395,13 +395,13 @@
     int number = ++lastServerNumber;
     String id = String.format("s-%08x", number);
     FaultyServer server = new FaultyServer(id, backgroundRandom.nextLong(), port, healthy());
-    ListedServer target = new ListedServer(server, number, number % CELLS, startedMs);
+    ListedServer added = new ListedServer(server, number, number % CELLS, startedMs);
     servers.add(server);
-    listedServers.add(target);
+    listedServers.add(added);
     if (startedMs > 0) {
       coldSince.put(id, FaultyServer.nowMicros());
     }
-    publish(target, 0);
+    publish(added, 0);
   }
 
   private void publish(ListedServer target, int state) {
--- a/src/test/java/linengauge/soak/SoakDiscovery.java
+++ b/src/test/java/linengauge/soak/SoakDiscovery.java
@@ -25,7 +25,10 @@
   /** A server that was reported as draining or removed, and when the event was stored. */
   record Removal(String server, long recordedAt) {}
 
-  /** A span in which the service did not report what it had stored; lasting unless it was a cut. */
+  /**
+   * A span in which the service did not report what it had stored; it is not lasting where only the
+   * streams were cut within an event.
+   */
   record Outage(long from, long until, boolean lasting) {}
 
   private final SplittableRandom random;
@@ -70,21 +73,21 @@
   private void accept(ServerSocket serverSocket) {
     try {
       while (true) {
-        Socket reader = serverSocket.accept();
-        start(() -> serve(reader));
+        Socket subscriber = serverSocket.accept();
+        start(() -> serve(subscriber));
       }
     } catch (IOException e) {
       // The listener is closed.
     }
   }
 
-  private void serve(Socket reader) {
+  private void serve(Socket subscriber) {
     try {
-      long last = new DataInputStream(reader.getInputStream()).readLong();
+      long last = new DataInputStream(subscriber.getInputStream()).readLong();
       synchronized (this) {
-        subscribers.add(reader);
+        subscribers.add(subscriber);
         for (int number = (int) Math.max(0, last); number < frames.size() && !silent; number++) {
-          reader.getOutputStream().write(frames.get(number));
+          subscriber.getOutputStream().write(frames.get(number));
         }
       }
     } catch (IOException e) {
@@ -116,11 +119,11 @@
     if (silent) {
       return;
     }
-    for (Socket reader : subscribers) {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.getOutputStream().write(bytes);
+        subscriber.getOutputStream().write(bytes);
       } catch (IOException e) {
-        subscribers.remove(reader);
+        subscribers.remove(subscriber);
       }
     }
   }
@@ -146,10 +149,10 @@
   private void sendTruncated(byte[] frame) {
     long now = FaultyServer.nowMicros();
     outages.add(new Outage(now, now, false));
-    for (Socket reader : subscribers) {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.getOutputStream().write(frame, 0, frame.length / 2);
-        reader.close();
+        subscriber.getOutputStream().write(frame, 0, frame.length / 2);
+        subscriber.close();
       } catch (IOException e) {
         // The front has closed the connection.
       }
@@ -189,9 +192,9 @@
   }
 
   private void closeSubscribers() {
-    for (Socket reader : subscribers) {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.close();
+        subscriber.close();
       } catch (IOException e) {
         // The socket is closed already.
       }
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -86,9 +86,9 @@
     process.onExit().thenAccept(exited -> recordExit(run, exited.exitValue()));
   }
 
-  private void recordExit(ProcessRun run, int exit) {
+  private void recordExit(ProcessRun run, int exitCode) {
     run.endedAt = FaultyServer.nowMicros();
-    run.exitCode = exit;
+    run.exitCode = exitCode;
   }
 
   boolean isAlive() {
--- a/src/test/java/linengauge/soak/SoakJudge.java
+++ b/src/test/java/linengauge/soak/SoakJudge.java
@@ -51,7 +51,7 @@
 
   private SoakJudge(Observations observations) {
     this.observed = observations;
-    observations.requests.forEach(r -> byTag.put(r.tag, r));
+    observations.requests.forEach(request -> byTag.put(request.tag, request));
     for (FaultyServer server : observations.servers) {
       for (Attempt attempt : server.attempts()) {
         attempts.computeIfAbsent(attempt.request, tag -> new ArrayList<>()).add(attempt);
@@ -182,9 +182,9 @@
       addViolation(
           "duplicates",
           request.tag,
-          "out at "
+          "open at "
               + earlier.server
-              + " as it was set up at "
+              + " while it was set up at "
               + later.server
               + ", for "
               + (earlier.outUntil == Long.MAX_VALUE
@@ -192,7 +192,8 @@
                   : elapsed(later.arrivedAt, earlier.outUntil)));
     }
     if (request.paid && !earlier.neverRan) {
-      addViolation("duplicates", request.tag, "set up again though it may have run");
+      addViolation(
+          "duplicates", request.tag, "set up again though an earlier attempt may have run");
     }
   }
 
@@ -255,8 +256,8 @@
       if (since == null) {
         continue;
       }
-      long reportedAt =
-          latestReportTime(since); // Only set-ups by fronts that know the server count.
+      // Only set-ups by fronts that must know the server by then count.
+      long reportedAt = latestReportTime(since);
       List<Long> window = new ArrayList<>();
       for (Attempt attempt : server.attempts()) {
         long age = attempt.arrivedAt - since;
@@ -316,11 +317,15 @@
   private void judgeRetry(SoakFront front, SoakFront.ProcessRun run, List<Long> soFar) {
     long at = soFar.get(soFar.size() - 1);
     long from = at - SoakTerms.RETRY_SPAN_MS * MILLISECOND;
-    long made = soFar.stream().filter(r -> r > from + SLACK).count();
+    long made = soFar.stream().filter(retriedAt -> retriedAt > from + SLACK).count();
     long taken =
         observed.requests.stream()
-            .filter(r -> r.front == front.number && !r.notConnected && run.isAliveAt(r.sentAt))
-            .filter(r -> r.sentAt > from - SLACK && r.sentAt <= at + SLACK)
+            .filter(
+                request ->
+                    request.front == front.number
+                        && !request.notConnected
+                        && run.isAliveAt(request.sentAt))
+            .filter(request -> request.sentAt > from - SLACK && request.sentAt <= at + SLACK)
             .count();
     double allowed = SoakTerms.FREE_RETRIES + SoakTerms.RETRY_RATIO * taken;
     if (made > allowed) {
