--- a/src/main/java/linengauge/rehearsal/FleetSimulation.java
+++ b/src/main/java/linengauge/rehearsal/FleetSimulation.java
@@ -21,10 +21,9 @@
 
 /**
  * Simulates a fleet of the platform's fronts in virtual time, with all randomness from one seed.
- * The fronts run the production code (listener, connections, core, module) on a model of the
- * network, among models of boxes, viewers and the discovery service. {@link Judge} checks the
- * traffic record of these models; the counts cover the whole fleet. The figures are those of the
- * model.
+ * The fronts run the production code (listener, connections, core, module) among models of the
+ * network, boxes, viewers and discovery. {@link Judge} checks the traffic record of these models;
+ * the counts cover the whole fleet. The figures are those of the model.
  */
 public final class FleetSimulation {
   static final double[] LADDER_KB = {240, 420, 730, 1270, 2200};
@@ -265,9 +264,7 @@
     return boxes.stream().filter(box -> box.cell() == cell && box.isUp()).findFirst().orElseThrow();
   }
 
-  /**
-   * The front that a viewer reaches: the wanted one, or another while that one is out of service.
-   */
+  /** The preferred front of a viewer, or another one while that is out of service. */
   int drawReachableFront(int preferred, SplittableRandom source) {
     int front = preferred;
     for (int i = 0; i < 50 && !simulatedFronts.get(front).inService; i++) {
@@ -389,10 +386,7 @@
     }
   }
 
-  /**
-   * Puts a front in service that has passed its first test: viewers reach it, and the viewings that
-   * it held before its restart are handed over to it.
-   */
+  /** Sends viewers to a front that has passed its first test, and hands its old viewings over. */
   void putInService(int number) {
     if (!simulatedFronts.get(number).inService) {
       simulatedFronts.get(number).inService = true;
@@ -504,10 +498,7 @@
     clock.scheduleAfter(span, restore);
   }
 
-  /**
-   * Delays the reports of discovery from now on. During the span the given share of the boxes'
-   * answers is lost, and connections are reset.
-   */
+  /** Delays discovery from now on; in the span, resets connections and loses some answers. */
   public void degradeNetwork(Span newReportDelay, double lossRate, Span span) {
     discovery.setReportDelay(newReportDelay);
     answerLossRate = lossRate;
