--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -22,7 +22,7 @@
     subcommands = {
       Commands.Front.class,
       Commands.SiteCommand.class,
-      Drills.class,
+      DrillCommands.class,
       ControlCommand.class,
       ScaleCommands.class,
       Commands.Serve.class,
--- a/src/main/java/linengauge/cli/ControlCommand.java
+++ b/src/main/java/linengauge/cli/ControlCommand.java
@@ -13,7 +13,7 @@
 import linengauge.consensus.RaftSettings;
 import linengauge.consensus.tcp.ConsensusNode;
 import linengauge.consensus.tcp.ConsensusStore;
-import linengauge.drill.FoundingStore;
+import linengauge.drill.VoterStores;
 import linengauge.lease.ControlMachine;
 import linengauge.lease.DirectoryEntry;
 import linengauge.lease.LeaseSettings;
@@ -80,7 +80,7 @@
     ConsensusStore opened =
         store == null
             ? null
-            : FoundingStore.open(store, key, number, voters, founds, new MemberDirectory(lease));
+            : VoterStores.open(store, key, number, voters, founds, new MemberDirectory(lease));
     CountDownLatch ends = new CountDownLatch(1);
     CountDownLatch ended = new CountDownLatch(1);
     Runtime.getRuntime().addShutdownHook(new Thread(() -> endInOrder(ends, ended), "end"));
--- a/src/main/java/linengauge/cli/Drills.java
+++ b/src/main/java/linengauge/cli/DrillCommands.java
@@ -10,15 +10,15 @@
 import linengauge.drill.ConsensusProcess;
 import linengauge.drill.ControlProcess;
 import linengauge.drill.DayDrill;
+import linengauge.drill.DayImporter;
 import linengauge.drill.DayScript;
 import linengauge.drill.ExploreDrill;
 import linengauge.drill.FailoverDrill;
-import linengauge.drill.Importer;
 import linengauge.drill.LeaseProcess;
 import linengauge.drill.MemberProcess;
 import linengauge.drill.RelayDrill;
 import linengauge.drill.Report;
-import linengauge.drill.SlowDrill;
+import linengauge.drill.SlowPeersDrill;
 import linengauge.drill.TryOut;
 import linengauge.lease.ControlMachine;
 import linengauge.membership.Member;
@@ -37,7 +37,7 @@
     name = "drill",
     mixinStandardHelpOptions = true,
     description = "Proofs on loopback: troubles acted out, rules judged from the traffic.")
-final class Drills implements Callable<Integer> {
+final class DrillCommands implements Callable<Integer> {
   @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -166,7 +166,7 @@
     }
     ways.log.apply();
     return ways.done(
-        new SlowDrill(ways.seed, brief, guards.equals("on"), only, ways.traffic).run());
+        new SlowPeersDrill(ways.seed, brief, guards.equals("on"), only, ways.traffic).run());
   }
 
   @Command(
@@ -286,7 +286,7 @@
               paramLabel = "DAY.json5")
           Path script)
       throws IOException {
-    Importer.Imported got = Importer.read(Files.readAllBytes(drawn));
+    DayImporter.Imported got = DayImporter.read(Files.readAllBytes(drawn));
     Files.writeString(script, "// From " + drawn.getFileName() + ".\n" + got.script());
     got.changes().forEach(c -> System.out.println("changed: " + c));
     try {
--- a/src/main/java/linengauge/drill/ConsensusProcess.java
+++ b/src/main/java/linengauge/drill/ConsensusProcess.java
@@ -172,7 +172,7 @@
   }
 
   private ConsensusStore open(Start s, byte[] key) throws IOException, SaveFailedException {
-    return FoundingStore.open(s.store(), key, s.number(), s.voters(), s.founds(), new Texts(false));
+    return VoterStores.open(s.store(), key, s.number(), s.voters(), s.founds(), new Texts(false));
   }
 
   private void line(String what, String rest) {
--- a/src/main/java/linengauge/drill/ControlProcess.java
+++ b/src/main/java/linengauge/drill/ControlProcess.java
@@ -73,7 +73,7 @@
     ConsensusStore store =
         start.store() == null
             ? null
-            : FoundingStore.open(
+            : VoterStores.open(
                 start.store(),
                 key,
                 start.number(),
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -53,7 +53,7 @@
     String name = "pass " + (number + 1) + (paid.isEmpty() ? "" : " (" + paid + " paid at set-up)");
     SplittableRandom seeds = new SplittableRandom(seed + 1_000_003L * number);
     List<String> record;
-    try (Grounds g = new Grounds(day, paid, seeds.nextLong())) {
+    try (TestFleet g = new TestFleet(day, paid, seeds.nextLong())) {
       record = play(report, name, g, seeds);
     }
     if (traffic != null) {
@@ -67,14 +67,14 @@
   }
 
   /** Plays the day; the record of it. */
-  private List<String> play(Report report, String name, Grounds g, SplittableRandom seeds)
+  private List<String> play(Report report, String name, TestFleet g, SplittableRandom seeds)
       throws IOException, InterruptedException {
     g.open();
     long heap = 0;
     for (FrontProcess p : g.fronts) {
       heap = Math.max(heap, p.heap());
     }
-    Troubles troubles = new Troubles(g, seeds.nextLong());
+    FaultInjector troubles = new FaultInjector(g, seeds.nextLong());
     SplittableRandom arrivals = seeds.split();
     long began = System.nanoTime();
     g.onBoxes(
@@ -128,7 +128,7 @@
    * answered.
    */
   private void arrive(
-      Grounds g, Troubles troubles, SplittableRandom chance, long began, double at) {
+      TestFleet g, FaultInjector troubles, SplittableRandom chance, long began, double at) {
     double rate =
         Math.max(0.05, day.traffic().perSecond() * day.traffic().times(at) * troubles.arrivals());
     double next = at - Math.log(1 - chance.nextDouble()) / rate;
@@ -148,7 +148,7 @@
    * After the day nothing may be left: in the registries, routes and streams of the fronts, and at
    * the boxes.
    */
-  private void settle(Report report, String name, Grounds g, long heapBefore)
+  private void settle(Report report, String name, TestFleet g, long heapBefore)
       throws IOException, InterruptedException {
     long until = System.nanoTime() + 20_000_000_000L;
     List<String> left;
@@ -178,7 +178,7 @@
   }
 
   /** What is left now of viewers and viewings. */
-  private static List<String> left(Grounds g) throws IOException, InterruptedException {
+  private static List<String> left(TestFleet g) throws IOException, InterruptedException {
     List<String> left = new ArrayList<>();
     if (g.crowd.present() > 0) {
       left.add(g.crowd.present() + " viewers");
@@ -215,7 +215,7 @@
         + state.path("listGaps");
   }
 
-  private void figures(Report report, String name, Grounds g) {
+  private void figures(Report report, String name, TestFleet g) {
     PlayerCrowd.Figures f = g.crowd.figures();
     report.figure(
         name + ": requests",
--- a/src/main/java/linengauge/drill/Importer.java
+++ b/src/main/java/linengauge/drill/DayImporter.java
@@ -15,7 +15,7 @@
  * bears. Sizes are scaled; proportions (load, parts hit, durations, rules) stay. Every change is
  * told.
  */
-public final class Importer {
+public final class DayImporter {
   private static final int MOST_BOXES = 12;
   private static final int MOST_FRONTS = 3;
 
@@ -28,7 +28,7 @@
   private final JsonNode day;
   private final List<String> said = new ArrayList<>();
 
-  private Importer(JsonNode day) {
+  private DayImporter(JsonNode day) {
     this.day = day;
   }
 
@@ -51,7 +51,7 @@
       throw new IOException(
           "not a drawn day of viewings: family, fam.rates, servers, balancers or troubles are missing");
     }
-    Importer i = new Importer(day);
+    DayImporter i = new DayImporter(day);
     String script = i.script();
     return new Imported(script, i.said);
   }
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -114,13 +114,15 @@
       for (int v = 0; v < FRONTS; v++) {
         doors.put(v + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + v));
       }
-      nodes.add(new SharedLan.Node(i, Ports.node(i), ports.get(i), ports.get(FRONTS + i), doors));
+      nodes.add(
+          new SharedLan.Node(i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), doors));
       shared.add(new SharedLan.Shared(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
     }
     int announcePort = ports.get(5 * FRONTS);
     List<String> record;
-    try (Grounds g =
-        new Grounds(day, "", seeds.nextLong(), ports, i -> site(i, nodes, announcePort, keyFile))) {
+    try (TestFleet g =
+        new TestFleet(
+            day, "", seeds.nextLong(), ports, i -> site(i, nodes, announcePort, keyFile))) {
       record = play(report, name, g, nodes, shared, announcePort, seeds);
     } finally {
       players.close();
@@ -136,7 +138,7 @@
   private List<String> play(
       Report report,
       String name,
-      Grounds g,
+      TestFleet g,
       List<SharedLan.Node> nodes,
       List<SharedLan.Shared> shared,
       int announcePort,
@@ -221,7 +223,7 @@
     return s;
   }
 
-  private PlayerCrowd crowd(Grounds g, SharedLan lan, SharedLan.Shared at, long chance) {
+  private PlayerCrowd crowd(TestFleet g, SharedLan lan, SharedLan.Shared at, long chance) {
     PlayerCrowd crowd =
         new PlayerCrowd(
             players,
@@ -250,7 +252,7 @@
 
   /** One trouble to the holder of one address, what its viewers saw of it, and quiet again. */
   private void round(
-      Grounds g, SharedLan lan, List<PlayerCrowd> crowds, Trouble t, SplittableRandom seeds)
+      TestFleet g, SharedLan lan, List<PlayerCrowd> crowds, Trouble t, SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
     Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
@@ -283,7 +285,7 @@
   }
 
   /** Does that to a front for as long as it takes others to see it. */
-  private void act(Grounds g, SharedLan lan, Trouble t, int node, long freeze)
+  private void act(TestFleet g, SharedLan lan, Trouble t, int node, long freeze)
       throws IOException, InterruptedException {
     FrontProcess front = g.fronts.get(node);
     long lasts = 2000 + 5 * down();
@@ -322,7 +324,7 @@
   }
 
   /** The better front for the first address dies and comes back, again and again. */
-  private void flap(Report report, String name, Grounds g, List<PlayerCrowd> crowds)
+  private void flap(Report report, String name, TestFleet g, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
     FrontProcess front = g.fronts.get(0);
     long from = g.tap.micros();
@@ -370,7 +372,7 @@
    * is killed.
    */
   private void surge(
-      Report report, String name, Grounds g, List<SharedLan.Node> nodes, List<PlayerCrowd> crowds)
+      Report report, String name, TestFleet g, List<SharedLan.Node> nodes, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
     Context loop = players.getOrCreateContext();
     long[] timers = {-1};
@@ -434,7 +436,7 @@
     return sent;
   }
 
-  private long handovers(Grounds g) throws IOException {
+  private long handovers(TestFleet g) throws IOException {
     try {
       return Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000).handovers;
     } catch (BadRecord e) {
@@ -442,7 +444,7 @@
     }
   }
 
-  private void lateness(Report report, String name, Grounds g) throws IOException {
+  private void lateness(Report report, String name, TestFleet g) throws IOException {
     for (FrontProcess p : g.fronts) {
       JsonNode v = p.state().path("vrrp");
       report.figure(
--- a/src/main/java/linengauge/drill/Troubles.java
+++ b/src/main/java/linengauge/drill/FaultInjector.java
@@ -14,8 +14,8 @@
  * Acts out the troubles of a day on the stand-ins and front processes, each drawn from the day's
  * seed.
  */
-final class Troubles {
-  private final Grounds grounds;
+final class FaultInjector {
+  private final TestFleet grounds;
   private final SplittableRandom chance;
 
   /** Threads that signal or restart front processes; each ends with its trouble. */
@@ -31,7 +31,7 @@
 
   private double bursting = 1;
 
-  Troubles(Grounds grounds, long seed) {
+  FaultInjector(TestFleet grounds, long seed) {
     this.grounds = grounds;
     this.chance = new SplittableRandom(seed);
   }
--- a/src/main/java/linengauge/drill/Ports.java
+++ b/src/main/java/linengauge/drill/Ports.java
@@ -29,7 +29,7 @@
    *
    * @throws IOException where the system gives only one loopback address
    */
-  public static String node(int number) throws IOException {
+  public static String nodeAddress(int number) throws IOException {
     String[] n = HOST.split("[.]");
     if (HOST.equals(COMMON)) {
       throw new IOException(
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -30,7 +30,7 @@
  * follows. What the healthy saw is compared within the run, who was let go is told by the slow
  * players' own sockets, and the six rules are judged from the traffic.
  */
-public final class SlowDrill {
+public final class SlowPeersDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long WAITING_BYTES = 60_000_000;
 
@@ -59,7 +59,7 @@
   private final Vertx players = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
   /** The slow thousand is a mixture, or all of one way where one is given. */
-  public SlowDrill(long seed, boolean brief, boolean guards, Way only, Path traffic) {
+  public SlowPeersDrill(long seed, boolean brief, boolean guards, Way only, Path traffic) {
     this.only = only;
     this.seed = seed;
     this.brief = brief;
@@ -80,7 +80,7 @@
       throw new IOException(e);
     }
     List<String> record;
-    try (Grounds g = new Grounds(day, "", seeds.nextLong(), List.of(), i -> site())) {
+    try (TestFleet g = new TestFleet(day, "", seeds.nextLong(), List.of(), i -> site())) {
       g.open(
           "-Xmx96m",
           "-Xms96m",
@@ -121,11 +121,11 @@
   }
 
   /** Healthy viewers over a span; the same seed brings the same viewers at the same moments. */
-  private PlayerCrowd healthy(Grounds g, long arrivals, long spanMs) {
+  private PlayerCrowd healthy(TestFleet g, long arrivals, long spanMs) {
     return healthy(g, arrivals, spanMs, g.day.traffic().perSecond());
   }
 
-  private PlayerCrowd healthy(Grounds g, long arrivals, long spanMs, double perSecond) {
+  private PlayerCrowd healthy(TestFleet g, long arrivals, long spanMs, double perSecond) {
     DayScript.Wanted p = g.day.packages().get(0);
     Context loop = players.getOrCreateContext();
     PlayerCrowd crowd =
@@ -154,7 +154,7 @@
     }
   }
 
-  private void play(Report report, Grounds g, SplittableRandom seeds)
+  private void play(Report report, TestFleet g, SplittableRandom seeds)
       throws IOException, InterruptedException {
     long span = brief ? 8000 : 20_000;
     int thousand = brief ? 400 : 1000;
@@ -350,7 +350,7 @@
    * again.
    */
   private void stop(
-      Report report, Grounds g, FrontProcess front, SlowCrowd crowd, int many, long arrivals)
+      Report report, TestFleet g, FrontProcess front, SlowCrowd crowd, int many, long arrivals)
       throws IOException, InterruptedException {
     crowd.come(Way.WEAK, many, 2000);
     Thread.sleep(6000);
--- a/src/main/java/linengauge/drill/Grounds.java
+++ b/src/main/java/linengauge/drill/TestFleet.java
@@ -32,7 +32,7 @@
  * The grounds of one pass of a day: stand-ins in this process, fronts in processes of their own,
  * all on loopback.
  */
-final class Grounds implements AutoCloseable {
+final class TestFleet implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   final DayScript day;
@@ -53,12 +53,13 @@
   private final SplittableRandom seeds;
   private final IntFunction<ObjectNode> more;
 
-  Grounds(DayScript day, String paid, long seed) throws IOException {
+  TestFleet(DayScript day, String paid, long seed) throws IOException {
     this(day, paid, seed, List.of(), i -> JSON.createObjectNode());
   }
 
   /** With ports that are spoken for, and more for each front's site file, by room and key. */
-  Grounds(DayScript day, String paid, long seed, List<Integer> taken, IntFunction<ObjectNode> more)
+  TestFleet(
+      DayScript day, String paid, long seed, List<Integer> taken, IntFunction<ObjectNode> more)
       throws IOException {
     this.day = day;
     this.more = more;
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -14,7 +14,7 @@
   /** Runs for so many seconds, or until the process is ended; the fronts go with it. */
   public static void run(DayScript day, int seconds, PrintStream out)
       throws IOException, InterruptedException {
-    try (Grounds g = new Grounds(day, "", 1)) {
+    try (TestFleet g = new TestFleet(day, "", 1)) {
       g.open();
       for (PlayerCrowd.Door d : g.doors) {
         out.printf(
--- a/src/main/java/linengauge/drill/FoundingStore.java
+++ b/src/main/java/linengauge/drill/VoterStores.java
@@ -16,8 +16,8 @@
 import linengauge.consensus.tcp.ConsensusStore;
 
 /** A voter's store for trials: opened, or made where there is none yet. */
-public final class FoundingStore {
-  private FoundingStore() {}
+public final class VoterStores {
+  private VoterStores() {}
 
   /**
    * Opens it.
--- a/src/main/java/linengauge/drill/VrrpCost.java
+++ b/src/main/java/linengauge/drill/VrrpCost.java
@@ -28,8 +28,8 @@
     List<Integer> ports = Ports.free(2);
     List<InetSocketAddress> at =
         List.of(
-            new InetSocketAddress(Ports.node(2), ports.get(0)),
-            new InetSocketAddress(Ports.node(3), ports.get(1)));
+            new InetSocketAddress(Ports.nodeAddress(2), ports.get(0)),
+            new InetSocketAddress(Ports.nodeAddress(3), ports.get(1)));
     List<UdpNode> nodes = new ArrayList<>();
     try {
       for (int i = 0; i < 2; i++) {
--- a/src/main/java/linengauge/scale/hollow/HollowControl.java
+++ b/src/main/java/linengauge/scale/hollow/HollowControl.java
@@ -14,7 +14,7 @@
 import linengauge.consensus.SaveFailedException;
 import linengauge.consensus.tcp.ConsensusNode;
 import linengauge.consensus.tcp.ConsensusStore;
-import linengauge.drill.FoundingStore;
+import linengauge.drill.VoterStores;
 import linengauge.lease.DirectoryEntry;
 import linengauge.lease.MemberDirectory;
 import linengauge.lease.udp.ControlNode;
@@ -60,7 +60,7 @@
       return null;
     }
     try {
-      return FoundingStore.open(
+      return VoterStores.open(
           Path.of(spec.files().store()),
           key,
           spec.index(),
--- a/src/test/java/linengauge/drill/DrillTest.java
+++ b/src/test/java/linengauge/drill/DrillTest.java
@@ -42,16 +42,16 @@
             "see":900000,"tell":0,"worth":[0.2,0.6,1],"capacity":10,"life_s":20,"titles":30,"copies":0,
             "uses":[{"floor":1,"top":2,"scale":1.4,"seats":4}]}}""";
 
-  private static Importer.Imported drawn(String share, String effect) throws IOException {
+  private static DayImporter.Imported drawn(String share, String effect) throws IOException {
     String servers = "{\"kind\":0},".repeat(24);
-    return Importer.read(
+    return DayImporter.read(
         String.format(DRAWN, share, effect, servers.substring(0, servers.length() - 1))
             .getBytes(StandardCharsets.UTF_8));
   }
 
   @Test
   void aDrawnDayKeepsItsProportions() throws Exception {
-    Importer.Imported got = drawn("0.2", "unsafe");
+    DayImporter.Imported got = drawn("0.2", "unsafe");
     DayScript day = DayScript.parse("drawn", got.script().getBytes(StandardCharsets.UTF_8));
     assertEquals(12, day.fleet().boxes());
     assertEquals(3, day.fronts().count());
@@ -82,7 +82,7 @@
   @ValueSource(
       strings = {"", "[]", "{\"family\":\"proxy\"}", "{\"family\":\"streams\",\"troubles\":[]}"})
   void whatIsNoDrawnDayIsRefused(String text) {
-    assertThrows(IOException.class, () -> Importer.read(text.getBytes(StandardCharsets.UTF_8)));
+    assertThrows(IOException.class, () -> DayImporter.read(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -39,7 +39,7 @@
 
     private Partner(int port, int to) throws Exception {
       this.to = to;
-      socket = new DatagramSocket(port, InetAddress.getByName(Ports.node(1)));
+      socket = new DatagramSocket(port, InetAddress.getByName(Ports.nodeAddress(1)));
       socket.setSoTimeout(20);
       Thread t = new Thread(this::run, "partner");
       t.setDaemon(true);
@@ -47,7 +47,7 @@
     }
 
     private static NodeAddress address(int node) throws Exception {
-      return new NodeAddress(InetAddress.getByName(Ports.node(node)).getAddress());
+      return new NodeAddress(InetAddress.getByName(Ports.nodeAddress(node)).getAddress());
     }
 
     private void run() {
@@ -60,7 +60,8 @@
                     new Advert(9, says, Span.ofMillis(200), List.of(NodeAddress.of(192, 0, 2, 9))),
                     address(1),
                     address(0));
-            socket.send(new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), to));
+            socket.send(
+                new DatagramPacket(b, b.length, InetAddress.getByName(Ports.nodeAddress(0)), to));
           }
           socket.receive(in);
           heard.add(in.getData()[2] & 255);
@@ -80,11 +81,11 @@
 
   private static String vrrp(List<Integer> ports, String more) throws Exception {
     return "vrrp: { listen: '"
-        + Ports.node(0)
+        + Ports.nodeAddress(0)
         + ":"
         + ports.get(0)
         + "', partners: [ '"
-        + Ports.node(1)
+        + Ports.nodeAddress(1)
         + ":"
         + ports.get(1)
         + "' ], routers: [ { vrid: 9, priority: 100, advertMs: 200, preempt: true, accept: true, addresses: [ '192.0.2.9' ], "
--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -41,7 +41,7 @@
         throws IOException {
       List<Integer> ports = Ports.free(count);
       for (int i = 0; i < count; i++) {
-        at.add(new InetSocketAddress(Ports.node(i), ports.get(i)));
+        at.add(new InetSocketAddress(Ports.nodeAddress(i), ports.get(i)));
       }
       for (int i = 0; i < count; i++) {
         List<InetSocketAddress> others = new ArrayList<>(at);
@@ -182,7 +182,7 @@
       SplittableRandom chance = new SplittableRandom(1);
       // From the partner's own address, at another port: nothing but its bytes tells it from the
       // partner.
-      try (DatagramSocket as = new DatagramSocket(0, InetAddress.getByName(Ports.node(0)));
+      try (DatagramSocket as = new DatagramSocket(0, InetAddress.getByName(Ports.nodeAddress(0)));
           DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName(Ports.HOST))) {
         for (int i = 0; i < 60_000; i++) {
           byte[] bytes = new byte[8 + chance.nextInt(40)];
@@ -203,12 +203,12 @@
     boolean[] stuck = {false};
     g.close();
     List<Integer> ports = Ports.free(1);
-    InetSocketAddress at = new InetSocketAddress(Ports.node(0), ports.get(0));
+    InetSocketAddress at = new InetSocketAddress(Ports.nodeAddress(0), ports.get(0));
     try (UdpNode n =
         new UdpNode(
             new UdpTerms(
                 at,
-                List.of(new InetSocketAddress(Ports.node(1), 9)),
+                List.of(new InetSocketAddress(Ports.nodeAddress(1), 9)),
                 null,
                 null,
                 null,
