--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -15,18 +15,18 @@
 @Command(
     name = "linengauge",
     mixinStandardHelpOptions = true,
-    versionProvider = Commands.Version.class,
+    versionProvider = Commands.VersionProvider.class,
     description = "A session front for media boxes with shared links.",
     exitCodeListHeading = "Exit codes:%n",
     exitCodeList = {"0:done; what was to hold held", "1:failed", "2:wrong use"},
     subcommands = {
-      Commands.Front.class,
+      Commands.FrontCommand.class,
       Commands.SiteCommand.class,
       DrillCommands.class,
       ControlCommand.class,
       ScaleCommands.class,
-      Commands.Serve.class,
-      Commands.Wire.class
+      Commands.ServeCommand.class,
+      Commands.WireHostCommand.class
     })
 final class Commands implements Callable<Integer> {
   @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -35,7 +35,7 @@
     CommandLine line = new CommandLine(new Commands());
     line.setCaseInsensitiveEnumValuesAllowed(true);
     line.setExecutionExceptionHandler(
-        (e, l, r) -> {
+        (e, commandLine, parseResult) -> {
           System.err.println("linengauge: " + (e.getMessage() == null ? e : e.getMessage()));
           return 1;
         });
@@ -48,7 +48,7 @@
     return 2;
   }
 
-  static final class Version implements CommandLine.IVersionProvider {
+  static final class VersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
       String version = Commands.class.getPackage().getImplementationVersion();
@@ -57,19 +57,19 @@
   }
 
   /** How the log is written; to be called before the first logger is made. */
-  static final class LogForm {
+  static final class LogOptions {
     @Option(
         names = "--log",
         paramLabel = "FORM",
         defaultValue = "json",
         description = "log on standard error as 'json' lines or as 'text' (default: json)")
-    private String form;
+    private String format;
 
     void apply() {
-      if (!form.equals("json") && !form.equals("text")) {
-        throw new IllegalArgumentException("--log is 'json' or 'text', not '" + form + "'");
+      if (!format.equals("json") && !format.equals("text")) {
+        throw new IllegalArgumentException("--log is 'json' or 'text', not '" + format + "'");
       }
-      System.setProperty("logback.configurationFile", "linengauge/log-" + form + ".xml");
+      System.setProperty("logback.configurationFile", "linengauge/log-" + format + ".xml");
       System.setProperty("vertx.disableDnsResolver", "true");
     }
   }
@@ -78,7 +78,7 @@
       name = "front",
       mixinStandardHelpOptions = true,
       description = "Run a front until it is told to stop.")
-  static final class Front implements Callable<Integer> {
+  static final class FrontCommand implements Callable<Integer> {
     @Option(names = "--site", required = true, paramLabel = "FILE", description = "the site file")
     private Path file;
 
@@ -88,7 +88,7 @@
         description = "seed of its chances (default: the clock)")
     private Long seed;
 
-    @CommandLine.Mixin private LogForm log;
+    @CommandLine.Mixin private LogOptions log;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -120,11 +120,11 @@
         System.err.println("linengauge: cannot start: " + e.getCause().getMessage());
         Runtime.getRuntime().halt(1); // nothing is held yet that a stop in order would have to end
       }
-      String failed = front.await();
-      if (!failed.isEmpty()) {
-        System.err.println("linengauge: " + failed);
+      String failure = front.await();
+      if (!failure.isEmpty()) {
+        System.err.println("linengauge: " + failure);
       }
-      return failed.isEmpty() ? 0 : 1;
+      return failure.isEmpty() ? 0 : 1;
     }
   }
 
@@ -162,7 +162,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Run a front in the operators' platform, as the environment posts it (docs/operators/platform.md).")
-  static final class Serve implements Callable<Integer> {
+  static final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
       System.err.println("linengauge: serve stands alone on the command line");
@@ -174,7 +174,7 @@
       name = "wirehost",
       mixinStandardHelpOptions = true,
       description = "Decide for the fronts of a simulator, on standard input and output.")
-  static final class Wire implements Callable<Integer> {
+  static final class WireHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
       System.err.println("linengauge: wirehost stands alone on the command line");
--- a/src/main/java/linengauge/cli/ControlCommand.java
+++ b/src/main/java/linengauge/cli/ControlCommand.java
@@ -31,7 +31,7 @@
     mixinStandardHelpOptions = true,
     description = "Run a control machine: it keeps the fronts' leases beside its part in the log.")
 final class ControlCommand implements Callable<Integer> {
-  private static final int SHORTEST_KEY = 16;
+  private static final int MIN_KEY_BYTES = 16;
 
   @Option(names = "--number", required = true, description = "Its number: above all fronts'.")
   private int number;
@@ -58,7 +58,7 @@
   private Path store;
 
   @Option(names = "--found", description = "Make the folder that of a founding voter.")
-  private boolean founds;
+  private boolean founding;
 
   @Option(names = "--key-file", required = true, description = "The fleet's, of 16 bytes or more.")
   private Path keyFile;
@@ -66,37 +66,38 @@
   @Option(names = "--heartbeat-ms", defaultValue = "1000", description = "As the fronts have it.")
   private long heartbeatMs;
 
-  @CommandLine.Mixin private Commands.LogForm log;
+  @CommandLine.Mixin private Commands.LogOptions log;
 
   @Override
   public Integer call() throws Exception {
     log.apply();
     byte[] key =
         Files.readString(keyFile).strip().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    if (key.length < SHORTEST_KEY) {
+    if (key.length < MIN_KEY_BYTES) {
       throw new IllegalArgumentException(keyFile + " holds a key of fewer than 16 bytes");
     }
     LeaseSettings lease = LeaseSettings.USUAL.withHeartbeat(Span.ofMillis(heartbeatMs));
-    ConsensusStore opened =
+    ConsensusStore consensusStore =
         store == null
             ? null
-            : VoterStores.open(store, key, number, voters, founds, new MemberDirectory(lease));
-    CountDownLatch ends = new CountDownLatch(1);
-    CountDownLatch ended = new CountDownLatch(1);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> endInOrder(ends, ended), "end"));
-    try (ControlNode node = new ControlNode(settings(lease, key), opened, listener())) {
+            : VoterStores.open(store, key, number, voters, founding, new MemberDirectory(lease));
+    CountDownLatch shutdownRequested = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(() -> shutDown(shutdownRequested, finished), "end"));
+    try (ControlNode node = new ControlNode(settings(lease, key), consensusStore, listener())) {
       node.start();
-      ends.await();
+      shutdownRequested.await();
     } finally {
-      ended.countDown();
+      finished.countDown();
     }
     return 0;
   }
 
-  private static void endInOrder(CountDownLatch ends, CountDownLatch ended) {
-    ends.countDown();
+  private static void shutDown(CountDownLatch shutdownRequested, CountDownLatch finished) {
+    shutdownRequested.countDown();
     try {
-      ended.await(2, java.util.concurrent.TimeUnit.SECONDS);
+      finished.await(2, java.util.concurrent.TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -111,21 +112,21 @@
             key,
             RaftSettings.USUAL,
             LogFollower.Terms.USUAL);
-    return new ControlNode.Settings(lease, number, listen, all(), logSettings);
+    return new ControlNode.Settings(lease, number, listen, controlMachines(), logSettings);
   }
 
-  private List<ControlMachine> all() {
+  private List<ControlMachine> controlMachines() {
     return machines.entrySet().stream()
-        .map(told -> machine(told.getKey(), told.getValue()))
+        .map(entry -> machine(entry.getKey(), entry.getValue()))
         .sorted(Comparator.comparingInt(ControlMachine::number))
         .toList();
   }
 
-  private static ControlMachine machine(int number, String told) {
-    String[] parts = told.split("@", 2);
+  private static ControlMachine machine(int number, String value) {
+    String[] parts = value.split("@", 2);
     if (parts.length != 2 || !parts[0].matches("[0-9]{1,2}")) {
       throw new IllegalArgumentException(
-          "--machine " + number + "=" + told + ": no REGION@HOST:PORT");
+          "--machine " + number + "=" + value + ": no REGION@HOST:PORT");
     }
     return new ControlMachine(number, Integer.parseInt(parts[0]), parts[1]);
   }
--- a/src/main/java/linengauge/cli/DrillCommands.java
+++ b/src/main/java/linengauge/cli/DrillCommands.java
@@ -47,7 +47,7 @@
   }
 
   /** What all drills take. */
-  static final class Ways {
+  static final class DrillOptions {
     @Option(
         names = "--seed",
         paramLabel = "N",
@@ -67,14 +67,14 @@
         description = "write what was seen on the sockets")
     Path traffic;
 
-    @CommandLine.Mixin Commands.LogForm log;
+    @CommandLine.Mixin Commands.LogOptions log;
 
-    int done(Report r) throws IOException {
-      r.print(System.out);
+    int finish(Report result) throws IOException {
+      result.print(System.out);
       if (report != null) {
-        r.write(report);
+        result.write(report);
       }
-      return r.held() ? 0 : 1;
+      return result.hasPassed() ? 0 : 1;
     }
   }
 
@@ -83,20 +83,22 @@
       mixinStandardHelpOptions = true,
       description = "Three fronts and twelve boxes through a day of most troubles; the six rules.")
   int badDay(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(names = "--short", description = "25 s or less") boolean brief)
       throws IOException, InterruptedException {
-    return play("builtin:bad-day" + (brief ? "-short" : ""), ways);
+    return playScript("builtin:bad-day" + (brief ? "-short" : ""), options);
   }
 
   @Command(name = "day", mixinStandardHelpOptions = true, description = "Play a day script.")
-  int day(@Parameters(paramLabel = "DAY.json5") Path script, @CommandLine.Mixin Ways ways)
+  int day(
+      @Parameters(paramLabel = "DAY.json5") Path script, @CommandLine.Mixin DrillOptions options)
       throws IOException, InterruptedException {
-    return play(script.toString(), ways);
+    return playScript(script.toString(), options);
   }
 
-  private static int play(String script, Ways ways) throws IOException, InterruptedException {
-    ways.log.apply();
+  private static int playScript(String script, DrillOptions options)
+      throws IOException, InterruptedException {
+    options.log.apply();
     DayScript day;
     try {
       day = DayScript.read(script);
@@ -104,8 +106,8 @@
       System.err.println(e.getMessage());
       return 1;
     }
-    return ways.done(
-        new DayDrill(day, ways.seed, ways.traffic, script.startsWith("builtin:")).run());
+    return options.finish(
+        new DayDrill(day, options.seed, options.traffic, script.startsWith("builtin:")).run());
   }
 
   @Command(
@@ -114,7 +116,7 @@
       description =
           "Start the bad day's fleet with no trouble and keep it running, to try by hand.")
   int tryByHand(
-      @CommandLine.Mixin Commands.LogForm log,
+      @CommandLine.Mixin Commands.LogOptions log,
       @Option(
               names = "--seconds",
               defaultValue = "600",
@@ -132,11 +134,11 @@
       description =
           "What the front costs over a bare relay, in one run: joins, bytes, join time, loops, heap.")
   int relay(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(names = "--short", description = "a quick look, no measurement") boolean brief)
       throws IOException, InterruptedException {
-    ways.log.apply();
-    return ways.done(new RelayDrill(ways.seed, brief).run());
+    options.log.apply();
+    return options.finish(new RelayDrill(options.seed, brief).run());
   }
 
   @Command(
@@ -146,7 +148,7 @@
           "Healthy viewers beside a thousand slow ones;"
               + " a front that stands still; who is let go, and who must not be.")
   int slowPeers(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(names = "--short", description = "about half a minute") boolean brief,
       @Option(
               names = "--guards",
@@ -164,9 +166,9 @@
       throw new CommandLine.ParameterException(
           spec.commandLine(), "--guards is on or off, not '" + guards + "'");
     }
-    ways.log.apply();
-    return ways.done(
-        new SlowPeersDrill(ways.seed, brief, guards.equals("on"), only, ways.traffic).run());
+    options.log.apply();
+    return options.finish(
+        new SlowPeersDrill(options.seed, brief, guards.equals("on"), only, options.traffic).run());
   }
 
   @Command(
@@ -176,7 +178,7 @@
           "Two fronts behind shared addresses on a stand-in"
               + " LAN: killed, stopped, told to end, cut off, flapping; what viewers see, and who claimed what.")
   int failover(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--rounds",
               paramLabel = "N",
@@ -192,7 +194,7 @@
               description = "between advertisements (default: 100)")
           int advertMs,
       @Option(names = "--no-baseline", description = "without the standard at 1 s beside it")
-          boolean alone,
+          boolean withoutBaseline,
       @Option(
               names = "--additions",
               paramLabel = "on|off",
@@ -211,25 +213,25 @@
           "--rounds is 1 to 1000, --advert-ms 10 to 10000 in whole"
               + " tens, --additions on or off");
     }
-    ways.log.apply();
-    boolean more = additions.equals("on");
-    Report r = new Report("failover" + (more ? "" : ", additions off"), ways.seed);
+    options.log.apply();
+    boolean withAdditions = additions.equals("on");
+    Report result = new Report("failover" + (withAdditions ? "" : ", additions off"), options.seed);
     new FailoverDrill(
-            ways.seed,
+            options.seed,
             brief ? 5 : rounds,
-            brief ? 0 : more ? 120 : 30,
+            brief ? 0 : withAdditions ? 120 : 30,
             advertMs,
-            more,
-            ways.traffic)
-        .run(r, "pair");
-    if (!brief && !alone && more && advertMs == 100) {
-      new FailoverDrill(ways.seed + 1, Math.max(5, rounds / 10), 30, 1000, false, null)
-          .run(r, "baseline, 1 s adverts");
+            withAdditions,
+            options.traffic)
+        .run(result, "pair");
+    if (!brief && !withoutBaseline && withAdditions && advertMs == 100) {
+      new FailoverDrill(options.seed + 1, Math.max(5, rounds / 10), 30, 1000, false, null)
+          .run(result, "baseline, 1 s adverts");
     }
     if (!brief) {
-      FailoverDrill.cost(r, advertMs);
+      FailoverDrill.cost(result, advertMs);
     }
-    return ways.done(r);
+    return options.finish(result);
   }
 
   @Command(
@@ -239,7 +241,7 @@
           "Every schedule of troubles up to a bound, through"
               + " VRRP's state machine as it runs: one node must come to be Active, and stay.")
   int explore(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--depth",
               paramLabel = "N",
@@ -257,8 +259,8 @@
       throw new CommandLine.ParameterException(
           spec.commandLine(), "--depth is 1 to 40, --faults 0 to 5");
     }
-    ways.log.apply();
-    return ways.done(ExploreDrill.run(depth, faults));
+    options.log.apply();
+    return options.finish(ExploreDrill.run(depth, faults));
   }
 
   @Command(
@@ -278,7 +280,7 @@
       mixinStandardHelpOptions = true,
       description =
           "Turn a day drawn by the operators' simulator into a day script, scaled to loopback.")
-  int bring(
+  int convertDay(
       @Parameters(paramLabel = "DAY.json") Path drawn,
       @Option(
               names = {"-o", "--output"},
@@ -286,9 +288,9 @@
               paramLabel = "DAY.json5")
           Path script)
       throws IOException {
-    DayImporter.Imported got = DayImporter.read(Files.readAllBytes(drawn));
-    Files.writeString(script, "// From " + drawn.getFileName() + ".\n" + got.script());
-    got.changes().forEach(c -> System.out.println("changed: " + c));
+    DayImporter.Imported imported = DayImporter.read(Files.readAllBytes(drawn));
+    Files.writeString(script, "// From " + drawn.getFileName() + ".\n" + imported.script());
+    imported.changes().forEach(change -> System.out.println("changed: " + change));
     try {
       DayScript.read(script.toString());
     } catch (BadSite e) {
@@ -311,7 +313,7 @@
       @Option(names = "--key-file", required = true) Path key,
       @Option(names = "--record", required = true) Path record,
       @Option(names = "--period-ms", defaultValue = "1000") long period,
-      @CommandLine.Mixin Commands.LogForm log)
+      @CommandLine.Mixin Commands.LogOptions log)
       throws IOException, InterruptedException {
     log.apply();
     MemberProcess.run(
@@ -329,33 +331,33 @@
       @Option(names = "--voter", required = true) Map<Integer, String> voters,
       @Option(names = "--way") Map<Integer, String> ways,
       @Option(names = "--store") Path store,
-      @Option(names = "--found") boolean founds,
+      @Option(names = "--found") boolean founding,
       @Option(names = "--key-file", required = true) Path key,
       @Option(names = "--record", required = true) Path record,
       @Option(names = "--beat-ms", defaultValue = "100") long beat,
-      @CommandLine.Mixin Commands.LogForm log)
+      @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return ConsensusProcess.run(
-        new ConsensusProcess.Start(
+        new ConsensusProcess.Options(
             number,
             listen,
             voters,
             ways == null ? Map.of() : ways,
             store,
-            founds,
+            founding,
             key,
             record,
             Span.ofMillis(beat)));
   }
 
   /** One control machine as a front or another control machine reaches it: REGION@HOST:PORT. */
-  private static List<ControlMachine> machines(Map<Integer, String> told) {
-    return told.entrySet().stream()
+  private static List<ControlMachine> machines(Map<Integer, String> addresses) {
+    return addresses.entrySet().stream()
         .map(
-            e -> {
-              String[] at = e.getValue().split("@", 2);
-              return new ControlMachine(e.getKey(), Integer.parseInt(at[0]), at[1]);
+            entry -> {
+              String[] parts = entry.getValue().split("@", 2);
+              return new ControlMachine(entry.getKey(), Integer.parseInt(parts[0]), parts[1]);
             })
         .sorted(java.util.Comparator.comparingInt(ControlMachine::number))
         .toList();
@@ -365,13 +367,14 @@
       name = "lease-member",
       hidden = true,
       description = "One front's membership alone, by lease, gossip or both; ends with its input.")
-  int leaseMember(@CommandLine.Mixin LeaseOptions options, @CommandLine.Mixin Commands.LogForm log)
+  int leaseMember(
+      @CommandLine.Mixin LeaseOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException, InterruptedException {
     log.apply();
-    String at = options.at == null ? options.gossipAt : options.at;
+    String address = options.at == null ? options.gossipAt : options.at;
     LeaseProcess.run(
-        new LeaseProcess.Start(
-            new Member(options.number, at, options.zone, options.region),
+        new LeaseProcess.Options(
+            new Member(options.number, address, options.zone, options.region),
             options.at,
             machines(options.machines == null ? Map.of() : options.machines),
             options.gossipAt,
@@ -419,11 +422,11 @@
       name = "control",
       hidden = true,
       description = "One control machine alone; ends with its input.")
-  int control(@CommandLine.Mixin ControlOptions options, @CommandLine.Mixin Commands.LogForm log)
+  int control(@CommandLine.Mixin ControlOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return ControlProcess.run(
-        new ControlProcess.Start(
+        new ControlProcess.Options(
             options.number,
             options.listen,
             machines(options.machines),
@@ -438,14 +441,14 @@
   }
 
   @Command(name = "hollow-fronts", hidden = true, description = "A process of hollow fronts.")
-  int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogForm log)
+  int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, false);
   }
 
   @Command(name = "hollow-control", hidden = true, description = "Their control machine.")
-  int hollowControl(@Parameters Path spec, @CommandLine.Mixin Commands.LogForm log)
+  int hollowControl(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, true);
@@ -495,19 +498,19 @@
       @Parameters(paramLabel = "FILE.jsonl") Path record,
       @Option(names = "--report", paramLabel = "FILE.json") Path file)
       throws IOException {
-    Verdict v;
+    Verdict verdict;
     try {
-      v = Judge.judge(Files.readAllLines(record));
+      verdict = Judge.judge(Files.readAllLines(record));
     } catch (BadRecord e) {
       System.err.println(record + ": " + e.getMessage());
       return 1;
     }
-    Report r = new Report("judge", 0);
-    r.judged(record.getFileName().toString(), v);
-    r.print(System.out);
+    Report result = new Report("judge", 0);
+    result.addVerdict(record.getFileName().toString(), verdict);
+    result.print(System.out);
     if (file != null) {
-      r.write(file);
+      result.write(file);
     }
-    return r.held() ? 0 : 1;
+    return result.hasPassed() ? 0 : 1;
   }
 }
--- a/src/main/java/linengauge/cli/Main.java
+++ b/src/main/java/linengauge/cli/Main.java
@@ -13,9 +13,9 @@
   private Main() {}
 
   public static void main(String[] args) {
-    String only = args.length == 1 ? args[0] : "";
+    String command = args.length == 1 ? args[0] : "";
     System.exit(
-        switch (only) {
+        switch (command) {
           case "wirehost" -> WireHost.onStandardStreams();
           case "serve" -> serve();
           case "serve-tryout" -> tryOut();
@@ -37,8 +37,8 @@
   private static int tryOut() {
     System.setProperty("logback.configurationFile", "linengauge/log-text.xml");
     System.setProperty("vertx.disableDnsResolver", "true");
-    try (var other = new PlatformTryOut()) {
-      return TryOut.run(other.port(), other.journal(), other.boxes(), other::play);
+    try (var stack = new PlatformTryOut()) {
+      return TryOut.run(stack.port(), stack.journal(), stack.boxes(), stack::play);
     } catch (Exception e) {
       System.err.println("linengauge: the try-out failed: " + e.getMessage());
       return 1;
--- a/src/main/java/linengauge/cli/ScaleCommands.java
+++ b/src/main/java/linengauge/cli/ScaleCommands.java
@@ -121,10 +121,11 @@
       if (seeds < 1) {
         refuse(spec, List.of("--seeds should be 1 or more"));
       }
-      List<Long> all = LongStream.rangeClosed(1, seeds).boxed().toList();
-      var sweep = new SimulationSweep(simulator, sizes, all, events);
+      List<Long> seedList = LongStream.rangeClosed(1, seeds).boxed().toList();
+      var sweep = new SimulationSweep(simulator, sizes, seedList, events);
       refuse(spec, sweep.refusals(MachineLimits.here()));
-      var recorder = new ScaleRecorder(out, heading(spec, all, seeds, Kind.SIMULATED, "fronts"));
+      var recorder =
+          new ScaleRecorder(out, heading(spec, seedList, seeds, Kind.SIMULATED, "fronts"));
       sweep.run(recorder);
       recorder.complete();
       return 0;
@@ -183,9 +184,9 @@
     @Override
     public Integer call() throws IOException {
       try {
-        String old = Files.readString(page);
-        String printed = PageTables.printed(old, ScaleResultFile.readAll(results));
-        if (printed.equals(old)) {
+        String current = Files.readString(page);
+        String printed = PageTables.printed(current, ScaleResultFile.readAll(results));
+        if (printed.equals(current)) {
           return 0;
         }
         if (check) {
--- a/src/main/java/linengauge/cli/ScaleFollowing.java
+++ b/src/main/java/linengauge/cli/ScaleFollowing.java
@@ -19,11 +19,11 @@
     mixinStandardHelpOptions = true,
     description = "What following the decided log (configuration) costs a front, on loopback.")
 final class ScaleFollowing implements Callable<Integer> {
-  private static final long HEAP = 512L << 20;
-  private static final long MEMORY_A_FOLLOWER = 2L << 20;
-  private static final int DESCRIPTORS_A_FOLLOWER = 6;
-  private static final int LARGEST_SIZE = 600;
-  private static final int MOST_CHANGES = 600;
+  private static final long HEAP_BYTES = 512L << 20;
+  private static final long BYTES_PER_FOLLOWER = 2L << 20;
+  private static final int DESCRIPTORS_PER_FOLLOWER = 6;
+  private static final int MAX_SIZE = 600;
+  private static final int MAX_CHANGES_PER_MINUTE = 600;
 
   @Spec private CommandSpec spec;
 
@@ -58,16 +58,20 @@
   private List<String> refusals() {
     List<String> reasons = new ArrayList<>();
     for (int size : sizes) {
-      if (size < 1 || size > LARGEST_SIZE) {
-        reasons.add(size + ": sizes are from 1 to " + LARGEST_SIZE);
+      if (size < 1 || size > MAX_SIZE) {
+        reasons.add(size + ": sizes are from 1 to " + MAX_SIZE);
       }
       MachineLimits.Wanted wanted =
           new MachineLimits.Wanted(
-              HEAP + size * MEMORY_A_FOLLOWER, HEAP, size * (long) DESCRIPTORS_A_FOLLOWER, 1);
-      MachineLimits.here().passedBy(wanted).forEach(why -> reasons.add(size + ": " + why));
+              HEAP_BYTES + size * BYTES_PER_FOLLOWER,
+              HEAP_BYTES,
+              size * (long) DESCRIPTORS_PER_FOLLOWER,
+              1);
+      MachineLimits.here().passedBy(wanted).forEach(reason -> reasons.add(size + ": " + reason));
     }
-    if (seconds < 1 || changes < 0 || changes > MOST_CHANGES) {
-      reasons.add("--seconds should be 1 or more, --changes-a-minute 0 to " + MOST_CHANGES);
+    if (seconds < 1 || changes < 0 || changes > MAX_CHANGES_PER_MINUTE) {
+      reasons.add(
+          "--seconds should be 1 or more, --changes-a-minute 0 to " + MAX_CHANGES_PER_MINUTE);
     }
     return reasons;
   }
--- a/src/main/java/linengauge/cli/ScaleFronts.java
+++ b/src/main/java/linengauge/cli/ScaleFronts.java
@@ -24,11 +24,11 @@
     mixinStandardHelpOptions = true,
     description = "Memory and processor time of one real front by connection, set-up, delivery.")
 final class ScaleFronts implements Callable<Integer> {
-  private static final Pattern RUN = Pattern.compile("(?m)^run = \"(.*)\"");
-  private static final long FRONT_MEMORY = 160L << 20;
-  private static final long RIG_HEAP = 200L << 20;
+  private static final Pattern RUN_LINE = Pattern.compile("(?m)^run = \"(.*)\"");
+  private static final long FRONT_BYTES = 160L << 20;
+  private static final long RIG_HEAP_BYTES = 200L << 20;
   private static final int OTHER_DESCRIPTORS = 500;
-  private static final int LARGEST_SIZE = 8000;
+  private static final int MAX_SIZE = 8000;
 
   /** What one invocation measures. */
   enum Load {
@@ -105,13 +105,13 @@
   private List<String> refusals() {
     List<String> reasons = new ArrayList<>();
     for (int size : sizes) {
-      if (size < 1 || size > LARGEST_SIZE) {
-        reasons.add(size + ": sizes are from 1 to " + LARGEST_SIZE);
+      if (size < 1 || size > MAX_SIZE) {
+        reasons.add(size + ": sizes are from 1 to " + MAX_SIZE);
       }
       var wanted =
           new MachineLimits.Wanted(
-              FRONT_MEMORY + RIG_HEAP, RIG_HEAP, size + (long) OTHER_DESCRIPTORS, 2);
-      MachineLimits.here().passedBy(wanted).forEach(why -> reasons.add(size + ": " + why));
+              FRONT_BYTES + RIG_HEAP_BYTES, RIG_HEAP_BYTES, size + (long) OTHER_DESCRIPTORS, 2);
+      MachineLimits.here().passedBy(wanted).forEach(reason -> reasons.add(size + ": " + reason));
     }
     if (runs < 1 || seconds < 1 || descriptors < 1) {
       reasons.add("--runs, --seconds and --descriptors should be 1 or more");
@@ -123,7 +123,7 @@
   }
 
   private String runLine() throws IOException {
-    Matcher run = RUN.matcher(Files.readString(deploy));
+    Matcher run = RUN_LINE.matcher(Files.readString(deploy));
     if (!run.find()) {
       throw new IOException(deploy + " holds no run line");
     }
--- a/src/main/java/linengauge/cli/ScaleHollow.java
+++ b/src/main/java/linengauge/cli/ScaleHollow.java
@@ -37,7 +37,7 @@
   private static final int REGIONS = 3;
 
   /** A process of Java takes that beside its heap. */
-  private static final long PROCESS_MB = 90;
+  private static final long NON_HEAP_MB_PER_PROCESS = 90;
 
   @Spec private CommandSpec spec;
 
@@ -90,7 +90,7 @@
   @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "the result")
   private Path out;
 
-  @CommandLine.Mixin private Commands.LogForm log;
+  @CommandLine.Mixin private Commands.LogOptions log;
 
   @Override
   public Integer call() throws IOException {
@@ -102,11 +102,11 @@
     for (int size : sizes) {
       List<HollowFigures> figures = new ArrayList<>();
       for (int run = 0; run < runs; run++) {
-        HollowFigures one = run(size);
-        figures.add(one);
-        if (one.partial()) {
+        HollowFigures result = run(size);
+        figures.add(result);
+        if (result.partial()) {
           recorder.add(HollowMeasurements.of(figures));
-          System.err.println("linengauge: " + size + " fronts: " + one.cause());
+          System.err.println("linengauge: " + size + " fronts: " + result.cause());
           return 1;
         }
       }
@@ -169,11 +169,13 @@
       if (size < processes) {
         reasons.add(size + " fronts: fewer than processes");
       }
-      int all = methods.size() * processes + control;
-      long memory = all * (heapMb + PROCESS_MB) << 20;
+      int totalProcesses = methods.size() * processes + control;
+      long memory = totalProcesses * (heapMb + NON_HEAP_MB_PER_PROCESS) << 20;
       long descriptors = size / Math.max(1, processes) * 2L;
-      var wanted = new MachineLimits.Wanted(memory, 0, descriptors, all);
-      MachineLimits.here().passedBy(wanted).forEach(why -> reasons.add(size + " fronts: " + why));
+      var wanted = new MachineLimits.Wanted(memory, 0, descriptors, totalProcesses);
+      MachineLimits.here()
+          .passedBy(wanted)
+          .forEach(reason -> reasons.add(size + " fronts: " + reason));
     }
     return reasons;
   }
--- a/src/main/java/linengauge/drill/BareRelay.java
+++ b/src/main/java/linengauge/drill/BareRelay.java
@@ -19,14 +19,14 @@
  * kept, bounded or rewritten. It is no front.
  */
 public final class BareRelay {
-  private static final String SET_UP =
+  private static final String SET_UP_BODY =
       "{\"front\":0,\"tuneIn\":0,\"title\":\"t\",\"package\":\"plain\",\"rung\":1}";
 
   private BareRelay() {}
 
   /** Listens until the process ends. */
-  public static Future<?> start(String host, int port, int box, int loops) {
-    AtomicLong number = new AtomicLong();
+  public static Future<?> start(String host, int port, int boxPort, int loops) {
+    AtomicLong viewingNumber = new AtomicLong();
     return Vertx.vertx()
         .deployVerticle(
             () ->
@@ -42,17 +42,17 @@
                     return vertx
                         .createHttpServer(
                             new HttpServerOptions().setTcpNoDelay(true).setAcceptBacklog(1024))
-                        .requestHandler(this::asked)
+                        .requestHandler(this::relay)
                         .listen(port, host);
                   }
 
-                  private void asked(HttpServerRequest r) {
-                    String path = r.path();
-                    boolean join = path.startsWith("/titles/");
-                    HttpMethod method = join ? HttpMethod.PUT : r.method();
-                    String to =
-                        join
-                            ? "/viewings/" + number.incrementAndGet()
+                  private void relay(HttpServerRequest request) {
+                    String path = request.path();
+                    boolean isJoin = path.startsWith("/titles/");
+                    HttpMethod method = isJoin ? HttpMethod.PUT : request.method();
+                    String uri =
+                        isJoin
+                            ? "/viewings/" + viewingNumber.incrementAndGet()
                             : "/viewings/"
                                 + path.substring("/v/".length()).replaceFirst("/m/", "/");
                     client
@@ -60,22 +60,30 @@
                             new RequestOptions()
                                 .setMethod(method)
                                 .setHost(host)
-                                .setPort(box)
-                                .setURI(to))
-                        .compose(q -> join ? q.send(Buffer.buffer(SET_UP)) : q.send())
+                                .setPort(boxPort)
+                                .setURI(uri))
+                        .compose(
+                            boxRequest ->
+                                isJoin
+                                    ? boxRequest.send(Buffer.buffer(SET_UP_BODY))
+                                    : boxRequest.send())
                         .onSuccess(
-                            a -> {
-                              r.response().setStatusCode(join ? 200 : a.statusCode());
-                              if (a.getHeader("Content-Length") != null) {
-                                r.response()
-                                    .putHeader("Content-Length", a.getHeader("Content-Length"));
-                                a.pipeTo(r.response());
+                            boxResponse -> {
+                              request
+                                  .response()
+                                  .setStatusCode(isJoin ? 200 : boxResponse.statusCode());
+                              if (boxResponse.getHeader("Content-Length") != null) {
+                                request
+                                    .response()
+                                    .putHeader(
+                                        "Content-Length", boxResponse.getHeader("Content-Length"));
+                                boxResponse.pipeTo(request.response());
                               } else {
-                                a.handler(b -> {});
-                                a.endHandler(v -> r.response().end());
+                                boxResponse.handler(chunk -> {});
+                                boxResponse.endHandler(v -> request.response().end());
                               }
                             })
-                        .onFailure(e -> r.response().setStatusCode(502).end());
+                        .onFailure(e -> request.response().setStatusCode(502).end());
                   }
                 },
             new DeploymentOptions().setInstances(loops));
--- a/src/main/java/linengauge/drill/ConsensusProcess.java
+++ b/src/main/java/linengauge/drill/ConsensusProcess.java
@@ -33,16 +33,16 @@
   /**
    * What it is started with; ways: where this process reaches voters, in place of their addresses.
    */
-  public record Start(
+  public record Options(
       int number,
       String listen,
       Map<Integer, String> voters,
-      Map<Integer, String> ways,
+      Map<Integer, String> routes,
       Path store,
-      boolean founds,
+      boolean founding,
       Path keyFile,
       Path record,
-      Span beat) {}
+      Span tick) {}
 
   private final BufferedWriter out;
 
@@ -51,135 +51,154 @@
   }
 
   /** All texts that were decided, in order. */
-  private final class Texts implements StateMachine {
-    private final List<String> all = new ArrayList<>();
-    private final boolean told;
+  private final class DecidedTexts implements StateMachine {
+    private final List<String> texts = new ArrayList<>();
+    private final boolean recordsChanges;
 
-    private Texts(boolean told) {
-      this.told = told;
+    private DecidedTexts(boolean recordsChanges) {
+      this.recordsChanges = recordsChanges;
     }
 
     @Override
     public void apply(long index, long author, byte[] decision) {
       String text = new String(decision, StandardCharsets.UTF_8);
-      all.add(text);
-      if (told) {
-        line("applied", "\"index\":" + index + ",\"text\":\"" + text + "\"");
+      texts.add(text);
+      if (recordsChanges) {
+        writeLine("applied", "\"index\":" + index + ",\"text\":\"" + text + "\"");
       }
     }
 
     @Override
     public byte[] whole() {
-      MessageWriter to = new MessageWriter().num(all.size());
-      all.forEach(to::text);
-      return to.done();
+      MessageWriter writer = new MessageWriter().num(texts.size());
+      texts.forEach(writer::text);
+      return writer.done();
     }
 
     @Override
     public void restore(byte[] whole) {
-      all.clear();
+      texts.clear();
       if (whole.length > 0) {
-        MessageReader from = new MessageReader(whole);
-        for (int n = from.num(0, 100_000); n > 0; n--) {
-          all.add(from.text(1024));
+        MessageReader reader = new MessageReader(whole);
+        for (int remaining = reader.num(0, 100_000); remaining > 0; remaining--) {
+          texts.add(reader.text(1024));
         }
       }
-      if (told) {
-        line(
+      if (recordsChanges) {
+        writeLine(
             "restored",
-            "\"texts\":[" + String.join(",", all.stream().map(t -> '"' + t + '"').toList()) + "]");
+            "\"texts\":["
+                + String.join(",", texts.stream().map(text -> '"' + text + '"').toList())
+                + "]");
       }
     }
   }
 
   /** Runs until the input ends; 1 with one line where the store is not to be used. */
-  public static int run(Start s) throws IOException {
-    byte[] key = Files.readAllBytes(s.keyFile());
-    try (BufferedWriter out = Files.newBufferedWriter(s.record())) {
-      return new ConsensusProcess(out).run(s, key);
+  public static int run(Options options) throws IOException {
+    byte[] key = Files.readAllBytes(options.keyFile());
+    try (BufferedWriter out = Files.newBufferedWriter(options.record())) {
+      return new ConsensusProcess(out).run(options, key);
     }
   }
 
-  private int run(Start s, byte[] key) throws IOException {
+  private int run(Options options, byte[] key) throws IOException {
     ConsensusStore store = null;
     try {
-      store = s.store() == null ? null : open(s, key);
+      store = options.store() == null ? null : openStore(options, key);
     } catch (IOException | SaveFailedException e) {
       System.err.println("council: " + e.getMessage());
       return 1;
     }
-    TreeMap<Integer, String> ways = new TreeMap<>(s.voters());
-    ways.putAll(s.ways());
-    RaftSettings terms = RaftSettings.USUAL.inBeats(s.beat());
-    double by = s.beat().seconds() / RaftSettings.USUAL.beat().seconds();
-    LogFollower.Terms follows =
+    TreeMap<Integer, String> routes = new TreeMap<>(options.voters());
+    routes.putAll(options.routes());
+    RaftSettings raftSettings = RaftSettings.USUAL.inBeats(options.tick());
+    double scale = options.tick().seconds() / RaftSettings.USUAL.beat().seconds();
+    LogFollower.Terms followerSettings =
         new LogFollower.Terms(
-            LogFollower.Terms.USUAL.ask().times(by),
-            LogFollower.Terms.USUAL.silent().times(by),
+            LogFollower.Terms.USUAL.ask().times(scale),
+            LogFollower.Terms.USUAL.silent().times(scale),
             LogFollower.Terms.USUAL.wishes());
     if (store != null) {
-      line("store", "\"number\":" + store.first().store());
+      writeLine("store", "\"number\":" + store.first().store());
     }
     try (ConsensusNode node =
         new ConsensusNode(
-            new ConsensusNode.Settings(s.number(), s.listen(), ways, key, terms, follows),
+            new ConsensusNode.Settings(
+                options.number(), options.listen(), routes, key, raftSettings, followerSettings),
             store,
-            new Texts(false),
-            new Texts(true),
-            (how, v) ->
-                line(
+            new DecidedTexts(false),
+            new DecidedTexts(true),
+            (how, view) ->
+                writeLine(
                     "stands",
                     "\"role\":\""
-                        + v.role()
+                        + view.role()
                         + "\",\"term\":"
-                        + v.term()
+                        + view.term()
                         + ",\"leader\":"
-                        + v.leader()
+                        + view.leader()
                         + ",\"voters\":"
-                        + v.voters().voting()))) {
+                        + view.voters().voting()))) {
       node.start();
       BufferedReader in =
           new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
-      for (String said = in.readLine(); said != null; said = in.readLine()) {
-        told(node, said.split(" "));
+      for (String command = in.readLine(); command != null; command = in.readLine()) {
+        execute(node, command.split(" "));
       }
     }
     return 0;
   }
 
-  private void told(ConsensusNode node, String[] w) {
-    switch (w[0]) {
+  private void execute(ConsensusNode node, String[] parts) {
+    switch (parts[0]) {
       case "want" ->
           node.wants(
-              w[1].getBytes(StandardCharsets.UTF_8),
-              done -> line(done ? "decided" : "undecided", "\"text\":\"" + w[1] + "\""));
+              parts[1].getBytes(StandardCharsets.UTF_8),
+              done -> writeLine(done ? "decided" : "undecided", "\"text\":\"" + parts[1] + "\""));
       case "sure" ->
           node.whenSure(
-              () -> line("sure", "\"name\":\"" + w[1] + "\",\"index\":" + node.view().index()));
+              () ->
+                  writeLine(
+                      "sure", "\"name\":\"" + parts[1] + "\",\"index\":" + node.view().index()));
       case "without" ->
           node.wantsVoters(
-              node.view().voters().without(Integer.parseInt(w[1])),
-              done -> line("placed", "\"done\":" + done));
+              node.view().voters().without(Integer.parseInt(parts[1])),
+              done -> writeLine("placed", "\"done\":" + done));
       case "with" ->
           node.wantsVoters(
               node.view()
                   .voters()
                   .with(
-                      Integer.parseInt(w[1]), new Voters.Chair(Long.parseLong(w[2]), w[3], false)),
-              done -> line("placed", "\"done\":" + done));
-      default -> line("unknown", "\"said\":\"" + w[0] + "\"");
+                      Integer.parseInt(parts[1]),
+                      new Voters.Chair(Long.parseLong(parts[2]), parts[3], false)),
+              done -> writeLine("placed", "\"done\":" + done));
+      default -> writeLine("unknown", "\"said\":\"" + parts[0] + "\"");
     }
   }
 
-  private ConsensusStore open(Start s, byte[] key) throws IOException, SaveFailedException {
-    return VoterStores.open(s.store(), key, s.number(), s.voters(), s.founds(), new Texts(false));
+  private ConsensusStore openStore(Options options, byte[] key)
+      throws IOException, SaveFailedException {
+    return VoterStores.open(
+        options.store(),
+        key,
+        options.number(),
+        options.voters(),
+        options.founding(),
+        new DecidedTexts(false));
   }
 
-  private void line(String what, String rest) {
+  private void writeLine(String event, String fields) {
     synchronized (out) {
       try {
         out.write(
-            "{\"at\":" + System.currentTimeMillis() + ",\"what\":\"" + what + "\"," + rest + "}\n");
+            "{\"at\":"
+                + System.currentTimeMillis()
+                + ",\"what\":\""
+                + event
+                + "\","
+                + fields
+                + "}\n");
         out.flush();
       } catch (IOException e) {
         throw new UncheckedIOException(e);
--- a/src/main/java/linengauge/drill/ControlProcess.java
+++ b/src/main/java/linengauge/drill/ControlProcess.java
@@ -27,7 +27,7 @@
  * as its input does.
  */
 public final class ControlProcess {
-  private static final long EACH_MS = 100;
+  private static final long SAMPLE_INTERVAL_MS = 100;
 
   /**
    * What it is started with.
@@ -36,16 +36,16 @@
    * @param machines all control machines, as this process reaches them
    * @param logListen where it takes the log's connections
    * @param voters of the log, by number
-   * @param ways where this process reaches voters, in place of their addresses
+   * @param routes where this process reaches voters, in place of their addresses
    * @param store null: it follows the log without a vote
    */
-  public record Start(
+  public record Options(
       int number,
       String listen,
       List<ControlMachine> machines,
       String logListen,
       Map<Integer, String> voters,
-      Map<Integer, String> ways,
+      Map<Integer, String> routes,
       Path store,
       Path keyFile,
       Path record) {}
@@ -57,67 +57,69 @@
   }
 
   /** Runs until the input ends or says something; 1 where the store is not to be used. */
-  public static int run(Start start, Span heartbeat, Span beat) throws IOException {
+  public static int run(Options options, Span heartbeat, Span tick) throws IOException {
     LeaseSettings lease = LeaseProcess.settings(heartbeat);
-    try (ProcessRecord record = new ProcessRecord(start.record())) {
-      return new ControlProcess(record).run(start, lease, beat);
+    try (ProcessRecord record = new ProcessRecord(options.record())) {
+      return new ControlProcess(record).run(options, lease, tick);
     } catch (SaveFailedException e) {
       System.err.println("control: " + e.getMessage());
       return 1;
     }
   }
 
-  private int run(Start start, LeaseSettings lease, Span beat)
+  private int run(Options options, LeaseSettings lease, Span tick)
       throws IOException, SaveFailedException {
-    byte[] key = Files.readAllBytes(start.keyFile());
+    byte[] key = Files.readAllBytes(options.keyFile());
     ConsensusStore store =
-        start.store() == null
+        options.store() == null
             ? null
             : VoterStores.open(
-                start.store(),
+                options.store(),
                 key,
-                start.number(),
-                start.voters(),
+                options.number(),
+                options.voters(),
                 true,
                 new MemberDirectory(lease));
-    TreeMap<Integer, String> ways = new TreeMap<>(start.voters());
-    ways.putAll(start.ways());
+    TreeMap<Integer, String> routes = new TreeMap<>(options.voters());
+    routes.putAll(options.routes());
     ConsensusNode.Settings log =
         new ConsensusNode.Settings(
-            start.number(),
-            start.logListen(),
-            ways,
+            options.number(),
+            options.logListen(),
+            routes,
             key,
-            RaftSettings.USUAL.inBeats(beat),
-            following(beat));
+            RaftSettings.USUAL.inBeats(tick),
+            followerSettings(tick));
     ControlNode.Settings settings =
-        new ControlNode.Settings(lease, start.number(), start.listen(), start.machines(), log);
+        new ControlNode.Settings(
+            lease, options.number(), options.listen(), options.machines(), log);
     try (ControlNode node = new ControlNode(settings, store, listener())) {
       node.start();
-      Thread looks = new Thread(() -> looks(node), "looks");
-      looks.setDaemon(true);
-      looks.start();
+      Thread sampler = new Thread(() -> sampleUntilInterrupted(node), "looks");
+      sampler.setDaemon(true);
+      sampler.start();
       System.in.read(); // until it says something, or ends
     }
     return 0;
   }
 
-  private static LogFollower.Terms following(Span beat) {
-    double by = beat.seconds() / RaftSettings.USUAL.beat().seconds();
-    LogFollower.Terms usual = LogFollower.Terms.USUAL;
-    return new LogFollower.Terms(usual.ask().times(by), usual.silent().times(by), usual.wishes());
+  private static LogFollower.Terms followerSettings(Span tick) {
+    double scale = tick.seconds() / RaftSettings.USUAL.beat().seconds();
+    LogFollower.Terms defaults = LogFollower.Terms.USUAL;
+    return new LogFollower.Terms(
+        defaults.ask().times(scale), defaults.silent().times(scale), defaults.wishes());
   }
 
   private ControlNode.Listener listener() {
     return new ControlNode.Listener() {
       @Override
       public void changed(DirectoryEntry entry) {
-        record.line("changed", fields(entry));
+        record.write("changed", fields(entry));
       }
 
       @Override
       public void stands(ConsensusNode.View view) {
-        record.line(
+        record.write(
             "stands",
             "\"role\":\""
                 + view.role()
@@ -129,24 +131,24 @@
     };
   }
 
-  private void looks(ControlNode node) {
+  private void sampleUntilInterrupted(ControlNode node) {
     try {
       while (true) {
-        Thread.sleep(EACH_MS);
-        node.ask((directory, registrar) -> look(node, directory, registrar));
+        Thread.sleep(SAMPLE_INTERVAL_MS);
+        node.ask((directory, registrar) -> recordSample(node, directory, registrar));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private void look(ControlNode node, MemberDirectory directory, Registrar registrar) {
+  private void recordSample(ControlNode node, MemberDirectory directory, Registrar registrar) {
     String present =
         directory.entries().stream()
             .filter(entry -> entry.state() == DirectoryEntry.State.PRESENT)
             .map(entry -> "" + entry.member().number())
             .collect(Collectors.joining(","));
-    record.line(
+    record.write(
         "holds",
         "\"version\":"
             + directory.version()
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -21,105 +21,112 @@
    * What a front's heap may hold more after a day than before it, both after a collection: classes
    * met, pools warm.
    */
-  private static final long HEAP_MORE = 10_000_000;
+  private static final long MAX_HEAP_GROWTH_BYTES = 10_000_000;
 
   private final DayScript day;
   private final long seed;
   private final Path traffic;
-  private final boolean wantsEveryRule;
+  private final boolean requiresEveryRule;
 
   /**
    * The traffic of all passes is written to a file where one is named. Where every rule is wanted,
    * one that a pass did not try is a claim not held; else the table says that it was not tried.
    */
-  public DayDrill(DayScript day, long seed, Path traffic, boolean wantsEveryRule) {
+  public DayDrill(DayScript day, long seed, Path traffic, boolean requiresEveryRule) {
     this.day = day;
     this.seed = seed;
     this.traffic = traffic;
-    this.wantsEveryRule = wantsEveryRule;
+    this.requiresEveryRule = requiresEveryRule;
   }
 
   public Report run() throws IOException, InterruptedException {
     Report report = new Report(day.name(), seed);
     int pass = 0;
-    for (String paid : day.paidPasses()) {
-      pass(report, pass++, paid);
+    for (String paidPackage : day.paidPasses()) {
+      runPass(report, pass++, paidPackage);
     }
     return report;
   }
 
-  private void pass(Report report, int number, String paid)
+  private void runPass(Report report, int number, String paidPackage)
       throws IOException, InterruptedException {
-    String name = "pass " + (number + 1) + (paid.isEmpty() ? "" : " (" + paid + " paid at set-up)");
+    String name =
+        "pass "
+            + (number + 1)
+            + (paidPackage.isEmpty() ? "" : " (" + paidPackage + " paid at set-up)");
     SplittableRandom seeds = new SplittableRandom(seed + 1_000_003L * number);
-    List<String> record;
-    try (TestFleet g = new TestFleet(day, paid, seeds.nextLong())) {
-      record = play(report, name, g, seeds);
+    List<String> trafficRecord;
+    try (TestFleet testFleet = new TestFleet(day, paidPackage, seeds.nextLong())) {
+      trafficRecord = play(report, name, testFleet, seeds);
     }
     if (traffic != null) {
-      Path to =
+      Path file =
           number == 0
               ? traffic
               : traffic.resolveSibling(traffic.getFileName() + "." + (number + 1));
-      Files.write(to, record);
+      Files.write(file, trafficRecord);
     }
-    judge(report, name, record);
+    judge(report, name, trafficRecord);
   }
 
   /** Plays the day; the record of it. */
-  private List<String> play(Report report, String name, TestFleet g, SplittableRandom seeds)
+  private List<String> play(Report report, String name, TestFleet testFleet, SplittableRandom seeds)
       throws IOException, InterruptedException {
-    g.open();
-    long heap = 0;
-    for (FrontProcess p : g.fronts) {
-      heap = Math.max(heap, p.heap());
+    testFleet.open();
+    long heapBeforeBytes = 0;
+    for (FrontProcess front : testFleet.fronts) {
+      heapBeforeBytes = Math.max(heapBeforeBytes, front.heapAfterGc());
     }
-    FaultInjector troubles = new FaultInjector(g, seeds.nextLong());
+    FaultInjector faults = new FaultInjector(testFleet, seeds.nextLong());
     SplittableRandom arrivals = seeds.split();
-    long began = System.nanoTime();
-    g.onBoxes(
+    long startedAtNanos = System.nanoTime();
+    testFleet.runOnBoxLoop(
         () -> {
-          troubles.begin();
-          arrive(g, troubles, arrivals, began, 0);
+          faults.start();
+          scheduleArrivals(testFleet, faults, arrivals, startedAtNanos, 0);
         });
     Thread.sleep(Math.round(1000 * day.lengthS()));
-    g.onBoxes(g.crowd::close);
-    List<String> failures = troubles.finish();
-    settle(report, name, g, heap);
-    report.claim(
+    testFleet.runOnBoxLoop(testFleet.playerCrowd::close);
+    List<String> failures = faults.awaitEnd();
+    checkLeftovers(report, name, testFleet, heapBeforeBytes);
+    report.addClaim(
         name + ": stand-ins and fronts did as told",
         "no failure",
         failures.isEmpty() ? "none" : failures,
         failures.isEmpty());
-    boolean ended = g.endFronts().values().stream().allMatch(e -> e);
-    report.claim(
-        name + ": fronts ended in order when told", "all", ended ? "all" : "not all", ended);
-    figures(report, name, g);
-    List<String> record = g.tap.lines();
-    long acted = record.stream().filter(l -> l.contains("\"what\":\"trouble\"")).count();
-    report.claim(
+    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+    report.addClaim(
+        name + ": fronts ended in order when told", "all", allEnded ? "all" : "not all", allEnded);
+    reportFigures(report, name, testFleet);
+    List<String> trafficRecord = testFleet.tap.lines();
+    long injected =
+        trafficRecord.stream().filter(line -> line.contains("\"what\":\"trouble\"")).count();
+    report.addClaim(
         name + ": troubles acted out",
         "all " + day.troubles().size(),
-        acted,
-        acted == day.troubles().size());
-    report.claim(
-        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
-    return record;
+        injected,
+        injected == day.troubles().size());
+    report.addClaim(
+        name + ": the record is whole",
+        "not cut short",
+        trafficRecord.size() + " lines",
+        !testFleet.tap.full());
+    return trafficRecord;
   }
 
-  private void judge(Report report, String name, List<String> record) {
+  private void judge(Report report, String name, List<String> trafficRecord) {
     try {
-      Verdict v = Judge.judge(record);
-      report.judged(name, v);
-      for (String rule : wantsEveryRule ? Verdict.RULES : List.<String>of()) {
-        report.claim(
+      Verdict verdict = Judge.judge(trafficRecord);
+      report.addVerdict(name, verdict);
+      for (String rule : requiresEveryRule ? Verdict.RULES : List.<String>of()) {
+        report.addClaim(
             name + ": " + rule + " tried and kept",
             "over 0, 0 broken",
-            v.checked(rule) + ", " + v.broken(rule),
-            v.checked(rule) > 0 && v.broken(rule) == 0);
+            verdict.checked(rule) + ", " + verdict.broken(rule),
+            verdict.checked(rule) > 0 && verdict.broken(rule) == 0);
       }
     } catch (BadRecord e) {
-      report.claim(name + ": the record can be judged", "yes", e.getMessage(), false);
+      report.addClaim(name + ": the record can be judged", "yes", e.getMessage(), false);
     }
   }
 
@@ -127,20 +134,28 @@
    * Viewers come at random moments, about so many a second, whether or not earlier ones were
    * answered.
    */
-  private void arrive(
-      TestFleet g, FaultInjector troubles, SplittableRandom chance, long began, double at) {
+  private void scheduleArrivals(
+      TestFleet testFleet,
+      FaultInjector faults,
+      SplittableRandom random,
+      long startedAtNanos,
+      double atSecond) {
     double rate =
-        Math.max(0.05, day.traffic().perSecond() * day.traffic().times(at) * troubles.arrivals());
-    double next = at - Math.log(1 - chance.nextDouble()) / rate;
-    if (next >= day.lengthS()) {
+        Math.max(
+            0.05,
+            day.traffic().perSecond()
+                * day.traffic().arrivalMultiple(atSecond)
+                * faults.currentArrivalMultiple());
+    double nextSecond = atSecond - Math.log(1 - random.nextDouble()) / rate;
+    if (nextSecond >= day.lengthS()) {
       return;
     }
-    long wait = Math.round(next * 1000 - (System.nanoTime() - began) / 1e6);
-    g.vertx.setTimer(
-        Math.max(1, wait),
+    long delayMs = Math.round(nextSecond * 1000 - (System.nanoTime() - startedAtNanos) / 1e6);
+    testFleet.vertx.setTimer(
+        Math.max(1, delayMs),
         t -> {
-          g.crowd.arrive();
-          arrive(g, troubles, chance, began, next);
+          testFleet.playerCrowd.arrive();
+          scheduleArrivals(testFleet, faults, random, startedAtNanos, nextSecond);
         });
   }
 
@@ -148,57 +163,62 @@
    * After the day nothing may be left: in the registries, routes and streams of the fronts, and at
    * the boxes.
    */
-  private void settle(Report report, String name, TestFleet g, long heapBefore)
+  private void checkLeftovers(Report report, String name, TestFleet testFleet, long heapBeforeBytes)
       throws IOException, InterruptedException {
-    long until = System.nanoTime() + 20_000_000_000L;
-    List<String> left;
+    long deadlineNanos = System.nanoTime() + 20_000_000_000L;
+    List<String> leftovers;
     do {
       Thread.sleep(200);
-      left = left(g);
-    } while (!left.isEmpty() && System.nanoTime() < until);
-    report.claim(
+      leftovers = findLeftovers(testFleet);
+    } while (!leftovers.isEmpty() && System.nanoTime() < deadlineNanos);
+    report.addClaim(
         name + ": nothing is left in fronts and boxes",
         "nothing",
-        left.isEmpty() ? "nothing" : left,
-        left.isEmpty());
-    long most = 0;
-    long wordsHeard = 0;
-    for (FrontProcess p : g.fronts) {
-      JsonNode s = p.state();
-      most = Math.max(most, p.heap());
-      wordsHeard += s.path("wordsHeard").asLong();
-      report.figure(name + ": front " + p.number(), counts(s));
+        leftovers.isEmpty() ? "nothing" : leftovers,
+        leftovers.isEmpty());
+    long largestHeapBytes = 0;
+    long messagesReceived = 0;
+    for (FrontProcess front : testFleet.fronts) {
+      JsonNode state = front.state();
+      largestHeapBytes = Math.max(largestHeapBytes, front.heapAfterGc());
+      messagesReceived += state.path("wordsHeard").asLong();
+      report.addFigure(name + ": front " + front.number(), frontCounters(state));
     }
-    report.figure(name + ": words heard by fronts", wordsHeard);
-    report.claim(
+    report.addFigure(name + ": words heard by fronts", messagesReceived);
+    report.addClaim(
         name + ": heap of a front after the day",
-        "at most " + HEAP_MORE / 1_000_000 + " MB over before",
-        String.format(java.util.Locale.ROOT, "%.1f MB, before %.1f", most / 1e6, heapBefore / 1e6),
-        most < heapBefore + HEAP_MORE);
+        "at most " + MAX_HEAP_GROWTH_BYTES / 1_000_000 + " MB over before",
+        String.format(
+            java.util.Locale.ROOT,
+            "%.1f MB, before %.1f",
+            largestHeapBytes / 1e6,
+            heapBeforeBytes / 1e6),
+        largestHeapBytes < heapBeforeBytes + MAX_HEAP_GROWTH_BYTES);
   }
 
   /** What is left now of viewers and viewings. */
-  private static List<String> left(TestFleet g) throws IOException, InterruptedException {
-    List<String> left = new ArrayList<>();
-    if (g.crowd.present() > 0) {
-      left.add(g.crowd.present() + " viewers");
+  private static List<String> findLeftovers(TestFleet testFleet)
+      throws IOException, InterruptedException {
+    List<String> leftovers = new ArrayList<>();
+    if (testFleet.playerCrowd.present() > 0) {
+      leftovers.add(testFleet.playerCrowd.present() + " viewers");
     }
-    if (g.fleet.viewings() > 0) {
-      left.add(g.fleet.viewings() + " viewings at boxes");
+    if (testFleet.fleet.viewings() > 0) {
+      leftovers.add(testFleet.fleet.viewings() + " viewings at boxes");
     }
-    for (FrontProcess p : g.fronts) {
-      JsonNode s = p.state();
-      for (String what :
+    for (FrontProcess front : testFleet.fronts) {
+      JsonNode state = front.state();
+      for (String key :
           List.of("held", "keys", "titles", "routes", "noteStreamsInUse", "callsWaiting")) {
-        if (s.path(what).asInt() > 0) {
-          left.add("front " + p.number() + ": " + s.path(what) + " " + what);
+        if (state.path(key).asInt() > 0) {
+          leftovers.add("front " + front.number() + ": " + state.path(key) + " " + key);
         }
       }
     }
-    return left;
+    return leftovers;
   }
 
-  private static String counts(JsonNode state) {
+  private static String frontCounters(JsonNode state) {
     return "taken "
         + state.path("taken")
         + ", played "
@@ -215,41 +235,42 @@
         + state.path("listGaps");
   }
 
-  private void figures(Report report, String name, TestFleet g) {
-    PlayerCrowd.Figures f = g.crowd.figures();
-    report.figure(
+  private void reportFigures(Report report, String name, TestFleet testFleet) {
+    PlayerCrowd.Figures figures = testFleet.playerCrowd.figures();
+    report.addFigure(
         name + ": requests",
-        f.asked
+        figures.asked
             + " ("
-            + f.played
+            + figures.played
             + " played, "
-            + f.blocked
+            + figures.blocked
             + " blocked, "
-            + f.aborted
+            + figures.aborted
             + " aborted, "
-            + f.brokenOff
+            + figures.brokenOff
             + " broken off, "
-            + f.refused
+            + figures.refused
             + " not reached, "
-            + f.unanswered
+            + figures.unanswered
             + " unanswered)");
-    report.figure(name + ": came again, starved", f.cameAgain + ", " + f.starved);
-    report.figure(
+    report.addFigure(name + ": came again, starved", figures.cameAgain + ", " + figures.starved);
+    report.addFigure(
         name + ": join ms p50 p99 max",
-        f.joinMicros.getValueAtPercentile(50) / 1000
+        figures.joinMicros.getValueAtPercentile(50) / 1000
             + " "
-            + f.joinMicros.getValueAtPercentile(99) / 1000
+            + figures.joinMicros.getValueAtPercentile(99) / 1000
             + " "
-            + f.joinMicros.getMaxValue() / 1000);
-    report.figure(
-        name + ": value joined in time over asked", f.valueInTime / Math.max(1, f.valueAsked));
-    report.figure(name + ": megabytes played", f.bytes / 1_000_000);
+            + figures.joinMicros.getMaxValue() / 1000);
+    report.addFigure(
+        name + ": value joined in time over asked",
+        figures.valueInTime / Math.max(1, figures.valueAsked));
+    report.addFigure(name + ": megabytes played", figures.bytes / 1_000_000);
     // An imported day may ask for more than the fleet gives: how much is played is its figure, not
     // its claim.
-    report.claim(
+    report.addClaim(
         name + ": viewings played",
-        !wantsEveryRule ? "some" : "over a third of the requests",
-        f.played + " of " + f.asked,
-        wantsEveryRule ? f.played * 3 > f.asked : f.played > 0);
+        !requiresEveryRule ? "some" : "over a third of the requests",
+        figures.played + " of " + figures.asked,
+        requiresEveryRule ? figures.played * 3 > figures.asked : figures.played > 0);
   }
 }
--- a/src/main/java/linengauge/drill/DayImporter.java
+++ b/src/main/java/linengauge/drill/DayImporter.java
@@ -16,17 +16,17 @@
  * told.
  */
 public final class DayImporter {
-  private static final int MOST_BOXES = 12;
-  private static final int MOST_FRONTS = 3;
+  private static final int MAX_BOXES = 12;
+  private static final int MAX_FRONTS = 3;
 
   /** The middle rate on loopback, kB a second; links and uplinks are scaled with it. */
-  private static final double MIDDLE_KB = 95;
+  private static final double MIDDLE_RATE_KB = 95;
 
-  private static final double LONGEST_DAY_S = 60;
+  private static final double MAX_DAY_SECONDS = 60;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final JsonNode day;
-  private final List<String> said = new ArrayList<>();
+  private final List<String> changes = new ArrayList<>();
 
   private DayImporter(JsonNode day) {
     this.day = day;
@@ -51,13 +51,13 @@
       throw new IOException(
           "not a drawn day of viewings: family, fam.rates, servers, balancers or troubles are missing");
     }
-    DayImporter i = new DayImporter(day);
-    String script = i.script();
-    return new Imported(script, i.said);
+    DayImporter importer = new DayImporter(day);
+    String script = importer.script();
+    return new Imported(script, importer.changes);
   }
 
-  private static double round(double v) {
-    return Math.round(v * 1000) / 1000.0;
+  private static double round(double value) {
+    return Math.round(value * 1000) / 1000.0;
   }
 
   private static int ms(JsonNode micros) {
@@ -65,129 +65,132 @@
   }
 
   private String script() throws IOException {
-    JsonNode fam = day.path("fam");
-    int boxesThen = day.path("servers").size();
-    int frontsThen = day.path("balancers").size();
-    int boxes = Math.min(MOST_BOXES, boxesThen);
-    int fronts = Math.min(MOST_FRONTS, frontsThen);
-    double part = (double) boxes / boxesThen;
-    int racksThen = Math.max(1, fam.path("racks").asInt(1));
-    int racks = Math.max(1, Math.min(4, (int) Math.round(racksThen * part)));
-    JsonNode rates = fam.path("rates");
+    JsonNode family = day.path("fam");
+    int originalBoxes = day.path("servers").size();
+    int originalFronts = day.path("balancers").size();
+    int boxes = Math.min(MAX_BOXES, originalBoxes);
+    int fronts = Math.min(MAX_FRONTS, originalFronts);
+    double boxShare = (double) boxes / originalBoxes;
+    int originalRacks = Math.max(1, family.path("racks").asInt(1));
+    int racks = Math.max(1, Math.min(4, (int) Math.round(originalRacks * boxShare)));
+    JsonNode rates = family.path("rates");
     double middle = Math.sqrt(rates.get(0).asDouble() * rates.get(rates.size() - 1).asDouble());
-    double scale = MIDDLE_KB / middle;
+    double scale = MIDDLE_RATE_KB / middle;
     JsonNode tier = day.path("tiers").get(0);
     double cores = 0;
-    for (JsonNode s : day.path("servers")) {
-      cores += tier.path("kinds").get(s.path("kind").asInt()).path("cores").asDouble(1);
+    for (JsonNode server : day.path("servers")) {
+      cores += tier.path("kinds").get(server.path("kind").asInt()).path("cores").asDouble(1);
     }
-    double linkKb = fam.path("core_kb").asDouble() * cores / boxesThen * scale;
+    double linkKb = family.path("core_kb").asDouble() * cores / originalBoxes * scale;
     double uplinks = 0;
-    for (JsonNode u : fam.path("uplink_kb")) {
-      uplinks += u.asDouble();
+    for (JsonNode uplink : family.path("uplink_kb")) {
+      uplinks += uplink.asDouble();
     }
-    double uplinkKb = uplinks * part / racks * scale;
-    say(
+    double uplinkKb = uplinks * boxShare / racks * scale;
+    addChange(
         "boxes %d to %d, fronts %d to %d, racks %d to %d",
-        boxesThen, boxes, frontsThen, fronts, racksThen, racks);
-    say(
+        originalBoxes, boxes, originalFronts, fronts, originalRacks, racks);
+    addChange(
         "rates, links and uplinks times %.4f, so that the middle rate is %.0f kB a second",
-        scale, MIDDLE_KB);
-    double length = day.path("length").asDouble() / 1e6;
-    double kept = Math.min(LONGEST_DAY_S, length);
-    if (kept < length) {
-      say("the day is cut from %.0f to %.0f s", length, kept);
+        scale, MIDDLE_RATE_KB);
+    double lengthSeconds = day.path("length").asDouble() / 1e6;
+    double keptSeconds = Math.min(MAX_DAY_SECONDS, lengthSeconds);
+    if (keptSeconds < lengthSeconds) {
+      addChange("the day is cut from %.0f to %.0f s", lengthSeconds, keptSeconds);
     }
-    ObjectNode s = JSON.createObjectNode();
-    s.put("name", name()).put("lengthS", round(kept));
-    s.putArray("paidPasses").add(paid());
-    ObjectNode fleet = s.putObject("fleet").put("boxes", boxes).put("racks", racks);
+    ObjectNode root = JSON.createObjectNode();
+    root.put("name", dayName()).put("lengthS", round(keptSeconds));
+    root.putArray("paidPasses").add(paidPackage());
+    ObjectNode fleet = root.putObject("fleet").put("boxes", boxes).put("racks", racks);
     ArrayNode buildings = fleet.putArray("buildings");
-    day.path("zones").forEach(z -> buildings.add(z.asText()));
+    day.path("zones").forEach(zone -> buildings.add(zone.asText()));
     while (buildings.size() > fronts) {
       buildings.remove(
           buildings.size() - 1); // a building without a front would have viewers nobody takes
     }
-    boolean answers = "answers".equals(tier.path("report_how").asText());
+    boolean loadInAnswers = "answers".equals(tier.path("report_how").asText());
     fleet
         .put(
             "streams",
-            Math.max(1, (int) Math.round(fam.path("core_slots").asDouble(10) * cores / boxesThen)))
+            Math.max(
+                1,
+                (int) Math.round(family.path("core_slots").asDouble(10) * cores / originalBoxes)))
         .put("linkKb", round(linkKb))
         .put("uplinkKb", round(uplinkKb))
         .put("setUpMs", 40)
         .put("leaseMs", 8000)
-        .put("seeMs", ms(fam.path("see")))
-        .put("tellMs", answers ? ms(fam.path("tell")) : 0)
-        .put("loadInAnswers", answers);
-    s.putObject("fronts")
+        .put("seeMs", ms(family.path("see")))
+        .put("tellMs", loadInAnswers ? ms(family.path("tell")) : 0)
+        .put("loadInAnswers", loadInAnswers);
+    root.putObject("fronts")
         .put("count", fronts)
         .put("loops", 1)
         .put("viewings", 2000)
         .put("stopMs", 1000);
-    ArrayNode ladder = s.putArray("ladder");
+    ArrayNode ladder = root.putArray("ladder");
     for (int i = 0; i < rates.size(); i++) {
       ladder
           .addObject()
           .put("kb", round(rates.get(i).asDouble() * scale))
-          .put("value", fam.path("worth").get(i).asDouble());
+          .put("value", family.path("worth").get(i).asDouble());
     }
-    packages(s.putArray("packages"));
-    rules(s);
+    addPackages(root.putArray("packages"));
+    addRules(root);
     double perSecond =
-        fam.path("capacity").asDouble() * day.path("traffic").path("load").asDouble() * part;
-    double life = fam.path("life_s").asDouble();
+        family.path("capacity").asDouble() * day.path("traffic").path("load").asDouble() * boxShare;
+    double lifeSeconds = family.path("life_s").asDouble();
     ObjectNode traffic =
-        s.putObject("traffic")
+        root.putObject("traffic")
             .put("perSecond", round(perSecond))
-            .put("titles", Math.min(200, fam.path("titles").asInt(20)))
+            .put("titles", Math.min(200, family.path("titles").asInt(20)))
             .put(
                 "copies",
-                fam.path("copies").asDouble() <= 0 ? boxes : Math.max(3, Math.min(boxes, 4)))
-            .put("shortestS", round(life * 0.6))
-            .put("longestS", round(life * 1.4));
+                family.path("copies").asDouble() <= 0 ? boxes : Math.max(3, Math.min(boxes, 4)))
+            .put("shortestS", round(lifeSeconds * 0.6))
+            .put("longestS", round(lifeSeconds * 1.4));
     ArrayNode shape = traffic.putArray("shape");
     day.path("traffic")
         .path("shape")
-        .forEach(p -> shape.addArray().add(p.get(0).asDouble()).add(p.get(1).asDouble()));
-    say(
+        .forEach(
+            point -> shape.addArray().add(point.get(0).asDouble()).add(point.get(1).asDouble()));
+    addChange(
         "viewers come at %.2f a second, as many for each box as before; those of the day's first moment come with time",
         perSecond);
-    s.putObject("list").put("lateMs", Math.min(20000, ms(day.path("discovery").path("notice"))));
-    troubles(s.putArray("troubles"), kept);
-    return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(s) + "\n";
+    root.putObject("list").put("lateMs", Math.min(20000, ms(day.path("discovery").path("notice"))));
+    addFaults(root.putArray("troubles"), keptSeconds);
+    return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(root) + "\n";
   }
 
-  private void say(String format, Object... values) {
-    said.add(String.format(Locale.ROOT, format, values));
+  private void addChange(String format, Object... values) {
+    changes.add(String.format(Locale.ROOT, format, values));
   }
 
-  private String name() {
+  private String dayName() {
     String name = day.path("site").asText("day") + "-" + day.path("kind").asText("day");
     return name.replaceAll("[^A-Za-z0-9._-]", "-").substring(0, Math.min(64, name.length()));
   }
 
   /** Packages that may not be set up twice are paid for at set-up. */
-  private String paid() {
-    for (JsonNode c : day.path("classes")) {
-      if (!c.path("effect").asText().equals("safe")) {
-        return c.path("name").asText();
+  private String paidPackage() {
+    for (JsonNode packageClass : day.path("classes")) {
+      if (!packageClass.path("effect").asText().equals("safe")) {
+        return packageClass.path("name").asText();
       }
     }
     return "";
   }
 
-  private void packages(ArrayNode packs) {
+  private void addPackages(ArrayNode packages) {
     int i = 0;
-    for (JsonNode c : day.path("classes")) {
+    for (JsonNode packageClass : day.path("classes")) {
       JsonNode use = day.path("fam").path("uses").get(i++);
-      packs
+      packages
           .addObject()
-          .put("name", c.path("name").asText())
-          .put("share", c.path("share").asDouble())
-          .put("value", c.path("worth").asDouble())
-          .put("joinTargetMs", ms(c.path("aim")))
-          .put("patienceMs", ms(c.path("deadline")))
+          .put("name", packageClass.path("name").asText())
+          .put("share", packageClass.path("share").asDouble())
+          .put("value", packageClass.path("worth").asDouble())
+          .put("joinTargetMs", ms(packageClass.path("aim")))
+          .put("patienceMs", ms(packageClass.path("deadline")))
           .put("rateFactor", use.path("scale").asDouble(1))
           .put("lowestRung", use.path("floor").asInt())
           .put(
@@ -197,82 +200,83 @@
     }
   }
 
-  private void rules(ObjectNode s) {
+  private void addRules(ObjectNode root) {
     JsonNode tier = day.path("tiers").get(0);
     JsonNode budget = day.path("budget");
-    boolean rationed = budget.path("share").asDouble() > 0;
-    s.putObject("rules")
+    boolean retriesLimited = budget.path("share").asDouble() > 0;
+    root.putObject("rules")
         .put("coldMs", Math.max(1, ms(tier.path("stated_cold"))))
         .put("startCapacity", tier.path("stated_cold_from").asDouble(0.4))
         .put("fallMultiple", day.path("fall_multiple").asDouble())
         .put("fallAfterMs", Math.max(1, ms(day.path("fall_for"))))
         .put("drainGraceMs", ms(day.path("drain_grace")))
-        .put("furtherFree", rationed ? budget.path("free").asDouble() : 0)
-        .put("furtherShare", rationed ? budget.path("share").asDouble() : 0)
-        .put("furtherMs", rationed ? ms(budget.path("window")) : 0);
+        .put("furtherFree", retriesLimited ? budget.path("free").asDouble() : 0)
+        .put("furtherShare", retriesLimited ? budget.path("share").asDouble() : 0)
+        .put("furtherMs", retriesLimited ? ms(budget.path("window")) : 0);
     JsonNode allow = day.path("allow");
-    boolean uplink = false;
-    for (JsonNode f : tier.path("report_fields")) {
-      uplink |= f.asText().equals("x1");
+    boolean reportsUplink = false;
+    for (JsonNode field : tier.path("report_fields")) {
+      reportsUplink |= field.asText().equals("x1");
     }
-    s.putObject("permits")
+    root.putObject("permits")
         .put("tuneIns", allow.path("max_attempts").asInt(4))
         .put("messages", allow.path("peers").asBoolean())
         .put("probes", allow.path("probes").asBoolean())
-        .put("reportsUplink", uplink)
+        .put("reportsUplink", reportsUplink)
         .put("probePrice", day.path("prices").path("probe").asDouble())
         .put("crossingPrice", day.path("prices").path("cross_zone").asDouble())
         .put("longestAdviceMs", ms(day.path("clients").path("max_retry_after")));
   }
 
-  private void troubles(ArrayNode out, double kept) {
+  private void addFaults(ArrayNode out, double keptSeconds) {
     int servers = day.path("servers").size();
     int balancers = day.path("balancers").size();
-    for (JsonNode t : day.path("troubles")) {
-      String kind = t.path("kind").asText();
-      double at = t.path("at").asDouble() / 1e6;
-      double length = Math.min(t.path("len").asDouble() / 1e6, Math.max(1, kept - at));
-      int on = t.path("on").size();
-      double part = (double) on / servers;
-      double size = t.path("size").asDouble();
-      double extra = t.path("extra").asDouble();
-      if (at >= kept) {
-        say("%s at %.1f s lies past the end and is left out", kind, at);
+    for (JsonNode fault : day.path("troubles")) {
+      String kind = fault.path("kind").asText();
+      double atSeconds = fault.path("at").asDouble() / 1e6;
+      double lengthSeconds =
+          Math.min(fault.path("len").asDouble() / 1e6, Math.max(1, keptSeconds - atSeconds));
+      int hitCount = fault.path("on").size();
+      double fraction = (double) hitCount / servers;
+      double size = fault.path("size").asDouble();
+      double extra = fault.path("extra").asDouble();
+      if (atSeconds >= keptSeconds) {
+        addChange("%s at %.1f s lies past the end and is left out", kind, atSeconds);
         continue;
       }
       switch (kind) {
         case "balancer_stall" -> {
           // Each front named stands still for `size` milliseconds, again and again every `extra`
           // seconds.
-          part = (double) on / balancers;
+          fraction = (double) hitCount / balancers;
           size = size / 1000;
         }
         case "deploy" -> {
           int stopped = 0;
-          for (JsonNode step : t.path("steps")) {
+          for (JsonNode step : fault.path("steps")) {
             stopped += step.path("stop").size();
           }
-          part = (double) stopped / servers;
-          size = Math.max(1, Math.round(size * Math.min(MOST_BOXES, servers)));
-          say(
+          fraction = (double) stopped / servers;
+          size = Math.max(1, Math.round(size * Math.min(MAX_BOXES, servers)));
+          addChange(
               "deploy: boxes restart in turns of %.0f in place of being replaced by new ones",
               size);
         }
-        case "origin_slow" -> part = 0.3;
+        case "origin_slow" -> fraction = 0.3;
         case "peer_down" -> size = 1;
         default -> {}
       }
-      ObjectNode n =
+      ObjectNode node =
           out.addObject()
-              .put("atS", round(at))
-              .put("forS", round(length))
+              .put("atS", round(atSeconds))
+              .put("forS", round(lengthSeconds))
               .put("kind", kind)
-              .put("part", round(Math.min(1, part)))
+              .put("part", round(Math.min(1, fraction)))
               .put("size", round(size))
               .put("extra", round(extra));
-      if (t.path("how").isTextual()) {
-        String how = t.path("how").asText();
-        n.put("how", how.equals("zone") ? "building" : how);
+      if (fault.path("how").isTextual()) {
+        String how = fault.path("how").asText();
+        node.put("how", how.equals("zone") ? "building" : how);
       }
     }
   }
--- a/src/main/java/linengauge/drill/DayScript.java
+++ b/src/main/java/linengauge/drill/DayScript.java
@@ -21,14 +21,14 @@
     double lengthS,
     List<String> paidPasses,
     FleetPlan fleet,
-    Fronts fronts,
+    FrontPlan fronts,
     List<Site.Rung> ladder,
-    List<Wanted> packages,
+    List<PackagePlan> packages,
     Site.Rules rules,
     Site.Permits permits,
-    Traffic traffic,
+    TrafficPlan traffic,
     ListPlan list,
-    List<Trouble> troubles) {
+    List<Fault> troubles) {
 
   /** Boxes and the links that they share, in kB a second. */
   public record FleetPlan(
@@ -48,10 +48,10 @@
    * The fronts under test: how many, their loops, the viewings of each, and how long they may stop
    * for.
    */
-  public record Fronts(int count, int loops, int viewings, int stopMs) {}
+  public record FrontPlan(int count, int loops, int viewings, int stopMs) {}
 
   /** A package that viewers ask for: its share of them, what it is worth, and their patience. */
-  public record Wanted(
+  public record PackagePlan(
       String name,
       double share,
       double value,
@@ -67,7 +67,7 @@
    * the rate goes over the day: points of second and multiple, straight lines between; absent:
    * evenly.
    */
-  public record Traffic(
+  public record TrafficPlan(
       double perSecond,
       int titles,
       int copies,
@@ -75,19 +75,20 @@
       double longestS,
       List<double[]> shape) {
     /** How many times the usual number of viewers come at a second of the day. */
-    double times(double second) {
+    double arrivalMultiple(double second) {
       if (shape == null || shape.isEmpty()) {
         return 1;
       }
-      double[] before = shape.get(0);
-      for (double[] p : shape) {
-        if (second < p[0]) {
-          double along = p[0] > before[0] ? (second - before[0]) / (p[0] - before[0]) : 1;
-          return before[1] + Math.max(0, along) * (p[1] - before[1]);
+      double[] previous = shape.get(0);
+      for (double[] point : shape) {
+        if (second < point[0]) {
+          double fraction =
+              point[0] > previous[0] ? (second - previous[0]) / (point[0] - previous[0]) : 1;
+          return previous[1] + Math.max(0, fraction) * (point[1] - previous[1]);
         }
-        before = p;
+        previous = point;
       }
-      return before[1];
+      return previous[1];
     }
   }
 
@@ -97,7 +98,7 @@
   /**
    * One trouble: when, for how long, on what part of the fleet, how hard; extra as the kind says.
    */
-  public record Trouble(
+  public record Fault(
       double atS, double forS, String kind, double part, double size, double extra, String how) {}
 
   /** Reads a file, or a script in the jar where the name is "builtin:NAME". */
--- a/src/main/java/linengauge/drill/DrillSiteFile.java
+++ b/src/main/java/linengauge/drill/DrillSiteFile.java
@@ -9,36 +9,36 @@
 /** Writes the site files of a drill's fronts; datagrams go by way of the post. */
 final class DrillSiteFile {
   /** For viewers, for operators, for datagrams, and the post's for datagrams. */
-  static final int PORTS_A_FRONT = 4;
+  static final int PORTS_PER_FRONT = 4;
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final DayScript day;
-  private final String paid;
+  private final String paidPackage;
   private final List<Integer> ports;
   private final List<String> titles;
-  private final IntFunction<ObjectNode> more;
+  private final IntFunction<ObjectNode> extraSettings;
 
   /**
-   * @param paid the package that is paid for at its set-up
+   * @param paidPackage the package that is paid for at its set-up
    * @param ports the boxes' first, then the list's, then those of each front
-   * @param more what else stands in each front's file, by part and key
+   * @param extraSettings what else stands in each front's file, by part and key
    */
   DrillSiteFile(
       DayScript day,
-      String paid,
+      String paidPackage,
       List<Integer> ports,
       List<String> titles,
-      IntFunction<ObjectNode> more) {
+      IntFunction<ObjectNode> extraSettings) {
     this.day = day;
-    this.paid = paid;
+    this.paidPackage = paidPackage;
     this.ports = ports;
     this.titles = titles;
-    this.more = more;
+    this.extraSettings = extraSettings;
   }
 
-  private int port(int front, int which) {
-    return ports.get(day.fleet().boxes() + 1 + PORTS_A_FRONT * front + which);
+  private int port(int front, int offset) {
+    return ports.get(day.fleet().boxes() + 1 + PORTS_PER_FRONT * front + offset);
   }
 
   int viewersPort(int front) {
@@ -49,12 +49,12 @@
     return port(front, 1);
   }
 
-  private String address(int front, int which) {
-    return Ports.HOST + ":" + port(front, which);
+  private String address(int front, int offset) {
+    return Ports.HOST + ":" + port(front, offset);
   }
 
   /** The site file of one front. */
-  ObjectNode of(int number) {
+  ObjectNode build(int number) {
     ObjectNode site = JSON.createObjectNode().put("site", day.name());
     fronts(site, number);
     site.set("ladder", JSON.valueToTree(day.ladder()));
@@ -63,11 +63,13 @@
     site.set("rules", JSON.valueToTree(day.rules()));
     site.set("permits", JSON.valueToTree(day.permits()));
     titles(site);
-    bounds(site);
-    more.apply(number)
+    limits(site);
+    extraSettings
+        .apply(number)
         .fields()
         .forEachRemaining(
-            part -> site.withObject("/" + part.getKey()).setAll((ObjectNode) part.getValue()));
+            section ->
+                site.withObject("/" + section.getKey()).setAll((ObjectNode) section.getValue()));
     return site;
   }
 
@@ -81,41 +83,41 @@
         .put("control", address(number, 1))
         .put("words", address(number, 2));
     int count = day.fronts().count();
-    ObjectNode words = site.putObject("fronts").put("count", count).putObject("words");
+    ObjectNode addresses = site.putObject("fronts").put("count", count).putObject("words");
     for (int i = 0; i < count; i++) {
-      words.put("" + i, address(i, 3));
+      addresses.put("" + i, address(i, 3));
     }
   }
 
   private void packages(ObjectNode site) {
     ArrayNode packages = site.putArray("packages");
-    for (DayScript.Wanted p : day.packages()) {
+    for (DayScript.PackagePlan plan : day.packages()) {
       packages
           .addObject()
-          .put("name", p.name())
-          .put("value", p.value())
-          .put("joinTargetMs", p.joinTargetMs())
-          .put("rateFactor", p.rateFactor())
-          .put("lowestRung", p.lowestRung())
-          .put("highestRung", p.highestRung())
-          .put("seats", p.seats())
-          .put("paidAtSetUp", p.name().equals(paid));
+          .put("name", plan.name())
+          .put("value", plan.value())
+          .put("joinTargetMs", plan.joinTargetMs())
+          .put("rateFactor", plan.rateFactor())
+          .put("lowestRung", plan.lowestRung())
+          .put("highestRung", plan.highestRung())
+          .put("seats", plan.seats())
+          .put("paidAtSetUp", plan.name().equals(paidPackage));
     }
   }
 
   private void fleet(ObjectNode site) {
-    DayScript.FleetPlan f = day.fleet();
+    DayScript.FleetPlan plan = day.fleet();
     site.putObject("fleet")
-        .put("cells", f.boxes())
-        .put("racks", f.racks())
-        .put("linksKb", f.boxes() * f.linkKb())
-        .put("linkKbPerWeight", f.linkKb())
-        .put("uplinkKb", f.uplinkKb())
-        .put("shareLatenessMs", f.seeMs())
+        .put("cells", plan.boxes())
+        .put("racks", plan.racks())
+        .put("linksKb", plan.boxes() * plan.linkKb())
+        .put("linkKbPerWeight", plan.linkKb())
+        .put("uplinkKb", plan.uplinkKb())
+        .put("shareLatenessMs", plan.seeMs())
         .putArray("kinds")
         .addObject()
         .put("name", "small")
-        .put("streams", f.streams());
+        .put("streams", plan.streams());
   }
 
   private void titles(ObjectNode site) {
@@ -130,7 +132,7 @@
     }
   }
 
-  private void bounds(ObjectNode site) {
+  private void limits(ObjectNode site) {
     site.putObject("list")
         .put("address", Ports.HOST + ":" + ports.get(day.fleet().boxes()))
         .put("silenceMs", 3000)
--- a/src/main/java/linengauge/drill/ExploreDrill.java
+++ b/src/main/java/linengauge/drill/ExploreDrill.java
@@ -13,41 +13,51 @@
   private ExploreDrill() {}
 
   public static Report run(int depth, int faults) {
-    Report r = new Report("explore, " + depth + " happenings, " + faults + " troubles", 0);
+    Report report = new Report("explore, " + depth + " happenings, " + faults + " troubles", 0);
     for (List<Integer> priorities :
         List.of(
             List.of(200, 100), List.of(100, 100), List.of(200, 150, 100), List.of(100, 100, 100))) {
       for (boolean preempt : new boolean[] {true, false}) {
-        for (boolean more : new boolean[] {false, true}) {
-          explore(r, priorities, preempt, more, depth, faults);
+        for (boolean withAdditions : new boolean[] {false, true}) {
+          explore(report, priorities, preempt, withAdditions, depth, faults);
         }
       }
     }
-    return r;
+    return report;
   }
 
   private static void explore(
-      Report r, List<Integer> priorities, boolean preempt, boolean more, int depth, int faults) {
-    String what =
-        "priorities " + priorities + (preempt ? ", preempt" : "") + (more ? ", additions" : "");
-    long from = System.nanoTime();
-    Explorer.Outcome o =
+      Report report,
+      List<Integer> priorities,
+      boolean preempt,
+      boolean withAdditions,
+      int depth,
+      int faults) {
+    String configuration =
+        "priorities "
+            + priorities
+            + (preempt ? ", preempt" : "")
+            + (withAdditions ? ", additions" : "");
+    long startedAtNanos = System.nanoTime();
+    Explorer.Outcome outcome =
         Explorer.explore(
             new Plan(
                 priorities,
                 preempt,
-                more ? Plan.shortAdditions() : RouterTerms.Additions.NONE,
+                withAdditions ? Plan.shortAdditions() : RouterTerms.Additions.NONE,
                 depth,
                 faults,
                 VirtualRouter::new));
-    r.claim(
-        what,
+    report.addClaim(
+        configuration,
         "one comes to be Active and stays",
-        o.held() ? "in " + o.schedules() + " schedules" : o.found().what(),
-        o.held());
-    r.figure(what, o.states() + " states, " + (System.nanoTime() - from) / 1_000_000 + " ms");
-    if (!o.held()) {
-      r.figure(what + ": schedule", o.found().schedule());
+        outcome.held() ? "in " + outcome.schedules() + " schedules" : outcome.found().what(),
+        outcome.held());
+    report.addFigure(
+        configuration,
+        outcome.states() + " states, " + (System.nanoTime() - startedAtNanos) / 1_000_000 + " ms");
+    if (!outcome.held()) {
+      report.addFigure(configuration + ": schedule", outcome.found().schedule());
     }
   }
 }
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -39,16 +39,16 @@
   private static final int FRONTS = 2;
 
   /** Between two viewers of one address; no silence can be seen that is shorter. */
-  private static final int EVERY_MS = 20;
+  private static final int ARRIVAL_INTERVAL_MS = 20;
 
   /** In each hundredth of a second, beside the usual. */
-  private static final int SURGE_EACH = 4;
+  private static final int SURGE_ARRIVALS_PER_10_MS = 4;
 
   private static final int SURGE_MS = 5000;
   private static final String KEY = "a key for this drill alone";
 
   /** What befalls a node, or the LAN between the two. */
-  enum Trouble {
+  enum Fault {
     KILL,
     FREEZE,
     STOP,
@@ -62,8 +62,8 @@
   private final int advertMs;
   private final boolean additions;
   private final Path traffic;
-  private final Vertx players = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-  private final Map<Trouble, List<Long>> silences = new TreeMap<>();
+  private final Vertx playerVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final Map<Fault, List<Long>> silences = new TreeMap<>();
 
   /**
    * @param rounds of troubles, one at a time
@@ -83,7 +83,7 @@
 
   /** What a virtual router costs a node, with and without the trailer. */
   public static void cost(Report report, int advertMs) throws IOException, InterruptedException {
-    report.figure(
+    report.addFigure(
         "processor time of a node for each of 100 virtual routers, us a second, without and with a key",
         VrrpCost.measure(100, advertMs, null)
             + " "
@@ -91,7 +91,7 @@
                 100, advertMs, KEY.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
-  private long down() {
+  private long activeDownMs() {
     return 4L * advertMs;
   }
 
@@ -110,90 +110,102 @@
     List<SharedLan.Node> nodes = new ArrayList<>();
     List<SharedLan.Shared> shared = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      Map<Integer, String> doors = new TreeMap<>();
-      for (int v = 0; v < FRONTS; v++) {
-        doors.put(v + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + v));
+      Map<Integer, String> viewerPorts = new TreeMap<>();
+      for (int router = 0; router < FRONTS; router++) {
+        viewerPorts.put(router + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + router));
       }
       nodes.add(
-          new SharedLan.Node(i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), doors));
+          new SharedLan.Node(
+              i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), viewerPorts));
       shared.add(new SharedLan.Shared(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
     }
     int announcePort = ports.get(5 * FRONTS);
-    List<String> record;
-    try (TestFleet g =
+    List<String> trafficRecord;
+    try (TestFleet testFleet =
         new TestFleet(
-            day, "", seeds.nextLong(), ports, i -> site(i, nodes, announcePort, keyFile))) {
-      record = play(report, name, g, nodes, shared, announcePort, seeds);
+            day, "", seeds.nextLong(), ports, i -> siteSettings(i, nodes, announcePort, keyFile))) {
+      trafficRecord = play(report, name, testFleet, nodes, shared, announcePort, seeds);
     } finally {
-      players.close();
+      playerVertx.close();
       Files.deleteIfExists(keyFile);
     }
     if (traffic != null) {
-      Files.write(traffic, record);
+      Files.write(traffic, trafficRecord);
     }
-    judge(report, name, record);
+    judge(report, name, trafficRecord);
   }
 
   /** Plays all of it; the record. */
   private List<String> play(
       Report report,
       String name,
-      TestFleet g,
+      TestFleet testFleet,
       List<SharedLan.Node> nodes,
       List<SharedLan.Shared> shared,
       int announcePort,
       SplittableRandom seeds)
       throws IOException, InterruptedException {
     SharedLan lan =
-        new SharedLan(g.vertx, nodes, shared, Ports.HOST, announcePort, seeds.nextLong(), g.tap);
-    g.await(lan::open);
-    g.onBoxes(() -> lan.trouble(0, 0.02, 5));
-    g.open(
+        new SharedLan(
+            testFleet.vertx,
+            nodes,
+            shared,
+            Ports.HOST,
+            announcePort,
+            seeds.nextLong(),
+            testFleet.tap);
+    testFleet.await(lan::open);
+    testFleet.runOnBoxLoop(() -> lan.trouble(0, 0.02, 5));
+    testFleet.open(
         "-Xmx384m",
         "-Xms384m",
         "-XX:MaxDirectMemorySize=512m",
         "-XX:+UseG1GC",
         "-XX:MaxGCPauseMillis=20");
     List<PlayerCrowd> crowds = new ArrayList<>();
-    for (SharedLan.Shared s : shared) {
-      crowds.add(crowd(g, lan, s, seeds.nextLong()));
+    for (SharedLan.Shared sharedAddress : shared) {
+      crowds.add(startCrowd(testFleet, lan, sharedAddress, seeds.nextLong()));
     }
-    Thread.sleep(4000 + 4 * down());
-    g.tap.saw("pair-quiet");
+    Thread.sleep(4000 + 4 * activeDownMs());
+    testFleet.tap.saw("pair-quiet");
     Thread.sleep(1000);
     for (int i = 0; i < rounds; i++) {
-      Trouble t = Trouble.values()[i % Trouble.values().length];
-      round(g, lan, crowds, t, seeds);
+      Fault fault = Fault.values()[i % Fault.values().length];
+      runRound(testFleet, lan, crowds, fault, seeds);
     }
     if (flapSeconds > 0) {
-      flap(report, name, g, crowds);
+      flap(report, name, testFleet, crowds);
     }
-    played(report, name, crowds);
-    surge(report, name, g, nodes, crowds);
-    lateness(report, name, g);
-    crowds.forEach(c -> players.getOrCreateContext().runOnContext(v -> c.close()));
+    checkPlayed(report, name, crowds);
+    surge(report, name, testFleet, nodes, crowds);
+    reportLateness(report, name, testFleet);
+    crowds.forEach(crowd -> playerVertx.getOrCreateContext().runOnContext(v -> crowd.close()));
     Thread.sleep(3500);
-    boolean ended = g.endFronts().values().stream().allMatch(e -> e);
-    report.claim(
-        name + ": the fronts ended in order when told", "yes", ended ? "yes" : "no", ended);
-    List<String> record = g.tap.lines();
-    figures(report, name, crowds, lan);
-    report.claim(
-        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
-    return record;
+    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+    report.addClaim(
+        name + ": the fronts ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
+    List<String> trafficRecord = testFleet.tap.lines();
+    reportFigures(report, name, crowds, lan);
+    report.addClaim(
+        name + ": the record is whole",
+        "not cut short",
+        trafficRecord.size() + " lines",
+        !testFleet.tap.full());
+    return trafficRecord;
   }
 
-  private ObjectNode site(int number, List<SharedLan.Node> nodes, int announcePort, Path keyFile) {
-    ObjectNode s = JSON.createObjectNode();
-    s.putObject("viewers").put("perAddress", 20_000); // all viewers here come from one
-    ObjectNode v =
-        s.putObject("vrrp")
+  private ObjectNode siteSettings(
+      int number, List<SharedLan.Node> nodes, int announcePort, Path keyFile) {
+    ObjectNode site = JSON.createObjectNode();
+    site.putObject("viewers").put("perAddress", 20_000); // all viewers here come from one
+    ObjectNode vrrp =
+        site.putObject("vrrp")
             .put("listen", nodes.get(number).host() + ":" + nodes.get(number).port())
             .put("announce", Ports.HOST + ":" + announcePort);
-    v.putArray("partners")
+    vrrp.putArray("partners")
         .add(nodes.get(1 - number).host() + ":" + nodes.get(1 - number).lanPort());
     if (additions) {
-      v.put("frozen", true)
+      vrrp.put("frozen", true)
           .put("advertsPerInterval", 2)
           .put("keyFile", keyFile.toString())
           .put("preemptDelayMs", 500)
@@ -205,9 +217,9 @@
           .put("unwellAfterMs", 500)
           .put("overloadedMs", 400);
     } else {
-      v.put("frozen", false);
+      vrrp.put("frozen", false);
     }
-    ArrayNode routers = v.putArray("routers");
+    ArrayNode routers = vrrp.putArray("routers");
     for (int i = 0; i < FRONTS; i++) {
       routers
           .addObject()
@@ -220,28 +232,29 @@
           .putArray("addresses")
           .add("192.0.2." + (100 + i));
     }
-    return s;
+    return site;
   }
 
-  private PlayerCrowd crowd(TestFleet g, SharedLan lan, SharedLan.Shared at, long chance) {
+  private PlayerCrowd startCrowd(
+      TestFleet testFleet, SharedLan lan, SharedLan.Shared address, long crowdSeed) {
     PlayerCrowd crowd =
         new PlayerCrowd(
-            players,
-            List.of(new PlayerCrowd.Door(-1, at.host(), at.port(), "east-hall")),
-            g.wants(),
-            g.titles(),
-            g.day.ladder().size(),
-            (int) (1000 * g.day.traffic().shortestS()),
-            (int) (1000 * g.day.traffic().longestS()),
-            chance,
-            g.tap,
-            "a" + at.vrid() + "-");
+            playerVertx,
+            List.of(new PlayerCrowd.Door(-1, address.host(), address.port(), "east-hall")),
+            testFleet.packageMix(),
+            testFleet.titles(),
+            testFleet.day.ladder().size(),
+            (int) (1000 * testFleet.day.traffic().shortestS()),
+            (int) (1000 * testFleet.day.traffic().longestS()),
+            crowdSeed,
+            testFleet.tap,
+            "a" + address.vrid() + "-");
     crowd.by(lan);
-    Context loop = players.getOrCreateContext();
-    loop.runOnContext(
+    Context context = playerVertx.getOrCreateContext();
+    context.runOnContext(
         v ->
-            players.setPeriodic(
-                EVERY_MS,
+            playerVertx.setPeriodic(
+                ARRIVAL_INTERVAL_MS,
                 t -> {
                   if (!crowd.isClosing()) {
                     crowd.arrive();
@@ -251,120 +264,130 @@
   }
 
   /** One trouble to the holder of one address, what its viewers saw of it, and quiet again. */
-  private void round(
-      TestFleet g, SharedLan lan, List<PlayerCrowd> crowds, Trouble t, SplittableRandom seeds)
+  private void runRound(
+      TestFleet testFleet,
+      SharedLan lan,
+      List<PlayerCrowd> crowds,
+      Fault fault,
+      SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
-    Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
+    Integer holder = testFleet.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
     int node = holder == null ? vrid - 1 : holder;
-    long freeze = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
-    FrontProcess front = g.fronts.get(node);
-    long from = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", t.name(), "node", node, "vrid", vrid);
-    act(g, lan, t, node, freeze);
-    if (t == Trouble.SPLIT) {
-      g.tap.saw(
+    long freezeMs = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
+    FrontProcess front = testFleet.fronts.get(node);
+    long fromMicros = testFleet.tap.micros() - 100_000;
+    testFleet.tap.saw("pair-trouble", "kind", fault.name(), "node", node, "vrid", vrid);
+    inject(testFleet, lan, fault, node, freezeMs);
+    if (fault == Fault.SPLIT) {
+      testFleet.tap.saw(
           "pair-quiet"); // at once: two that claim one address are judged from the moment they hear
       // each other
     }
-    long to = g.tap.micros();
+    long toMicros = testFleet.tap.micros();
     silences
-        .computeIfAbsent(t, k -> new ArrayList<>())
-        .add(crowds.get(vrid - 1).longestSilence(from, to));
-    if (t == Trouble.KILL || t == Trouble.STOP) {
-      g.startAgain(front);
-      g.awaitReady(front, 20_000);
+        .computeIfAbsent(fault, k -> new ArrayList<>())
+        .add(crowds.get(vrid - 1).longestSilence(fromMicros, toMicros));
+    if (fault == Fault.KILL || fault == Fault.STOP) {
+      testFleet.restart(front);
+      testFleet.awaitReady(front, 20_000);
     }
     // A deaf node's address is held by the other for some time, and a better one waits before it
     // takes over again.
-    Thread.sleep(1500 + 6 * down());
-    if (t != Trouble.SPLIT) {
-      g.tap.saw("pair-quiet");
+    Thread.sleep(1500 + 6 * activeDownMs());
+    if (fault != Fault.SPLIT) {
+      testFleet.tap.saw("pair-quiet");
     }
-    Thread.sleep(1000 + 2 * down());
+    Thread.sleep(1000 + 2 * activeDownMs());
   }
 
   /** Does that to a front for as long as it takes others to see it. */
-  private void act(TestFleet g, SharedLan lan, Trouble t, int node, long freeze)
+  private void inject(TestFleet testFleet, SharedLan lan, Fault fault, int node, long freezeMs)
       throws IOException, InterruptedException {
-    FrontProcess front = g.fronts.get(node);
-    long lasts = 2000 + 5 * down();
-    switch (t) {
+    FrontProcess front = testFleet.fronts.get(node);
+    long durationMs = 2000 + 5 * activeDownMs();
+    switch (fault) {
       case KILL -> {
         front.kill();
-        Thread.sleep(lasts);
+        Thread.sleep(durationMs);
       }
       case STOP -> {
-        if (!front.end(8000)) {
+        if (!front.terminate(8000)) {
           throw new IOException("front " + node + " did not end");
         }
-        g.tap.saw("front-killed", "front", node); // it runs no more, and had time to answer all
-        Thread.sleep(lasts);
+        testFleet.tap.saw(
+            "front-killed", "front", node); // it runs no more, and had time to answer all
+        Thread.sleep(durationMs);
       }
       case FREEZE -> {
-        front.stopFor(freeze);
+        front.pauseFor(freezeMs);
         Thread.sleep(1000);
       }
       case SPLIT -> {
-        g.onBoxes(() -> both(lan, true));
-        Thread.sleep(lasts);
-        g.onBoxes(() -> both(lan, false));
+        testFleet.runOnBoxLoop(() -> setBothLinksCut(lan, true));
+        Thread.sleep(durationMs);
+        testFleet.runOnBoxLoop(() -> setBothLinksCut(lan, false));
       }
       case ONE_WAY -> {
-        g.onBoxes(() -> lan.cut(node, 1 - node, true));
-        Thread.sleep(lasts);
-        g.onBoxes(() -> lan.cut(node, 1 - node, false));
+        testFleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, true));
+        Thread.sleep(durationMs);
+        testFleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, false));
       }
     }
   }
 
-  private static void both(SharedLan lan, boolean cut) {
+  private static void setBothLinksCut(SharedLan lan, boolean cut) {
     lan.cut(0, 1, cut);
     lan.cut(1, 0, cut);
   }
 
   /** The better front for the first address dies and comes back, again and again. */
-  private void flap(Report report, String name, TestFleet g, List<PlayerCrowd> crowds)
+  private void flap(Report report, String name, TestFleet testFleet, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
-    FrontProcess front = g.fronts.get(0);
-    long from = g.tap.micros();
-    g.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
-    int times = 0;
-    while (g.tap.micros() - from < flapSeconds * 1_000_000L) {
+    FrontProcess front = testFleet.fronts.get(0);
+    long fromMicros = testFleet.tap.micros();
+    testFleet.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
+    int kills = 0;
+    while (testFleet.tap.micros() - fromMicros < flapSeconds * 1_000_000L) {
       front.kill();
-      Thread.sleep(600 + 2 * down());
-      g.startAgain(front);
-      g.awaitReady(front, 20_000);
-      Thread.sleep(700 + 4 * down());
-      times++;
+      Thread.sleep(600 + 2 * activeDownMs());
+      testFleet.restart(front);
+      testFleet.awaitReady(front, 20_000);
+      Thread.sleep(700 + 4 * activeDownMs());
+      kills++;
     }
-    long to = g.tap.micros();
-    Holders.Outcome o;
+    long toMicros = testFleet.tap.micros();
+    Holders.Outcome outcome;
     try {
-      o = Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000);
+      outcome = Holders.judge(testFleet.tap.lines(), advertMs, 10_000, 100_000);
     } catch (BadRecord e) {
       throw new IOException(e);
     }
     long handovers =
-        o.handoversAt.getOrDefault(1L, List.of()).stream()
-            .filter(at -> at >= from && at <= to)
+        outcome.handoversAt.getOrDefault(1L, List.of()).stream()
+            .filter(at -> at >= fromMicros && at <= toMicros)
             .count();
-    double aMinute = handovers * 60e6 / (to - from);
+    double handoversPerMinute = handovers * 60e6 / (toMicros - fromMicros);
     String seen =
-        String.format(Locale.ROOT, "%d in %.0f s, %d deaths", handovers, (to - from) / 1e6, times);
+        String.format(
+            Locale.ROOT,
+            "%d in %.0f s, %d deaths",
+            handovers,
+            (toMicros - fromMicros) / 1e6,
+            kills);
     if (additions) {
-      report.claim(
+      report.addClaim(
           name + ": handovers while a partner dies every few seconds",
           "at most 10 a minute",
           seen,
-          aMinute <= 10);
+          handoversPerMinute <= 10);
     } else {
-      report.figure(name + ": handovers while a partner dies every few seconds", seen);
+      report.addFigure(name + ": handovers while a partner dies every few seconds", seen);
     }
-    report.figure(
+    report.addFigure(
         name + ": longest silence while it does, ms",
-        crowds.get(0).longestSilence(from, to) / 1000);
-    Thread.sleep(1000 + 4 * down());
+        crowds.get(0).longestSilence(fromMicros, toMicros) / 1000);
+    Thread.sleep(1000 + 4 * activeDownMs());
   }
 
   /**
@@ -372,57 +395,62 @@
    * is killed.
    */
   private void surge(
-      Report report, String name, TestFleet g, List<SharedLan.Node> nodes, List<PlayerCrowd> crowds)
+      Report report,
+      String name,
+      TestFleet testFleet,
+      List<SharedLan.Node> nodes,
+      List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
-    Context loop = players.getOrCreateContext();
+    Context context = playerVertx.getOrCreateContext();
     long[] timers = {-1};
-    loop.runOnContext(
+    context.runOnContext(
         v ->
             timers[0] =
-                players.setPeriodic(
+                playerVertx.setPeriodic(
                     10,
                     t -> {
-                      for (int i = 0; i < SURGE_EACH; i++) {
+                      for (int i = 0; i < SURGE_ARRIVALS_PER_10_MS; i++) {
                         crowds.get(0).arrive();
                       }
                     }));
-    long before = handovers(g);
+    long handoversBefore = countHandovers(testFleet);
     long sent = sendGarbage(nodes);
-    long moved = handovers(g) - before;
-    report.claim(
+    long handovers = countHandovers(testFleet) - handoversBefore;
+    report.addClaim(
         name + ": handovers in a surge with garbage in a partner's name",
         "none",
-        moved + " in " + SURGE_MS + " ms, " + 1000 * sent / SURGE_MS + " datagrams a second",
-        moved == 0);
-    lateness(report, name + ", to the end of the surge", g);
+        handovers + " in " + SURGE_MS + " ms, " + 1000 * sent / SURGE_MS + " datagrams a second",
+        handovers == 0);
+    reportLateness(report, name + ", to the end of the surge", testFleet);
     int vrid = 1;
-    long at = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
-    g.fronts.get(0).kill();
-    Thread.sleep(2000 + 5 * down());
-    loop.runOnContext(v -> players.cancelTimer(timers[0]));
-    report.figure(
+    long fromMicros = testFleet.tap.micros() - 100_000;
+    testFleet.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
+    testFleet.fronts.get(0).kill();
+    Thread.sleep(2000 + 5 * activeDownMs());
+    context.runOnContext(v -> playerVertx.cancelTimer(timers[0]));
+    report.addFigure(
         name + ": silence as the holder is killed in the surge, ms",
-        crowds.get(0).longestSilence(at, g.tap.micros()) / 1000);
-    g.startAgain(g.fronts.get(0));
-    g.awaitReady(g.fronts.get(0), 20_000);
-    Thread.sleep(1500 + 6 * down());
-    g.tap.saw("pair-quiet");
-    Thread.sleep(1000 + 2 * down());
+        crowds.get(0).longestSilence(fromMicros, testFleet.tap.micros()) / 1000);
+    testFleet.restart(testFleet.fronts.get(0));
+    testFleet.awaitReady(testFleet.fronts.get(0), 20_000);
+    Thread.sleep(1500 + 6 * activeDownMs());
+    testFleet.tap.saw("pair-quiet");
+    Thread.sleep(1000 + 2 * activeDownMs());
   }
 
   /** Garbage in a partner's name, for the length of the surge; how many datagrams went out. */
   private long sendGarbage(List<SharedLan.Node> nodes) throws IOException, InterruptedException {
     long sent = 0;
-    SplittableRandom chance = new SplittableRandom(seed);
-    long from = System.nanoTime();
-    try (DatagramSocket as = new DatagramSocket(0, InetAddress.getByName(nodes.get(1).host()))) {
-      while (System.nanoTime() - from < SURGE_MS * 1_000_000L) {
+    SplittableRandom random = new SplittableRandom(seed);
+    long startedAtNanos = System.nanoTime();
+    try (DatagramSocket socket =
+        new DatagramSocket(0, InetAddress.getByName(nodes.get(1).host()))) {
+      while (System.nanoTime() - startedAtNanos < SURGE_MS * 1_000_000L) {
         // Evenly, a hundred in each millisecond, or as many as this machine gets out.
-        while (sent < (System.nanoTime() - from) / 10_000) {
-          byte[] garbage = new byte[8 + chance.nextInt(60)];
-          chance.nextBytes(garbage);
-          as.send(
+        while (sent < (System.nanoTime() - startedAtNanos) / 10_000) {
+          byte[] garbage = new byte[8 + random.nextInt(60)];
+          random.nextBytes(garbage);
+          socket.send(
               new DatagramPacket(
                   garbage,
                   garbage.length,
@@ -436,98 +464,102 @@
     return sent;
   }
 
-  private long handovers(TestFleet g) throws IOException {
+  private long countHandovers(TestFleet testFleet) throws IOException {
     try {
-      return Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000).handovers;
+      return Holders.judge(testFleet.tap.lines(), advertMs, 10_000, 100_000).handovers;
     } catch (BadRecord e) {
       throw new IOException(e);
     }
   }
 
-  private void lateness(Report report, String name, TestFleet g) throws IOException {
-    for (FrontProcess p : g.fronts) {
-      JsonNode v = p.state().path("vrrp");
-      report.figure(
-          name + ": front " + p.number() + " adverts late, ms p99.9 and most",
+  private void reportLateness(Report report, String name, TestFleet testFleet) throws IOException {
+    for (FrontProcess front : testFleet.fronts) {
+      JsonNode vrrp = front.state().path("vrrp");
+      report.addFigure(
+          name + ": front " + front.number() + " adverts late, ms p99.9 and most",
           String.format(
               Locale.ROOT,
               "%.1f %.1f",
-              v.path("lateMicrosP999").asLong() / 1e3,
-              v.path("lateMicrosMost").asLong() / 1e3));
-      report.figure(name + ": front " + p.number() + " dropped", v.path("dropped").toString());
+              vrrp.path("lateMicrosP999").asLong() / 1e3,
+              vrrp.path("lateMicrosMost").asLong() / 1e3));
+      report.addFigure(
+          name + ": front " + front.number() + " dropped", vrrp.path("dropped").toString());
     }
   }
 
-  private void figures(Report report, String name, List<PlayerCrowd> crowds, SharedLan lan) {
-    List<Long> all = new ArrayList<>();
+  private void reportFigures(Report report, String name, List<PlayerCrowd> crowds, SharedLan lan) {
+    List<Long> allSilences = new ArrayList<>();
     silences.forEach(
-        (t, list) -> {
-          long[] ms = list.stream().mapToLong(s -> s / 1000).sorted().toArray();
-          report.figure(name + ": silence after " + t + ", ms", Arrays.toString(ms));
-          all.addAll(list);
+        (fault, list) -> {
+          long[] ms = list.stream().mapToLong(micros -> micros / 1000).sorted().toArray();
+          report.addFigure(name + ": silence after " + fault + ", ms", Arrays.toString(ms));
+          allSilences.addAll(list);
         });
-    long[] sorted = all.stream().mapToLong(s -> s / 1000).sorted().toArray();
+    long[] sorted = allSilences.stream().mapToLong(micros -> micros / 1000).sorted().toArray();
     if (sorted.length > 0) {
       long p99 = sorted[(int) Math.min(sorted.length - 1, Math.ceil(0.99 * sorted.length) - 1)];
       long p50 = sorted[sorted.length / 2];
       String seen = p50 + " and " + p99 + " over " + sorted.length + " rounds";
       if (additions && advertMs <= 100) {
-        report.claim(
+        report.addClaim(
             name + ": silence as viewers see it, ms p50 and p99",
             "p99 at most 1000",
             seen,
             p99 <= 1000);
       } else {
-        report.figure(name + ": silence as viewers see it, ms p50 and p99", seen);
+        report.addFigure(name + ": silence as viewers see it, ms p50 and p99", seen);
       }
     }
     Map<String, Integer> sums = new HashMap<>();
-    for (PlayerCrowd c : crowds) {
-      PlayerCrowd.Figures f = c.figures();
-      sums.merge("asked", f.asked, Integer::sum);
-      sums.merge("played", f.played, Integer::sum);
-      sums.merge("blocked", f.blocked, Integer::sum);
-      sums.merge("aborted", f.aborted, Integer::sum);
-      sums.merge("broken off", f.brokenOff, Integer::sum);
-      sums.merge("not reached", f.refused, Integer::sum);
-      sums.merge("unanswered", f.unanswered, Integer::sum);
+    for (PlayerCrowd crowd : crowds) {
+      PlayerCrowd.Figures figures = crowd.figures();
+      sums.merge("asked", figures.asked, Integer::sum);
+      sums.merge("played", figures.played, Integer::sum);
+      sums.merge("blocked", figures.blocked, Integer::sum);
+      sums.merge("aborted", figures.aborted, Integer::sum);
+      sums.merge("broken off", figures.brokenOff, Integer::sum);
+      sums.merge("not reached", figures.refused, Integer::sum);
+      sums.merge("unanswered", figures.unanswered, Integer::sum);
     }
-    report.figure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
-    report.figure(name + ": datagrams carried", lan.carried());
+    report.addFigure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
+    report.addFigure(name + ": datagrams carried", lan.carried());
   }
 
-  private static void played(Report report, String name, List<PlayerCrowd> crowds) {
-    int asked = crowds.stream().mapToInt(c -> c.figures().asked).sum();
-    int played = crowds.stream().mapToInt(c -> c.figures().played).sum();
-    report.claim(
+  private static void checkPlayed(Report report, String name, List<PlayerCrowd> crowds) {
+    int asked = crowds.stream().mapToInt(crowd -> crowd.figures().asked).sum();
+    int played = crowds.stream().mapToInt(crowd -> crowd.figures().played).sum();
+    report.addClaim(
         name + ": viewings played, before the surge",
         "over nine tenths of the requests",
         played + " of " + asked,
         played * 10 > asked * 9);
   }
 
-  private void judge(Report report, String name, List<String> record) {
+  private void judge(Report report, String name, List<String> trafficRecord) {
     try {
-      report.judged(name, Judge.judge(record));
+      report.addVerdict(name, Judge.judge(trafficRecord));
       // An interval, the LAN's delay, and what two processes on a busy machine are late.
-      Holders.Outcome o =
-          Holders.judge(record, advertMs, advertMs + 60, down() + 4L * advertMs + 1000);
-      report.claim(
+      Holders.Outcome outcome =
+          Holders.judge(
+              trafficRecord, advertMs, advertMs + 60, activeDownMs() + 4L * advertMs + 1000);
+      report.addClaim(
           name + ": two claimed one address in quiet times",
           "at most an interval and 60 ms",
-          o.bothMost / 1000 + " ms over " + o.claims + " claims",
-          o.breaches.isEmpty() && o.claims > 0);
-      report.figure(name + ": longest span in which none did, ms", o.noneMost / 1000);
-      report.figure(name + ": nodes that woke and kept silent", o.woken);
-      report.figure(name + ": handovers in all", o.handovers);
-      o.breaches.stream().limit(10).forEach(b -> report.figure(name + ": " + b, "broken"));
-      report.claim(
+          outcome.bothMost / 1000 + " ms over " + outcome.claims + " claims",
+          outcome.breaches.isEmpty() && outcome.claims > 0);
+      report.addFigure(name + ": longest span in which none did, ms", outcome.noneMost / 1000);
+      report.addFigure(name + ": nodes that woke and kept silent", outcome.woken);
+      report.addFigure(name + ": handovers in all", outcome.handovers);
+      outcome.breaches.stream()
+          .limit(10)
+          .forEach(breach -> report.addFigure(name + ": " + breach, "broken"));
+      report.addClaim(
           name + ": requests answered twice, or by a front they were not handed to",
-          "0 and 0 of " + o.answered,
-          o.answeredTwice + " and " + o.answeredByOther,
-          o.answeredTwice + o.answeredByOther == 0 && o.answered > 0);
+          "0 and 0 of " + outcome.answered,
+          outcome.answeredTwice + " and " + outcome.answeredByOther,
+          outcome.answeredTwice + outcome.answeredByOther == 0 && outcome.answered > 0);
     } catch (BadRecord e) {
-      report.claim(name + ": the record can be judged", "yes", e.getMessage(), false);
+      report.addClaim(name + ": the record can be judged", "yes", e.getMessage(), false);
     }
   }
 }
--- a/src/main/java/linengauge/drill/FaultInjector.java
+++ b/src/main/java/linengauge/drill/FaultInjector.java
@@ -15,80 +15,97 @@
  * seed.
  */
 final class FaultInjector {
-  private final TestFleet grounds;
-  private final SplittableRandom chance;
+  private final TestFleet testFleet;
+  private final SplittableRandom random;
 
   /** Threads that signal or restart front processes; each ends with its trouble. */
-  private final List<Thread> hands = new ArrayList<>();
+  private final List<Thread> threads = new ArrayList<>();
 
   private final List<String> failures = new ArrayList<>();
 
   /** Boxes that a trouble has down or about to restart, so that two do not fight over one. */
-  private final Set<StandInBox> taken = new HashSet<>();
+  private final Set<StandInBox> busyBoxes = new HashSet<>();
 
   /** What each kind of trouble does. */
-  private final Map<String, Consumer<DayScript.Trouble>> handlers = handlers();
+  private final Map<String, Consumer<DayScript.Fault>> handlers = handlers();
 
-  private double bursting = 1;
+  private double arrivalMultiple = 1;
 
-  FaultInjector(TestFleet grounds, long seed) {
-    this.grounds = grounds;
-    this.chance = new SplittableRandom(seed);
+  FaultInjector(TestFleet testFleet, long seed) {
+    this.testFleet = testFleet;
+    this.random = new SplittableRandom(seed);
   }
 
   /** How many times the usual number of viewers come now. */
-  double arrivals() {
-    return bursting;
+  double currentArrivalMultiple() {
+    return arrivalMultiple;
   }
 
   /** Sets all troubles of the day on their way; on the boxes' loop. */
-  void begin() {
-    for (DayScript.Trouble t : grounds.day.troubles()) {
-      grounds.vertx.setTimer(Math.max(1, Math.round(1000 * t.atS())), x -> act(t));
+  void start() {
+    for (DayScript.Fault fault : testFleet.day.troubles()) {
+      testFleet.vertx.setTimer(
+          Math.max(1, Math.round(1000 * fault.atS())), timerId -> inject(fault));
     }
   }
 
-  List<String> finish() throws InterruptedException {
-    for (Thread h : hands) {
-      h.join(30_000);
+  List<String> awaitEnd() throws InterruptedException {
+    for (Thread thread : threads) {
+      thread.join(30_000);
     }
     return failures;
   }
 
-  private void later(double seconds, Runnable step) {
-    grounds.vertx.setTimer(Math.max(1, Math.round(1000 * seconds)), x -> step.run());
+  private void scheduleAfter(double seconds, Runnable task) {
+    testFleet.vertx.setTimer(Math.max(1, Math.round(1000 * seconds)), timerId -> task.run());
   }
 
-  private List<StandInBox> some(double part) {
-    List<StandInBox> all = new ArrayList<>(grounds.fleet.boxes());
-    all.removeIf(b -> taken.contains(b) || !b.isUp());
+  private List<StandInBox> drawBoxes(double part) {
+    List<StandInBox> candidates = new ArrayList<>(testFleet.fleet.boxes());
+    candidates.removeIf(box -> busyBoxes.contains(box) || !box.isUp());
     List<StandInBox> drawn = new ArrayList<>();
-    long n = Math.max(1, Math.round(part * grounds.fleet.boxes().size()));
-    while (drawn.size() < n && !all.isEmpty()) {
-      drawn.add(all.remove(chance.nextInt(all.size())));
+    long count = Math.max(1, Math.round(part * testFleet.fleet.boxes().size()));
+    while (drawn.size() < count && !candidates.isEmpty()) {
+      drawn.add(candidates.remove(random.nextInt(candidates.size())));
     }
     return drawn;
   }
 
-  private void act(DayScript.Trouble t) {
-    grounds.tap.saw(
-        "trouble", "kind", t.kind(), "forS", t.forS(), "part", t.part(), "size", t.size());
-    Consumer<DayScript.Trouble> handler = handlers.get(t.kind());
+  private void inject(DayScript.Fault fault) {
+    testFleet.tap.saw(
+        "trouble",
+        "kind",
+        fault.kind(),
+        "forS",
+        fault.forS(),
+        "part",
+        fault.part(),
+        "size",
+        fault.size());
+    Consumer<DayScript.Fault> handler = handlers.get(fault.kind());
     if (handler == null) {
-      failures.add("unknown trouble " + t.kind());
+      failures.add("unknown trouble " + fault.kind());
     } else {
-      handler.accept(t);
+      handler.accept(fault);
     }
   }
 
-  private Map<String, Consumer<DayScript.Trouble>> handlers() {
+  private Map<String, Consumer<DayScript.Fault>> handlers() {
     return Map.ofEntries(
-        Map.entry("fast_errors", t -> on(t, b -> b.failing(t.size()), b -> b.failing(0))),
+        Map.entry(
+            "fast_errors",
+            fault -> applyToBoxes(fault, box -> box.failing(fault.size()), box -> box.failing(0))),
         Map.entry("answer_lost", this::answersLost),
-        Map.entry("hang", t -> on(t, b -> b.hung(true), b -> b.hung(false))),
         Map.entry(
-            "bad_playlist", t -> on(t, b -> b.badPlaylists(true), b -> b.badPlaylists(false))),
-        Map.entry("slow", t -> on(t, b -> slowDown(b, t.size()), b -> slowDown(b, 1))),
+            "hang", fault -> applyToBoxes(fault, box -> box.hung(true), box -> box.hung(false))),
+        Map.entry(
+            "bad_playlist",
+            fault ->
+                applyToBoxes(fault, box -> box.badPlaylists(true), box -> box.badPlaylists(false))),
+        Map.entry(
+            "slow",
+            fault ->
+                applyToBoxes(fault, box -> slowDown(box, fault.size()), box -> slowDown(box, 1))),
         Map.entry("neighbour", this::neighbour),
         Map.entry("shared_slow", this::allLinksSlow),
         Map.entry("origin_slow", this::uplinksSlow),
@@ -96,164 +113,175 @@
         Map.entry("burst", this::burst),
         Map.entry("hot_key", this::hotTitle),
         Map.entry("peer_down", this::datagramsLost),
-        Map.entry("vanish", t -> on(t, this::vanish, this::comeBack)),
-        Map.entry("ageing", t -> on(t, b -> b.slower(1 + t.size() / 2), b -> age(b, t.size()))),
+        Map.entry("vanish", fault -> applyToBoxes(fault, this::vanish, this::restart)),
+        Map.entry(
+            "ageing",
+            fault ->
+                applyToBoxes(
+                    fault, box -> box.slower(1 + fault.size() / 2), box -> age(box, fault.size()))),
         Map.entry("deploy", this::deploy),
-        Map.entry("list_break", t -> grounds.list.breakFor((int) (1000 * t.forS()))),
-        Map.entry("list_gap", t -> listGap()),
+        Map.entry("list_break", fault -> testFleet.boxList.breakFor((int) (1000 * fault.forS()))),
+        Map.entry("list_gap", fault -> listGap()),
         Map.entry("balancer_stall", this::stall),
         Map.entry("balancer_kill", this::kill));
   }
 
   /* ---- boxes ---- */
 
-  private void answersLost(DayScript.Trouble t) {
-    boolean byReset = "reset".equals(t.how());
-    on(t, b -> b.answersLost(t.size(), byReset), b -> b.answersLost(0, false));
+  private void answersLost(DayScript.Fault fault) {
+    boolean byReset = "reset".equals(fault.how());
+    applyToBoxes(
+        fault, box -> box.answersLost(fault.size(), byReset), box -> box.answersLost(0, false));
   }
 
-  private static void slowDown(StandInBox b, double times) {
-    b.linkGives(1 / times);
-    b.slower(times);
+  private static void slowDown(StandInBox box, double factor) {
+    box.linkGives(1 / factor);
+    box.slower(factor);
   }
 
-  private void neighbour(DayScript.Trouble t) {
-    on(t, b -> flicker(b, t, System.nanoTime() + Math.round(t.forS() * 1e9), true), b -> {});
+  private void neighbour(DayScript.Fault fault) {
+    applyToBoxes(
+        fault,
+        box -> flicker(box, fault, System.nanoTime() + Math.round(fault.forS() * 1e9), true),
+        box -> {});
   }
 
-  private void vanish(StandInBox b) {
-    taken.add(b);
-    b.vanish();
-    list(b, "gone", 2.5);
+  private void vanish(StandInBox box) {
+    busyBoxes.add(box);
+    box.vanish();
+    publishState(box, "gone", 2.5);
   }
 
   /** It slows down further, and is then started anew. */
-  private void age(StandInBox b, double times) {
-    b.slower(times);
-    later(
+  private void age(StandInBox box, double factor) {
+    box.slower(factor);
+    scheduleAfter(
         1,
         () -> {
-          b.slower(1);
-          taken.add(b);
-          b.close();
-          list(b, "gone", 1);
-          later(2.5, () -> comeBack(b));
+          box.slower(1);
+          busyBoxes.add(box);
+          box.close();
+          publishState(box, "gone", 1);
+          scheduleAfter(2.5, () -> restart(box));
         });
   }
 
   /* ---- links, notes, the list, viewers ---- */
 
-  private void allLinksSlow(DayScript.Trouble t) {
-    grounds.fleet.boxes().forEach(b -> b.linkGives(1 / t.size()));
-    later(t.forS(), () -> grounds.fleet.boxes().forEach(b -> b.linkGives(1)));
+  private void allLinksSlow(DayScript.Fault fault) {
+    testFleet.fleet.boxes().forEach(box -> box.linkGives(1 / fault.size()));
+    scheduleAfter(fault.forS(), () -> testFleet.fleet.boxes().forEach(box -> box.linkGives(1)));
   }
 
-  private void uplinksSlow(DayScript.Trouble t) {
-    int racks = Math.max(1, (int) Math.round(t.part() * grounds.fleet.racks()));
-    int first = chance.nextInt(grounds.fleet.racks());
+  private void uplinksSlow(DayScript.Fault fault) {
+    int racks = Math.max(1, (int) Math.round(fault.part() * testFleet.fleet.racks()));
+    int first = random.nextInt(testFleet.fleet.racks());
     for (int i = 0; i < racks; i++) {
-      int rack = (first + i) % grounds.fleet.racks();
-      grounds.fleet.uplinkGives(rack, 1 / t.size());
-      later(t.forS(), () -> grounds.fleet.uplinkGives(rack, 1));
+      int rack = (first + i) % testFleet.fleet.racks();
+      testFleet.fleet.uplinkGives(rack, 1 / fault.size());
+      scheduleAfter(fault.forS(), () -> testFleet.fleet.uplinkGives(rack, 1));
     }
   }
 
-  private void notesLate(DayScript.Trouble t) {
-    grounds.fleet.notesLater((int) (1000 * t.size()));
-    later(t.forS(), () -> grounds.fleet.notesLater(0));
+  private void notesLate(DayScript.Fault fault) {
+    testFleet.fleet.notesLater((int) (1000 * fault.size()));
+    scheduleAfter(fault.forS(), () -> testFleet.fleet.notesLater(0));
   }
 
-  private void burst(DayScript.Trouble t) {
-    bursting = t.size();
-    later(t.forS(), () -> bursting = 1);
+  private void burst(DayScript.Fault fault) {
+    arrivalMultiple = fault.size();
+    scheduleAfter(fault.forS(), () -> arrivalMultiple = 1);
   }
 
-  private void hotTitle(DayScript.Trouble t) {
-    String title = grounds.titles().get(chance.nextInt(grounds.titles().size()));
-    grounds.crowd.crowdFor(title, t.size());
-    later(t.forS(), () -> grounds.crowd.crowdFor(null, 0));
+  private void hotTitle(DayScript.Fault fault) {
+    String title = testFleet.titles().get(random.nextInt(testFleet.titles().size()));
+    testFleet.playerCrowd.crowdFor(title, fault.size());
+    scheduleAfter(fault.forS(), () -> testFleet.playerCrowd.crowdFor(null, 0));
   }
 
-  private void datagramsLost(DayScript.Trouble t) {
-    grounds.post.lose(t.size());
-    later(t.forS(), () -> grounds.post.lose(0));
+  private void datagramsLost(DayScript.Fault fault) {
+    testFleet.datagramRelay.lose(fault.size());
+    scheduleAfter(fault.forS(), () -> testFleet.datagramRelay.lose(0));
   }
 
   private void listGap() {
-    grounds.list.skipOne();
-    StandInBox b = grounds.fleet.boxes().get(chance.nextInt(grounds.fleet.boxes().size()));
-    if (b.isUp() && !taken.contains(b)) {
-      list(b, "serving", 0);
-      list(b, "serving", 0.2);
+    testFleet.boxList.skipOne();
+    StandInBox box = testFleet.fleet.boxes().get(random.nextInt(testFleet.fleet.boxes().size()));
+    if (box.isUp() && !busyBoxes.contains(box)) {
+      publishState(box, "serving", 0);
+      publishState(box, "serving", 0.2);
     }
   }
 
   /* ---- front processes ---- */
 
-  private void kill(DayScript.Trouble t) {
-    fronts(
-        t,
-        f -> {
-          f.kill();
-          Thread.sleep(Math.round(1000 * t.forS()));
-          grounds.startAgain(f);
-          grounds.awaitReady(f, 20_000);
+  private void kill(DayScript.Fault fault) {
+    applyToFronts(
+        fault,
+        front -> {
+          front.kill();
+          Thread.sleep(Math.round(1000 * fault.forS()));
+          testFleet.restart(front);
+          testFleet.awaitReady(front, 20_000);
         });
   }
 
-  private void on(DayScript.Trouble t, Consumer<StandInBox> begin, Consumer<StandInBox> end) {
-    for (StandInBox b : some(t.part())) {
-      begin.accept(b);
-      later(t.forS(), () -> end.accept(b));
+  private void applyToBoxes(
+      DayScript.Fault fault, Consumer<StandInBox> begin, Consumer<StandInBox> end) {
+    for (StandInBox box : drawBoxes(fault.part())) {
+      begin.accept(box);
+      scheduleAfter(fault.forS(), () -> end.accept(box));
     }
   }
 
-  private void flicker(StandInBox b, DayScript.Trouble t, long until, boolean taking) {
-    boolean over = System.nanoTime() >= until;
-    b.neighbourTakes(taking && !over ? t.size() : 0);
-    if (!over) {
-      later(Math.max(0.2, t.extra()), () -> flicker(b, t, until, !taking));
+  private void flicker(StandInBox box, DayScript.Fault fault, long untilNanos, boolean loaded) {
+    boolean ended = System.nanoTime() >= untilNanos;
+    box.neighbourTakes(loaded && !ended ? fault.size() : 0);
+    if (!ended) {
+      scheduleAfter(Math.max(0.2, fault.extra()), () -> flicker(box, fault, untilNanos, !loaded));
     }
   }
 
-  private void list(StandInBox b, String state, double after) {
-    later(after, () -> grounds.list.set(b.place(), "small", state, b.startedAtMillis()));
+  private void publishState(StandInBox box, String state, double delaySeconds) {
+    scheduleAfter(
+        delaySeconds,
+        () -> testFleet.boxList.set(box.place(), "small", state, box.startedAtMillis()));
   }
 
-  private void comeBack(StandInBox b) {
-    b.restart();
-    later(
+  private void restart(StandInBox box) {
+    box.restart();
+    scheduleAfter(
         0.2,
         () -> {
-          list(b, "serving", 0);
-          taken.remove(b);
+          publishState(box, "serving", 0);
+          busyBoxes.remove(box);
         });
   }
 
   /**
    * Boxes in turns of `size`: drained, closed after `extra` seconds, started cold and listed again.
    */
-  private void deploy(DayScript.Trouble t) {
-    List<StandInBox> turn = some(t.part());
-    taken.addAll(turn);
-    int at = 0;
-    int size = Math.max(1, (int) Math.round(t.size()));
-    double pace = t.forS() / Math.max(1, (turn.size() + size - 1) / size);
-    for (int i = 0; i < turn.size(); i += size) {
-      for (StandInBox b : turn.subList(i, Math.min(turn.size(), i + size))) {
-        later(
-            at * pace,
+  private void deploy(DayScript.Fault fault) {
+    List<StandInBox> boxes = drawBoxes(fault.part());
+    busyBoxes.addAll(boxes);
+    int turn = 0;
+    int size = Math.max(1, (int) Math.round(fault.size()));
+    double pace = fault.forS() / Math.max(1, (boxes.size() + size - 1) / size);
+    for (int i = 0; i < boxes.size(); i += size) {
+      for (StandInBox box : boxes.subList(i, Math.min(boxes.size(), i + size))) {
+        scheduleAfter(
+            turn * pace,
             () -> {
-              list(b, "draining", 0);
-              later(
-                  t.extra() + grounds.day.list().lateMs() * 1.5e-3,
+              publishState(box, "draining", 0);
+              scheduleAfter(
+                  fault.extra() + testFleet.day.list().lateMs() * 1.5e-3,
                   () -> {
-                    b.close();
-                    later(0.5, () -> comeBack(b));
+                    box.close();
+                    scheduleAfter(0.5, () -> restart(box));
                   });
             });
       }
-      at++;
+      turn++;
     }
   }
 
@@ -261,65 +289,65 @@
    * Once for the trouble's length; or, where `extra` is over 0, for `size` seconds every `extra`
    * seconds: each front at times of its own where `how` is apart, else all at once.
    */
-  private void stall(DayScript.Trouble t) {
-    if (t.extra() <= 0) {
-      fronts(t, f -> f.stopFor(Math.round(1000 * t.forS())));
+  private void stall(DayScript.Fault fault) {
+    if (fault.extra() <= 0) {
+      applyToFronts(fault, front -> front.pauseFor(Math.round(1000 * fault.forS())));
       return;
     }
-    boolean apart = "apart".equals(t.how());
-    long seed = chance.nextLong();
-    fronts(
-        t,
-        f -> {
-          long until = System.nanoTime() + Math.round(1e9 * t.forS());
+    boolean apart = "apart".equals(fault.how());
+    long seed = random.nextLong();
+    applyToFronts(
+        fault,
+        front -> {
+          long untilNanos = System.nanoTime() + Math.round(1e9 * fault.forS());
           if (apart) {
-            double turn = new SplittableRandom(seed + f.number()).nextDouble();
-            Thread.sleep(Math.round(1000 * turn * (t.size() + t.extra())));
+            double offset = new SplittableRandom(seed + front.number()).nextDouble();
+            Thread.sleep(Math.round(1000 * offset * (fault.size() + fault.extra())));
           }
-          while (System.nanoTime() < until) {
-            f.stopFor(Math.round(1000 * t.size()));
-            Thread.sleep(Math.round(1000 * Math.max(0.5, t.extra())));
+          while (System.nanoTime() < untilNanos) {
+            front.pauseFor(Math.round(1000 * fault.size()));
+            Thread.sleep(Math.round(1000 * Math.max(0.5, fault.extra())));
           }
         });
   }
 
-  private interface Hand {
-    void on(FrontProcess front) throws IOException, InterruptedException;
+  private interface FrontAction {
+    void apply(FrontProcess front) throws IOException, InterruptedException;
   }
 
-  private void fronts(DayScript.Trouble t, Hand hand) {
-    int first = chance.nextInt(grounds.fronts.size());
-    List<FrontProcess> hit = new ArrayList<>();
-    if ("building".equals(t.how())) { // all of one, and no other
-      for (int i = first % grounds.day.fleet().buildings().size();
-          i < grounds.fronts.size();
-          i += grounds.day.fleet().buildings().size()) {
-        hit.add(grounds.fronts.get(i));
+  private void applyToFronts(DayScript.Fault fault, FrontAction action) {
+    int first = random.nextInt(testFleet.fronts.size());
+    List<FrontProcess> chosen = new ArrayList<>();
+    if ("building".equals(fault.how())) { // all of one, and no other
+      for (int i = first % testFleet.day.fleet().buildings().size();
+          i < testFleet.fronts.size();
+          i += testFleet.day.fleet().buildings().size()) {
+        chosen.add(testFleet.fronts.get(i));
       }
     } else {
-      int n = Math.max(1, (int) Math.round(t.part() * grounds.fronts.size()));
-      for (int i = 0; i < n; i++) {
-        hit.add(grounds.fronts.get((first + i) % grounds.fronts.size()));
+      int count = Math.max(1, (int) Math.round(fault.part() * testFleet.fronts.size()));
+      for (int i = 0; i < count; i++) {
+        chosen.add(testFleet.fronts.get((first + i) % testFleet.fronts.size()));
       }
     }
-    for (FrontProcess f : hit) {
-      Thread h =
+    for (FrontProcess front : chosen) {
+      Thread thread =
           new Thread(
               () -> {
                 try {
-                  synchronized (f) {
-                    hand.on(f);
+                  synchronized (front) {
+                    action.apply(front);
                   }
                 } catch (IOException | InterruptedException e) {
                   synchronized (failures) {
-                    failures.add(t.kind() + ": " + e.getMessage());
+                    failures.add(fault.kind() + ": " + e.getMessage());
                   }
                 }
               },
-              "trouble " + t.kind());
-      h.setDaemon(true);
-      hands.add(h);
-      h.start();
+              "trouble " + fault.kind());
+      thread.setDaemon(true);
+      threads.add(thread);
+      thread.start();
     }
   }
 }
--- a/src/main/java/linengauge/drill/FrontProcess.java
+++ b/src/main/java/linengauge/drill/FrontProcess.java
@@ -20,20 +20,20 @@
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final int number;
-  private final Path site;
-  private final Path log;
-  private final String control;
+  private final Path siteFile;
+  private final Path logFile;
+  private final String controlAddress;
   private final Tap tap;
-  private String[] options = {
+  private String[] jvmOptions = {
     "-Xmx256m", "-XX:MaxDirectMemorySize=512m", "-Xms48m", "-XX:+UseSerialGC"
   };
   private Process process;
 
-  FrontProcess(int number, Path site, Path log, String control, Tap tap) {
+  FrontProcess(int number, Path siteFile, Path logFile, String controlAddress, Tap tap) {
     this.number = number;
-    this.site = site;
-    this.log = log;
-    this.control = control;
+    this.siteFile = siteFile;
+    this.logFile = logFile;
+    this.controlAddress = controlAddress;
     this.tap = tap;
   }
 
@@ -42,37 +42,37 @@
   }
 
   void start(long seed) throws IOException {
-    start(seed, options);
+    start(seed, jvmOptions);
   }
 
   /** Started with these options of the virtual machine, now and whenever it is started again. */
-  synchronized void start(long seed, String... given) throws IOException {
-    options = given;
-    String path =
+  synchronized void start(long seed, String... newOptions) throws IOException {
+    jvmOptions = newOptions;
+    String classPath =
         System.getProperty("surefire.test.class.path", System.getProperty("java.class.path"));
     List<String> command = new ArrayList<>();
     command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-    command.addAll(List.of(options));
+    command.addAll(List.of(jvmOptions));
     command.addAll(
         List.of(
             "-cp",
-            path,
+            classPath,
             "linengauge.cli.Main",
             "front",
             "--site",
-            site.toString(),
+            siteFile.toString(),
             "--seed",
             Long.toString(seed)));
     process =
         new ProcessBuilder(command)
             .redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile.toFile()))
             .start();
     tap.saw("front-started", "front", number);
   }
 
   /** Stops and continues the process by signal. */
-  void stopFor(long millis) throws IOException, InterruptedException {
+  void pauseFor(long millis) throws IOException, InterruptedException {
     tap.saw("front-stopped", "front", number);
     signal("STOP");
     Thread.sleep(millis);
@@ -93,7 +93,7 @@
   }
 
   /** Asks it to end; true where it did so in time. */
-  boolean end(long millis) throws InterruptedException {
+  boolean terminate(long millis) throws InterruptedException {
     if (process == null) {
       return true;
     }
@@ -106,7 +106,7 @@
   }
 
   /** Heap in use after a collection, bytes. */
-  long heap() throws IOException, InterruptedException {
+  long heapAfterGc() throws IOException, InterruptedException {
     Process jcmd =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
@@ -131,11 +131,11 @@
     }
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return process != null && process.isAlive();
   }
 
-  boolean ready() {
+  boolean isReady() {
     try {
       return get("/ready") != null;
     } catch (IOException e) {
@@ -144,28 +144,30 @@
   }
 
   JsonNode state() throws IOException {
-    byte[] answer = get("/state");
-    if (answer == null) {
+    byte[] response = get("/state");
+    if (response == null) {
       throw new IOException("front " + number + " gives no state");
     }
-    return JSON.readTree(answer);
+    return JSON.readTree(response);
   }
 
   private byte[] get(String path) throws IOException {
-    HttpURLConnection c =
-        (HttpURLConnection) URI.create("http://" + control + path).toURL().openConnection();
-    c.setConnectTimeout(500);
-    c.setReadTimeout(1000);
+    HttpURLConnection connection =
+        (HttpURLConnection) URI.create("http://" + controlAddress + path).toURL().openConnection();
+    connection.setConnectTimeout(500);
+    connection.setReadTimeout(1000);
     try {
-      return c.getResponseCode() == 200 ? c.getInputStream().readAllBytes() : null;
+      return connection.getResponseCode() == 200
+          ? connection.getInputStream().readAllBytes()
+          : null;
     } finally {
-      c.disconnect();
+      connection.disconnect();
     }
   }
 
   String lastLog() {
     try {
-      List<String> lines = Files.readAllLines(log);
+      List<String> lines = Files.readAllLines(logFile);
       return String.join("\n", lines.subList(Math.max(0, lines.size() - 5), lines.size()));
     } catch (IOException e) {
       return "";
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -26,32 +26,32 @@
  * and then says that it leaves.
  */
 public final class LeaseProcess {
-  private static final long EACH_MS = 100;
+  private static final long SAMPLE_INTERVAL_MS = 100;
 
   /**
    * What it is started with.
    *
-   * @param at where it takes lease datagrams; null: it has no lease
+   * @param leaseAddress where it takes lease datagrams; null: it has no lease
    * @param machines the control machines, as this process reaches them
-   * @param gossipAt where it takes gossip; null: it does not
+   * @param gossipAddress where it takes gossip; null: it does not
    */
-  public record Start(
+  public record Options(
       Member member,
-      String at,
+      String leaseAddress,
       List<ControlMachine> machines,
-      String gossipAt,
+      String gossipAddress,
       List<String> seeds,
       Path keyFile,
       Path record,
       Span heartbeat) {}
 
-  private final Start start;
+  private final Options options;
   private final ProcessRecord record;
   private LeaseNode lease;
   private MembershipNode gossip;
 
-  private LeaseProcess(Start start, ProcessRecord record) {
-    this.start = start;
+  private LeaseProcess(Options options, ProcessRecord record) {
+    this.options = options;
     this.record = record;
   }
 
@@ -61,48 +61,48 @@
   }
 
   /** Runs until the input ends or says something. */
-  public static void run(Start start) throws IOException, InterruptedException {
-    try (ProcessRecord record = new ProcessRecord(start.record())) {
-      new LeaseProcess(start, record).run();
+  public static void run(Options options) throws IOException, InterruptedException {
+    try (ProcessRecord record = new ProcessRecord(options.record())) {
+      new LeaseProcess(options, record).run();
     }
   }
 
   private void run() throws IOException, InterruptedException {
-    byte[] key = Files.readAllBytes(start.keyFile());
-    Member own = start.member();
-    if (start.gossipAt() != null) {
+    byte[] key = Files.readAllBytes(options.keyFile());
+    Member self = options.member();
+    if (options.gossipAddress() != null) {
       gossip =
           new MembershipNode(
-              MembershipSettings.USUAL.inPeriods(start.heartbeat()),
-              new Member(own.number(), start.gossipAt(), own.zone(), own.region()),
-              start.seeds(),
+              MembershipSettings.USUAL.inPeriods(options.heartbeat()),
+              new Member(self.number(), options.gossipAddress(), self.zone(), self.region()),
+              options.seeds(),
               key,
-              this::changed);
+              this::recordUpdate);
       gossip.start();
     }
-    if (start.at() != null) {
+    if (options.leaseAddress() != null) {
       lease =
           new LeaseNode(
-              settings(start.heartbeat()),
-              new Member(own.number(), start.at(), own.zone(), own.region()),
-              start.machines(),
+              settings(options.heartbeat()),
+              new Member(self.number(), options.leaseAddress(), self.zone(), self.region()),
+              options.machines(),
               key,
               listener(),
               null);
       lease.start();
     }
-    Thread looks = new Thread(this::looks, "looks");
-    looks.setDaemon(true);
-    looks.start();
+    Thread sampler = new Thread(this::sampleUntilInterrupted, "looks");
+    sampler.setDaemon(true);
+    sampler.start();
     System.in.read(); // until it says something, or ends
     close();
   }
 
-  private void looks() {
+  private void sampleUntilInterrupted() {
     try {
       while (true) {
-        Thread.sleep(EACH_MS);
-        look();
+        Thread.sleep(SAMPLE_INTERVAL_MS);
+        recordSample();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -122,18 +122,18 @@
     return new LeaseNode.Listener() {
       @Override
       public void changed(DirectoryEntry entry) {
-        record.line("changed", ControlProcess.fields(entry));
+        record.write("changed", ControlProcess.fields(entry));
       }
 
       @Override
       public void superseded(long incarnation) {
-        record.line("superseded", "\"incarnation\":" + incarnation);
+        record.write("superseded", "\"incarnation\":" + incarnation);
       }
     };
   }
 
-  private void changed(MemberUpdate update) {
-    record.line(
+  private void recordUpdate(MemberUpdate update) {
+    record.write(
         "gossip",
         "\"number\":"
             + update.member().number()
@@ -143,26 +143,26 @@
             + update.incarnation());
   }
 
-  private void look() {
+  private void recordSample() {
     if (lease == null) {
-      record.line("combined", combined(List.of()));
+      record.write("combined", combinedFields(List.of()));
     } else {
-      lease.ask(this::look);
+      lease.ask(this::recordSample);
     }
   }
 
   /**
    * The wall's clock is read before the lease: a pause between the two cannot make it look held.
    */
-  private void look(LeaseAgent agent) {
-    long at = System.currentTimeMillis();
+  private void recordSample(LeaseAgent agent) {
+    long readAtMs = System.currentTimeMillis();
     Moment now = DatagramLoop.now();
     String present =
         agent.view().present().stream()
             .map(entry -> "" + entry.member().number())
             .collect(Collectors.joining(","));
-    record.line(
-        at,
+    record.write(
+        readAtMs,
         "holds",
         "\"lease\":"
             + agent.holdsLease(now)
@@ -178,19 +178,19 @@
             + present
             + "],"
             + ControlProcess.fields(lease.channel().drops()));
-    record.line(at, "combined", combined(agent.view().present()));
+    record.write(readAtMs, "combined", combinedFields(agent.view().present()));
   }
 
-  private String combined(List<DirectoryEntry> present) {
-    List<MemberUpdate> held = gossip == null ? List.of() : gossip.held();
-    String all =
-        CombinedView.of(present, held).stream()
-            .map(p -> "{\"number\":" + p.member().number() + ",\"by\":\"" + p.by() + "\"}")
+  private String combinedFields(List<DirectoryEntry> present) {
+    List<MemberUpdate> gossipMembers = gossip == null ? List.of() : gossip.held();
+    String members =
+        CombinedView.of(present, gossipMembers).stream()
+            .map(peer -> "{\"number\":" + peer.member().number() + ",\"by\":\"" + peer.by() + "\"}")
             .collect(Collectors.joining(","));
     MembershipNode.Drops drops =
         gossip == null ? new MembershipNode.Drops(0, 0, 0) : gossip.drops();
     return "\"all\":["
-        + all
+        + members
         + "],"
         + ControlProcess.fields(
             new SealedChannel.Drops(drops.strangers(), drops.replayed(), drops.unreadable(), 0));
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -19,7 +19,7 @@
  * does, and then says that it leaves.
  */
 public final class MemberProcess {
-  private static final long EACH_MS = 100;
+  private static final long SAMPLE_INTERVAL_MS = 100;
 
   private MemberProcess() {}
 
@@ -27,56 +27,62 @@
    * Runs until the input ends; the period is that of the usual terms, all their spans in
    * proportion.
    */
-  public static void run(Member own, List<String> seeds, Path keyFile, Path record, Span period)
+  public static void run(Member self, List<String> seeds, Path keyFile, Path record, Span period)
       throws IOException, InterruptedException {
-    MembershipSettings terms = MembershipSettings.USUAL.inPeriods(period);
+    MembershipSettings settings = MembershipSettings.USUAL.inPeriods(period);
     try (BufferedWriter out = Files.newBufferedWriter(record);
         MembershipNode node =
             new MembershipNode(
-                terms,
-                own,
+                settings,
+                self,
                 seeds,
                 Files.readAllBytes(keyFile),
-                n -> line(out, "changed", one(n)))) {
+                update -> writeLine(out, "changed", toJson(update)))) {
       node.start();
       while (System.in.available() == 0) {
-        Thread.sleep(EACH_MS);
-        MembershipNode.Drops d = node.drops();
-        line(
+        Thread.sleep(SAMPLE_INTERVAL_MS);
+        MembershipNode.Drops drops = node.drops();
+        writeLine(
             out,
             "holds",
             "\"others\":["
-                + node.held().stream().map(MemberProcess::one).collect(Collectors.joining(","))
+                + node.held().stream().map(MemberProcess::toJson).collect(Collectors.joining(","))
                 + "],\"strangers\":"
-                + d.strangers()
+                + drops.strangers()
                 + ",\"replayed\":"
-                + d.replayed()
+                + drops.replayed()
                 + ",\"unreadable\":"
-                + d.unreadable());
+                + drops.unreadable());
       }
     }
   }
 
-  private static String one(MemberUpdate n) {
+  private static String toJson(MemberUpdate update) {
     return "{\"number\":"
-        + n.member().number()
+        + update.member().number()
         + ",\"standing\":\""
-        + n.standing()
+        + update.standing()
         + "\",\"incarnation\":"
-        + n.incarnation()
+        + update.incarnation()
         + ",\"by\":"
-        + n.by()
+        + update.by()
         + ",\"zone\":"
-        + n.member().zone()
+        + update.member().zone()
         + "}";
   }
 
-  private static void line(BufferedWriter out, String what, String rest) {
-    String body = what.equals("changed") ? "\"other\":" + rest : rest;
+  private static void writeLine(BufferedWriter out, String event, String fields) {
+    String body = event.equals("changed") ? "\"other\":" + fields : fields;
     synchronized (out) {
       try {
         out.write(
-            "{\"at\":" + System.currentTimeMillis() + ",\"what\":\"" + what + "\"," + body + "}\n");
+            "{\"at\":"
+                + System.currentTimeMillis()
+                + ",\"what\":\""
+                + event
+                + "\","
+                + body
+                + "}\n");
         out.flush();
       } catch (IOException e) {
         throw new UncheckedIOException(e);
--- a/src/main/java/linengauge/drill/Ports.java
+++ b/src/main/java/linengauge/drill/Ports.java
@@ -15,13 +15,13 @@
  * each other cannot choose the same port.
  */
 public final class Ports {
-  private static final String COMMON = "127.0.0.1";
+  private static final String DEFAULT_HOST = "127.0.0.1";
 
   /** The address of everything that this process starts. */
-  public static final String HOST = own(ProcessHandle.current().pid());
+  public static final String HOST = ownAddress(ProcessHandle.current().pid());
 
-  private static final int FIRST = 12_000;
-  private static final int COUNT = 18_000;
+  private static final int FIRST_PORT = 12_000;
+  private static final int PORT_COUNT = 18_000;
 
   /**
    * The loopback address of one of several nodes of this process, all different from each other's
@@ -30,24 +30,29 @@
    * @throws IOException where the system gives only one loopback address
    */
   public static String nodeAddress(int number) throws IOException {
-    String[] n = HOST.split("[.]");
-    if (HOST.equals(COMMON)) {
+    String[] octets = HOST.split("[.]");
+    if (HOST.equals(DEFAULT_HOST)) {
       throw new IOException(
-          "nodes want loopback addresses of their own, and only " + COMMON + " can be bound");
+          "nodes want loopback addresses of their own, and only " + DEFAULT_HOST + " can be bound");
     }
-    return "127." + n[1] + "." + (128 + (Integer.parseInt(n[2]) + 16 * number) % 128) + "." + n[3];
+    return "127."
+        + octets[1]
+        + "."
+        + (128 + (Integer.parseInt(octets[2]) + 16 * number) % 128)
+        + "."
+        + octets[3];
   }
 
   private Ports() {}
 
-  private static String own(long pid) {
+  private static String ownAddress(long pid) {
     String address =
         "127." + (16 + (pid >> 14) % 128) + "." + (pid >> 7) % 128 + "." + (1 + pid % 128);
-    try (ServerSocket s = new ServerSocket()) {
-      s.bind(new InetSocketAddress(InetAddress.getByName(address), 0));
+    try (ServerSocket socket = new ServerSocket()) {
+      socket.bind(new InetSocketAddress(InetAddress.getByName(address), 0));
       return address;
     } catch (IOException onlyOneLoopbackAddress) {
-      return COMMON;
+      return DEFAULT_HOST;
     }
   }
 
@@ -57,18 +62,18 @@
   }
 
   /** The same, and none of those that have been given out already and are not in use yet. */
-  static List<Integer> free(int count, List<Integer> others) throws IOException {
-    SplittableRandom chance =
+  static List<Integer> free(int count, List<Integer> reserved) throws IOException {
+    SplittableRandom random =
         new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid() << 32);
     List<Integer> ports = new ArrayList<>();
-    for (int tries = 0; ports.size() < count; tries++) {
-      if (tries > 20 * count + 200) {
+    for (int attempts = 0; ports.size() < count; attempts++) {
+      if (attempts > 20 * count + 200) {
         throw new IOException("no free ports on " + HOST);
       }
-      int port = FIRST + chance.nextInt(COUNT);
-      try (ServerSocket s = new ServerSocket()) {
-        s.bind(new InetSocketAddress(InetAddress.getByName(HOST), port));
-        if (!ports.contains(port) && !others.contains(port)) {
+      int port = FIRST_PORT + random.nextInt(PORT_COUNT);
+      try (ServerSocket socket = new ServerSocket()) {
+        socket.bind(new InetSocketAddress(InetAddress.getByName(HOST), port));
+        if (!ports.contains(port) && !reserved.contains(port)) {
           ports.add(port);
         }
       } catch (IOException inUse) {
--- a/src/main/java/linengauge/drill/ProcessRecord.java
+++ b/src/main/java/linengauge/drill/ProcessRecord.java
@@ -16,17 +16,17 @@
   }
 
   /** One line now; fields are the rest of the object as JSON, not empty. */
-  void line(String what, String fields) {
-    line(System.currentTimeMillis(), what, fields);
+  void write(String event, String fields) {
+    write(System.currentTimeMillis(), event, fields);
   }
 
   /** One line of that time. */
-  synchronized void line(long at, String what, String fields) {
+  synchronized void write(long atMs, String event, String fields) {
     if (closed) {
       return;
     }
     try {
-      out.write("{\"at\":" + at + ",\"what\":\"" + what + "\"," + fields + "}\n");
+      out.write("{\"at\":" + atMs + ",\"what\":\"" + event + "\"," + fields + "}\n");
       out.flush();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/main/java/linengauge/drill/RelayDrill.java
+++ b/src/main/java/linengauge/drill/RelayDrill.java
@@ -45,10 +45,10 @@
   private final long seed;
   private final boolean brief;
   private final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(4));
-  private final List<Process> started = new ArrayList<>();
+  private final List<Process> processes = new ArrayList<>();
   private final Path folder;
-  private int box;
-  private int list;
+  private int boxPort;
+  private int listPort;
 
   public RelayDrill(long seed, boolean brief) throws IOException {
     this.seed = seed;
@@ -57,17 +57,17 @@
   }
 
   /** One that carries viewers' requests: the front or the bare relay. */
-  private record Carrying(String name, int port, FrontProcess front) {}
+  private record Target(String name, int port, FrontProcess front) {}
 
   public Report run() throws IOException, InterruptedException {
     Report report = new Report("relay", seed);
-    Thread end = new Thread(() -> started.forEach(Process::destroyForcibly), "end processes");
+    Thread end = new Thread(() -> processes.forEach(Process::destroyForcibly), "end processes");
     Runtime.getRuntime().addShutdownHook(end);
     try {
-      box();
+      startBox();
       measure(report);
     } finally {
-      started.forEach(Process::destroyForcibly);
+      processes.forEach(Process::destroyForcibly);
       Runtime.getRuntime().removeShutdownHook(end);
       vertx.close();
     }
@@ -76,15 +76,16 @@
 
   private void measure(Report report) throws IOException, InterruptedException {
     int rounds = brief ? 1 : 3;
-    long warm = brief ? 1500 : 6000;
-    long span = brief ? 1500 : 3000;
-    Carrying front = front(2);
-    joins(front, 1000, CONNECTIONS);
-    heap(report, front); // before anything has filled pools and buffers
-    Carrying bare = bare(2);
-    for (Carrying c : List.of(front, bare)) {
-      report.figure(c.name + ": spans until joins a second rose no more", warm(c, span));
-      bytes(c, warm / 2);
+    long warmUpMs = brief ? 1500 : 6000;
+    long spanMs = brief ? 1500 : 3000;
+    Target front = startFront(2);
+    joinsPerSecond(front, 1000, CONNECTIONS);
+    measureHeap(report, front); // before anything has filled pools and buffers
+    Target bare = startBareRelay(2);
+    for (Target target : List.of(front, bare)) {
+      report.addFigure(
+          target.name + ": spans until joins a second rose no more", warmUp(target, spanMs));
+      bytesPerSecond(target, warmUpMs / 2);
     }
     double[] joinRatios = new double[rounds];
     double[] fewRatios = new double[rounds];
@@ -92,61 +93,64 @@
     double[] frontJoins = new double[rounds];
     double[] frontBytes = new double[rounds];
     for (int i = 0; i < rounds; i++) {
-      frontJoins[i] = joins(front, span, MANY_CONNECTIONS);
-      joinRatios[i] = frontJoins[i] / joins(bare, span, MANY_CONNECTIONS);
-      fewRatios[i] = joins(front, span, CONNECTIONS) / joins(bare, span, CONNECTIONS);
-      frontBytes[i] = bytes(front, span);
-      byteRatios[i] = frontBytes[i] / bytes(bare, span);
+      frontJoins[i] = joinsPerSecond(front, spanMs, MANY_CONNECTIONS);
+      joinRatios[i] = frontJoins[i] / joinsPerSecond(bare, spanMs, MANY_CONNECTIONS);
+      fewRatios[i] =
+          joinsPerSecond(front, spanMs, CONNECTIONS) / joinsPerSecond(bare, spanMs, CONNECTIONS);
+      frontBytes[i] = bytesPerSecond(front, spanMs);
+      byteRatios[i] = frontBytes[i] / bytesPerSecond(bare, spanMs);
     }
-    report.figure("front: joins a second", median(frontJoins));
-    report.figure("front: megabytes a second", median(frontBytes) / 1e6);
-    ratio(
+    report.addFigure("front: joins a second", median(frontJoins));
+    report.addFigure("front: megabytes a second", median(frontBytes) / 1e6);
+    reportRatio(
         report,
         "joins a second over " + MANY_CONNECTIONS + " connections, front over bare relay",
         0.8,
         joinRatios);
-    report.figure(
+    report.addFigure(
         "the same over " + CONNECTIONS + " connections, each waiting for the loops' turns",
         median(fewRatios));
-    ratio(report, "bytes a second, front over bare relay", 0.9, byteRatios);
+    reportRatio(report, "bytes a second, front over bare relay", 0.9, byteRatios);
     for (double part : new double[] {0.25, 0.5, 0.75}) {
       double rate = part * median(frontJoins);
-      Histogram ofFront = spaced(front, rate, span);
-      Histogram ofBare = spaced(bare, rate, span);
-      String at =
+      Histogram frontLatencies = joinAtRate(front, rate, spanMs);
+      Histogram bareLatencies = joinAtRate(bare, rate, spanMs);
+      String prefix =
           String.format(
               Locale.ROOT, "join ms at %.2f of the front's own rate, %.0f a second: ", part, rate);
-      report.figure(at + "front p50 p99, bare p50 p99", millis(ofFront) + " " + millis(ofBare));
+      report.addFigure(
+          prefix + "front p50 p99, bare p50 p99",
+          percentiles(frontLatencies) + " " + percentiles(bareLatencies));
     }
-    started.forEach(Process::destroyForcibly);
-    started.clear();
-    loops(report, warm, span);
+    processes.forEach(Process::destroyForcibly);
+    processes.clear();
+    measureLoops(report, warmUpMs, spanMs);
   }
 
   /**
    * Until two spans in a row brought no rise of a twentieth, and at most twelve: compiled code is
    * what counts.
    */
-  private int warm(Carrying c, long span) throws InterruptedException {
-    double best = 0;
-    int flat = 0;
+  private int warmUp(Target target, long spanMs) throws InterruptedException {
+    double bestRate = 0;
+    int flatSpans = 0;
     int spans = 0;
-    while (flat < 2 && spans < (brief ? 1 : 12)) {
-      double now = joins(c, span, MANY_CONNECTIONS);
-      flat = now < 1.05 * best ? flat + 1 : 0;
-      best = Math.max(best, now);
+    while (flatSpans < 2 && spans < (brief ? 1 : 12)) {
+      double rate = joinsPerSecond(target, spanMs, MANY_CONNECTIONS);
+      flatSpans = rate < 1.05 * bestRate ? flatSpans + 1 : 0;
+      bestRate = Math.max(bestRate, rate);
       spans++;
     }
     return spans;
   }
 
-  private void ratio(Report report, String what, double aim, double[] ratios) {
+  private void reportRatio(Report report, String what, double aim, double[] ratios) {
     Arrays.sort(ratios);
-    report.figure(
+    report.addFigure(
         what + ": least, median, most",
         String.format(
             Locale.ROOT, "%.2f %.2f %.2f", ratios[0], median(ratios), ratios[ratios.length - 1]));
-    report.claim(
+    report.addClaim(
         what,
         String.format(Locale.ROOT, "aim %.2f", aim),
         String.format(Locale.ROOT, "%.2f", median(ratios)),
@@ -159,66 +163,67 @@
     return sorted[sorted.length / 2];
   }
 
-  private static String millis(Histogram h) {
+  private static String percentiles(Histogram latencies) {
     return String.format(
         Locale.ROOT,
         "%.2f %.2f",
-        h.getValueAtPercentile(50) / 1e3,
-        h.getValueAtPercentile(99) / 1e3);
+        latencies.getValueAtPercentile(50) / 1e3,
+        latencies.getValueAtPercentile(99) / 1e3);
   }
 
-  private void loops(Report report, long warm, long span) throws IOException, InterruptedException {
-    double one = 0;
+  private void measureLoops(Report report, long warmUpMs, long spanMs)
+      throws IOException, InterruptedException {
+    double oneLoopRate = 0;
     for (int loops : new int[] {1, 2, 4}) {
-      Carrying c = front(loops);
-      bytes(c, warm);
-      double[] of = new double[brief ? 1 : 3];
-      for (int i = 0; i < of.length; i++) {
-        of[i] = bytes(c, span);
+      Target target = startFront(loops);
+      bytesPerSecond(target, warmUpMs);
+      double[] rates = new double[brief ? 1 : 3];
+      for (int i = 0; i < rates.length; i++) {
+        rates[i] = bytesPerSecond(target, spanMs);
       }
-      one = loops == 1 ? median(of) : one;
-      double each = median(of) / one / loops;
-      report.figure(
+      oneLoopRate = loops == 1 ? median(rates) : oneLoopRate;
+      double shareOfOneLoop = median(rates) / oneLoopRate / loops;
+      report.addFigure(
           "loops " + loops + ": megabytes a second, part of one loop's each",
-          String.format(Locale.ROOT, "%.0f %.2f", median(of) / 1e6, each));
+          String.format(Locale.ROOT, "%.0f %.2f", median(rates) / 1e6, shareOfOneLoop));
       if (loops > 1) {
-        report.claim(
+        report.addClaim(
             "bytes scale with " + loops + " loops",
             "0.70 a loop",
-            String.format(Locale.ROOT, "%.2f", each),
-            each >= 0.7);
+            String.format(Locale.ROOT, "%.2f", shareOfOneLoop),
+            shareOfOneLoop >= 0.7);
       }
-      started.forEach(Process::destroyForcibly);
-      started.clear();
+      processes.forEach(Process::destroyForcibly);
+      processes.clear();
     }
   }
 
   /** Heap after a collection with many viewings playing, over that with none. */
-  private void heap(Report report, Carrying front) throws IOException, InterruptedException {
-    int many = brief ? 500 : 2000;
+  private void measureHeap(Report report, Target front) throws IOException, InterruptedException {
+    int count = brief ? 500 : 2000;
     Thread.sleep(1000);
     long heldBefore = front.front.state().path("held").asLong();
-    front.front.heap();
-    long before = front.front.heap();
+    front.front.heapAfterGc();
+    long heapBefore = front.front.heapAfterGc();
     HttpClient client = client(8);
-    joinAll(client, front, many, 30_000);
-    long held = front.front.state().path("held").asLong() - heldBefore;
+    joinAll(client, front, count, 30_000);
+    long heldViewings = front.front.state().path("held").asLong() - heldBefore;
     Thread.sleep(500);
-    front.front.heap();
-    long more = front.front.heap() - before;
-    report.figure("viewings held for the heap's figure", held);
-    report.claim(
+    front.front.heapAfterGc();
+    long growthBytes = front.front.heapAfterGc() - heapBefore;
+    report.addFigure("viewings held for the heap's figure", heldViewings);
+    report.addClaim(
         "heap for each viewing that plays",
         "at most 16 KiB",
-        String.format(Locale.ROOT, "%.1f KiB", more / 1024.0 / Math.max(1, held)),
-        held == many && more <= 16L * 1024 * held);
+        String.format(Locale.ROOT, "%.1f KiB", growthBytes / 1024.0 / Math.max(1, heldViewings)),
+        heldViewings == count && growthBytes <= 16L * 1024 * heldViewings);
     client.close();
   }
 
-  private static void waitFor(java.util.function.BooleanSupplier held, long millis)
+  private static void waitFor(java.util.function.BooleanSupplier condition, long timeoutMs)
       throws InterruptedException {
-    long until = System.nanoTime() + millis * 1_000_000;
-    while (!held.getAsBoolean() && System.nanoTime() < until) {
+    long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
+    while (!condition.getAsBoolean() && System.nanoTime() < deadlineNanos) {
       Thread.sleep(10);
     }
   }
@@ -229,150 +234,164 @@
         new PoolOptions().setHttp1MaxSize(connections).setMaxWaitQueueSize(100_000));
   }
 
-  private RequestOptions join(Carrying to) {
+  private RequestOptions joinRequest(Target target) {
     return new RequestOptions()
         .setMethod(HttpMethod.GET)
         .setHost(Ports.HOST)
-        .setPort(to.port)
+        .setPort(target.port)
         .setURI("/titles/t/main.m3u8?package=plain&patience=10000");
   }
 
-  private static String id(Buffer playlist) {
+  private static String viewingId(Buffer playlist) {
     String text = playlist.toString();
-    int at = text.indexOf("/v/");
-    return at < 0 ? text.strip() : text.substring(at + 3, text.indexOf('/', at + 3));
+    int index = text.indexOf("/v/");
+    return index < 0 ? text.strip() : text.substring(index + 3, text.indexOf('/', index + 3));
   }
 
   /** Joins a second, each ended at once, as fast as a fixed number of connections takes them. */
-  private double joins(Carrying to, long millis, int connections) throws InterruptedException {
-    AtomicLong done = new AtomicLong();
+  private double joinsPerSecond(Target target, long durationMs, int connections)
+      throws InterruptedException {
+    AtomicLong completed = new AtomicLong();
     AtomicInteger running = new AtomicInteger(connections);
-    long began = System.nanoTime();
-    long until = began + millis * 1_000_000;
+    long startedAtNanos = System.nanoTime();
+    long deadlineNanos = startedAtNanos + durationMs * 1_000_000;
     HttpClient client = client(connections);
     for (int i = 0; i < connections; i++) {
-      vertx.getOrCreateContext().runOnContext(v -> joinOn(client, to, until, done, running));
+      vertx
+          .getOrCreateContext()
+          .runOnContext(v -> joinRepeatedly(client, target, deadlineNanos, completed, running));
     }
-    waitFor(() -> running.get() == 0, millis + 10_000);
+    waitFor(() -> running.get() == 0, durationMs + 10_000);
     client.close();
-    return done.get() * 1e9 / (System.nanoTime() - began);
+    return completed.get() * 1e9 / (System.nanoTime() - startedAtNanos);
   }
 
-  private void joinOn(
-      HttpClient client, Carrying to, long until, AtomicLong done, AtomicInteger running) {
-    if (System.nanoTime() >= until) {
+  private void joinRepeatedly(
+      HttpClient client,
+      Target target,
+      long deadlineNanos,
+      AtomicLong completed,
+      AtomicInteger running) {
+    if (System.nanoTime() >= deadlineNanos) {
       running.decrementAndGet();
       return;
     }
     client
-        .request(join(to))
-        .compose(RelayDrill::sent)
+        .request(joinRequest(target))
+        .compose(RelayDrill::send)
         .compose(
-            r -> r.statusCode() == 200 ? r.body() : Future.failedFuture("status " + r.statusCode()))
-        .compose(b -> client.request(leave(to, b)))
-        .compose(RelayDrill::sent)
-        .compose(r -> r.body())
+            response ->
+                response.statusCode() == 200
+                    ? response.body()
+                    : Future.failedFuture("status " + response.statusCode()))
+        .compose(body -> client.request(leaveRequest(target, body)))
+        .compose(RelayDrill::send)
+        .compose(response -> response.body())
         .onComplete(
-            r -> {
-              if (r.succeeded()) {
-                done.incrementAndGet();
+            response -> {
+              if (response.succeeded()) {
+                completed.incrementAndGet();
               }
-              joinOn(client, to, until, done, running);
+              joinRepeatedly(client, target, deadlineNanos, completed, running);
             });
   }
 
-  private RequestOptions leave(Carrying to, Buffer playlist) {
+  private RequestOptions leaveRequest(Target target, Buffer playlist) {
     return new RequestOptions()
         .setMethod(HttpMethod.DELETE)
         .setHost(Ports.HOST)
-        .setPort(to.port)
-        .setURI("/v/" + id(playlist));
+        .setPort(target.port)
+        .setURI("/v/" + viewingId(playlist));
   }
 
   /**
    * Join times in microseconds from the intended moment, at a fixed rate whether or not replies
    * have come.
    */
-  private Histogram spaced(Carrying to, double perSecond, long millis) throws InterruptedException {
-    Histogram times = new Histogram(60_000_000L, 3);
-    ConcurrentLinkedQueue<Long> taken = new ConcurrentLinkedQueue<>();
+  private Histogram joinAtRate(Target target, double perSecond, long durationMs)
+      throws InterruptedException {
+    Histogram latencies = new Histogram(60_000_000L, 3);
+    ConcurrentLinkedQueue<Long> latenciesMicros = new ConcurrentLinkedQueue<>();
     HttpClient client = client(512);
-    AtomicInteger out = new AtomicInteger();
-    long began = System.nanoTime();
-    long count = Math.round(perSecond * millis / 1000);
+    AtomicInteger outstanding = new AtomicInteger();
+    long startedAtNanos = System.nanoTime();
+    long count = Math.round(perSecond * durationMs / 1000);
     for (long i = 0; i < count; i++) {
-      long due = began + Math.round(i * 1e9 / perSecond);
-      while (System.nanoTime() < due) {
+      long dueNanos = startedAtNanos + Math.round(i * 1e9 / perSecond);
+      while (System.nanoTime() < dueNanos) {
         Thread.onSpinWait();
       }
-      out.incrementAndGet();
+      outstanding.incrementAndGet();
       client
-          .request(join(to))
-          .compose(RelayDrill::sent)
-          .compose(r -> r.body())
+          .request(joinRequest(target))
+          .compose(RelayDrill::send)
+          .compose(response -> response.body())
           .onComplete(
-              b -> {
-                taken.add((System.nanoTime() - due) / 1000);
-                if (b.succeeded()) {
+              body -> {
+                latenciesMicros.add((System.nanoTime() - dueNanos) / 1000);
+                if (body.succeeded()) {
                   client
-                      .request(leave(to, b.result()))
-                      .compose(RelayDrill::sent)
-                      .onComplete(r -> out.decrementAndGet());
+                      .request(leaveRequest(target, body.result()))
+                      .compose(RelayDrill::send)
+                      .onComplete(response -> outstanding.decrementAndGet());
                 } else {
-                  out.decrementAndGet();
+                  outstanding.decrementAndGet();
                 }
               });
     }
-    waitFor(() -> out.get() == 0, 10_000);
-    taken.forEach(t -> times.recordValue(Math.min(t, 59_000_000L)));
+    waitFor(() -> outstanding.get() == 0, 10_000);
+    latenciesMicros.forEach(t -> latencies.recordValue(Math.min(t, 59_000_000L)));
     client.close();
-    return times;
+    return latencies;
   }
 
-  private static Future<io.vertx.core.http.HttpClientResponse> sent(
-      io.vertx.core.http.HttpClientRequest q) {
-    q.exceptionHandler(e -> {}); // what fails is told by the futures
-    return q.send();
+  private static Future<io.vertx.core.http.HttpClientResponse> send(
+      io.vertx.core.http.HttpClientRequest request) {
+    request.exceptionHandler(e -> {}); // what fails is told by the futures
+    return request.send();
   }
 
   /** Joins so many times at once and waits for the answers; the ids of viewings that play. */
-  private List<String> joinAll(HttpClient client, Carrying to, int many, long millis)
+  private List<String> joinAll(HttpClient client, Target target, int count, long timeoutMs)
       throws InterruptedException {
     AtomicInteger answered = new AtomicInteger();
     List<String> ids = java.util.Collections.synchronizedList(new ArrayList<>());
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       client
-          .request(join(to))
-          .compose(RelayDrill::sent)
-          .compose(r -> r.body())
+          .request(joinRequest(target))
+          .compose(RelayDrill::send)
+          .compose(response -> response.body())
           .onComplete(
-              b -> {
-                if (b.succeeded()) {
-                  ids.add(id(b.result()));
+              body -> {
+                if (body.succeeded()) {
+                  ids.add(viewingId(body.result()));
                 }
                 answered.incrementAndGet();
               });
     }
-    waitFor(() -> answered.get() == many, millis);
+    waitFor(() -> answered.get() == count, timeoutMs);
     return ids;
   }
 
   /** Bytes a second of segments through viewings that play. */
-  private double bytes(Carrying to, long millis) throws InterruptedException {
-    AtomicLong got = new AtomicLong();
+  private double bytesPerSecond(Target target, long durationMs) throws InterruptedException {
+    AtomicLong receivedBytes = new AtomicLong();
     AtomicInteger running = new AtomicInteger(CONNECTIONS);
     HttpClient client = client(CONNECTIONS);
-    long[] began = {0};
-    List<String> ids = joinAll(client, to, CONNECTIONS, 10_000);
-    began[0] = System.nanoTime();
-    long until = began[0] + millis * 1_000_000;
+    long[] startedAtNanos = {0};
+    List<String> ids = joinAll(client, target, CONNECTIONS, 10_000);
+    startedAtNanos[0] = System.nanoTime();
+    long deadlineNanos = startedAtNanos[0] + durationMs * 1_000_000;
     running.set(ids.size());
     for (String id : ids) {
-      vertx.getOrCreateContext().runOnContext(v -> segmentOn(client, to, id, until, got, running));
+      vertx
+          .getOrCreateContext()
+          .runOnContext(
+              v -> fetchSegments(client, target, id, deadlineNanos, receivedBytes, running));
     }
-    waitFor(() -> running.get() == 0, millis + 10_000);
-    double rate = got.get() * 1e9 / (System.nanoTime() - began[0]);
-    AtomicInteger left = new AtomicInteger(ids.size());
+    waitFor(() -> running.get() == 0, durationMs + 10_000);
+    double rate = receivedBytes.get() * 1e9 / (System.nanoTime() - startedAtNanos[0]);
+    AtomicInteger remaining = new AtomicInteger(ids.size());
     ids.forEach(
         id ->
             client
@@ -380,23 +399,23 @@
                     new RequestOptions()
                         .setMethod(HttpMethod.DELETE)
                         .setHost(Ports.HOST)
-                        .setPort(to.port)
+                        .setPort(target.port)
                         .setURI("/v/" + id))
-                .compose(RelayDrill::sent)
-                .onComplete(r -> left.decrementAndGet()));
-    waitFor(() -> left.get() == 0, 5000);
+                .compose(RelayDrill::send)
+                .onComplete(response -> remaining.decrementAndGet()));
+    waitFor(() -> remaining.get() == 0, 5000);
     client.close();
     return rate;
   }
 
-  private void segmentOn(
+  private void fetchSegments(
       HttpClient client,
-      Carrying to,
+      Target target,
       String id,
-      long until,
-      AtomicLong got,
+      long deadlineNanos,
+      AtomicLong receivedBytes,
       AtomicInteger running) {
-    if (System.nanoTime() >= until) {
+    if (System.nanoTime() >= deadlineNanos) {
       running.decrementAndGet();
       return;
     }
@@ -405,27 +424,28 @@
             new RequestOptions()
                 .setMethod(HttpMethod.GET)
                 .setHost(Ports.HOST)
-                .setPort(to.port)
+                .setPort(target.port)
                 .setURI("/v/" + id + "/m/segments/0.ts"))
-        .compose(RelayDrill::sent)
+        .compose(RelayDrill::send)
         .compose(
-            r -> {
-              r.handler(b -> got.addAndGet(b.length()));
-              return r.end();
+            response -> {
+              response.handler(chunk -> receivedBytes.addAndGet(chunk.length()));
+              return response.end();
             })
-        .onComplete(r -> segmentOn(client, to, id, until, got, running));
+        .onComplete(
+            response -> fetchSegments(client, target, id, deadlineNanos, receivedBytes, running));
   }
 
   /** A box that answers all at once, on loops of its own. */
-  private void box() throws IOException, InterruptedException {
+  private void startBox() throws IOException, InterruptedException {
     List<Integer> ports = Ports.free(2);
-    box = ports.get(0);
-    list = ports.get(1);
+    boxPort = ports.get(0);
+    listPort = ports.get(1);
     Tap tap = new Tap();
-    BoxListService service = new BoxListService(vertx, Ports.HOST, list, 0, seed, tap);
+    BoxListService service = new BoxListService(vertx, Ports.HOST, listPort, 0, seed, tap);
     AtomicInteger ready = new AtomicInteger();
     service.open().onSuccess(v -> ready.incrementAndGet());
-    service.set(new BoxFleet.Place(1, Ports.HOST, box, 0, "a"), "small", "serving", 0);
+    service.set(new BoxFleet.Place(1, Ports.HOST, boxPort, 0, "a"), "small", "serving", 0);
     vertx
         .deployVerticle(
             () ->
@@ -434,8 +454,8 @@
                   public Future<?> start() {
                     return vertx
                         .createHttpServer()
-                        .requestHandler(RelayDrill.this::answer)
-                        .listen(box, Ports.HOST);
+                        .requestHandler(RelayDrill.this::answerAsBox)
+                        .listen(boxPort, Ports.HOST);
                   }
                 },
             new DeploymentOptions().setInstances(3))
@@ -443,32 +463,34 @@
     waitFor(() -> ready.get() == 2, 10_000);
   }
 
-  private void answer(HttpServerRequest r) {
-    if (r.method() == HttpMethod.PUT) {
-      String id = r.path().substring(r.path().lastIndexOf('/') + 1);
-      r.body()
+  private void answerAsBox(HttpServerRequest request) {
+    if (request.method() == HttpMethod.PUT) {
+      String id = request.path().substring(request.path().lastIndexOf('/') + 1);
+      request
+          .body()
           .onSuccess(
-              b ->
-                  r.response()
+              body ->
+                  request
+                      .response()
                       .setStatusCode(201)
                       .end(
                           "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1000\n/v/"
                               + id
                               + "/media.m3u8\n#EXT-X-STREAM-INF:BANDWIDTH=2000\nx/media.m3u8\n"));
-    } else if (r.path().contains("/segments/")) {
-      r.response().end(SEGMENT);
-    } else if (r.path().equals("/notes")) {
-      r.response().setChunked(true).write("{\"life\":\"1\"}\n");
-      long timer = vertx.setPeriodic(1000, t -> r.response().write("\n"));
-      r.response().closeHandler(v -> vertx.cancelTimer(timer));
+    } else if (request.path().contains("/segments/")) {
+      request.response().end(SEGMENT);
+    } else if (request.path().equals("/notes")) {
+      request.response().setChunked(true).write("{\"life\":\"1\"}\n");
+      long timer = vertx.setPeriodic(1000, t -> request.response().write("\n"));
+      request.response().closeHandler(v -> vertx.cancelTimer(timer));
     } else {
-      r.response().setStatusCode(r.method() == HttpMethod.DELETE ? 204 : 200).end();
+      request.response().setStatusCode(request.method() == HttpMethod.DELETE ? 204 : 200).end();
     }
   }
 
-  private Carrying bare(int loops) throws IOException, InterruptedException {
+  private Target startBareRelay(int loops) throws IOException, InterruptedException {
     int port = Ports.free(1).get(0);
-    started.add(
+    processes.add(
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xmx512m",
@@ -479,40 +501,40 @@
                 "bare-relay",
                 Ports.HOST,
                 "" + port,
-                "" + box,
+                "" + boxPort,
                 "" + loops)
             .redirectErrorStream(true)
             .redirectOutput(folder.resolve("bare.log").toFile())
             .start());
     waitFor(
         () -> {
-          try (java.net.Socket s = new java.net.Socket(Ports.HOST, port)) {
-            return s.isConnected();
+          try (java.net.Socket socket = new java.net.Socket(Ports.HOST, port)) {
+            return socket.isConnected();
           } catch (IOException e) {
             return false;
           }
         },
         20_000);
-    return new Carrying("bare", port, null);
+    return new Target("bare", port, null);
   }
 
-  private Carrying front(int loops) throws IOException, InterruptedException {
+  private Target startFront(int loops) throws IOException, InterruptedException {
     List<Integer> ports = Ports.free(2);
-    var s = JSON.createObjectNode().put("site", "relay");
-    s.putArray("buildings").add("a");
-    s.putObject("front")
+    var site = JSON.createObjectNode().put("site", "relay");
+    site.putArray("buildings").add("a");
+    site.putObject("front")
         .put("number", 0)
         .put("building", "a")
         .put("viewers", Ports.HOST + ":" + ports.get(0))
         .put("control", Ports.HOST + ":" + ports.get(1));
-    s.putObject("fronts").put("count", 1);
-    s.putArray("ladder").addObject().put("kb", 0.1).put("value", 1);
-    s.putArray("packages")
+    site.putObject("fronts").put("count", 1);
+    site.putArray("ladder").addObject().put("kb", 0.1).put("value", 1);
+    site.putArray("packages")
         .addObject()
         .put("name", "plain")
         .put("value", 1)
         .put("joinTargetMs", 1000);
-    s.putObject("fleet")
+    site.putObject("fleet")
         .put("cells", 1)
         .put("racks", 1)
         .put("linksKb", 1e6)
@@ -523,30 +545,30 @@
         .addObject()
         .put("name", "small")
         .put("streams", 1_000_000);
-    s.putObject("list").put("address", Ports.HOST + ":" + list);
-    s.putObject("viewers").put("loops", loops);
-    s.putObject("boxes")
+    site.putObject("list").put("address", Ports.HOST + ":" + listPort);
+    site.putObject("viewers").put("loops", loops);
+    site.putObject("boxes")
         .put("connections", 256)
         .put("waitingSetUps", 4096)
         .put("mediaConnections", 32_000);
-    s.putObject("flow").put("transfers", 3000).put("waitingBytes", 440_000_000);
-    s.putObject("desk").put("viewings", 3000).put("idleMs", 120_000);
-    s.putObject("stop").put("playingMs", 0);
-    Path site = folder.resolve("front-" + loops + ".json5");
-    Files.writeString(site, s.toString());
-    FrontProcess p =
+    site.putObject("flow").put("transfers", 3000).put("waitingBytes", 440_000_000);
+    site.putObject("desk").put("viewings", 3000).put("idleMs", 120_000);
+    site.putObject("stop").put("playingMs", 0);
+    Path siteFile = folder.resolve("front-" + loops + ".json5");
+    Files.writeString(siteFile, site.toString());
+    FrontProcess process =
         new FrontProcess(
-            0, site, folder.resolve("front.log"), Ports.HOST + ":" + ports.get(1), new Tap());
-    p.start(seed, "-Xmx512m");
-    started.add(p.process());
-    waitFor(p::ready, 20_000);
-    return new Carrying("front", ports.get(0), p);
+            0, siteFile, folder.resolve("front.log"), Ports.HOST + ":" + ports.get(1), new Tap());
+    process.start(seed, "-Xmx512m");
+    processes.add(process.process());
+    waitFor(process::isReady, 20_000);
+    return new Target("front", ports.get(0), process);
   }
 
   /** The hidden process of the baseline. */
-  public static void bareRelay(String host, int port, int box, int loops)
+  public static void bareRelay(String host, int port, int boxPort, int loops)
       throws InterruptedException {
-    BareRelay.start(host, port, box, loops);
+    BareRelay.start(host, port, boxPort, loops);
     while (true) {
       TimeUnit.HOURS.sleep(1);
     }
--- a/src/main/java/linengauge/drill/Report.java
+++ b/src/main/java/linengauge/drill/Report.java
@@ -31,20 +31,20 @@
   }
 
   /** Adds what the judge said of one record. */
-  public void judged(String record, Verdict verdict) {
+  public void addVerdict(String record, Verdict verdict) {
     for (String rule : Verdict.RULES) {
       long[] sum = rules.computeIfAbsent(rule, r -> new long[2]);
       sum[0] += verdict.checked(rule);
       sum[1] += verdict.broken(rule);
     }
-    verdict.breaches().stream().limit(40).forEach(b -> breaches.add(record + ": " + b));
+    verdict.breaches().stream().limit(40).forEach(breach -> breaches.add(record + ": " + breach));
   }
 
-  public void claim(String what, String wanted, Object seen, boolean held) {
+  public void addClaim(String what, String wanted, Object seen, boolean held) {
     claims.add(new Claim(what, wanted, String.valueOf(seen), held));
   }
 
-  public void figure(String name, Object value) {
+  public void addFigure(String name, Object value) {
     figures.put(name, value);
   }
 
@@ -52,8 +52,8 @@
    * Nothing broken, every claim held; a rule that was not tried does not count as kept, and is a
    * claim's matter.
    */
-  public boolean held() {
-    return rules.values().stream().allMatch(r -> r[1] == 0)
+  public boolean hasPassed() {
+    return rules.values().stream().allMatch(counts -> counts[1] == 0)
         && claims.stream().allMatch(Claim::held);
   }
 
@@ -62,40 +62,48 @@
     if (!rules.isEmpty()) {
       out.printf("%n%-18s %9s %7s%n", "rule", "checked", "broken");
       rules.forEach(
-          (r, n) ->
-              out.printf("%-18s %9d %7s%n", r, n[0], n[0] == 0 && n[1] == 0 ? "untried" : n[1]));
+          (rule, counts) ->
+              out.printf(
+                  "%-18s %9d %7s%n",
+                  rule, counts[0], counts[0] == 0 && counts[1] == 0 ? "untried" : counts[1]));
     }
-    breaches.forEach(b -> out.println("  broken: " + b));
+    breaches.forEach(breach -> out.println("  broken: " + breach));
     out.printf("%n%-6s %-58s %-22s %s%n", "held", "claim", "wanted", "seen");
     claims.forEach(
-        c -> out.printf("%-6s %-58s %-22s %s%n", c.held ? "yes" : "NO", c.what, c.wanted, c.seen));
+        claim ->
+            out.printf(
+                "%-6s %-58s %-22s %s%n",
+                claim.held ? "yes" : "NO", claim.what, claim.wanted, claim.seen));
     out.println();
     figures.forEach(
-        (k, v) ->
+        (key, v) ->
             out.printf(
                 "%-36s %s%n",
-                k, v instanceof Double d ? String.format(Locale.ROOT, "%.3f", d) : v));
-    out.println(held() ? "\nheld" : "\nNOT HELD");
+                key, v instanceof Double d ? String.format(Locale.ROOT, "%.3f", d) : v));
+    out.println(hasPassed() ? "\nheld" : "\nNOT HELD");
   }
 
   public void write(Path file) throws IOException {
     ObjectMapper json = new ObjectMapper();
     ObjectNode root =
-        json.createObjectNode().put("drill", drill).put("seed", seed).put("held", held());
-    ObjectNode of = root.putObject("rules");
-    rules.forEach((r, n) -> of.putObject(r).put("checked", n[0]).put("broken", n[1]));
-    ObjectNode fs = root.putObject("figures");
-    figures.forEach((k, v) -> fs.set(k, json.valueToTree(v)));
-    ArrayNode cs = root.putArray("claims");
+        json.createObjectNode().put("drill", drill).put("seed", seed).put("held", hasPassed());
+    ObjectNode rulesNode = root.putObject("rules");
+    rules.forEach(
+        (rule, counts) ->
+            rulesNode.putObject(rule).put("checked", counts[0]).put("broken", counts[1]));
+    ObjectNode figuresNode = root.putObject("figures");
+    figures.forEach((key, v) -> figuresNode.set(key, json.valueToTree(v)));
+    ArrayNode claimsNode = root.putArray("claims");
     claims.forEach(
-        c ->
-            cs.addObject()
-                .put("what", c.what)
-                .put("wanted", c.wanted)
-                .put("seen", c.seen)
-                .put("held", c.held));
-    ArrayNode bs = root.putArray("breaches");
-    breaches.forEach(bs::add);
+        claim ->
+            claimsNode
+                .addObject()
+                .put("what", claim.what)
+                .put("wanted", claim.wanted)
+                .put("seen", claim.seen)
+                .put("held", claim.held));
+    ArrayNode breachesNode = root.putArray("breaches");
+    breaches.forEach(breachesNode::add);
     Files.writeString(file, json.writerWithDefaultPrettyPrinter().writeValueAsString(root) + "\n");
   }
 }
