--- a/src/main/java/linengauge/drill/SlowPeersDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -32,35 +32,35 @@
  */
 public final class SlowPeersDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final long WAITING_BYTES = 60_000_000;
+  private static final long MAX_WAITING_BYTES = 60_000_000;
 
   /** The budget, and 8 MiB for each of the front's four loops. */
-  private static final long DIRECT_BYTES = WAITING_BYTES + 4 * (8 << 20);
+  private static final long MAX_DIRECT_BYTES = MAX_WAITING_BYTES + 4 * (8 << 20);
 
-  private static final int HEADERS_MS = 4000;
-  private static final int IDLE_MS = 10_000;
+  private static final int HEADERS_TIMEOUT_MS = 4000;
+  private static final int IDLE_TIMEOUT_MS = 10_000;
 
   /**
    * What the window holds after a segment's start, and some looks: a slow reader lasts no longer.
    */
-  private static final long SLOW_MS = 9_000;
+  private static final long SLOW_READER_LIMIT_MS = 9_000;
 
   private final long seed;
   private final boolean brief;
   private final boolean guards;
   private final Path traffic;
-  private final Way only;
-  private volatile long mostDirect;
+  private final Way onlyWay;
+  private volatile long peakDirectBytes;
 
   /**
    * Healthy players have a loop of their own: what they see is not what the boxes' loop is busy
    * with.
    */
-  private final Vertx players = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final Vertx playerVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
   /** The slow thousand is a mixture, or all of one way where one is given. */
-  public SlowPeersDrill(long seed, boolean brief, boolean guards, Way only, Path traffic) {
-    this.only = only;
+  public SlowPeersDrill(long seed, boolean brief, boolean guards, Way onlyWay, Path traffic) {
+    this.onlyWay = onlyWay;
     this.seed = seed;
     this.brief = brief;
     this.guards = guards;
@@ -70,7 +70,9 @@
   public Report run() throws IOException, InterruptedException {
     Report report =
         new Report(
-            "slow-peers" + (only == null ? "" : ", all " + only) + (guards ? "" : ", guards off"),
+            "slow-peers"
+                + (onlyWay == null ? "" : ", all " + onlyWay)
+                + (guards ? "" : ", guards off"),
             seed);
     SplittableRandom seeds = new SplittableRandom(seed);
     DayScript day;
@@ -79,95 +81,104 @@
     } catch (BadSite e) {
       throw new IOException(e);
     }
-    List<String> record;
-    try (TestFleet g = new TestFleet(day, "", seeds.nextLong(), List.of(), i -> site())) {
-      g.open(
+    List<String> trafficRecord;
+    try (TestFleet testFleet =
+        new TestFleet(day, "", seeds.nextLong(), List.of(), i -> siteSettings())) {
+      testFleet.open(
           "-Xmx96m",
           "-Xms96m",
-          "-XX:MaxDirectMemorySize=" + DIRECT_BYTES); // a heap that grows stops for it
-      play(report, g, seeds);
-      boolean ended = g.endFronts().values().stream().allMatch(e -> e);
-      report.claim("the front ended in order when told", "yes", ended ? "yes" : "no", ended);
-      record = g.tap.lines();
-      players.close();
-      report.claim("the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
+          "-XX:MaxDirectMemorySize=" + MAX_DIRECT_BYTES); // a heap that grows stops for it
+      play(report, testFleet, seeds);
+      boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+      report.addClaim(
+          "the front ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
+      trafficRecord = testFleet.tap.lines();
+      playerVertx.close();
+      report.addClaim(
+          "the record is whole",
+          "not cut short",
+          trafficRecord.size() + " lines",
+          !testFleet.tap.full());
     }
     if (traffic != null) {
-      Files.write(traffic, record);
+      Files.write(traffic, trafficRecord);
     }
     try {
-      report.judged("day", Judge.judge(record));
+      report.addVerdict("day", Judge.judge(trafficRecord));
     } catch (BadRecord e) {
-      report.claim("the record can be judged", "yes", e.getMessage(), false);
+      report.addClaim("the record can be judged", "yes", e.getMessage(), false);
     }
     return report;
   }
 
-  private ObjectNode site() {
-    ObjectNode s = JSON.createObjectNode();
-    s.putObject("flow")
+  private ObjectNode siteSettings() {
+    ObjectNode site = JSON.createObjectNode();
+    site.putObject("flow")
         .put("guards", guards)
-        .put("waitingBytes", WAITING_BYTES)
+        .put("waitingBytes", MAX_WAITING_BYTES)
         .put("transfers", 2000);
-    s.putObject("viewers")
-        .put("headersMs", HEADERS_MS)
-        .put("firstByteMs", HEADERS_MS)
-        .put("keepAliveMs", IDLE_MS)
+    site.putObject("viewers")
+        .put("headersMs", HEADERS_TIMEOUT_MS)
+        .put("firstByteMs", HEADERS_TIMEOUT_MS)
+        .put("keepAliveMs", IDLE_TIMEOUT_MS)
         .put("sendBufferBytes", 4096)
         .put("perAddress", 5000);
-    s.putObject("desk").put("idleMs", IDLE_MS);
-    s.putObject("boxes").put("waitingMedia", 2000).put("readBytes", 16_384);
-    return s;
+    site.putObject("desk").put("idleMs", IDLE_TIMEOUT_MS);
+    site.putObject("boxes").put("waitingMedia", 2000).put("readBytes", 16_384);
+    return site;
   }
 
   /** Healthy viewers over a span; the same seed brings the same viewers at the same moments. */
-  private PlayerCrowd healthy(TestFleet g, long arrivals, long spanMs) {
-    return healthy(g, arrivals, spanMs, g.day.traffic().perSecond());
+  private PlayerCrowd startHealthy(TestFleet testFleet, long arrivalSeed, long spanMs) {
+    return startHealthy(testFleet, arrivalSeed, spanMs, testFleet.day.traffic().perSecond());
   }
 
-  private PlayerCrowd healthy(TestFleet g, long arrivals, long spanMs, double perSecond) {
-    DayScript.Wanted p = g.day.packages().get(0);
-    Context loop = players.getOrCreateContext();
+  private PlayerCrowd startHealthy(
+      TestFleet testFleet, long arrivalSeed, long spanMs, double perSecond) {
+    DayScript.PackagePlan plan = testFleet.day.packages().get(0);
+    Context context = playerVertx.getOrCreateContext();
     PlayerCrowd crowd =
         new PlayerCrowd(
-            players,
-            g.doors,
-            List.of(new PlayerCrowd.Want(p.name(), 1, p.patienceMs(), p.joinTargetMs(), p.value())),
-            g.titles(),
-            g.day.ladder().size(),
-            (int) (1000 * g.day.traffic().shortestS()),
-            (int) (1000 * g.day.traffic().longestS()),
-            arrivals,
-            g.tap,
-            "h" + g.tap.micros() + "-");
-    SplittableRandom chance = new SplittableRandom(arrivals);
-    for (double at = 0; at < spanMs; at += -Math.log(1 - chance.nextDouble()) * 1000 / perSecond) {
+            playerVertx,
+            testFleet.frontEndpoints,
+            List.of(
+                new PlayerCrowd.Want(
+                    plan.name(), 1, plan.patienceMs(), plan.joinTargetMs(), plan.value())),
+            testFleet.titles(),
+            testFleet.day.ladder().size(),
+            (int) (1000 * testFleet.day.traffic().shortestS()),
+            (int) (1000 * testFleet.day.traffic().longestS()),
+            arrivalSeed,
+            testFleet.tap,
+            "h" + testFleet.tap.micros() + "-");
+    SplittableRandom random = new SplittableRandom(arrivalSeed);
+    for (double at = 0; at < spanMs; at += -Math.log(1 - random.nextDouble()) * 1000 / perSecond) {
       long ms = Math.max(1, Math.round(at));
-      loop.runOnContext(v -> players.setTimer(ms, t -> crowd.arrive()));
+      context.runOnContext(v -> playerVertx.setTimer(ms, t -> crowd.arrive()));
     }
     return crowd;
   }
 
-  private static void settle(PlayerCrowd crowd) throws InterruptedException {
+  private static void awaitNoViewers(PlayerCrowd crowd) throws InterruptedException {
     for (int i = 0; i < 300 && crowd.present() > 0; i++) {
       Thread.sleep(50);
     }
   }
 
-  private void play(Report report, TestFleet g, SplittableRandom seeds)
+  private void play(Report report, TestFleet testFleet, SplittableRandom seeds)
       throws IOException, InterruptedException {
-    long span = brief ? 8000 : 20_000;
-    int thousand = brief ? 400 : 1000;
-    int stopped = brief ? 150 : 500;
-    long arrivals = seeds.nextLong();
-    FrontProcess front = g.fronts.get(0);
+    long spanMs = brief ? 8000 : 20_000;
+    int slowCount = brief ? 400 : 1000;
+    int honestCount = brief ? 150 : 500;
+    long arrivalSeed = seeds.nextLong();
+    FrontProcess front = testFleet.fronts.get(0);
     Thread sampler =
         new Thread(
             () -> {
-              while (front.alive()) {
+              while (front.isAlive()) {
                 try {
-                  JsonNode s = front.state();
-                  mostDirect = Math.max(mostDirect, s.path("directUsed").asLong());
+                  JsonNode state = front.state();
+                  peakDirectBytes = Math.max(peakDirectBytes, state.path("directUsed").asLong());
                   Thread.sleep(500);
                 } catch (IOException | InterruptedException e) {
                   return; // the front has ended
@@ -177,81 +188,90 @@
             "direct buffers");
     sampler.setDaemon(true);
     sampler.start();
-    PlayerCrowd warm = healthy(g, seeds.nextLong(), brief ? 3000 : 6000);
+    PlayerCrowd warmUp = startHealthy(testFleet, seeds.nextLong(), brief ? 3000 : 6000);
     Thread.sleep(brief ? 3000 : 6000);
-    settle(warm);
+    awaitNoViewers(warmUp);
     // As many join at once as the slow will: what is measured later is not the compiler's first
     // meeting with a wave.
-    PlayerCrowd wave = healthy(g, seeds.nextLong(), 3000, thousand / 3.0);
+    PlayerCrowd wave = startHealthy(testFleet, seeds.nextLong(), 3000, slowCount / 3.0);
     Thread.sleep(3000);
-    settle(wave);
-    Lateness aloneLate = new Lateness(g.vertx, g.boxLoop);
-    PlayerCrowd alone = healthy(g, arrivals, span);
-    Thread.sleep(span);
-    settle(alone);
-    report.figure("boxes' loop late alone: ms p50 p99", aloneLate.p50p99());
+    awaitNoViewers(wave);
+    LoopDelay delayAlone = new LoopDelay(testFleet.vertx, testFleet.boxLoop);
+    PlayerCrowd alone = startHealthy(testFleet, arrivalSeed, spanMs);
+    Thread.sleep(spanMs);
+    awaitNoViewers(alone);
+    report.addFigure("boxes' loop late alone: ms p50 p99", delayAlone.percentiles());
     try (SlowCrowd slow =
         new SlowCrowd(
-            g.doors.get(0).host(), g.doors.get(0).port(), 0, "lesson", g.titles(), g.tap)) {
-      Map<Way, Integer> come = new EnumMap<>(Way.class);
-      if (only == null) {
-        come.put(Way.BYTE_A_SECOND, thousand / 4);
-        come.put(Way.HEADER_A_SECOND, thousand / 4);
-        come.put(Way.NEVER_AGAIN, thousand / 5);
-        come.put(Way.THIRD, thousand / 10);
-        come.put(Way.PAUSES, thousand * 3 / 20);
-        come.put(Way.WEAK, thousand / 20);
+            testFleet.frontEndpoints.get(0).host(),
+            testFleet.frontEndpoints.get(0).port(),
+            0,
+            "lesson",
+            testFleet.titles(),
+            testFleet.tap)) {
+      Map<Way, Integer> counts = new EnumMap<>(Way.class);
+      if (onlyWay == null) {
+        counts.put(Way.BYTE_A_SECOND, slowCount / 4);
+        counts.put(Way.HEADER_A_SECOND, slowCount / 4);
+        counts.put(Way.NEVER_AGAIN, slowCount / 5);
+        counts.put(Way.THIRD, slowCount / 10);
+        counts.put(Way.PAUSES, slowCount * 3 / 20);
+        counts.put(Way.WEAK, slowCount / 20);
       } else {
-        come.put(only, thousand);
+        counts.put(onlyWay, slowCount);
       }
-      come.forEach((way, n) -> slow.come(way, n, 3000));
+      counts.forEach((way, count) -> slow.come(way, count, 3000));
       Thread.sleep(1000);
-      Lateness besideLate = new Lateness(g.vertx, g.boxLoop);
-      PlayerCrowd beside = healthy(g, arrivals, span);
-      Thread.sleep(span);
-      report.figure("boxes' loop late beside the slow: ms p50 p99", besideLate.p50p99());
-      Thread.sleep(Math.max(1, IDLE_MS + 5000 - span));
-      settle(beside);
-      joins(report, alone, beside);
-      fates(report, slow.fates(), come, g.tap.lines());
-      JsonNode s = front.state();
-      long most = s.path("flow").path("mostWaitingBytes").asLong();
-      report.claim(
-          "bytes that waited at the most", "at most " + WAITING_BYTES, most, most <= WAITING_BYTES);
-      report.figure("front after the slow thousand", s.path("flow") + " " + s.path("door"));
-      stop(report, g, front, slow, stopped, seeds.nextLong());
-      report.claim(
+      LoopDelay delayBeside = new LoopDelay(testFleet.vertx, testFleet.boxLoop);
+      PlayerCrowd beside = startHealthy(testFleet, arrivalSeed, spanMs);
+      Thread.sleep(spanMs);
+      report.addFigure("boxes' loop late beside the slow: ms p50 p99", delayBeside.percentiles());
+      Thread.sleep(Math.max(1, IDLE_TIMEOUT_MS + 5000 - spanMs));
+      awaitNoViewers(beside);
+      compareJoins(report, alone, beside);
+      checkSlowViewers(report, slow.fates(), counts, testFleet.tap.lines());
+      JsonNode state = front.state();
+      long peakWaitingBytes = state.path("flow").path("mostWaitingBytes").asLong();
+      report.addClaim(
+          "bytes that waited at the most",
+          "at most " + MAX_WAITING_BYTES,
+          peakWaitingBytes,
+          peakWaitingBytes <= MAX_WAITING_BYTES);
+      report.addFigure(
+          "front after the slow thousand", state.path("flow") + " " + state.path("door"));
+      pauseFront(report, testFleet, front, slow, honestCount, seeds.nextLong());
+      report.addClaim(
           "direct buffers of the front at the most, beside a heap of 96 MB",
-          "at most " + DIRECT_BYTES,
-          mostDirect,
-          mostDirect <= DIRECT_BYTES);
+          "at most " + MAX_DIRECT_BYTES,
+          peakDirectBytes,
+          peakDirectBytes <= MAX_DIRECT_BYTES);
     }
   }
 
   /** How late a loop of stand-ins is, so that what is theirs is not taken for the front's. */
-  private static final class Lateness {
+  private static final class LoopDelay {
     private final Histogram micros = new Histogram(60_000_000L, 2);
     private final Vertx vertx;
-    private boolean over;
+    private boolean stopped;
 
-    private Lateness(Vertx vertx, Context loop) {
+    private LoopDelay(Vertx vertx, Context context) {
       this.vertx = vertx;
-      loop.runOnContext(v -> look(System.nanoTime()));
+      context.runOnContext(v -> scheduleSample(System.nanoTime()));
     }
 
-    private void look(long from) {
+    private void scheduleSample(long fromNanos) {
       vertx.setTimer(
           10,
           t -> {
-            if (!over) {
-              micros.recordValue(Math.max(0, (System.nanoTime() - from) / 1000 - 10_000));
-              look(System.nanoTime());
+            if (!stopped) {
+              micros.recordValue(Math.max(0, (System.nanoTime() - fromNanos) / 1000 - 10_000));
+              scheduleSample(System.nanoTime());
             }
           });
     }
 
-    private String p50p99() {
-      over = true;
+    private String percentiles() {
+      stopped = true;
       return String.format(
           Locale.ROOT,
           "%.1f %.1f",
@@ -260,88 +280,99 @@
     }
   }
 
-  private void joins(Report report, PlayerCrowd alone, PlayerCrowd beside) {
-    PlayerCrowd.Figures a = alone.figures();
-    PlayerCrowd.Figures b = beside.figures();
-    for (PlayerCrowd.Figures f : List.of(a, b)) {
-      String when = f == a ? "alone" : "beside the slow";
-      report.claim(
+  private void compareJoins(Report report, PlayerCrowd alone, PlayerCrowd beside) {
+    PlayerCrowd.Figures aloneFigures = alone.figures();
+    PlayerCrowd.Figures besideFigures = beside.figures();
+    for (PlayerCrowd.Figures figures : List.of(aloneFigures, besideFigures)) {
+      String when = figures == aloneFigures ? "alone" : "beside the slow";
+      report.addClaim(
           "healthy viewers joined within their join target, " + when,
           "all of them",
-          Math.round(f.valueInTime) + " of " + Math.round(f.valueAsked),
-          f.valueInTime == f.valueAsked);
-      report.figure(
+          Math.round(figures.valueInTime) + " of " + Math.round(figures.valueAsked),
+          figures.valueInTime == figures.valueAsked);
+      report.addFigure(
           "healthy " + when + ": join ms p50 p99 max",
           String.format(
               Locale.ROOT,
               "%.1f %.1f %.1f",
-              f.joinMicros.getValueAtPercentile(50) / 1e3,
-              f.joinMicros.getValueAtPercentile(99) / 1e3,
-              f.joinMicros.getMaxValue() / 1e3));
-      report.figure(
+              figures.joinMicros.getValueAtPercentile(50) / 1e3,
+              figures.joinMicros.getValueAtPercentile(99) / 1e3,
+              figures.joinMicros.getMaxValue() / 1e3));
+      report.addFigure(
           "healthy " + when + ": requests, megabytes, starved",
-          f.asked + ", " + f.bytes / 1_000_000 + ", " + f.starved);
+          figures.asked + ", " + figures.bytes / 1_000_000 + ", " + figures.starved);
     }
-    double p99 =
-        (double) b.joinMicros.getValueAtPercentile(99) / a.joinMicros.getValueAtPercentile(99);
-    report.claim(
+    double p99Ratio =
+        (double) besideFigures.joinMicros.getValueAtPercentile(99)
+            / aloneFigures.joinMicros.getValueAtPercentile(99);
+    report.addClaim(
         "p99 of healthy joins, over that alone",
         "at most 1.25",
-        String.format(Locale.ROOT, "%.2f", p99),
-        p99 <= 1.25);
-    double bytes = (double) b.bytes / a.bytes;
-    report.claim(
+        String.format(Locale.ROOT, "%.2f", p99Ratio),
+        p99Ratio <= 1.25);
+    double bytesRatio = (double) besideFigures.bytes / aloneFigures.bytes;
+    report.addClaim(
         "healthy bytes, over those alone",
         "at least 0.95",
-        String.format(Locale.ROOT, "%.2f", bytes),
-        bytes >= 0.95);
+        String.format(Locale.ROOT, "%.2f", bytesRatio),
+        bytesRatio >= 0.95);
   }
 
-  private void fates(
-      Report report, List<SlowCrowd.Fate> fates, Map<Way, Integer> come, List<String> record)
+  private void checkSlowViewers(
+      Report report,
+      List<SlowCrowd.Fate> fates,
+      Map<Way, Integer> counts,
+      List<String> trafficRecord)
       throws IOException {
     Map<String, Long> endedAtBox = new HashMap<>();
-    for (String line : record) {
-      JsonNode l = JSON.readTree(line);
-      if (l.path("what").asText().equals("ended")) {
-        endedAtBox.putIfAbsent(l.path("viewing").asText(), l.path("at").asLong());
+    for (String line : trafficRecord) {
+      JsonNode entry = JSON.readTree(line);
+      if (entry.path("what").asText().equals("ended")) {
+        endedAtBox.putIfAbsent(entry.path("viewing").asText(), entry.path("at").asLong());
       }
     }
-    come.forEach(
-        (way, n) -> {
-          List<SlowCrowd.Fate> of =
-              fates.stream().filter(f -> f.way() == way && f.slowSince() >= 0).toList();
+    counts.forEach(
+        (way, count) -> {
+          List<SlowCrowd.Fate> ofWay =
+              fates.stream().filter(fate -> fate.way() == way && fate.slowSince() >= 0).toList();
           if (way.isHonest()) {
-            long ended = of.stream().filter(f -> f.endedAt() >= 0).count();
-            int fewest = of.stream().mapToInt(SlowCrowd.Fate::segments).min().orElse(0);
-            report.claim(
+            long ended = ofWay.stream().filter(fate -> fate.endedAt() >= 0).count();
+            int fewestSegments = ofWay.stream().mapToInt(SlowCrowd.Fate::segments).min().orElse(0);
+            report.addClaim(
                 way + ": honest, served",
-                "all " + n + ", none ended",
-                of.size() + ", " + ended + " ended, " + fewest + " segments or more each",
-                of.size() == n && ended == 0 && fewest > 0);
+                "all " + count + ", none ended",
+                ofWay.size()
+                    + ", "
+                    + ended
+                    + " ended, "
+                    + fewestSegments
+                    + " segments or more each",
+                ofWay.size() == count && ended == 0 && fewestSegments > 0);
             return;
           }
           // A viewing is over when its box was told; a connection without one when it was closed.
-          List<Long> took = new ArrayList<>();
-          for (SlowCrowd.Fate f : of) {
-            long end =
-                f.viewing() == null ? f.endedAt() : endedAtBox.getOrDefault(f.viewing(), -1L);
-            if (end >= 0) {
-              took.add((end - f.slowSince()) / 1000);
+          List<Long> durationsMs = new ArrayList<>();
+          for (SlowCrowd.Fate fate : ofWay) {
+            long endedAtMicros =
+                fate.viewing() == null
+                    ? fate.endedAt()
+                    : endedAtBox.getOrDefault(fate.viewing(), -1L);
+            if (endedAtMicros >= 0) {
+              durationsMs.add((endedAtMicros - fate.slowSince()) / 1000);
             }
           }
-          long longest = took.stream().mapToLong(t -> t).max().orElse(-1);
-          long bound =
+          long longestMs = durationsMs.stream().mapToLong(t -> t).max().orElse(-1);
+          long limitMs =
               switch (way) {
-                case HEADER_A_SECOND -> HEADERS_MS + 1500;
-                case NEVER_AGAIN -> IDLE_MS + 1500;
-                default -> SLOW_MS;
+                case HEADER_A_SECOND -> HEADERS_TIMEOUT_MS + 1500;
+                case NEVER_AGAIN -> IDLE_TIMEOUT_MS + 1500;
+                default -> SLOW_READER_LIMIT_MS;
               };
-          report.claim(
+          report.addClaim(
               way + ": let go within its bound",
-              "all " + n + " in " + bound + " ms",
-              took.size() + " of " + of.size() + ", longest " + longest,
-              of.size() == n && took.size() == n && longest <= bound);
+              "all " + count + " in " + limitMs + " ms",
+              durationsMs.size() + " of " + ofWay.size() + ", longest " + longestMs,
+              ofWay.size() == count && durationsMs.size() == count && longestMs <= limitMs);
         });
   }
 
@@ -349,52 +380,69 @@
    * Honest viewers play; the front stands still for two seconds, and a surge comes as it runs
    * again.
    */
-  private void stop(
-      Report report, TestFleet g, FrontProcess front, SlowCrowd crowd, int many, long arrivals)
+  private void pauseFront(
+      Report report,
+      TestFleet testFleet,
+      FrontProcess front,
+      SlowCrowd crowd,
+      int honestCount,
+      long arrivalSeed)
       throws IOException, InterruptedException {
-    crowd.come(Way.WEAK, many, 2000);
+    crowd.come(Way.WEAK, honestCount, 2000);
     Thread.sleep(6000);
-    long before = gone(front);
+    long disconnectsBefore = countDisconnects(front);
     long endedBefore =
-        crowd.fates().stream().filter(f -> f.way().isHonest() && f.endedAt() >= 0).count();
-    front.stopFor(2000);
-    PlayerCrowd surge = healthy(g, arrivals, 1);
+        crowd.fates().stream().filter(fate -> fate.way().isHonest() && fate.endedAt() >= 0).count();
+    front.pauseFor(2000);
+    PlayerCrowd surge = startHealthy(testFleet, arrivalSeed, 1);
     for (int i = 0; i < (brief ? 40 : 100); i++) {
-      players.getOrCreateContext().runOnContext(v -> surge.arrive());
+      playerVertx.getOrCreateContext().runOnContext(v -> surge.arrive());
     }
     Thread.sleep(9000);
-    settle(surge);
+    awaitNoViewers(surge);
     List<SlowCrowd.Fate> fates = new ArrayList<>(crowd.fates());
     long playing =
         fates.stream()
-            .filter(f -> f.way().isHonest() && f.viewing() != null && f.endedAt() < 0)
+            .filter(fate -> fate.way().isHonest() && fate.viewing() != null && fate.endedAt() < 0)
             .count();
     long ended =
-        fates.stream().filter(f -> f.way().isHonest() && f.endedAt() >= 0).count() - endedBefore;
-    report.claim(
+        fates.stream().filter(fate -> fate.way().isHonest() && fate.endedAt() >= 0).count()
+            - endedBefore;
+    report.addClaim(
         "front stopped for 2 s: let go, of those who play",
-        "0 of " + many + " and more",
-        gone(front) - before + " by the front, " + ended + " connections of " + playing,
-        gone(front) == before && ended == 0 && playing >= many);
-    PlayerCrowd.Figures f = surge.figures();
-    report.claim(
+        "0 of " + honestCount + " and more",
+        countDisconnects(front)
+            - disconnectsBefore
+            + " by the front, "
+            + ended
+            + " connections of "
+            + playing,
+        countDisconnects(front) == disconnectsBefore && ended == 0 && playing >= honestCount);
+    PlayerCrowd.Figures surgeFigures = surge.figures();
+    report.addClaim(
         "the surge after it: answered",
-        "all " + (int) f.valueAsked,
-        f.played + " played, " + f.blocked + " blocked, " + f.unanswered + " unanswered",
-        f.unanswered + f.brokenOff + f.aborted == 0 && f.played >= f.valueAsked);
-    report.figure(
+        "all " + (int) surgeFigures.valueAsked,
+        surgeFigures.played
+            + " played, "
+            + surgeFigures.blocked
+            + " blocked, "
+            + surgeFigures.unanswered
+            + " unanswered",
+        surgeFigures.unanswered + surgeFigures.brokenOff + surgeFigures.aborted == 0
+            && surgeFigures.played >= surgeFigures.valueAsked);
+    report.addFigure(
         "the surge: join ms p50 p99",
         String.format(
             Locale.ROOT,
             "%.1f %.1f",
-            f.joinMicros.getValueAtPercentile(50) / 1e3,
-            f.joinMicros.getValueAtPercentile(99) / 1e3));
+            surgeFigures.joinMicros.getValueAtPercentile(50) / 1e3,
+            surgeFigures.joinMicros.getValueAtPercentile(99) / 1e3));
   }
 
-  private static long gone(FrontProcess front) throws IOException {
-    JsonNode s = front.state();
-    return s.path("letGo").asLong()
-        + s.path("flow").path("viewersLetGo").asLong()
-        + s.path("flow").path("boxesLetGo").asLong();
+  private static long countDisconnects(FrontProcess front) throws IOException {
+    JsonNode state = front.state();
+    return state.path("letGo").asLong()
+        + state.path("flow").path("viewersLetGo").asLong()
+        + state.path("flow").path("boxesLetGo").asLong();
   }
 }
--- a/src/main/java/linengauge/drill/TestFleet.java
+++ b/src/main/java/linengauge/drill/TestFleet.java
@@ -39,66 +39,71 @@
   final Tap tap = new Tap();
   final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(3));
   final BoxFleet fleet;
-  final BoxListService list;
-  final WordPost post;
-  final PlayerCrowd crowd;
+  final BoxListService boxList;
+  final WordPost datagramRelay;
+  final PlayerCrowd playerCrowd;
   final List<FrontProcess> fronts = new ArrayList<>();
   private final List<Integer> ports;
-  final List<PlayerCrowd.Door> doors = new ArrayList<>();
+  final List<PlayerCrowd.Door> frontEndpoints = new ArrayList<>();
 
   /** The loops of the boxes with their list and words, and of the players. */
   final Context boxLoop = vertx.getOrCreateContext();
 
   private final Path folder;
   private final SplittableRandom seeds;
-  private final IntFunction<ObjectNode> more;
+  private final IntFunction<ObjectNode> extraSettings;
 
-  TestFleet(DayScript day, String paid, long seed) throws IOException {
-    this(day, paid, seed, List.of(), i -> JSON.createObjectNode());
+  TestFleet(DayScript day, String paidPackage, long seed) throws IOException {
+    this(day, paidPackage, seed, List.of(), i -> JSON.createObjectNode());
   }
 
   /** With ports that are spoken for, and more for each front's site file, by room and key. */
   TestFleet(
-      DayScript day, String paid, long seed, List<Integer> taken, IntFunction<ObjectNode> more)
+      DayScript day,
+      String paidPackage,
+      long seed,
+      List<Integer> reservedPorts,
+      IntFunction<ObjectNode> extraSettings)
       throws IOException {
     this.day = day;
-    this.more = more;
+    this.extraSettings = extraSettings;
     this.seeds = new SplittableRandom(seed);
     this.folder = Files.createTempDirectory("linengauge-drill");
     int boxes = day.fleet().boxes();
-    this.ports = Ports.free(boxes + 1 + DrillSiteFile.PORTS_A_FRONT * day.fronts().count(), taken);
-    tap.saw("terms", terms(paid));
-    DayScript.FleetPlan f = day.fleet();
+    this.ports =
+        Ports.free(boxes + 1 + DrillSiteFile.PORTS_PER_FRONT * day.fronts().count(), reservedPorts);
+    tap.saw("terms", recordedSettings(paidPackage));
+    DayScript.FleetPlan plan = day.fleet();
     this.fleet =
         new BoxFleet(
             vertx,
             boxKind(),
             boxPlaces(),
-            f.racks(),
-            f.linkKb(),
-            f.uplinkKb(),
+            plan.racks(),
+            plan.linkKb(),
+            plan.uplinkKb(),
             seeds.nextLong(),
             tap);
-    this.list =
+    this.boxList =
         new BoxListService(
             vertx, Ports.HOST, ports.get(boxes), day.list().lateMs(), seeds.nextLong(), tap);
-    this.post = new WordPost(vertx, seeds.nextLong());
-    DrillSiteFile siteFile = new DrillSiteFile(day, paid, ports, titles(), more);
+    this.datagramRelay = new WordPost(vertx, seeds.nextLong());
+    DrillSiteFile siteFile = new DrillSiteFile(day, paidPackage, ports, titles(), extraSettings);
     for (int i = 0; i < day.fronts().count(); i++) {
       addFront(i, siteFile);
     }
-    this.crowd =
+    this.playerCrowd =
         new PlayerCrowd(
             vertx,
-            doors,
-            wants(),
+            frontEndpoints,
+            packageMix(),
             titles(),
             day.ladder().size(),
             (int) (1000 * day.traffic().shortestS()),
             (int) (1000 * day.traffic().longestS()),
             seeds.nextLong(),
             tap);
-    Runtime.getRuntime().addShutdownHook(endFronts);
+    Runtime.getRuntime().addShutdownHook(destroyFrontsHook);
   }
 
   private List<BoxFleet.Place> boxPlaces() {
@@ -112,32 +117,34 @@
   }
 
   private BoxFleet.Kind boxKind() {
-    DayScript.FleetPlan f = day.fleet();
-    Site.Rules r = day.rules();
+    DayScript.FleetPlan plan = day.fleet();
+    Site.Rules rules = day.rules();
     Map<String, Double> factors = new LinkedHashMap<>();
-    day.packages().forEach(p -> factors.put(p.name(), p.rateFactor()));
+    day.packages()
+        .forEach(packagePlan -> factors.put(packagePlan.name(), packagePlan.rateFactor()));
     return new BoxFleet.Kind(
-        f.streams(),
+        plan.streams(),
         day.ladder().stream().mapToDouble(Site.Rung::kb).toArray(),
         factors,
-        f.setUpMs(),
-        f.leaseMs(),
-        f.seeMs(),
-        f.tellMs(),
-        f.loadInAnswers(),
+        plan.setUpMs(),
+        plan.leaseMs(),
+        plan.seeMs(),
+        plan.tellMs(),
+        plan.loadInAnswers(),
         day.permits().reportsUplink(),
-        r.coldMs(),
-        r.startCapacity(),
-        r.fallMultiple(),
-        r.fallAfterMs());
+        rules.coldMs(),
+        rules.startCapacity(),
+        rules.fallMultiple(),
+        rules.fallAfterMs());
   }
 
   private void addFront(int number, DrillSiteFile siteFile) throws IOException {
     Path site = folder.resolve("front-" + number + ".json5");
-    Files.writeString(site, JSON.writeValueAsString(siteFile.of(number)));
+    Files.writeString(site, JSON.writeValueAsString(siteFile.build(number)));
     List<String> buildings = day.fleet().buildings();
     String building = buildings.get(number % buildings.size());
-    doors.add(new PlayerCrowd.Door(number, Ports.HOST, siteFile.viewersPort(number), building));
+    frontEndpoints.add(
+        new PlayerCrowd.Door(number, Ports.HOST, siteFile.viewersPort(number), building));
     fronts.add(
         new FrontProcess(
             number,
@@ -148,17 +155,18 @@
   }
 
   /** What the viewers of the day ask for. */
-  List<PlayerCrowd.Want> wants() {
-    List<PlayerCrowd.Want> wants = new ArrayList<>();
-    for (DayScript.Wanted p : day.packages()) {
-      wants.add(
-          new PlayerCrowd.Want(p.name(), p.share(), p.patienceMs(), p.joinTargetMs(), p.value()));
+  List<PlayerCrowd.Want> packageMix() {
+    List<PlayerCrowd.Want> mix = new ArrayList<>();
+    for (DayScript.PackagePlan plan : day.packages()) {
+      mix.add(
+          new PlayerCrowd.Want(
+              plan.name(), plan.share(), plan.patienceMs(), plan.joinTargetMs(), plan.value()));
     }
-    return wants;
+    return mix;
   }
 
   /** A drill that is itself ended takes its fronts along. */
-  private final Thread endFronts =
+  private final Thread destroyFrontsHook =
       new Thread(() -> fronts.forEach(FrontProcess::destroy), "end fronts");
 
   List<String> titles() {
@@ -169,32 +177,32 @@
     return titles;
   }
 
-  private Object[] terms(String paid) {
-    Map<String, Object> t = new LinkedHashMap<>();
-    List<Map<String, Object>> packs = new ArrayList<>();
-    for (DayScript.Wanted p : day.packages()) {
-      packs.add(
+  private Object[] recordedSettings(String paidPackage) {
+    Map<String, Object> settings = new LinkedHashMap<>();
+    List<Map<String, Object>> packages = new ArrayList<>();
+    for (DayScript.PackagePlan plan : day.packages()) {
+      packages.add(
           Map.of(
               "name",
-              p.name(),
+              plan.name(),
               "lowestRung",
-              p.lowestRung(),
+              plan.lowestRung(),
               "highestRung",
-              p.highestRung(),
+              plan.highestRung(),
               "seats",
-              p.seats(),
+              plan.seats(),
               "paidAtSetUp",
-              p.name().equals(paid)));
+              plan.name().equals(paidPackage)));
     }
-    t.put("packages", packs);
-    t.putAll(
+    settings.put("packages", packages);
+    settings.putAll(
         JSON.convertValue(
             day.rules(),
             new com.fasterxml.jackson.core.type.TypeReference<Map<String, Object>>() {}));
-    t.put("slackMs", 250);
-    Object[] pairs = new Object[2 * t.size()];
+    settings.put("slackMs", 250);
+    Object[] pairs = new Object[2 * settings.size()];
     int i = 0;
-    for (Map.Entry<String, Object> e : t.entrySet()) {
+    for (Map.Entry<String, Object> e : settings.entrySet()) {
       pairs[i++] = e.getKey();
       pairs[i++] = e.getValue();
     }
@@ -207,87 +215,89 @@
     await(
         () -> {
           opened.add(fleet.open());
-          opened.add(list.open());
+          opened.add(boxList.open());
           for (int i = 0; i < fronts.size(); i++) {
-            int at = day.fleet().boxes() + 1 + 4 * i;
-            opened.add(post.carry(Ports.HOST, ports.get(at + 3), ports.get(at + 2)));
+            int firstPort = day.fleet().boxes() + 1 + 4 * i;
+            opened.add(
+                datagramRelay.carry(
+                    Ports.HOST, ports.get(firstPort + 3), ports.get(firstPort + 2)));
           }
-          for (StandInBox b : fleet.boxes()) {
-            list.set(b.place(), "small", "serving", 0);
+          for (StandInBox box : fleet.boxes()) {
+            boxList.set(box.place(), "small", "serving", 0);
           }
           return Future.all(opened);
         });
-    for (FrontProcess p : fronts) {
+    for (FrontProcess front : fronts) {
       if (options.length == 0) {
-        p.start(seeds.nextLong());
+        front.start(seeds.nextLong());
       } else {
-        p.start(seeds.nextLong(), options);
+        front.start(seeds.nextLong(), options);
       }
     }
-    for (FrontProcess p : fronts) {
-      awaitReady(p, 20_000);
+    for (FrontProcess front : fronts) {
+      awaitReady(front, 20_000);
     }
   }
 
-  void awaitReady(FrontProcess p, long millis) throws IOException, InterruptedException {
-    long until = System.nanoTime() + millis * 1_000_000;
-    while (!p.ready()) {
-      if (!p.alive() || System.nanoTime() > until) {
-        throw new IOException("front " + p.number() + " did not get ready: " + p.lastLog());
+  void awaitReady(FrontProcess front, long timeoutMs) throws IOException, InterruptedException {
+    long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
+    while (!front.isReady()) {
+      if (!front.isAlive() || System.nanoTime() > deadlineNanos) {
+        throw new IOException("front " + front.number() + " did not get ready: " + front.lastLog());
       }
       Thread.sleep(30);
     }
   }
 
-  void startAgain(FrontProcess p) throws IOException {
-    p.start(seeds.nextLong());
+  void restart(FrontProcess front) throws IOException {
+    front.start(seeds.nextLong());
   }
 
   /** Runs a step on the boxes' loop and waits for what it gives. */
-  <T> T await(java.util.function.Supplier<Future<T>> step)
+  <T> T await(java.util.function.Supplier<Future<T>> task)
       throws IOException, InterruptedException {
-    CompletableFuture<T> done = new CompletableFuture<>();
+    CompletableFuture<T> result = new CompletableFuture<>();
     boxLoop.runOnContext(
         v -> {
           try {
-            step.get().onSuccess(done::complete).onFailure(done::completeExceptionally);
+            task.get().onSuccess(result::complete).onFailure(result::completeExceptionally);
           } catch (RuntimeException e) {
-            done.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
     try {
-      return done.get(30, TimeUnit.SECONDS);
+      return result.get(30, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException("a stand-in failed: " + e, e);
     }
   }
 
-  void onBoxes(Runnable step) {
-    boxLoop.runOnContext(v -> step.run());
+  void runOnBoxLoop(Runnable task) {
+    boxLoop.runOnContext(v -> task.run());
   }
 
   Path folder() {
     return folder;
   }
 
-  Map<Integer, Boolean> endFronts() throws InterruptedException {
+  Map<Integer, Boolean> stopFronts() throws InterruptedException {
     Map<Integer, Boolean> ended = new HashMap<>();
-    for (FrontProcess p : fronts) {
-      ended.put(p.number(), p.end(day.fronts().stopMs() + 6000));
+    for (FrontProcess front : fronts) {
+      ended.put(front.number(), front.terminate(day.fronts().stopMs() + 6000));
     }
     return ended;
   }
 
   @Override
   public void close() {
-    for (FrontProcess p : fronts) {
+    for (FrontProcess front : fronts) {
       try {
-        p.end(100);
+        front.terminate(100);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    Runtime.getRuntime().removeShutdownHook(endFronts);
+    Runtime.getRuntime().removeShutdownHook(destroyFrontsHook);
     vertx.close();
   }
 }
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -14,14 +14,15 @@
   /** Runs for so many seconds, or until the process is ended; the fronts go with it. */
   public static void run(DayScript day, int seconds, PrintStream out)
       throws IOException, InterruptedException {
-    try (TestFleet g = new TestFleet(day, "", 1)) {
-      g.open();
-      for (PlayerCrowd.Door d : g.doors) {
+    try (TestFleet testFleet = new TestFleet(day, "", 1)) {
+      testFleet.open();
+      for (PlayerCrowd.Door endpoint : testFleet.frontEndpoints) {
         out.printf(
             "front %d: http://%s:%d/titles/title-0/main.m3u8?package=%s%n",
-            d.front(), d.host(), d.port(), day.packages().get(0).name());
+            endpoint.front(), endpoint.host(), endpoint.port(), day.packages().get(0).name());
       }
-      out.printf("site files and logs: %s%nends by itself after %d s%n", g.folder(), seconds);
+      out.printf(
+          "site files and logs: %s%nends by itself after %d s%n", testFleet.folder(), seconds);
       out.flush();
       Thread.sleep(1000L * seconds);
     }
--- a/src/main/java/linengauge/drill/VrrpCost.java
+++ b/src/main/java/linengauge/drill/VrrpCost.java
@@ -26,20 +26,20 @@
   static String measure(int routers, int advertMs, byte[] key)
       throws IOException, InterruptedException {
     List<Integer> ports = Ports.free(2);
-    List<InetSocketAddress> at =
+    List<InetSocketAddress> addresses =
         List.of(
             new InetSocketAddress(Ports.nodeAddress(2), ports.get(0)),
             new InetSocketAddress(Ports.nodeAddress(3), ports.get(1)));
     List<UdpNode> nodes = new ArrayList<>();
     try {
       for (int i = 0; i < 2; i++) {
-        nodes.add(node(at, i, routers, advertMs, key));
+        nodes.add(createNode(addresses, i, routers, advertMs, key));
       }
       nodes.forEach(UdpNode::start);
       Thread.sleep(3000 + 5L * advertMs);
-      long from = cpu();
+      long startNanos = cpuNanos();
       Thread.sleep(1000L * SECONDS);
-      long micros = (cpu() - from) / 1000;
+      long micros = (cpuNanos() - startNanos) / 1000;
       return String.format(Locale.ROOT, "%.0f", micros / 2.0 / SECONDS / routers);
     } finally {
       nodes.forEach(UdpNode::close);
@@ -47,26 +47,26 @@
   }
 
   /** One of two nodes, with so many virtual routers; the first has the higher priority. */
-  private static UdpNode node(
-      List<InetSocketAddress> at, int number, int routers, int advertMs, byte[] key)
+  private static UdpNode createNode(
+      List<InetSocketAddress> addresses, int number, int routers, int advertMs, byte[] key)
       throws IOException {
-    List<RouterTerms> terms = new ArrayList<>();
-    for (int v = 1; v <= routers; v++) {
-      terms.add(
+    List<RouterTerms> settings = new ArrayList<>();
+    for (int router = 1; router <= routers; router++) {
+      settings.add(
           new RouterTerms(
-              v,
+              router,
               200 - 100 * number,
               Span.ofMillis(advertMs),
               true,
               true,
-              List.of(NodeAddress.of(192, 0, 2, v)),
-              new NodeAddress(at.get(number).getAddress().getAddress()),
+              List.of(NodeAddress.of(192, 0, 2, router)),
+              new NodeAddress(addresses.get(number).getAddress().getAddress()),
               RouterTerms.Additions.NONE));
     }
     return new UdpNode(
         new UdpTerms(
-            at.get(number),
-            List.of(at.get(1 - number)),
+            addresses.get(number),
+            List.of(addresses.get(1 - number)),
             null,
             null,
             null,
@@ -74,7 +74,7 @@
             false,
             256,
             1 << 20,
-            terms),
+            settings),
         new UdpNode.Owner() {
           @Override
           public void took(int vrid) {
@@ -89,7 +89,7 @@
         () -> false);
   }
 
-  private static long cpu() {
+  private static long cpuNanos() {
     ThreadMXBean threads = ManagementFactory.getThreadMXBean();
     long sum = 0;
     for (long id : threads.getAllThreadIds()) {
--- a/src/test/java/linengauge/cli/ScaleCommandsTest.java
+++ b/src/test/java/linengauge/cli/ScaleCommandsTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aSimulationIsRecordedAndTheSameSeedsGiveTheSame() throws Exception {
+  void sameSeedsRecordSameTraffic() throws Exception {
     Path first = folder.resolve("results/first.json");
     Path second = folder.resolve("second.json");
     Object[] plan = {"--mechanism", "gossip", "--sizes", "10,14", "--seeds", 2, "--event", "quiet"};
@@ -49,7 +49,8 @@
     assertEquals(Completeness.COMPLETE, result.completeness());
     assertEquals(List.of(1L, 2L), result.seeds());
     assertTrue(result.command().startsWith("linengauge scale simulate --out"), result.command());
-    assertTrue(result.measurements().stream().allMatch(m -> m.values().size() == 2));
+    assertTrue(
+        result.measurements().stream().allMatch(measurement -> measurement.values().size() == 2));
     assertEquals(traffic(result), traffic(ScaleResultFile.read(second)));
     assertFalse(traffic(result).isEmpty());
   }
@@ -57,11 +58,13 @@
   /** All but processor time, which is the machine's. */
   private static List<Object> traffic(ScaleResult result) {
     return List.copyOf(
-        result.measurements().stream().filter(m -> m.quantity().startsWith("bytes")).toList());
+        result.measurements().stream()
+            .filter(measurement -> measurement.quantity().startsWith("bytes"))
+            .toList());
   }
 
   @Test
-  void whatDoesNotFitIsRefusedBeforeTheStart() {
+  void invalidArgumentsAreRejectedBeforeStart() {
     Path out = folder.resolve("none.json");
     assertEquals(2, simulate(out, "--mechanism", "gossip", "--sizes", "10,4000000"));
     assertEquals(2, simulate(out, "--mechanism", "gossip", "--sizes", "0"));
@@ -109,7 +112,7 @@
   }
 
   @Test
-  void fitsArePrintedOfGoodFilesAlone() throws Exception {
+  void fitAcceptsOnlyValidFiles() throws Exception {
     Path result = folder.resolve("gossip.json");
     simulate(result, "--mechanism", "gossip", "--sizes", "10,14", "--seeds", 1);
     assertEquals(0, scale("fit", result));
--- a/src/test/java/linengauge/drill/DrillTest.java
+++ b/src/test/java/linengauge/drill/DrillTest.java
@@ -19,11 +19,11 @@
    * rules.
    */
   @Test
-  void theShortBadDayHolds() throws Exception {
-    Report r = new DayDrill(DayScript.read("builtin:bad-day-short"), 1, null, true).run();
+  void shortBadDayPasses() throws Exception {
+    Report report = new DayDrill(DayScript.read("builtin:bad-day-short"), 1, null, true).run();
     var table = new ByteArrayOutputStream();
-    r.print(new PrintStream(table, true, StandardCharsets.UTF_8));
-    assertTrue(r.held(), table.toString(StandardCharsets.UTF_8));
+    report.print(new PrintStream(table, true, StandardCharsets.UTF_8));
+    assertTrue(report.hasPassed(), table.toString(StandardCharsets.UTF_8));
   }
 
   private static final String DRAWN =
@@ -42,7 +42,7 @@
             "see":900000,"tell":0,"worth":[0.2,0.6,1],"capacity":10,"life_s":20,"titles":30,"copies":0,
             "uses":[{"floor":1,"top":2,"scale":1.4,"seats":4}]}}""";
 
-  private static DayImporter.Imported drawn(String share, String effect) throws IOException {
+  private static DayImporter.Imported importDay(String share, String effect) throws IOException {
     String servers = "{\"kind\":0},".repeat(24);
     return DayImporter.read(
         String.format(DRAWN, share, effect, servers.substring(0, servers.length() - 1))
@@ -50,14 +50,14 @@
   }
 
   @Test
-  void aDrawnDayKeepsItsProportions() throws Exception {
-    DayImporter.Imported got = drawn("0.2", "unsafe");
-    DayScript day = DayScript.parse("drawn", got.script().getBytes(StandardCharsets.UTF_8));
+  void importedDayKeepsProportions() throws Exception {
+    DayImporter.Imported imported = importDay("0.2", "unsafe");
+    DayScript day = DayScript.parse("drawn", imported.script().getBytes(StandardCharsets.UTF_8));
     assertEquals(12, day.fleet().boxes());
     assertEquals(3, day.fronts().count());
     assertEquals(3, day.fleet().racks());
     assertEquals(2.5, day.traffic().perSecond(), "half of ten a second, for half of the boxes");
-    assertEquals(1.0, day.traffic().times(45));
+    assertEquals(1.0, day.traffic().arrivalMultiple(45));
     assertEquals("c", day.paidPasses().get(0));
     assertEquals(
         24 * 2000 / 6.0 / 4000,
@@ -69,11 +69,11 @@
     assertEquals(1.7, day.troubles().get(1).size());
     assertEquals(2, day.troubles().size(), "the third lies past the end");
     assertTrue(
-        got.changes().stream().anyMatch(c -> c.contains("past the end"))
+        imported.changes().stream().anyMatch(change -> change.contains("past the end"))
             && day.rules().furtherMs() == 10_000);
     assertEquals(
         0,
-        DayScript.parse("drawn", drawn("0", "safe").script().getBytes(StandardCharsets.UTF_8))
+        DayScript.parse("drawn", importDay("0", "safe").script().getBytes(StandardCharsets.UTF_8))
             .rules()
             .furtherMs());
   }
@@ -81,12 +81,12 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"", "[]", "{\"family\":\"proxy\"}", "{\"family\":\"streams\",\"troubles\":[]}"})
-  void whatIsNoDrawnDayIsRefused(String text) {
+  void importRejectsOtherInput(String text) {
     assertThrows(IOException.class, () -> DayImporter.read(text.getBytes(StandardCharsets.UTF_8)));
   }
 
   @Test
-  void aBadScriptIsRefusedWithItsPlace() {
+  void invalidScriptIsReportedWithItsLocation() {
     BadSite e =
         assertThrows(
             BadSite.class,
