--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -11,14 +11,17 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line: one subcommand a job. Exit codes: 0 done or held, 1 failed, 2 wrong use. */
+/**
+ * The command line, with one subcommand for each task. Exit codes: 0 success, 1 failure, 2 wrong
+ * usage.
+ */
 @Command(
     name = "linengauge",
     mixinStandardHelpOptions = true,
     versionProvider = Commands.VersionProvider.class,
     description = "A session front for media boxes with shared links.",
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:done; what was to hold held", "1:failed", "2:wrong use"},
+    exitCodeList = {"0:success; all checks passed", "1:failure", "2:wrong usage"},
     subcommands = {
       Commands.FrontCommand.class,
       Commands.SiteCommand.class,
@@ -56,7 +59,7 @@
     }
   }
 
-  /** How the log is written; to be called before the first logger is made. */
+  /** The log format; has to be applied before the first logger is created. */
   static final class LogOptions {
     @Option(
         names = "--log",
@@ -77,7 +80,7 @@
   @Command(
       name = "front",
       mixinStandardHelpOptions = true,
-      description = "Run a front until it is told to stop.")
+      description = "Run a front until it is stopped.")
   static final class FrontCommand implements Callable<Integer> {
     @Option(names = "--site", required = true, paramLabel = "FILE", description = "the site file")
     private Path file;
@@ -85,7 +88,7 @@
     @Option(
         names = "--seed",
         paramLabel = "N",
-        description = "seed of its chances (default: the clock)")
+        description = "seed of its random choices (default: the clock)")
     private Long seed;
 
     @CommandLine.Mixin private LogOptions log;
@@ -118,7 +121,7 @@
         started.toCompletionStage().toCompletableFuture().join();
       } catch (java.util.concurrent.CompletionException e) {
         System.err.println("linengauge: cannot start: " + e.getCause().getMessage());
-        Runtime.getRuntime().halt(1); // nothing is held yet that a stop in order would have to end
+        Runtime.getRuntime().halt(1); // there is nothing yet that an orderly stop would have to end
       }
       String failure = front.await();
       if (!failure.isEmpty()) {
@@ -128,7 +131,7 @@
     }
   }
 
-  @Command(name = "site", mixinStandardHelpOptions = true, description = "Site files.")
+  @Command(name = "site", mixinStandardHelpOptions = true, description = "Work with site files.")
   static final class SiteCommand implements Callable<Integer> {
     @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -141,10 +144,11 @@
     @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Check a site file: one line a fault, exit 1 where there is one.")
+        description =
+            "Check a site file: print one line for each fault and exit 1 if there is any.")
     int check(
         @Parameters(paramLabel = "FILE") Path file,
-        @Option(names = "--show", description = "print it with all defaults filled in")
+        @Option(names = "--show", description = "print the site file with all defaults filled in")
             boolean show) {
       try {
         Site site = SiteFile.read(file);
@@ -161,11 +165,11 @@
       name = "serve",
       mixinStandardHelpOptions = true,
       description =
-          "Run a front in the operators' platform, as the environment posts it (docs/operators/platform.md).")
+          "Run a front in the operators' platform, configured by environment variables (docs/operators/platform.md).")
   static final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-      System.err.println("linengauge: serve stands alone on the command line");
+      System.err.println("linengauge: serve takes no arguments");
       return 2;
     }
   }
@@ -173,11 +177,12 @@
   @Command(
       name = "wirehost",
       mixinStandardHelpOptions = true,
-      description = "Decide for the fronts of a simulator, on standard input and output.")
+      description =
+          "Make the decisions for the fronts of a simulator, over standard input and output.")
   static final class WireHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-      System.err.println("linengauge: wirehost stands alone on the command line");
+      System.err.println("linengauge: wirehost takes no arguments");
       return 2;
     }
   }
--- a/src/main/java/linengauge/cli/ControlCommand.java
+++ b/src/main/java/linengauge/cli/ControlCommand.java
@@ -25,27 +25,34 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a control machine of membership by lease until SIGTERM or SIGINT. */
+/** Runs a control machine of lease-based membership until SIGTERM or SIGINT. */
 @Command(
     name = "control",
     mixinStandardHelpOptions = true,
-    description = "Run a control machine: it keeps the fronts' leases beside its part in the log.")
+    description =
+        "Run a control machine, which manages the fronts' leases and takes part in the log.")
 final class ControlCommand implements Callable<Integer> {
   private static final int MIN_KEY_BYTES = 16;
 
-  @Option(names = "--number", required = true, description = "Its number: above all fronts'.")
+  @Option(
+      names = "--number",
+      required = true,
+      description = "Number of this machine, above those of all fronts.")
   private int number;
 
-  @Option(names = "--listen", required = true, description = "UDP, host:port in numbers.")
+  @Option(names = "--listen", required = true, description = "UDP address as numeric host:port.")
   private String listen;
 
   @Option(
       names = "--machine",
       required = true,
-      description = "Each control machine, this one too: NUMBER=REGION@HOST:PORT (UDP).")
+      description = "Each control machine, including this one: NUMBER=REGION@HOST:PORT (UDP).")
   private Map<Integer, String> machines;
 
-  @Option(names = "--log-listen", required = true, description = "TCP, host:port in numbers.")
+  @Option(
+      names = "--log-listen",
+      required = true,
+      description = "TCP address of the log as numeric host:port.")
   private String logListen;
 
   @Option(
@@ -54,16 +61,21 @@
       description = "Each founding voter of the log: NUMBER=HOST:PORT (TCP).")
   private Map<Integer, String> voters;
 
-  @Option(names = "--store", description = "A voter's folder; without it the log is followed only.")
+  @Option(
+      names = "--store",
+      description = "Folder of a voter's store; without it the log is only followed.")
   private Path store;
 
-  @Option(names = "--found", description = "Make the folder that of a founding voter.")
+  @Option(names = "--found", description = "Create the store as that of a founding voter.")
   private boolean founding;
 
-  @Option(names = "--key-file", required = true, description = "The fleet's, of 16 bytes or more.")
+  @Option(names = "--key-file", required = true, description = "The fleet's key, 16 bytes or more.")
   private Path keyFile;
 
-  @Option(names = "--heartbeat-ms", defaultValue = "1000", description = "As the fronts have it.")
+  @Option(
+      names = "--heartbeat-ms",
+      defaultValue = "1000",
+      description = "Heartbeat interval, the same as the fronts'.")
   private long heartbeatMs;
 
   @CommandLine.Mixin private Commands.LogOptions log;
@@ -126,7 +138,7 @@
     String[] parts = value.split("@", 2);
     if (parts.length != 2 || !parts[0].matches("[0-9]{1,2}")) {
       throw new IllegalArgumentException(
-          "--machine " + number + "=" + value + ": no REGION@HOST:PORT");
+          "--machine " + number + "=" + value + ": expected REGION@HOST:PORT");
     }
     return new ControlMachine(number, Integer.parseInt(parts[0]), parts[1]);
   }
@@ -137,7 +149,7 @@
       @Override
       public void changed(DirectoryEntry entry) {
         logger.info(
-            "front {} is {} in life {}",
+            "front {} is {}, incarnation {}",
             entry.member().number(),
             entry.state(),
             entry.incarnation());
@@ -145,7 +157,7 @@
 
       @Override
       public void stands(ConsensusNode.View view) {
-        logger.info("{} in term {}, leader {}", view.role(), view.term(), view.leader());
+        logger.info("log role {} in term {}, leader {}", view.role(), view.term(), view.leader());
       }
     };
   }
--- a/src/main/java/linengauge/cli/DrillCommands.java
+++ b/src/main/java/linengauge/cli/DrillCommands.java
@@ -32,11 +32,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Proofs on loopback, each a subcommand. */
+/** Drills on loopback, each a subcommand. */
 @Command(
     name = "drill",
     mixinStandardHelpOptions = true,
-    description = "Proofs on loopback: troubles acted out, rules judged from the traffic.")
+    description =
+        "Drills on loopback: faults are injected and rules judged from the recorded traffic.")
 final class DrillCommands implements Callable<Integer> {
   @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -46,25 +47,25 @@
     return 2;
   }
 
-  /** What all drills take. */
+  /** Options common to the drills. */
   static final class DrillOptions {
     @Option(
         names = "--seed",
         paramLabel = "N",
         defaultValue = "1",
-        description = "the seed (default: 1)")
+        description = "seed of the random choices (default: 1)")
     long seed;
 
     @Option(
         names = "--report",
         paramLabel = "FILE.json",
-        description = "write the report there too")
+        description = "also write the report to this file")
     Path report;
 
     @Option(
         names = "--traffic",
         paramLabel = "FILE.jsonl",
-        description = "write what was seen on the sockets")
+        description = "write the recorded traffic to this file")
     Path traffic;
 
     @CommandLine.Mixin Commands.LogOptions log;
@@ -81,10 +82,11 @@
   @Command(
       name = "bad-day",
       mixinStandardHelpOptions = true,
-      description = "Three fronts and twelve boxes through a day of most troubles; the six rules.")
+      description =
+          "Run three fronts and twelve boxes through a day with most kinds of faults and check the six rules.")
   int badDay(
       @CommandLine.Mixin DrillOptions options,
-      @Option(names = "--short", description = "25 s or less") boolean brief)
+      @Option(names = "--short", description = "a version of at most 25 s") boolean brief)
       throws IOException, InterruptedException {
     return playScript("builtin:bad-day" + (brief ? "-short" : ""), options);
   }
@@ -113,8 +115,7 @@
   @Command(
       name = "try",
       mixinStandardHelpOptions = true,
-      description =
-          "Start the bad day's fleet with no trouble and keep it running, to try by hand.")
+      description = "Start the bad day's fleet without faults and keep it running, to try by hand.")
   int tryByHand(
       @CommandLine.Mixin Commands.LogOptions log,
       @Option(
@@ -132,10 +133,10 @@
       name = "relay",
       mixinStandardHelpOptions = true,
       description =
-          "What the front costs over a bare relay, in one run: joins, bytes, join time, loops, heap.")
+          "Measure the overhead of a front over a bare relay in one run: joins, bytes, join time, event loops, heap.")
   int relay(
       @CommandLine.Mixin DrillOptions options,
-      @Option(names = "--short", description = "a quick look, no measurement") boolean brief)
+      @Option(names = "--short", description = "a quick check, not a measurement") boolean brief)
       throws IOException, InterruptedException {
     options.log.apply();
     return options.finish(new RelayDrill(options.seed, brief).run());
@@ -145,8 +146,8 @@
       name = "slow-peers",
       mixinStandardHelpOptions = true,
       description =
-          "Healthy viewers beside a thousand slow ones;"
-              + " a front that stands still; who is let go, and who must not be.")
+          "Measure healthy viewers beside a thousand slow ones and after a pause of the front;"
+              + " check which viewers are disconnected and which must not be.")
   int slowPeers(
       @CommandLine.Mixin DrillOptions options,
       @Option(names = "--short", description = "about half a minute") boolean brief,
@@ -154,17 +155,17 @@
               names = "--guards",
               paramLabel = "on|off",
               defaultValue = "on",
-              description = "off: nobody is bounded, and the drill must fail")
+              description = "off: viewers have no limits, and the drill has to fail")
           String guards,
       @Option(
               names = "--only",
               paramLabel = "WAY",
-              description = "all slow ones in one way: ${COMPLETION-CANDIDATES}")
+              description = "use a single kind of slow viewer: ${COMPLETION-CANDIDATES}")
           linengauge.standin.SlowCrowd.Way only)
       throws IOException, InterruptedException {
     if (!guards.equals("on") && !guards.equals("off")) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "--guards is on or off, not '" + guards + "'");
+          spec.commandLine(), "--guards must be on or off, not '" + guards + "'");
     }
     options.log.apply();
     return options.finish(
@@ -175,31 +176,31 @@
       name = "failover",
       mixinStandardHelpOptions = true,
       description =
-          "Two fronts behind shared addresses on a stand-in"
-              + " LAN: killed, stopped, told to end, cut off, flapping; what viewers see, and who claimed what.")
+          "Run two fronts behind shared addresses on a stand-in LAN; kill, suspend, stop, cut off"
+              + " and flap them; measure the outage viewers see and check address ownership.")
   int failover(
       @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--rounds",
               paramLabel = "N",
               defaultValue = "50",
-              description = "troubles, one at a time (default: 50)")
+              description = "number of faults, one at a time (default: 50)")
           int rounds,
-      @Option(names = "--short", description = "five rounds and no baseline, about a minute")
+      @Option(names = "--short", description = "five rounds without the baseline, about a minute")
           boolean brief,
       @Option(
               names = "--advert-ms",
               paramLabel = "MS",
               defaultValue = "100",
-              description = "between advertisements (default: 100)")
+              description = "advertisement interval (default: 100)")
           int advertMs,
-      @Option(names = "--no-baseline", description = "without the standard at 1 s beside it")
+      @Option(names = "--no-baseline", description = "skip the baseline, the standard at 1 s")
           boolean withoutBaseline,
       @Option(
               names = "--additions",
               paramLabel = "on|off",
               defaultValue = "on",
-              description = "off: the standard alone")
+              description = "off: only what the standard defines")
           String additions)
       throws IOException, InterruptedException {
     if (rounds < 1
@@ -210,8 +211,8 @@
         || !additions.equals("on") && !additions.equals("off")) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
-          "--rounds is 1 to 1000, --advert-ms 10 to 10000 in whole"
-              + " tens, --additions on or off");
+          "--rounds must be 1 to 1000, --advert-ms a multiple of 10 from 10 to 10000,"
+              + " --additions on or off");
     }
     options.log.apply();
     boolean withAdditions = additions.equals("on");
@@ -238,26 +239,26 @@
       name = "explore",
       mixinStandardHelpOptions = true,
       description =
-          "Every schedule of troubles up to a bound, through"
-              + " VRRP's state machine as it runs: one node must come to be Active, and stay.")
+          "Run every schedule of faults up to a bound through the VRRP state machine:"
+              + " one node has to become Active and remain so.")
   int explore(
       @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--depth",
               paramLabel = "N",
               defaultValue = "14",
-              description = "happenings among which troubles" + " may come (default: 14)")
+              description = "number of events among which faults may occur (default: 14)")
           int depth,
       @Option(
               names = "--faults",
               paramLabel = "N",
               defaultValue = "2",
-              description = "troubles at the most (default: 2)")
+              description = "maximum number of faults (default: 2)")
           int faults)
       throws IOException {
     if (depth < 1 || depth > 40 || faults < 0 || faults > 5) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "--depth is 1 to 40, --faults 0 to 5");
+          spec.commandLine(), "--depth must be 1 to 40, --faults 0 to 5");
     }
     options.log.apply();
     return options.finish(ExploreDrill.run(depth, faults));
@@ -266,7 +267,7 @@
   @Command(
       name = "bare-relay",
       hidden = true,
-      description = "The baseline of `drill relay`, as a process of its own.")
+      description = "Run the baseline of `drill relay` as a separate process.")
   int bareRelay(
       @Parameters String host, @Parameters int port, @Parameters int box, @Parameters int loops)
       throws InterruptedException {
@@ -279,7 +280,7 @@
       name = "import",
       mixinStandardHelpOptions = true,
       description =
-          "Turn a day drawn by the operators' simulator into a day script, scaled to loopback.")
+          "Convert a day drawn by the operators' simulator into a day script, scaled to loopback.")
   int convertDay(
       @Parameters(paramLabel = "DAY.json") Path drawn,
       @Option(
@@ -303,7 +304,7 @@
   @Command(
       name = "member",
       hidden = true,
-      description = "One front's members alone, until the input says something.")
+      description = "Run a single front's gossip membership until there is input.")
   int member(
       @Option(names = "--number", required = true) int number,
       @Option(names = "--at", required = true) String at,
@@ -324,7 +325,7 @@
   @Command(
       name = "council-member",
       hidden = true,
-      description = "One front's part in a council alone; its input says what is wanted.")
+      description = "Run a single member of a consensus group, with commands from standard input.")
   int councilMember(
       @Option(names = "--number", required = true) int number,
       @Option(names = "--listen", required = true) String listen,
@@ -351,7 +352,10 @@
             Span.ofMillis(beat)));
   }
 
-  /** One control machine as a front or another control machine reaches it: REGION@HOST:PORT. */
+  /**
+   * Parses control machine addresses as seen by a front or another control machine:
+   * REGION@HOST:PORT.
+   */
   private static List<ControlMachine> machines(Map<Integer, String> addresses) {
     return addresses.entrySet().stream()
         .map(
@@ -366,7 +370,8 @@
   @Command(
       name = "lease-member",
       hidden = true,
-      description = "One front's membership alone, by lease, gossip or both; ends with its input.")
+      description =
+          "Run a single front's membership by lease, gossip or both until its input ends.")
   int leaseMember(
       @CommandLine.Mixin LeaseOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException, InterruptedException {
@@ -385,7 +390,7 @@
     return 0;
   }
 
-  /** What a front's membership is started with. */
+  /** Options of a front's membership process. */
   static final class LeaseOptions {
     @Option(names = "--number", required = true)
     int number;
@@ -421,7 +426,7 @@
   @Command(
       name = "control",
       hidden = true,
-      description = "One control machine alone; ends with its input.")
+      description = "Run a single control machine until its input ends.")
   int control(@CommandLine.Mixin ControlOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
@@ -440,21 +445,24 @@
         Span.ofMillis(options.beatMs));
   }
 
-  @Command(name = "hollow-fronts", hidden = true, description = "A process of hollow fronts.")
+  @Command(name = "hollow-fronts", hidden = true, description = "Run a process of hollow fronts.")
   int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, false);
   }
 
-  @Command(name = "hollow-control", hidden = true, description = "Their control machine.")
+  @Command(
+      name = "hollow-control",
+      hidden = true,
+      description = "Run a control machine of hollow fronts.")
   int hollowControl(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, true);
   }
 
-  /** What a control machine is started with. */
+  /** Options of a control machine process. */
   static final class ControlOptions {
     @Option(names = "--number", required = true)
     int number;
@@ -493,7 +501,7 @@
   @Command(
       name = "judge",
       mixinStandardHelpOptions = true,
-      description = "Judge a record of traffic again, alone.")
+      description = "Judge a recorded traffic file again.")
   int judge(
       @Parameters(paramLabel = "FILE.jsonl") Path record,
       @Option(names = "--report", paramLabel = "FILE.json") Path file)
--- a/src/main/java/linengauge/cli/Main.java
+++ b/src/main/java/linengauge/cli/Main.java
@@ -6,8 +6,8 @@
 import linengauge.wire.WireHost;
 
 /**
- * The program's door. The bench's adapter starts without any of the libraries that the rest of the
- * program needs.
+ * The program's entry point. The bench's adapter starts without any of the libraries that the rest
+ * of the program needs.
  */
 public final class Main {
   private Main() {}
@@ -23,7 +23,10 @@
         });
   }
 
-  /** Started often and with little memory: without the command line's library. */
+  /**
+   * Runs the platform front without the command line library, since it is started often and with
+   * little memory.
+   */
   private static int serve() {
     System.setProperty("logback.configurationFile", "linengauge/log-text.xml");
     System.setProperty("vertx.disableDnsResolver", "true");
@@ -31,8 +34,8 @@
   }
 
   /**
-   * Plays through a front of the platform on loopback; the build makes its archive of classes from
-   * this.
+   * Plays a try-out through a platform front on loopback; the build creates its class archive from
+   * this run.
    */
   private static int tryOut() {
     System.setProperty("logback.configurationFile", "linengauge/log-text.xml");
--- a/src/main/java/linengauge/cli/ScaleCommands.java
+++ b/src/main/java/linengauge/cli/ScaleCommands.java
@@ -32,12 +32,13 @@
 import picocli.CommandLine.Spec;
 
 /**
- * What each role costs against size: measured, fitted, and printed as the capacity page's tables.
+ * Measures the cost of each role against size, fits curves to the figures, and prints the tables of
+ * the capacity page.
  */
 @Command(
     name = "scale",
     mixinStandardHelpOptions = true,
-    description = "What each role costs against size: measured, fitted, printed as tables.",
+    description = "Measure the cost of each role against size, fit curves and print tables.",
     subcommands = {
       ScaleCommands.Simulate.class,
       ScaleHollow.class,
@@ -55,7 +56,9 @@
     return 2;
   }
 
-  /** Refused before the start: wrong use, or more than the machine bears. */
+  /**
+   * Rejects a command before it starts, for wrong usage or because it exceeds the machine's limits.
+   */
   static void refuse(CommandSpec spec, List<String> reasons) {
     if (!reasons.isEmpty()) {
       throw new ParameterException(
@@ -63,7 +66,7 @@
     }
   }
 
-  /** A result without measurements yet; the command as it was given. */
+  /** Creates a result without measurements, with the command as it was given. */
   static ScaleResult heading(
       CommandSpec spec, List<Long> seeds, int runs, Kind kind, String sizeUnit) {
     List<String> given = new ArrayList<>(spec.root().commandLine().getParseResult().originalArgs());
@@ -84,7 +87,7 @@
   @Command(
       name = "simulate",
       mixinStandardHelpOptions = true,
-      description = "A fleet's membership in virtual time, from seeds, at several sizes.")
+      description = "Simulate a fleet's membership in virtual time at several sizes, from seeds.")
   static final class Simulate implements Callable<Integer> {
     @Spec private CommandSpec spec;
 
@@ -96,7 +99,7 @@
         split = ",",
         required = true,
         paramLabel = "FRONTS",
-        description = "how many fronts, for example 60,220,440,900")
+        description = "numbers of fronts, for example 60,220,440,900")
     private List<Integer> sizes;
 
     @Option(
@@ -109,17 +112,17 @@
     @Option(
         names = "--event",
         split = ",",
-        description = "measure these events alone, as quiet,start (default: all)")
+        description = "measure only these events, for example quiet,start (default: all)")
     private List<String> events = new ArrayList<>();
 
-    @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "the result")
+    @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "result file")
     private Path out;
 
     @Override
     public Integer call() throws IOException {
       var simulator = simulator();
       if (seeds < 1) {
-        refuse(spec, List.of("--seeds should be 1 or more"));
+        refuse(spec, List.of("--seeds must be 1 or more"));
       }
       List<Long> seedList = LongStream.rangeClosed(1, seeds).boxed().toList();
       var sweep = new SimulationSweep(simulator, sizes, seedList, events);
@@ -139,14 +142,15 @@
         }
       }
       throw new ParameterException(
-          spec.commandLine(), "no mechanism '" + mechanism + "'; there are gossip and lease");
+          spec.commandLine(), "unknown mechanism '" + mechanism + "'; expected gossip or lease");
     }
   }
 
   @Command(
       name = "fit",
       mixinStandardHelpOptions = true,
-      description = "Lines, logarithms and squares through the measured figures, with residuals.")
+      description =
+          "Fit linear, logarithmic and quadratic curves to the measured figures, with residuals.")
   static final class Fit implements Callable<Integer> {
     @Parameters(arity = "1..*", paramLabel = "FILE.json")
     private List<Path> files;
@@ -170,7 +174,7 @@
   @Command(
       name = "tables",
       mixinStandardHelpOptions = true,
-      description = "Print the page's tables from the results, or check that they are these.")
+      description = "Print the page's tables from the results, or check that they are up to date.")
   static final class Tables implements Callable<Integer> {
     @Option(names = "--page", defaultValue = "docs/CAPACITY.md", paramLabel = "FILE.md")
     private Path page;
@@ -178,7 +182,7 @@
     @Option(names = "--results", defaultValue = "docs/measurements/scale", paramLabel = "FOLDER")
     private Path results;
 
-    @Option(names = "--check", description = "write nothing; exit 1 where page and results differ")
+    @Option(names = "--check", description = "write nothing; exit 1 if page and results differ")
     private boolean check;
 
     @Override
--- a/src/main/java/linengauge/cli/ScaleFollowing.java
+++ b/src/main/java/linengauge/cli/ScaleFollowing.java
@@ -13,11 +13,12 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what following the decided log costs. */
+/** Measures the cost of following the decided log. */
 @Command(
     name = "following",
     mixinStandardHelpOptions = true,
-    description = "What following the decided log (configuration) costs a front, on loopback.")
+    description =
+        "Measure the cost to a front of following the decided log (configuration), on loopback.")
 final class ScaleFollowing implements Callable<Integer> {
   private static final long HEAP_BYTES = 512L << 20;
   private static final long BYTES_PER_FOLLOWER = 2L << 20;
@@ -27,19 +28,22 @@
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--sizes", split = ",", required = true, description = "followers")
+  @Option(names = "--sizes", split = ",", required = true, description = "numbers of followers")
   private List<Integer> sizes;
 
-  @Option(names = "--seconds", defaultValue = "20", description = "for each (default: 20)")
+  @Option(
+      names = "--seconds",
+      defaultValue = "20",
+      description = "measured seconds for each size (default: 20)")
   private int seconds;
 
   @Option(
       names = "--changes-a-minute",
       defaultValue = "0",
-      description = "decided meanwhile (default: 0)")
+      description = "changes decided meanwhile (default: 0)")
   private int changes;
 
-  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "the result")
+  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "result file")
   private Path out;
 
   @Override
@@ -59,7 +63,7 @@
     List<String> reasons = new ArrayList<>();
     for (int size : sizes) {
       if (size < 1 || size > MAX_SIZE) {
-        reasons.add(size + ": sizes are from 1 to " + MAX_SIZE);
+        reasons.add(size + ": sizes must be from 1 to " + MAX_SIZE);
       }
       MachineLimits.Wanted wanted =
           new MachineLimits.Wanted(
@@ -70,8 +74,7 @@
       MachineLimits.here().passedBy(wanted).forEach(reason -> reasons.add(size + ": " + reason));
     }
     if (seconds < 1 || changes < 0 || changes > MAX_CHANGES_PER_MINUTE) {
-      reasons.add(
-          "--seconds should be 1 or more, --changes-a-minute 0 to " + MAX_CHANGES_PER_MINUTE);
+      reasons.add("--seconds must be 1 or more, --changes-a-minute 0 to " + MAX_CHANGES_PER_MINUTE);
     }
     return reasons;
   }
--- a/src/main/java/linengauge/cli/ScaleFronts.java
+++ b/src/main/java/linengauge/cli/ScaleFronts.java
@@ -22,7 +22,8 @@
 @Command(
     name = "fronts",
     mixinStandardHelpOptions = true,
-    description = "Memory and processor time of one real front by connection, set-up, delivery.")
+    description =
+        "Measure memory and processor time of one real front by connection, set-up and delivery.")
 final class ScaleFronts implements Callable<Integer> {
   private static final Pattern RUN_LINE = Pattern.compile("(?m)^run = \"(.*)\"");
   private static final long FRONT_BYTES = 160L << 20;
@@ -30,7 +31,7 @@
   private static final int OTHER_DESCRIPTORS = 500;
   private static final int MAX_SIZE = 8000;
 
-  /** What one invocation measures. */
+  /** The kind of load that one invocation measures. */
   enum Load {
     CONNECTIONS("connections"),
     MESSAGES("messages a second");
@@ -54,32 +55,32 @@
       names = "--sizes",
       split = ",",
       required = true,
-      description = "connections, or messages a second")
+      description = "numbers of connections, or messages a second")
   private List<Integer> sizes;
 
-  @Option(names = "--runs", defaultValue = "3", description = "of each size (default: 3)")
+  @Option(names = "--runs", defaultValue = "3", description = "runs of each size (default: 3)")
   private int runs;
 
   @Option(
       names = "--seconds",
       defaultValue = "10",
-      description = "for which each load is measured (default: 10)")
+      description = "measured seconds for each load (default: 10)")
   private int seconds;
 
   @Option(
       names = "--descriptors",
       defaultValue = "8192",
-      description = "that the front is told it may hold (default: 8192)")
+      description = "descriptor limit given to the front (default: 8192)")
   private int descriptors;
 
   @Option(
       names = "--deploy",
       defaultValue = "deploy/balancer.toml",
       paramLabel = "FILE.toml",
-      description = "whose run line starts the front, from the folder above the file's")
+      description = "file whose run line starts the front, from the parent of the file's folder")
   private Path deploy;
 
-  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "the result")
+  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "result file")
   private Path out;
 
   @Override
@@ -106,7 +107,7 @@
     List<String> reasons = new ArrayList<>();
     for (int size : sizes) {
       if (size < 1 || size > MAX_SIZE) {
-        reasons.add(size + ": sizes are from 1 to " + MAX_SIZE);
+        reasons.add(size + ": sizes must be from 1 to " + MAX_SIZE);
       }
       var wanted =
           new MachineLimits.Wanted(
@@ -114,7 +115,7 @@
       MachineLimits.here().passedBy(wanted).forEach(reason -> reasons.add(size + ": " + reason));
     }
     if (runs < 1 || seconds < 1 || descriptors < 1) {
-      reasons.add("--runs, --seconds and --descriptors should be 1 or more");
+      reasons.add("--runs, --seconds and --descriptors must be 1 or more");
     }
     if (!Files.isReadable(deploy)) {
       reasons.add("--deploy: " + deploy + " cannot be read");
@@ -125,7 +126,7 @@
   private String runLine() throws IOException {
     Matcher run = RUN_LINE.matcher(Files.readString(deploy));
     if (!run.find()) {
-      throw new IOException(deploy + " holds no run line");
+      throw new IOException(deploy + " has no run line");
     }
     return run.group(1);
   }
--- a/src/main/java/linengauge/cli/ScaleHollow.java
+++ b/src/main/java/linengauge/cli/ScaleHollow.java
@@ -27,30 +27,44 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures the control parts of fronts alone, over real sockets. */
+/** Measures the control parts of fronts in isolation, over real sockets. */
 @Command(
     name = "hollow",
     mixinStandardHelpOptions = true,
-    description = "Hollow fronts: control parts alone, many in a process, over real sockets.")
+    description =
+        "Measure hollow fronts: only the control parts, many in a process, over real sockets.")
 final class ScaleHollow implements Callable<Integer> {
   private static final int ZONES = 6;
   private static final int REGIONS = 3;
 
-  /** A process of Java takes that beside its heap. */
+  /** Memory of a Java process beside its heap. */
   private static final long NON_HEAP_MB_PER_PROCESS = 90;
 
   @Spec private CommandSpec spec;
 
-  @Option(names = "--fronts", split = ",", required = true, description = "of each fleet, as 60")
+  @Option(
+      names = "--fronts",
+      split = ",",
+      required = true,
+      description = "numbers of fronts in a fleet, for example 60")
   private List<Integer> sizes;
 
-  @Option(names = "--processes", defaultValue = "12", description = "that share them (default: 12)")
+  @Option(
+      names = "--processes",
+      defaultValue = "12",
+      description = "processes that share the fronts (default: 12)")
   private int processes;
 
-  @Option(names = "--control", defaultValue = "6", description = "control machines (default: 6)")
+  @Option(
+      names = "--control",
+      defaultValue = "6",
+      description = "number of control machines (default: 6)")
   private int control;
 
-  @Option(names = "--voters", defaultValue = "5", description = "of them that vote (default: 5)")
+  @Option(
+      names = "--voters",
+      defaultValue = "5",
+      description = "control machines that vote (default: 5)")
   private int voters;
 
   @Option(
@@ -63,10 +77,14 @@
   @Option(
       names = "--event",
       split = ",",
-      description = "after the quiet phase, in this order, for example restart-tenth,kill-leader")
+      description =
+          "events after the quiet phase, in this order, for example restart-tenth,kill-leader")
   private List<String> events = new ArrayList<>();
 
-  @Option(names = "--followers-each", defaultValue = "0", description = "one follower of the log")
+  @Option(
+      names = "--followers-each",
+      defaultValue = "0",
+      description = "one in this many fronts follows the log; 0 for none (default: 0)")
   private int followersEach;
 
   @Option(names = "--settle", defaultValue = "5", description = "seconds (default: 5)")
@@ -78,16 +96,22 @@
   @Option(names = "--wait", defaultValue = "60", description = "seconds at most (default: 60)")
   private int waitSeconds;
 
-  @Option(names = "--heap-mb", defaultValue = "256", description = "a process (default: 256)")
+  @Option(
+      names = "--heap-mb",
+      defaultValue = "256",
+      description = "heap of each process (default: 256)")
   private int heapMb;
 
-  @Option(names = "--first-port", defaultValue = "28000", description = "default: 28000")
+  @Option(
+      names = "--first-port",
+      defaultValue = "28000",
+      description = "first port used (default: 28000)")
   private int firstPort;
 
-  @Option(names = "--runs", defaultValue = "1", description = "of each size (default: 1)")
+  @Option(names = "--runs", defaultValue = "1", description = "runs of each size (default: 1)")
   private int runs;
 
-  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "the result")
+  @Option(names = "--out", required = true, paramLabel = "FILE.json", description = "result file")
   private Path out;
 
   @CommandLine.Mixin private Commands.LogOptions log;
@@ -161,13 +185,13 @@
     var known = NamedHollowEvents.all().keySet();
     events.stream()
         .filter(event -> !known.contains(event))
-        .forEach(event -> reasons.add("no event '" + event + "'; there are " + known));
+        .forEach(event -> reasons.add("unknown event '" + event + "'; expected one of " + known));
     if (runs < 1 || processes < 1 || quietSeconds < 1 || control < 1 || voters < 1) {
-      reasons.add("counts and seconds should be 1 or more");
+      reasons.add("counts and seconds must be 1 or more");
     }
     for (int size : sizes) {
       if (size < processes) {
-        reasons.add(size + " fronts: fewer than processes");
+        reasons.add(size + " fronts: there are more processes than fronts");
       }
       int totalProcesses = methods.size() * processes + control;
       long memory = totalProcesses * (heapMb + NON_HEAP_MB_PER_PROCESS) << 20;
--- a/src/main/java/linengauge/drill/BareRelay.java
+++ b/src/main/java/linengauge/drill/BareRelay.java
@@ -15,8 +15,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The baseline of `drill relay`: the same library, the same calls to one box, and nothing decided,
- * kept, bounded or rewritten. It is no front.
+ * Baseline of `drill relay`: a plain HTTP relay to one box that uses the same library and makes the
+ * same calls as a front, but decides, keeps, limits and rewrites nothing.
  */
 public final class BareRelay {
   private static final String SET_UP_BODY =
@@ -24,7 +24,7 @@
 
   private BareRelay() {}
 
-  /** Listens until the process ends. */
+  /** Starts listening; the relay runs until the process ends. */
   public static Future<?> start(String host, int port, int boxPort, int loops) {
     AtomicLong viewingNumber = new AtomicLong();
     return Vertx.vertx()
--- a/src/main/java/linengauge/drill/ConsensusProcess.java
+++ b/src/main/java/linengauge/drill/ConsensusProcess.java
@@ -24,14 +24,15 @@
 import linengauge.consensus.tcp.ConsensusStore;
 
 /**
- * One front's part in a council alone, as a process. Its input says what is wanted, a line each:
- * `want TEXT`, `sure NAME`, `without NUMBER`, `with NUMBER STORE ADDRESS`; it ends as its input
- * does. Its record tells each decision as it is applied, each change of how it stands, and what
- * came of each wish, with the wall's clock in milliseconds.
+ * Runs a single member of the consensus group as a process. It reads commands from standard input,
+ * one a line: `want TEXT`, `sure NAME`, `without NUMBER`, `with NUMBER STORE ADDRESS`; it ends at
+ * the end of input. Its record has a line for each decision applied, each change of role, and the
+ * result of each command, with the wall clock time in milliseconds.
  */
 public final class ConsensusProcess {
   /**
-   * What it is started with; ways: where this process reaches voters, in place of their addresses.
+   * Start options; `routes` holds the addresses at which this process reaches voters, where these
+   * differ from the voters' own.
    */
   public record Options(
       int number,
@@ -50,7 +51,7 @@
     this.out = out;
   }
 
-  /** All texts that were decided, in order. */
+  /** State machine that keeps all decided texts in order. */
   private final class DecidedTexts implements StateMachine {
     private final List<String> texts = new ArrayList<>();
     private final boolean recordsChanges;
@@ -94,7 +95,7 @@
     }
   }
 
-  /** Runs until the input ends; 1 with one line where the store is not to be used. */
+  /** Runs until the end of input; returns 1 and prints one line if the store cannot be used. */
   public static int run(Options options) throws IOException {
     byte[] key = Files.readAllBytes(options.keyFile());
     try (BufferedWriter out = Files.newBufferedWriter(options.record())) {
--- a/src/main/java/linengauge/drill/ControlProcess.java
+++ b/src/main/java/linengauge/drill/ControlProcess.java
@@ -22,22 +22,23 @@
 import linengauge.udp.SealedChannel;
 
 /**
- * One control machine alone, as a process. Its record has one line for each change of the
- * directory, one for each change of how the log stands, and ten a second for what it holds. It ends
- * as its input does.
+ * Runs a single control machine as a process. Its record has a line for each change of the
+ * directory, one for each change of the log's role or term, and ten lines a second for the current
+ * directory. It ends at the end of input.
  */
 public final class ControlProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
 
   /**
-   * What it is started with.
+   * Start options.
    *
-   * @param listen where it takes lease datagrams
-   * @param machines all control machines, as this process reaches them
-   * @param logListen where it takes the log's connections
-   * @param voters of the log, by number
-   * @param routes where this process reaches voters, in place of their addresses
-   * @param store null: it follows the log without a vote
+   * @param listen address for lease datagrams
+   * @param machines addresses of all control machines as seen from this process
+   * @param logListen address for connections of the log
+   * @param voters addresses of the log's voters, by number
+   * @param routes addresses at which this process reaches voters, where these differ from the
+   *     voters' own
+   * @param store folder of the voter's store; null if this machine follows the log without a vote
    */
   public record Options(
       int number,
@@ -56,7 +57,7 @@
     this.record = record;
   }
 
-  /** Runs until the input ends or says something; 1 where the store is not to be used. */
+  /** Runs until input arrives or ends; returns 1 if the store cannot be used. */
   public static int run(Options options, Span heartbeat, Span tick) throws IOException {
     LeaseSettings lease = LeaseProcess.settings(heartbeat);
     try (ProcessRecord record = new ProcessRecord(options.record())) {
@@ -98,7 +99,7 @@
       Thread sampler = new Thread(() -> sampleUntilInterrupted(node), "looks");
       sampler.setDaemon(true);
       sampler.start();
-      System.in.read(); // until it says something, or ends
+      System.in.read(); // blocks until input arrives or ends
     }
     return 0;
   }
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -13,13 +13,13 @@
 import linengauge.standin.PlayerCrowd;
 
 /**
- * Plays a scripted day through real fronts, judges each pass from its traffic, and looks for what
- * leaked.
+ * Plays a scripted day against real fronts, checks each pass from its recorded traffic, and looks
+ * for leaked resources.
  */
 public final class DayDrill {
   /**
-   * What a front's heap may hold more after a day than before it, both after a collection: classes
-   * met, pools warm.
+   * Limit on the growth of a front's heap over a day, both measured after a collection. The growth
+   * covers classes loaded and pools filled during the day.
    */
   private static final long MAX_HEAP_GROWTH_BYTES = 10_000_000;
 
@@ -29,8 +29,9 @@
   private final boolean requiresEveryRule;
 
   /**
-   * The traffic of all passes is written to a file where one is named. Where every rule is wanted,
-   * one that a pass did not try is a claim not held; else the table says that it was not tried.
+   * The traffic of all passes is written to a file if one is given. If every rule is required, a
+   * rule that a pass does not exercise counts as a failed claim; otherwise the table only marks it
+   * as untried.
    */
   public DayDrill(DayScript day, long seed, Path traffic, boolean requiresEveryRule) {
     this.day = day;
@@ -69,7 +70,7 @@
     judge(report, name, trafficRecord);
   }
 
-  /** Plays the day; the record of it. */
+  /** Plays the day and returns its traffic record. */
   private List<String> play(Report report, String name, TestFleet testFleet, SplittableRandom seeds)
       throws IOException, InterruptedException {
     testFleet.open();
@@ -131,8 +132,8 @@
   }
 
   /**
-   * Viewers come at random moments, about so many a second, whether or not earlier ones were
-   * answered.
+   * Schedules the next arrival. Arrivals follow a Poisson process at the scripted rate and do not
+   * wait for answers to earlier requests.
    */
   private void scheduleArrivals(
       TestFleet testFleet,
@@ -160,8 +161,8 @@
   }
 
   /**
-   * After the day nothing may be left: in the registries, routes and streams of the fronts, and at
-   * the boxes.
+   * Checks that nothing is left after the day in the registries, routes and streams of the fronts
+   * or at the boxes.
    */
   private void checkLeftovers(Report report, String name, TestFleet testFleet, long heapBeforeBytes)
       throws IOException, InterruptedException {
@@ -196,7 +197,7 @@
         largestHeapBytes < heapBeforeBytes + MAX_HEAP_GROWTH_BYTES);
   }
 
-  /** What is left now of viewers and viewings. */
+  /** Lists the viewers and viewings that are still present. */
   private static List<String> findLeftovers(TestFleet testFleet)
       throws IOException, InterruptedException {
     List<String> leftovers = new ArrayList<>();
@@ -265,8 +266,8 @@
         name + ": value joined in time over asked",
         figures.valueInTime / Math.max(1, figures.valueAsked));
     report.addFigure(name + ": megabytes played", figures.bytes / 1_000_000);
-    // An imported day may ask for more than the fleet gives: how much is played is its figure, not
-    // its claim.
+    // An imported day may ask for more than the fleet can serve, so the share played is reported as
+    // a figure and not required.
     report.addClaim(
         name + ": viewings played",
         !requiresEveryRule ? "some" : "over a third of the requests",
--- a/src/main/java/linengauge/drill/DayImporter.java
+++ b/src/main/java/linengauge/drill/DayImporter.java
@@ -11,15 +11,18 @@
 import java.util.Locale;
 
 /**
- * Turns a day of the operators' simulator, printed by its `draw`, into a day script that loopback
- * bears. Sizes are scaled; proportions (load, parts hit, durations, rules) stay. Every change is
- * told.
+ * Converts a day of the operators' simulator, as printed by its `draw`, into a day script of a size
+ * that fits on loopback. Sizes are scaled; proportions (load, share of the fleet affected,
+ * durations, rules) are kept. Every change is reported.
  */
 public final class DayImporter {
   private static final int MAX_BOXES = 12;
   private static final int MAX_FRONTS = 3;
 
-  /** The middle rate on loopback, kB a second; links and uplinks are scaled with it. */
+  /**
+   * Geometric mean of the lowest and highest rate on loopback, kB/s; links and uplinks are scaled
+   * by the same factor.
+   */
   private static final double MIDDLE_RATE_KB = 95;
 
   private static final double MAX_DAY_SECONDS = 60;
@@ -32,10 +35,10 @@
     this.day = day;
   }
 
-  /** A script and what was changed on the way to it. */
+  /** The script and a description of each change made during the import. */
   public record Imported(String script, List<String> changes) {}
 
-  /** Reads a drawn day; what is none is refused with one line. */
+  /** Reads a drawn day; other input is rejected with a one-line message. */
   public static Imported read(byte[] drawn) throws IOException {
     JsonNode day;
     try {
@@ -49,7 +52,7 @@
         || day.path("servers").isEmpty()
         || day.path("balancers").isEmpty()) {
       throw new IOException(
-          "not a drawn day of viewings: family, fam.rates, servers, balancers or troubles are missing");
+          "not a drawn day of viewings: family, fam.rates, servers, balancers or troubles missing");
     }
     DayImporter importer = new DayImporter(day);
     String script = importer.script();
@@ -106,7 +109,7 @@
     day.path("zones").forEach(zone -> buildings.add(zone.asText()));
     while (buildings.size() > fronts) {
       buildings.remove(
-          buildings.size() - 1); // a building without a front would have viewers nobody takes
+          buildings.size() - 1); // no front would accept the viewers of a building without one
     }
     boolean loadInAnswers = "answers".equals(tier.path("report_how").asText());
     fleet
@@ -170,7 +173,7 @@
     return name.replaceAll("[^A-Za-z0-9._-]", "-").substring(0, Math.min(64, name.length()));
   }
 
-  /** Packages that may not be set up twice are paid for at set-up. */
+  /** Returns the first package that is not safe to set up twice: it is paid for at set-up. */
   private String paidPackage() {
     for (JsonNode packageClass : day.path("classes")) {
       if (!packageClass.path("effect").asText().equals("safe")) {
@@ -246,8 +249,7 @@
       }
       switch (kind) {
         case "balancer_stall" -> {
-          // Each front named stands still for `size` milliseconds, again and again every `extra`
-          // seconds.
+          // Each affected front is suspended for `size` milliseconds, once every `extra` seconds.
           fraction = (double) hitCount / balancers;
           size = size / 1000;
         }
--- a/src/main/java/linengauge/drill/DayScript.java
+++ b/src/main/java/linengauge/drill/DayScript.java
@@ -13,8 +13,8 @@
 import linengauge.site.SiteFile;
 
 /**
- * A scripted day (docs/protocol/day.md): the fleet, who comes, and what goes wrong when. Spans in
- * ms unless they end in S.
+ * A scripted day (docs/protocol/day.md): the fleet, the traffic, and the faults with their times.
+ * Durations are in milliseconds unless the name ends in S (seconds).
  */
 public record DayScript(
     String name,
@@ -30,7 +30,7 @@
     ListPlan list,
     List<Fault> troubles) {
 
-  /** Boxes and the links that they share, in kB a second. */
+  /** The boxes and the links that they share, in kB/s. */
   public record FleetPlan(
       int boxes,
       int racks,
@@ -45,12 +45,15 @@
       boolean loadInAnswers) {}
 
   /**
-   * The fronts under test: how many, their loops, the viewings of each, and how long they may stop
-   * for.
+   * The fronts under test: their number, event loops and viewings for each, and the time limit for
+   * an orderly stop.
    */
   public record FrontPlan(int count, int loops, int viewings, int stopMs) {}
 
-  /** A package that viewers ask for: its share of them, what it is worth, and their patience. */
+  /**
+   * A package that viewers ask for: its share of requests, its value, and the time limits of its
+   * viewers.
+   */
   public record PackagePlan(
       String name,
       double share,
@@ -63,9 +66,9 @@
       int seats) {}
 
   /**
-   * New viewers a second, titles, copies of each (cells in a row), how long viewings last, and how
-   * the rate goes over the day: points of second and multiple, straight lines between; absent:
-   * evenly.
+   * Arrival rate of viewers, number of titles, copies of each title (cells in a row), duration of
+   * viewings, and the shape of the arrival rate over the day: points of second and multiple with
+   * linear interpolation between them; null means a constant rate.
    */
   public record TrafficPlan(
       double perSecond,
@@ -74,7 +77,7 @@
       double shortestS,
       double longestS,
       List<double[]> shape) {
-    /** How many times the usual number of viewers come at a second of the day. */
+    /** Returns the multiple of the base arrival rate at a second of the day. */
     double arrivalMultiple(double second) {
       if (shape == null || shape.isEmpty()) {
         return 1;
@@ -92,16 +95,17 @@
     }
   }
 
-  /** The box list: how late it tells. */
+  /** The discovery service: the delay of its updates. */
   public record ListPlan(int lateMs) {}
 
   /**
-   * One trouble: when, for how long, on what part of the fleet, how hard; extra as the kind says.
+   * One fault: its start, duration, affected share of the fleet and severity; the meaning of
+   * `extra` depends on the kind.
    */
   public record Fault(
       double atS, double forS, String kind, double part, double size, double extra, String how) {}
 
-  /** Reads a file, or a script in the jar where the name is "builtin:NAME". */
+  /** Reads a script from a file, or from the jar if the name has the form "builtin:NAME". */
   public static DayScript read(String name) throws BadSite, IOException {
     byte[] bytes;
     if (name.startsWith("builtin:")) {
--- a/src/main/java/linengauge/drill/DrillSiteFile.java
+++ b/src/main/java/linengauge/drill/DrillSiteFile.java
@@ -6,9 +6,15 @@
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** Writes the site files of a drill's fronts; datagrams go by way of the post. */
+/**
+ * Builds the site files of a drill's fronts. Messages between fronts are routed through the
+ * datagram relay.
+ */
 final class DrillSiteFile {
-  /** For viewers, for operators, for datagrams, and the post's for datagrams. */
+  /**
+   * Ports for viewers, for operators, for datagrams, and the relay's port for datagrams to this
+   * front.
+   */
   static final int PORTS_PER_FRONT = 4;
 
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -20,9 +26,11 @@
   private final IntFunction<ObjectNode> extraSettings;
 
   /**
-   * @param paidPackage the package that is paid for at its set-up
-   * @param ports the boxes' first, then the list's, then those of each front
-   * @param extraSettings what else stands in each front's file, by part and key
+   * Creates a builder.
+   *
+   * @param paidPackage the package that is paid for at set-up
+   * @param ports the ports of the boxes, then the discovery service's, then those of each front
+   * @param extraSettings additional settings of each front, by section and key
    */
   DrillSiteFile(
       DayScript day,
@@ -53,7 +61,7 @@
     return Ports.HOST + ":" + port(front, offset);
   }
 
-  /** The site file of one front. */
+  /** Builds the site file of one front. */
   ObjectNode build(int number) {
     ObjectNode site = JSON.createObjectNode().put("site", day.name());
     fronts(site, number);
--- a/src/main/java/linengauge/drill/ExploreDrill.java
+++ b/src/main/java/linengauge/drill/ExploreDrill.java
@@ -6,9 +6,7 @@
 import linengauge.vrrp.explore.Explorer;
 import linengauge.vrrp.explore.Plan;
 
-/**
- * Explores groups of two and three nodes, with the standard alone and with all that is added to it.
- */
+/** Explores groups of two and three nodes, both with standard VRRP and with all additions to it. */
 public final class ExploreDrill {
   private ExploreDrill() {}
 
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -29,25 +29,26 @@
 import linengauge.standin.SharedLan;
 
 /**
- * Two fronts, each Active for one of two shared addresses and Backup for the other, on a stand-in
- * LAN with viewers joining at both addresses throughout. In seeded turns the holder is killed,
- * stopped for a while, told to end, cut off, not heard; what viewers see is measured, and who
- * claimed what is judged from the LAN, beside the six rules.
+ * Measures failover between two fronts, each Active for one of two shared addresses and Backup for
+ * the other, on a stand-in LAN with viewers joining at both addresses throughout. In a seeded order
+ * the holder of an address is killed, suspended, stopped in order, cut off, or cut off in one
+ * direction. The outage that viewers see is measured; address ownership is checked from the LAN's
+ * record, together with the six rules.
  */
 public final class FailoverDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int FRONTS = 2;
 
-  /** Between two viewers of one address; no silence can be seen that is shorter. */
+  /** Interval between viewers of one address; a shorter outage cannot be observed. */
   private static final int ARRIVAL_INTERVAL_MS = 20;
 
-  /** In each hundredth of a second, beside the usual. */
+  /** Additional arrivals in each 10 ms of the surge. */
   private static final int SURGE_ARRIVALS_PER_10_MS = 4;
 
   private static final int SURGE_MS = 5000;
   private static final String KEY = "a key for this drill alone";
 
-  /** What befalls a node, or the LAN between the two. */
+  /** Faults of a node or of the LAN between the two. */
   enum Fault {
     KILL,
     FREEZE,
@@ -66,10 +67,13 @@
   private final Map<Fault, List<Long>> silences = new TreeMap<>();
 
   /**
-   * @param rounds of troubles, one at a time
-   * @param flapSeconds for how long afterwards the better front dies and comes back; 0: not
-   * @param advertMs between advertisements
-   * @param additions whether what is added to the standard acts
+   * Creates a drill.
+   *
+   * @param rounds number of faults, injected one at a time
+   * @param flapSeconds duration of the final phase in which the front of higher priority is killed
+   *     and restarted repeatedly; 0 skips it
+   * @param advertMs advertisement interval
+   * @param additions whether the additions to the standard are enabled
    */
   public FailoverDrill(
       long seed, int rounds, int flapSeconds, int advertMs, boolean additions, Path traffic) {
@@ -81,7 +85,10 @@
     this.traffic = traffic;
   }
 
-  /** What a virtual router costs a node, with and without the trailer. */
+  /**
+   * Reports the processor time of a virtual router on a node, without and with the authentication
+   * trailer.
+   */
   public static void cost(Report report, int advertMs) throws IOException, InterruptedException {
     report.addFigure(
         "processor time of a node for each of 100 virtual routers, us a second, without and with a key",
@@ -95,7 +102,7 @@
     return 4L * advertMs;
   }
 
-  /** Runs it; what it finds is added to the report under a name. */
+  /** Runs the drill and adds its results to the report under the given name. */
   public void run(Report report, String name) throws IOException, InterruptedException {
     SplittableRandom seeds = new SplittableRandom(seed);
     DayScript day;
@@ -135,7 +142,7 @@
     judge(report, name, trafficRecord);
   }
 
-  /** Plays all of it; the record. */
+  /** Runs all phases and returns the traffic record. */
   private List<String> play(
       Report report,
       String name,
@@ -197,7 +204,8 @@
   private ObjectNode siteSettings(
       int number, List<SharedLan.Node> nodes, int announcePort, Path keyFile) {
     ObjectNode site = JSON.createObjectNode();
-    site.putObject("viewers").put("perAddress", 20_000); // all viewers here come from one
+    site.putObject("viewers")
+        .put("perAddress", 20_000); // all viewers of the drill connect from one address
     ObjectNode vrrp =
         site.putObject("vrrp")
             .put("listen", nodes.get(number).host() + ":" + nodes.get(number).port())
@@ -263,7 +271,10 @@
     return crowd;
   }
 
-  /** One trouble to the holder of one address, what its viewers saw of it, and quiet again. */
+  /**
+   * Injects one fault at the holder of one address, measures the outage its viewers see, and waits
+   * until the pair has settled.
+   */
   private void runRound(
       TestFleet testFleet,
       SharedLan lan,
@@ -280,9 +291,9 @@
     testFleet.tap.saw("pair-trouble", "kind", fault.name(), "node", node, "vrid", vrid);
     inject(testFleet, lan, fault, node, freezeMs);
     if (fault == Fault.SPLIT) {
-      testFleet.tap.saw(
-          "pair-quiet"); // at once: two that claim one address are judged from the moment they hear
-      // each other
+      // At once: two nodes that claim one address are judged from the moment they receive each
+      // other's advertisements.
+      testFleet.tap.saw("pair-quiet");
     }
     long toMicros = testFleet.tap.micros();
     silences
@@ -292,8 +303,8 @@
       testFleet.restart(front);
       testFleet.awaitReady(front, 20_000);
     }
-    // A deaf node's address is held by the other for some time, and a better one waits before it
-    // takes over again.
+    // The other node holds a deaf node's address for some time, and a node of higher priority waits
+    // before it takes over again.
     Thread.sleep(1500 + 6 * activeDownMs());
     if (fault != Fault.SPLIT) {
       testFleet.tap.saw("pair-quiet");
@@ -301,7 +312,7 @@
     Thread.sleep(1000 + 2 * activeDownMs());
   }
 
-  /** Does that to a front for as long as it takes others to see it. */
+  /** Applies the fault to a front for as long as others need to detect it. */
   private void inject(TestFleet testFleet, SharedLan lan, Fault fault, int node, long freezeMs)
       throws IOException, InterruptedException {
     FrontProcess front = testFleet.fronts.get(node);
@@ -316,7 +327,9 @@
           throw new IOException("front " + node + " did not end");
         }
         testFleet.tap.saw(
-            "front-killed", "front", node); // it runs no more, and had time to answer all
+            "front-killed",
+            "front",
+            node); // it no longer runs, and had time to answer all requests
         Thread.sleep(durationMs);
       }
       case FREEZE -> {
@@ -341,7 +354,7 @@
     lan.cut(1, 0, cut);
   }
 
-  /** The better front for the first address dies and comes back, again and again. */
+  /** Kills and restarts the front of higher priority for the first address repeatedly. */
   private void flap(Report report, String name, TestFleet testFleet, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
     FrontProcess front = testFleet.fronts.get(0);
@@ -391,8 +404,8 @@
   }
 
   /**
-   * Many join at once while garbage comes in a partner's name; then the front that has most to do
-   * is killed.
+   * Adds a burst of joins and sends garbage from a partner's address, then kills the front with the
+   * highest load.
    */
   private void surge(
       Report report,
@@ -438,7 +451,10 @@
     Thread.sleep(1000 + 2 * activeDownMs());
   }
 
-  /** Garbage in a partner's name, for the length of the surge; how many datagrams went out. */
+  /**
+   * Sends garbage from a partner's address for the length of the surge; returns the number of
+   * datagrams sent.
+   */
   private long sendGarbage(List<SharedLan.Node> nodes) throws IOException, InterruptedException {
     long sent = 0;
     SplittableRandom random = new SplittableRandom(seed);
@@ -446,7 +462,7 @@
     try (DatagramSocket socket =
         new DatagramSocket(0, InetAddress.getByName(nodes.get(1).host()))) {
       while (System.nanoTime() - startedAtNanos < SURGE_MS * 1_000_000L) {
-        // Evenly, a hundred in each millisecond, or as many as this machine gets out.
+        // Spread evenly: a hundred in each millisecond, or as many as this machine can send.
         while (sent < (System.nanoTime() - startedAtNanos) / 10_000) {
           byte[] garbage = new byte[8 + random.nextInt(60)];
           random.nextBytes(garbage);
@@ -538,7 +554,8 @@
   private void judge(Report report, String name, List<String> trafficRecord) {
     try {
       report.addVerdict(name, Judge.judge(trafficRecord));
-      // An interval, the LAN's delay, and what two processes on a busy machine are late.
+      // Allows for an advertisement interval, the LAN's delay, and the scheduling delay of two
+      // processes on a busy machine.
       Holders.Outcome outcome =
           Holders.judge(
               trafficRecord, advertMs, advertMs + 60, activeDownMs() + 4L * advertMs + 1000);
--- a/src/main/java/linengauge/drill/FaultInjector.java
+++ b/src/main/java/linengauge/drill/FaultInjector.java
@@ -11,22 +11,25 @@
 import linengauge.standin.StandInBox;
 
 /**
- * Acts out the troubles of a day on the stand-ins and front processes, each drawn from the day's
- * seed.
+ * Injects the faults of a day into the stand-ins and front processes; the affected parts are drawn
+ * from the day's seed.
  */
 final class FaultInjector {
   private final TestFleet testFleet;
   private final SplittableRandom random;
 
-  /** Threads that signal or restart front processes; each ends with its trouble. */
+  /** Threads that signal or restart front processes; each ends with its fault. */
   private final List<Thread> threads = new ArrayList<>();
 
   private final List<String> failures = new ArrayList<>();
 
-  /** Boxes that a trouble has down or about to restart, so that two do not fight over one. */
+  /**
+   * Boxes that a fault has taken down or is about to restart, so that no two faults act on the same
+   * box.
+   */
   private final Set<StandInBox> busyBoxes = new HashSet<>();
 
-  /** What each kind of trouble does. */
+  /** The handler of each kind of fault. */
   private final Map<String, Consumer<DayScript.Fault>> handlers = handlers();
 
   private double arrivalMultiple = 1;
@@ -36,12 +39,12 @@
     this.random = new SplittableRandom(seed);
   }
 
-  /** How many times the usual number of viewers come now. */
+  /** Returns the current multiple of the base arrival rate. */
   double currentArrivalMultiple() {
     return arrivalMultiple;
   }
 
-  /** Sets all troubles of the day on their way; on the boxes' loop. */
+  /** Schedules all faults of the day. Must be called on the boxes' event loop. */
   void start() {
     for (DayScript.Fault fault : testFleet.day.troubles()) {
       testFleet.vertx.setTimer(
@@ -152,7 +155,7 @@
     publishState(box, "gone", 2.5);
   }
 
-  /** It slows down further, and is then started anew. */
+  /** Slows the box down further, then restarts it. */
   private void age(StandInBox box, double factor) {
     box.slower(factor);
     scheduleAfter(
@@ -166,7 +169,7 @@
         });
   }
 
-  /* ---- links, notes, the list, viewers ---- */
+  /* ---- links, notes, discovery, viewers ---- */
 
   private void allLinksSlow(DayScript.Fault fault) {
     testFleet.fleet.boxes().forEach(box -> box.linkGives(1 / fault.size()));
@@ -259,7 +262,8 @@
   }
 
   /**
-   * Boxes in turns of `size`: drained, closed after `extra` seconds, started cold and listed again.
+   * Restarts boxes in batches of `size`: each is drained, closed after `extra` seconds, started
+   * cold and listed again.
    */
   private void deploy(DayScript.Fault fault) {
     List<StandInBox> boxes = drawBoxes(fault.part());
@@ -286,8 +290,9 @@
   }
 
   /**
-   * Once for the trouble's length; or, where `extra` is over 0, for `size` seconds every `extra`
-   * seconds: each front at times of its own where `how` is apart, else all at once.
+   * Suspends fronts: once for the length of the fault or, if `extra` is above 0, for `size` seconds
+   * every `extra` seconds. If `how` is "apart", each front starts at a different time; otherwise
+   * all start at once.
    */
   private void stall(DayScript.Fault fault) {
     if (fault.extra() <= 0) {
@@ -318,7 +323,7 @@
   private void applyToFronts(DayScript.Fault fault, FrontAction action) {
     int first = random.nextInt(testFleet.fronts.size());
     List<FrontProcess> chosen = new ArrayList<>();
-    if ("building".equals(fault.how())) { // all of one, and no other
+    if ("building".equals(fault.how())) { // all fronts of one building, and no others
       for (int i = first % testFleet.day.fleet().buildings().size();
           i < testFleet.fronts.size();
           i += testFleet.day.fleet().buildings().size()) {
--- a/src/main/java/linengauge/drill/FrontProcess.java
+++ b/src/main/java/linengauge/drill/FrontProcess.java
@@ -13,7 +13,7 @@
 import linengauge.standin.Tap;
 
 /**
- * A front as a process of its own: started, stopped for a while, killed outright, asked for its
+ * A front that runs as a separate process and can be started, suspended, killed and queried for its
  * state.
  */
 final class FrontProcess {
@@ -45,7 +45,7 @@
     start(seed, jvmOptions);
   }
 
-  /** Started with these options of the virtual machine, now and whenever it is started again. */
+  /** Starts the front with the given JVM options, which later restarts use as well. */
   synchronized void start(long seed, String... newOptions) throws IOException {
     jvmOptions = newOptions;
     String classPath =
@@ -71,7 +71,7 @@
     tap.saw("front-started", "front", number);
   }
 
-  /** Stops and continues the process by signal. */
+  /** Suspends the process with SIGSTOP and resumes it with SIGCONT. */
   void pauseFor(long millis) throws IOException, InterruptedException {
     tap.saw("front-stopped", "front", number);
     signal("STOP");
@@ -92,7 +92,10 @@
     process.destroyForcibly().waitFor();
   }
 
-  /** Asks it to end; true where it did so in time. */
+  /**
+   * Asks the process to end and kills it if it does not; returns whether it ended within the time
+   * limit.
+   */
   boolean terminate(long millis) throws InterruptedException {
     if (process == null) {
       return true;
@@ -105,7 +108,7 @@
     return false;
   }
 
-  /** Heap in use after a collection, bytes. */
+  /** Runs a garbage collection and returns the heap in use afterwards, in bytes. */
   long heapAfterGc() throws IOException, InterruptedException {
     Process jcmd =
         new ProcessBuilder(
@@ -146,7 +149,7 @@
   JsonNode state() throws IOException {
     byte[] response = get("/state");
     if (response == null) {
-      throw new IOException("front " + number + " gives no state");
+      throw new IOException("front " + number + " returned no state");
     }
     return JSON.readTree(response);
   }
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -21,19 +21,19 @@
 import linengauge.udp.SealedChannel;
 
 /**
- * One front's membership alone, as a process: by lease, by gossip, or by both. Its record has one
- * line for each change as it comes and one for its view, ten a second. It ends as its input does,
- * and then says that it leaves.
+ * Runs a single front's membership as a process: by lease, by gossip, or both. Its record has a
+ * line for each change, and ten lines a second for the current view. It ends at the end of input,
+ * and then announces that it leaves.
  */
 public final class LeaseProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
 
   /**
-   * What it is started with.
+   * Start options.
    *
-   * @param leaseAddress where it takes lease datagrams; null: it has no lease
-   * @param machines the control machines, as this process reaches them
-   * @param gossipAddress where it takes gossip; null: it does not
+   * @param leaseAddress address for lease datagrams; null for a front without a lease
+   * @param machines addresses of the control machines as seen from this process
+   * @param gossipAddress address for gossip; null for a front without gossip
    */
   public record Options(
       Member member,
@@ -55,12 +55,12 @@
     this.record = record;
   }
 
-  /** The usual settings, all spans in proportion to that heartbeat. */
+  /** Returns the default settings with all durations scaled to the given heartbeat interval. */
   public static LeaseSettings settings(Span heartbeat) {
     return LeaseSettings.USUAL.withHeartbeat(heartbeat);
   }
 
-  /** Runs until the input ends or says something. */
+  /** Runs until input arrives or ends. */
   public static void run(Options options) throws IOException, InterruptedException {
     try (ProcessRecord record = new ProcessRecord(options.record())) {
       new LeaseProcess(options, record).run();
@@ -94,7 +94,7 @@
     Thread sampler = new Thread(this::sampleUntilInterrupted, "looks");
     sampler.setDaemon(true);
     sampler.start();
-    System.in.read(); // until it says something, or ends
+    System.in.read(); // blocks until input arrives or ends
     close();
   }
 
@@ -152,7 +152,8 @@
   }
 
   /**
-   * The wall's clock is read before the lease: a pause between the two cannot make it look held.
+   * Records the view. The wall clock is read before the lease is checked, so that a pause between
+   * the two cannot record an expired lease as held.
    */
   private void recordSample(LeaseAgent agent) {
     long readAtMs = System.currentTimeMillis();
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -14,9 +14,9 @@
 import linengauge.membership.udp.MembershipNode;
 
 /**
- * One front's members alone, as a process: its record is one line for each change as it comes and
- * one for its view, ten a second, each with the wall's clock in milliseconds. It ends as its input
- * does, and then says that it leaves.
+ * Runs a single front's gossip membership as a process. Its record has a line for each change, and
+ * ten lines a second for the current view, each with the wall clock time in milliseconds. It ends
+ * at the end of input, and then announces that it leaves.
  */
 public final class MemberProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
@@ -24,8 +24,8 @@
   private MemberProcess() {}
 
   /**
-   * Runs until the input ends; the period is that of the usual terms, all their spans in
-   * proportion.
+   * Runs until input arrives or ends. All durations of the default settings are scaled to the given
+   * period.
    */
   public static void run(Member self, List<String> seeds, Path keyFile, Path record, Span period)
       throws IOException, InterruptedException {
--- a/src/main/java/linengauge/drill/Ports.java
+++ b/src/main/java/linengauge/drill/Ports.java
@@ -9,10 +9,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Free ports on loopback, under the range from which the system gives ports to connections: a front
- * that is killed and started again finds its own still free. Each drill has a loopback address of
- * its own where the system gives one (127.0.0.0/8, RFC 1122 section 3.2.1.3), so that drills beside
- * each other cannot choose the same port.
+ * Finds free loopback ports below the range that the system assigns to outgoing connections, so
+ * that a front that is killed and restarted finds its port still free. Each drill uses a loopback
+ * address of its own if the system supports this (127.0.0.0/8, RFC 1122 section 3.2.1.3), so that
+ * concurrent drills cannot choose the same port.
  */
 public final class Ports {
   private static final String DEFAULT_HOST = "127.0.0.1";
@@ -24,16 +24,17 @@
   private static final int PORT_COUNT = 18_000;
 
   /**
-   * The loopback address of one of several nodes of this process, all different from each other's
-   * and from {@link #HOST}: the drills' own have a third number under 128.
+   * Returns the loopback address of one of several nodes of this process. The addresses differ from
+   * each other and from {@link #HOST}: the third octet of a drill's own address is below 128, that
+   * of a node is not.
    *
-   * @throws IOException where the system gives only one loopback address
+   * @throws IOException if the system supports only one loopback address
    */
   public static String nodeAddress(int number) throws IOException {
     String[] octets = HOST.split("[.]");
     if (HOST.equals(DEFAULT_HOST)) {
       throw new IOException(
-          "nodes want loopback addresses of their own, and only " + DEFAULT_HOST + " can be bound");
+          "nodes need loopback addresses of their own, but only " + DEFAULT_HOST + " can be bound");
     }
     return "127."
         + octets[1]
@@ -56,12 +57,12 @@
     }
   }
 
-  /** So many different ports, none in use now. */
+  /** Returns the given number of distinct ports that are not in use. */
   public static List<Integer> free(int count) throws IOException {
     return free(count, List.of());
   }
 
-  /** The same, and none of those that have been given out already and are not in use yet. */
+  /** Returns distinct free ports, excluding those already assigned but not in use yet. */
   static List<Integer> free(int count, List<Integer> reserved) throws IOException {
     SplittableRandom random =
         new SplittableRandom(System.nanoTime() ^ ProcessHandle.current().pid() << 32);
--- a/src/main/java/linengauge/drill/ProcessRecord.java
+++ b/src/main/java/linengauge/drill/ProcessRecord.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What a process of a trial writes down: one JSON object a line, with the wall's clock. */
+/** The event record of a test process: one JSON object a line, with the wall clock time. */
 final class ProcessRecord implements AutoCloseable {
   private final BufferedWriter out;
   private boolean closed;
@@ -15,12 +15,16 @@
     out = Files.newBufferedWriter(file);
   }
 
-  /** One line now; fields are the rest of the object as JSON, not empty. */
+  /**
+   * Writes one line with the current time.
+   *
+   * @param fields the remaining fields of the JSON object, without braces and not empty
+   */
   void write(String event, String fields) {
     write(System.currentTimeMillis(), event, fields);
   }
 
-  /** One line of that time. */
+  /** Writes one line with the given time. */
   synchronized void write(long atMs, String event, String fields) {
     if (closed) {
       return;
--- a/src/main/java/linengauge/drill/RelayDrill.java
+++ b/src/main/java/linengauge/drill/RelayDrill.java
@@ -30,16 +30,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What the front costs over a bare relay of the same library with no core: joins and bytes a
- * second, join time at half load, scaling by loops, heap for each viewing. All in one run, front
- * and baseline in turn; ratios are what counts.
+ * Measures the overhead of a front over a bare relay of the same library without the decision core:
+ * joins and bytes a second, join time at partial load, scaling by event loops, heap for each
+ * viewing. Front and baseline are measured in turn within one run, so the ratios are what is
+ * comparable.
  */
 public final class RelayDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final Buffer SEGMENT = Buffer.buffer(new byte[1 << 20]);
   private static final int CONNECTIONS = 48;
 
-  /** As many as a busy front has: it works in batches then, as it is built to. */
+  /** Connections of a busy front, at which it works in batches. */
   private static final int MANY_CONNECTIONS = 512;
 
   private final long seed;
@@ -56,7 +57,7 @@
     this.folder = Files.createTempDirectory("linengauge-relay");
   }
 
-  /** One that carries viewers' requests: the front or the bare relay. */
+  /** A server under measurement: the front or the bare relay. */
   private record Target(String name, int port, FrontProcess front) {}
 
   public Report run() throws IOException, InterruptedException {
@@ -80,7 +81,7 @@
     long spanMs = brief ? 1500 : 3000;
     Target front = startFront(2);
     joinsPerSecond(front, 1000, CONNECTIONS);
-    measureHeap(report, front); // before anything has filled pools and buffers
+    measureHeap(report, front); // before pools and buffers are filled
     Target bare = startBareRelay(2);
     for (Target target : List.of(front, bare)) {
       report.addFigure(
@@ -128,8 +129,8 @@
   }
 
   /**
-   * Until two spans in a row brought no rise of a twentieth, and at most twelve: compiled code is
-   * what counts.
+   * Joins until two consecutive spans show no rise of 5 %, and for at most twelve spans, so that
+   * compiled code is measured. Returns the number of spans.
    */
   private int warmUp(Target target, long spanMs) throws InterruptedException {
     double bestRate = 0;
@@ -198,7 +199,7 @@
     }
   }
 
-  /** Heap after a collection with many viewings playing, over that with none. */
+  /** Measures the heap in use after a collection with many viewings playing, compared with none. */
   private void measureHeap(Report report, Target front) throws IOException, InterruptedException {
     int count = brief ? 500 : 2000;
     Thread.sleep(1000);
@@ -248,7 +249,10 @@
     return index < 0 ? text.strip() : text.substring(index + 3, text.indexOf('/', index + 3));
   }
 
-  /** Joins a second, each ended at once, as fast as a fixed number of connections takes them. */
+  /**
+   * Returns the joins a second over a fixed number of connections in a closed loop; each viewing is
+   * ended at once.
+   */
   private double joinsPerSecond(Target target, long durationMs, int connections)
       throws InterruptedException {
     AtomicLong completed = new AtomicLong();
@@ -305,8 +309,8 @@
   }
 
   /**
-   * Join times in microseconds from the intended moment, at a fixed rate whether or not replies
-   * have come.
+   * Measures join times in microseconds in an open loop: requests are sent at a fixed rate whether
+   * or not earlier replies have arrived, and times count from the intended moment.
    */
   private Histogram joinAtRate(Target target, double perSecond, long durationMs)
       throws InterruptedException {
@@ -347,11 +351,14 @@
 
   private static Future<io.vertx.core.http.HttpClientResponse> send(
       io.vertx.core.http.HttpClientRequest request) {
-    request.exceptionHandler(e -> {}); // what fails is told by the futures
+    request.exceptionHandler(e -> {}); // failures are reported by the futures
     return request.send();
   }
 
-  /** Joins so many times at once and waits for the answers; the ids of viewings that play. */
+  /**
+   * Sends the given number of joins at once and waits for the answers; returns the ids of the
+   * viewings that play.
+   */
   private List<String> joinAll(HttpClient client, Target target, int count, long timeoutMs)
       throws InterruptedException {
     AtomicInteger answered = new AtomicInteger();
@@ -373,7 +380,7 @@
     return ids;
   }
 
-  /** Bytes a second of segments through viewings that play. */
+  /** Returns the bytes a second of segments fetched through playing viewings. */
   private double bytesPerSecond(Target target, long durationMs) throws InterruptedException {
     AtomicLong receivedBytes = new AtomicLong();
     AtomicInteger running = new AtomicInteger(CONNECTIONS);
@@ -436,7 +443,7 @@
             response -> fetchSegments(client, target, id, deadlineNanos, receivedBytes, running));
   }
 
-  /** A box that answers all at once, on loops of its own. */
+  /** Starts a box that answers every request at once, on event loops of its own. */
   private void startBox() throws IOException, InterruptedException {
     List<Integer> ports = Ports.free(2);
     boxPort = ports.get(0);
@@ -565,7 +572,7 @@
     return new Target("front", ports.get(0), process);
   }
 
-  /** The hidden process of the baseline. */
+  /** Entry point of the hidden baseline process. */
   public static void bareRelay(String host, int port, int boxPort, int loops)
       throws InterruptedException {
     BareRelay.start(host, port, boxPort, loops);
--- a/src/main/java/linengauge/drill/Report.java
+++ b/src/main/java/linengauge/drill/Report.java
@@ -14,7 +14,7 @@
 import java.util.Map;
 import linengauge.rules.Verdict;
 
-/** What a drill found: rules, claims and figures, as a table and as JSON. */
+/** The results of a drill: rules, claims and figures, as a table and as JSON. */
 public final class Report {
   private record Claim(String what, String wanted, String seen, boolean held) {}
 
@@ -30,7 +30,7 @@
     this.seed = seed;
   }
 
-  /** Adds what the judge said of one record. */
+  /** Adds the verdict on one traffic record. */
   public void addVerdict(String record, Verdict verdict) {
     for (String rule : Verdict.RULES) {
       long[] sum = rules.computeIfAbsent(rule, r -> new long[2]);
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Nothing broken, every claim held; a rule that was not tried does not count as kept, and is a
-   * claim's matter.
+   * Returns whether no rule is broken and every claim holds. A rule that was not exercised does not
+   * count as kept; a claim has to require that it was.
    */
   public boolean hasPassed() {
     return rules.values().stream().allMatch(counts -> counts[1] == 0)
--- a/src/main/java/linengauge/drill/SlowPeersDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -25,23 +25,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Healthy viewers join one front at a steady rate, first alone, then beside a thousand slow ones of
- * every kind; then the front is stopped for two seconds among many honest viewers, and a surge
- * follows. What the healthy saw is compared within the run, who was let go is told by the slow
- * players' own sockets, and the six rules are judged from the traffic.
+ * Measures the effect of slow viewers on healthy ones. Healthy viewers join one front at a steady
+ * rate, first alone, then beside a thousand slow ones of every kind; then the front is suspended
+ * for two seconds among many honest viewers, and a surge follows. The healthy viewers' results are
+ * compared within the run, disconnects are observed on the slow players' own sockets, and the six
+ * rules are judged from the traffic.
  */
 public final class SlowPeersDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final long MAX_WAITING_BYTES = 60_000_000;
 
-  /** The budget, and 8 MiB for each of the front's four loops. */
+  /** The budget for waiting bytes plus 8 MiB for each of the front's four event loops. */
   private static final long MAX_DIRECT_BYTES = MAX_WAITING_BYTES + 4 * (8 << 20);
 
   private static final int HEADERS_TIMEOUT_MS = 4000;
   private static final int IDLE_TIMEOUT_MS = 10_000;
 
   /**
-   * What the window holds after a segment's start, and some looks: a slow reader lasts no longer.
+   * Time limit within which a slow reader is disconnected: the data that its window holds at the
+   * start of a segment, plus a few checks by the front.
    */
   private static final long SLOW_READER_LIMIT_MS = 9_000;
 
@@ -53,12 +55,12 @@
   private volatile long peakDirectBytes;
 
   /**
-   * Healthy players have a loop of their own: what they see is not what the boxes' loop is busy
-   * with.
+   * Healthy players have an event loop of their own, so that load on the boxes' loop does not show
+   * in their results.
    */
   private final Vertx playerVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
-  /** The slow thousand is a mixture, or all of one way where one is given. */
+  /** The slow viewers are a mixture of all kinds unless a single one is given. */
   public SlowPeersDrill(long seed, boolean brief, boolean guards, Way onlyWay, Path traffic) {
     this.onlyWay = onlyWay;
     this.seed = seed;
@@ -87,7 +89,9 @@
       testFleet.open(
           "-Xmx96m",
           "-Xms96m",
-          "-XX:MaxDirectMemorySize=" + MAX_DIRECT_BYTES); // a heap that grows stops for it
+          "-XX:MaxDirectMemorySize="
+              + MAX_DIRECT_BYTES); // a fixed heap size, since the front would pause while the heap
+      // grows
       play(report, testFleet, seeds);
       boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
       report.addClaim(
@@ -128,7 +132,7 @@
     return site;
   }
 
-  /** Healthy viewers over a span; the same seed brings the same viewers at the same moments. */
+  /** Starts healthy viewers over a span; the same seed gives the same viewers and arrival times. */
   private PlayerCrowd startHealthy(TestFleet testFleet, long arrivalSeed, long spanMs) {
     return startHealthy(testFleet, arrivalSeed, spanMs, testFleet.day.traffic().perSecond());
   }
@@ -191,8 +195,8 @@
     PlayerCrowd warmUp = startHealthy(testFleet, seeds.nextLong(), brief ? 3000 : 6000);
     Thread.sleep(brief ? 3000 : 6000);
     awaitNoViewers(warmUp);
-    // As many join at once as the slow will: what is measured later is not the compiler's first
-    // meeting with a wave.
+    // As many join at once as there are slow viewers later, so that the measured phase does not
+    // include the JIT compilation that the first burst causes.
     PlayerCrowd wave = startHealthy(testFleet, seeds.nextLong(), 3000, slowCount / 3.0);
     Thread.sleep(3000);
     awaitNoViewers(wave);
@@ -248,7 +252,7 @@
     }
   }
 
-  /** How late a loop of stand-ins is, so that what is theirs is not taken for the front's. */
+  /** Measures the delay of a stand-in's event loop, so that it is not attributed to the front. */
   private static final class LoopDelay {
     private final Histogram micros = new Histogram(60_000_000L, 2);
     private final Vertx vertx;
@@ -350,7 +354,8 @@
                 ofWay.size() == count && ended == 0 && fewestSegments > 0);
             return;
           }
-          // A viewing is over when its box was told; a connection without one when it was closed.
+          // A viewing is over when its box is notified; a connection without a viewing when it is
+          // closed.
           List<Long> durationsMs = new ArrayList<>();
           for (SlowCrowd.Fate fate : ofWay) {
             long endedAtMicros =
@@ -377,8 +382,7 @@
   }
 
   /**
-   * Honest viewers play; the front stands still for two seconds, and a surge comes as it runs
-   * again.
+   * Suspends the front for two seconds while honest viewers play; a surge arrives as it resumes.
    */
   private void pauseFront(
       Report report,
--- a/src/main/java/linengauge/drill/TestFleet.java
+++ b/src/main/java/linengauge/drill/TestFleet.java
@@ -29,8 +29,8 @@
 import linengauge.standin.WordPost;
 
 /**
- * The grounds of one pass of a day: stand-ins in this process, fronts in processes of their own,
- * all on loopback.
+ * The test fleet of one pass of a day: stand-ins in this process and fronts in processes of their
+ * own, all on loopback.
  */
 final class TestFleet implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -46,7 +46,7 @@
   private final List<Integer> ports;
   final List<PlayerCrowd.Door> frontEndpoints = new ArrayList<>();
 
-  /** The loops of the boxes with their list and words, and of the players. */
+  /** The event loop of the boxes, of discovery and datagrams, and of the players. */
   final Context boxLoop = vertx.getOrCreateContext();
 
   private final Path folder;
@@ -57,7 +57,10 @@
     this(day, paidPackage, seed, List.of(), i -> JSON.createObjectNode());
   }
 
-  /** With ports that are spoken for, and more for each front's site file, by room and key. */
+  /**
+   * Creates a fleet that avoids the reserved ports; `extraSettings` gives additional settings for
+   * the site file of each front, by section and key.
+   */
   TestFleet(
       DayScript day,
       String paidPackage,
@@ -154,7 +157,7 @@
             tap));
   }
 
-  /** What the viewers of the day ask for. */
+  /** Returns the packages that the day's viewers ask for, with their shares and time limits. */
   List<PlayerCrowd.Want> packageMix() {
     List<PlayerCrowd.Want> mix = new ArrayList<>();
     for (DayScript.PackagePlan plan : day.packages()) {
@@ -165,7 +168,7 @@
     return mix;
   }
 
-  /** A drill that is itself ended takes its fronts along. */
+  /** Shutdown hook: ends the fronts if the drill itself is ended. */
   private final Thread destroyFrontsHook =
       new Thread(() -> fronts.forEach(FrontProcess::destroy), "end fronts");
 
@@ -243,7 +246,8 @@
     long deadlineNanos = System.nanoTime() + timeoutMs * 1_000_000;
     while (!front.isReady()) {
       if (!front.isAlive() || System.nanoTime() > deadlineNanos) {
-        throw new IOException("front " + front.number() + " did not get ready: " + front.lastLog());
+        throw new IOException(
+            "front " + front.number() + " did not become ready: " + front.lastLog());
       }
       Thread.sleep(30);
     }
@@ -253,7 +257,7 @@
     front.start(seeds.nextLong());
   }
 
-  /** Runs a step on the boxes' loop and waits for what it gives. */
+  /** Runs a task on the boxes' event loop and waits for its result. */
   <T> T await(java.util.function.Supplier<Future<T>> task)
       throws IOException, InterruptedException {
     CompletableFuture<T> result = new CompletableFuture<>();
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -5,13 +5,12 @@
 import linengauge.standin.PlayerCrowd;
 
 /**
- * The fleet of a day with nobody coming and nothing going wrong, for people to try with a player or
- * curl.
+ * Runs the fleet of a day without traffic or faults, for trying it by hand with a player or curl.
  */
 public final class TryOut {
   private TryOut() {}
 
-  /** Runs for so many seconds, or until the process is ended; the fronts go with it. */
+  /** Runs for the given number of seconds or until the process is ended; the fronts end with it. */
   public static void run(DayScript day, int seconds, PrintStream out)
       throws IOException, InterruptedException {
     try (TestFleet testFleet = new TestFleet(day, "", 1)) {
--- a/src/main/java/linengauge/drill/VoterStores.java
+++ b/src/main/java/linengauge/drill/VoterStores.java
@@ -15,16 +15,16 @@
 import linengauge.consensus.Voters;
 import linengauge.consensus.tcp.ConsensusStore;
 
-/** A voter's store for trials: opened, or made where there is none yet. */
+/** Opens the store of a voter for tests and drills, creating it if there is none. */
 public final class VoterStores {
   private VoterStores() {}
 
   /**
-   * Opens it.
+   * Opens the store, creating it if needed.
    *
-   * @param voters the founding ones, by number
-   * @param founds where there is no store yet, it is a founding voter's; else one of a voter that
-   *     has yet to be taken in
+   * @param voters addresses of the founding voters, by number
+   * @param founds whether a new store is that of a founding voter; otherwise it is that of a voter
+   *     that has yet to be added
    */
   public static ConsensusStore open(
       Path folder,
@@ -49,8 +49,8 @@
   }
 
   /**
-   * The founding voters' stores have numbers that all of them know; whoever comes later has one at
-   * random.
+   * Derives the store number of a founding voter, so that all founding voters know it. Voters that
+   * are added later have a random number.
    */
   private static long founding(byte[] key, int number) {
     try {
--- a/src/main/java/linengauge/drill/VrrpCost.java
+++ b/src/main/java/linengauge/drill/VrrpCost.java
@@ -13,16 +13,16 @@
 import linengauge.vrrp.udp.UdpNode;
 import linengauge.vrrp.udp.UdpTerms;
 
-/**
- * What virtual routers cost: two nodes in this process with so many of them, and the time that
- * their threads take.
- */
+/** Measures the processor time of virtual routers with two nodes in this process. */
 final class VrrpCost {
   private static final int SECONDS = 5;
 
   private VrrpCost() {}
 
-  /** Processor time of one node's thread, in microseconds for each second and virtual router. */
+  /**
+   * Returns the processor time of one node's thread, in microseconds for each second and virtual
+   * router.
+   */
   static String measure(int routers, int advertMs, byte[] key)
       throws IOException, InterruptedException {
     List<Integer> ports = Ports.free(2);
@@ -46,7 +46,10 @@
     }
   }
 
-  /** One of two nodes, with so many virtual routers; the first has the higher priority. */
+  /**
+   * Creates one of two nodes with the given number of virtual routers; the first has the higher
+   * priority.
+   */
   private static UdpNode createNode(
       List<InetSocketAddress> addresses, int number, int routers, int advertMs, byte[] key)
       throws IOException {
@@ -78,12 +81,12 @@
         new UdpNode.Owner() {
           @Override
           public void took(int vrid) {
-            // nobody serves here
+            // this node serves no requests
           }
 
           @Override
           public void gaveUp(int vrid) {
-            // nobody serves here
+            // this node serves no requests
           }
         },
         () -> false);
--- a/src/test/java/linengauge/cli/ScaleCommandsTest.java
+++ b/src/test/java/linengauge/cli/ScaleCommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against exit codes and files that say something else than what happened. */
+/** Guards against exit codes and result files that do not match the outcome of a command. */
 @Timeout(120)
 class ScaleCommandsTest {
   private static final String PAGE = "# Page\n<!-- table: membership-gossip -->\n<!-- end -->\n";
@@ -55,7 +55,7 @@
     assertFalse(traffic(result).isEmpty());
   }
 
-  /** All but processor time, which is the machine's. */
+  /** Returns the measured traffic; processor time differs between runs on the same seeds. */
   private static List<Object> traffic(ScaleResult result) {
     return List.copyOf(
         result.measurements().stream()
@@ -79,7 +79,7 @@
     assertEquals(2, scale("following", "--sizes", "10,601", "--out", out));
     assertEquals(2, scale("following", "--sizes", "0", "--out", out));
     assertEquals(2, scale("following", "--sizes", "5", "--changes-a-minute", 601, "--out", out));
-    assertFalse(Files.exists(out), "nothing was begun");
+    assertFalse(Files.exists(out), "no result file is created");
   }
 
   @Test
@@ -91,12 +91,12 @@
     Files.writeString(page, PAGE);
     simulate(result, "--mechanism", "gossip", "--sizes", "10", "--seeds", 1, "--event", "quiet");
     Object[] check = {"tables", "--page", page, "--results", results, "--check"};
-    // when, then: a page that was not printed differs, one that was does not
+    // when, then: an outdated page differs, a freshly printed one does not
     assertEquals(1, scale(check));
     assertEquals(PAGE, Files.readString(page), "a check writes nothing");
     assertEquals(0, scale("tables", "--page", page, "--results", results));
     assertEquals(0, scale(check));
-    // a doctored page, a doctored result, a damaged one, no page
+    // an edited page, an edited result, a damaged result, a missing page
     String printed = Files.readString(page);
     Files.writeString(page, printed.replaceFirst("10 fronts", "11 fronts"));
     assertEquals(1, scale(check));
--- a/src/test/java/linengauge/drill/DrillTest.java
+++ b/src/test/java/linengauge/drill/DrillTest.java
@@ -15,8 +15,8 @@
 
 class DrillTest {
   /**
-   * Front processes, stand-ins, twelve kinds of trouble, a front stopped and one killed; all six
-   * rules.
+   * Runs front processes and stand-ins through twelve kinds of faults, including a suspended and a
+   * killed front, and checks all six rules.
    */
   @Test
   void shortBadDayPasses() throws Exception {
