--- a/src/main/java/linengauge/cli/ScaleHollow.java
+++ b/src/main/java/linengauge/cli/ScaleHollow.java
@@ -87,13 +87,19 @@
       description = "one in this many fronts follows the log; 0 for none (default: 0)")
   private int followersEach;
 
-  @Option(names = "--settle", defaultValue = "5", description = "seconds (default: 5)")
+  @Option(names = "--settle", defaultValue = "5", description = "seconds to settle (default: 5)")
   private int settleSeconds;
 
-  @Option(names = "--quiet", defaultValue = "60", description = "seconds (default: 60)")
+  @Option(
+      names = "--quiet",
+      defaultValue = "60",
+      description = "seconds of the quiet phase (default: 60)")
   private int quietSeconds;
 
-  @Option(names = "--wait", defaultValue = "60", description = "seconds at most (default: 60)")
+  @Option(
+      names = "--wait",
+      defaultValue = "60",
+      description = "longest wait in seconds (default: 60)")
   private int waitSeconds;
 
   @Option(
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -95,7 +95,7 @@
         "no failure",
         failures.isEmpty() ? "none" : failures,
         failures.isEmpty());
-    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(ended -> ended);
     report.addClaim(
         name + ": fronts ended in order when told", "all", allEnded ? "all" : "not all", allEnded);
     reportFigures(report, name, testFleet);
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -188,7 +188,7 @@
     reportLateness(report, name, testFleet);
     crowds.forEach(crowd -> playerVertx.getOrCreateContext().runOnContext(v -> crowd.close()));
     Thread.sleep(3500);
-    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(ended -> ended);
     report.addClaim(
         name + ": the fronts ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
     List<String> trafficRecord = testFleet.tap.lines();
@@ -297,7 +297,7 @@
     }
     long toMicros = testFleet.tap.micros();
     silences
-        .computeIfAbsent(fault, k -> new ArrayList<>())
+        .computeIfAbsent(fault, key -> new ArrayList<>())
         .add(crowds.get(vrid - 1).longestSilence(fromMicros, toMicros));
     if (fault == Fault.KILL || fault == Fault.STOP) {
       testFleet.restart(front);
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -24,7 +24,7 @@
   private MemberProcess() {}
 
   /**
-   * Runs until input arrives or ends. All durations of the default settings are scaled to the given
+   * Runs until there is input. All durations of the default settings are scaled to the given
    * period.
    */
   public static void run(Member self, List<String> seeds, Path keyFile, Path record, Span period)
--- a/src/main/java/linengauge/drill/Report.java
+++ b/src/main/java/linengauge/drill/Report.java
@@ -33,7 +33,7 @@
   /** Adds the verdict on one traffic record. */
   public void addVerdict(String record, Verdict verdict) {
     for (String rule : Verdict.RULES) {
-      long[] sum = rules.computeIfAbsent(rule, r -> new long[2]);
+      long[] sum = rules.computeIfAbsent(rule, key -> new long[2]);
       sum[0] += verdict.checked(rule);
       sum[1] += verdict.broken(rule);
     }
--- a/src/main/java/linengauge/drill/SlowPeersDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -93,7 +93,7 @@
               + MAX_DIRECT_BYTES); // a fixed heap size, since the front would pause while the heap
       // grows
       play(report, testFleet, seeds);
-      boolean allEnded = testFleet.stopFronts().values().stream().allMatch(e -> e);
+      boolean allEnded = testFleet.stopFronts().values().stream().allMatch(ended -> ended);
       report.addClaim(
           "the front ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
       trafficRecord = testFleet.tap.lines();
@@ -156,9 +156,11 @@
             testFleet.tap,
             "h" + testFleet.tap.micros() + "-");
     SplittableRandom random = new SplittableRandom(arrivalSeed);
-    for (double at = 0; at < spanMs; at += -Math.log(1 - random.nextDouble()) * 1000 / perSecond) {
-      long ms = Math.max(1, Math.round(at));
-      context.runOnContext(v -> playerVertx.setTimer(ms, t -> crowd.arrive()));
+    for (double atMs = 0;
+        atMs < spanMs;
+        atMs += -Math.log(1 - random.nextDouble()) * 1000 / perSecond) {
+      long delayMs = Math.max(1, Math.round(atMs));
+      context.runOnContext(v -> playerVertx.setTimer(delayMs, t -> crowd.arrive()));
     }
     return crowd;
   }
@@ -366,7 +368,8 @@
               durationsMs.add((endedAtMicros - fate.slowSince()) / 1000);
             }
           }
-          long longestMs = durationsMs.stream().mapToLong(t -> t).max().orElse(-1);
+          long longestMs =
+              durationsMs.stream().mapToLong(durationMs -> durationMs).max().orElse(-1);
           long limitMs =
               switch (way) {
                 case HEADER_A_SECOND -> HEADERS_TIMEOUT_MS + 1500;
--- a/src/main/java/linengauge/drill/VoterStores.java
+++ b/src/main/java/linengauge/drill/VoterStores.java
@@ -23,15 +23,15 @@
    * Opens the store, creating it if needed.
    *
    * @param voters addresses of the founding voters, by number
-   * @param founds whether a new store is that of a founding voter; otherwise it is that of a voter
-   *     that has yet to be added
+   * @param founding whether a new store is that of a founding voter; otherwise it is that of a
+   *     voter that has yet to be added
    */
   public static ConsensusStore open(
       Path folder,
       byte[] key,
       int number,
       Map<Integer, String> voters,
-      boolean founds,
+      boolean founding,
       StateMachine machine)
       throws IOException, SaveFailedException {
     ConsensusStore store = new ConsensusStore(folder);
@@ -39,10 +39,12 @@
       return store;
     }
     TreeMap<Integer, Voters.Chair> chairs = new TreeMap<>();
-    voters.forEach((n, a) -> chairs.put(n, new Voters.Chair(founding(key, n), a, true)));
+    voters.forEach(
+        (voter, address) ->
+            chairs.put(voter, new Voters.Chair(foundingNumber(key, voter), address, true)));
     store.save(
-        founds
-            ? PersistentState.founding(founding(key, number), new Voters(chairs), machine)
+        founding
+            ? PersistentState.founding(foundingNumber(key, number), new Voters(chairs), machine)
             : PersistentState.joining(new SecureRandom().nextLong() >>> 1, machine));
     store.close();
     return new ConsensusStore(folder);
@@ -52,12 +54,12 @@
    * Derives the store number of a founding voter, so that all founding voters know it. Voters that
    * are added later have a random number.
    */
-  private static long founding(byte[] key, int number) {
+  private static long foundingNumber(byte[] key, int number) {
     try {
-      MessageDigest sum = MessageDigest.getInstance("SHA-256");
-      sum.update(key);
-      sum.update(("founding " + number).getBytes(StandardCharsets.UTF_8));
-      return ByteBuffer.wrap(sum.digest()).getLong() >>> 1;
+      MessageDigest digest = MessageDigest.getInstance("SHA-256");
+      digest.update(key);
+      digest.update(("founding " + number).getBytes(StandardCharsets.UTF_8));
+      return ByteBuffer.wrap(digest.digest()).getLong() >>> 1;
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e);
     }
