--- a/src/main/java/linengauge/drill/DayImporter.java
+++ b/src/main/java/linengauge/drill/DayImporter.java
@@ -108,8 +108,8 @@
     ArrayNode buildings = fleet.putArray("buildings");
     day.path("zones").forEach(zone -> buildings.add(zone.asText()));
     while (buildings.size() > fronts) {
-      buildings.remove(
-          buildings.size() - 1); // no front would accept the viewers of a building without one
+      // No front would accept the viewers of a building without one.
+      buildings.remove(buildings.size() - 1);
     }
     boolean loadInAnswers = "answers".equals(tier.path("report_how").asText());
     fleet
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -117,36 +117,37 @@
     List<SharedLan.Node> nodes = new ArrayList<>();
     List<SharedLan.Shared> shared = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      Map<Integer, String> viewerPorts = new TreeMap<>();
+      Map<Integer, String> viewerAddresses = new TreeMap<>();
       for (int router = 0; router < FRONTS; router++) {
-        viewerPorts.put(router + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + router));
+        viewerAddresses.put(
+            router + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + router));
       }
       nodes.add(
           new SharedLan.Node(
-              i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), viewerPorts));
+              i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), viewerAddresses));
       shared.add(new SharedLan.Shared(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
     }
     int announcePort = ports.get(5 * FRONTS);
-    List<String> trafficRecord;
-    try (TestFleet testFleet =
+    List<String> record;
+    try (TestFleet fleet =
         new TestFleet(
             day, "", seeds.nextLong(), ports, i -> siteSettings(i, nodes, announcePort, keyFile))) {
-      trafficRecord = play(report, name, testFleet, nodes, shared, announcePort, seeds);
+      record = play(report, name, fleet, nodes, shared, announcePort, seeds);
     } finally {
       playerVertx.close();
       Files.deleteIfExists(keyFile);
     }
     if (traffic != null) {
-      Files.write(traffic, trafficRecord);
+      Files.write(traffic, record);
     }
-    judge(report, name, trafficRecord);
+    judge(report, name, record);
   }
 
   /** Runs all phases and returns the traffic record. */
   private List<String> play(
       Report report,
       String name,
-      TestFleet testFleet,
+      TestFleet fleet,
       List<SharedLan.Node> nodes,
       List<SharedLan.Shared> shared,
       int announcePort,
@@ -154,16 +155,10 @@
       throws IOException, InterruptedException {
     SharedLan lan =
         new SharedLan(
-            testFleet.vertx,
-            nodes,
-            shared,
-            Ports.HOST,
-            announcePort,
-            seeds.nextLong(),
-            testFleet.tap);
-    testFleet.await(lan::open);
-    testFleet.runOnBoxLoop(() -> lan.trouble(0, 0.02, 5));
-    testFleet.open(
+            fleet.vertx, nodes, shared, Ports.HOST, announcePort, seeds.nextLong(), fleet.tap);
+    fleet.await(lan::open);
+    fleet.runOnBoxLoop(() -> lan.trouble(0, 0.02, 5));
+    fleet.open(
         "-Xmx384m",
         "-Xms384m",
         "-XX:MaxDirectMemorySize=512m",
@@ -171,34 +166,34 @@
         "-XX:MaxGCPauseMillis=20");
     List<PlayerCrowd> crowds = new ArrayList<>();
     for (SharedLan.Shared sharedAddress : shared) {
-      crowds.add(startCrowd(testFleet, lan, sharedAddress, seeds.nextLong()));
+      crowds.add(startCrowd(fleet, lan, sharedAddress, seeds.nextLong()));
     }
     Thread.sleep(4000 + 4 * activeDownMs());
-    testFleet.tap.saw("pair-quiet");
+    fleet.tap.saw("pair-quiet");
     Thread.sleep(1000);
     for (int i = 0; i < rounds; i++) {
       Fault fault = Fault.values()[i % Fault.values().length];
-      runRound(testFleet, lan, crowds, fault, seeds);
+      runRound(fleet, lan, crowds, fault, seeds);
     }
     if (flapSeconds > 0) {
-      flap(report, name, testFleet, crowds);
+      flap(report, name, fleet, crowds);
     }
     checkPlayed(report, name, crowds);
-    surge(report, name, testFleet, nodes, crowds);
-    reportLateness(report, name, testFleet);
+    surge(report, name, fleet, nodes, crowds);
+    reportLateness(report, name, fleet);
     crowds.forEach(crowd -> playerVertx.getOrCreateContext().runOnContext(v -> crowd.close()));
     Thread.sleep(3500);
-    boolean allEnded = testFleet.stopFronts().values().stream().allMatch(ended -> ended);
+    boolean allEnded = fleet.stopFronts().values().stream().allMatch(ended -> ended);
     report.addClaim(
         name + ": the fronts ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
-    List<String> trafficRecord = testFleet.tap.lines();
+    List<String> record = fleet.tap.lines();
     reportFigures(report, name, crowds, lan);
     report.addClaim(
         name + ": the record is whole",
         "not cut short",
-        trafficRecord.size() + " lines",
-        !testFleet.tap.full());
-    return trafficRecord;
+        record.size() + " lines",
+        !fleet.tap.full());
+    return record;
   }
 
   private ObjectNode siteSettings(
@@ -244,18 +239,18 @@
   }
 
   private PlayerCrowd startCrowd(
-      TestFleet testFleet, SharedLan lan, SharedLan.Shared address, long crowdSeed) {
+      TestFleet fleet, SharedLan lan, SharedLan.Shared address, long crowdSeed) {
     PlayerCrowd crowd =
         new PlayerCrowd(
             playerVertx,
             List.of(new PlayerCrowd.Door(-1, address.host(), address.port(), "east-hall")),
-            testFleet.packageMix(),
-            testFleet.titles(),
-            testFleet.day.ladder().size(),
-            (int) (1000 * testFleet.day.traffic().shortestS()),
-            (int) (1000 * testFleet.day.traffic().longestS()),
+            fleet.packageMix(),
+            fleet.titles(),
+            fleet.day.ladder().size(),
+            (int) (1000 * fleet.day.traffic().shortestS()),
+            (int) (1000 * fleet.day.traffic().longestS()),
             crowdSeed,
-            testFleet.tap,
+            fleet.tap,
             "a" + address.vrid() + "-");
     crowd.by(lan);
     Context context = playerVertx.getOrCreateContext();
@@ -276,46 +271,42 @@
    * until the pair has settled.
    */
   private void runRound(
-      TestFleet testFleet,
-      SharedLan lan,
-      List<PlayerCrowd> crowds,
-      Fault fault,
-      SplittableRandom seeds)
+      TestFleet fleet, SharedLan lan, List<PlayerCrowd> crowds, Fault fault, SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
-    Integer holder = testFleet.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
+    Integer holder = fleet.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
     int node = holder == null ? vrid - 1 : holder;
     long freezeMs = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
-    FrontProcess front = testFleet.fronts.get(node);
-    long fromMicros = testFleet.tap.micros() - 100_000;
-    testFleet.tap.saw("pair-trouble", "kind", fault.name(), "node", node, "vrid", vrid);
-    inject(testFleet, lan, fault, node, freezeMs);
+    FrontProcess front = fleet.fronts.get(node);
+    long fromMicros = fleet.tap.micros() - 100_000;
+    fleet.tap.saw("pair-trouble", "kind", fault.name(), "node", node, "vrid", vrid);
+    inject(fleet, lan, fault, node, freezeMs);
     if (fault == Fault.SPLIT) {
       // At once: two nodes that claim one address are judged from the moment they receive each
       // other's advertisements.
-      testFleet.tap.saw("pair-quiet");
+      fleet.tap.saw("pair-quiet");
     }
-    long toMicros = testFleet.tap.micros();
+    long toMicros = fleet.tap.micros();
     silences
         .computeIfAbsent(fault, key -> new ArrayList<>())
         .add(crowds.get(vrid - 1).longestSilence(fromMicros, toMicros));
     if (fault == Fault.KILL || fault == Fault.STOP) {
-      testFleet.restart(front);
-      testFleet.awaitReady(front, 20_000);
+      fleet.restart(front);
+      fleet.awaitReady(front, 20_000);
     }
     // The other node holds a deaf node's address for some time, and a node of higher priority waits
     // before it takes over again.
     Thread.sleep(1500 + 6 * activeDownMs());
     if (fault != Fault.SPLIT) {
-      testFleet.tap.saw("pair-quiet");
+      fleet.tap.saw("pair-quiet");
     }
     Thread.sleep(1000 + 2 * activeDownMs());
   }
 
   /** Applies the fault to a front for as long as others need to detect it. */
-  private void inject(TestFleet testFleet, SharedLan lan, Fault fault, int node, long freezeMs)
+  private void inject(TestFleet fleet, SharedLan lan, Fault fault, int node, long freezeMs)
       throws IOException, InterruptedException {
-    FrontProcess front = testFleet.fronts.get(node);
+    FrontProcess front = fleet.fronts.get(node);
     long durationMs = 2000 + 5 * activeDownMs();
     switch (fault) {
       case KILL -> {
@@ -326,7 +317,7 @@
         if (!front.terminate(8000)) {
           throw new IOException("front " + node + " did not end");
         }
-        testFleet.tap.saw(
+        fleet.tap.saw(
             "front-killed",
             "front",
             node); // it no longer runs, and had time to answer all requests
@@ -337,14 +328,14 @@
         Thread.sleep(1000);
       }
       case SPLIT -> {
-        testFleet.runOnBoxLoop(() -> setBothLinksCut(lan, true));
+        fleet.runOnBoxLoop(() -> setBothLinksCut(lan, true));
         Thread.sleep(durationMs);
-        testFleet.runOnBoxLoop(() -> setBothLinksCut(lan, false));
+        fleet.runOnBoxLoop(() -> setBothLinksCut(lan, false));
       }
       case ONE_WAY -> {
-        testFleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, true));
+        fleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, true));
         Thread.sleep(durationMs);
-        testFleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, false));
+        fleet.runOnBoxLoop(() -> lan.cut(node, 1 - node, false));
       }
     }
   }
@@ -355,39 +346,35 @@
   }
 
   /** Kills and restarts the front of higher priority for the first address repeatedly. */
-  private void flap(Report report, String name, TestFleet testFleet, List<PlayerCrowd> crowds)
+  private void flap(Report report, String name, TestFleet fleet, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
-    FrontProcess front = testFleet.fronts.get(0);
-    long fromMicros = testFleet.tap.micros();
-    testFleet.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
+    FrontProcess front = fleet.fronts.get(0);
+    long fromMicros = fleet.tap.micros();
+    fleet.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
     int kills = 0;
-    while (testFleet.tap.micros() - fromMicros < flapSeconds * 1_000_000L) {
+    while (fleet.tap.micros() - fromMicros < flapSeconds * 1_000_000L) {
       front.kill();
       Thread.sleep(600 + 2 * activeDownMs());
-      testFleet.restart(front);
-      testFleet.awaitReady(front, 20_000);
+      fleet.restart(front);
+      fleet.awaitReady(front, 20_000);
       Thread.sleep(700 + 4 * activeDownMs());
       kills++;
     }
-    long toMicros = testFleet.tap.micros();
+    long toMicros = fleet.tap.micros();
     Holders.Outcome outcome;
     try {
-      outcome = Holders.judge(testFleet.tap.lines(), advertMs, 10_000, 100_000);
+      outcome = Holders.judge(fleet.tap.lines(), advertMs, 10_000, 100_000);
     } catch (BadRecord e) {
       throw new IOException(e);
     }
-    long handovers =
+    long changes =
         outcome.handoversAt.getOrDefault(1L, List.of()).stream()
             .filter(at -> at >= fromMicros && at <= toMicros)
             .count();
-    double handoversPerMinute = handovers * 60e6 / (toMicros - fromMicros);
+    double handoversPerMinute = changes * 60e6 / (toMicros - fromMicros);
     String seen =
         String.format(
-            Locale.ROOT,
-            "%d in %.0f s, %d deaths",
-            handovers,
-            (toMicros - fromMicros) / 1e6,
-            kills);
+            Locale.ROOT, "%d in %.0f s, %d deaths", changes, (toMicros - fromMicros) / 1e6, kills);
     if (additions) {
       report.addClaim(
           name + ": handovers while a partner dies every few seconds",
@@ -410,7 +397,7 @@
   private void surge(
       Report report,
       String name,
-      TestFleet testFleet,
+      TestFleet fleet,
       List<SharedLan.Node> nodes,
       List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
@@ -426,28 +413,28 @@
                         crowds.get(0).arrive();
                       }
                     }));
-    long handoversBefore = countHandovers(testFleet);
+    long handoversBefore = countHandovers(fleet);
     long sent = sendGarbage(nodes);
-    long handovers = countHandovers(testFleet) - handoversBefore;
+    long handovers = countHandovers(fleet) - handoversBefore;
     report.addClaim(
         name + ": handovers in a surge with garbage in a partner's name",
         "none",
         handovers + " in " + SURGE_MS + " ms, " + 1000 * sent / SURGE_MS + " datagrams a second",
         handovers == 0);
-    reportLateness(report, name + ", to the end of the surge", testFleet);
+    reportLateness(report, name + ", to the end of the surge", fleet);
     int vrid = 1;
-    long fromMicros = testFleet.tap.micros() - 100_000;
-    testFleet.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
-    testFleet.fronts.get(0).kill();
+    long fromMicros = fleet.tap.micros() - 100_000;
+    fleet.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
+    fleet.fronts.get(0).kill();
     Thread.sleep(2000 + 5 * activeDownMs());
     context.runOnContext(v -> playerVertx.cancelTimer(timers[0]));
     report.addFigure(
         name + ": silence as the holder is killed in the surge, ms",
-        crowds.get(0).longestSilence(fromMicros, testFleet.tap.micros()) / 1000);
-    testFleet.restart(testFleet.fronts.get(0));
-    testFleet.awaitReady(testFleet.fronts.get(0), 20_000);
+        crowds.get(0).longestSilence(fromMicros, fleet.tap.micros()) / 1000);
+    fleet.restart(fleet.fronts.get(0));
+    fleet.awaitReady(fleet.fronts.get(0), 20_000);
     Thread.sleep(1500 + 6 * activeDownMs());
-    testFleet.tap.saw("pair-quiet");
+    fleet.tap.saw("pair-quiet");
     Thread.sleep(1000 + 2 * activeDownMs());
   }
 
@@ -480,16 +467,16 @@
     return sent;
   }
 
-  private long countHandovers(TestFleet testFleet) throws IOException {
+  private long countHandovers(TestFleet fleet) throws IOException {
     try {
-      return Holders.judge(testFleet.tap.lines(), advertMs, 10_000, 100_000).handovers;
+      return Holders.judge(fleet.tap.lines(), advertMs, 10_000, 100_000).handovers;
     } catch (BadRecord e) {
       throw new IOException(e);
     }
   }
 
-  private void reportLateness(Report report, String name, TestFleet testFleet) throws IOException {
-    for (FrontProcess front : testFleet.fronts) {
+  private void reportLateness(Report report, String name, TestFleet fleet) throws IOException {
+    for (FrontProcess front : fleet.fronts) {
       JsonNode vrrp = front.state().path("vrrp");
       report.addFigure(
           name + ": front " + front.number() + " adverts late, ms p99.9 and most",
@@ -551,14 +538,13 @@
         played * 10 > asked * 9);
   }
 
-  private void judge(Report report, String name, List<String> trafficRecord) {
+  private void judge(Report report, String name, List<String> record) {
     try {
-      report.addVerdict(name, Judge.judge(trafficRecord));
+      report.addVerdict(name, Judge.judge(record));
       // Allows for an advertisement interval, the LAN's delay, and the scheduling delay of two
       // processes on a busy machine.
       Holders.Outcome outcome =
-          Holders.judge(
-              trafficRecord, advertMs, advertMs + 60, activeDownMs() + 4L * advertMs + 1000);
+          Holders.judge(record, advertMs, advertMs + 60, activeDownMs() + 4L * advertMs + 1000);
       report.addClaim(
           name + ": two claimed one address in quiet times",
           "at most an interval and 60 ms",
--- a/src/main/java/linengauge/drill/FaultInjector.java
+++ b/src/main/java/linengauge/drill/FaultInjector.java
@@ -268,13 +268,13 @@
   private void deploy(DayScript.Fault fault) {
     List<StandInBox> boxes = drawBoxes(fault.part());
     busyBoxes.addAll(boxes);
-    int turn = 0;
+    int batch = 0;
     int size = Math.max(1, (int) Math.round(fault.size()));
     double pace = fault.forS() / Math.max(1, (boxes.size() + size - 1) / size);
     for (int i = 0; i < boxes.size(); i += size) {
       for (StandInBox box : boxes.subList(i, Math.min(boxes.size(), i + size))) {
         scheduleAfter(
-            turn * pace,
+            batch * pace,
             () -> {
               publishState(box, "draining", 0);
               scheduleAfter(
@@ -285,7 +285,7 @@
                   });
             });
       }
-      turn++;
+      batch++;
     }
   }
 
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -16,7 +16,7 @@
 /**
  * Runs a single front's gossip membership as a process. Its record has a line for each change, and
  * ten lines a second for the current view, each with the wall clock time in milliseconds. It ends
- * at the end of input, and then announces that it leaves.
+ * when there is input, and then announces that it leaves.
  */
 public final class MemberProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
--- a/src/main/java/linengauge/drill/RelayDrill.java
+++ b/src/main/java/linengauge/drill/RelayDrill.java
@@ -58,7 +58,7 @@
   }
 
   /** A server under measurement: the front or the bare relay. */
-  private record Target(String name, int port, FrontProcess front) {}
+  private record Target(String name, int port, FrontProcess process) {}
 
   public Report run() throws IOException, InterruptedException {
     Report report = new Report("relay", seed);
@@ -112,13 +112,16 @@
         "the same over " + CONNECTIONS + " connections, each waiting for the loops' turns",
         median(fewRatios));
     reportRatio(report, "bytes a second, front over bare relay", 0.9, byteRatios);
-    for (double part : new double[] {0.25, 0.5, 0.75}) {
-      double rate = part * median(frontJoins);
+    for (double loadFactor : new double[] {0.25, 0.5, 0.75}) {
+      double rate = loadFactor * median(frontJoins);
       Histogram frontLatencies = joinAtRate(front, rate, spanMs);
       Histogram bareLatencies = joinAtRate(bare, rate, spanMs);
       String prefix =
           String.format(
-              Locale.ROOT, "join ms at %.2f of the front's own rate, %.0f a second: ", part, rate);
+              Locale.ROOT,
+              "join ms at %.2f of the front's own rate, %.0f a second: ",
+              loadFactor,
+              rate);
       report.addFigure(
           prefix + "front p50 p99, bare p50 p99",
           percentiles(frontLatencies) + " " + percentiles(bareLatencies));
@@ -203,15 +206,15 @@
   private void measureHeap(Report report, Target front) throws IOException, InterruptedException {
     int count = brief ? 500 : 2000;
     Thread.sleep(1000);
-    long heldBefore = front.front.state().path("held").asLong();
-    front.front.heapAfterGc();
-    long heapBefore = front.front.heapAfterGc();
+    long heldBefore = front.process.state().path("held").asLong();
+    front.process.heapAfterGc();
+    long heapBefore = front.process.heapAfterGc();
     HttpClient client = client(8);
     joinAll(client, front, count, 30_000);
-    long heldViewings = front.front.state().path("held").asLong() - heldBefore;
+    long heldViewings = front.process.state().path("held").asLong() - heldBefore;
     Thread.sleep(500);
-    front.front.heapAfterGc();
-    long growthBytes = front.front.heapAfterGc() - heapBefore;
+    front.process.heapAfterGc();
+    long growthBytes = front.process.heapAfterGc() - heapBefore;
     report.addFigure("viewings held for the heap's figure", heldViewings);
     report.addClaim(
         "heap for each viewing that plays",
@@ -292,8 +295,8 @@
         .compose(RelayDrill::send)
         .compose(response -> response.body())
         .onComplete(
-            response -> {
-              if (response.succeeded()) {
+            result -> {
+              if (result.succeeded()) {
                 completed.incrementAndGet();
               }
               joinRepeatedly(client, target, deadlineNanos, completed, running);
--- a/src/main/java/linengauge/drill/SlowPeersDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -86,12 +86,8 @@
     List<String> trafficRecord;
     try (TestFleet testFleet =
         new TestFleet(day, "", seeds.nextLong(), List.of(), i -> siteSettings())) {
-      testFleet.open(
-          "-Xmx96m",
-          "-Xms96m",
-          "-XX:MaxDirectMemorySize="
-              + MAX_DIRECT_BYTES); // a fixed heap size, since the front would pause while the heap
-      // grows
+      // The heap size is fixed, since the front would pause while the heap grows.
+      testFleet.open("-Xmx96m", "-Xms96m", "-XX:MaxDirectMemorySize=" + MAX_DIRECT_BYTES);
       play(report, testFleet, seeds);
       boolean allEnded = testFleet.stopFronts().values().stream().allMatch(ended -> ended);
       report.addClaim(
