--- a/src/main/java/linengauge/drill/ExploreDrill.java
+++ b/src/main/java/linengauge/drill/ExploreDrill.java
@@ -1,10 +1,10 @@
 package linengauge.drill;
 
 import java.util.List;
-import linengauge.vrrp.RouterTerms;
+import linengauge.vrrp.RouterSettings;
 import linengauge.vrrp.VirtualRouter;
+import linengauge.vrrp.explore.ExplorationPlan;
 import linengauge.vrrp.explore.Explorer;
-import linengauge.vrrp.explore.Plan;
 
 /**
  * Explores groups of two and three nodes, with the standard alone and with all that is added to it.
@@ -33,21 +33,21 @@
     long from = System.nanoTime();
     Explorer.Outcome o =
         Explorer.explore(
-            new Plan(
+            new ExplorationPlan(
                 priorities,
                 preempt,
-                more ? Plan.shortAdditions() : RouterTerms.Additions.NONE,
+                more ? ExplorationPlan.shortExtensions() : RouterSettings.Extensions.NONE,
                 depth,
                 faults,
                 VirtualRouter::new));
     r.claim(
         what,
         "one comes to be Active and stays",
-        o.held() ? "in " + o.schedules() + " schedules" : o.found().what(),
-        o.held());
+        o.passed() ? "in " + o.schedules() + " schedules" : o.violation().description(),
+        o.passed());
     r.figure(what, o.states() + " states, " + (System.nanoTime() - from) / 1_000_000 + " ms");
-    if (!o.held()) {
-      r.figure(what + ": schedule", o.found().schedule());
+    if (!o.passed()) {
+      r.figure(what + ": schedule", o.violation().schedule());
     }
   }
 }
--- a/src/main/java/linengauge/drill/VrrpCost.java
+++ b/src/main/java/linengauge/drill/VrrpCost.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import linengauge.Span;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.RouterTerms;
+import linengauge.vrrp.RouterSettings;
 import linengauge.vrrp.udp.UdpNode;
-import linengauge.vrrp.udp.UdpTerms;
+import linengauge.vrrp.udp.UdpNodeSettings;
 
 /**
  * What virtual routers cost: two nodes in this process with so many of them, and the time that
@@ -50,10 +50,10 @@
   private static UdpNode node(
       List<InetSocketAddress> at, int number, int routers, int advertMs, byte[] key)
       throws IOException {
-    List<RouterTerms> terms = new ArrayList<>();
+    List<RouterSettings> terms = new ArrayList<>();
     for (int v = 1; v <= routers; v++) {
       terms.add(
-          new RouterTerms(
+          new RouterSettings(
               v,
               200 - 100 * number,
               Span.ofMillis(advertMs),
@@ -61,10 +61,10 @@
               true,
               List.of(NodeAddress.of(192, 0, 2, v)),
               new NodeAddress(at.get(number).getAddress().getAddress()),
-              RouterTerms.Additions.NONE));
+              RouterSettings.Extensions.NONE));
     }
     return new UdpNode(
-        new UdpTerms(
+        new UdpNodeSettings(
             at.get(number),
             List.of(at.get(1 - number)),
             null,
@@ -75,14 +75,14 @@
             256,
             1 << 20,
             terms),
-        new UdpNode.Owner() {
+        new UdpNode.OwnershipListener() {
           @Override
-          public void took(int vrid) {
+          public void addressAcquired(int vrid) {
             // nobody serves here
           }
 
           @Override
-          public void gaveUp(int vrid) {
+          public void addressReleased(int vrid) {
             // nobody serves here
           }
         },
@@ -94,7 +94,7 @@
     long sum = 0;
     for (long id : threads.getAllThreadIds()) {
       var info = threads.getThreadInfo(id);
-      if (info != null && info.getThreadName().equals(UdpNode.THREAD)) {
+      if (info != null && info.getThreadName().equals(UdpNode.THREAD_NAME)) {
         sum += Math.max(0, threads.getThreadCpuTime(id));
       }
     }
--- a/src/main/java/linengauge/front/Caller.java
+++ b/src/main/java/linengauge/front/Caller.java
@@ -12,7 +12,7 @@
 import linengauge.flow.Account;
 import linengauge.flow.DoorBook;
 import linengauge.flow.Knock;
-import linengauge.vrrp.udp.Lease;
+import linengauge.vrrp.udp.AddressLease;
 
 /**
  * One connection of a viewer: its place at the door, how far it is with its next request, and its
@@ -27,7 +27,7 @@
   private final boolean turnedAway;
 
   /** Of the shared address by which it came; null where it came by the front's own. */
-  private final Lease lease;
+  private final AddressLease lease;
 
   private boolean lastAnswer;
   private final Knock knock;
@@ -44,7 +44,7 @@
   Caller(
       HttpConnection connection,
       DoorBook.Entry entry,
-      Lease lease,
+      AddressLease lease,
       Loops here,
       FrontProgram program,
       Sparse log) {
@@ -72,7 +72,7 @@
     return account;
   }
 
-  Lease lease() {
+  AddressLease lease() {
     return lease;
   }
 
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -24,8 +24,8 @@
 import linengauge.session.Held;
 import linengauge.session.Viewer;
 import linengauge.site.Site;
-import linengauge.vrrp.RouterTerms;
-import linengauge.vrrp.udp.Lease;
+import linengauge.vrrp.RouterSettings;
+import linengauge.vrrp.udp.AddressLease;
 import org.slf4j.LoggerFactory;
 
 /**
@@ -73,7 +73,7 @@
     List<Future<?>> open = new ArrayList<>();
     open.add(listen(site.front().viewers(), null));
     for (Site.Router r : site.vrrp().routers()) {
-      if (r.viewers() != null && (r.accept() || r.priority() == RouterTerms.OWNER)) {
+      if (r.viewers() != null && (r.accept() || r.priority() == RouterSettings.OWNER_PRIORITY)) {
         open.add(listen(r.viewers(), program.lease(r.vrid())));
       }
     }
@@ -81,7 +81,7 @@
   }
 
   /** Opens one way in; where it is that of a shared address, it is open while the lease holds. */
-  private Future<?> listen(String address, Lease lease) {
+  private Future<?> listen(String address, AddressLease lease) {
     Site.Viewers v = site.viewers();
     Site.Address at = Site.Address.of(address);
     HttpServer server =
@@ -122,7 +122,7 @@
   private final Map<HttpConnection, Caller> callers = new HashMap<>();
 
   /** A shared address is another front's now. */
-  void gaveUp(Lease lease) {
+  void gaveUp(AddressLease lease) {
     loop.runOnContext(
         v -> {
           for (Caller c : List.copyOf(callers.values())) {
@@ -133,7 +133,7 @@
         });
   }
 
-  private void connected(HttpConnection connection, Lease lease) {
+  private void connected(HttpConnection connection, AddressLease lease) {
     String address = connection.remoteAddress().hostAddress();
     DoorBook.Entry entry = program.gate().enters(address);
     if (entry == DoorBook.Entry.SHUT_OUT) {
@@ -171,7 +171,7 @@
     tellAnswered(r, c);
     if (!c.asked()) {
       refuse(r, 429, "too many requests wait on this connection");
-    } else if (c.lease() != null && !c.lease().holds()) {
+    } else if (c.lease() != null && !c.lease().isHeld()) {
       // nothing is taken; a break would tell less
       blocked(r, "the address is another front's: come again");
     } else if (c.isTurnedAway()) {
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -29,8 +29,8 @@
 import linengauge.session.Held;
 import linengauge.session.ListFollower;
 import linengauge.site.Site;
-import linengauge.vrrp.Fitness;
-import linengauge.vrrp.udp.Lease;
+import linengauge.vrrp.FrontHealth;
+import linengauge.vrrp.udp.AddressLease;
 import net.logstash.logback.argument.StructuredArguments;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -143,7 +143,7 @@
   }
 
   /** Whether the shared address of a virtual router is this front's. */
-  Lease lease(int vrid) {
+  AddressLease lease(int vrid) {
     return vrrp.lease(vrid);
   }
 
@@ -227,7 +227,7 @@
 
   private boolean isUnwell() {
     Span mostLate = Span.ofMillis(site.vrrp().overloadedMs());
-    return new Fitness(servingBoxes, Wall.now().since(desk.ranAt()), mostLate).isUnwell();
+    return new FrontHealth(servingBoxes, Wall.now().since(desk.ranAt()), mostLate).isUnhealthy();
   }
 
   void listHeard() {
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -6,9 +6,9 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import linengauge.site.Site;
-import linengauge.vrrp.udp.Lease;
+import linengauge.vrrp.udp.AddressLease;
 import linengauge.vrrp.udp.UdpNode;
-import linengauge.vrrp.udp.UdpTerms;
+import linengauge.vrrp.udp.UdpNodeSettings;
 
 /** Pairing with other fronts that share addresses; where the site file asks for none, idle. */
 final class VrrpPairing {
@@ -21,7 +21,7 @@
    * @param gaveUp told of a shared address that is this front's no more
    * @param unwell whether this front is to leave shared addresses to others
    */
-  VrrpPairing(Site site, Consumer<Lease> gaveUp, BooleanSupplier unwell) throws IOException {
+  VrrpPairing(Site site, Consumer<AddressLease> gaveUp, BooleanSupplier unwell) throws IOException {
     Site.Vrrp vrrp = site.vrrp();
     this.node =
         vrrp.routers().isEmpty()
@@ -29,9 +29,9 @@
             : new UdpNode(terms(site, vrrp), owner(gaveUp), unwell::getAsBoolean);
   }
 
-  private static UdpTerms terms(Site site, Site.Vrrp vrrp) throws IOException {
+  private static UdpNodeSettings terms(Site site, Site.Vrrp vrrp) throws IOException {
     byte[] key = vrrp.keyFile() == null ? null : KeyFile.read(vrrp.keyFile(), "vrrp.keyFile");
-    return new UdpTerms(
+    return new UdpNodeSettings(
         socket(vrrp.listen()),
         vrrp.partners().stream().map(VrrpPairing::socket).toList(),
         vrrp.group() == null ? null : socket(vrrp.group()),
@@ -44,15 +44,15 @@
         site.routers());
   }
 
-  private UdpNode.Owner owner(Consumer<Lease> gaveUp) {
-    return new UdpNode.Owner() {
+  private UdpNode.OwnershipListener owner(Consumer<AddressLease> gaveUp) {
+    return new UdpNode.OwnershipListener() {
       @Override
-      public void took(int vrid) {
+      public void addressAcquired(int vrid) {
         // the lease lets viewers in
       }
 
       @Override
-      public void gaveUp(int vrid) {
+      public void addressReleased(int vrid) {
         gaveUp.accept(lease(vrid));
       }
     };
@@ -64,7 +64,7 @@
   }
 
   /** Whether the shared address of a virtual router is this front's. */
-  Lease lease(int vrid) {
+  AddressLease lease(int vrid) {
     return node.lease(vrid);
   }
 
@@ -84,11 +84,11 @@
   /** Partners find out that this front is gone. */
   void leave() {
     if (node != null) {
-      node.leave();
+      node.initiateShutdown();
     }
   }
 
   JsonObject state() {
-    return node == null ? new JsonObject() : new JsonObject(node.state());
+    return node == null ? new JsonObject() : new JsonObject(node.snapshot());
   }
 }
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -13,7 +13,7 @@
 import linengauge.flow.FlowTerms;
 import linengauge.session.Desk;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.RouterTerms;
+import linengauge.vrrp.RouterSettings;
 import linengauge.work.WorkTerms;
 
 /**
@@ -412,9 +412,9 @@
   }
 
   /** The virtual routers of this front. The file has been checked: its addresses are literals. */
-  public List<RouterTerms> routers() {
-    RouterTerms.Additions more =
-        new RouterTerms.Additions(
+  public List<RouterSettings> routers() {
+    RouterSettings.Extensions more =
+        new RouterSettings.Extensions(
             vrrp.advertsPerInterval,
             vrrp.frozen,
             Span.ofMillis(vrrp.preemptDelayMs),
@@ -427,7 +427,7 @@
     return vrrp.routers.stream()
         .map(
             r ->
-                new RouterTerms(
+                new RouterSettings(
                     r.vrid,
                     r.priority,
                     Span.ofMillis(r.advertMs),
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -10,17 +10,17 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import linengauge.carry.Address;
-import linengauge.vrrp.BadPacket;
-import linengauge.vrrp.Drop;
+import linengauge.vrrp.DatagramAuthenticator;
+import linengauge.vrrp.DropReason;
+import linengauge.vrrp.InvalidPacketException;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.Seal;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /**
- * One UDP socket whose datagrams end with the keyed trailer of {@link Seal}, by the sender's
- * number. What has no key, an old number, no sense or another version is dropped alone and counted
- * by cause. For use by one thread; the counts may be read from any.
+ * One UDP socket whose datagrams end with the keyed trailer of {@link DatagramAuthenticator}, by
+ * the sender's number. What has no key, an old number, no sense or another version is dropped alone
+ * and counted by cause. For use by one thread; the counts may be read from any.
  */
 public final class SealedChannel implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(SealedChannel.class);
@@ -67,7 +67,7 @@
 
   private final Form form;
   private final int own;
-  private final Seal seal;
+  private final DatagramAuthenticator seal;
   private final DatagramChannel channel;
   private final ByteBuffer in;
   private final Map<String, InetSocketAddress> addresses =
@@ -104,8 +104,8 @@
     InetSocketAddress listen = Address.inNumbers(address);
     this.form = form;
     this.own = own;
-    this.seal = new Seal(key, System.currentTimeMillis() * 1000);
-    this.in = ByteBuffer.allocate(form.most() + Seal.BYTES + 1);
+    this.seal = new DatagramAuthenticator(key, System.currentTimeMillis() * 1000);
+    this.in = ByteBuffer.allocate(form.most() + DatagramAuthenticator.TRAILER_BYTES + 1);
     channel = DatagramChannel.open();
     try {
       channel.bind(listen);
@@ -180,11 +180,11 @@
       if (from < 0 || from > MOST_NUMBER) {
         throw new IllegalArgumentException("a number out of bounds");
       }
-      int length = seal.open(bytes, bytes.length, sealedBy(from));
+      int length = seal.verify(bytes, bytes.length, sealedBy(from));
       to.heard(sender.getAddress().getHostAddress() + ":" + sender.getPort(), bytes, length);
-    } catch (BadPacket e) {
-      strangers += e.cause() == Drop.SEAL ? 1 : 0;
-      replayed += e.cause() == Drop.REPLAYED ? 1 : 0;
+    } catch (InvalidPacketException e) {
+      strangers += e.reason() == DropReason.SEAL ? 1 : 0;
+      replayed += e.reason() == DropReason.REPLAYED ? 1 : 0;
     } catch (IllegalArgumentException e) {
       unreadable++;
     }
@@ -197,7 +197,7 @@
       if (!filter.passes(to, true)) {
         return;
       }
-      ByteBuffer sealed = ByteBuffer.wrap(seal.seal(bytes, sealedBy(own)));
+      ByteBuffer sealed = ByteBuffer.wrap(seal.sign(bytes, sealedBy(own)));
       int length = sealed.remaining();
       if (channel.send(sealed, to) > 0) {
         sent++;
--- a/src/main/java/linengauge/vrrp/Advert.java
+++ b/src/main/java/linengauge/vrrp/Advertisement.java
@@ -11,13 +11,13 @@
  * @param interval of the sender's advertisements, whole hundredths of a second, 1 to 4095 of them
  * @param addresses shared by the virtual router, 1 to 255, all of one family
  */
-public record Advert(int vrid, int priority, Span interval, List<NodeAddress> addresses) {
+public record Advertisement(int vrid, int priority, Span interval, List<NodeAddress> addresses) {
   /** One hundredth of a second, the unit of intervals on the wire (section 5.2.7). */
   public static final Span CENTISECOND = Span.ofMillis(10);
 
-  public static final int MOST_CENTISECONDS = 4095;
+  public static final int MAX_CENTISECONDS = 4095;
 
-  public Advert {
+  public Advertisement {
     addresses = List.copyOf(addresses);
   }
 }
--- a/src/main/java/linengauge/vrrp/Seal.java
+++ b/src/main/java/linengauge/vrrp/DatagramAuthenticator.java
@@ -16,16 +16,16 @@
  * back while it is down: its numbers begin at the clock, and partners pass it over until the clock
  * has caught up.
  */
-public final class Seal {
+public final class DatagramAuthenticator {
   private static final String KIND = "HmacSHA256";
   private static final int NUMBER_BYTES = 8;
   private static final int MAC_BYTES = 16;
 
   /** Senders whose numbers are remembered. */
-  public static final int MOST_SENDERS = 8192;
+  public static final int MAX_SENDERS = 8192;
 
   /** What the trailer takes. */
-  public static final int BYTES = NUMBER_BYTES + MAC_BYTES;
+  public static final int TRAILER_BYTES = NUMBER_BYTES + MAC_BYTES;
 
   /**
    * The highest number heard and which of the 63 before it were: what is overtaken on its way is
@@ -62,7 +62,7 @@
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<NodeAddress, Heard> eldest) {
-          return size() > MOST_SENDERS;
+          return size() > MAX_SENDERS;
         }
       };
 
@@ -72,7 +72,7 @@
    * @param firstNumber higher than any that this node has sent with this key: the wall's clock in
    *     microseconds
    */
-  public Seal(byte[] key, long firstNumber) {
+  public DatagramAuthenticator(byte[] key, long firstNumber) {
     try {
       mac = Mac.getInstance(KIND);
       mac.init(new SecretKeySpec(key, KIND));
@@ -83,8 +83,8 @@
   }
 
   /** The advertisement with its trailer. */
-  public byte[] seal(byte[] packet, NodeAddress from) {
-    byte[] sealed = Arrays.copyOf(packet, packet.length + BYTES);
+  public byte[] sign(byte[] packet, NodeAddress from) {
+    byte[] sealed = Arrays.copyOf(packet, packet.length + TRAILER_BYTES);
     ByteBuffer.wrap(sealed).putLong(packet.length, number++);
     System.arraycopy(
         macOf(sealed, packet.length + NUMBER_BYTES, from),
@@ -98,26 +98,26 @@
   /**
    * How many of the bytes are the advertisement, once the trailer is proved.
    *
-   * @throws BadPacket SEAL or REPLAYED
+   * @throws InvalidPacketException SEAL or REPLAYED
    */
-  public int open(byte[] sealed, int length, NodeAddress from) throws BadPacket {
-    int packet = length - BYTES;
+  public int verify(byte[] sealed, int length, NodeAddress from) throws InvalidPacketException {
+    int packet = length - TRAILER_BYTES;
     if (packet < 0) {
-      throw new BadPacket(Drop.SEAL);
+      throw new InvalidPacketException(DropReason.SEAL);
     }
     byte[] told = Arrays.copyOfRange(sealed, packet + NUMBER_BYTES, length);
     if (!MessageDigest.isEqual(told, macOf(sealed, packet + NUMBER_BYTES, from))) {
-      throw new BadPacket(Drop.SEAL);
+      throw new InvalidPacketException(DropReason.SEAL);
     }
     long n = ByteBuffer.wrap(sealed).getLong(packet);
     if (!heard.computeIfAbsent(from, f -> new Heard()).isNew(n)) {
-      throw new BadPacket(Drop.REPLAYED);
+      throw new InvalidPacketException(DropReason.REPLAYED);
     }
     return packet;
   }
 
   /** How many senders' numbers are remembered. */
-  int senders() {
+  int senderCount() {
     return heard.size();
   }
 
--- a/src/main/java/linengauge/vrrp/Drop.java
+++ b/src/main/java/linengauge/vrrp/DropReason.java
@@ -4,7 +4,7 @@
  * Why a datagram was not taken for an advertisement (RFC 9568, section 7.1, and what this carriage
  * adds).
  */
-public enum Drop {
+public enum DropReason {
   /**
    * From an address that is no partner's: over UDP there is no TTL of 255 to tell a neighbour by.
    */
--- a/src/main/java/linengauge/vrrp/Flaps.java
+++ b/src/main/java/linengauge/vrrp/FlapDamping.java
@@ -10,16 +10,16 @@
  * the partner is much the better machine and was restarted by hand that often: it waits for a
  * half-life or two.
  */
-final class Flaps {
+final class FlapDamping {
   private final Span halfLife;
   private final double mark;
   private double penalty;
   private Moment countedAt = Moment.DISTANT_PAST;
   private boolean holding;
 
-  Flaps(RouterTerms.Additions more) {
+  FlapDamping(RouterSettings.Extensions more) {
     this.halfLife = more.flapHalfLife();
-    this.mark = more.flapsBeforeHold();
+    this.mark = more.flapHoldThreshold();
   }
 
   private boolean counts() {
@@ -50,8 +50,8 @@
     return holding;
   }
 
-  Flaps copy(RouterTerms.Additions more) {
-    Flaps f = new Flaps(more);
+  FlapDamping copy(RouterSettings.Extensions more) {
+    FlapDamping f = new FlapDamping(more);
     f.penalty = penalty;
     f.countedAt = countedAt;
     f.holding = holding;
--- a/src/main/java/linengauge/vrrp/FitnessPenalty.java
+++ b/src/main/java/linengauge/vrrp/HealthPenalty.java
@@ -9,16 +9,16 @@
  * front that can only block; it could hurt where both fronts of a pair fall ill and recover apart:
  * each change of the better one is a handover, one in `unwellAfter` at the most.
  */
-final class FitnessPenalty {
+final class HealthPenalty {
   private final int minus;
   private final Span lasts;
   private boolean unwell;
   private boolean reported;
   private Moment reportedAt = Moment.DISTANT_PAST;
 
-  FitnessPenalty(RouterTerms.Additions more) {
-    this.minus = more.unwellMinus();
-    this.lasts = more.unwellAfter();
+  HealthPenalty(RouterSettings.Extensions more) {
+    this.minus = more.unhealthyPriorityReduction();
+    this.lasts = more.healthChangeDelay();
   }
 
   void report(boolean isUnwell, Moment now) {
@@ -40,8 +40,8 @@
     return unwell;
   }
 
-  FitnessPenalty copy(RouterTerms.Additions more) {
-    FitnessPenalty s = new FitnessPenalty(more);
+  HealthPenalty copy(RouterSettings.Extensions more) {
+    HealthPenalty s = new HealthPenalty(more);
     s.unwell = unwell;
     s.reported = reported;
     s.reportedAt = reportedAt;
--- a/src/main/java/linengauge/vrrp/BadPacket.java
+++ b/src/main/java/linengauge/vrrp/InvalidPacketException.java
@@ -1,16 +1,16 @@
 package linengauge.vrrp;
 
 /** A datagram that is no advertisement, and why. */
-public final class BadPacket extends Exception {
+public final class InvalidPacketException extends Exception {
   private static final long serialVersionUID = 1L;
-  private final Drop cause;
+  private final DropReason reason;
 
-  BadPacket(Drop cause) {
+  InvalidPacketException(DropReason cause) {
     super(cause.name(), null, false, false); // of these there may be a hundred thousand a second
-    this.cause = cause;
+    this.reason = cause;
   }
 
-  public Drop cause() {
-    return cause;
+  public DropReason reason() {
+    return reason;
   }
 }
--- a/src/main/java/linengauge/vrrp/Packets.java
+++ b/src/main/java/linengauge/vrrp/PacketCodec.java
@@ -15,7 +15,7 @@
  * |                      IPvX addresses ...                       |
  * </pre>
  */
-public final class Packets {
+public final class PacketCodec {
   private static final int VERSION = 3;
   private static final int ADVERTISEMENT = 1;
   private static final int HEADER_BYTES = 8;
@@ -32,17 +32,18 @@
    * @param pseudoHeaderForIpv4 whether IPv4 checksums cover a pseudo-header too, as routers of RFC
    *     5798 may have it; RFC 9568 (5.2.8) has one for IPv6 only
    */
-  public Packets(boolean pseudoHeaderForIpv4) {
+  public PacketCodec(boolean pseudoHeaderForIpv4) {
     this.pseudoHeaderForIpv4 = pseudoHeaderForIpv4;
   }
 
   /** The bytes of an advertisement between two addresses, which the checksum may cover. */
-  public byte[] encode(Advert a, NodeAddress from, NodeAddress to) {
+  public byte[] encode(Advertisement a, NodeAddress from, NodeAddress to) {
     int width = a.addresses().get(0).isIpv6() ? 16 : 4;
     ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + width * a.addresses().size());
     b.put((byte) (VERSION << 4 | ADVERTISEMENT)).put((byte) a.vrid()).put((byte) a.priority());
     b.put((byte) a.addresses().size());
-    b.putShort((short) (a.interval().micros() / Advert.CENTISECOND.micros())).putShort((short) 0);
+    b.putShort((short) (a.interval().micros() / Advertisement.CENTISECOND.micros()))
+        .putShort((short) 0);
     a.addresses().forEach(x -> b.put(x.bytes()));
     b.putShort(6, (short) checksum(b.array(), b.capacity(), width == 16, from, to));
     return b.array();
@@ -52,40 +53,40 @@
    * Reads an advertisement whose addresses are of the receiving address's family; the first
    * `length` bytes are it whole.
    *
-   * @throws BadPacket with what section 7.1 has it discarded for
+   * @throws InvalidPacketException with what section 7.1 has it discarded for
    */
-  public Advert decode(byte[] bytes, int length, NodeAddress from, NodeAddress to)
-      throws BadPacket {
+  public Advertisement decode(byte[] bytes, int length, NodeAddress from, NodeAddress to)
+      throws InvalidPacketException {
     int width = to.isIpv6() ? 16 : 4;
     if (length < HEADER_BYTES || length > bytes.length) {
-      throw new BadPacket(Drop.LENGTH);
+      throw new InvalidPacketException(DropReason.LENGTH);
     }
     ByteBuffer b = ByteBuffer.wrap(bytes, 0, length);
     int first = b.get() & 255;
     if (first >> 4 != VERSION) {
-      throw new BadPacket(Drop.VERSION);
+      throw new InvalidPacketException(DropReason.VERSION);
     }
     if ((first & 15) != ADVERTISEMENT) {
-      throw new BadPacket(Drop.TYPE);
+      throw new InvalidPacketException(DropReason.TYPE);
     }
     int vrid = b.get() & 255;
     int priority = b.get() & 255;
     int count = b.get() & 255;
     int centis = b.getShort() & 0xfff; // the four reserved bits are ignored on receipt (5.2.6)
     if (count == 0) {
-      throw new BadPacket(Drop.COUNT);
+      throw new InvalidPacketException(DropReason.COUNT);
     }
     if (length != HEADER_BYTES + width * count) {
-      throw new BadPacket(Drop.LENGTH);
+      throw new InvalidPacketException(DropReason.LENGTH);
     }
     if (checksum(bytes, length, to.isIpv6(), from, to) != 0) {
-      throw new BadPacket(Drop.CHECKSUM);
+      throw new InvalidPacketException(DropReason.CHECKSUM);
     }
     if (vrid == 0) {
-      throw new BadPacket(Drop.VRID);
+      throw new InvalidPacketException(DropReason.VRID);
     }
     if (centis == 0) {
-      throw new BadPacket(Drop.INTERVAL);
+      throw new InvalidPacketException(DropReason.INTERVAL);
     }
     b.getShort();
     List<NodeAddress> addresses = new ArrayList<>(count);
@@ -94,7 +95,8 @@
       b.get(one);
       addresses.add(new NodeAddress(one));
     }
-    return new Advert(vrid, priority, new Span(centis * Advert.CENTISECOND.micros()), addresses);
+    return new Advertisement(
+        vrid, priority, new Span(centis * Advertisement.CENTISECOND.micros()), addresses);
   }
 
   /**
--- a/src/main/java/linengauge/vrrp/VirtualRouter.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouter.java
@@ -99,27 +99,27 @@
    */
   public interface Port {
     /** Sends an advertisement to all partners. */
-    void send(Advert advert);
+    void send(Advertisement advert);
 
     /**
      * The shared address is this node's from now on: taken, and announced to whoever forwards to
      * it.
      */
-    void take(int vrid);
+    void acquireAddress(int vrid);
 
     /** Announced once more, as there was another that claims it. */
-    void announce(int vrid);
+    void announceAddress(int vrid);
 
     /** The shared address is this node's no longer. */
-    void giveUp(int vrid);
+    void releaseAddress(int vrid);
   }
 
   /** Counts since the start. */
   public static final class Counts {
     public long activations;
     public long stepsDown;
-    public long adverts;
-    public long woken;
+    public long advertisementsSent;
+    public long pauses;
     public long deafPartners;
     public long flaps;
   }
@@ -127,11 +127,11 @@
   /** How many assertions against a worse partner one interval of this node's bears. */
   private static final int ASSERTIONS = 4;
 
-  private final RouterTerms terms;
+  private final RouterSettings settings;
   private final Port port;
   private final Counts counts = new Counts();
-  private Flaps flaps;
-  private FitnessPenalty penalty;
+  private FlapDamping flaps;
+  private HealthPenalty penalty;
   private State state = State.INITIALIZE;
   private Moment now = Moment.DISTANT_PAST;
   private Moment downAt;
@@ -163,20 +163,20 @@
   private int deafTimes;
   private int assertionsLeft = ASSERTIONS;
 
-  public VirtualRouter(RouterTerms terms, Port port) {
-    this.terms = terms;
+  public VirtualRouter(RouterSettings terms, Port port) {
+    this.settings = terms;
     this.port = port;
     this.activeInterval = terms.interval();
-    this.flaps = new Flaps(terms.additions());
-    this.penalty = new FitnessPenalty(terms.additions());
+    this.flaps = new FlapDamping(terms.extensions());
+    this.penalty = new HealthPenalty(terms.extensions());
   }
 
   /** The same router in the same state, acting through another port. */
   protected VirtualRouter(VirtualRouter o, Port port) {
-    this.terms = o.terms;
+    this.settings = o.settings;
     this.port = port;
-    this.flaps = o.flaps.copy(terms.additions());
-    this.penalty = o.penalty.copy(terms.additions());
+    this.flaps = o.flaps.copy(settings.extensions());
+    this.penalty = o.penalty.copy(settings.extensions());
     this.state = o.state;
     this.now = o.now;
     this.downAt = o.downAt;
@@ -199,8 +199,8 @@
     return new VirtualRouter(this, other);
   }
 
-  public RouterTerms terms() {
-    return terms;
+  public RouterSettings settings() {
+    return settings;
   }
 
   public State state() {
@@ -211,22 +211,22 @@
     return counts;
   }
 
-  public boolean isUnwell() {
+  public boolean isUnhealthy() {
     return penalty.isUnwell();
   }
 
   /** Skew_Time (section 6.1). */
-  Span skew() {
+  Span skewTime() {
     return new Span((256L - priority()) * activeInterval.micros() / 256);
   }
 
   /** Active_Down_Interval (section 6.1). */
-  Span activeDown() {
-    return activeInterval.times(3).plus(skew());
+  Span activeDownInterval() {
+    return activeInterval.times(3).plus(skewTime());
   }
 
   /** When it wants to be told the time next; null: never, as it is not started. */
-  public Moment due() {
+  public Moment nextTimer() {
     return state == State.ACTIVE ? adverAt : downAt;
   }
 
@@ -235,8 +235,8 @@
    * that stands still cannot know that it was deposed, so what it holds ends by itself: no sooner
    * does any partner take over.
    */
-  public Moment servesUntil() {
-    return state == State.ACTIVE ? sentAt.plus(terms.interval().times(3)) : Moment.DISTANT_PAST;
+  public Moment leaseExpiry() {
+    return state == State.ACTIVE ? sentAt.plus(settings.interval().times(3)) : Moment.DISTANT_PAST;
   }
 
   /**
@@ -244,14 +244,14 @@
    * it keeps the address.
    */
   public int priority() {
-    if (terms.isOwner()) {
-      return RouterTerms.OWNER;
+    if (settings.isOwner()) {
+      return RouterSettings.OWNER_PRIORITY;
     }
     int minus = penalty.minus(now);
     if (minus == 0 && state == State.ACTIVE && flaps.holds(now)) {
-      return RouterTerms.OWNER - 1;
+      return RouterSettings.OWNER_PRIORITY - 1;
     }
-    return Math.max(1, terms.priority() - minus);
+    return Math.max(1, settings.priority() - minus);
   }
 
   /* ---- what happens ---- */
@@ -260,8 +260,8 @@
     tell(at);
     if (state == State.INITIALIZE) {
       saidGoodbye = false;
-      preemptFrom = now.plus(terms.additions().preemptDelay());
-      takes(terms.isOwner() ? Event.STARTUP_OF_OWNER : Event.STARTUP, null);
+      preemptFrom = now.plus(settings.extensions().preemptDelay());
+      takes(settings.isOwner() ? Event.STARTUP_OF_OWNER : Event.STARTUP, null);
     }
   }
 
@@ -280,14 +280,14 @@
    * goodbye that is lost, or is overtaken by the advertisement before it, which would cost a whole
    * Active_Down_Interval; partners bear it, as they bear any other of priority 0.
    */
-  public void farewell() {
+  public void repeatShutdown() {
     if (saidGoodbye && state == State.INITIALIZE) {
       send(0);
     }
   }
 
   /** What the front says of itself. */
-  public void unwell(boolean isUnwell, Moment at) {
+  public void setUnhealthy(boolean isUnwell, Moment at) {
     tell(at);
     penalty.report(isUnwell, now);
   }
@@ -296,15 +296,16 @@
    * Time has passed. What is due happens, or, where it is long overdue, what a node that stood
    * still must do first.
    */
-  public void clock(Moment at) {
+  public void runTimers(Moment at) {
     tell(at);
-    Moment due = due();
+    Moment due = nextTimer();
     if (due == null || now.before(due)) {
       return;
     }
     if (state == State.ACTIVE) {
       if (deafTimes > 0
-          && !now.since(worseAt).under(activeDown().times(terms.additions().deafAfter()))) {
+          && !now.since(worseAt)
+              .under(activeDownInterval().times(settings.extensions().deafAfterIntervals()))) {
         deafTimes = 0; // it has followed since
       }
       takes(Event.ADVER_TIMER, null);
@@ -321,7 +322,7 @@
   }
 
   /** An advertisement for this virtual router from a partner's address. */
-  public void heard(Advert a, NodeAddress from, Moment at) {
+  public void receive(Advertisement a, NodeAddress from, Moment at) {
     tell(at);
     if (state == State.INITIALIZE) {
       return;
@@ -335,11 +336,14 @@
     boolean follows =
         state == State.BACKUP
             ? !preempts() || a.priority() >= priority()
-            : a.priority() > priority() || a.priority() == priority() && isGreater(from);
+            : a.priority() > priority() || a.priority() == priority() && winsTie(from);
     if (state == State.ACTIVE && !follows && isDeaf()) {
       deafTimes = Math.min(deafTimes + 1, 6);
       followAnyUntil =
-          now.plus(activeDown().times(terms.additions().deafAfter()).times(1 << deafTimes));
+          now.plus(
+              activeDownInterval()
+                  .times(settings.extensions().deafAfterIntervals())
+                  .times(1 << deafTimes));
       worseSince = null;
       counts.deafPartners++;
       takes(Event.DEAF_PARTNER, a);
@@ -353,12 +357,12 @@
   }
 
   /** Ties go to the greater primary address (section 6.4.3). */
-  protected boolean isGreater(NodeAddress from) {
-    return from.compareTo(terms.own()) > 0;
+  protected boolean winsTie(NodeAddress from) {
+    return from.compareTo(settings.primaryAddress()) > 0;
   }
 
   private boolean preempts() {
-    return terms.preempt() && !now.before(preemptFrom) && !now.before(followAnyUntil);
+    return settings.preemptMode() && !now.before(preemptFrom) && !now.before(followAnyUntil);
   }
 
   /**
@@ -368,29 +372,29 @@
    * sends its old advertisements again, so it wants the keyed trailer.
    */
   private boolean isDeaf() {
-    int times = terms.additions().deafAfter();
+    int times = settings.extensions().deafAfterIntervals();
     if (times == 0) {
       return false;
     }
-    boolean goesOn = worseSince != null && now.since(worseAt).under(activeDown());
+    boolean goesOn = worseSince != null && now.since(worseAt).under(activeDownInterval());
     worseSince = goesOn ? worseSince : now;
     worseAt = now;
-    return !now.since(worseSince).under(terms.interval().times(times));
+    return !now.since(worseSince).under(settings.interval().times(times));
   }
 
   private void tell(Moment at) {
     now = now.orLater(at); // a clock that steps back tells nothing
-    Moment due = due();
-    if (!terms.additions().frozen() || due == null) {
+    Moment due = nextTimer();
+    if (!settings.extensions().detectsPauses() || due == null) {
       return;
     }
     // An Active node that said nothing for three intervals may have been deposed; one in Backup
     // that is an interval late
     // has advertisements to read before it may say that none came.
     Span late = now.since(due);
-    Span most = state == State.ACTIVE ? terms.interval().times(2) : activeInterval;
+    Span most = state == State.ACTIVE ? settings.interval().times(2) : activeInterval;
     if (!late.under(most)) {
-      counts.woken++;
+      counts.pauses++;
       deposed = false;
       takes(Event.WOKEN, null);
     }
@@ -398,7 +402,7 @@
 
   /* ---- the table, carried out ---- */
 
-  private void takes(Event event, Advert a) {
+  private void takes(Event event, Advertisement a) {
     Row row = TABLE.getOrDefault(state, Map.of()).get(event);
     if (row == null) {
       return; // section 6.4 has nothing for it
@@ -410,15 +414,15 @@
       worseSince = null;
     } else if (before == State.ACTIVE && state == State.BACKUP) {
       counts.stepsDown++;
-      takeFrom = now.plus(terms.additions().pace());
-      preemptFrom = now.plus(terms.additions().preemptDelay());
+      takeFrom = now.plus(settings.extensions().retakeDelay());
+      preemptFrom = now.plus(settings.extensions().preemptDelay());
     }
     for (Act act : row.acts) {
       act(act, a);
     }
   }
 
-  private void act(Act act, Advert a) {
+  private void act(Act act, Advertisement a) {
     switch (act) {
       case SEND -> send(priority());
       case SEND_ZERO -> {
@@ -427,17 +431,21 @@
       }
       case TAKE -> {
         deposed = false;
-        port.take(terms.vrid());
+        port.acquireAddress(settings.vrid());
       }
-      case GIVE_UP -> port.giveUp(terms.vrid());
+      case GIVE_UP -> port.releaseAddress(settings.vrid());
       case LEARN -> activeInterval = a.interval();
-      case OWN_INTERVAL -> activeInterval = terms.interval();
+      case OWN_INTERVAL -> activeInterval = settings.interval();
       case ARM_ADVER -> {
-        adverAt = now.plus(new Span(terms.interval().micros() / terms.additions().perInterval()));
+        adverAt =
+            now.plus(
+                new Span(
+                    settings.interval().micros()
+                        / settings.extensions().advertisementsPerInterval()));
         assertionsLeft = ASSERTIONS;
       }
-      case ARM_DOWN -> downAt = now.plus(activeDown());
-      case ARM_SKEW -> downAt = now.plus(skew());
+      case ARM_DOWN -> downAt = now.plus(activeDownInterval());
+      case ARM_SKEW -> downAt = now.plus(skewTime());
       case DISARM -> {
         downAt = null;
         adverAt = null;
@@ -448,7 +456,7 @@
         if (assertionsLeft > 0) {
           assertionsLeft--;
           send(priority());
-          port.announce(terms.vrid());
+          port.announceAddress(settings.vrid());
         }
       }
     }
@@ -456,13 +464,14 @@
 
   private void send(int priority) {
     sentAt = now;
-    counts.adverts++;
-    port.send(new Advert(terms.vrid(), priority, terms.interval(), terms.addresses()));
+    counts.advertisementsSent++;
+    port.send(
+        new Advertisement(settings.vrid(), priority, settings.interval(), settings.addresses()));
   }
 
   /** What tells two states apart, with moments as seen from a moment; for exploring. */
-  public List<Long> mark(Moment from) {
-    long far = terms.interval().micros() * 1000;
+  public List<Long> fingerprint(Moment from) {
+    long far = settings.interval().micros() * 1000;
     return List.of(
         (long) state.ordinal(),
         ahead(downAt, from, far),
--- a/src/main/java/linengauge/vrrp/VirtualRouters.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouters.java
@@ -18,32 +18,32 @@
  */
 public final class VirtualRouters {
   /** The node on its wire. */
-  public interface Wire {
+  public interface Network {
     /** Sends to one partner, or to the group; it may be lost. */
     void send(byte[] datagram, NodeAddress to);
 
     /** The shared address of a virtual router is this node's. */
-    void take(int vrid);
+    void acquireAddress(int vrid);
 
-    void announce(int vrid);
+    void announceAddress(int vrid);
 
-    void giveUp(int vrid);
+    void releaseAddress(int vrid);
   }
 
   private final NodeAddress own;
   private final List<NodeAddress> destinations;
   private final Set<NodeAddress> known;
-  private final Packets packets;
-  private final Seal seal;
-  private final Wire wire;
+  private final PacketCodec packets;
+  private final DatagramAuthenticator seal;
+  private final Network wire;
 
   /** By number, as set up; none comes or goes while it runs. */
   private final Map<Integer, VirtualRouter> routers = new TreeMap<>();
 
-  private final Map<Drop, Long> drops = new EnumMap<>(Drop.class);
-  private long heard;
-  private long otherAddresses;
-  private long otherIntervals;
+  private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
+  private long receivedCount;
+  private long addressMismatches;
+  private long intervalMismatches;
 
   /**
    * Datagrams are not rationed by sender: without a key, garbage in a partner's name would use up
@@ -59,49 +59,49 @@
       NodeAddress own,
       List<NodeAddress> partners,
       NodeAddress group,
-      List<RouterTerms> routers,
-      Packets packets,
-      Seal seal,
-      Wire wire) {
+      List<RouterSettings> routers,
+      PacketCodec packets,
+      DatagramAuthenticator seal,
+      Network wire) {
     this.own = own;
     this.destinations = group == null ? List.copyOf(partners) : List.of(group);
     this.known = new HashSet<>(partners);
     this.packets = packets;
     this.seal = seal;
     this.wire = wire;
-    for (RouterTerms t : routers) {
+    for (RouterSettings t : routers) {
       this.routers.put(
           t.vrid(),
           new VirtualRouter(
               t,
               new VirtualRouter.Port() {
                 @Override
-                public void send(Advert a) {
+                public void send(Advertisement a) {
                   VirtualRouters.this.send(a);
                 }
 
                 @Override
-                public void take(int vrid) {
-                  wire.take(vrid);
+                public void acquireAddress(int vrid) {
+                  wire.acquireAddress(vrid);
                 }
 
                 @Override
-                public void announce(int vrid) {
-                  wire.announce(vrid);
+                public void announceAddress(int vrid) {
+                  wire.announceAddress(vrid);
                 }
 
                 @Override
-                public void giveUp(int vrid) {
-                  wire.giveUp(vrid);
+                public void releaseAddress(int vrid) {
+                  wire.releaseAddress(vrid);
                 }
               }));
     }
   }
 
-  private void send(Advert a) {
+  private void send(Advertisement a) {
     for (NodeAddress to : destinations) {
       byte[] bytes = packets.encode(a, own, to);
-      wire.send(seal == null ? bytes : seal.seal(bytes, own), to);
+      wire.send(seal == null ? bytes : seal.sign(bytes, own), to);
     }
   }
 
@@ -114,25 +114,25 @@
   }
 
   /** Goodbyes said once more. */
-  public void farewell() {
-    routers.values().forEach(VirtualRouter::farewell);
+  public void repeatShutdown() {
+    routers.values().forEach(VirtualRouter::repeatShutdown);
   }
 
   /** The front is fit to hold addresses, or not. */
-  public void unwell(boolean isUnwell, Moment now) {
-    routers.values().forEach(r -> r.unwell(isUnwell, now));
+  public void setUnhealthy(boolean isUnwell, Moment now) {
+    routers.values().forEach(r -> r.setUnhealthy(isUnwell, now));
   }
 
   /** Time has passed; every router that is due acts. */
-  public void clock(Moment now) {
-    routers.values().forEach(r -> r.clock(now));
+  public void runTimers(Moment now) {
+    routers.values().forEach(r -> r.runTimers(now));
   }
 
   /** When the first router is due; null where none ever is. */
-  public Moment due() {
+  public Moment nextTimer() {
     Moment first = null;
     for (VirtualRouter r : routers.values()) {
-      Moment due = r.due();
+      Moment due = r.nextTimer();
       first = due != null && (first == null || due.before(first)) ? due : first;
     }
     return first;
@@ -142,33 +142,33 @@
    * A datagram of so many bytes from an address to this node's or the group's. What is no
    * advertisement for a router here is counted by its cause.
    */
-  public void heard(byte[] bytes, int length, NodeAddress from, NodeAddress to, Moment now) {
+  public void receive(byte[] bytes, int length, NodeAddress from, NodeAddress to, Moment now) {
     try {
       if (from.equals(own)) {
-        throw new BadPacket(Drop.OWN);
+        throw new InvalidPacketException(DropReason.OWN);
       }
       if (!known.contains(from)) {
-        throw new BadPacket(Drop.FOREIGN_SENDER);
+        throw new InvalidPacketException(DropReason.FOREIGN_SENDER);
       }
       int packet = length;
       if (seal != null) {
-        packet = seal.open(bytes, length, from);
+        packet = seal.verify(bytes, length, from);
       }
-      Advert a = packets.decode(bytes, packet, from, to);
+      Advertisement a = packets.decode(bytes, packet, from, to);
       VirtualRouter r = routers.get(a.vrid());
       if (r == null) {
-        throw new BadPacket(Drop.VRID);
+        throw new InvalidPacketException(DropReason.VRID);
       }
-      if (r.terms().isOwner()) {
-        throw new BadPacket(Drop.OWNER); // 7.1: the owner hears nobody
+      if (r.settings().isOwner()) {
+        throw new InvalidPacketException(DropReason.OWNER); // 7.1: the owner hears nobody
       }
-      heard++;
+      receivedCount++;
       // Section 7.1: told to the operators, and heard all the same.
-      otherAddresses += sorted(a.addresses()).equals(sorted(r.terms().addresses())) ? 0 : 1;
-      otherIntervals += a.interval().equals(r.terms().interval()) ? 0 : 1;
-      r.heard(a, from, now);
-    } catch (BadPacket e) {
-      drops.merge(e.cause(), 1L, Long::sum);
+      addressMismatches += sorted(a.addresses()).equals(sorted(r.settings().addresses())) ? 0 : 1;
+      intervalMismatches += a.interval().equals(r.settings().interval()) ? 0 : 1;
+      r.receive(a, from, now);
+    } catch (InvalidPacketException e) {
+      drops.merge(e.reason(), 1L, Long::sum);
     }
   }
 
@@ -183,30 +183,30 @@
   }
 
   /** Datagrams that were no advertisement, by cause. */
-  public Map<Drop, Long> drops() {
+  public Map<DropReason, Long> drops() {
     return Map.copyOf(drops);
   }
 
-  public long heard() {
-    return heard;
+  public long receivedCount() {
+    return receivedCount;
   }
 
   /**
    * Advertisements that name other addresses, or another interval, than this node is set up with.
    */
-  public long otherAddresses() {
-    return otherAddresses;
+  public long addressMismatches() {
+    return addressMismatches;
   }
 
-  public long otherIntervals() {
-    return otherIntervals;
+  public long intervalMismatches() {
+    return intervalMismatches;
   }
 
   /** The longest that any router here waits for a silent partner, as things stand. */
-  public Span longestDown() {
+  public Span maxActiveDownInterval() {
     Span most = Span.NONE;
     for (VirtualRouter r : routers.values()) {
-      most = most.orMore(r.activeDown());
+      most = most.orMore(r.activeDownInterval());
     }
     return most;
   }
--- a/src/main/java/linengauge/vrrp/explore/Plan.java
+++ b/src/main/java/linengauge/vrrp/explore/ExplorationPlan.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import linengauge.Span;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.RouterTerms;
+import linengauge.vrrp.RouterSettings;
 import linengauge.vrrp.VirtualRouter;
 
 /**
@@ -11,40 +11,41 @@
  *
  * @param priorities of the nodes, 2 or 3 of them; addresses rise with their numbers
  * @param depth how many things happen while troubles may come
- * @param faults how many troubles there are at the most
- * @param maker makes the routers: the real ones, or planted ones that the exploration must find
+ * @param maxFaults how many troubles there are at the most
+ * @param routerFactory makes the routers: the real ones, or planted ones that the exploration must
+ *     find
  */
-public record Plan(
+public record ExplorationPlan(
     List<Integer> priorities,
     boolean preempt,
-    RouterTerms.Additions additions,
+    RouterSettings.Extensions extensions,
     int depth,
-    int faults,
-    Maker maker) {
+    int maxFaults,
+    RouterFactory routerFactory) {
   /** Makes a router of a node. */
-  public interface Maker {
-    VirtualRouter make(RouterTerms terms, VirtualRouter.Port port);
+  public interface RouterFactory {
+    VirtualRouter create(RouterSettings terms, VirtualRouter.Port port);
   }
 
   static final Span INTERVAL = Span.ofMillis(1000);
 
-  public Plan {
+  public ExplorationPlan {
     priorities = List.copyOf(priorities);
   }
 
   /**
    * The additions with spans so short that all of them come to act, and end, within an exploration.
    */
-  public static RouterTerms.Additions shortAdditions() {
-    return new RouterTerms.Additions(
+  public static RouterSettings.Extensions shortExtensions() {
+    return new RouterSettings.Extensions(
         1, true, INTERVAL, INTERVAL, INTERVAL.times(2), 2, 4, 0, Span.NONE);
   }
 
-  int nodes() {
+  int nodeCount() {
     return priorities.size();
   }
 
-  Span delay() {
+  Span messageDelay() {
     return INTERVAL.times(0.02);
   }
 
@@ -52,16 +53,16 @@
    * After this without troubles one node must be Active, and stay so: some Active_Down_Intervals,
    * and all holds.
    */
-  Span settles() {
-    return INTERVAL.times(additions.equals(RouterTerms.Additions.NONE) ? 16 : 60);
+  Span settlingTime() {
+    return INTERVAL.times(extensions.equals(RouterSettings.Extensions.NONE) ? 16 : 60);
   }
 
   NodeAddress address(int node) {
     return NodeAddress.of(10, 0, 0, 1 + node);
   }
 
-  RouterTerms terms(int node) {
-    return new RouterTerms(
+  RouterSettings settings(int node) {
+    return new RouterSettings(
         1,
         priorities.get(node),
         INTERVAL,
@@ -69,6 +70,6 @@
         true,
         List.of(NodeAddress.of(10, 0, 0, 100)),
         address(node),
-        additions);
+        extensions);
   }
 }
--- a/src/main/java/linengauge/vrrp/explore/Explorer.java
+++ b/src/main/java/linengauge/vrrp/explore/Explorer.java
@@ -15,12 +15,12 @@
  */
 public final class Explorer {
   /** A broken property with the schedule that leads to it; null where none is. */
-  public record Found(String what, List<String> schedule) {}
+  public record Violation(String description, List<String> schedule) {}
 
   /** What an exploration came to. */
-  public record Outcome(long schedules, long states, Found found) {
-    public boolean held() {
-      return found == null;
+  public record Outcome(long schedules, long states, Violation violation) {
+    public boolean passed() {
+      return violation == null;
     }
   }
 
@@ -35,25 +35,25 @@
     }
   }
 
-  private final Plan plan;
+  private final ExplorationPlan plan;
 
   /** States met, with what was still allowed in them; bounded by the plan's depth and faults. */
   private final Map<List<Object>, Integer> met = new HashMap<>();
 
   private long schedules;
-  private Found found;
+  private Violation found;
 
-  private Explorer(Plan plan) {
+  private Explorer(ExplorationPlan plan) {
     this.plan = plan;
   }
 
-  public static Outcome explore(Plan plan) {
+  public static Outcome explore(ExplorationPlan plan) {
     Explorer e = new Explorer(plan);
-    e.go(new World(plan), plan.depth(), plan.faults(), null);
+    e.go(new NetworkState(plan), plan.depth(), plan.maxFaults(), null);
     return new Outcome(e.schedules, e.met.size(), e.found);
   }
 
-  private void go(World w, int depth, int faults, Trail trail) {
+  private void go(NetworkState w, int depth, int faults, Trail trail) {
     if (found != null) {
       return;
     }
@@ -66,55 +66,55 @@
     met.put(mark, depth);
     if (depth == 0 || faults == 0) {
       schedules++;
-      settle(new World(w), trail, faults == plan.faults());
+      settle(new NetworkState(w), trail, faults == plan.maxFaults());
       return;
     }
     if (faults > 0) {
       faultsOfNextMessage(w, depth, faults, trail);
-      for (int n = 0; n < plan.nodes(); n++) {
+      for (int n = 0; n < plan.nodeCount(); n++) {
         troublesOf(w, n, depth, faults, trail);
       }
     }
     if (w.nextAt() == null) {
       return; // all are down, and nothing is on its way
     }
-    World on = new World(w);
+    NetworkState on = new NetworkState(w);
     String broken = on.step();
     if (broken != null) {
-      found = new Found(broken, trail == null ? List.of() : trail.all());
+      found = new Violation(broken, trail == null ? List.of() : trail.all());
       return;
     }
     go(on, depth - 1, faults, trail);
   }
 
-  private void faultsOfNextMessage(World w, int depth, int faults, Trail trail) {
-    World.Message next = w.nextMessage();
+  private void faultsOfNextMessage(NetworkState w, int depth, int faults, Trail trail) {
+    NetworkState.Message next = w.nextMessage();
     if (next == null) {
       return;
     }
     String way = next.from() + " to " + next.to();
-    World lost = new World(w);
+    NetworkState lost = new NetworkState(w);
     lost.lose(next);
     go(lost, depth - 1, faults - 1, note(trail, w, "lost: " + way));
-    World late = new World(w);
-    late.delay(next, Plan.INTERVAL.times(0.7));
+    NetworkState late = new NetworkState(w);
+    late.delay(next, ExplorationPlan.INTERVAL.times(0.7));
     go(late, depth - 1, faults - 1, note(trail, w, "late: " + way));
   }
 
-  private void troublesOf(World w, int n, int depth, int faults, Trail trail) {
+  private void troublesOf(NetworkState w, int n, int depth, int faults, Trail trail) {
     if (!w.isUp(n)) {
-      World restarted = new World(w);
+      NetworkState restarted = new NetworkState(w);
       restarted.restart(n);
       go(restarted, depth - 1, faults - 1, note(trail, w, "starts: " + n));
       return;
     }
-    World crashed = new World(w);
+    NetworkState crashed = new NetworkState(w);
     crashed.crash(n);
     go(crashed, depth - 1, faults - 1, note(trail, w, "crashes: " + n));
     if (!w.isFrozen(n)) {
       for (double intervals : new double[] {1.5, 6}) {
-        World frozen = new World(w);
-        frozen.freeze(n, Plan.INTERVAL.times(intervals));
+        NetworkState frozen = new NetworkState(w);
+        frozen.freeze(n, ExplorationPlan.INTERVAL.times(intervals));
         go(
             frozen,
             depth - 1,
@@ -122,11 +122,11 @@
             note(trail, w, "stands still for " + intervals + " intervals: " + n));
       }
     }
-    for (int to = 0; to < plan.nodes(); to++) {
+    for (int to = 0; to < plan.nodeCount(); to++) {
       if (to == n) {
         continue;
       }
-      World oneWay = new World(w);
+      NetworkState oneWay = new NetworkState(w);
       oneWay.cut(n, to, !w.isCut(n, to));
       go(
           oneWay,
@@ -134,7 +134,7 @@
           faults - 1,
           note(trail, w, (w.isCut(n, to) ? "heard again: " : "not heard: ") + n + " by " + to));
       if (to > n) {
-        World both = new World(w);
+        NetworkState both = new NetworkState(w);
         both.cut(n, to, !w.isCut(n, to));
         both.cut(to, n, !w.isCut(n, to));
         go(
@@ -146,16 +146,16 @@
     }
   }
 
-  private static Trail note(Trail trail, World w, String choice) {
+  private static Trail note(Trail trail, NetworkState w, String choice) {
     return new Trail(
         trail, String.format(java.util.Locale.ROOT, "%.2f s %s", w.now().micros() / 1e6, choice));
   }
 
   /** Troubles are over: one node is to be Active within a stated time, and to stay it. */
-  private void settle(World w, Trail trail, boolean noTrouble) {
+  private void settle(NetworkState w, Trail trail, boolean noTrouble) {
     w.heal();
-    Moment settled = w.now().plus(plan.settles());
-    Moment end = settled.plus(Plan.INTERVAL.times(8));
+    Moment settled = w.now().plus(plan.settlingTime());
+    Moment end = settled.plus(ExplorationPlan.INTERVAL.times(8));
     List<Integer> then = null;
     String broken = null;
     for (Moment at = w.nextAt(); broken == null && at != null && at.before(end); at = w.nextAt()) {
@@ -166,18 +166,18 @@
       broken = broken == null ? w.step() : broken;
       broken = broken == null && then != null ? changed(w, then, settled) : broken;
     }
-    if (broken == null && noTrouble && w.activations() > (allEqual() ? plan.nodes() : 1)) {
+    if (broken == null && noTrouble && w.activations() > (allEqual() ? plan.nodeCount() : 1)) {
       broken = "Active changed with no trouble at all";
     }
     if (broken != null) {
-      found = new Found(broken, trail == null ? List.of() : trail.all());
+      found = new Violation(broken, trail == null ? List.of() : trail.all());
     }
   }
 
   /**
    * What is said of an Active that is another than at the time of settling; null: it is the same.
    */
-  private String changed(World w, List<Integer> then, Moment settled) {
+  private String changed(NetworkState w, List<Integer> then, Moment settled) {
     return then.equals(w.active())
         ? null
         : "Active changed from "
@@ -185,7 +185,7 @@
             + " to "
             + w.active()
             + " with no trouble for "
-            + w.now().since(settled).plus(plan.settles()).seconds()
+            + w.now().since(settled).plus(plan.settlingTime()).seconds()
             + " s";
   }
 
@@ -194,10 +194,10 @@
   }
 
   /** What is wrong with who is Active once things have settled; null: nothing. */
-  private String wrong(World w, List<Integer> active) {
+  private String wrong(NetworkState w, List<Integer> active) {
     int up = 0;
     int best = -1;
-    for (int n = 0; n < plan.nodes(); n++) {
+    for (int n = 0; n < plan.nodeCount(); n++) {
       if (w.isUp(n)) {
         up++;
         best = best < 0 || plan.priorities().get(n) > plan.priorities().get(best) ? n : best;
@@ -206,7 +206,7 @@
     if (up == 0) {
       return active.isEmpty() ? null : "Active " + active + " and none is up";
     }
-    Span after = plan.settles();
+    Span after = plan.settlingTime();
     if (active.size() != 1) {
       return "Active " + active + " after " + after.seconds() + " s without trouble";
     }
--- a/src/main/java/linengauge/vrrp/explore/World.java
+++ b/src/main/java/linengauge/vrrp/explore/NetworkState.java
@@ -4,13 +4,13 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.vrrp.Advert;
+import linengauge.vrrp.Advertisement;
 import linengauge.vrrp.VirtualRouter;
 
 /** Some nodes and the wire between them at one moment; copied before each choice. */
-final class World {
+final class NetworkState {
   /** An advertisement on its way. */
-  record Message(int from, int to, Advert advert, Moment at) {
+  record Message(int from, int to, Advertisement advert, Moment at) {
     Message later(Moment then) {
       return new Message(from, to, advert, then);
     }
@@ -27,42 +27,42 @@
     }
 
     @Override
-    public void send(Advert a) {
+    public void send(Advertisement a) {
       sentInStep += a.priority() > 0 ? 1 : 0;
       for (int to = 0; to < nodes.size(); to++) {
         if (to != number && !cut[number][to]) {
-          onTheWay.add(new Message(number, to, a, now.plus(plan.delay())));
+          onTheWay.add(new Message(number, to, a, now.plus(plan.messageDelay())));
         }
       }
     }
 
     @Override
-    public void take(int vrid) {
+    public void acquireAddress(int vrid) {
       // who holds the address is told by the routers' states
     }
 
     @Override
-    public void announce(int vrid) {
+    public void announceAddress(int vrid) {
       // as above
     }
 
     @Override
-    public void giveUp(int vrid) {
+    public void releaseAddress(int vrid) {
       // as above
     }
   }
 
-  private final Plan plan;
+  private final ExplorationPlan plan;
   private final List<Node> nodes = new ArrayList<>();
   private final List<Message> onTheWay = new ArrayList<>();
   private final boolean[][] cut;
   private Moment now = new Moment(0);
   private int sentInStep;
 
-  World(Plan plan) {
+  NetworkState(ExplorationPlan plan) {
     this.plan = plan;
-    this.cut = new boolean[plan.nodes()][plan.nodes()];
-    for (int i = 0; i < plan.nodes(); i++) {
+    this.cut = new boolean[plan.nodeCount()][plan.nodeCount()];
+    for (int i = 0; i < plan.nodeCount(); i++) {
       nodes.add(new Node(i));
     }
     for (Node n : nodes) {
@@ -70,7 +70,7 @@
     }
   }
 
-  World(World o) {
+  NetworkState(NetworkState o) {
     this.plan = o.plan;
     this.cut = new boolean[o.cut.length][];
     for (int i = 0; i < cut.length; i++) {
@@ -88,7 +88,7 @@
   }
 
   private void start(Node n) {
-    n.router = plan.maker().make(plan.terms(n.number), n);
+    n.router = plan.routerFactory().create(plan.settings(n.number), n);
     n.up = true;
     n.router.start(now);
   }
@@ -144,7 +144,7 @@
   private Moment nextTimer() {
     Moment first = null;
     for (Node n : nodes) {
-      Moment at = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.due();
+      Moment at = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.nextTimer();
       first = at != null && (first == null || at.before(first)) ? at : first;
     }
     return first;
@@ -166,7 +166,7 @@
     Moment at = nextTimer();
     now = now.orLater(at);
     for (Node n : nodes) {
-      Moment due = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.due();
+      Moment due = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.nextTimer();
       if (due != null && due.equals(at)) {
         return wakes(n);
       }
@@ -179,11 +179,11 @@
     boolean overdue =
         thaws
             && n.router.state() == VirtualRouter.State.ACTIVE
-            && !now.before(n.router.servesUntil());
+            && !now.before(n.router.leaseExpiry());
     n.frozenUntil = null;
     sentInStep = 0;
-    n.router.clock(now);
-    return overdue && plan.additions().frozen() && sentInStep > 0
+    n.router.runTimers(now);
+    return overdue && plan.extensions().detectsPauses() && sentInStep > 0
         ? "node " + n.number + " sent as Active in the step in which it woke after too long"
         : null;
   }
@@ -209,7 +209,7 @@
                 || m.advert.priority() == n.router.priority()
                     && m.from > m.to); // addresses rise with numbers
     sentInStep = 0;
-    n.router.heard(m.advert, plan.address(m.from), now);
+    n.router.receive(m.advert, plan.address(m.from), now);
     return better && sentInStep > 0
         ? "node " + n.number + " sent as Active in the step in which it heard a better one"
         : null;
@@ -258,7 +258,7 @@
   List<Object> mark() {
     List<Object> all = new ArrayList<>();
     for (Node n : nodes) {
-      all.add(n.up ? n.router.mark(now) : List.of());
+      all.add(n.up ? n.router.fingerprint(now) : List.of());
       all.add(n.frozenUntil == null ? -1L : n.frozenUntil.since(now).micros());
     }
     for (Message m : onTheWay) {
--- a/src/main/java/linengauge/vrrp/udp/Lease.java
+++ b/src/main/java/linengauge/vrrp/udp/AddressLease.java
@@ -5,14 +5,14 @@
  * itself where the node is not heard to say that it still holds it, so that one that stood still
  * serves nobody before it knows what happened.
  */
-public final class Lease {
+public final class AddressLease {
   private volatile long until = Long.MIN_VALUE;
 
-  void until(long micros) {
+  void renewUntil(long micros) {
     until = micros;
   }
 
-  public boolean holds() {
+  public boolean isHeld() {
     return System.nanoTime() / 1000 < until;
   }
 }
--- a/src/main/java/linengauge/vrrp/udp/UdpNode.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNode.java
@@ -18,11 +18,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 import linengauge.Moment;
-import linengauge.vrrp.Drop;
+import linengauge.vrrp.DatagramAuthenticator;
+import linengauge.vrrp.DropReason;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.Packets;
-import linengauge.vrrp.RouterTerms;
-import linengauge.vrrp.Seal;
+import linengauge.vrrp.PacketCodec;
+import linengauge.vrrp.RouterSettings;
 import linengauge.vrrp.VirtualRouter;
 import linengauge.vrrp.VirtualRouters;
 import net.logstash.logback.argument.StructuredArguments;
@@ -41,7 +41,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(UdpNode.class);
 
   /** The name of the thread of each node. */
-  public static final String THREAD = "vrrp";
+  public static final String THREAD_NAME = "vrrp";
 
   private static final int FAREWELLS = 3;
   private static final int FAREWELL_MS = 8;
@@ -51,18 +51,18 @@
   private static final byte GIVEN_UP = 0;
 
   /** What the front wants to hear; on the node's thread, to be over at once. */
-  public interface Owner {
-    void took(int vrid);
+  public interface OwnershipListener {
+    void addressAcquired(int vrid);
 
-    void gaveUp(int vrid);
+    void addressReleased(int vrid);
   }
 
-  private final UdpTerms terms;
-  private final Owner owner;
+  private final UdpNodeSettings terms;
+  private final OwnershipListener owner;
   private final BooleanSupplier unwell;
   private final VirtualRouters routers;
   private final Map<NodeAddress, InetSocketAddress> partners = new LinkedHashMap<>();
-  private final Map<Integer, Lease> leases = new TreeMap<>();
+  private final Map<Integer, AddressLease> leases = new TreeMap<>();
   private final ByteBuffer in = ByteBuffer.allocate(LARGEST);
   private final NodeAddress own;
   private final NodeAddress group;
@@ -72,7 +72,7 @@
   /** Hears the group; null where there is none. */
   private final DatagramChannel groupChannel;
 
-  private final Thread thread = new Thread(this::run, THREAD);
+  private final Thread thread = new Thread(this::run, THREAD_NAME);
   private final CountDownLatch ended = new CountDownLatch(1);
 
   /** How late advertisements go out, microseconds. */
@@ -90,7 +90,8 @@
    * @param unwell asked at every turn: is the front unfit to hold the address? Must answer without
    *     waiting.
    */
-  public UdpNode(UdpTerms terms, Owner owner, BooleanSupplier unwell) throws IOException {
+  public UdpNode(UdpNodeSettings terms, OwnershipListener owner, BooleanSupplier unwell)
+      throws IOException {
     this.terms = terms;
     this.owner = owner;
     this.unwell = unwell;
@@ -98,20 +99,25 @@
     for (InetSocketAddress p : terms.partners()) {
       partners.put(new NodeAddress(p.getAddress().getAddress()), p);
     }
-    for (RouterTerms r : terms.routers()) {
-      leases.put(r.vrid(), new Lease());
+    for (RouterSettings r : terms.routers()) {
+      leases.put(r.vrid(), new AddressLease());
     }
-    Seal seal =
-        terms.key() == null ? null : new Seal(terms.key(), System.currentTimeMillis() * 1000);
+    DatagramAuthenticator seal =
+        terms.authenticationKey() == null
+            ? null
+            : new DatagramAuthenticator(
+                terms.authenticationKey(), System.currentTimeMillis() * 1000);
     this.group =
-        terms.group() == null ? null : new NodeAddress(terms.group().getAddress().getAddress());
+        terms.multicastGroup() == null
+            ? null
+            : new NodeAddress(terms.multicastGroup().getAddress().getAddress());
     this.routers =
         new VirtualRouters(
             own,
             List.copyOf(partners.keySet()),
             group,
             terms.routers(),
-            new Packets(terms.pseudoHeaderForIpv4()),
+            new PacketCodec(terms.pseudoHeaderForIpv4()),
             seal,
             new RouterWire());
     selector = Selector.open();
@@ -134,10 +140,10 @@
   }
 
   /** What the routers act through; called on this node's thread alone. */
-  private final class RouterWire implements VirtualRouters.Wire {
+  private final class RouterWire implements VirtualRouters.Network {
     @Override
     public void send(byte[] datagram, NodeAddress to) {
-      sendTo(datagram, to.equals(group) ? terms.group() : partners.get(to));
+      sendTo(datagram, to.equals(group) ? terms.multicastGroup() : partners.get(to));
       if (datagram[2] != 0) {
         // as bridges learn from the source of each (RFC 9568, 7.2)
         tell(TAKEN, datagram[1] & 255);
@@ -145,23 +151,23 @@
     }
 
     @Override
-    public void take(int vrid) {
+    public void acquireAddress(int vrid) {
       took(vrid);
     }
 
     @Override
-    public void announce(int vrid) {
+    public void announceAddress(int vrid) {
       tell(TAKEN, vrid);
     }
 
     @Override
-    public void giveUp(int vrid) {
+    public void releaseAddress(int vrid) {
       gaveUp(vrid);
     }
   }
 
   private void bind() throws IOException {
-    channel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBytes());
+    channel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBufferBytes());
     channel.bind(terms.listen());
     channel.configureBlocking(false);
     channel.register(selector, SelectionKey.OP_READ);
@@ -171,14 +177,14 @@
   }
 
   private void join() throws IOException {
-    NetworkInterface at = NetworkInterface.getByName(terms.groupInterface());
+    NetworkInterface at = NetworkInterface.getByName(terms.multicastInterface());
     if (at == null) {
-      throw new IOException("no network interface " + terms.groupInterface());
+      throw new IOException("no network interface " + terms.multicastInterface());
     }
     groupChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-    groupChannel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBytes());
-    groupChannel.bind(terms.group());
-    groupChannel.join(terms.group().getAddress(), at);
+    groupChannel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBufferBytes());
+    groupChannel.bind(terms.multicastGroup());
+    groupChannel.join(terms.multicastGroup().getAddress(), at);
     groupChannel.configureBlocking(false);
     groupChannel.register(selector, SelectionKey.OP_READ);
     channel.setOption(StandardSocketOptions.IP_MULTICAST_IF, at);
@@ -190,22 +196,22 @@
     thread.start();
   }
 
-  public Lease lease(int vrid) {
+  public AddressLease lease(int vrid) {
     return leases.get(vrid);
   }
 
   /**
    * Says goodbye (priority 0 where Active), gives up what it holds, and ends; does not wait for it.
    */
-  public void leave() {
+  public void initiateShutdown() {
     closing = true;
     selector.wakeup();
   }
 
-  /** {@link #leave}, waited for, a second at most. */
+  /** {@link #initiateShutdown}, waited for, a second at most. */
   @Override
   public void close() {
-    leave();
+    initiateShutdown();
     try {
       if (thread.isAlive()) {
         ended.await(1, TimeUnit.SECONDS);
@@ -236,7 +242,7 @@
       publish();
       for (int i = 0; i < FAREWELLS; i++) {
         Thread.sleep(FAREWELL_MS);
-        routers.farewell();
+        routers.repeatShutdown();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -250,7 +256,7 @@
   }
 
   private void turn() throws IOException {
-    Moment due = routers.due();
+    Moment due = routers.nextTimer();
     long wait = due == null ? 1000 : Math.min(1000, (due.since(now()).micros() + 999) / 1000);
     if (wait > 0) {
       selector.select(wait);
@@ -263,18 +269,18 @@
       read(groupChannel, group);
     }
     Moment now = now();
-    Moment was = routers.due();
-    routers.unwell(unwell.getAsBoolean(), now);
+    Moment was = routers.nextTimer();
+    routers.setUnhealthy(unwell.getAsBoolean(), now);
     if (was != null && !now.before(was)) {
       late.recordValue(Math.min(59_000_000L, now.since(was).micros()));
     }
-    routers.clock(now);
+    routers.runTimers(now);
     publish();
   }
 
   /** What has come, as far as one turn goes; the rest is read after the timers were looked at. */
   private void read(DatagramChannel from, NodeAddress to) {
-    for (int i = 0; i < terms.atOnce(); i++) {
+    for (int i = 0; i < terms.maxReadsPerIteration(); i++) {
       in.clear();
       InetSocketAddress sender;
       try {
@@ -287,14 +293,14 @@
       }
       NodeAddress by = new NodeAddress(sender.getAddress().getAddress());
       if (from == channel || !by.equals(own)) { // a group gives back what was sent to it
-        routers.heard(in.array(), in.position(), by, to, now());
+        routers.receive(in.array(), in.position(), by, to, now());
       }
     }
   }
 
   private void publish() {
     for (VirtualRouter r : routers.routers()) {
-      leases.get(r.terms().vrid()).until(r.servesUntil().micros());
+      leases.get(r.settings().vrid()).renewUntil(r.leaseExpiry().micros());
     }
     long now = System.nanoTime() / 1000;
     if (now >= seenNext || closing) {
@@ -308,28 +314,28 @@
     for (VirtualRouter r : routers.routers()) {
       Map<String, Object> m = new LinkedHashMap<>();
       VirtualRouter.Counts c = r.counts();
-      m.put("vrid", r.terms().vrid());
+      m.put("vrid", r.settings().vrid());
       m.put("state", r.state().name());
       m.put("priority", r.priority());
-      m.put("unwell", r.isUnwell());
+      m.put("unwell", r.isUnhealthy());
       m.put("activations", c.activations);
       m.put("stepsDown", c.stepsDown);
-      m.put("adverts", c.adverts);
-      m.put("woken", c.woken);
+      m.put("adverts", c.advertisementsSent);
+      m.put("woken", c.pauses);
       m.put("deafPartners", c.deafPartners);
       m.put("flaps", c.flaps);
       all.add(m);
     }
     Map<String, Object> m = new LinkedHashMap<>();
     m.put("routers", all);
-    m.put("heard", routers.heard());
+    m.put("heard", routers.receivedCount());
     Map<String, Long> drops = new TreeMap<>();
-    for (Map.Entry<Drop, Long> d : routers.drops().entrySet()) {
+    for (Map.Entry<DropReason, Long> d : routers.drops().entrySet()) {
       drops.put(d.getKey().name(), d.getValue());
     }
     m.put("dropped", drops);
-    m.put("otherAddresses", routers.otherAddresses());
-    m.put("otherIntervals", routers.otherIntervals());
+    m.put("otherAddresses", routers.addressMismatches());
+    m.put("otherIntervals", routers.intervalMismatches());
     m.put("sendsFailed", sendsFailed);
     m.put("lateMicrosP50", late.getValueAtPercentile(50));
     m.put("lateMicrosP999", late.getValueAtPercentile(99.9));
@@ -338,25 +344,25 @@
   }
 
   /** What it saw at its last turn, for the control address: names of JSON and plain values. */
-  public Map<String, Object> state() {
+  public Map<String, Object> snapshot() {
     return seen;
   }
 
   private void took(int vrid) {
     LOG.info("shared address taken {}", StructuredArguments.kv("vrid", vrid));
     tell(TAKEN, vrid);
-    owner.took(vrid);
+    owner.addressAcquired(vrid);
   }
 
   private void gaveUp(int vrid) {
     LOG.info("shared address given up {}", StructuredArguments.kv("vrid", vrid));
-    leases.get(vrid).until(Long.MIN_VALUE); // before anything else is done
+    leases.get(vrid).renewUntil(Long.MIN_VALUE); // before anything else is done
     tell(GIVEN_UP, vrid);
-    owner.gaveUp(vrid);
+    owner.addressReleased(vrid);
   }
 
   private void tell(byte kind, int vrid) {
-    if (terms.announce() != null) {
+    if (terms.announceTo() != null) {
       sendTo(
           ByteBuffer.allocate(12)
               .put((byte) 0x4c)
@@ -365,7 +371,7 @@
               .put((byte) vrid)
               .putLong(announcements++)
               .array(),
-          terms.announce());
+          terms.announceTo());
     }
   }
 
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -20,15 +20,15 @@
 import java.util.concurrent.CompletableFuture;
 import linengauge.Span;
 import linengauge.drill.Ports;
-import linengauge.vrrp.Advert;
-import linengauge.vrrp.Fitness;
+import linengauge.vrrp.Advertisement;
+import linengauge.vrrp.FrontHealth;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.Packets;
+import linengauge.vrrp.PacketCodec;
 import org.junit.jupiter.api.Test;
 
 /** A front behind a shared address, with a scripted partner. */
 class SharedAddressTest {
-  private static final Packets PACKETS = new Packets(false);
+  private static final PacketCodec PACKETS = new PacketCodec(false);
 
   /** The other node: says what it is told to, and keeps the priorities that it hears. */
   private static final class Partner implements AutoCloseable {
@@ -57,7 +57,8 @@
           if (says >= 0) {
             byte[] b =
                 PACKETS.encode(
-                    new Advert(9, says, Span.ofMillis(200), List.of(NodeAddress.of(192, 0, 2, 9))),
+                    new Advertisement(
+                        9, says, Span.ofMillis(200), List.of(NodeAddress.of(192, 0, 2, 9))),
                     address(1),
                     address(0));
             socket.send(new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), to));
@@ -249,9 +250,9 @@
 
   @Test
   void aDeskThatDoesNotComeRoundIsUnwellWhereThatIsBounded() {
-    assertTrue(new Fitness(3, Span.ofMillis(400), Span.ofMillis(400)).isUnwell());
-    assertFalse(new Fitness(3, Span.ofMillis(399), Span.ofMillis(400)).isUnwell());
-    assertFalse(new Fitness(3, Span.ofMillis(10_000), Span.NONE).isUnwell());
+    assertTrue(new FrontHealth(3, Span.ofMillis(400), Span.ofMillis(400)).isUnhealthy());
+    assertFalse(new FrontHealth(3, Span.ofMillis(399), Span.ofMillis(400)).isUnhealthy());
+    assertFalse(new FrontHealth(3, Span.ofMillis(10_000), Span.NONE).isUnhealthy());
   }
 
   @Test
--- a/src/test/java/linengauge/vrrp/ExplorerTest.java
+++ b/src/test/java/linengauge/vrrp/ExplorerTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import linengauge.vrrp.explore.ExplorationPlan;
 import linengauge.vrrp.explore.Explorer;
-import linengauge.vrrp.explore.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -19,35 +19,37 @@
   private static Explorer.Outcome explore(
       List<Integer> priorities,
       boolean preempt,
-      RouterTerms.Additions more,
+      RouterSettings.Extensions more,
       int depth,
       int faults,
-      Plan.Maker maker) {
-    return Explorer.explore(new Plan(priorities, preempt, more, depth, faults, maker));
+      ExplorationPlan.RouterFactory maker) {
+    return Explorer.explore(new ExplorationPlan(priorities, preempt, more, depth, faults, maker));
   }
 
   @ParameterizedTest
   @CsvSource({"200,100,true", "100,100,true", "200,100,false"})
   void twoNodesSettleOnOneAfterAnyTwoTroubles(int first, int second, boolean preempt) {
-    for (RouterTerms.Additions more : List.of(RouterTerms.Additions.NONE, Plan.shortAdditions())) {
+    for (RouterSettings.Extensions more :
+        List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
       Explorer.Outcome o =
           explore(List.of(first, second), preempt, more, 12, 2, VirtualRouter::new);
-      assertNull(o.found(), () -> o.found() + "");
+      assertNull(o.violation(), () -> o.violation() + "");
       assertTrue(o.schedules() > 500, "schedules " + o.schedules());
     }
   }
 
   @Test
   void threeNodesSettleOnOneAfterAnyTrouble() {
-    for (RouterTerms.Additions more : List.of(RouterTerms.Additions.NONE, Plan.shortAdditions())) {
+    for (RouterSettings.Extensions more :
+        List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
       Explorer.Outcome o = explore(List.of(200, 150, 150), true, more, 12, 1, VirtualRouter::new);
-      assertNull(o.found(), () -> o.found() + "");
+      assertNull(o.violation(), () -> o.violation() + "");
     }
   }
 
   /** A router made wrong on purpose. */
   private static class Planted extends VirtualRouter {
-    Planted(RouterTerms terms, Port port) {
+    Planted(RouterSettings terms, Port port) {
       super(terms, port);
     }
 
@@ -61,7 +63,7 @@
     }
 
     @Override
-    protected boolean isGreater(NodeAddress from) {
+    protected boolean winsTie(NodeAddress from) {
       return false;
     }
   }
@@ -69,16 +71,18 @@
   @Test
   void withoutTheTieRuleItReportsASchedule() {
     Explorer.Outcome o =
-        explore(List.of(100, 100), true, RouterTerms.Additions.NONE, 12, 2, Planted::new);
-    assertFalse(o.held());
-    assertTrue(o.found().what().contains("in which it heard a better one"), o.found().what());
+        explore(List.of(100, 100), true, RouterSettings.Extensions.NONE, 12, 2, Planted::new);
+    assertFalse(o.passed());
+    assertTrue(
+        o.violation().description().contains("in which it heard a better one"),
+        o.violation().description());
   }
 
   /** Announces itself before it steps down. */
   private static final class LastWord extends VirtualRouter {
     private final Port port;
 
-    LastWord(RouterTerms terms, Port port) {
+    LastWord(RouterSettings terms, Port port) {
       super(terms, port);
       this.port = port;
     }
@@ -94,11 +98,11 @@
     }
 
     @Override
-    public void heard(Advert a, NodeAddress from, linengauge.Moment at) {
+    public void receive(Advertisement a, NodeAddress from, linengauge.Moment at) {
       boolean active = state() == State.ACTIVE;
-      super.heard(a, from, at);
+      super.receive(a, from, at);
       if (active && state() == State.BACKUP) {
-        port.send(new Advert(a.vrid(), 100, a.interval(), a.addresses()));
+        port.send(new Advertisement(a.vrid(), 100, a.interval(), a.addresses()));
       }
     }
   }
@@ -106,16 +110,18 @@
   @Test
   void aNodeThatSendsAsItLearnsOfABetterOneIsReportedWithItsSchedule() {
     Explorer.Outcome o =
-        explore(List.of(200, 100), true, RouterTerms.Additions.NONE, 14, 3, LastWord::new);
-    assertFalse(o.held());
-    assertTrue(o.found().what().contains("in which it heard a better one"), o.found().what());
-    assertFalse(o.found().schedule().isEmpty());
+        explore(List.of(200, 100), true, RouterSettings.Extensions.NONE, 14, 3, LastWord::new);
+    assertFalse(o.passed());
+    assertTrue(
+        o.violation().description().contains("in which it heard a better one"),
+        o.violation().description());
+    assertFalse(o.violation().schedule().isEmpty());
   }
 
   @Test
   void withoutTheGuardOfWokenNodesOneSendsAfterStandingStill() {
-    RouterTerms.Additions deaf =
-        new RouterTerms.Additions(
+    RouterSettings.Extensions deaf =
+        new RouterSettings.Extensions(
             1,
             true,
             linengauge.Span.NONE,
@@ -125,20 +131,20 @@
             0,
             0,
             linengauge.Span.NONE);
-    Plan.Maker planted =
+    ExplorationPlan.RouterFactory planted =
         (t, port) ->
             new VirtualRouter(
-                new RouterTerms(
+                new RouterSettings(
                     t.vrid(),
                     t.priority(),
                     t.interval(),
-                    t.preempt(),
-                    t.accept(),
+                    t.preemptMode(),
+                    t.acceptMode(),
                     t.addresses(),
-                    t.own(),
-                    RouterTerms.Additions.NONE),
+                    t.primaryAddress(),
+                    RouterSettings.Extensions.NONE),
                 port);
-    assertTrue(explore(List.of(200, 100), true, deaf, 10, 1, VirtualRouter::new).held());
-    assertFalse(explore(List.of(200, 100), true, deaf, 10, 1, planted).held());
+    assertTrue(explore(List.of(200, 100), true, deaf, 10, 1, VirtualRouter::new).passed());
+    assertFalse(explore(List.of(200, 100), true, deaf, 10, 1, planted).passed());
   }
 }
--- a/src/test/java/linengauge/vrrp/VirtualRouterTest.java
+++ b/src/test/java/linengauge/vrrp/VirtualRouterTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.vrrp.RouterTerms.Additions;
+import linengauge.vrrp.RouterSettings.Extensions;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -25,33 +25,33 @@
   private static final NodeAddress GREATER = NodeAddress.of(10, 0, 0, 3);
   private static final NodeAddress SHARED = NodeAddress.of(10, 0, 0, 100);
 
-  private final List<Advert> sent = new ArrayList<>();
+  private final List<Advertisement> sent = new ArrayList<>();
   private final List<String> done = new ArrayList<>();
   private Moment now = new Moment(0);
   private VirtualRouter r;
 
-  private VirtualRouter router(int priority, boolean preempt, Additions more) {
+  private VirtualRouter router(int priority, boolean preempt, Extensions more) {
     r =
         new VirtualRouter(
-            new RouterTerms(7, priority, INTERVAL, preempt, true, List.of(SHARED), OWN, more),
+            new RouterSettings(7, priority, INTERVAL, preempt, true, List.of(SHARED), OWN, more),
             new VirtualRouter.Port() {
               @Override
-              public void send(Advert a) {
+              public void send(Advertisement a) {
                 sent.add(a);
               }
 
               @Override
-              public void take(int vrid) {
+              public void acquireAddress(int vrid) {
                 done.add("take");
               }
 
               @Override
-              public void announce(int vrid) {
+              public void announceAddress(int vrid) {
                 done.add("announce");
               }
 
               @Override
-              public void giveUp(int vrid) {
+              public void releaseAddress(int vrid) {
                 done.add("give up");
               }
             });
@@ -60,15 +60,15 @@
   }
 
   private void heard(int priority, NodeAddress from) {
-    r.heard(new Advert(7, priority, INTERVAL, List.of(SHARED)), from, now);
+    r.receive(new Advertisement(7, priority, INTERVAL, List.of(SHARED)), from, now);
   }
 
   /** Lets time pass, the router being told whenever it is due. */
   private void pass(double millis) {
     Moment until = now.plus(Span.ofSeconds(millis / 1000));
-    while (r.due() != null && !until.before(r.due())) {
-      now = r.due();
-      r.clock(now);
+    while (r.nextTimer() != null && !until.before(r.nextTimer())) {
+      now = r.nextTimer();
+      r.runTimers(now);
     }
     now = until;
   }
@@ -81,7 +81,7 @@
     }
   }
 
-  private void active(int priority, boolean preempt, Additions more) {
+  private void active(int priority, boolean preempt, Extensions more) {
     router(priority, preempt, more);
     pass(500);
     assertEquals(ACTIVE, r.state());
@@ -91,7 +91,7 @@
 
   @Test
   void aSilentPartnerIsTakenOverFromAfterThreeIntervalsAndTheSkew() {
-    router(156, true, Additions.NONE);
+    router(156, true, Extensions.NONE);
     pass(339);
     assertEquals(BACKUP, r.state());
     assertTrue(sent.isEmpty());
@@ -105,13 +105,13 @@
 
   @Test
   void theOwnerIsActiveAtOnce() {
-    router(255, true, Additions.NONE);
+    router(255, true, Extensions.NONE);
     assertEquals(ACTIVE, r.state());
   }
 
   @Test
   void oneThatGivesUpIsFollowedWithinTheSkewAlone() {
-    router(156, true, Additions.NONE);
+    router(156, true, Extensions.NONE);
     heard(200, LOWER);
     heard(0, LOWER);
     pass(39);
@@ -122,8 +122,8 @@
 
   @Test
   void theActiveNodesIntervalIsLearnt() {
-    router(156, true, Additions.NONE);
-    r.heard(new Advert(7, 200, Span.ofMillis(1000), List.of(SHARED)), LOWER, now);
+    router(156, true, Extensions.NONE);
+    r.receive(new Advertisement(7, 200, Span.ofMillis(1000), List.of(SHARED)), LOWER, now);
     pass(3000);
     assertEquals(BACKUP, r.state());
     pass(400);
@@ -132,17 +132,17 @@
 
   @Test
   void aWorseActiveNodeIsPreemptedOnlyWherePreemptModeSaysSo() {
-    router(156, false, Additions.NONE);
+    router(156, false, Extensions.NONE);
     partner(100, 2000);
     assertEquals(BACKUP, r.state());
-    router(156, true, Additions.NONE);
+    router(156, true, Extensions.NONE);
     partner(100, 400);
     assertEquals(ACTIVE, r.state());
   }
 
   @Test
   void anActiveNodeFollowsAHigherPriorityAndInATieTheGreaterAddress() {
-    active(100, true, Additions.NONE);
+    active(100, true, Extensions.NONE);
     heard(100, LOWER);
     assertEquals(ACTIVE, r.state());
     assertEquals(1, sent.size(), "asserted at once");
@@ -151,14 +151,14 @@
     assertEquals(BACKUP, r.state());
     assertEquals(List.of("announce", "give up"), done);
     assertTrue(sent.isEmpty());
-    active(100, true, Additions.NONE);
+    active(100, true, Extensions.NONE);
     heard(101, LOWER);
     assertEquals(BACKUP, r.state());
   }
 
   @Test
   void anActiveNodeAnswersOneThatGivesUp() {
-    active(100, true, Additions.NONE);
+    active(100, true, Extensions.NONE);
     heard(0, LOWER);
     assertEquals(1, sent.size());
     assertEquals(ACTIVE, r.state());
@@ -166,26 +166,26 @@
 
   @Test
   void aStopSaysPriorityZeroAndOnlyWhereActive() {
-    active(100, true, Additions.NONE);
+    active(100, true, Extensions.NONE);
     r.shutdown(now);
     assertEquals(0, sent.get(0).priority());
     assertEquals(List.of("give up"), done);
     assertEquals(INITIALIZE, r.state());
     sent.clear();
-    router(100, true, Additions.NONE).shutdown(now);
-    r.farewell();
+    router(100, true, Extensions.NONE).shutdown(now);
+    r.repeatShutdown();
     assertTrue(sent.isEmpty());
-    active(100, true, Additions.NONE);
-    r.farewell();
+    active(100, true, Extensions.NONE);
+    r.repeatShutdown();
     assertTrue(sent.isEmpty(), "it has not said goodbye yet");
     r.shutdown(now);
-    r.farewell();
-    assertEquals(List.of(0, 0), sent.stream().map(Advert::priority).toList());
+    r.repeatShutdown();
+    assertEquals(List.of(0, 0), sent.stream().map(Advertisement::priority).toList());
   }
 
   @Test
   void copiesOfAWorseAdvertisementDoNotMakeAsManyAnswers() {
-    active(100, true, Additions.NONE);
+    active(100, true, Extensions.NONE);
     for (int i = 0; i < 1000; i++) {
       heard(50, LOWER);
     }
@@ -198,7 +198,7 @@
    */
   private long needless(int perInterval) {
     var chance = new java.util.SplittableRandom(5);
-    router(100, true, Additions.NONE);
+    router(100, true, Extensions.NONE);
     for (int i = 0; i < 6000 * perInterval; i++) {
       if (chance.nextDouble() >= 0.3) {
         heard(200, GREATER);
@@ -218,29 +218,30 @@
 
   @Test
   void moreAdvertisementsInAnIntervalNameTheIntervalAllTheSame() {
-    active(100, true, new Additions(4, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE));
+    active(
+        100, true, new Extensions(4, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE));
     pass(1000);
     assertEquals(40, sent.size());
     assertTrue(sent.stream().allMatch(a -> a.interval().equals(INTERVAL)));
   }
 
-  private static Additions frozen() {
-    return new Additions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
+  private static Extensions frozen() {
+    return new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
   }
 
   @Test
   void anActiveNodeThatStoodStillForLongStepsDownBeforeItSendsAnything() {
     active(200, true, frozen());
-    Moment serves = r.servesUntil();
+    Moment serves = r.leaseExpiry();
     now = now.plus(Span.ofMillis(2000));
     assertTrue(serves.before(now));
-    r.clock(now);
+    r.runTimers(now);
     assertEquals(BACKUP, r.state());
     assertEquals(List.of("give up"), done);
     assertTrue(sent.isEmpty());
     active(200, true, frozen());
     now = now.plus(Span.ofMillis(150));
-    r.clock(now);
+    r.runTimers(now);
     assertEquals(ACTIVE, r.state(), "too short for anybody to have taken over");
   }
 
@@ -249,7 +250,7 @@
     router(100, true, frozen());
     heard(200, LOWER);
     now = now.plus(Span.ofMillis(10_000));
-    r.clock(now);
+    r.runTimers(now);
     assertEquals(BACKUP, r.state());
     heard(200, LOWER);
     pass(300);
@@ -260,24 +261,24 @@
   void aClockThatIsSetBackChangesNothing() {
     router(100, true, frozen());
     partner(200, 1000);
-    r.clock(new Moment(-5_000_000));
+    r.runTimers(new Moment(-5_000_000));
     partner(200, 1000);
     assertEquals(BACKUP, r.state());
   }
 
   @Test
   void whatIsHeardAtAnEarlierMomentDoesNotMakeThePartnerLookSilent() {
-    router(100, true, Additions.NONE);
+    router(100, true, Extensions.NONE);
     partner(200, 1000);
-    r.heard(new Advert(7, 200, INTERVAL, List.of(SHARED)), LOWER, new Moment(-5_000_000));
-    r.clock(now);
+    r.receive(new Advertisement(7, 200, INTERVAL, List.of(SHARED)), LOWER, new Moment(-5_000_000));
+    r.runTimers(now);
     assertEquals(BACKUP, r.state());
   }
 
   @Test
   void preemptionWaitsForItsDelayAndALossDoesNot() {
-    Additions delayed =
-        new Additions(1, false, Span.ofMillis(5000), Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
+    Extensions delayed =
+        new Extensions(1, false, Span.ofMillis(5000), Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
     router(200, true, delayed);
     partner(100, 4900);
     assertEquals(BACKUP, r.state());
@@ -294,7 +295,7 @@
     active(
         100,
         true,
-        new Additions(1, false, Span.NONE, Span.ofMillis(2000), Span.NONE, 0, 0, 0, Span.NONE));
+        new Extensions(1, false, Span.NONE, Span.ofMillis(2000), Span.NONE, 0, 0, 0, Span.NONE));
     heard(200, LOWER);
     pass(1999);
     assertEquals(BACKUP, r.state());
@@ -303,7 +304,7 @@
   }
 
   /** A better partner comes, takes the address, dies after three seconds, over and over. */
-  private int flaps(Additions more, int seconds) {
+  private int flaps(Extensions more, int seconds) {
     active(100, true, more);
     long before = r.counts().activations;
     for (int s = 0; s < seconds; s += 4) {
@@ -321,17 +322,17 @@
 
   @Test
   void aPartnerThatComesAndDiesGetsTheAddressFewerAndFewerTimes() {
-    Additions damped =
-        new Additions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 2, 0, 0, Span.NONE);
-    assertEquals(30, flaps(Additions.NONE, 120));
+    Extensions damped =
+        new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 2, 0, 0, Span.NONE);
+    assertEquals(30, flaps(Extensions.NONE, 120));
     int few = flaps(damped, 120);
     assertTrue(few >= 2 && few <= 8, "took over " + few + " times");
   }
 
   @Test
   void aPartnerThatTakesAndGivesUpInOrderIsNoFlap() {
-    Additions damped =
-        new Additions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE);
+    Extensions damped =
+        new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE);
     active(100, true, damped);
     for (int i = 0; i < 5; i++) {
       partner(200, 500);
@@ -349,7 +350,7 @@
     active(
         100,
         true,
-        new Additions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(10), 1, 0, 0, Span.NONE));
+        new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(10), 1, 0, 0, Span.NONE));
     for (int i = 0; i < 20; i++) {
       heard(255, LOWER);
       pass(500);
@@ -366,7 +367,7 @@
     active(
         100,
         true,
-        new Additions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE));
+        new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE));
     partner(200, 500);
     partner(50, 600);
     assertEquals(ACTIVE, r.state());
@@ -375,7 +376,8 @@
 
   @Test
   void aDeafPartnerIsLeftTheAddressAndTriedAgainLater() {
-    active(200, true, new Additions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
+    active(
+        200, true, new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
     partner(100, 900);
     assertEquals(ACTIVE, r.state());
     partner(100, 300);
@@ -392,7 +394,8 @@
 
   @Test
   void aPartnerThatWasDeafLongAgoIsFollowedNoLongerThanTheFirstTime() {
-    active(200, true, new Additions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
+    active(
+        200, true, new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
     for (int i = 0; i < 3; i++) {
       partner(100, 1300);
       assertEquals(BACKUP, r.state());
@@ -409,22 +412,22 @@
     active(
         200,
         true,
-        new Additions(1, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 120, Span.ofMillis(1000)));
-    r.unwell(true, now);
+        new Extensions(1, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 120, Span.ofMillis(1000)));
+    r.setUnhealthy(true, now);
     pass(900);
-    r.unwell(false, now);
+    r.setUnhealthy(false, now);
     pass(2000);
     assertEquals(200, r.priority(), "too short to count");
-    r.unwell(true, now);
+    r.setUnhealthy(true, now);
     pass(1100);
     assertEquals(80, r.priority());
     heard(100, LOWER);
     assertEquals(BACKUP, r.state());
-    r.unwell(false, now);
+    r.setUnhealthy(false, now);
     partner(100, 900);
     assertEquals(BACKUP, r.state());
     partner(100, 600);
     assertEquals(ACTIVE, r.state());
-    assertFalse(r.isUnwell());
+    assertFalse(r.isUnhealthy());
   }
 }
--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -18,13 +18,13 @@
 import linengauge.Span;
 import linengauge.drill.Ports;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.RouterTerms;
+import linengauge.vrrp.RouterSettings;
 import org.junit.jupiter.api.Test;
 
 /** Nodes on real sockets, each with a loopback address of its own. */
 class UdpNodeTest {
-  private static final RouterTerms.Additions MORE =
-      new RouterTerms.Additions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
+  private static final RouterSettings.Extensions MORE =
+      new RouterSettings.Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
 
   /** Nodes of falling priority that know each other. */
   private static final class Group implements AutoCloseable {
@@ -46,10 +46,10 @@
       for (int i = 0; i < count; i++) {
         List<InetSocketAddress> others = new ArrayList<>(at);
         others.remove(i);
-        List<RouterTerms> routers = new ArrayList<>();
+        List<RouterSettings> routers = new ArrayList<>();
         for (int v = 1; v <= vrids; v++) {
           routers.add(
-              new RouterTerms(
+              new RouterSettings(
                   v,
                   200 - priorityStep * i,
                   Span.ofMillis(advertMs),
@@ -57,7 +57,7 @@
                   true,
                   List.of(NodeAddress.of(192, 0, 2, v)),
                   new NodeAddress(at.get(i).getAddress().getAddress()),
-                  new RouterTerms.Additions(
+                  new RouterSettings.Extensions(
                       1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 120, Span.NONE)));
         }
         List<String> mine = java.util.Collections.synchronizedList(new ArrayList<>());
@@ -65,16 +65,16 @@
         int number = i;
         nodes.add(
             new UdpNode(
-                new UdpTerms(
+                new UdpNodeSettings(
                     at.get(i), others, group, "lo", null, null, false, 64, 262_144, routers),
-                new UdpNode.Owner() {
+                new UdpNode.OwnershipListener() {
                   @Override
-                  public void took(int vrid) {
+                  public void addressAcquired(int vrid) {
                     mine.add("took " + vrid);
                   }
 
                   @Override
-                  public void gaveUp(int vrid) {
+                  public void addressReleased(int vrid) {
                     mine.add("gave up " + vrid);
                   }
                 },
@@ -90,7 +90,7 @@
     private List<Integer> holders(int vrid) {
       List<Integer> all = new ArrayList<>();
       for (int i = 0; i < nodes.size(); i++) {
-        if (nodes.get(i).lease(vrid).holds()) {
+        if (nodes.get(i).lease(vrid).isHeld()) {
           all.add(i);
         }
       }
@@ -98,7 +98,7 @@
     }
 
     private long dropped(int node, String cause) {
-      Object all = nodes.get(node).state().get("dropped");
+      Object all = nodes.get(node).snapshot().get("dropped");
       return all instanceof Map<?, ?> m && m.get(cause) instanceof Long n ? n : 0;
     }
 
@@ -206,7 +206,7 @@
     InetSocketAddress at = new InetSocketAddress(Ports.node(0), ports.get(0));
     try (UdpNode n =
         new UdpNode(
-            new UdpTerms(
+            new UdpNodeSettings(
                 at,
                 List.of(new InetSocketAddress(Ports.node(1), 9)),
                 null,
@@ -217,7 +217,7 @@
                 64,
                 65_536,
                 List.of(
-                    new RouterTerms(
+                    new RouterSettings(
                         1,
                         255,
                         Span.ofMillis(50),
@@ -226,14 +226,14 @@
                         List.of(NodeAddress.of(192, 0, 2, 1)),
                         new NodeAddress(at.getAddress().getAddress()),
                         MORE))),
-            new UdpNode.Owner() {
+            new UdpNode.OwnershipListener() {
               @Override
-              public void took(int vrid) {
+              public void addressAcquired(int vrid) {
                 // nobody
               }
 
               @Override
-              public void gaveUp(int vrid) {
+              public void addressReleased(int vrid) {
                 // nobody
               }
             },
@@ -243,11 +243,11 @@
               }
             })) {
       n.start();
-      until(() -> n.lease(1).holds());
+      until(() -> n.lease(1).isHeld());
       synchronized (stuck) { // the node's thread waits here with its next turn
-        until(() -> !n.lease(1).holds());
+        until(() -> !n.lease(1).isHeld());
       }
-      until(() -> n.lease(1).holds());
+      until(() -> n.lease(1).isHeld());
     }
   }
 
@@ -260,7 +260,7 @@
               IOException.class,
               () ->
                   new UdpNode(
-                      new UdpTerms(
+                      new UdpNodeSettings(
                           at, List.of(), null, null, null, null, false, 1, 4096, List.of()),
                       null,
                       () -> false));
