--- a/src/main/java/linengauge/vrrp/Advertisement.java
+++ b/src/main/java/linengauge/vrrp/Advertisement.java
@@ -6,10 +6,10 @@
 /**
  * A VRRP advertisement (RFC 9568, section 5.2).
  *
- * @param vrid the virtual router, 1 to 255
- * @param priority 0: the sender gives up; 255: it owns the addresses
- * @param interval of the sender's advertisements, whole hundredths of a second, 1 to 4095 of them
- * @param addresses shared by the virtual router, 1 to 255, all of one family
+ * @param vrid the virtual router identifier, 1 to 255
+ * @param priority 0 if the sender stops being Active, 255 if it owns the addresses
+ * @param interval the sender's advertisement interval, 1 to 4095 whole centiseconds
+ * @param addresses the 1 to 255 addresses of the virtual router, all of one family
  */
 public record Advertisement(int vrid, int priority, Span interval, List<NodeAddress> addresses) {
   /** One hundredth of a second, the unit of intervals on the wire (section 5.2.7). */
--- a/src/main/java/linengauge/vrrp/DatagramAuthenticator.java
+++ b/src/main/java/linengauge/vrrp/DatagramAuthenticator.java
@@ -10,43 +10,44 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The keyed trailer: a number that only rises, and half of an HMAC-SHA-256 (RFC 2104, RFC 4868)
- * over the advertisement, the number and the sender's address. Guards against strangers that take
- * or depose, and against old advertisements sent again. It could hurt where a node's clock is set
- * back while it is down: its numbers begin at the clock, and partners pass it over until the clock
- * has caught up.
+ * Signs and verifies datagrams with a keyed trailer: an increasing sequence number and an
+ * HMAC-SHA-256 truncated to half its length (RFC 2104, RFC 4868) over the packet, the sequence
+ * number and the sender's address. The trailer protects against third parties that claim an address
+ * or depose its holder, and against replayed advertisements. If a node's clock is set back while
+ * the node is down, its partners ignore it until the clock has caught up, because its sequence
+ * numbers start at the clock.
  */
 public final class DatagramAuthenticator {
-  private static final String KIND = "HmacSHA256";
-  private static final int NUMBER_BYTES = 8;
+  private static final String ALGORITHM = "HmacSHA256";
+  private static final int SEQUENCE_NUMBER_BYTES = 8;
   private static final int MAC_BYTES = 16;
 
-  /** Senders whose numbers are remembered. */
+  /** The maximum number of senders whose sequence numbers are remembered. */
   public static final int MAX_SENDERS = 8192;
 
-  /** What the trailer takes. */
-  public static final int TRAILER_BYTES = NUMBER_BYTES + MAC_BYTES;
+  /** The length of the trailer. */
+  public static final int TRAILER_BYTES = SEQUENCE_NUMBER_BYTES + MAC_BYTES;
 
   /**
-   * The highest number heard and which of the 63 before it were: what is overtaken on its way is
-   * heard too (RFC 4303, 3.4.3).
+   * The highest sequence number received and which of the 63 before it were received, so that
+   * reordered datagrams are accepted too (RFC 4303, 3.4.3).
    */
-  private static final class Heard {
+  private static final class ReplayWindow {
     private long highest = Long.MIN_VALUE / 4;
-    private long seen;
+    private long receivedBits;
 
-    private boolean isNew(long n) {
-      if (n > highest) {
-        long up = n - highest;
-        seen = (up < Long.SIZE ? seen << up : 0) | 1;
-        highest = n;
+    private boolean acceptIfNew(long sequenceNumber) {
+      if (sequenceNumber > highest) {
+        long advance = sequenceNumber - highest;
+        receivedBits = (advance < Long.SIZE ? receivedBits << advance : 0) | 1;
+        highest = sequenceNumber;
         return true;
       }
-      long back = highest - n;
-      if (back >= Long.SIZE || (seen >> back & 1) == 1) {
+      long age = highest - sequenceNumber;
+      if (age >= Long.SIZE || (receivedBits >> age & 1) == 1) {
         return false;
       }
-      seen |= 1L << back;
+      receivedBits |= 1L << age;
       return true;
     }
   }
@@ -54,75 +55,79 @@
   private final Mac mac;
 
   /**
-   * The numbers heard of each sender; whoever was silent for longest is forgotten first. Guards
-   * against a holder of the key that goes by ever more names and fills the memory. It could hurt
-   * where more senders than that are there: an old datagram of a forgotten one would be taken once.
+   * The replay window of each sender; the least recently received sender is evicted first. The
+   * limit prevents a holder of the key that uses ever more addresses from exhausting the memory.
+   * With more senders than the limit, one replayed datagram of an evicted sender is accepted.
    */
-  private final Map<NodeAddress, Heard> heard =
+  private final Map<NodeAddress, ReplayWindow> replayWindows =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
-        protected boolean removeEldestEntry(Map.Entry<NodeAddress, Heard> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<NodeAddress, ReplayWindow> eldest) {
           return size() > MAX_SENDERS;
         }
       };
 
-  private long number;
+  private long nextSequenceNumber;
 
   /**
-   * @param firstNumber higher than any that this node has sent with this key: the wall's clock in
-   *     microseconds
+   * @param firstSequenceNumber higher than any that this node has sent with this key: the wall
+   *     clock in microseconds
    */
-  public DatagramAuthenticator(byte[] key, long firstNumber) {
+  public DatagramAuthenticator(byte[] key, long firstSequenceNumber) {
     try {
-      mac = Mac.getInstance(KIND);
-      mac.init(new SecretKeySpec(key, KIND));
+      mac = Mac.getInstance(ALGORITHM);
+      mac.init(new SecretKeySpec(key, ALGORITHM));
     } catch (GeneralSecurityException e) {
-      throw new IllegalArgumentException("no key for " + KIND + ": " + e.getMessage(), e);
+      throw new IllegalArgumentException(
+          "cannot use the key for " + ALGORITHM + ": " + e.getMessage(), e);
     }
-    this.number = firstNumber;
+    this.nextSequenceNumber = firstSequenceNumber;
   }
 
-  /** The advertisement with its trailer. */
-  public byte[] sign(byte[] packet, NodeAddress from) {
-    byte[] sealed = Arrays.copyOf(packet, packet.length + TRAILER_BYTES);
-    ByteBuffer.wrap(sealed).putLong(packet.length, number++);
+  /** Returns the packet with its trailer appended. */
+  public byte[] sign(byte[] packet, NodeAddress sender) {
+    byte[] signed = Arrays.copyOf(packet, packet.length + TRAILER_BYTES);
+    ByteBuffer.wrap(signed).putLong(packet.length, nextSequenceNumber++);
     System.arraycopy(
-        macOf(sealed, packet.length + NUMBER_BYTES, from),
+        computeMac(signed, packet.length + SEQUENCE_NUMBER_BYTES, sender),
         0,
-        sealed,
-        packet.length + NUMBER_BYTES,
+        signed,
+        packet.length + SEQUENCE_NUMBER_BYTES,
         MAC_BYTES);
-    return sealed;
+    return signed;
   }
 
   /**
-   * How many of the bytes are the advertisement, once the trailer is proved.
+   * Verifies the trailer and returns the length of the packet before it.
    *
-   * @throws InvalidPacketException SEAL or REPLAYED
+   * @throws InvalidPacketException with {@link DropReason#SEAL} or {@link DropReason#REPLAYED}
    */
-  public int verify(byte[] sealed, int length, NodeAddress from) throws InvalidPacketException {
-    int packet = length - TRAILER_BYTES;
-    if (packet < 0) {
+  public int verify(byte[] signed, int length, NodeAddress sender) throws InvalidPacketException {
+    int packetLength = length - TRAILER_BYTES;
+    if (packetLength < 0) {
       throw new InvalidPacketException(DropReason.SEAL);
     }
-    byte[] told = Arrays.copyOfRange(sealed, packet + NUMBER_BYTES, length);
-    if (!MessageDigest.isEqual(told, macOf(sealed, packet + NUMBER_BYTES, from))) {
+    byte[] receivedMac = Arrays.copyOfRange(signed, packetLength + SEQUENCE_NUMBER_BYTES, length);
+    if (!MessageDigest.isEqual(
+        receivedMac, computeMac(signed, packetLength + SEQUENCE_NUMBER_BYTES, sender))) {
       throw new InvalidPacketException(DropReason.SEAL);
     }
-    long n = ByteBuffer.wrap(sealed).getLong(packet);
-    if (!heard.computeIfAbsent(from, f -> new Heard()).isNew(n)) {
+    long sequenceNumber = ByteBuffer.wrap(signed).getLong(packetLength);
+    if (!replayWindows
+        .computeIfAbsent(sender, newSender -> new ReplayWindow())
+        .acceptIfNew(sequenceNumber)) {
       throw new InvalidPacketException(DropReason.REPLAYED);
     }
-    return packet;
+    return packetLength;
   }
 
-  /** How many senders' numbers are remembered. */
+  /** Returns the number of senders whose sequence numbers are remembered. */
   int senderCount() {
-    return heard.size();
+    return replayWindows.size();
   }
 
-  private byte[] macOf(byte[] bytes, int length, NodeAddress from) {
+  private byte[] computeMac(byte[] bytes, int length, NodeAddress sender) {
     mac.update(bytes, 0, length);
-    return Arrays.copyOf(mac.doFinal(from.bytes()), MAC_BYTES);
+    return Arrays.copyOf(mac.doFinal(sender.bytes()), MAC_BYTES);
   }
 }
--- a/src/main/java/linengauge/vrrp/DropReason.java
+++ b/src/main/java/linengauge/vrrp/DropReason.java
@@ -1,33 +1,35 @@
 package linengauge.vrrp;
 
 /**
- * Why a datagram was not taken for an advertisement (RFC 9568, section 7.1, and what this carriage
- * adds).
+ * Why a datagram was not accepted as an advertisement (RFC 9568, section 7.1, and the checks that
+ * UDP and the keyed trailer add).
  */
 public enum DropReason {
   /**
-   * From an address that is no partner's: over UDP there is no TTL of 255 to tell a neighbour by.
+   * The sender is not a configured partner. Over UDP, there is no TTL of 255 that identifies a node
+   * on the same link.
    */
   FOREIGN_SENDER,
-  /** Shorter or longer than its count says. */
+  /** Shorter or longer than its address count requires. */
   LENGTH,
-  /** The trailer is not by the key of this group. */
+  /** The trailer was not made with the key of this group. */
   SEAL,
   /**
-   * The trailer's number was heard before, or lies far behind: a copy, or an old one sent again.
+   * The trailer's sequence number was received before or is older than the replay window: a
+   * duplicate or a replayed datagram.
    */
   REPLAYED,
   VERSION,
   TYPE,
   CHECKSUM,
-  /** No addresses, or more than there can be. */
+  /** The address count is zero. */
   COUNT,
-  /** An interval of nothing. */
+  /** The advertisement interval is zero. */
   INTERVAL,
-  /** A virtual router that is not set up here. */
+  /** The virtual router is not configured on this node. */
   VRID,
-  /** This node owns the addresses and hears nobody about them. */
+  /** This node owns the addresses and ignores all advertisements for them. */
   OWNER,
-  /** Its own advertisement, come back. */
+  /** This node's own advertisement, received back. */
   OWN
 }
--- a/src/main/java/linengauge/vrrp/FlapDamping.java
+++ b/src/main/java/linengauge/vrrp/FlapDamping.java
@@ -4,62 +4,63 @@
 import linengauge.Span;
 
 /**
- * The penalty for a partner that takes the address and dies, again and again: one for each time,
- * half of it forgiven in each half-life. From the mark on, and until half of the mark is left, this
- * node keeps the address. Guards viewers against a handover every few seconds; it could hurt where
- * the partner is much the better machine and was restarted by hand that often: it waits for a
- * half-life or two.
+ * The penalty for a partner that repeatedly takes the address and fails: it grows by one on each
+ * failure and halves in each half-life. Once the penalty reaches the threshold, and until it has
+ * fallen to half of the threshold, this node keeps the address. This avoids a handover every few
+ * seconds. A partner of much higher priority that was restarted by hand that often has to wait for
+ * one or two half-lives.
  */
 final class FlapDamping {
   private final Span halfLife;
-  private final double mark;
+  private final double holdThreshold;
   private double penalty;
-  private Moment countedAt = Moment.DISTANT_PAST;
+  private Moment updatedAt = Moment.DISTANT_PAST;
   private boolean holding;
 
-  FlapDamping(RouterSettings.Extensions more) {
-    this.halfLife = more.flapHalfLife();
-    this.mark = more.flapHoldThreshold();
+  FlapDamping(RouterSettings.Extensions extensions) {
+    this.halfLife = extensions.flapHalfLife();
+    this.holdThreshold = extensions.flapHoldThreshold();
   }
 
-  private boolean counts() {
-    return Span.NONE.under(halfLife) && mark > 0;
+  private boolean isEnabled() {
+    return Span.NONE.under(halfLife) && holdThreshold > 0;
   }
 
-  private double at(Moment now) {
+  private double penaltyAt(Moment now) {
     if (penalty == 0) {
       return 0;
     }
-    double halves = now.since(countedAt).seconds() / halfLife.seconds();
-    return penalty * Math.pow(0.5, halves);
+    double halfLives = now.since(updatedAt).seconds() / halfLife.seconds();
+    return penalty * Math.pow(0.5, halfLives);
   }
 
-  /** The partner had taken the address and has died with it. */
-  void flapped(Moment now) {
-    if (counts()) {
-      penalty = Math.min(4 * mark, at(now) + 1); // so that no hold is longer than three half-lives
-      countedAt = now;
-      holding |= penalty >= mark;
+  /** Records that the partner took the address and failed while it held it. */
+  void recordFlap(Moment now) {
+    if (isEnabled()) {
+      // Limits the hold to three half-lives.
+      penalty = Math.min(4 * holdThreshold, penaltyAt(now) + 1);
+      updatedAt = now;
+      holding |= penalty >= holdThreshold;
     }
   }
 
-  boolean holds(Moment now) {
-    if (holding && at(now) < mark / 2) {
+  boolean isHolding(Moment now) {
+    if (holding && penaltyAt(now) < holdThreshold / 2) {
       holding = false;
     }
     return holding;
   }
 
-  FlapDamping copy(RouterSettings.Extensions more) {
-    FlapDamping f = new FlapDamping(more);
-    f.penalty = penalty;
-    f.countedAt = countedAt;
-    f.holding = holding;
-    return f;
+  FlapDamping copy(RouterSettings.Extensions extensions) {
+    FlapDamping copy = new FlapDamping(extensions);
+    copy.penalty = penalty;
+    copy.updatedAt = updatedAt;
+    copy.holding = holding;
+    return copy;
   }
 
-  /** What of it tells two states apart. */
-  long mark(Moment now) {
-    return Math.round(at(now) * 8) * 2 + (holding ? 1 : 0);
+  /** Returns a value that differs between states that behave differently. */
+  long fingerprint(Moment now) {
+    return Math.round(penaltyAt(now) * 8) * 2 + (holding ? 1 : 0);
   }
 }
--- a/src/main/java/linengauge/vrrp/FrontHealth.java
+++ b/src/main/java/linengauge/vrrp/FrontHealth.java
@@ -3,14 +3,14 @@
 import linengauge.Span;
 
 /**
- * What a front knows of itself when it is asked whether it should hold the shared address.
+ * The health of a front, by which it decides whether it should hold the shared address.
  *
- * @param servingBoxes media boxes that its list has as serving
- * @param sessionManagerDelay for how long its desk has not come round
- * @param maxDelay from which on that is an overloaded desk; none: never
+ * @param servingBoxes media boxes that are listed as serving
+ * @param sessionManagerDelay the time since the session manager last ran
+ * @param maxDelay the delay from which the session manager counts as overloaded; none: never
  */
 public record FrontHealth(int servingBoxes, Span sessionManagerDelay, Span maxDelay) {
-  /** It could only block, or not even that. */
+  /** Returns whether this front could only reject viewings, or not even answer them. */
   public boolean isUnhealthy() {
     return servingBoxes == 0 || Span.NONE.under(maxDelay) && !sessionManagerDelay.under(maxDelay);
   }
--- a/src/main/java/linengauge/vrrp/HealthPenalty.java
+++ b/src/main/java/linengauge/vrrp/HealthPenalty.java
@@ -4,51 +4,53 @@
 import linengauge.Span;
 
 /**
- * Whether this front is fit to hold the address: it sees a serving box and its desk keeps up. A
- * change counts once it has lasted, so that one late beat moves nothing. Guards against an Active
- * front that can only block; it could hurt where both fronts of a pair fall ill and recover apart:
- * each change of the better one is a handover, one in `unwellAfter` at the most.
+ * Lowers the priority while this front is not fit to hold the address: it sees no serving box, or
+ * its session manager is overloaded. A change takes effect only once it has lasted for the
+ * configured delay, so that a single late tick has no effect. This prevents a front that can only
+ * reject viewings from staying Active. Where both fronts of a pair become unhealthy and recover at
+ * different times, each change of the better one causes a handover, at most one in {@link
+ * RouterSettings.Extensions#healthChangeDelay}.
  */
 final class HealthPenalty {
-  private final int minus;
-  private final Span lasts;
-  private boolean unwell;
+  private final int priorityReduction;
+  private final Span changeDelay;
+  private boolean unhealthy;
   private boolean reported;
   private Moment reportedAt = Moment.DISTANT_PAST;
 
-  HealthPenalty(RouterSettings.Extensions more) {
-    this.minus = more.unhealthyPriorityReduction();
-    this.lasts = more.healthChangeDelay();
+  HealthPenalty(RouterSettings.Extensions extensions) {
+    this.priorityReduction = extensions.unhealthyPriorityReduction();
+    this.changeDelay = extensions.healthChangeDelay();
   }
 
-  void report(boolean isUnwell, Moment now) {
-    if (isUnwell != reported) {
-      reported = isUnwell;
+  void report(boolean isUnhealthy, Moment now) {
+    if (isUnhealthy != reported) {
+      reported = isUnhealthy;
       reportedAt = now;
     }
   }
 
-  /** What is taken off the priority now. */
-  int minus(Moment now) {
-    if (reported != unwell && !now.since(reportedAt).under(lasts)) {
-      unwell = reported;
+  /** Returns the current reduction of the priority. */
+  int priorityReduction(Moment now) {
+    if (reported != unhealthy && !now.since(reportedAt).under(changeDelay)) {
+      unhealthy = reported;
     }
-    return unwell ? minus : 0;
+    return unhealthy ? priorityReduction : 0;
   }
 
-  boolean isUnwell() {
-    return unwell;
+  boolean isUnhealthy() {
+    return unhealthy;
   }
 
-  HealthPenalty copy(RouterSettings.Extensions more) {
-    HealthPenalty s = new HealthPenalty(more);
-    s.unwell = unwell;
-    s.reported = reported;
-    s.reportedAt = reportedAt;
-    return s;
+  HealthPenalty copy(RouterSettings.Extensions extensions) {
+    HealthPenalty copy = new HealthPenalty(extensions);
+    copy.unhealthy = unhealthy;
+    copy.reported = reported;
+    copy.reportedAt = reportedAt;
+    return copy;
   }
 
-  long mark() {
-    return (unwell ? 2 : 0) + (reported ? 1 : 0);
+  long fingerprint() {
+    return (unhealthy ? 2 : 0) + (reported ? 1 : 0);
   }
 }
--- a/src/main/java/linengauge/vrrp/InvalidPacketException.java
+++ b/src/main/java/linengauge/vrrp/InvalidPacketException.java
@@ -1,12 +1,13 @@
 package linengauge.vrrp;
 
-/** A datagram that is no advertisement, and why. */
+/** Thrown for a datagram that is not a valid advertisement. */
 public final class InvalidPacketException extends Exception {
   private static final long serialVersionUID = 1L;
   private final DropReason reason;
 
   InvalidPacketException(DropReason cause) {
-    super(cause.name(), null, false, false); // of these there may be a hundred thousand a second
+    // No stack trace, as a flood can bring a hundred thousand of these a second.
+    super(cause.name(), null, false, false);
     this.reason = cause;
   }
 
--- a/src/main/java/linengauge/vrrp/NodeAddress.java
+++ b/src/main/java/linengauge/vrrp/NodeAddress.java
@@ -3,12 +3,12 @@
 import java.util.Arrays;
 
 /**
- * An IPv4 or IPv6 address as its bytes in network order; ordered as unsigned numbers, as ties are
- * (RFC 9568, 6.4.3).
+ * An IPv4 or IPv6 address as bytes in network order. Addresses are compared as unsigned numbers, as
+ * ties are broken that way (RFC 9568, section 6.4.3).
  */
 public record NodeAddress(byte[] bytes) implements Comparable<NodeAddress> {
   /**
-   * @throws IllegalArgumentException where there are not 4 or 16 bytes
+   * @throws IllegalArgumentException if there are not 4 or 16 bytes
    */
   public NodeAddress {
     if (bytes.length != 4 && bytes.length != 16) {
@@ -17,7 +17,7 @@
     bytes = bytes.clone();
   }
 
-  /** An IPv4 address from its four numbers. */
+  /** Returns the IPv4 address with the given octets. */
   public static NodeAddress of(int a, int b, int c, int d) {
     return new NodeAddress(new byte[] {(byte) a, (byte) b, (byte) c, (byte) d});
   }
@@ -26,7 +26,7 @@
     return bytes.length == 16;
   }
 
-  /** RFC 5771 and RFC 4291, section 2.7. */
+  /** Returns whether this is a multicast address (RFC 5771; RFC 4291, section 2.7). */
   public boolean isMulticast() {
     return isIpv6() ? bytes[0] == (byte) 0xff : (bytes[0] & 0xf0) == 0xe0;
   }
@@ -45,7 +45,7 @@
 
   @Override
   public boolean equals(Object other) {
-    return other instanceof NodeAddress a && Arrays.equals(bytes, a.bytes);
+    return other instanceof NodeAddress address && Arrays.equals(bytes, address.bytes);
   }
 
   @Override
@@ -55,14 +55,14 @@
 
   @Override
   public String toString() {
-    StringBuilder s = new StringBuilder();
+    StringBuilder text = new StringBuilder();
     for (int i = 0; i < bytes.length; i += isIpv6() ? 2 : 1) {
-      s.append(i == 0 ? "" : isIpv6() ? ":" : ".");
-      s.append(
+      text.append(i == 0 ? "" : isIpv6() ? ":" : ".");
+      text.append(
           isIpv6()
               ? Integer.toHexString((bytes[i] & 255) << 8 | bytes[i + 1] & 255)
               : "" + (bytes[i] & 255));
     }
-    return s.toString();
+    return text.toString();
   }
 }
--- a/src/main/java/linengauge/vrrp/PacketCodec.java
+++ b/src/main/java/linengauge/vrrp/PacketCodec.java
@@ -6,7 +6,7 @@
 import linengauge.Span;
 
 /**
- * Advertisements as bytes (RFC 9568, section 5.2):
+ * Encodes and decodes advertisements (RFC 9568, section 5.2):
  *
  * <pre>
  *  0                   1                   2                   3
@@ -21,96 +21,107 @@
   private static final int HEADER_BYTES = 8;
 
   /**
-   * The IP protocol number of VRRP (section 5.1), which the pseudo-header names though the packet
-   * is carried over UDP.
+   * The IP protocol number of VRRP (section 5.1), which is part of the pseudo-header although the
+   * packet is carried over UDP.
    */
-  private static final int PROTOCOL = 112;
+  private static final int IP_PROTOCOL = 112;
 
   private final boolean pseudoHeaderForIpv4;
 
   /**
-   * @param pseudoHeaderForIpv4 whether IPv4 checksums cover a pseudo-header too, as routers of RFC
-   *     5798 may have it; RFC 9568 (5.2.8) has one for IPv6 only
+   * @param pseudoHeaderForIpv4 whether IPv4 checksums cover a pseudo-header too, as RFC 5798
+   *     allows; RFC 9568 (section 5.2.8) has one for IPv6 only
    */
   public PacketCodec(boolean pseudoHeaderForIpv4) {
     this.pseudoHeaderForIpv4 = pseudoHeaderForIpv4;
   }
 
-  /** The bytes of an advertisement between two addresses, which the checksum may cover. */
-  public byte[] encode(Advertisement a, NodeAddress from, NodeAddress to) {
-    int width = a.addresses().get(0).isIpv6() ? 16 : 4;
-    ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + width * a.addresses().size());
-    b.put((byte) (VERSION << 4 | ADVERTISEMENT)).put((byte) a.vrid()).put((byte) a.priority());
-    b.put((byte) a.addresses().size());
-    b.putShort((short) (a.interval().micros() / Advertisement.CENTISECOND.micros()))
+  /** Encodes an advertisement; the checksum may cover the source and destination address. */
+  public byte[] encode(Advertisement advertisement, NodeAddress source, NodeAddress destination) {
+    int addressLength = advertisement.addresses().get(0).isIpv6() ? 16 : 4;
+    ByteBuffer buffer =
+        ByteBuffer.allocate(HEADER_BYTES + addressLength * advertisement.addresses().size());
+    buffer
+        .put((byte) (VERSION << 4 | ADVERTISEMENT))
+        .put((byte) advertisement.vrid())
+        .put((byte) advertisement.priority());
+    buffer.put((byte) advertisement.addresses().size());
+    buffer
+        .putShort((short) (advertisement.interval().micros() / Advertisement.CENTISECOND.micros()))
         .putShort((short) 0);
-    a.addresses().forEach(x -> b.put(x.bytes()));
-    b.putShort(6, (short) checksum(b.array(), b.capacity(), width == 16, from, to));
-    return b.array();
+    advertisement.addresses().forEach(address -> buffer.put(address.bytes()));
+    buffer.putShort(
+        6,
+        (short)
+            checksum(buffer.array(), buffer.capacity(), addressLength == 16, source, destination));
+    return buffer.array();
   }
 
   /**
-   * Reads an advertisement whose addresses are of the receiving address's family; the first
-   * `length` bytes are it whole.
+   * Decodes the advertisement in the first `length` bytes; its addresses are of the same family as
+   * the destination.
    *
-   * @throws InvalidPacketException with what section 7.1 has it discarded for
+   * @throws InvalidPacketException with the reason for which section 7.1 requires it to be
+   *     discarded
    */
-  public Advertisement decode(byte[] bytes, int length, NodeAddress from, NodeAddress to)
+  public Advertisement decode(byte[] bytes, int length, NodeAddress source, NodeAddress destination)
       throws InvalidPacketException {
-    int width = to.isIpv6() ? 16 : 4;
+    int addressLength = destination.isIpv6() ? 16 : 4;
     if (length < HEADER_BYTES || length > bytes.length) {
       throw new InvalidPacketException(DropReason.LENGTH);
     }
-    ByteBuffer b = ByteBuffer.wrap(bytes, 0, length);
-    int first = b.get() & 255;
-    if (first >> 4 != VERSION) {
+    ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
+    int versionAndType = buffer.get() & 255;
+    if (versionAndType >> 4 != VERSION) {
       throw new InvalidPacketException(DropReason.VERSION);
     }
-    if ((first & 15) != ADVERTISEMENT) {
+    if ((versionAndType & 15) != ADVERTISEMENT) {
       throw new InvalidPacketException(DropReason.TYPE);
     }
-    int vrid = b.get() & 255;
-    int priority = b.get() & 255;
-    int count = b.get() & 255;
-    int centis = b.getShort() & 0xfff; // the four reserved bits are ignored on receipt (5.2.6)
+    int vrid = buffer.get() & 255;
+    int priority = buffer.get() & 255;
+    int count = buffer.get() & 255;
+    // The four reserved bits are ignored on receipt (section 5.2.6).
+    int centiseconds = buffer.getShort() & 0xfff;
     if (count == 0) {
       throw new InvalidPacketException(DropReason.COUNT);
     }
-    if (length != HEADER_BYTES + width * count) {
+    if (length != HEADER_BYTES + addressLength * count) {
       throw new InvalidPacketException(DropReason.LENGTH);
     }
-    if (checksum(bytes, length, to.isIpv6(), from, to) != 0) {
+    if (checksum(bytes, length, destination.isIpv6(), source, destination) != 0) {
       throw new InvalidPacketException(DropReason.CHECKSUM);
     }
     if (vrid == 0) {
       throw new InvalidPacketException(DropReason.VRID);
     }
-    if (centis == 0) {
+    if (centiseconds == 0) {
       throw new InvalidPacketException(DropReason.INTERVAL);
     }
-    b.getShort();
+    buffer.getShort();
     List<NodeAddress> addresses = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      byte[] one = new byte[width];
-      b.get(one);
-      addresses.add(new NodeAddress(one));
+      byte[] address = new byte[addressLength];
+      buffer.get(address);
+      addresses.add(new NodeAddress(address));
     }
     return new Advertisement(
-        vrid, priority, new Span(centis * Advertisement.CENTISECOND.micros()), addresses);
+        vrid, priority, new Span(centiseconds * Advertisement.CENTISECOND.micros()), addresses);
   }
 
   /**
-   * The ones' complement of the ones' complement sum (section 5.2.8); 0 over bytes that hold their
-   * own checksum.
+   * The ones' complement of the ones' complement sum (section 5.2.8); 0 for bytes that contain
+   * their own checksum.
    */
-  private int checksum(byte[] bytes, int length, boolean ipv6, NodeAddress from, NodeAddress to) {
+  private int checksum(
+      byte[] bytes, int length, boolean ipv6, NodeAddress source, NodeAddress destination) {
     long sum = 0;
     if (ipv6 || pseudoHeaderForIpv4) {
       sum +=
-          sum(from.bytes(), from.bytes().length)
-              + sum(to.bytes(), to.bytes().length)
+          sum(source.bytes(), source.bytes().length)
+              + sum(destination.bytes(), destination.bytes().length)
               + length
-              + PROTOCOL;
+              + IP_PROTOCOL;
     }
     sum += sum(bytes, length);
     while (sum >> 16 != 0) {
--- a/src/main/java/linengauge/vrrp/RouterSettings.java
+++ b/src/main/java/linengauge/vrrp/RouterSettings.java
@@ -4,18 +4,19 @@
 import linengauge.Span;
 
 /**
- * One virtual router as this node is set up for it (RFC 9568, section 6.1), and what is added to
- * the standard.
+ * The settings of one virtual router on this node (RFC 9568, section 6.1), with extensions to the
+ * standard.
  *
  * @param vrid 1 to 255
  * @param priority 1 to 254, or 255 for the owner of the addresses
- * @param interval Advertisement_Interval, whole hundredths of a second
+ * @param interval Advertisement_Interval, in whole centiseconds
  * @param preemptMode Preempt_Mode: whether a node of higher priority takes over from one that is
  *     Active
- * @param acceptMode Accept_Mode: whether an Active node that is not the owner takes viewers at the
- *     shared address
- * @param addresses those shared
- * @param primaryAddress this node's primary address, by which ties are decided
+ * @param acceptMode Accept_Mode: whether an Active node that is not the owner accepts viewers'
+ *     connections at the shared address
+ * @param addresses the shared addresses
+ * @param primaryAddress this node's primary address, which breaks ties
+ * @param extensions what this node does beyond the standard
  */
 public record RouterSettings(
     int vrid,
@@ -26,7 +27,7 @@
     List<NodeAddress> addresses,
     NodeAddress primaryAddress,
     Extensions extensions) {
-  /** The priority of the owner, for which nothing is added (section 5.2.4). */
+  /** The priority of the address owner, which the extensions do not change (section 5.2.4). */
   public static final int OWNER_PRIORITY = 255;
 
   public RouterSettings {
@@ -38,22 +39,24 @@
   }
 
   /**
-   * What the standard does not have; each acts under its own condition, and {@link #NONE} is the
-   * standard alone.
+   * What the standard does not have. Each extension has a condition of its own, and {@link #NONE}
+   * is the standard alone.
    *
-   * @param advertisementsPerInterval advertisements in each interval that they name, 1 in the
-   *     standard: partners lose some and still hear enough, and take over no later
-   * @param detectsPauses whether a node that could not step for long takes itself for deposed
-   * @param preemptDelay how long a node that has come, or has stepped down, leaves a worse one
-   *     Active
-   * @param retakeDelay the least span between giving the address up and taking it again
-   * @param flapHalfLife in which half of the penalty for a partner that comes and dies is forgiven;
-   *     none: not counted
-   * @param flapHoldThreshold penalty from which this node keeps the address, by a priority of 254
-   * @param deafAfterIntervals how long a worse partner may stay Active beside this one before it is
-   *     taken for deaf, in times of the interval; 0: for ever
-   * @param unhealthyPriorityReduction taken off the priority while this front is unwell
-   * @param healthChangeDelay how long it must be unwell, or well again, before that counts
+   * @param advertisementsPerInterval advertisements sent in each advertised interval, 1 in the
+   *     standard; with more, partners that lose some still receive enough, and do not take over
+   *     later
+   * @param detectsPauses whether a node that was paused for long assumes that it was deposed
+   * @param preemptDelay how long a node that has started, or has stepped down, leaves a partner of
+   *     lower priority Active
+   * @param retakeDelay the minimum time between releasing the address and acquiring it again
+   * @param flapHalfLife the time in which the penalty for a partner that repeatedly takes over and
+   *     fails halves; none: flaps are not counted
+   * @param flapHoldThreshold the penalty from which this node keeps the address, by advertising a
+   *     priority of 254
+   * @param deafAfterIntervals how many intervals a partner of lower priority may stay Active beside
+   *     this node before it counts as deaf; 0: any number
+   * @param unhealthyPriorityReduction what the priority is lowered by while this front is unhealthy
+   * @param healthChangeDelay how long a change of health must last before it takes effect
    */
   public record Extensions(
       int advertisementsPerInterval,
--- a/src/main/java/linengauge/vrrp/VirtualRouter.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouter.java
@@ -7,12 +7,12 @@
 import linengauge.Span;
 
 /**
- * One virtual router at this node: the state machine of RFC 9568, section 6.4, and what is added to
- * it. It is told the time, holds two timers as moments, and acts through {@link Port}. Every call
- * first brings it to the moment told.
+ * One virtual router on this node: the state machine of RFC 9568, section 6.4, with extensions. It
+ * is passed the time, keeps its timers as moments, and acts through {@link Port}. Every call first
+ * advances it to the moment passed.
  */
 public class VirtualRouter {
-  /** Section 6.3. */
+  /** The states of section 6.3. */
   public enum State {
     INITIALIZE,
     BACKUP,
@@ -20,8 +20,8 @@
   }
 
   /**
-   * What can happen to it. Of an advertisement it matters only what it means to this node in its
-   * state.
+   * The inputs of the state machine. Advertisements are classified by what they mean to this node
+   * in its state.
    */
   enum Event {
     STARTUP,
@@ -29,72 +29,116 @@
     SHUTDOWN,
     ACTIVE_DOWN_TIMER,
     ADVER_TIMER,
-    /** An advertisement of priority 0: the Active node gives up. */
-    GIVEN_UP,
+    /** An advertisement of priority 0: the Active node stops being Active. */
+    PRIORITY_ZERO,
     /**
-     * One to follow: in Backup of no lower priority, or not to be preempted; in Active of higher,
-     * or equal and a greater address.
+     * An advertisement to follow. In Backup: its priority is not lower, or this node does not
+     * preempt; in Active: its priority is higher, or equal with a greater address.
      */
-    TO_FOLLOW,
-    /** Any other. */
-    NOT_TO_FOLLOW,
-    /** Added: this node has not stepped for so long that it must take itself for deposed. */
-    WOKEN,
-    /** Added: the other one cannot hear this one. */
+    SUPERIOR,
+    /** Any other advertisement. */
+    INFERIOR,
+    /** Extension: this node was paused for so long that it must assume that it was deposed. */
+    PAUSE_DETECTED,
+    /** Extension: the partner does not receive this node's advertisements. */
     DEAF_PARTNER
   }
 
-  private enum Act {
+  private enum Action {
     SEND,
     SEND_ZERO,
-    TAKE,
-    GIVE_UP,
-    LEARN,
-    OWN_INTERVAL,
-    ARM_ADVER,
-    ARM_DOWN,
-    ARM_SKEW,
-    DISARM,
-    ASSERT
+    ACQUIRE_ADDRESS,
+    RELEASE_ADDRESS,
+    LEARN_INTERVAL,
+    RESET_INTERVAL,
+    SET_ADVER_TIMER,
+    SET_ACTIVE_DOWN_TIMER,
+    SET_SKEW_TIMER,
+    CANCEL_TIMERS,
+    ASSERT_PRIORITY
   }
 
-  private record Row(State to, List<Act> acts) {}
+  private record Transition(State target, List<Action> actions) {}
 
-  private static final Map<State, Map<Event, Row>> TABLE = new EnumMap<>(State.class);
+  private static final Map<State, Map<Event, Transition>> TRANSITIONS = new EnumMap<>(State.class);
 
-  private static void row(State from, Event event, State to, Act... acts) {
-    TABLE
-        .computeIfAbsent(from, s -> new EnumMap<>(Event.class))
-        .put(event, new Row(to, List.of(acts)));
+  private static void transition(State from, Event event, State to, Action... actions) {
+    TRANSITIONS
+        .computeIfAbsent(from, state -> new EnumMap<>(Event.class))
+        .put(event, new Transition(to, List.of(actions)));
   }
 
   static {
     // 6.4.1 Initialize
-    row(State.INITIALIZE, Event.STARTUP_OF_OWNER, State.ACTIVE, Act.SEND, Act.TAKE, Act.ARM_ADVER);
-    row(State.INITIALIZE, Event.STARTUP, State.BACKUP, Act.OWN_INTERVAL, Act.ARM_DOWN);
+    transition(
+        State.INITIALIZE,
+        Event.STARTUP_OF_OWNER,
+        State.ACTIVE,
+        Action.SEND,
+        Action.ACQUIRE_ADDRESS,
+        Action.SET_ADVER_TIMER);
+    transition(
+        State.INITIALIZE,
+        Event.STARTUP,
+        State.BACKUP,
+        Action.RESET_INTERVAL,
+        Action.SET_ACTIVE_DOWN_TIMER);
     // 6.4.2 Backup
-    row(State.BACKUP, Event.SHUTDOWN, State.INITIALIZE, Act.DISARM);
-    row(State.BACKUP, Event.ACTIVE_DOWN_TIMER, State.ACTIVE, Act.SEND, Act.TAKE, Act.ARM_ADVER);
-    row(State.BACKUP, Event.GIVEN_UP, State.BACKUP, Act.ARM_SKEW);
-    row(State.BACKUP, Event.TO_FOLLOW, State.BACKUP, Act.LEARN, Act.ARM_DOWN);
-    row(State.BACKUP, Event.NOT_TO_FOLLOW, State.BACKUP);
-    row(
+    transition(State.BACKUP, Event.SHUTDOWN, State.INITIALIZE, Action.CANCEL_TIMERS);
+    transition(
+        State.BACKUP,
+        Event.ACTIVE_DOWN_TIMER,
+        State.ACTIVE,
+        Action.SEND,
+        Action.ACQUIRE_ADDRESS,
+        Action.SET_ADVER_TIMER);
+    transition(State.BACKUP, Event.PRIORITY_ZERO, State.BACKUP, Action.SET_SKEW_TIMER);
+    transition(
         State.BACKUP,
-        Event.WOKEN,
+        Event.SUPERIOR,
         State.BACKUP,
-        Act.ARM_DOWN); // what came meanwhile is still to be read
+        Action.LEARN_INTERVAL,
+        Action.SET_ACTIVE_DOWN_TIMER);
+    transition(State.BACKUP, Event.INFERIOR, State.BACKUP);
+    // Advertisements that arrived during the pause have yet to be read.
+    transition(State.BACKUP, Event.PAUSE_DETECTED, State.BACKUP, Action.SET_ACTIVE_DOWN_TIMER);
     // 6.4.3 Active
-    row(State.ACTIVE, Event.SHUTDOWN, State.INITIALIZE, Act.DISARM, Act.SEND_ZERO, Act.GIVE_UP);
-    row(State.ACTIVE, Event.ADVER_TIMER, State.ACTIVE, Act.SEND, Act.ARM_ADVER);
-    row(State.ACTIVE, Event.GIVEN_UP, State.ACTIVE, Act.SEND, Act.ARM_ADVER);
-    row(State.ACTIVE, Event.TO_FOLLOW, State.BACKUP, Act.GIVE_UP, Act.LEARN, Act.ARM_DOWN);
-    row(State.ACTIVE, Event.NOT_TO_FOLLOW, State.ACTIVE, Act.ASSERT);
-    row(State.ACTIVE, Event.WOKEN, State.BACKUP, Act.GIVE_UP, Act.OWN_INTERVAL, Act.ARM_DOWN);
-    row(State.ACTIVE, Event.DEAF_PARTNER, State.BACKUP, Act.GIVE_UP, Act.LEARN, Act.ARM_DOWN);
+    transition(
+        State.ACTIVE,
+        Event.SHUTDOWN,
+        State.INITIALIZE,
+        Action.CANCEL_TIMERS,
+        Action.SEND_ZERO,
+        Action.RELEASE_ADDRESS);
+    transition(State.ACTIVE, Event.ADVER_TIMER, State.ACTIVE, Action.SEND, Action.SET_ADVER_TIMER);
+    transition(
+        State.ACTIVE, Event.PRIORITY_ZERO, State.ACTIVE, Action.SEND, Action.SET_ADVER_TIMER);
+    transition(
+        State.ACTIVE,
+        Event.SUPERIOR,
+        State.BACKUP,
+        Action.RELEASE_ADDRESS,
+        Action.LEARN_INTERVAL,
+        Action.SET_ACTIVE_DOWN_TIMER);
+    transition(State.ACTIVE, Event.INFERIOR, State.ACTIVE, Action.ASSERT_PRIORITY);
+    transition(
+        State.ACTIVE,
+        Event.PAUSE_DETECTED,
+        State.BACKUP,
+        Action.RELEASE_ADDRESS,
+        Action.RESET_INTERVAL,
+        Action.SET_ACTIVE_DOWN_TIMER);
+    transition(
+        State.ACTIVE,
+        Event.DEAF_PARTNER,
+        State.BACKUP,
+        Action.RELEASE_ADDRESS,
+        Action.LEARN_INTERVAL,
+        Action.SET_ACTIVE_DOWN_TIMER);
   }
 
   /**
-   * What the node acts through. No call here may lead to a call of the router before it has
+   * The actions of the router on its node. No call may lead to a call of the router before it has
    * returned.
    */
   public interface Port {
@@ -102,19 +146,18 @@
     void send(Advertisement advert);
 
     /**
-     * The shared address is this node's from now on: taken, and announced to whoever forwards to
-     * it.
+     * Makes the shared address this node's own and announces it to whoever forwards traffic to it.
      */
     void acquireAddress(int vrid);
 
-    /** Announced once more, as there was another that claims it. */
+    /** Announces the shared address again, because another node claims it. */
     void announceAddress(int vrid);
 
-    /** The shared address is this node's no longer. */
+    /** Releases the shared address. */
     void releaseAddress(int vrid);
   }
 
-  /** Counts since the start. */
+  /** Counters since the start. */
   public static final class Counts {
     public long activations;
     public long stepsDown;
@@ -124,75 +167,75 @@
     public long flaps;
   }
 
-  /** How many assertions against a worse partner one interval of this node's bears. */
-  private static final int ASSERTIONS = 4;
+  /** The maximum number of answers to inferior advertisements in one advertisement interval. */
+  private static final int MAX_ASSERTIONS_PER_INTERVAL = 4;
 
   private final RouterSettings settings;
   private final Port port;
   private final Counts counts = new Counts();
-  private FlapDamping flaps;
-  private HealthPenalty penalty;
+  private FlapDamping flapDamping;
+  private HealthPenalty healthPenalty;
   private State state = State.INITIALIZE;
   private Moment now = Moment.DISTANT_PAST;
-  private Moment downAt;
-  private Moment adverAt;
-  private Moment sentAt = Moment.DISTANT_PAST;
+  private Moment activeDownTimer;
+  private Moment adverTimer;
+  private Moment lastSentAt = Moment.DISTANT_PAST;
 
-  /** Active_Adver_Interval: the Active node's, as heard. */
-  private Span activeInterval;
+  /** Active_Adver_Interval: the interval received from the Active node. */
+  private Span activeAdverInterval;
 
-  private Moment preemptFrom = Moment.DISTANT_PAST;
-  private Moment takeFrom = Moment.DISTANT_PAST;
+  private Moment preemptAllowedFrom = Moment.DISTANT_PAST;
+  private Moment retakeAllowedFrom = Moment.DISTANT_PAST;
 
-  /** The one followed took the address from this node, and has not given it up. */
+  /** Whether the partner that is followed took over from this node and has not stepped down. */
   private boolean deposed;
 
-  private boolean saidGoodbye;
+  private boolean shutdownAdvertised;
 
-  /** Since when a worse one has been Active beside this one; null where none is. */
-  private Moment worseSince;
+  /** Since when a partner of lower priority has been Active beside this node; null: none is. */
+  private Moment inferiorActiveSince;
 
-  private Moment worseAt = Moment.DISTANT_PAST;
+  private Moment inferiorActiveSeenAt = Moment.DISTANT_PAST;
 
   /**
-   * A partner that did not hear this one is followed until then, whatever its priority; doubled
-   * each time.
+   * Until when any partner is followed, whatever its priority, as one was found to be deaf; the
+   * time doubles on each repetition.
    */
   private Moment followAnyUntil = Moment.DISTANT_PAST;
 
-  private int deafTimes;
-  private int assertionsLeft = ASSERTIONS;
+  private int deafBackoffExponent;
+  private int assertionsLeft = MAX_ASSERTIONS_PER_INTERVAL;
 
-  public VirtualRouter(RouterSettings terms, Port port) {
-    this.settings = terms;
+  public VirtualRouter(RouterSettings settings, Port port) {
+    this.settings = settings;
     this.port = port;
-    this.activeInterval = terms.interval();
-    this.flaps = new FlapDamping(terms.extensions());
-    this.penalty = new HealthPenalty(terms.extensions());
+    this.activeAdverInterval = settings.interval();
+    this.flapDamping = new FlapDamping(settings.extensions());
+    this.healthPenalty = new HealthPenalty(settings.extensions());
   }
 
-  /** The same router in the same state, acting through another port. */
-  protected VirtualRouter(VirtualRouter o, Port port) {
-    this.settings = o.settings;
+  /** Copies a router with its state; the copy acts through another port. */
+  protected VirtualRouter(VirtualRouter other, Port port) {
+    this.settings = other.settings;
     this.port = port;
-    this.flaps = o.flaps.copy(settings.extensions());
-    this.penalty = o.penalty.copy(settings.extensions());
-    this.state = o.state;
-    this.now = o.now;
-    this.downAt = o.downAt;
-    this.adverAt = o.adverAt;
-    this.sentAt = o.sentAt;
-    this.activeInterval = o.activeInterval;
-    this.preemptFrom = o.preemptFrom;
-    this.takeFrom = o.takeFrom;
-    this.deposed = o.deposed;
-    this.saidGoodbye = o.saidGoodbye;
-    this.worseSince = o.worseSince;
-    this.worseAt = o.worseAt;
-    this.followAnyUntil = o.followAnyUntil;
-    this.deafTimes = o.deafTimes;
-    this.assertionsLeft = o.assertionsLeft;
-    this.counts.activations = o.counts.activations;
+    this.flapDamping = other.flapDamping.copy(settings.extensions());
+    this.healthPenalty = other.healthPenalty.copy(settings.extensions());
+    this.state = other.state;
+    this.now = other.now;
+    this.activeDownTimer = other.activeDownTimer;
+    this.adverTimer = other.adverTimer;
+    this.lastSentAt = other.lastSentAt;
+    this.activeAdverInterval = other.activeAdverInterval;
+    this.preemptAllowedFrom = other.preemptAllowedFrom;
+    this.retakeAllowedFrom = other.retakeAllowedFrom;
+    this.deposed = other.deposed;
+    this.shutdownAdvertised = other.shutdownAdvertised;
+    this.inferiorActiveSince = other.inferiorActiveSince;
+    this.inferiorActiveSeenAt = other.inferiorActiveSeenAt;
+    this.followAnyUntil = other.followAnyUntil;
+    this.deafBackoffExponent = other.deafBackoffExponent;
+    this.assertionsLeft = other.assertionsLeft;
+    this.counts.activations = other.counts.activations;
   }
 
   public VirtualRouter copy(Port other) {
@@ -212,247 +255,255 @@
   }
 
   public boolean isUnhealthy() {
-    return penalty.isUnwell();
+    return healthPenalty.isUnhealthy();
   }
 
   /** Skew_Time (section 6.1). */
   Span skewTime() {
-    return new Span((256L - priority()) * activeInterval.micros() / 256);
+    return new Span((256L - priority()) * activeAdverInterval.micros() / 256);
   }
 
   /** Active_Down_Interval (section 6.1). */
   Span activeDownInterval() {
-    return activeInterval.times(3).plus(skewTime());
+    return activeAdverInterval.times(3).plus(skewTime());
   }
 
-  /** When it wants to be told the time next; null: never, as it is not started. */
+  /** Returns when the next timer expires, or null in Initialize. */
   public Moment nextTimer() {
-    return state == State.ACTIVE ? adverAt : downAt;
+    return state == State.ACTIVE ? adverTimer : activeDownTimer;
   }
 
   /**
-   * Until when viewers may be served at the shared address without another word from here. A node
-   * that stands still cannot know that it was deposed, so what it holds ends by itself: no sooner
-   * does any partner take over.
+   * Returns until when viewers may be served at the shared address unless it is renewed. A paused
+   * node cannot know that it was deposed, so its lease on the address expires by itself, no later
+   * than any partner takes over.
    */
   public Moment leaseExpiry() {
-    return state == State.ACTIVE ? sentAt.plus(settings.interval().times(3)) : Moment.DISTANT_PAST;
+    return state == State.ACTIVE
+        ? lastSentAt.plus(settings.interval().times(3))
+        : Moment.DISTANT_PAST;
   }
 
   /**
-   * What stands in its advertisements now: as set up, less what it is unwell, or the mark by which
-   * it keeps the address.
+   * Returns the priority that is advertised: the configured one less the reduction for poor health,
+   * or one below the owner's while flap damping holds the address.
    */
   public int priority() {
     if (settings.isOwner()) {
       return RouterSettings.OWNER_PRIORITY;
     }
-    int minus = penalty.minus(now);
-    if (minus == 0 && state == State.ACTIVE && flaps.holds(now)) {
+    int reduction = healthPenalty.priorityReduction(now);
+    if (reduction == 0 && state == State.ACTIVE && flapDamping.isHolding(now)) {
       return RouterSettings.OWNER_PRIORITY - 1;
     }
-    return Math.max(1, settings.priority() - minus);
+    return Math.max(1, settings.priority() - reduction);
   }
 
-  /* ---- what happens ---- */
+  /* ---- inputs ---- */
 
   public void start(Moment at) {
-    tell(at);
+    advanceTo(at);
     if (state == State.INITIALIZE) {
-      saidGoodbye = false;
-      preemptFrom = now.plus(settings.extensions().preemptDelay());
-      takes(settings.isOwner() ? Event.STARTUP_OF_OWNER : Event.STARTUP, null);
+      shutdownAdvertised = false;
+      preemptAllowedFrom = now.plus(settings.extensions().preemptDelay());
+      handle(settings.isOwner() ? Event.STARTUP_OF_OWNER : Event.STARTUP, null);
     }
   }
 
   /**
-   * The node stops: an Active one says so to its partners, who take over within their Skew_Time.
+   * Stops the router. An Active one advertises this, so that its partners take over within their
+   * Skew_Time.
    */
   public void shutdown(Moment at) {
-    tell(at);
+    advanceTo(at);
     if (state != State.INITIALIZE) {
-      takes(Event.SHUTDOWN, null);
+      handle(Event.SHUTDOWN, null);
     }
   }
 
   /**
-   * Said once more after {@link #shutdown}, where this node was Active then. Guards against a
-   * goodbye that is lost, or is overtaken by the advertisement before it, which would cost a whole
-   * Active_Down_Interval; partners bear it, as they bear any other of priority 0.
+   * Repeats the advertisement of priority 0 after {@link #shutdown} if this node was Active then.
+   * If the only one were lost, or overtaken by the advertisement before it, the takeover would last
+   * a whole Active_Down_Interval. A repeated advertisement of priority 0 does partners no harm.
    */
   public void repeatShutdown() {
-    if (saidGoodbye && state == State.INITIALIZE) {
+    if (shutdownAdvertised && state == State.INITIALIZE) {
       send(0);
     }
   }
 
-  /** What the front says of itself. */
-  public void setUnhealthy(boolean isUnwell, Moment at) {
-    tell(at);
-    penalty.report(isUnwell, now);
+  /** Reports the health of this front. */
+  public void setUnhealthy(boolean isUnhealthy, Moment at) {
+    advanceTo(at);
+    healthPenalty.report(isUnhealthy, now);
   }
 
-  /**
-   * Time has passed. What is due happens, or, where it is long overdue, what a node that stood
-   * still must do first.
-   */
+  /** Runs what is due, or, if that is long overdue, first does what a paused node has to do. */
   public void runTimers(Moment at) {
-    tell(at);
+    advanceTo(at);
     Moment due = nextTimer();
     if (due == null || now.before(due)) {
       return;
     }
     if (state == State.ACTIVE) {
-      if (deafTimes > 0
-          && !now.since(worseAt)
+      if (deafBackoffExponent > 0
+          && !now.since(inferiorActiveSeenAt)
               .under(activeDownInterval().times(settings.extensions().deafAfterIntervals()))) {
-        deafTimes = 0; // it has followed since
+        // The partner has followed this node since.
+        deafBackoffExponent = 0;
       }
-      takes(Event.ADVER_TIMER, null);
-    } else if (now.before(takeFrom)) {
-      downAt = takeFrom;
+      handle(Event.ADVER_TIMER, null);
+    } else if (now.before(retakeAllowedFrom)) {
+      activeDownTimer = retakeAllowedFrom;
     } else {
-      boolean died = deposed;
-      takes(Event.ACTIVE_DOWN_TIMER, null);
-      if (died) {
+      boolean partnerFailed = deposed;
+      handle(Event.ACTIVE_DOWN_TIMER, null);
+      if (partnerFailed) {
         counts.flaps++;
-        flaps.flapped(now);
+        flapDamping.recordFlap(now);
       }
     }
   }
 
-  /** An advertisement for this virtual router from a partner's address. */
-  public void receive(Advertisement a, NodeAddress from, Moment at) {
-    tell(at);
+  /** Handles an advertisement for this virtual router from a partner's address. */
+  public void receive(Advertisement advertisement, NodeAddress from, Moment at) {
+    advanceTo(at);
     if (state == State.INITIALIZE) {
       return;
     }
-    if (a.priority() == 0) {
-      deposed = false; // it gives up in order
-      worseSince = null;
-      takes(Event.GIVEN_UP, a);
+    if (advertisement.priority() == 0) {
+      // The partner stops being Active in an orderly way.
+      deposed = false;
+      inferiorActiveSince = null;
+      handle(Event.PRIORITY_ZERO, advertisement);
       return;
     }
-    boolean follows =
+    boolean isSuperior =
         state == State.BACKUP
-            ? !preempts() || a.priority() >= priority()
-            : a.priority() > priority() || a.priority() == priority() && winsTie(from);
-    if (state == State.ACTIVE && !follows && isDeaf()) {
-      deafTimes = Math.min(deafTimes + 1, 6);
+            ? !mayPreempt() || advertisement.priority() >= priority()
+            : advertisement.priority() > priority()
+                || advertisement.priority() == priority() && winsTie(from);
+    if (state == State.ACTIVE && !isSuperior && isPartnerDeaf()) {
+      deafBackoffExponent = Math.min(deafBackoffExponent + 1, 6);
       followAnyUntil =
           now.plus(
               activeDownInterval()
                   .times(settings.extensions().deafAfterIntervals())
-                  .times(1 << deafTimes));
-      worseSince = null;
+                  .times(1 << deafBackoffExponent));
+      inferiorActiveSince = null;
       counts.deafPartners++;
-      takes(Event.DEAF_PARTNER, a);
+      handle(Event.DEAF_PARTNER, advertisement);
       return;
     }
-    deposed =
-        follows
-            && (deposed
-                || state == State.ACTIVE); // one that is heard and not followed has not died
-    takes(follows ? Event.TO_FOLLOW : Event.NOT_TO_FOLLOW, a);
+    // A partner that is received and not followed has not failed.
+    deposed = isSuperior && (deposed || state == State.ACTIVE);
+    handle(isSuperior ? Event.SUPERIOR : Event.INFERIOR, advertisement);
   }
 
-  /** Ties go to the greater primary address (section 6.4.3). */
+  /**
+   * Returns whether a partner of equal priority is followed: the greater primary address wins
+   * (section 6.4.3).
+   */
   protected boolean winsTie(NodeAddress from) {
     return from.compareTo(settings.primaryAddress()) > 0;
   }
 
-  private boolean preempts() {
-    return settings.preemptMode() && !now.before(preemptFrom) && !now.before(followAnyUntil);
+  private boolean mayPreempt() {
+    return settings.preemptMode() && !now.before(preemptAllowedFrom) && !now.before(followAnyUntil);
   }
 
   /**
-   * A worse one has been Active beside this one for long, though this one asserts itself: it does
-   * not hear it. It keeps the address for now, as two that answer for one address are worse than
-   * the lesser of both. Guards against loss in one direction; it could hurt where somebody else
-   * sends its old advertisements again, so it wants the keyed trailer.
+   * Returns whether a partner of lower priority has been Active beside this node for so long,
+   * although this node asserts itself, that it cannot be receiving this node. The partner then
+   * keeps the address for a time, because two nodes that answer for one address are worse than the
+   * node of lower priority alone. This covers loss in one direction. Someone who replays the
+   * partner's old advertisements could exploit it, so it should be used with the keyed trailer.
    */
-  private boolean isDeaf() {
-    int times = settings.extensions().deafAfterIntervals();
-    if (times == 0) {
+  private boolean isPartnerDeaf() {
+    int intervals = settings.extensions().deafAfterIntervals();
+    if (intervals == 0) {
       return false;
     }
-    boolean goesOn = worseSince != null && now.since(worseAt).under(activeDownInterval());
-    worseSince = goesOn ? worseSince : now;
-    worseAt = now;
-    return !now.since(worseSince).under(settings.interval().times(times));
+    boolean continues =
+        inferiorActiveSince != null && now.since(inferiorActiveSeenAt).under(activeDownInterval());
+    inferiorActiveSince = continues ? inferiorActiveSince : now;
+    inferiorActiveSeenAt = now;
+    return !now.since(inferiorActiveSince).under(settings.interval().times(intervals));
   }
 
-  private void tell(Moment at) {
-    now = now.orLater(at); // a clock that steps back tells nothing
+  private void advanceTo(Moment at) {
+    // A clock that steps back is ignored.
+    now = now.orLater(at);
     Moment due = nextTimer();
     if (!settings.extensions().detectsPauses() || due == null) {
       return;
     }
-    // An Active node that said nothing for three intervals may have been deposed; one in Backup
-    // that is an interval late
-    // has advertisements to read before it may say that none came.
-    Span late = now.since(due);
-    Span most = state == State.ACTIVE ? settings.interval().times(2) : activeInterval;
-    if (!late.under(most)) {
+    // An Active node that sent nothing for three intervals may have been deposed. A node in Backup
+    // that is an interval late has advertisements to read before it may conclude that none
+    // arrived.
+    Span delay = now.since(due);
+    Span maxDelay = state == State.ACTIVE ? settings.interval().times(2) : activeAdverInterval;
+    if (!delay.under(maxDelay)) {
       counts.pauses++;
       deposed = false;
-      takes(Event.WOKEN, null);
+      handle(Event.PAUSE_DETECTED, null);
     }
   }
 
-  /* ---- the table, carried out ---- */
+  /* ---- state transitions ---- */
 
-  private void takes(Event event, Advertisement a) {
-    Row row = TABLE.getOrDefault(state, Map.of()).get(event);
-    if (row == null) {
-      return; // section 6.4 has nothing for it
+  private void handle(Event event, Advertisement advertisement) {
+    Transition transition = TRANSITIONS.getOrDefault(state, Map.of()).get(event);
+    if (transition == null) {
+      // Section 6.4 defines no transition for it.
+      return;
     }
-    State before = state;
-    state = row.to;
-    if (state == State.ACTIVE && before != State.ACTIVE) {
+    State previous = state;
+    state = transition.target;
+    if (state == State.ACTIVE && previous != State.ACTIVE) {
       counts.activations++;
-      worseSince = null;
-    } else if (before == State.ACTIVE && state == State.BACKUP) {
+      inferiorActiveSince = null;
+    } else if (previous == State.ACTIVE && state == State.BACKUP) {
       counts.stepsDown++;
-      takeFrom = now.plus(settings.extensions().retakeDelay());
-      preemptFrom = now.plus(settings.extensions().preemptDelay());
+      retakeAllowedFrom = now.plus(settings.extensions().retakeDelay());
+      preemptAllowedFrom = now.plus(settings.extensions().preemptDelay());
     }
-    for (Act act : row.acts) {
-      act(act, a);
+    for (Action action : transition.actions) {
+      perform(action, advertisement);
     }
   }
 
-  private void act(Act act, Advertisement a) {
-    switch (act) {
+  private void perform(Action action, Advertisement advertisement) {
+    switch (action) {
       case SEND -> send(priority());
       case SEND_ZERO -> {
-        saidGoodbye = true;
+        shutdownAdvertised = true;
         send(0);
       }
-      case TAKE -> {
+      case ACQUIRE_ADDRESS -> {
         deposed = false;
         port.acquireAddress(settings.vrid());
       }
-      case GIVE_UP -> port.releaseAddress(settings.vrid());
-      case LEARN -> activeInterval = a.interval();
-      case OWN_INTERVAL -> activeInterval = settings.interval();
-      case ARM_ADVER -> {
-        adverAt =
+      case RELEASE_ADDRESS -> port.releaseAddress(settings.vrid());
+      case LEARN_INTERVAL -> activeAdverInterval = advertisement.interval();
+      case RESET_INTERVAL -> activeAdverInterval = settings.interval();
+      case SET_ADVER_TIMER -> {
+        adverTimer =
             now.plus(
                 new Span(
                     settings.interval().micros()
                         / settings.extensions().advertisementsPerInterval()));
-        assertionsLeft = ASSERTIONS;
+        assertionsLeft = MAX_ASSERTIONS_PER_INTERVAL;
       }
-      case ARM_DOWN -> downAt = now.plus(activeDownInterval());
-      case ARM_SKEW -> downAt = now.plus(skewTime());
-      case DISARM -> {
-        downAt = null;
-        adverAt = null;
+      case SET_ACTIVE_DOWN_TIMER -> activeDownTimer = now.plus(activeDownInterval());
+      case SET_SKEW_TIMER -> activeDownTimer = now.plus(skewTime());
+      case CANCEL_TIMERS -> {
+        activeDownTimer = null;
+        adverTimer = null;
       }
-      case ASSERT -> {
-        // Said at once (6.4.3), but only so often: whoever sends copies must not make this node
-        // send as many.
+      case ASSERT_PRIORITY -> {
+        // The answer is sent at once (section 6.4.3), but limited in number, so that repeated
+        // advertisements do not make this node send as many.
         if (assertionsLeft > 0) {
           assertionsLeft--;
           send(priority());
@@ -463,33 +514,38 @@
   }
 
   private void send(int priority) {
-    sentAt = now;
+    lastSentAt = now;
     counts.advertisementsSent++;
     port.send(
         new Advertisement(settings.vrid(), priority, settings.interval(), settings.addresses()));
   }
 
-  /** What tells two states apart, with moments as seen from a moment; for exploring. */
+  /**
+   * Returns values that differ between states that behave differently, with moments relative to the
+   * given one; used for exploration.
+   */
   public List<Long> fingerprint(Moment from) {
-    long far = settings.interval().micros() * 1000;
+    long limit = settings.interval().micros() * 1000;
     return List.of(
         (long) state.ordinal(),
-        ahead(downAt, from, far),
-        ahead(adverAt, from, far),
-        state == State.ACTIVE ? ahead(sentAt, from, far) : 0,
-        activeInterval.micros(),
-        ahead(preemptFrom, from, far),
-        ahead(takeFrom, from, far),
+        offset(activeDownTimer, from, limit),
+        offset(adverTimer, from, limit),
+        state == State.ACTIVE ? offset(lastSentAt, from, limit) : 0,
+        activeAdverInterval.micros(),
+        offset(preemptAllowedFrom, from, limit),
+        offset(retakeAllowedFrom, from, limit),
         deposed ? 1L : 0L,
-        ahead(worseSince, from, far),
-        ahead(worseAt, from, far),
-        ahead(followAnyUntil, from, far),
-        (long) deafTimes * 16 + assertionsLeft,
-        flaps.mark(from),
-        penalty.mark());
-  }
-
-  private static long ahead(Moment m, Moment from, long far) {
-    return m == null ? Long.MIN_VALUE : Math.max(-far, Math.min(far, m.since(from).micros()));
+        offset(inferiorActiveSince, from, limit),
+        offset(inferiorActiveSeenAt, from, limit),
+        offset(followAnyUntil, from, limit),
+        (long) deafBackoffExponent * 16 + assertionsLeft,
+        flapDamping.fingerprint(from),
+        healthPenalty.fingerprint());
+  }
+
+  private static long offset(Moment moment, Moment from, long limit) {
+    return moment == null
+        ? Long.MIN_VALUE
+        : Math.max(-limit, Math.min(limit, moment.since(from).micros()));
   }
 }
--- a/src/main/java/linengauge/vrrp/VirtualRouters.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouters.java
@@ -12,17 +12,17 @@
 import linengauge.Span;
 
 /**
- * All virtual routers of one node behind one door: what comes in a datagram is proved, read and
- * given to the router that it is for, and what a router says goes out to every partner. It holds no
- * socket; whoever does calls it.
+ * All virtual routers of one node: verifies and decodes the datagrams received, dispatches them to
+ * the router that they are for, and sends the routers' advertisements to every partner. It owns no
+ * socket; the owner of the socket calls it.
  */
 public final class VirtualRouters {
-  /** The node on its wire. */
+  /** The network as seen by this node. */
   public interface Network {
-    /** Sends to one partner, or to the group; it may be lost. */
+    /** Sends a datagram to one partner or to the multicast group; it may be lost. */
     void send(byte[] datagram, NodeAddress to);
 
-    /** The shared address of a virtual router is this node's. */
+    /** Makes the shared address of a virtual router this node's own. */
     void acquireAddress(int vrid);
 
     void announceAddress(int vrid);
@@ -30,14 +30,14 @@
     void releaseAddress(int vrid);
   }
 
-  private final NodeAddress own;
+  private final NodeAddress primaryAddress;
   private final List<NodeAddress> destinations;
-  private final Set<NodeAddress> known;
-  private final PacketCodec packets;
-  private final DatagramAuthenticator seal;
-  private final Network wire;
+  private final Set<NodeAddress> partners;
+  private final PacketCodec codec;
+  private final DatagramAuthenticator authenticator;
+  private final Network network;
 
-  /** By number, as set up; none comes or goes while it runs. */
+  /** The configured routers by identifier; the set is fixed. */
   private final Map<Integer, VirtualRouter> routers = new TreeMap<>();
 
   private final Map<DropReason, Long> drops = new EnumMap<>(DropReason.class);
@@ -46,143 +46,147 @@
   private long intervalMismatches;
 
   /**
-   * Datagrams are not rationed by sender: without a key, garbage in a partner's name would use up
-   * its ration. Each costs less than a microsecond to turn down (with a key, one digest), and
-   * whoever reads them looks at the timers between.
+   * Datagrams are not rate-limited by sender, because without a key, invalid datagrams that claim a
+   * partner's address would use up that partner's limit. Rejecting one costs less than a
+   * microsecond (with a key, one digest), and the reader checks the timers in between.
    *
-   * @param partners who is heard
-   * @param group a multicast address by which all partners are reached at once (section 5.1.1.2);
-   *     null: each by its own
-   * @param seal the group's key, or null for the standard's packet alone
+   * @param partners the nodes whose advertisements are accepted
+   * @param multicastGroup a multicast address that reaches all partners at once (section 5.1.1.2);
+   *     null: each is sent its own datagram
+   * @param authenticator the authenticator with the group's key; null: packets have no trailer, as
+   *     in the standard
    */
   public VirtualRouters(
-      NodeAddress own,
+      NodeAddress primaryAddress,
       List<NodeAddress> partners,
-      NodeAddress group,
+      NodeAddress multicastGroup,
       List<RouterSettings> routers,
-      PacketCodec packets,
-      DatagramAuthenticator seal,
-      Network wire) {
-    this.own = own;
-    this.destinations = group == null ? List.copyOf(partners) : List.of(group);
-    this.known = new HashSet<>(partners);
-    this.packets = packets;
-    this.seal = seal;
-    this.wire = wire;
-    for (RouterSettings t : routers) {
+      PacketCodec codec,
+      DatagramAuthenticator authenticator,
+      Network network) {
+    this.primaryAddress = primaryAddress;
+    this.destinations = multicastGroup == null ? List.copyOf(partners) : List.of(multicastGroup);
+    this.partners = new HashSet<>(partners);
+    this.codec = codec;
+    this.authenticator = authenticator;
+    this.network = network;
+    for (RouterSettings settings : routers) {
       this.routers.put(
-          t.vrid(),
+          settings.vrid(),
           new VirtualRouter(
-              t,
+              settings,
               new VirtualRouter.Port() {
                 @Override
-                public void send(Advertisement a) {
-                  VirtualRouters.this.send(a);
+                public void send(Advertisement advertisement) {
+                  VirtualRouters.this.send(advertisement);
                 }
 
                 @Override
                 public void acquireAddress(int vrid) {
-                  wire.acquireAddress(vrid);
+                  network.acquireAddress(vrid);
                 }
 
                 @Override
                 public void announceAddress(int vrid) {
-                  wire.announceAddress(vrid);
+                  network.announceAddress(vrid);
                 }
 
                 @Override
                 public void releaseAddress(int vrid) {
-                  wire.releaseAddress(vrid);
+                  network.releaseAddress(vrid);
                 }
               }));
     }
   }
 
-  private void send(Advertisement a) {
+  private void send(Advertisement advertisement) {
     for (NodeAddress to : destinations) {
-      byte[] bytes = packets.encode(a, own, to);
-      wire.send(seal == null ? bytes : seal.sign(bytes, own), to);
+      byte[] bytes = codec.encode(advertisement, primaryAddress, to);
+      network.send(authenticator == null ? bytes : authenticator.sign(bytes, primaryAddress), to);
     }
   }
 
   public void start(Moment now) {
-    routers.values().forEach(r -> r.start(now));
+    routers.values().forEach(router -> router.start(now));
   }
 
   public void shutdown(Moment now) {
-    routers.values().forEach(r -> r.shutdown(now));
+    routers.values().forEach(router -> router.shutdown(now));
   }
 
-  /** Goodbyes said once more. */
+  /** Repeats the advertisements of priority 0 after a shutdown. */
   public void repeatShutdown() {
     routers.values().forEach(VirtualRouter::repeatShutdown);
   }
 
-  /** The front is fit to hold addresses, or not. */
-  public void setUnhealthy(boolean isUnwell, Moment now) {
-    routers.values().forEach(r -> r.setUnhealthy(isUnwell, now));
+  /** Reports whether the front is fit to hold addresses. */
+  public void setUnhealthy(boolean isUnhealthy, Moment now) {
+    routers.values().forEach(router -> router.setUnhealthy(isUnhealthy, now));
   }
 
-  /** Time has passed; every router that is due acts. */
+  /** Runs the timers of every router that is due. */
   public void runTimers(Moment now) {
-    routers.values().forEach(r -> r.runTimers(now));
+    routers.values().forEach(router -> router.runTimers(now));
   }
 
-  /** When the first router is due; null where none ever is. */
+  /** Returns when the first timer of any router expires; null: there is none. */
   public Moment nextTimer() {
     Moment first = null;
-    for (VirtualRouter r : routers.values()) {
-      Moment due = r.nextTimer();
+    for (VirtualRouter router : routers.values()) {
+      Moment due = router.nextTimer();
       first = due != null && (first == null || due.before(first)) ? due : first;
     }
     return first;
   }
 
   /**
-   * A datagram of so many bytes from an address to this node's or the group's. What is no
-   * advertisement for a router here is counted by its cause.
+   * Handles a received datagram of the given length; its destination is this node's or the group's
+   * address. A datagram that is no valid advertisement for a router of this node is counted by its
+   * reason.
    */
   public void receive(byte[] bytes, int length, NodeAddress from, NodeAddress to, Moment now) {
     try {
-      if (from.equals(own)) {
+      if (from.equals(primaryAddress)) {
         throw new InvalidPacketException(DropReason.OWN);
       }
-      if (!known.contains(from)) {
+      if (!partners.contains(from)) {
         throw new InvalidPacketException(DropReason.FOREIGN_SENDER);
       }
-      int packet = length;
-      if (seal != null) {
-        packet = seal.verify(bytes, length, from);
+      int packetLength = length;
+      if (authenticator != null) {
+        packetLength = authenticator.verify(bytes, length, from);
       }
-      Advertisement a = packets.decode(bytes, packet, from, to);
-      VirtualRouter r = routers.get(a.vrid());
-      if (r == null) {
+      Advertisement advertisement = codec.decode(bytes, packetLength, from, to);
+      VirtualRouter router = routers.get(advertisement.vrid());
+      if (router == null) {
         throw new InvalidPacketException(DropReason.VRID);
       }
-      if (r.settings().isOwner()) {
-        throw new InvalidPacketException(DropReason.OWNER); // 7.1: the owner hears nobody
+      if (router.settings().isOwner()) {
+        // The owner ignores all advertisements (section 7.1).
+        throw new InvalidPacketException(DropReason.OWNER);
       }
       receivedCount++;
-      // Section 7.1: told to the operators, and heard all the same.
-      addressMismatches += sorted(a.addresses()).equals(sorted(r.settings().addresses())) ? 0 : 1;
-      intervalMismatches += a.interval().equals(r.settings().interval()) ? 0 : 1;
-      r.receive(a, from, now);
+      // A mismatch is counted for the operators; the advertisement is processed (section 7.1).
+      addressMismatches +=
+          sorted(advertisement.addresses()).equals(sorted(router.settings().addresses())) ? 0 : 1;
+      intervalMismatches += advertisement.interval().equals(router.settings().interval()) ? 0 : 1;
+      router.receive(advertisement, from, now);
     } catch (InvalidPacketException e) {
       drops.merge(e.reason(), 1L, Long::sum);
     }
   }
 
   private static List<NodeAddress> sorted(List<NodeAddress> addresses) {
-    NodeAddress[] all = addresses.toArray(new NodeAddress[0]);
-    Arrays.sort(all);
-    return Arrays.asList(all);
+    NodeAddress[] array = addresses.toArray(new NodeAddress[0]);
+    Arrays.sort(array);
+    return Arrays.asList(array);
   }
 
   public List<VirtualRouter> routers() {
     return new ArrayList<>(routers.values());
   }
 
-  /** Datagrams that were no advertisement, by cause. */
+  /** Returns the number of dropped datagrams by reason. */
   public Map<DropReason, Long> drops() {
     return Map.copyOf(drops);
   }
@@ -191,9 +195,7 @@
     return receivedCount;
   }
 
-  /**
-   * Advertisements that name other addresses, or another interval, than this node is set up with.
-   */
+  /** Returns the number of advertisements whose addresses differ from those configured here. */
   public long addressMismatches() {
     return addressMismatches;
   }
@@ -202,12 +204,12 @@
     return intervalMismatches;
   }
 
-  /** The longest that any router here waits for a silent partner, as things stand. */
+  /** Returns the longest time for which any router here waits for a silent partner. */
   public Span maxActiveDownInterval() {
-    Span most = Span.NONE;
-    for (VirtualRouter r : routers.values()) {
-      most = most.orMore(r.activeDownInterval());
+    Span longest = Span.NONE;
+    for (VirtualRouter router : routers.values()) {
+      longest = longest.orMore(router.activeDownInterval());
     }
-    return most;
+    return longest;
   }
 }
--- a/src/main/java/linengauge/vrrp/explore/ExplorationPlan.java
+++ b/src/main/java/linengauge/vrrp/explore/ExplorationPlan.java
@@ -7,13 +7,13 @@
 import linengauge.vrrp.VirtualRouter;
 
 /**
- * What is explored.
+ * The parameters of an exploration.
  *
- * @param priorities of the nodes, 2 or 3 of them; addresses rise with their numbers
- * @param depth how many things happen while troubles may come
- * @param maxFaults how many troubles there are at the most
- * @param routerFactory makes the routers: the real ones, or planted ones that the exploration must
- *     find
+ * @param priorities of the nodes, 2 or 3 of them; addresses increase with the node numbers
+ * @param depth the number of events during which faults may occur
+ * @param maxFaults the maximum number of faults in a schedule
+ * @param routerFactory creates the routers: the real ones, or ones with a planted defect that the
+ *     exploration must find
  */
 public record ExplorationPlan(
     List<Integer> priorities,
@@ -22,9 +22,9 @@
     int depth,
     int maxFaults,
     RouterFactory routerFactory) {
-  /** Makes a router of a node. */
+  /** Creates the router of a node. */
   public interface RouterFactory {
-    VirtualRouter create(RouterSettings terms, VirtualRouter.Port port);
+    VirtualRouter create(RouterSettings settings, VirtualRouter.Port port);
   }
 
   static final Span INTERVAL = Span.ofMillis(1000);
@@ -34,7 +34,8 @@
   }
 
   /**
-   * The additions with spans so short that all of them come to act, and end, within an exploration.
+   * Returns extensions with times so short that each of them takes effect, and ends, within an
+   * exploration.
    */
   public static RouterSettings.Extensions shortExtensions() {
     return new RouterSettings.Extensions(
@@ -50,8 +51,8 @@
   }
 
   /**
-   * After this without troubles one node must be Active, and stay so: some Active_Down_Intervals,
-   * and all holds.
+   * The time without faults after which exactly one node must be Active, and stay Active: several
+   * Active_Down_Intervals, and all holds.
    */
   Span settlingTime() {
     return INTERVAL.times(extensions.equals(RouterSettings.Extensions.NONE) ? 16 : 60);
--- a/src/main/java/linengauge/vrrp/explore/Explorer.java
+++ b/src/main/java/linengauge/vrrp/explore/Explorer.java
@@ -8,207 +8,219 @@
 import linengauge.Span;
 
 /**
- * Plays every schedule of troubles up to a bound through the real state machine: advertisements
- * lost or late, nodes that crash, start again or stand still, links that are cut one way or both,
- * at every point between two happenings. After each it lets the troubles end and looks whether one
- * node comes to be Active, and stays. What it has been in before is not played again.
+ * Runs every schedule of faults up to a bound through the real state machine: advertisements that
+ * are lost or delayed, nodes that crash, restart or are paused, links that are cut in one or both
+ * directions, at every point between two events. At the end of each schedule it ends the faults and
+ * checks that exactly one node becomes Active, and stays Active. A state that was visited before is
+ * not explored again.
  */
 public final class Explorer {
-  /** A broken property with the schedule that leads to it; null where none is. */
+  /** A violated property with the schedule that leads to it. */
   public record Violation(String description, List<String> schedule) {}
 
-  /** What an exploration came to. */
+  /**
+   * The result of an exploration.
+   *
+   * @param violation null if no property was violated
+   */
   public record Outcome(long schedules, long states, Violation violation) {
     public boolean passed() {
       return violation == null;
     }
   }
 
-  /** One choice and those before it. */
-  private record Trail(Trail before, String choice) {
-    List<String> all() {
-      List<String> list = new ArrayList<>();
-      for (Trail t = this; t != null; t = t.before) {
-        list.add(0, t.choice);
+  /** A choice and those before it. */
+  private record Path(Path previous, String choice) {
+    List<String> choices() {
+      List<String> choices = new ArrayList<>();
+      for (Path path = this; path != null; path = path.previous) {
+        choices.add(0, path.choice);
       }
-      return list;
+      return choices;
     }
   }
 
   private final ExplorationPlan plan;
 
-  /** States met, with what was still allowed in them; bounded by the plan's depth and faults. */
-  private final Map<List<Object>, Integer> met = new HashMap<>();
+  /** Visited states with the remaining depth; the plan's depth and faults bound their number. */
+  private final Map<List<Object>, Integer> visited = new HashMap<>();
 
   private long schedules;
-  private Violation found;
+  private Violation violation;
 
   private Explorer(ExplorationPlan plan) {
     this.plan = plan;
   }
 
   public static Outcome explore(ExplorationPlan plan) {
-    Explorer e = new Explorer(plan);
-    e.go(new NetworkState(plan), plan.depth(), plan.maxFaults(), null);
-    return new Outcome(e.schedules, e.met.size(), e.found);
+    Explorer explorer = new Explorer(plan);
+    explorer.visit(new NetworkState(plan), plan.depth(), plan.maxFaults(), null);
+    return new Outcome(explorer.schedules, explorer.visited.size(), explorer.violation);
   }
 
-  private void go(NetworkState w, int depth, int faults, Trail trail) {
-    if (found != null) {
+  private void visit(NetworkState net, int depth, int faults, Path path) {
+    if (violation != null) {
       return;
     }
-    List<Object> mark = w.mark();
-    mark.add(faults);
-    Integer before = met.get(mark);
-    if (before != null && before >= depth) {
-      return; // met with as much to come
+    List<Object> fingerprint = net.fingerprint();
+    fingerprint.add(faults);
+    Integer visitedDepth = visited.get(fingerprint);
+    if (visitedDepth != null && visitedDepth >= depth) {
+      // Visited with at least as much depth left.
+      return;
     }
-    met.put(mark, depth);
+    visited.put(fingerprint, depth);
     if (depth == 0 || faults == 0) {
       schedules++;
-      settle(new NetworkState(w), trail, faults == plan.maxFaults());
+      checkSettles(new NetworkState(net), path, faults == plan.maxFaults());
       return;
     }
     if (faults > 0) {
-      faultsOfNextMessage(w, depth, faults, trail);
-      for (int n = 0; n < plan.nodeCount(); n++) {
-        troublesOf(w, n, depth, faults, trail);
+      visitMessageFaults(net, depth, faults, path);
+      for (int node = 0; node < plan.nodeCount(); node++) {
+        visitNodeAndLinkFaults(net, node, depth, faults, path);
       }
     }
-    if (w.nextAt() == null) {
-      return; // all are down, and nothing is on its way
+    if (net.nextEventTime() == null) {
+      // All nodes are down and no message is in flight.
+      return;
     }
-    NetworkState on = new NetworkState(w);
-    String broken = on.step();
-    if (broken != null) {
-      found = new Violation(broken, trail == null ? List.of() : trail.all());
+    NetworkState next = new NetworkState(net);
+    String failure = next.step();
+    if (failure != null) {
+      violation = new Violation(failure, path == null ? List.of() : path.choices());
       return;
     }
-    go(on, depth - 1, faults, trail);
+    visit(next, depth - 1, faults, path);
   }
 
-  private void faultsOfNextMessage(NetworkState w, int depth, int faults, Trail trail) {
-    NetworkState.Message next = w.nextMessage();
+  private void visitMessageFaults(NetworkState net, int depth, int faults, Path path) {
+    NetworkState.Message next = net.nextMessage();
     if (next == null) {
       return;
     }
-    String way = next.from() + " to " + next.to();
-    NetworkState lost = new NetworkState(w);
+    String direction = next.from() + " to " + next.to();
+    NetworkState lost = new NetworkState(net);
     lost.lose(next);
-    go(lost, depth - 1, faults - 1, note(trail, w, "lost: " + way));
-    NetworkState late = new NetworkState(w);
-    late.delay(next, ExplorationPlan.INTERVAL.times(0.7));
-    go(late, depth - 1, faults - 1, note(trail, w, "late: " + way));
+    visit(lost, depth - 1, faults - 1, add(path, net, "lost: " + direction));
+    NetworkState delayed = new NetworkState(net);
+    delayed.delay(next, ExplorationPlan.INTERVAL.times(0.7));
+    visit(delayed, depth - 1, faults - 1, add(path, net, "late: " + direction));
   }
 
-  private void troublesOf(NetworkState w, int n, int depth, int faults, Trail trail) {
-    if (!w.isUp(n)) {
-      NetworkState restarted = new NetworkState(w);
-      restarted.restart(n);
-      go(restarted, depth - 1, faults - 1, note(trail, w, "starts: " + n));
+  private void visitNodeAndLinkFaults(NetworkState net, int id, int depth, int faults, Path path) {
+    if (!net.isUp(id)) {
+      NetworkState restarted = new NetworkState(net);
+      restarted.restart(id);
+      visit(restarted, depth - 1, faults - 1, add(path, net, "starts: " + id));
       return;
     }
-    NetworkState crashed = new NetworkState(w);
-    crashed.crash(n);
-    go(crashed, depth - 1, faults - 1, note(trail, w, "crashes: " + n));
-    if (!w.isFrozen(n)) {
+    NetworkState crashed = new NetworkState(net);
+    crashed.crash(id);
+    visit(crashed, depth - 1, faults - 1, add(path, net, "crashes: " + id));
+    if (!net.isPaused(id)) {
       for (double intervals : new double[] {1.5, 6}) {
-        NetworkState frozen = new NetworkState(w);
-        frozen.freeze(n, ExplorationPlan.INTERVAL.times(intervals));
-        go(
-            frozen,
+        NetworkState paused = new NetworkState(net);
+        paused.pause(id, ExplorationPlan.INTERVAL.times(intervals));
+        visit(
+            paused,
             depth - 1,
             faults - 1,
-            note(trail, w, "stands still for " + intervals + " intervals: " + n));
+            add(path, net, "stands still for " + intervals + " intervals: " + id));
       }
     }
     for (int to = 0; to < plan.nodeCount(); to++) {
-      if (to == n) {
+      if (to == id) {
         continue;
       }
-      NetworkState oneWay = new NetworkState(w);
-      oneWay.cut(n, to, !w.isCut(n, to));
-      go(
-          oneWay,
+      NetworkState oneWayCut = new NetworkState(net);
+      oneWayCut.cut(id, to, !net.isCut(id, to));
+      visit(
+          oneWayCut,
           depth - 1,
           faults - 1,
-          note(trail, w, (w.isCut(n, to) ? "heard again: " : "not heard: ") + n + " by " + to));
-      if (to > n) {
-        NetworkState both = new NetworkState(w);
-        both.cut(n, to, !w.isCut(n, to));
-        both.cut(to, n, !w.isCut(n, to));
-        go(
-            both,
+          add(path, net, (net.isCut(id, to) ? "heard again: " : "not heard: ") + id + " by " + to));
+      if (to > id) {
+        NetworkState twoWayCut = new NetworkState(net);
+        twoWayCut.cut(id, to, !net.isCut(id, to));
+        twoWayCut.cut(to, id, !net.isCut(id, to));
+        visit(
+            twoWayCut,
             depth - 1,
             faults - 1,
-            note(trail, w, (w.isCut(n, to) ? "joined: " : "parted: ") + n + " and " + to));
+            add(path, net, (net.isCut(id, to) ? "joined: " : "parted: ") + id + " and " + to));
       }
     }
   }
 
-  private static Trail note(Trail trail, NetworkState w, String choice) {
-    return new Trail(
-        trail, String.format(java.util.Locale.ROOT, "%.2f s %s", w.now().micros() / 1e6, choice));
+  private static Path add(Path path, NetworkState net, String choice) {
+    return new Path(
+        path, String.format(java.util.Locale.ROOT, "%.2f s %s", net.now().micros() / 1e6, choice));
   }
 
-  /** Troubles are over: one node is to be Active within a stated time, and to stay it. */
-  private void settle(NetworkState w, Trail trail, boolean noTrouble) {
-    w.heal();
-    Moment settled = w.now().plus(plan.settlingTime());
-    Moment end = settled.plus(ExplorationPlan.INTERVAL.times(8));
-    List<Integer> then = null;
-    String broken = null;
-    for (Moment at = w.nextAt(); broken == null && at != null && at.before(end); at = w.nextAt()) {
-      if (then == null && !at.before(settled)) {
-        then = w.active();
-        broken = wrong(w, then);
+  /** Checks that without faults exactly one node becomes Active in time, and stays Active. */
+  private void checkSettles(NetworkState net, Path path, boolean faultFree) {
+    net.heal();
+    Moment settledAt = net.now().plus(plan.settlingTime());
+    Moment end = settledAt.plus(ExplorationPlan.INTERVAL.times(8));
+    List<Integer> settledActive = null;
+    String failure = null;
+    for (Moment at = net.nextEventTime();
+        failure == null && at != null && at.before(end);
+        at = net.nextEventTime()) {
+      if (settledActive == null && !at.before(settledAt)) {
+        settledActive = net.active();
+        failure = describeViolation(net, settledActive);
       }
-      broken = broken == null ? w.step() : broken;
-      broken = broken == null && then != null ? changed(w, then, settled) : broken;
+      failure = failure == null ? net.step() : failure;
+      failure =
+          failure == null && settledActive != null
+              ? describeChange(net, settledActive, settledAt)
+              : failure;
     }
-    if (broken == null && noTrouble && w.activations() > (allEqual() ? plan.nodeCount() : 1)) {
-      broken = "Active changed with no trouble at all";
+    if (failure == null
+        && faultFree
+        && net.activations() > (hasEqualPriorities() ? plan.nodeCount() : 1)) {
+      failure = "Active changed with no trouble at all";
     }
-    if (broken != null) {
-      found = new Violation(broken, trail == null ? List.of() : trail.all());
+    if (failure != null) {
+      violation = new Violation(failure, path == null ? List.of() : path.choices());
     }
   }
 
-  /**
-   * What is said of an Active that is another than at the time of settling; null: it is the same.
-   */
-  private String changed(NetworkState w, List<Integer> then, Moment settled) {
-    return then.equals(w.active())
+  /** Describes a change of the Active node after settling; null: there is none. */
+  private String describeChange(NetworkState net, List<Integer> settledActive, Moment settledAt) {
+    return settledActive.equals(net.active())
         ? null
         : "Active changed from "
-            + then
+            + settledActive
             + " to "
-            + w.active()
+            + net.active()
             + " with no trouble for "
-            + w.now().since(settled).plus(plan.settlingTime()).seconds()
+            + net.now().since(settledAt).plus(plan.settlingTime()).seconds()
             + " s";
   }
 
-  private boolean allEqual() {
+  private boolean hasEqualPriorities() {
     return plan.priorities().stream().distinct().count() == 1;
   }
 
-  /** What is wrong with who is Active once things have settled; null: nothing. */
-  private String wrong(NetworkState w, List<Integer> active) {
-    int up = 0;
+  /** Describes what is wrong with the Active nodes after settling; null: nothing. */
+  private String describeViolation(NetworkState net, List<Integer> active) {
+    int running = 0;
     int best = -1;
-    for (int n = 0; n < plan.nodeCount(); n++) {
-      if (w.isUp(n)) {
-        up++;
-        best = best < 0 || plan.priorities().get(n) > plan.priorities().get(best) ? n : best;
+    for (int node = 0; node < plan.nodeCount(); node++) {
+      if (net.isUp(node)) {
+        running++;
+        best = best < 0 || plan.priorities().get(node) > plan.priorities().get(best) ? node : best;
       }
     }
-    if (up == 0) {
+    if (running == 0) {
       return active.isEmpty() ? null : "Active " + active + " and none is up";
     }
-    Span after = plan.settlingTime();
+    Span settlingTime = plan.settlingTime();
     if (active.size() != 1) {
-      return "Active " + active + " after " + after.seconds() + " s without trouble";
+      return "Active " + active + " after " + settlingTime.seconds() + " s without trouble";
     }
     if (plan.preempt()
         && !plan.priorities().get(active.get(0)).equals(plan.priorities().get(best))) {
--- a/src/main/java/linengauge/vrrp/explore/NetworkState.java
+++ b/src/main/java/linengauge/vrrp/explore/NetworkState.java
@@ -7,12 +7,12 @@
 import linengauge.vrrp.Advertisement;
 import linengauge.vrrp.VirtualRouter;
 
-/** Some nodes and the wire between them at one moment; copied before each choice. */
+/** The nodes and the network between them at one moment; copied before each choice. */
 final class NetworkState {
-  /** An advertisement on its way. */
-  record Message(int from, int to, Advertisement advert, Moment at) {
-    Message later(Moment then) {
-      return new Message(from, to, advert, then);
+  /** An advertisement in flight. */
+  record Message(int from, int to, Advertisement advertisement, Moment arrivesAt) {
+    Message rescheduledTo(Moment newArrival) {
+      return new Message(from, to, advertisement, newArrival);
     }
   }
 
@@ -20,44 +20,44 @@
     private final int number;
     private VirtualRouter router;
     private boolean up = true;
-    private Moment frozenUntil;
+    private Moment pausedUntil;
 
     private Node(int number) {
       this.number = number;
     }
 
     @Override
-    public void send(Advertisement a) {
-      sentInStep += a.priority() > 0 ? 1 : 0;
+    public void send(Advertisement advertisement) {
+      advertisementsInStep += advertisement.priority() > 0 ? 1 : 0;
       for (int to = 0; to < nodes.size(); to++) {
         if (to != number && !cut[number][to]) {
-          onTheWay.add(new Message(number, to, a, now.plus(plan.messageDelay())));
+          inFlight.add(new Message(number, to, advertisement, now.plus(plan.messageDelay())));
         }
       }
     }
 
     @Override
     public void acquireAddress(int vrid) {
-      // who holds the address is told by the routers' states
+      // The states of the routers say who holds the address.
     }
 
     @Override
     public void announceAddress(int vrid) {
-      // as above
+      // The states of the routers say who holds the address.
     }
 
     @Override
     public void releaseAddress(int vrid) {
-      // as above
+      // The states of the routers say who holds the address.
     }
   }
 
   private final ExplorationPlan plan;
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Message> onTheWay = new ArrayList<>();
+  private final List<Message> inFlight = new ArrayList<>();
   private final boolean[][] cut;
   private Moment now = new Moment(0);
-  private int sentInStep;
+  private int advertisementsInStep;
 
   NetworkState(ExplorationPlan plan) {
     this.plan = plan;
@@ -65,55 +65,55 @@
     for (int i = 0; i < plan.nodeCount(); i++) {
       nodes.add(new Node(i));
     }
-    for (Node n : nodes) {
-      start(n);
+    for (Node node : nodes) {
+      start(node);
     }
   }
 
-  NetworkState(NetworkState o) {
-    this.plan = o.plan;
-    this.cut = new boolean[o.cut.length][];
+  NetworkState(NetworkState other) {
+    this.plan = other.plan;
+    this.cut = new boolean[other.cut.length][];
     for (int i = 0; i < cut.length; i++) {
-      cut[i] = o.cut[i].clone();
+      cut[i] = other.cut[i].clone();
     }
-    this.now = o.now;
-    onTheWay.addAll(o.onTheWay);
-    for (Node n : o.nodes) {
-      Node copy = new Node(n.number);
-      copy.router = n.router.copy(copy);
-      copy.up = n.up;
-      copy.frozenUntil = n.frozenUntil;
+    this.now = other.now;
+    inFlight.addAll(other.inFlight);
+    for (Node node : other.nodes) {
+      Node copy = new Node(node.number);
+      copy.router = node.router.copy(copy);
+      copy.up = node.up;
+      copy.pausedUntil = node.pausedUntil;
       nodes.add(copy);
     }
   }
 
-  private void start(Node n) {
-    n.router = plan.routerFactory().create(plan.settings(n.number), n);
-    n.up = true;
-    n.router.start(now);
+  private void start(Node node) {
+    node.router = plan.routerFactory().create(plan.settings(node.number), node);
+    node.up = true;
+    node.router.start(now);
   }
 
   Moment now() {
     return now;
   }
 
-  /** The nodes that are Active, running or frozen: viewers' connections would find either. */
+  /** Returns the Active nodes, running or paused; viewers' connections may reach either. */
   List<Integer> active() {
-    List<Integer> all = new ArrayList<>();
-    for (Node n : nodes) {
-      if (n.up && n.router.state() == VirtualRouter.State.ACTIVE) {
-        all.add(n.number);
+    List<Integer> active = new ArrayList<>();
+    for (Node node : nodes) {
+      if (node.up && node.router.state() == VirtualRouter.State.ACTIVE) {
+        active.add(node.number);
       }
     }
-    return all;
+    return active;
   }
 
-  boolean isUp(int node) {
-    return nodes.get(node).up;
+  boolean isUp(int number) {
+    return nodes.get(number).up;
   }
 
-  boolean isFrozen(int node) {
-    return nodes.get(node).frozenUntil != null;
+  boolean isPaused(int number) {
+    return nodes.get(number).pausedUntil != null;
   }
 
   boolean isCut(int from, int to) {
@@ -121,154 +121,164 @@
   }
 
   long activations() {
-    return nodes.stream().mapToLong(n -> n.router.counts().activations).sum();
+    return nodes.stream().mapToLong(node -> node.router.counts().activations).sum();
   }
 
-  /* ---- what comes next ---- */
+  /* ---- events ---- */
 
   /**
-   * The message that arrives next, if that is the next thing to happen; null where a timer or a
-   * thaw is.
+   * Returns the message that arrives next if its arrival is the next event; null if that is a timer
+   * or the end of a pause.
    */
   Message nextMessage() {
     Message first = null;
-    for (Message m : onTheWay) {
-      if (first == null || m.at.before(first.at)) {
-        first = m;
+    for (Message message : inFlight) {
+      if (first == null || message.arrivesAt.before(first.arrivesAt)) {
+        first = message;
       }
     }
     Moment timer = nextTimer();
-    return first != null && (timer == null || !timer.before(first.at)) ? first : null;
+    return first != null && (timer == null || !timer.before(first.arrivesAt)) ? first : null;
   }
 
   private Moment nextTimer() {
     Moment first = null;
-    for (Node n : nodes) {
-      Moment at = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.nextTimer();
+    for (Node node : nodes) {
+      Moment at =
+          !node.up ? null : node.pausedUntil != null ? node.pausedUntil : node.router.nextTimer();
       first = at != null && (first == null || at.before(first)) ? at : first;
     }
     return first;
   }
 
-  /** When the next thing happens; null: never again. */
-  Moment nextAt() {
-    Message m = nextMessage();
-    return m != null ? m.at : nextTimer();
+  /** Returns the time of the next event; null: there is none. */
+  Moment nextEventTime() {
+    Message message = nextMessage();
+    return message != null ? message.arrivesAt : nextTimer();
   }
 
-  /** Lets the next thing happen; what it broke, or null. */
+  /** Runs the next event and returns the violated property, or null. */
   String step() {
-    Message m = nextMessage();
-    if (m != null) {
-      onTheWay.remove(m);
-      return arrives(m);
+    Message message = nextMessage();
+    if (message != null) {
+      inFlight.remove(message);
+      return deliver(message);
     }
     Moment at = nextTimer();
     now = now.orLater(at);
-    for (Node n : nodes) {
-      Moment due = !n.up ? null : n.frozenUntil != null ? n.frozenUntil : n.router.nextTimer();
+    for (Node node : nodes) {
+      Moment due =
+          !node.up ? null : node.pausedUntil != null ? node.pausedUntil : node.router.nextTimer();
       if (due != null && due.equals(at)) {
-        return wakes(n);
+        return runTimers(node);
       }
     }
-    throw new IllegalStateException("nothing is due");
+    throw new IllegalStateException("no event is due");
   }
 
-  private String wakes(Node n) {
-    boolean thaws = n.frozenUntil != null;
+  private String runTimers(Node node) {
+    boolean wasPaused = node.pausedUntil != null;
     boolean overdue =
-        thaws
-            && n.router.state() == VirtualRouter.State.ACTIVE
-            && !now.before(n.router.leaseExpiry());
-    n.frozenUntil = null;
-    sentInStep = 0;
-    n.router.runTimers(now);
-    return overdue && plan.extensions().detectsPauses() && sentInStep > 0
-        ? "node " + n.number + " sent as Active in the step in which it woke after too long"
+        wasPaused
+            && node.router.state() == VirtualRouter.State.ACTIVE
+            && !now.before(node.router.leaseExpiry());
+    node.pausedUntil = null;
+    advertisementsInStep = 0;
+    node.router.runTimers(now);
+    return overdue && plan.extensions().detectsPauses() && advertisementsInStep > 0
+        ? "node " + node.number + " sent as Active in the step in which it woke after too long"
         : null;
   }
 
-  private String arrives(Message m) {
-    now = now.orLater(m.at);
-    Node n = nodes.get(m.to);
-    if (!n.up) {
+  private String deliver(Message message) {
+    now = now.orLater(message.arrivesAt);
+    Node node = nodes.get(message.to);
+    if (!node.up) {
       return null;
     }
-    String broken = n.frozenUntil != null && !now.before(n.frozenUntil) ? wakes(n) : null;
-    if (broken != null) {
-      return broken;
+    String violation =
+        node.pausedUntil != null && !now.before(node.pausedUntil) ? runTimers(node) : null;
+    if (violation != null) {
+      return violation;
     }
-    if (n.frozenUntil != null) {
-      onTheWay.add(m.later(n.frozenUntil)); // its socket keeps it
+    if (node.pausedUntil != null) {
+      // The socket buffers it until the pause ends.
+      inFlight.add(message.rescheduledTo(node.pausedUntil));
       return null;
     }
-    boolean better =
-        n.router.state() == VirtualRouter.State.ACTIVE
-            && m.advert.priority() > 0
-            && (m.advert.priority() > n.router.priority()
-                || m.advert.priority() == n.router.priority()
-                    && m.from > m.to); // addresses rise with numbers
-    sentInStep = 0;
-    n.router.receive(m.advert, plan.address(m.from), now);
-    return better && sentInStep > 0
-        ? "node " + n.number + " sent as Active in the step in which it heard a better one"
+    // Addresses increase with the node numbers.
+    boolean isSuperior =
+        node.router.state() == VirtualRouter.State.ACTIVE
+            && message.advertisement.priority() > 0
+            && (message.advertisement.priority() > node.router.priority()
+                || message.advertisement.priority() == node.router.priority()
+                    && message.from > message.to);
+    advertisementsInStep = 0;
+    node.router.receive(message.advertisement, plan.address(message.from), now);
+    return isSuperior && advertisementsInStep > 0
+        ? "node " + node.number + " sent as Active in the step in which it heard a better one"
         : null;
   }
 
-  /* ---- troubles ---- */
+  /* ---- faults ---- */
 
-  void lose(Message m) {
-    now = now.orLater(m.at);
-    onTheWay.remove(m);
+  void lose(Message message) {
+    now = now.orLater(message.arrivesAt);
+    inFlight.remove(message);
   }
 
-  void delay(Message m, Span by) {
-    onTheWay.remove(m);
-    onTheWay.add(m.later(m.at.plus(by)));
+  void delay(Message message, Span by) {
+    inFlight.remove(message);
+    inFlight.add(message.rescheduledTo(message.arrivesAt.plus(by)));
   }
 
-  void crash(int node) {
-    Node n = nodes.get(node);
-    n.up = false;
-    n.frozenUntil = null;
+  void crash(int number) {
+    Node node = nodes.get(number);
+    node.up = false;
+    node.pausedUntil = null;
   }
 
-  void restart(int node) {
-    start(nodes.get(node));
+  void restart(int number) {
+    start(nodes.get(number));
   }
 
-  void freeze(int node, Span span) {
-    nodes.get(node).frozenUntil = now.plus(span);
+  void pause(int number, Span span) {
+    nodes.get(number).pausedUntil = now.plus(span);
   }
 
   void cut(int from, int to, boolean isCut) {
     cut[from][to] = isCut;
   }
 
-  /** Troubles end: links carry; whoever stands still runs when its time has come. */
+  /** Restores all links; paused nodes continue when their pauses end. */
   void heal() {
-    for (Node n : nodes) {
+    for (Node node : nodes) {
       for (int to = 0; to < nodes.size(); to++) {
-        cut[n.number][to] = false;
+        cut[node.number][to] = false;
       }
     }
   }
 
-  /** Tells two worlds apart as far as anything to come depends on it. */
-  List<Object> mark() {
-    List<Object> all = new ArrayList<>();
-    for (Node n : nodes) {
-      all.add(n.up ? n.router.fingerprint(now) : List.of());
-      all.add(n.frozenUntil == null ? -1L : n.frozenUntil.since(now).micros());
+  /** Returns values that differ between states that can behave differently from here on. */
+  List<Object> fingerprint() {
+    List<Object> values = new ArrayList<>();
+    for (Node node : nodes) {
+      values.add(node.up ? node.router.fingerprint(now) : List.of());
+      values.add(node.pausedUntil == null ? -1L : node.pausedUntil.since(now).micros());
     }
-    for (Message m : onTheWay) {
-      all.add(List.of(m.from, m.to, m.advert.priority(), m.at.since(now).micros()));
+    for (Message message : inFlight) {
+      values.add(
+          List.of(
+              message.from,
+              message.to,
+              message.advertisement.priority(),
+              message.arrivesAt.since(now).micros()));
     }
     for (boolean[] row : cut) {
-      for (boolean c : row) {
-        all.add(c);
+      for (boolean linkCut : row) {
+        values.add(linkCut);
       }
     }
-    return all;
+    return values;
   }
 }
--- a/src/main/java/linengauge/vrrp/udp/AddressLease.java
+++ b/src/main/java/linengauge/vrrp/udp/AddressLease.java
@@ -1,18 +1,18 @@
 package linengauge.vrrp.udp;
 
 /**
- * Whether this node holds a shared address at this very moment; asked on any thread. It ends by
- * itself where the node is not heard to say that it still holds it, so that one that stood still
- * serves nobody before it knows what happened.
+ * Tells any thread whether this node holds a shared address at this moment. The lease expires by
+ * itself unless the node renews it, so that a node that was paused serves nobody before it knows
+ * whether it was deposed.
  */
 public final class AddressLease {
-  private volatile long until = Long.MIN_VALUE;
+  private volatile long expiryMicros = Long.MIN_VALUE;
 
-  void renewUntil(long micros) {
-    until = micros;
+  void renewUntil(long newExpiryMicros) {
+    expiryMicros = newExpiryMicros;
   }
 
   public boolean isHeld() {
-    return System.nanoTime() / 1000 < until;
+    return System.nanoTime() / 1000 < expiryMicros;
   }
 }
--- a/src/main/java/linengauge/vrrp/udp/UdpNode.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNode.java
@@ -31,167 +31,166 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One node's virtual routers over UDP, on a thread of their own that does nothing else: viewers'
- * load cannot keep an advertisement back. Between two looks at the timers it reads a bounded number
- * of datagrams, so neither can whoever sends garbage. Who forwards to the shared address is told by
- * datagrams (docs/protocol/vrrp.md), as a switch is by gratuitous ARP or unsolicited neighbour
- * advertisements (RFC 9568, 8.1.2 and 8.2.2).
+ * One node's virtual routers over UDP. They run on a dedicated thread, so that load from viewers
+ * cannot delay an advertisement. Between two checks of the timers it reads a limited number of
+ * datagrams, so that a flood of invalid ones cannot either. Whoever forwards to the shared address
+ * is notified by datagrams (docs/protocol/vrrp.md), as a switch is by gratuitous ARP or unsolicited
+ * neighbor advertisements (RFC 9568, sections 8.1.2 and 8.2.2).
  */
 public final class UdpNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(UdpNode.class);
 
-  /** The name of the thread of each node. */
+  /** The name of each node's thread. */
   public static final String THREAD_NAME = "vrrp";
 
-  private static final int FAREWELLS = 3;
-  private static final int FAREWELL_MS = 8;
-  private static final int LARGEST = 8192;
-  private static final long SEEN_EVERY_MICROS = 100_000;
-  private static final byte TAKEN = 1;
-  private static final byte GIVEN_UP = 0;
+  private static final int SHUTDOWN_REPEATS = 3;
+  private static final int SHUTDOWN_REPEAT_DELAY_MS = 8;
+  private static final int MAX_DATAGRAM_BYTES = 8192;
+  private static final long SNAPSHOT_INTERVAL_MICROS = 100_000;
+  private static final byte ADDRESS_ACQUIRED = 1;
+  private static final byte ADDRESS_RELEASED = 0;
 
-  /** What the front wants to hear; on the node's thread, to be over at once. */
+  /** Notified of changes of ownership on the node's thread; must return at once. */
   public interface OwnershipListener {
     void addressAcquired(int vrid);
 
     void addressReleased(int vrid);
   }
 
-  private final UdpNodeSettings terms;
-  private final OwnershipListener owner;
-  private final BooleanSupplier unwell;
+  private final UdpNodeSettings config;
+  private final OwnershipListener listener;
+  private final BooleanSupplier unhealthy;
   private final VirtualRouters routers;
   private final Map<NodeAddress, InetSocketAddress> partners = new LinkedHashMap<>();
   private final Map<Integer, AddressLease> leases = new TreeMap<>();
-  private final ByteBuffer in = ByteBuffer.allocate(LARGEST);
-  private final NodeAddress own;
-  private final NodeAddress group;
+  private final ByteBuffer receiveBuffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
+  private final NodeAddress primaryAddress;
+  private final NodeAddress multicastGroup;
   private final Selector selector;
   private final DatagramChannel channel;
 
-  /** Hears the group; null where there is none. */
-  private final DatagramChannel groupChannel;
+  /** Receives from the multicast group; null if there is none. */
+  private final DatagramChannel multicastChannel;
 
   private final Thread thread = new Thread(this::run, THREAD_NAME);
-  private final CountDownLatch ended = new CountDownLatch(1);
+  private final CountDownLatch stopped = new CountDownLatch(1);
 
-  /** How late advertisements go out, microseconds. */
-  private final Histogram late = new Histogram(60_000_000L, 2);
+  /** How late timers run, in microseconds. */
+  private final Histogram timerDelayMicros = new Histogram(60_000_000L, 2);
 
-  private long announcements = System.currentTimeMillis() * 1000;
-  private long sendsFailed;
-  private long seenNext;
+  private long nextAnnouncementNumber = System.currentTimeMillis() * 1000;
+  private long failedSends;
+  private long nextSnapshotAtMicros;
   private volatile boolean closing;
-  private volatile Map<String, Object> seen = Map.of();
+  private volatile Map<String, Object> snapshot = Map.of();
 
   /**
-   * Binds at once and starts with {@link #start}.
+   * Binds the sockets; {@link #start} starts the node.
    *
-   * @param unwell asked at every turn: is the front unfit to hold the address? Must answer without
-   *     waiting.
+   * @param unhealthy asked in every iteration whether the front is unfit to hold the address; must
+   *     not block
    */
-  public UdpNode(UdpNodeSettings terms, OwnershipListener owner, BooleanSupplier unwell)
+  public UdpNode(UdpNodeSettings config, OwnershipListener listener, BooleanSupplier unhealthy)
       throws IOException {
-    this.terms = terms;
-    this.owner = owner;
-    this.unwell = unwell;
-    this.own = new NodeAddress(terms.listen().getAddress().getAddress());
-    for (InetSocketAddress p : terms.partners()) {
-      partners.put(new NodeAddress(p.getAddress().getAddress()), p);
+    this.config = config;
+    this.listener = listener;
+    this.unhealthy = unhealthy;
+    this.primaryAddress = new NodeAddress(config.listen().getAddress().getAddress());
+    for (InetSocketAddress partner : config.partners()) {
+      partners.put(new NodeAddress(partner.getAddress().getAddress()), partner);
     }
-    for (RouterSettings r : terms.routers()) {
-      leases.put(r.vrid(), new AddressLease());
+    for (RouterSettings router : config.routers()) {
+      leases.put(router.vrid(), new AddressLease());
     }
-    DatagramAuthenticator seal =
-        terms.authenticationKey() == null
+    DatagramAuthenticator authenticator =
+        config.authenticationKey() == null
             ? null
             : new DatagramAuthenticator(
-                terms.authenticationKey(), System.currentTimeMillis() * 1000);
-    this.group =
-        terms.multicastGroup() == null
-            ? null
-            : new NodeAddress(terms.multicastGroup().getAddress().getAddress());
+                config.authenticationKey(), System.currentTimeMillis() * 1000);
+    this.multicastGroup =
+        config.group() == null ? null : new NodeAddress(config.group().getAddress().getAddress());
     this.routers =
         new VirtualRouters(
-            own,
+            primaryAddress,
             List.copyOf(partners.keySet()),
-            group,
-            terms.routers(),
-            new PacketCodec(terms.pseudoHeaderForIpv4()),
-            seal,
-            new RouterWire());
+            multicastGroup,
+            config.routers(),
+            new PacketCodec(config.pseudoHeaderForIpv4()),
+            authenticator,
+            new RouterNetwork());
     selector = Selector.open();
     StandardProtocolFamily family =
-        own.isIpv6() ? StandardProtocolFamily.INET6 : StandardProtocolFamily.INET;
+        primaryAddress.isIpv6() ? StandardProtocolFamily.INET6 : StandardProtocolFamily.INET;
     channel = DatagramChannel.open(family);
-    groupChannel = group == null ? null : DatagramChannel.open(family);
+    multicastChannel = multicastGroup == null ? null : DatagramChannel.open(family);
     try {
       bind();
     } catch (IOException e) {
       channel.close();
-      if (groupChannel != null) {
-        groupChannel.close();
+      if (multicastChannel != null) {
+        multicastChannel.close();
       }
       selector.close();
-      throw new IOException("vrrp cannot listen on " + terms.listen() + ": " + e.getMessage(), e);
+      throw new IOException("vrrp cannot listen on " + config.listen() + ": " + e.getMessage(), e);
     }
     thread.setDaemon(true);
     thread.setPriority(Thread.MAX_PRIORITY);
   }
 
-  /** What the routers act through; called on this node's thread alone. */
-  private final class RouterWire implements VirtualRouters.Network {
+  /** The network of the routers; called on this node's thread only. */
+  private final class RouterNetwork implements VirtualRouters.Network {
     @Override
     public void send(byte[] datagram, NodeAddress to) {
-      sendTo(datagram, to.equals(group) ? terms.multicastGroup() : partners.get(to));
+      sendTo(datagram, to.equals(multicastGroup) ? config.group() : partners.get(to));
       if (datagram[2] != 0) {
-        // as bridges learn from the source of each (RFC 9568, 7.2)
-        tell(TAKEN, datagram[1] & 255);
+        // Bridges learn from the source of each advertisement (RFC 9568, section 7.2).
+        sendAnnouncement(ADDRESS_ACQUIRED, datagram[1] & 255);
       }
     }
 
     @Override
     public void acquireAddress(int vrid) {
-      took(vrid);
+      handleAcquired(vrid);
     }
 
     @Override
     public void announceAddress(int vrid) {
-      tell(TAKEN, vrid);
+      sendAnnouncement(ADDRESS_ACQUIRED, vrid);
     }
 
     @Override
     public void releaseAddress(int vrid) {
-      gaveUp(vrid);
+      handleReleased(vrid);
     }
   }
 
   private void bind() throws IOException {
-    channel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBufferBytes());
-    channel.bind(terms.listen());
+    channel.setOption(StandardSocketOptions.SO_RCVBUF, config.receiveBufferBytes());
+    channel.bind(config.listen());
     channel.configureBlocking(false);
     channel.register(selector, SelectionKey.OP_READ);
-    if (groupChannel != null) {
-      join();
+    if (multicastChannel != null) {
+      joinMulticastGroup();
     }
   }
 
-  private void join() throws IOException {
-    NetworkInterface at = NetworkInterface.getByName(terms.multicastInterface());
-    if (at == null) {
-      throw new IOException("no network interface " + terms.multicastInterface());
+  private void joinMulticastGroup() throws IOException {
+    NetworkInterface networkInterface = NetworkInterface.getByName(config.groupInterface());
+    if (networkInterface == null) {
+      throw new IOException("no network interface " + config.groupInterface());
     }
-    groupChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-    groupChannel.setOption(StandardSocketOptions.SO_RCVBUF, terms.receiveBufferBytes());
-    groupChannel.bind(terms.multicastGroup());
-    groupChannel.join(terms.multicastGroup().getAddress(), at);
-    groupChannel.configureBlocking(false);
-    groupChannel.register(selector, SelectionKey.OP_READ);
-    channel.setOption(StandardSocketOptions.IP_MULTICAST_IF, at);
-    channel.setOption(StandardSocketOptions.IP_MULTICAST_TTL, 1); // one link alone
+    multicastChannel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+    multicastChannel.setOption(StandardSocketOptions.SO_RCVBUF, config.receiveBufferBytes());
+    multicastChannel.bind(config.group());
+    multicastChannel.join(config.group().getAddress(), networkInterface);
+    multicastChannel.configureBlocking(false);
+    multicastChannel.register(selector, SelectionKey.OP_READ);
+    channel.setOption(StandardSocketOptions.IP_MULTICAST_IF, networkInterface);
+    // Limits the datagrams to the local link.
+    channel.setOption(StandardSocketOptions.IP_MULTICAST_TTL, 1);
   }
 
-  /** Takes part from now on; the front is ready to serve. */
+  /** Starts the routers; the front must be ready to serve. */
   public void start() {
     thread.start();
   }
@@ -201,28 +200,29 @@
   }
 
   /**
-   * Says goodbye (priority 0 where Active), gives up what it holds, and ends; does not wait for it.
+   * Starts the shutdown without waiting for it: an Active router advertises priority 0, and all
+   * addresses are released.
    */
   public void initiateShutdown() {
     closing = true;
     selector.wakeup();
   }
 
-  /** {@link #initiateShutdown}, waited for, a second at most. */
+  /** Does {@link #initiateShutdown} and waits for its end, for a second at most. */
   @Override
   public void close() {
     initiateShutdown();
     try {
       if (thread.isAlive()) {
-        ended.await(1, TimeUnit.SECONDS);
+        stopped.await(1, TimeUnit.SECONDS);
       }
       channel.close();
-      if (groupChannel != null) {
-        groupChannel.close();
+      if (multicastChannel != null) {
+        multicastChannel.close();
       }
       selector.close();
     } catch (IOException e) {
-      LOG.warn("vrrp", e);
+      LOG.warn("cannot close the VRRP sockets", e);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -236,152 +236,159 @@
     try {
       routers.start(now());
       while (!closing) {
-        turn();
+        runIteration();
       }
       routers.shutdown(now());
-      publish();
-      for (int i = 0; i < FAREWELLS; i++) {
-        Thread.sleep(FAREWELL_MS);
+      publishLeases();
+      for (int i = 0; i < SHUTDOWN_REPEATS; i++) {
+        Thread.sleep(SHUTDOWN_REPEAT_DELAY_MS);
         routers.repeatShutdown();
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (IOException | RuntimeException e) {
       if (!closing) {
-        LOG.error("vrrp has failed: this node takes no part", e); // its leases end by themselves
+        // Its leases expire by themselves.
+        LOG.error("VRRP has failed; this node takes no part", e);
       }
     } finally {
-      ended.countDown();
+      stopped.countDown();
     }
   }
 
-  private void turn() throws IOException {
-    Moment due = routers.nextTimer();
-    long wait = due == null ? 1000 : Math.min(1000, (due.since(now()).micros() + 999) / 1000);
-    if (wait > 0) {
-      selector.select(wait);
+  private void runIteration() throws IOException {
+    Moment nextTimer = routers.nextTimer();
+    long waitMillis =
+        nextTimer == null ? 1000 : Math.min(1000, (nextTimer.since(now()).micros() + 999) / 1000);
+    if (waitMillis > 0) {
+      selector.select(waitMillis);
     } else {
       selector.selectNow();
     }
     selector.selectedKeys().clear();
-    read(channel, own);
-    if (groupChannel != null) {
-      read(groupChannel, group);
+    read(channel, primaryAddress);
+    if (multicastChannel != null) {
+      read(multicastChannel, multicastGroup);
     }
     Moment now = now();
-    Moment was = routers.nextTimer();
-    routers.setUnhealthy(unwell.getAsBoolean(), now);
-    if (was != null && !now.before(was)) {
-      late.recordValue(Math.min(59_000_000L, now.since(was).micros()));
+    Moment timer = routers.nextTimer();
+    routers.setUnhealthy(unhealthy.getAsBoolean(), now);
+    if (timer != null && !now.before(timer)) {
+      timerDelayMicros.recordValue(Math.min(59_000_000L, now.since(timer).micros()));
     }
     routers.runTimers(now);
-    publish();
+    publishLeases();
   }
 
-  /** What has come, as far as one turn goes; the rest is read after the timers were looked at. */
-  private void read(DatagramChannel from, NodeAddress to) {
-    for (int i = 0; i < terms.maxReadsPerIteration(); i++) {
-      in.clear();
-      InetSocketAddress sender;
+  /** Reads pending datagrams up to the limit; the rest is read after the timers have run. */
+  private void read(DatagramChannel source, NodeAddress destination) {
+    for (int i = 0; i < config.maxReadsPerIteration(); i++) {
+      receiveBuffer.clear();
+      InetSocketAddress senderSocket;
       try {
-        sender = (InetSocketAddress) from.receive(in);
-      } catch (IOException refused) {
-        continue; // a partner that is not there: the system says so of an earlier datagram
+        senderSocket = (InetSocketAddress) source.receive(receiveBuffer);
+      } catch (IOException earlierSendRefused) {
+        // The system reports that a partner's port refused an earlier datagram.
+        continue;
       }
-      if (sender == null) {
+      if (senderSocket == null) {
         return;
       }
-      NodeAddress by = new NodeAddress(sender.getAddress().getAddress());
-      if (from == channel || !by.equals(own)) { // a group gives back what was sent to it
-        routers.receive(in.array(), in.position(), by, to, now());
+      NodeAddress sender = new NodeAddress(senderSocket.getAddress().getAddress());
+      // A multicast group also delivers what this node sent to it.
+      if (source == channel || !sender.equals(primaryAddress)) {
+        routers.receive(
+            receiveBuffer.array(), receiveBuffer.position(), sender, destination, now());
       }
     }
   }
 
-  private void publish() {
-    for (VirtualRouter r : routers.routers()) {
-      leases.get(r.settings().vrid()).renewUntil(r.leaseExpiry().micros());
+  private void publishLeases() {
+    for (VirtualRouter router : routers.routers()) {
+      leases.get(router.settings().vrid()).renewUntil(router.leaseExpiry().micros());
     }
-    long now = System.nanoTime() / 1000;
-    if (now >= seenNext || closing) {
-      seenNext = now + SEEN_EVERY_MICROS;
-      tellState();
+    long nowMicros = System.nanoTime() / 1000;
+    if (nowMicros >= nextSnapshotAtMicros || closing) {
+      nextSnapshotAtMicros = nowMicros + SNAPSHOT_INTERVAL_MICROS;
+      updateSnapshot();
     }
   }
 
-  private void tellState() {
-    List<Map<String, Object>> all = new ArrayList<>();
-    for (VirtualRouter r : routers.routers()) {
-      Map<String, Object> m = new LinkedHashMap<>();
-      VirtualRouter.Counts c = r.counts();
-      m.put("vrid", r.settings().vrid());
-      m.put("state", r.state().name());
-      m.put("priority", r.priority());
-      m.put("unwell", r.isUnhealthy());
-      m.put("activations", c.activations);
-      m.put("stepsDown", c.stepsDown);
-      m.put("adverts", c.advertisementsSent);
-      m.put("woken", c.pauses);
-      m.put("deafPartners", c.deafPartners);
-      m.put("flaps", c.flaps);
-      all.add(m);
+  private void updateSnapshot() {
+    List<Map<String, Object>> routerValues = new ArrayList<>();
+    for (VirtualRouter router : routers.routers()) {
+      Map<String, Object> values = new LinkedHashMap<>();
+      VirtualRouter.Counts counts = router.counts();
+      values.put("vrid", router.settings().vrid());
+      values.put("state", router.state().name());
+      values.put("priority", router.priority());
+      values.put("unwell", router.isUnhealthy());
+      values.put("activations", counts.activations);
+      values.put("stepsDown", counts.stepsDown);
+      values.put("adverts", counts.advertisementsSent);
+      values.put("woken", counts.pauses);
+      values.put("deafPartners", counts.deafPartners);
+      values.put("flaps", counts.flaps);
+      routerValues.add(values);
     }
-    Map<String, Object> m = new LinkedHashMap<>();
-    m.put("routers", all);
-    m.put("heard", routers.receivedCount());
+    Map<String, Object> values = new LinkedHashMap<>();
+    values.put("routers", routerValues);
+    values.put("heard", routers.receivedCount());
     Map<String, Long> drops = new TreeMap<>();
-    for (Map.Entry<DropReason, Long> d : routers.drops().entrySet()) {
-      drops.put(d.getKey().name(), d.getValue());
+    for (Map.Entry<DropReason, Long> drop : routers.drops().entrySet()) {
+      drops.put(drop.getKey().name(), drop.getValue());
     }
-    m.put("dropped", drops);
-    m.put("otherAddresses", routers.addressMismatches());
-    m.put("otherIntervals", routers.intervalMismatches());
-    m.put("sendsFailed", sendsFailed);
-    m.put("lateMicrosP50", late.getValueAtPercentile(50));
-    m.put("lateMicrosP999", late.getValueAtPercentile(99.9));
-    m.put("lateMicrosMost", late.getMaxValue());
-    seen = m;
+    values.put("dropped", drops);
+    values.put("otherAddresses", routers.addressMismatches());
+    values.put("otherIntervals", routers.intervalMismatches());
+    values.put("sendsFailed", failedSends);
+    values.put("lateMicrosP50", timerDelayMicros.getValueAtPercentile(50));
+    values.put("lateMicrosP999", timerDelayMicros.getValueAtPercentile(99.9));
+    values.put("lateMicrosMost", timerDelayMicros.getMaxValue());
+    snapshot = values;
   }
 
-  /** What it saw at its last turn, for the control address: names of JSON and plain values. */
+  /** Returns the state after a recent iteration, for the control address: JSON keys and values. */
   public Map<String, Object> snapshot() {
-    return seen;
+    return snapshot;
   }
 
-  private void took(int vrid) {
+  private void handleAcquired(int vrid) {
     LOG.info("shared address taken {}", StructuredArguments.kv("vrid", vrid));
-    tell(TAKEN, vrid);
-    owner.addressAcquired(vrid);
+    sendAnnouncement(ADDRESS_ACQUIRED, vrid);
+    listener.addressAcquired(vrid);
   }
 
-  private void gaveUp(int vrid) {
+  private void handleReleased(int vrid) {
     LOG.info("shared address given up {}", StructuredArguments.kv("vrid", vrid));
-    leases.get(vrid).renewUntil(Long.MIN_VALUE); // before anything else is done
-    tell(GIVEN_UP, vrid);
-    owner.addressReleased(vrid);
+    // Ends the lease before anything else.
+    leases.get(vrid).renewUntil(Long.MIN_VALUE);
+    sendAnnouncement(ADDRESS_RELEASED, vrid);
+    listener.addressReleased(vrid);
   }
 
-  private void tell(byte kind, int vrid) {
-    if (terms.announceTo() != null) {
+  private void sendAnnouncement(byte kind, int vrid) {
+    if (config.announceTo() != null) {
       sendTo(
           ByteBuffer.allocate(12)
               .put((byte) 0x4c)
               .put((byte) 0x41)
               .put(kind)
               .put((byte) vrid)
-              .putLong(announcements++)
+              .putLong(nextAnnouncementNumber++)
               .array(),
-          terms.announceTo());
+          config.announceTo());
     }
   }
 
   private void sendTo(byte[] datagram, InetSocketAddress to) {
     try {
       if (channel.send(ByteBuffer.wrap(datagram), to) == 0) {
-        sendsFailed++; // the system has no room: as good as lost
+        // The send buffer is full; the datagram counts as lost.
+        failedSends++;
       }
     } catch (IOException e) {
-      sendsFailed++;
+      failedSends++;
     }
   }
 }
--- a/src/main/java/linengauge/vrrp/udp/UdpNodeSettings.java
+++ b/src/main/java/linengauge/vrrp/udp/UdpNodeSettings.java
@@ -5,23 +5,29 @@
 import linengauge.vrrp.RouterSettings;
 
 /**
- * How one node is carried.
+ * The settings of a {@link UdpNode}.
  *
- * @param listen where it hears its partners; the address is its primary one
- * @param partners where they hear it, each by an address of its own
- * @param multicastGroup a multicast address and port that all of them have joined, in place of one
- *     datagram for each; null: none
- * @param multicastInterface the name of the network interface on which it is joined
- * @param announceTo who forwards viewers to the address's holder and is told of it; null: nobody
- * @param authenticationKey of the trailer; null: the standard's packet alone
- * @param maxReadsPerIteration datagrams read in a row before the timers are looked at again
- * @param receiveBufferBytes of the system's buffer for what has come
+ * @param listen the address and port for advertisements from partners; the address is the primary
+ *     one
+ * @param partners the addresses and ports at which the partners listen, each with an address of its
+ *     own
+ * @param group a multicast address and port that all nodes have joined, used instead of one
+ *     datagram for each partner; null: none
+ * @param groupInterface the name of the network interface on which the group is joined
+ * @param announceTo whoever forwards viewers to the holder of the address, notified of each change;
+ *     null: nobody
+ * @param authenticationKey the key of the trailer; null: packets have no trailer, as in the
+ *     standard
+ * @param pseudoHeaderForIpv4 whether IPv4 checksums cover a pseudo-header too
+ * @param maxReadsPerIteration the maximum number of datagrams read before the timers are checked
+ * @param receiveBufferBytes the size of the socket's receive buffer
+ * @param routers the virtual routers of this node
  */
 public record UdpNodeSettings(
     InetSocketAddress listen,
     List<InetSocketAddress> partners,
-    InetSocketAddress multicastGroup,
-    String multicastInterface,
+    InetSocketAddress group,
+    String groupInterface,
     InetSocketAddress announceTo,
     byte[] authenticationKey,
     boolean pseudoHeaderForIpv4,
--- a/src/test/java/linengauge/vrrp/ExplorerTest.java
+++ b/src/test/java/linengauge/vrrp/ExplorerTest.java
@@ -12,54 +12,56 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every schedule of troubles to a small depth, with the real state machine and with planted faults
- * in it.
+ * Explores every schedule of faults to a small depth, with the real state machine and with planted
+ * defects in it.
  */
 class ExplorerTest {
   private static Explorer.Outcome explore(
       List<Integer> priorities,
       boolean preempt,
-      RouterSettings.Extensions more,
+      RouterSettings.Extensions extensions,
       int depth,
-      int faults,
-      ExplorationPlan.RouterFactory maker) {
-    return Explorer.explore(new ExplorationPlan(priorities, preempt, more, depth, faults, maker));
+      int maxFaults,
+      ExplorationPlan.RouterFactory routerFactory) {
+    return Explorer.explore(
+        new ExplorationPlan(priorities, preempt, extensions, depth, maxFaults, routerFactory));
   }
 
   @ParameterizedTest
   @CsvSource({"200,100,true", "100,100,true", "200,100,false"})
-  void twoNodesSettleOnOneAfterAnyTwoTroubles(int first, int second, boolean preempt) {
-    for (RouterSettings.Extensions more :
+  void twoNodesSettleOnOneActiveAfterAnyTwoFaults(int first, int second, boolean preempt) {
+    for (RouterSettings.Extensions extensions :
         List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
-      Explorer.Outcome o =
-          explore(List.of(first, second), preempt, more, 12, 2, VirtualRouter::new);
-      assertNull(o.violation(), () -> o.violation() + "");
-      assertTrue(o.schedules() > 500, "schedules " + o.schedules());
+      Explorer.Outcome outcome =
+          explore(List.of(first, second), preempt, extensions, 12, 2, VirtualRouter::new);
+      assertNull(outcome.violation(), () -> outcome.violation() + "");
+      assertTrue(outcome.schedules() > 500, "schedules " + outcome.schedules());
     }
   }
 
   @Test
-  void threeNodesSettleOnOneAfterAnyTrouble() {
-    for (RouterSettings.Extensions more :
+  void threeNodesSettleOnOneActiveAfterAnyFault() {
+    for (RouterSettings.Extensions extensions :
         List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
-      Explorer.Outcome o = explore(List.of(200, 150, 150), true, more, 12, 1, VirtualRouter::new);
-      assertNull(o.violation(), () -> o.violation() + "");
+      Explorer.Outcome outcome =
+          explore(List.of(200, 150, 150), true, extensions, 12, 1, VirtualRouter::new);
+      assertNull(outcome.violation(), () -> outcome.violation() + "");
     }
   }
 
-  /** A router made wrong on purpose. */
-  private static class Planted extends VirtualRouter {
-    Planted(RouterSettings terms, Port port) {
-      super(terms, port);
+  /** A router that never yields in a tie. */
+  private static class WithoutTieBreak extends VirtualRouter {
+    WithoutTieBreak(RouterSettings settings, Port port) {
+      super(settings, port);
     }
 
-    Planted(Planted o, Port port) {
-      super(o, port);
+    WithoutTieBreak(WithoutTieBreak other, Port port) {
+      super(other, port);
     }
 
     @Override
-    public VirtualRouter copy(Port other) {
-      return new Planted(this, other);
+    public VirtualRouter copy(Port otherPort) {
+      return new WithoutTieBreak(this, otherPort);
     }
 
     @Override
@@ -69,58 +71,67 @@
   }
 
   @Test
-  void withoutTheTieRuleItReportsASchedule() {
-    Explorer.Outcome o =
-        explore(List.of(100, 100), true, RouterSettings.Extensions.NONE, 12, 2, Planted::new);
-    assertFalse(o.passed());
+  void missingTieBreakIsReported() {
+    Explorer.Outcome outcome =
+        explore(
+            List.of(100, 100), true, RouterSettings.Extensions.NONE, 12, 2, WithoutTieBreak::new);
+    assertFalse(outcome.passed());
     assertTrue(
-        o.violation().description().contains("in which it heard a better one"),
-        o.violation().description());
+        outcome.violation().description().contains("in which it heard a better one"),
+        outcome.violation().description());
   }
 
-  /** Announces itself before it steps down. */
-  private static final class LastWord extends VirtualRouter {
+  /** A router that sends another advertisement as it steps down. */
+  private static final class AdvertisesAfterStepDown extends VirtualRouter {
     private final Port port;
 
-    LastWord(RouterSettings terms, Port port) {
-      super(terms, port);
+    AdvertisesAfterStepDown(RouterSettings settings, Port port) {
+      super(settings, port);
       this.port = port;
     }
 
-    LastWord(LastWord o, Port port) {
-      super(o, port);
+    AdvertisesAfterStepDown(AdvertisesAfterStepDown other, Port port) {
+      super(other, port);
       this.port = port;
     }
 
     @Override
-    public VirtualRouter copy(Port other) {
-      return new LastWord(this, other);
+    public VirtualRouter copy(Port otherPort) {
+      return new AdvertisesAfterStepDown(this, otherPort);
     }
 
     @Override
-    public void receive(Advertisement a, NodeAddress from, linengauge.Moment at) {
-      boolean active = state() == State.ACTIVE;
-      super.receive(a, from, at);
-      if (active && state() == State.BACKUP) {
-        port.send(new Advertisement(a.vrid(), 100, a.interval(), a.addresses()));
+    public void receive(Advertisement advertisement, NodeAddress from, linengauge.Moment moment) {
+      boolean wasActive = state() == State.ACTIVE;
+      super.receive(advertisement, from, moment);
+      if (wasActive && state() == State.BACKUP) {
+        port.send(
+            new Advertisement(
+                advertisement.vrid(), 100, advertisement.interval(), advertisement.addresses()));
       }
     }
   }
 
   @Test
-  void aNodeThatSendsAsItLearnsOfABetterOneIsReportedWithItsSchedule() {
-    Explorer.Outcome o =
-        explore(List.of(200, 100), true, RouterSettings.Extensions.NONE, 14, 3, LastWord::new);
-    assertFalse(o.passed());
+  void advertisingAfterASuperiorAdvertisementIsReportedWithItsSchedule() {
+    Explorer.Outcome outcome =
+        explore(
+            List.of(200, 100),
+            true,
+            RouterSettings.Extensions.NONE,
+            14,
+            3,
+            AdvertisesAfterStepDown::new);
+    assertFalse(outcome.passed());
     assertTrue(
-        o.violation().description().contains("in which it heard a better one"),
-        o.violation().description());
-    assertFalse(o.violation().schedule().isEmpty());
+        outcome.violation().description().contains("in which it heard a better one"),
+        outcome.violation().description());
+    assertFalse(outcome.violation().schedule().isEmpty());
   }
 
   @Test
-  void withoutTheGuardOfWokenNodesOneSendsAfterStandingStill() {
-    RouterSettings.Extensions deaf =
+  void missingPauseDetectionIsReported() {
+    RouterSettings.Extensions pauseDetection =
         new RouterSettings.Extensions(
             1,
             true,
@@ -131,20 +142,22 @@
             0,
             0,
             linengauge.Span.NONE);
-    ExplorationPlan.RouterFactory planted =
-        (t, port) ->
+    ExplorationPlan.RouterFactory withoutPauseDetection =
+        (settings, port) ->
             new VirtualRouter(
                 new RouterSettings(
-                    t.vrid(),
-                    t.priority(),
-                    t.interval(),
-                    t.preemptMode(),
-                    t.acceptMode(),
-                    t.addresses(),
-                    t.primaryAddress(),
+                    settings.vrid(),
+                    settings.priority(),
+                    settings.interval(),
+                    settings.preemptMode(),
+                    settings.acceptMode(),
+                    settings.addresses(),
+                    settings.primaryAddress(),
                     RouterSettings.Extensions.NONE),
                 port);
-    assertTrue(explore(List.of(200, 100), true, deaf, 10, 1, VirtualRouter::new).passed());
-    assertFalse(explore(List.of(200, 100), true, deaf, 10, 1, planted).passed());
+    assertTrue(
+        explore(List.of(200, 100), true, pauseDetection, 10, 1, VirtualRouter::new).passed());
+    assertFalse(
+        explore(List.of(200, 100), true, pauseDetection, 10, 1, withoutPauseDetection).passed());
   }
 }
--- a/src/test/java/linengauge/vrrp/PacketCodecTest.java
+++ b/src/test/java/linengauge/vrrp/PacketCodecTest.java
@@ -14,7 +14,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Advertisements on the wire (RFC 9568, sections 5.2 and 7.1), with and without the keyed trailer.
+ * The encoding and validation of advertisements (RFC 9568, sections 5.2 and 7.1), with and without
+ * the keyed trailer.
  */
 class PacketCodecTest {
   private static final NodeAddress A = NodeAddress.of(192, 0, 2, 1);
@@ -26,14 +27,14 @@
     return new Advertisement(vrid, priority, Span.ofMillis(100), List.of(SHARED));
   }
 
-  private static DropReason cause(byte[] bytes) {
+  private static DropReason dropReason(byte[] bytes) {
     return assertThrows(
             InvalidPacketException.class, () -> STANDARD.decode(bytes, bytes.length, A, B))
         .reason();
   }
 
   @Test
-  void anAdvertisementHasTheBytesOfTheStandard() throws InvalidPacketException {
+  void advertisementIsEncodedAsInTheStandard() throws InvalidPacketException {
     byte[] bytes = STANDARD.encode(advert(7, 200), A, B);
     // 3107 + c801 + 000a + c000 + 0264 = 1bb76 = bb77, whose complement is 4488
     assertArrayEquals(
@@ -43,43 +44,46 @@
   }
 
   @Test
-  void theChecksumOfIpv6CoversThePseudoHeaderAndThatOfIpv4WhereAsked()
-      throws InvalidPacketException {
-    byte[] six = new byte[16];
-    six[0] = 0x20;
-    six[15] = 9;
-    NodeAddress other = new NodeAddress(six);
-    six[15] = 10;
-    NodeAddress shared = new NodeAddress(six);
-    Advertisement a = new Advertisement(1, 100, Span.ofMillis(40_950), List.of(shared, other));
-    byte[] bytes = STANDARD.encode(a, other, shared);
-    assertEquals(a, STANDARD.decode(bytes, bytes.length, other, shared));
+  void checksumCoversThePseudoHeaderForIpv6AndOptionallyForIpv4() throws InvalidPacketException {
+    byte[] ipv6Bytes = new byte[16];
+    ipv6Bytes[0] = 0x20;
+    ipv6Bytes[15] = 9;
+    NodeAddress other = new NodeAddress(ipv6Bytes);
+    ipv6Bytes[15] = 10;
+    NodeAddress shared = new NodeAddress(ipv6Bytes);
+    Advertisement advertisement =
+        new Advertisement(1, 100, Span.ofMillis(40_950), List.of(shared, other));
+    byte[] bytes = STANDARD.encode(advertisement, other, shared);
+    assertEquals(advertisement, STANDARD.decode(bytes, bytes.length, other, shared));
     assertEquals(
         DropReason.CHECKSUM,
         assertThrows(
                 InvalidPacketException.class,
                 () -> STANDARD.decode(bytes, bytes.length, shared, shared))
             .reason());
-    byte[] old = new PacketCodec(true).encode(advert(1, 1), A, B);
-    assertEquals(DropReason.CHECKSUM, cause(old));
-    assertEquals(advert(1, 1), new PacketCodec(true).decode(old, old.length, A, B));
+    byte[] withPseudoHeader = new PacketCodec(true).encode(advert(1, 1), A, B);
+    assertEquals(DropReason.CHECKSUM, dropReason(withPseudoHeader));
+    assertEquals(
+        advert(1, 1),
+        new PacketCodec(true).decode(withPseudoHeader, withPseudoHeader.length, A, B));
   }
 
   @Test
-  void whatIsWrongIsDroppedForItsOwnCause() {
+  void eachDefectIsDroppedForItsOwnReason() {
     byte[] good = STANDARD.encode(advert(7, 200), A, B);
-    assertEquals(DropReason.VERSION, cause(with(good, 0, 0x21)));
-    assertEquals(DropReason.TYPE, cause(with(good, 0, 0x32)));
-    assertEquals(DropReason.COUNT, cause(with(good, 3, 0)));
-    assertEquals(DropReason.LENGTH, cause(with(good, 3, 2)));
-    assertEquals(DropReason.LENGTH, cause(Arrays.copyOf(good, 11)));
-    assertEquals(DropReason.LENGTH, cause(Arrays.copyOf(good, 13)));
-    assertEquals(DropReason.LENGTH, cause(new byte[3]));
-    assertEquals(DropReason.CHECKSUM, cause(with(good, 2, 199)));
-    assertEquals(DropReason.VRID, cause(STANDARD.encode(advert(0, 200), A, B)));
+    assertEquals(DropReason.VERSION, dropReason(with(good, 0, 0x21)));
+    assertEquals(DropReason.TYPE, dropReason(with(good, 0, 0x32)));
+    assertEquals(DropReason.COUNT, dropReason(with(good, 3, 0)));
+    assertEquals(DropReason.LENGTH, dropReason(with(good, 3, 2)));
+    assertEquals(DropReason.LENGTH, dropReason(Arrays.copyOf(good, 11)));
+    assertEquals(DropReason.LENGTH, dropReason(Arrays.copyOf(good, 13)));
+    assertEquals(DropReason.LENGTH, dropReason(new byte[3]));
+    assertEquals(DropReason.CHECKSUM, dropReason(with(good, 2, 199)));
+    assertEquals(DropReason.VRID, dropReason(STANDARD.encode(advert(0, 200), A, B)));
     assertEquals(
         DropReason.INTERVAL,
-        cause(STANDARD.encode(new Advertisement(7, 200, Span.ofMillis(5), List.of(SHARED)), A, B)));
+        dropReason(
+            STANDARD.encode(new Advertisement(7, 200, Span.ofMillis(5), List.of(SHARED)), A, B)));
   }
 
   private static byte[] with(byte[] bytes, int at, int value) {
@@ -89,41 +93,50 @@
   }
 
   @Test
-  void anyBitTurnedAndAnyGarbageIsDropped() {
+  void anyFlippedBitAndAnyRandomDatagramIsDropped() {
     byte[] good = STANDARD.encode(advert(7, 200), A, B);
     for (int bit = 0; bit < 8 * good.length; bit++) {
       if (bit >= 32 && bit < 36) {
-        continue; // reserved, ignored on receipt; the checksum still tells
+        // These bits are reserved and ignored on receipt; the checksum covers them.
+        continue;
       }
-      byte[] bad = with(good, bit / 8, good[bit / 8] ^ 1 << bit % 8);
+      byte[] corrupted = with(good, bit / 8, good[bit / 8] ^ 1 << bit % 8);
       assertThrows(
-          InvalidPacketException.class, () -> STANDARD.decode(bad, bad.length, A, B), "bit " + bit);
+          InvalidPacketException.class,
+          () -> STANDARD.decode(corrupted, corrupted.length, A, B),
+          "bit " + bit);
     }
-    SplittableRandom chance = new SplittableRandom(3);
+    SplittableRandom random = new SplittableRandom(3);
     Node node = new Node(null);
     for (int i = 0; i < 100_000; i++) {
-      byte[] garbage = new byte[chance.nextInt(64)];
-      chance.nextBytes(garbage);
+      byte[] garbage = new byte[random.nextInt(64)];
+      random.nextBytes(garbage);
       node.routers.receive(garbage, garbage.length, A, B, new Moment(i));
     }
-    long dropped = node.routers.drops().values().stream().mapToLong(n -> n).sum();
+    long dropped = node.routers.drops().values().stream().mapToLong(count -> count).sum();
     assertEquals(100_000, dropped + node.routers.receivedCount());
     assertEquals(VirtualRouter.State.BACKUP, node.routers.routers().get(0).state());
   }
 
-  /** A node with two routers, one of which owns its address; what it sends is kept. */
+  /** A node with two routers, one of which owns its address; it records what it sends. */
   private static final class Node implements VirtualRouters.Network {
     private final List<byte[]> sent = new ArrayList<>();
     private final VirtualRouters routers;
 
-    private Node(DatagramAuthenticator seal) {
+    private Node(DatagramAuthenticator authenticator) {
       routers =
           new VirtualRouters(
-              B, List.of(A), null, List.of(terms(7, 100), terms(8, 255)), STANDARD, seal, this);
+              B,
+              List.of(A),
+              null,
+              List.of(settings(7, 100), settings(8, 255)),
+              STANDARD,
+              authenticator,
+              this);
       routers.start(new Moment(0));
     }
 
-    private static RouterSettings terms(int vrid, int priority) {
+    private static RouterSettings settings(int vrid, int priority) {
       return new RouterSettings(
           vrid,
           priority,
@@ -135,12 +148,12 @@
           RouterSettings.Extensions.NONE);
     }
 
-    private void hears(byte[] bytes, NodeAddress from) {
+    private void receive(byte[] bytes, NodeAddress from) {
       routers.receive(bytes, bytes.length, from, B, new Moment(1));
     }
 
-    private long dropped(DropReason cause) {
-      return routers.drops().getOrDefault(cause, 0L);
+    private long dropCount(DropReason reason) {
+      return routers.drops().getOrDefault(reason, 0L);
     }
 
     @Override
@@ -150,70 +163,75 @@
 
     @Override
     public void acquireAddress(int vrid) {
-      // not looked at
+      // Not under test.
     }
 
     @Override
     public void announceAddress(int vrid) {
-      // not looked at
+      // Not under test.
     }
 
     @Override
     public void releaseAddress(int vrid) {
-      // not looked at
+      // Not under test.
     }
   }
 
   @Test
-  void strangersOthersRoutersOwnCopiesAndOwnedAddressesAreNotHeard() {
-    Node n = new Node(null);
-    n.hears(
+  void datagramsOfUnknownSendersOtherRoutersAndThisNodeAreDropped() {
+    Node node = new Node(null);
+    node.receive(
         STANDARD.encode(advert(7, 200), NodeAddress.of(192, 0, 2, 9), B),
         NodeAddress.of(192, 0, 2, 9));
-    n.hears(STANDARD.encode(advert(9, 200), A, B), A);
-    n.hears(STANDARD.encode(advert(7, 200), B, B), B);
-    n.hears(STANDARD.encode(advert(8, 200), A, B), A);
-    for (DropReason d :
+    node.receive(STANDARD.encode(advert(9, 200), A, B), A);
+    node.receive(STANDARD.encode(advert(7, 200), B, B), B);
+    node.receive(STANDARD.encode(advert(8, 200), A, B), A);
+    for (DropReason reason :
         List.of(DropReason.FOREIGN_SENDER, DropReason.VRID, DropReason.OWN, DropReason.OWNER)) {
-      assertEquals(1, n.dropped(d), d.name());
+      assertEquals(1, node.dropCount(reason), reason.name());
     }
-    n.hears(STANDARD.encode(new Advertisement(7, 200, Span.ofMillis(200), List.of(A)), A, B), A);
-    assertEquals(1, n.routers.receivedCount());
-    assertEquals(1, n.routers.addressMismatches());
-    assertEquals(1, n.routers.intervalMismatches());
+    node.receive(
+        STANDARD.encode(new Advertisement(7, 200, Span.ofMillis(200), List.of(A)), A, B), A);
+    assertEquals(1, node.routers.receivedCount());
+    assertEquals(1, node.routers.addressMismatches());
+    assertEquals(1, node.routers.intervalMismatches());
   }
 
   @Test
-  void withAKeyStrangersCopiesAndOldAdvertisementsAreNotHeard() {
-    DatagramAuthenticator theirs =
+  void withAKeyUnsignedForgedAndReplayedAdvertisementsAreDropped() {
+    DatagramAuthenticator partnerAuthenticator =
         new DatagramAuthenticator("a key of this pair".getBytes(StandardCharsets.UTF_8), 1000);
-    Node n =
+    Node node =
         new Node(
             new DatagramAuthenticator("a key of this pair".getBytes(StandardCharsets.UTF_8), 5));
     byte[] plain = STANDARD.encode(advert(7, 200), A, B);
-    n.hears(plain, A);
-    n.hears(
+    node.receive(plain, A);
+    node.receive(
         new DatagramAuthenticator("another key".getBytes(StandardCharsets.UTF_8), 1).sign(plain, A),
         A);
-    assertEquals(2, n.dropped(DropReason.SEAL));
-    byte[] first = theirs.sign(plain, A);
-    byte[] second = theirs.sign(plain, A);
-    n.hears(with(second, second.length - 1, second[second.length - 1] ^ 1), A);
-    assertEquals(3, n.dropped(DropReason.SEAL));
-    n.hears(second, A);
-    n.hears(second, A);
-    n.hears(first, A); // overtaken on its way
-    n.hears(first, A);
-    assertEquals(2, n.dropped(DropReason.REPLAYED));
-    assertEquals(2, n.routers.receivedCount());
-    byte[] old = theirs.sign(plain, A);
+    assertEquals(2, node.dropCount(DropReason.SEAL));
+    byte[] first = partnerAuthenticator.sign(plain, A);
+    byte[] second = partnerAuthenticator.sign(plain, A);
+    node.receive(with(second, second.length - 1, second[second.length - 1] ^ 1), A);
+    assertEquals(3, node.dropCount(DropReason.SEAL));
+    node.receive(second, A);
+    node.receive(second, A);
+    // Reordered in the network.
+    node.receive(first, A);
+    node.receive(first, A);
+    assertEquals(2, node.dropCount(DropReason.REPLAYED));
+    assertEquals(2, node.routers.receivedCount());
+    byte[] replayed = partnerAuthenticator.sign(plain, A);
     for (int i = 0; i < 64; i++) {
-      theirs.sign(plain, A); // lost
+      // Lost in the network.
+      partnerAuthenticator.sign(plain, A);
     }
-    n.hears(theirs.sign(plain, A), A);
-    n.hears(old, A); // further back than the window goes
-    assertEquals(3, n.dropped(DropReason.REPLAYED));
-    n.hears(n.sent.get(0), A); // its own, sent back in the partner's name
-    assertEquals(4, n.dropped(DropReason.SEAL));
+    node.receive(partnerAuthenticator.sign(plain, A), A);
+    // Older than the replay window.
+    node.receive(replayed, A);
+    assertEquals(3, node.dropCount(DropReason.REPLAYED));
+    // Its own advertisement, replayed with the partner's address.
+    node.receive(node.sent.get(0), A);
+    assertEquals(4, node.dropCount(DropReason.SEAL));
   }
 }
--- a/src/test/java/linengauge/vrrp/VirtualRouterTest.java
+++ b/src/test/java/linengauge/vrrp/VirtualRouterTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One router, stepped by hand: section 6.4 of RFC 9568 case by case, and each addition by the
- * trouble it is for.
+ * One router, driven by hand: each case of section 6.4 of RFC 9568, and each extension by the fault
+ * that it is for.
  */
 class VirtualRouterTest {
   private static final Span INTERVAL = Span.ofMillis(100);
@@ -26,408 +26,417 @@
   private static final NodeAddress SHARED = NodeAddress.of(10, 0, 0, 100);
 
   private final List<Advertisement> sent = new ArrayList<>();
-  private final List<String> done = new ArrayList<>();
+  private final List<String> actions = new ArrayList<>();
   private Moment now = new Moment(0);
-  private VirtualRouter r;
+  private VirtualRouter router;
 
-  private VirtualRouter router(int priority, boolean preempt, Extensions more) {
-    r =
+  private VirtualRouter startRouter(int priority, boolean preempt, Extensions extensions) {
+    router =
         new VirtualRouter(
-            new RouterSettings(7, priority, INTERVAL, preempt, true, List.of(SHARED), OWN, more),
+            new RouterSettings(
+                7, priority, INTERVAL, preempt, true, List.of(SHARED), OWN, extensions),
             new VirtualRouter.Port() {
               @Override
-              public void send(Advertisement a) {
-                sent.add(a);
+              public void send(Advertisement advertisement) {
+                sent.add(advertisement);
               }
 
               @Override
               public void acquireAddress(int vrid) {
-                done.add("take");
+                actions.add("take");
               }
 
               @Override
               public void announceAddress(int vrid) {
-                done.add("announce");
+                actions.add("announce");
               }
 
               @Override
               public void releaseAddress(int vrid) {
-                done.add("give up");
+                actions.add("give up");
               }
             });
-    r.start(now);
-    return r;
+    router.start(now);
+    return router;
   }
 
-  private void heard(int priority, NodeAddress from) {
-    r.receive(new Advertisement(7, priority, INTERVAL, List.of(SHARED)), from, now);
+  private void receive(int priority, NodeAddress from) {
+    router.receive(new Advertisement(7, priority, INTERVAL, List.of(SHARED)), from, now);
   }
 
-  /** Lets time pass, the router being told whenever it is due. */
-  private void pass(double millis) {
+  /** Advances the time and runs the router's timers whenever they are due. */
+  private void advance(double millis) {
     Moment until = now.plus(Span.ofSeconds(millis / 1000));
-    while (r.nextTimer() != null && !until.before(r.nextTimer())) {
-      now = r.nextTimer();
-      r.runTimers(now);
+    while (router.nextTimer() != null && !until.before(router.nextTimer())) {
+      now = router.nextTimer();
+      router.runTimers(now);
     }
     now = until;
   }
 
-  /** The partner says so every interval for a span. */
-  private void partner(int priority, double millis) {
-    for (double t = 0; t < millis; t += 100) {
-      heard(priority, LOWER);
-      pass(100);
+  /** The partner advertises in every interval for the given time. */
+  private void partnerAdvertises(int priority, double millis) {
+    for (double elapsed = 0; elapsed < millis; elapsed += 100) {
+      receive(priority, LOWER);
+      advance(100);
     }
   }
 
-  private void active(int priority, boolean preempt, Extensions more) {
-    router(priority, preempt, more);
-    pass(500);
-    assertEquals(ACTIVE, r.state());
+  private void becomeActive(int priority, boolean preempt, Extensions extensions) {
+    startRouter(priority, preempt, extensions);
+    advance(500);
+    assertEquals(ACTIVE, router.state());
     sent.clear();
-    done.clear();
+    actions.clear();
   }
 
   @Test
-  void aSilentPartnerIsTakenOverFromAfterThreeIntervalsAndTheSkew() {
-    router(156, true, Extensions.NONE);
-    pass(339);
-    assertEquals(BACKUP, r.state());
+  void takesOverFromASilentPartnerAfterThreeIntervalsAndTheSkewTime() {
+    startRouter(156, true, Extensions.NONE);
+    advance(339);
+    assertEquals(BACKUP, router.state());
     assertTrue(sent.isEmpty());
-    pass(1);
-    assertEquals(ACTIVE, r.state());
-    assertEquals(List.of("take"), done);
+    advance(1);
+    assertEquals(ACTIVE, router.state());
+    assertEquals(List.of("take"), actions);
     assertEquals(156, sent.get(0).priority());
-    pass(1000);
+    advance(1000);
     assertEquals(11, sent.size());
   }
 
   @Test
-  void theOwnerIsActiveAtOnce() {
-    router(255, true, Extensions.NONE);
-    assertEquals(ACTIVE, r.state());
+  void addressOwnerIsActiveAtOnce() {
+    startRouter(255, true, Extensions.NONE);
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void oneThatGivesUpIsFollowedWithinTheSkewAlone() {
-    router(156, true, Extensions.NONE);
-    heard(200, LOWER);
-    heard(0, LOWER);
-    pass(39);
-    assertEquals(BACKUP, r.state());
-    pass(1);
-    assertEquals(ACTIVE, r.state());
+  void priorityZeroLeadsToTakeoverAfterTheSkewTimeAlone() {
+    startRouter(156, true, Extensions.NONE);
+    receive(200, LOWER);
+    receive(0, LOWER);
+    advance(39);
+    assertEquals(BACKUP, router.state());
+    advance(1);
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void theActiveNodesIntervalIsLearnt() {
-    router(156, true, Extensions.NONE);
-    r.receive(new Advertisement(7, 200, Span.ofMillis(1000), List.of(SHARED)), LOWER, now);
-    pass(3000);
-    assertEquals(BACKUP, r.state());
-    pass(400);
-    assertEquals(ACTIVE, r.state());
+  void learnsTheIntervalOfTheActiveNode() {
+    startRouter(156, true, Extensions.NONE);
+    router.receive(new Advertisement(7, 200, Span.ofMillis(1000), List.of(SHARED)), LOWER, now);
+    advance(3000);
+    assertEquals(BACKUP, router.state());
+    advance(400);
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void aWorseActiveNodeIsPreemptedOnlyWherePreemptModeSaysSo() {
-    router(156, false, Extensions.NONE);
-    partner(100, 2000);
-    assertEquals(BACKUP, r.state());
-    router(156, true, Extensions.NONE);
-    partner(100, 400);
-    assertEquals(ACTIVE, r.state());
+  void preemptsALowerPriorityOnlyInPreemptMode() {
+    startRouter(156, false, Extensions.NONE);
+    partnerAdvertises(100, 2000);
+    assertEquals(BACKUP, router.state());
+    startRouter(156, true, Extensions.NONE);
+    partnerAdvertises(100, 400);
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void anActiveNodeFollowsAHigherPriorityAndInATieTheGreaterAddress() {
-    active(100, true, Extensions.NONE);
-    heard(100, LOWER);
-    assertEquals(ACTIVE, r.state());
-    assertEquals(1, sent.size(), "asserted at once");
+  void stepsDownForAHigherPriorityAndInATieForTheGreaterAddress() {
+    becomeActive(100, true, Extensions.NONE);
+    receive(100, LOWER);
+    assertEquals(ACTIVE, router.state());
+    assertEquals(1, sent.size(), "must assert its priority at once");
     sent.clear();
-    heard(100, GREATER);
-    assertEquals(BACKUP, r.state());
-    assertEquals(List.of("announce", "give up"), done);
+    receive(100, GREATER);
+    assertEquals(BACKUP, router.state());
+    assertEquals(List.of("announce", "give up"), actions);
     assertTrue(sent.isEmpty());
-    active(100, true, Extensions.NONE);
-    heard(101, LOWER);
-    assertEquals(BACKUP, r.state());
+    becomeActive(100, true, Extensions.NONE);
+    receive(101, LOWER);
+    assertEquals(BACKUP, router.state());
   }
 
   @Test
-  void anActiveNodeAnswersOneThatGivesUp() {
-    active(100, true, Extensions.NONE);
-    heard(0, LOWER);
+  void activeNodeAnswersPriorityZero() {
+    becomeActive(100, true, Extensions.NONE);
+    receive(0, LOWER);
     assertEquals(1, sent.size());
-    assertEquals(ACTIVE, r.state());
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void aStopSaysPriorityZeroAndOnlyWhereActive() {
-    active(100, true, Extensions.NONE);
-    r.shutdown(now);
+  void shutdownSendsPriorityZeroOnlyWhenActive() {
+    becomeActive(100, true, Extensions.NONE);
+    router.shutdown(now);
     assertEquals(0, sent.get(0).priority());
-    assertEquals(List.of("give up"), done);
-    assertEquals(INITIALIZE, r.state());
+    assertEquals(List.of("give up"), actions);
+    assertEquals(INITIALIZE, router.state());
     sent.clear();
-    router(100, true, Extensions.NONE).shutdown(now);
-    r.repeatShutdown();
+    startRouter(100, true, Extensions.NONE).shutdown(now);
+    router.repeatShutdown();
     assertTrue(sent.isEmpty());
-    active(100, true, Extensions.NONE);
-    r.repeatShutdown();
-    assertTrue(sent.isEmpty(), "it has not said goodbye yet");
-    r.shutdown(now);
-    r.repeatShutdown();
+    becomeActive(100, true, Extensions.NONE);
+    router.repeatShutdown();
+    assertTrue(sent.isEmpty(), "no priority 0 before the shutdown");
+    router.shutdown(now);
+    router.repeatShutdown();
     assertEquals(List.of(0, 0), sent.stream().map(Advertisement::priority).toList());
   }
 
   @Test
-  void copiesOfAWorseAdvertisementDoNotMakeAsManyAnswers() {
-    active(100, true, Extensions.NONE);
+  void answersToRepeatedInferiorAdvertisementsAreLimited() {
+    becomeActive(100, true, Extensions.NONE);
     for (int i = 0; i < 1000; i++) {
-      heard(50, LOWER);
+      receive(50, LOWER);
     }
     assertEquals(4, sent.size());
   }
 
   /**
-   * How often a node takes over in ten minutes from one that lives, with a third of its
-   * advertisements lost.
+   * Returns how often a node takes over within ten minutes from a partner that is alive, with 30
+   * percent of the partner's advertisements lost.
    */
-  private long needless(int perInterval) {
-    var chance = new java.util.SplittableRandom(5);
-    router(100, true, Extensions.NONE);
+  private long countUnnecessaryTakeovers(int perInterval) {
+    var random = new java.util.SplittableRandom(5);
+    startRouter(100, true, Extensions.NONE);
     for (int i = 0; i < 6000 * perInterval; i++) {
-      if (chance.nextDouble() >= 0.3) {
-        heard(200, GREATER);
+      if (random.nextDouble() >= 0.3) {
+        receive(200, GREATER);
       }
-      pass(100.0 / perInterval);
+      advance(100.0 / perInterval);
     }
-    return r.counts().activations;
+    return router.counts().activations;
   }
 
   @Test
-  void aThirdOfAdvertisementsLostCostsHandoversThatMoreInAnIntervalSpare() {
-    // Three in a row and the next one late: 0.3^3 of all, each over with the next that comes.
-    long standard = needless(1);
+  void moreAdvertisementsPerIntervalAvoidUnnecessaryTakeoversUnderLoss() {
+    // A takeover needs three losses in a row and a late fourth advertisement, 0.3^3 of all; each
+    // ends with the next advertisement that arrives.
+    long standard = countUnnecessaryTakeovers(1);
     assertTrue(standard > 20 && standard <= 6000 * 0.03 * 1.3, "took over " + standard + " times");
-    assertTrue(needless(3) * 50 <= standard, "with three in an interval " + needless(3) + " times");
+    assertTrue(
+        countUnnecessaryTakeovers(3) * 50 <= standard,
+        "with three in an interval took over " + countUnnecessaryTakeovers(3) + " times");
   }
 
   @Test
-  void moreAdvertisementsInAnIntervalNameTheIntervalAllTheSame() {
-    active(
+  void moreAdvertisementsPerIntervalLeaveTheAdvertisedIntervalUnchanged() {
+    becomeActive(
         100, true, new Extensions(4, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE));
-    pass(1000);
+    advance(1000);
     assertEquals(40, sent.size());
-    assertTrue(sent.stream().allMatch(a -> a.interval().equals(INTERVAL)));
+    assertTrue(sent.stream().allMatch(advertisement -> advertisement.interval().equals(INTERVAL)));
   }
 
-  private static Extensions frozen() {
+  private static Extensions pauseDetection() {
     return new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
   }
 
   @Test
-  void anActiveNodeThatStoodStillForLongStepsDownBeforeItSendsAnything() {
-    active(200, true, frozen());
-    Moment serves = r.leaseExpiry();
+  void activeNodeStepsDownAfterALongPauseBeforeItSends() {
+    becomeActive(200, true, pauseDetection());
+    Moment leaseExpiry = router.leaseExpiry();
     now = now.plus(Span.ofMillis(2000));
-    assertTrue(serves.before(now));
-    r.runTimers(now);
-    assertEquals(BACKUP, r.state());
-    assertEquals(List.of("give up"), done);
+    assertTrue(leaseExpiry.before(now));
+    router.runTimers(now);
+    assertEquals(BACKUP, router.state());
+    assertEquals(List.of("give up"), actions);
     assertTrue(sent.isEmpty());
-    active(200, true, frozen());
+    becomeActive(200, true, pauseDetection());
     now = now.plus(Span.ofMillis(150));
-    r.runTimers(now);
-    assertEquals(ACTIVE, r.state(), "too short for anybody to have taken over");
+    router.runTimers(now);
+    assertEquals(ACTIVE, router.state(), "pause is too short for a takeover");
   }
 
   @Test
-  void aBackupNodeThatStoodStillReadsWhatCameBeforeItSaysThatNothingDid() {
-    router(100, true, frozen());
-    heard(200, LOWER);
+  void backupNodeReadsQueuedAdvertisementsAfterAPause() {
+    startRouter(100, true, pauseDetection());
+    receive(200, LOWER);
     now = now.plus(Span.ofMillis(10_000));
-    r.runTimers(now);
-    assertEquals(BACKUP, r.state());
-    heard(200, LOWER);
-    pass(300);
-    assertEquals(BACKUP, r.state());
+    router.runTimers(now);
+    assertEquals(BACKUP, router.state());
+    receive(200, LOWER);
+    advance(300);
+    assertEquals(BACKUP, router.state());
   }
 
   @Test
-  void aClockThatIsSetBackChangesNothing() {
-    router(100, true, frozen());
-    partner(200, 1000);
-    r.runTimers(new Moment(-5_000_000));
-    partner(200, 1000);
-    assertEquals(BACKUP, r.state());
+  void clockThatIsSetBackChangesNothing() {
+    startRouter(100, true, pauseDetection());
+    partnerAdvertises(200, 1000);
+    router.runTimers(new Moment(-5_000_000));
+    partnerAdvertises(200, 1000);
+    assertEquals(BACKUP, router.state());
   }
 
   @Test
-  void whatIsHeardAtAnEarlierMomentDoesNotMakeThePartnerLookSilent() {
-    router(100, true, Extensions.NONE);
-    partner(200, 1000);
-    r.receive(new Advertisement(7, 200, INTERVAL, List.of(SHARED)), LOWER, new Moment(-5_000_000));
-    r.runTimers(now);
-    assertEquals(BACKUP, r.state());
+  void advertisementWithAnEarlierTimeDoesNotMakeThePartnerLookSilent() {
+    startRouter(100, true, Extensions.NONE);
+    partnerAdvertises(200, 1000);
+    router.receive(
+        new Advertisement(7, 200, INTERVAL, List.of(SHARED)), LOWER, new Moment(-5_000_000));
+    router.runTimers(now);
+    assertEquals(BACKUP, router.state());
   }
 
   @Test
-  void preemptionWaitsForItsDelayAndALossDoesNot() {
+  void preemptDelayDoesNotDelayTakeoverFromAFailedPartner() {
     Extensions delayed =
         new Extensions(1, false, Span.ofMillis(5000), Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
-    router(200, true, delayed);
-    partner(100, 4900);
-    assertEquals(BACKUP, r.state());
-    partner(100, 600);
-    assertEquals(ACTIVE, r.state());
-    router(200, true, delayed);
-    partner(100, 1000);
-    pass(350);
-    assertEquals(ACTIVE, r.state());
+    startRouter(200, true, delayed);
+    partnerAdvertises(100, 4900);
+    assertEquals(BACKUP, router.state());
+    partnerAdvertises(100, 600);
+    assertEquals(ACTIVE, router.state());
+    startRouter(200, true, delayed);
+    partnerAdvertises(100, 1000);
+    advance(350);
+    assertEquals(ACTIVE, router.state());
   }
 
   @Test
-  void theAddressIsNotTakenAgainFasterThanThePace() {
-    active(
+  void addressIsNotAcquiredAgainBeforeTheRetakeDelay() {
+    becomeActive(
         100,
         true,
         new Extensions(1, false, Span.NONE, Span.ofMillis(2000), Span.NONE, 0, 0, 0, Span.NONE));
-    heard(200, LOWER);
-    pass(1999);
-    assertEquals(BACKUP, r.state());
-    pass(1);
-    assertEquals(ACTIVE, r.state());
-  }
-
-  /** A better partner comes, takes the address, dies after three seconds, over and over. */
-  private int flaps(Extensions more, int seconds) {
-    active(100, true, more);
-    long before = r.counts().activations;
-    for (int s = 0; s < seconds; s += 4) {
-      pass(1000);
-      // One that starts hears this node first, and takes nothing from one of no lower priority.
-      if (r.state() == ACTIVE && !sent.isEmpty() && sent.get(sent.size() - 1).priority() < 200) {
-        partner(200, 2500);
+    receive(200, LOWER);
+    advance(1999);
+    assertEquals(BACKUP, router.state());
+    advance(1);
+    assertEquals(ACTIVE, router.state());
+  }
+
+  /** A partner of higher priority starts, takes the address and fails, over and over. */
+  private int countTakeoversWithFlappingPartner(Extensions extensions, int seconds) {
+    becomeActive(100, true, extensions);
+    long before = router.counts().activations;
+    for (int second = 0; second < seconds; second += 4) {
+      advance(1000);
+      // A starting partner first receives this node, and does not preempt an equal or higher
+      // priority.
+      if (router.state() == ACTIVE
+          && !sent.isEmpty()
+          && sent.get(sent.size() - 1).priority() < 200) {
+        partnerAdvertises(200, 2500);
       } else {
-        pass(2500);
+        advance(2500);
       }
-      pass(500);
+      advance(500);
     }
-    return (int) (r.counts().activations - before);
+    return (int) (router.counts().activations - before);
   }
 
   @Test
-  void aPartnerThatComesAndDiesGetsTheAddressFewerAndFewerTimes() {
+  void flapDampingLimitsTakeoversByAFlappingPartner() {
     Extensions damped =
         new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 2, 0, 0, Span.NONE);
-    assertEquals(30, flaps(Extensions.NONE, 120));
-    int few = flaps(damped, 120);
-    assertTrue(few >= 2 && few <= 8, "took over " + few + " times");
+    assertEquals(30, countTakeoversWithFlappingPartner(Extensions.NONE, 120));
+    int takeovers = countTakeoversWithFlappingPartner(damped, 120);
+    assertTrue(takeovers >= 2 && takeovers <= 8, "took over " + takeovers + " times");
   }
 
   @Test
-  void aPartnerThatTakesAndGivesUpInOrderIsNoFlap() {
+  void orderlyReleaseIsNotCountedAsAFlap() {
     Extensions damped =
         new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE);
-    active(100, true, damped);
+    becomeActive(100, true, damped);
     for (int i = 0; i < 5; i++) {
-      partner(200, 500);
-      heard(0, LOWER);
-      pass(200);
+      partnerAdvertises(200, 500);
+      receive(0, LOWER);
+      advance(200);
     }
-    assertEquals(100, r.priority());
-    partner(200, 500);
-    pass(500);
-    assertEquals(254, r.priority());
+    assertEquals(100, router.priority());
+    partnerAdvertises(200, 500);
+    advance(500);
+    assertEquals(254, router.priority());
   }
 
   @Test
-  void howeverOftenAPartnerFlapsItGetsTheAddressAfterThreeHalfLives() {
-    active(
+  void flapHoldLastsNoLongerThanThreeHalfLives() {
+    becomeActive(
         100,
         true,
         new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(10), 1, 0, 0, Span.NONE));
     for (int i = 0; i < 20; i++) {
-      heard(255, LOWER);
-      pass(500);
+      receive(255, LOWER);
+      advance(500);
     }
-    assertEquals(254, r.priority());
-    pass(20_000);
-    assertEquals(254, r.priority());
-    pass(11_000);
-    assertEquals(100, r.priority());
+    assertEquals(254, router.priority());
+    advance(20_000);
+    assertEquals(254, router.priority());
+    advance(11_000);
+    assertEquals(100, router.priority());
   }
 
   @Test
-  void aPartnerThatFallsBehindIsTakenOverFromAndHasNotFlapped() {
-    active(
+  void takeoverFromAPartnerOfReducedPriorityIsNotCountedAsAFlap() {
+    becomeActive(
         100,
         true,
         new Extensions(1, false, Span.NONE, Span.NONE, Span.ofSeconds(30), 1, 0, 0, Span.NONE));
-    partner(200, 500);
-    partner(50, 600);
-    assertEquals(ACTIVE, r.state());
-    assertEquals(0, r.counts().flaps);
+    partnerAdvertises(200, 500);
+    partnerAdvertises(50, 600);
+    assertEquals(ACTIVE, router.state());
+    assertEquals(0, router.counts().flaps);
   }
 
   @Test
-  void aDeafPartnerIsLeftTheAddressAndTriedAgainLater() {
-    active(
+  void deafPartnerKeepsTheAddressAndIsPreemptedAgainLater() {
+    becomeActive(
         200, true, new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
-    partner(100, 900);
-    assertEquals(ACTIVE, r.state());
-    partner(100, 300);
-    assertEquals(BACKUP, r.state());
-    partner(100, 5000);
-    assertEquals(BACKUP, r.state());
-    pass(400);
-    assertEquals(ACTIVE, r.state(), "it has died: at once");
-    partner(100, 1300);
-    assertEquals(BACKUP, r.state());
-    partner(100, 15_000);
-    assertTrue(r.counts().deafPartners >= 2, "tried again");
+    partnerAdvertises(100, 900);
+    assertEquals(ACTIVE, router.state());
+    partnerAdvertises(100, 300);
+    assertEquals(BACKUP, router.state());
+    partnerAdvertises(100, 5000);
+    assertEquals(BACKUP, router.state());
+    advance(400);
+    assertEquals(ACTIVE, router.state(), "takes over from a failed partner at once");
+    partnerAdvertises(100, 1300);
+    assertEquals(BACKUP, router.state());
+    partnerAdvertises(100, 15_000);
+    assertTrue(router.counts().deafPartners >= 2, "must preempt the deaf partner again");
   }
 
   @Test
-  void aPartnerThatWasDeafLongAgoIsFollowedNoLongerThanTheFirstTime() {
-    active(
+  void deafPartnerBackoffIsResetOncePartnerReceivesAgain() {
+    becomeActive(
         200, true, new Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 10, 0, Span.NONE));
     for (int i = 0; i < 3; i++) {
-      partner(100, 1300);
-      assertEquals(BACKUP, r.state());
-      long before = r.counts().activations;
-      partner(100, 9000);
-      assertEquals(before + 1, r.counts().activations, "time " + i);
-      pass(20_000); // it hears again, and says nothing
-      assertEquals(ACTIVE, r.state());
+      partnerAdvertises(100, 1300);
+      assertEquals(BACKUP, router.state());
+      long before = router.counts().activations;
+      partnerAdvertises(100, 9000);
+      assertEquals(before + 1, router.counts().activations, "round " + i);
+      // The partner receives again and stays silent.
+      advance(20_000);
+      assertEquals(ACTIVE, router.state());
     }
   }
 
   @Test
-  void whoIsUnwellForLongFallsBehindAndComesBackAfterAsLong() {
-    active(
+  void lastingHealthChangesLowerAndRestoreThePriority() {
+    becomeActive(
         200,
         true,
         new Extensions(1, false, Span.NONE, Span.NONE, Span.NONE, 0, 0, 120, Span.ofMillis(1000)));
-    r.setUnhealthy(true, now);
-    pass(900);
-    r.setUnhealthy(false, now);
-    pass(2000);
-    assertEquals(200, r.priority(), "too short to count");
-    r.setUnhealthy(true, now);
-    pass(1100);
-    assertEquals(80, r.priority());
-    heard(100, LOWER);
-    assertEquals(BACKUP, r.state());
-    r.setUnhealthy(false, now);
-    partner(100, 900);
-    assertEquals(BACKUP, r.state());
-    partner(100, 600);
-    assertEquals(ACTIVE, r.state());
-    assertFalse(r.isUnhealthy());
+    router.setUnhealthy(true, now);
+    advance(900);
+    router.setUnhealthy(false, now);
+    advance(2000);
+    assertEquals(200, router.priority(), "too short to take effect");
+    router.setUnhealthy(true, now);
+    advance(1100);
+    assertEquals(80, router.priority());
+    receive(100, LOWER);
+    assertEquals(BACKUP, router.state());
+    router.setUnhealthy(false, now);
+    partnerAdvertises(100, 900);
+    assertEquals(BACKUP, router.state());
+    partnerAdvertises(100, 600);
+    assertEquals(ACTIVE, router.state());
+    assertFalse(router.isUnhealthy());
   }
 }
--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -23,62 +23,76 @@
 
 /** Nodes on real sockets, each with a loopback address of its own. */
 class UdpNodeTest {
-  private static final RouterSettings.Extensions MORE =
+  private static final RouterSettings.Extensions PAUSE_DETECTION =
       new RouterSettings.Extensions(1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 0, Span.NONE);
 
-  /** Nodes of falling priority that know each other. */
+  /** Nodes of decreasing priority that are each other's partners. */
   private static final class Group implements AutoCloseable {
     private final List<UdpNode> nodes = new ArrayList<>();
-    private final List<InetSocketAddress> at = new ArrayList<>();
-    private final List<List<String>> told = new ArrayList<>();
-    private volatile int unwell = -1;
+    private final List<InetSocketAddress> addresses = new ArrayList<>();
+    private final List<List<String>> notifications = new ArrayList<>();
+    private volatile int unhealthyNode = -1;
 
-    private Group(int count, int vrids, int priorityStep) throws IOException {
-      this(count, vrids, priorityStep, 50, null);
+    private Group(int count, int routerCount, int priorityStep) throws IOException {
+      this(count, routerCount, priorityStep, 50, null);
     }
 
-    private Group(int count, int vrids, int priorityStep, int advertMs, InetSocketAddress group)
+    private Group(
+        int count,
+        int routerCount,
+        int priorityStep,
+        int advertisementIntervalMs,
+        InetSocketAddress group)
         throws IOException {
       List<Integer> ports = Ports.free(count);
       for (int i = 0; i < count; i++) {
-        at.add(new InetSocketAddress(Ports.node(i), ports.get(i)));
+        addresses.add(new InetSocketAddress(Ports.node(i), ports.get(i)));
       }
       for (int i = 0; i < count; i++) {
-        List<InetSocketAddress> others = new ArrayList<>(at);
-        others.remove(i);
+        List<InetSocketAddress> partners = new ArrayList<>(addresses);
+        partners.remove(i);
         List<RouterSettings> routers = new ArrayList<>();
-        for (int v = 1; v <= vrids; v++) {
+        for (int vrid = 1; vrid <= routerCount; vrid++) {
           routers.add(
               new RouterSettings(
-                  v,
+                  vrid,
                   200 - priorityStep * i,
-                  Span.ofMillis(advertMs),
+                  Span.ofMillis(advertisementIntervalMs),
                   true,
                   true,
-                  List.of(NodeAddress.of(192, 0, 2, v)),
-                  new NodeAddress(at.get(i).getAddress().getAddress()),
+                  List.of(NodeAddress.of(192, 0, 2, vrid)),
+                  new NodeAddress(addresses.get(i).getAddress().getAddress()),
                   new RouterSettings.Extensions(
                       1, true, Span.NONE, Span.NONE, Span.NONE, 0, 0, 120, Span.NONE)));
         }
-        List<String> mine = java.util.Collections.synchronizedList(new ArrayList<>());
-        told.add(mine);
+        List<String> own = java.util.Collections.synchronizedList(new ArrayList<>());
+        notifications.add(own);
         int number = i;
         nodes.add(
             new UdpNode(
                 new UdpNodeSettings(
-                    at.get(i), others, group, "lo", null, null, false, 64, 262_144, routers),
+                    addresses.get(i),
+                    partners,
+                    group,
+                    "lo",
+                    null,
+                    null,
+                    false,
+                    64,
+                    262_144,
+                    routers),
                 new UdpNode.OwnershipListener() {
                   @Override
                   public void addressAcquired(int vrid) {
-                    mine.add("took " + vrid);
+                    own.add("took " + vrid);
                   }
 
                   @Override
                   public void addressReleased(int vrid) {
-                    mine.add("gave up " + vrid);
+                    own.add("gave up " + vrid);
                   }
                 },
-                () -> unwell == number));
+                () -> unhealthyNode == number));
       }
     }
 
@@ -88,18 +102,20 @@
     }
 
     private List<Integer> holders(int vrid) {
-      List<Integer> all = new ArrayList<>();
+      List<Integer> holders = new ArrayList<>();
       for (int i = 0; i < nodes.size(); i++) {
         if (nodes.get(i).lease(vrid).isHeld()) {
-          all.add(i);
+          holders.add(i);
         }
       }
-      return all;
+      return holders;
     }
 
-    private long dropped(int node, String cause) {
-      Object all = nodes.get(node).snapshot().get("dropped");
-      return all instanceof Map<?, ?> m && m.get(cause) instanceof Long n ? n : 0;
+    private long dropCount(int node, String reason) {
+      Object drops = nodes.get(node).snapshot().get("dropped");
+      return drops instanceof Map<?, ?> counts && counts.get(reason) instanceof Long count
+          ? count
+          : 0;
     }
 
     @Override
@@ -108,52 +124,56 @@
     }
   }
 
-  private static void until(BooleanSupplier held) throws InterruptedException {
+  private static void await(BooleanSupplier condition) throws InterruptedException {
     for (int i = 0; i < 1500; i++) {
-      if (held.getAsBoolean()) {
+      if (condition.getAsBoolean()) {
         return;
       }
       Thread.sleep(10);
     }
-    throw new AssertionError("it never came to be");
+    throw new AssertionError("condition was not met in time");
   }
 
   @Test
-  void fiveNodesThatStartTogetherSettleOnTheBestAndFollowItInTurnAsEachEnds() throws Exception {
-    try (Group g = new Group(5, 1, 10).start()) {
-      until(() -> g.holders(1).equals(List.of(0)));
-      g.nodes.get(0).close();
-      until(() -> g.holders(1).equals(List.of(1)));
-      g.nodes.get(1).close();
-      until(() -> g.holders(1).equals(List.of(2)));
-      assertEquals(List.of("took 1", "gave up 1"), g.told.get(1));
-      assertEquals(List.of(), g.told.get(4), "the last in line never took it");
+  void nodesSettleOnTheHighestPriorityAndTakeOverInOrder() throws Exception {
+    try (Group group = new Group(5, 1, 10).start()) {
+      await(() -> group.holders(1).equals(List.of(0)));
+      group.nodes.get(0).close();
+      await(() -> group.holders(1).equals(List.of(1)));
+      group.nodes.get(1).close();
+      await(() -> group.holders(1).equals(List.of(2)));
+      assertEquals(List.of("took 1", "gave up 1"), group.notifications.get(1));
+      assertEquals(
+          List.of(),
+          group.notifications.get(4),
+          "node of lowest priority must not acquire the address");
     }
   }
 
   @Test
-  void nodesOfAGroupReachEachOtherWithOneDatagram() throws Exception {
-    // A group's last two numbers and its port are this process's own, so that no other test joins
-    // it.
-    String[] own = Ports.HOST.split("[.]");
-    InetSocketAddress group =
-        new InetSocketAddress("239.18." + own[2] + "." + own[3], Ports.free(1).get(0));
-    try (Group g = new Group(3, 1, 10, 50, group).start()) {
-      until(() -> g.holders(1).equals(List.of(0)));
-      g.nodes.get(0).close();
-      until(() -> g.holders(1).equals(List.of(1)));
-      assertEquals(List.of(), g.told.get(2));
-      assertEquals(0, g.dropped(1, "OWN"));
+  void multicastGroupReachesAllNodes() throws Exception {
+    // The last two octets of the group and its port belong to this process, so that no other test
+    // joins it.
+    String[] hostOctets = Ports.HOST.split("[.]");
+    InetSocketAddress multicastGroup =
+        new InetSocketAddress(
+            "239.18." + hostOctets[2] + "." + hostOctets[3], Ports.free(1).get(0));
+    try (Group group = new Group(3, 1, 10, 50, multicastGroup).start()) {
+      await(() -> group.holders(1).equals(List.of(0)));
+      group.nodes.get(0).close();
+      await(() -> group.holders(1).equals(List.of(1)));
+      assertEquals(List.of(), group.notifications.get(2));
+      assertEquals(0, group.dropCount(1, "OWN"));
     }
   }
 
   @Test
-  void aHundredAddressesAreHeldByOneNodeEachAndThreeEqualNodesSettleByAddress() throws Exception {
-    try (Group g = new Group(3, 100, 0).start()) {
-      until(
+  void equalNodesSettleByAddressForAHundredRouters() throws Exception {
+    try (Group group = new Group(3, 100, 0).start()) {
+      await(
           () -> {
-            for (int v = 1; v <= 100; v++) {
-              if (g.holders(v).size() != 1) {
+            for (int vrid = 1; vrid <= 100; vrid++) {
+              if (group.holders(vrid).size() != 1) {
                 return false;
               }
             }
@@ -163,51 +183,57 @@
   }
 
   @Test
-  void aNodeWhoseFrontIsUnwellHandsOverAndTakesItBackWhenWell() throws Exception {
-    try (Group g = new Group(2, 1, 100).start()) {
-      until(() -> g.holders(1).equals(List.of(0)));
-      g.unwell = 0;
-      until(() -> g.holders(1).equals(List.of(1)));
-      g.unwell = -1;
-      until(() -> g.holders(1).equals(List.of(0)));
+  void unhealthyNodeHandsOverAndTakesTheAddressBackOnceHealthy() throws Exception {
+    try (Group group = new Group(2, 1, 100).start()) {
+      await(() -> group.holders(1).equals(List.of(0)));
+      group.unhealthyNode = 0;
+      await(() -> group.holders(1).equals(List.of(1)));
+      group.unhealthyNode = -1;
+      await(() -> group.holders(1).equals(List.of(0)));
     }
   }
 
   @Test
-  void garbageWithoutEndMovesNothing() throws Exception {
-    // An interval that a busy machine's pauses do not reach.
-    try (Group g = new Group(2, 1, 100, 500, null).start()) {
-      until(() -> g.holders(1).equals(List.of(0)));
-      long before = g.told.get(1).size() + g.told.get(0).size();
-      SplittableRandom chance = new SplittableRandom(1);
-      // From the partner's own address, at another port: nothing but its bytes tells it from the
-      // partner.
-      try (DatagramSocket as = new DatagramSocket(0, InetAddress.getByName(Ports.node(0)));
-          DatagramSocket stranger = new DatagramSocket(0, InetAddress.getByName(Ports.HOST))) {
+  void floodOfRandomDatagramsCausesNoHandover() throws Exception {
+    // The interval is longer than the pauses of a busy machine.
+    try (Group group = new Group(2, 1, 100, 500, null).start()) {
+      await(() -> group.holders(1).equals(List.of(0)));
+      long before = group.notifications.get(1).size() + group.notifications.get(0).size();
+      SplittableRandom random = new SplittableRandom(1);
+      // Sent from the partner's address at another port, so that only the content tells it from
+      // the partner's datagrams.
+      try (DatagramSocket partnerAddressSocket =
+              new DatagramSocket(0, InetAddress.getByName(Ports.node(0)));
+          DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getByName(Ports.HOST))) {
         for (int i = 0; i < 60_000; i++) {
-          byte[] bytes = new byte[8 + chance.nextInt(40)];
-          chance.nextBytes(bytes);
-          DatagramPacket p = new DatagramPacket(bytes, bytes.length, g.at.get(1));
-          (i % 2 == 0 ? as : stranger).send(p);
+          byte[] bytes = new byte[8 + random.nextInt(40)];
+          random.nextBytes(bytes);
+          DatagramPacket packet = new DatagramPacket(bytes, bytes.length, group.addresses.get(1));
+          (i % 2 == 0 ? partnerAddressSocket : unknownSender).send(packet);
         }
       }
-      until(() -> g.dropped(1, "VERSION") > 1000 && g.dropped(1, "FOREIGN_SENDER") > 1000);
-      assertEquals(List.of(0), g.holders(1));
-      assertEquals(before, g.told.get(1).size() + g.told.get(0).size(), "a handover for garbage");
+      await(
+          () ->
+              group.dropCount(1, "VERSION") > 1000 && group.dropCount(1, "FOREIGN_SENDER") > 1000);
+      assertEquals(List.of(0), group.holders(1));
+      assertEquals(
+          before,
+          group.notifications.get(1).size() + group.notifications.get(0).size(),
+          "handover caused by random datagrams");
     }
   }
 
   @Test
-  void aLeaseEndsByItselfWhereItsNodeStandsStill() throws Exception {
-    Group g = new Group(2, 1, 100);
-    boolean[] stuck = {false};
-    g.close();
+  void leaseExpiresWhenTheNodeIsPaused() throws Exception {
+    Group group = new Group(2, 1, 100);
+    boolean[] unhealthy = {false};
+    group.close();
     List<Integer> ports = Ports.free(1);
-    InetSocketAddress at = new InetSocketAddress(Ports.node(0), ports.get(0));
-    try (UdpNode n =
+    InetSocketAddress address = new InetSocketAddress(Ports.node(0), ports.get(0));
+    try (UdpNode node =
         new UdpNode(
             new UdpNodeSettings(
-                at,
+                address,
                 List.of(new InetSocketAddress(Ports.node(1), 9)),
                 null,
                 null,
@@ -224,44 +250,45 @@
                         true,
                         true,
                         List.of(NodeAddress.of(192, 0, 2, 1)),
-                        new NodeAddress(at.getAddress().getAddress()),
-                        MORE))),
+                        new NodeAddress(address.getAddress().getAddress()),
+                        PAUSE_DETECTION))),
             new UdpNode.OwnershipListener() {
               @Override
               public void addressAcquired(int vrid) {
-                // nobody
+                // Not under test.
               }
 
               @Override
               public void addressReleased(int vrid) {
-                // nobody
+                // Not under test.
               }
             },
             () -> {
-              synchronized (stuck) {
-                return stuck[0];
+              synchronized (unhealthy) {
+                return unhealthy[0];
               }
             })) {
-      n.start();
-      until(() -> n.lease(1).isHeld());
-      synchronized (stuck) { // the node's thread waits here with its next turn
-        until(() -> !n.lease(1).isHeld());
+      node.start();
+      await(() -> node.lease(1).isHeld());
+      // The node's thread blocks here in its next iteration.
+      synchronized (unhealthy) {
+        await(() -> !node.lease(1).isHeld());
       }
-      until(() -> n.lease(1).isHeld());
+      await(() -> node.lease(1).isHeld());
     }
   }
 
   @Test
-  void anAddressInUseIsToldAtOnce() throws Exception {
+  void addressInUseIsReportedAtConstruction() throws Exception {
     try (DatagramSocket other = new DatagramSocket(0, InetAddress.getByName(Ports.HOST))) {
-      InetSocketAddress at = new InetSocketAddress(Ports.HOST, other.getLocalPort());
+      InetSocketAddress address = new InetSocketAddress(Ports.HOST, other.getLocalPort());
       IOException e =
           assertThrows(
               IOException.class,
               () ->
                   new UdpNode(
                       new UdpNodeSettings(
-                          at, List.of(), null, null, null, null, false, 1, 4096, List.of()),
+                          address, List.of(), null, null, null, null, false, 1, 4096, List.of()),
                       null,
                       () -> false));
       assertTrue(e.getMessage().contains("vrrp cannot listen on"), e.getMessage());
