--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -103,7 +103,7 @@
         acted,
         acted == day.troubles().size());
     report.claim(
-        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
+        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.isFull());
     return record;
   }
 
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -157,7 +157,7 @@
       crowds.add(crowd(g, lan, s, seeds.nextLong()));
     }
     Thread.sleep(4000 + 4 * down());
-    g.tap.saw("pair-quiet");
+    g.tap.recordEvent("pair-quiet");
     Thread.sleep(1000);
     for (int i = 0; i < rounds; i++) {
       Trouble t = Trouble.values()[i % Trouble.values().length];
@@ -177,7 +177,7 @@
     List<String> record = g.tap.lines();
     figures(report, name, crowds, lan);
     report.claim(
-        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
+        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.isFull());
     return record;
   }
 
@@ -257,15 +257,15 @@
     int node = holder == null ? vrid - 1 : holder;
     long freeze = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
     FrontProcess front = g.fronts.get(node);
-    long from = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", t.name(), "node", node, "vrid", vrid);
+    long from = g.tap.elapsedMicros() - 100_000;
+    g.tap.recordEvent("pair-trouble", "kind", t.name(), "node", node, "vrid", vrid);
     act(g, lan, t, node, freeze);
     if (t == Trouble.SPLIT) {
-      g.tap.saw(
+      g.tap.recordEvent(
           "pair-quiet"); // at once: two that claim one address are judged from the moment they hear
       // each other
     }
-    long to = g.tap.micros();
+    long to = g.tap.elapsedMicros();
     silences
         .computeIfAbsent(t, k -> new ArrayList<>())
         .add(crowds.get(vrid - 1).longestSilence(from, to));
@@ -277,7 +277,7 @@
     // takes over again.
     Thread.sleep(1500 + 6 * down());
     if (t != Trouble.SPLIT) {
-      g.tap.saw("pair-quiet");
+      g.tap.recordEvent("pair-quiet");
     }
     Thread.sleep(1000 + 2 * down());
   }
@@ -296,7 +296,8 @@
         if (!front.end(8000)) {
           throw new IOException("front " + node + " did not end");
         }
-        g.tap.saw("front-killed", "front", node); // it runs no more, and had time to answer all
+        g.tap.recordEvent(
+            "front-killed", "front", node); // it runs no more, and had time to answer all
         Thread.sleep(lasts);
       }
       case FREEZE -> {
@@ -325,10 +326,10 @@
   private void flap(Report report, String name, Grounds g, List<PlayerCrowd> crowds)
       throws IOException, InterruptedException {
     FrontProcess front = g.fronts.get(0);
-    long from = g.tap.micros();
-    g.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
+    long from = g.tap.elapsedMicros();
+    g.tap.recordEvent("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
     int times = 0;
-    while (g.tap.micros() - from < flapSeconds * 1_000_000L) {
+    while (g.tap.elapsedMicros() - from < flapSeconds * 1_000_000L) {
       front.kill();
       Thread.sleep(600 + 2 * down());
       g.startAgain(front);
@@ -336,7 +337,7 @@
       Thread.sleep(700 + 4 * down());
       times++;
     }
-    long to = g.tap.micros();
+    long to = g.tap.elapsedMicros();
     Holders.Outcome o;
     try {
       o = Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000);
@@ -394,18 +395,18 @@
         moved == 0);
     lateness(report, name + ", to the end of the surge", g);
     int vrid = 1;
-    long at = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
+    long at = g.tap.elapsedMicros() - 100_000;
+    g.tap.recordEvent("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
     g.fronts.get(0).kill();
     Thread.sleep(2000 + 5 * down());
     loop.runOnContext(v -> players.cancelTimer(timers[0]));
     report.figure(
         name + ": silence as the holder is killed in the surge, ms",
-        crowds.get(0).longestSilence(at, g.tap.micros()) / 1000);
+        crowds.get(0).longestSilence(at, g.tap.elapsedMicros()) / 1000);
     g.startAgain(g.fronts.get(0));
     g.awaitReady(g.fronts.get(0), 20_000);
     Thread.sleep(1500 + 6 * down());
-    g.tap.saw("pair-quiet");
+    g.tap.recordEvent("pair-quiet");
     Thread.sleep(1000 + 2 * down());
   }
 
--- a/src/main/java/linengauge/drill/FrontProcess.java
+++ b/src/main/java/linengauge/drill/FrontProcess.java
@@ -68,16 +68,16 @@
             .redirectErrorStream(true)
             .redirectOutput(ProcessBuilder.Redirect.appendTo(log.toFile()))
             .start();
-    tap.saw("front-started", "front", number);
+    tap.recordEvent("front-started", "front", number);
   }
 
   /** Stops and continues the process by signal. */
   void stopFor(long millis) throws IOException, InterruptedException {
-    tap.saw("front-stopped", "front", number);
+    tap.recordEvent("front-stopped", "front", number);
     signal("STOP");
     Thread.sleep(millis);
     signal("CONT");
-    tap.saw("front-continued", "front", number);
+    tap.recordEvent("front-continued", "front", number);
   }
 
   private void signal(String name) throws IOException, InterruptedException {
@@ -88,7 +88,7 @@
   }
 
   void kill() throws InterruptedException {
-    tap.saw("front-killed", "front", number);
+    tap.recordEvent("front-killed", "front", number);
     process.destroyForcibly().waitFor();
   }
 
--- a/src/main/java/linengauge/drill/Grounds.java
+++ b/src/main/java/linengauge/drill/Grounds.java
@@ -66,7 +66,7 @@
     this.folder = Files.createTempDirectory("linengauge-drill");
     int boxes = day.fleet().boxes();
     this.ports = Ports.free(boxes + 1 + DrillSiteFile.PORTS_A_FRONT * day.fronts().count(), taken);
-    tap.saw("terms", terms(paid));
+    tap.recordEvent("terms", terms(paid));
     DayScript.FleetPlan f = day.fleet();
     this.fleet =
         new BoxFleet(
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowDrill.java
@@ -90,7 +90,8 @@
       report.claim("the front ended in order when told", "yes", ended ? "yes" : "no", ended);
       record = g.tap.lines();
       players.close();
-      report.claim("the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
+      report.claim(
+          "the record is whole", "not cut short", record.size() + " lines", !g.tap.isFull());
     }
     if (traffic != null) {
       Files.write(traffic, record);
@@ -139,7 +140,7 @@
             (int) (1000 * g.day.traffic().longestS()),
             arrivals,
             g.tap,
-            "h" + g.tap.micros() + "-");
+            "h" + g.tap.elapsedMicros() + "-");
     SplittableRandom chance = new SplittableRandom(arrivals);
     for (double at = 0; at < spanMs; at += -Math.log(1 - chance.nextDouble()) * 1000 / perSecond) {
       long ms = Math.max(1, Math.round(at));
--- a/src/main/java/linengauge/drill/Troubles.java
+++ b/src/main/java/linengauge/drill/Troubles.java
@@ -71,7 +71,7 @@
   }
 
   private void act(DayScript.Trouble t) {
-    grounds.tap.saw(
+    grounds.tap.recordEvent(
         "trouble", "kind", t.kind(), "forS", t.forS(), "part", t.part(), "size", t.size());
     Consumer<DayScript.Trouble> handler = handlers.get(t.kind());
     if (handler == null) {
--- a/src/main/java/linengauge/standin/DiscoveryService.java
+++ b/src/main/java/linengauge/standin/DiscoveryService.java
@@ -62,7 +62,7 @@
     private void write(
         ObjectNode line, Iterable<? extends com.fasterxml.jackson.databind.JsonNode> rows) {
       for (var row : rows) {
-        tap.saw(
+        tap.recordEvent(
             "told",
             "front",
             front,
@@ -168,7 +168,7 @@
       ObjectNode whole = JSON.createObjectNode().put("whole", true).put("revision", revision);
       ArrayNode rows = whole.putArray("boxes");
       rows.addAll(boxes.values());
-      tap.saw("told-whole", "front", f.front, "boxes", List.copyOf(boxes.keySet()));
+      tap.recordEvent("told-whole", "front", f.front, "boxes", List.copyOf(boxes.keySet()));
       f.write(whole, rows);
     } else {
       f.to.write("\n");
--- a/src/main/java/linengauge/standin/PlayerCrowd.java
+++ b/src/main/java/linengauge/standin/PlayerCrowd.java
@@ -266,7 +266,7 @@
       near.removeIf(d -> !d.building.equals(building));
       door = near.get(chance.nextInt(near.size()));
       String id = key + "-" + tries++;
-      long at = tap.micros();
+      long at = tap.elapsedMicros();
       figures.asked++;
       boolean[] over = {false};
       HttpClientRequest[] sent = {null};
@@ -308,7 +308,7 @@
       over[0] = true;
       if (reached(id)) {
         figures.unanswered++;
-        tap.saw("gave-up", "ask", id, "front", door.front);
+        tap.recordEvent("gave-up", "ask", id, "front", door.front);
       }
       if (sent[0] != null) {
         sent[0].reset();
@@ -318,7 +318,7 @@
 
     private void notReached(String id) {
       figures.refused++;
-      tap.saw("not-reached", "ask", id, "front", door.front);
+      tap.recordEvent("not-reached", "ask", id, "front", door.front);
       again(0);
     }
 
@@ -336,7 +336,7 @@
     }
 
     private void sawAsked(String id) {
-      tap.saw(
+      tap.recordEvent(
           "asked",
           "ask",
           id,
@@ -398,7 +398,7 @@
       Integer by = lan.tookBy(id);
       if (by == null) {
         figures.refused++;
-        tap.saw("not-reached", "ask", id, "front", -1);
+        tap.recordEvent("not-reached", "ask", id, "front", -1);
         return false;
       }
       door = new Door(by, door.host, door.port, door.building);
@@ -408,13 +408,13 @@
     private void broke(String id) {
       if (reached(id)) {
         figures.brokenOff++;
-        tap.saw("broke", "ask", id, "front", door.front);
+        tap.recordEvent("broke", "ask", id, "front", door.front);
       }
       again(0);
     }
 
     private void answered(String id, long askedAt, HttpClientResponse r, Buffer body) {
-      long micros = tap.micros() - askedAt;
+      long micros = tap.elapsedMicros() - askedAt;
       reached(id);
       Matcher m = VIEWING.matcher(body.toString());
       boolean plays = r.statusCode() == 200 && m.find();
@@ -426,7 +426,7 @@
                 case 502, 504 -> "aborted";
                 default -> "unclear";
               };
-      tap.saw(
+      tap.recordEvent(
           "answered",
           "ask",
           id,
@@ -445,7 +445,7 @@
           figures.valueInTime += want.value;
         }
         viewing = m.group(1);
-        played(tap.micros());
+        played(tap.elapsedMicros());
         Matcher own = OWN.matcher(body.toString());
         if (own.find()) { // it plays at the front's own address
           door = new Door(door.front, own.group(1), Integer.parseInt(own.group(2)), door.building);
@@ -497,7 +497,7 @@
         leave();
         return;
       }
-      long from = tap.micros();
+      long from = tap.elapsedMicros();
       get(
           firstUri.replaceFirst("[0-9]+\\.ts$", n + ".ts"),
           8000,
@@ -512,7 +512,7 @@
             }
             figures.segments++;
             figures.bytes += body.length();
-            long took = (tap.micros() - from) / 1000;
+            long took = (tap.elapsedMicros() - from) / 1000;
             leftMs -= Math.max(1000, took);
             failed = took > 2500 ? failed + 1 : 0;
             if (failed >= 2) {
@@ -525,7 +525,7 @@
     }
 
     private void lost(int status) {
-      tap.saw("play-broke", "viewing", viewing, "front", door.front, "status", status);
+      tap.recordEvent("play-broke", "viewing", viewing, "front", door.front, "status", status);
       if (status != 410 && status != 0) {
         client.request(to(HttpMethod.DELETE, "/v/" + viewing)).compose(HttpClientRequest::send);
       }
@@ -533,7 +533,7 @@
     }
 
     private void leave() {
-      tap.saw("left", "viewing", viewing, "front", door.front);
+      tap.recordEvent("left", "viewing", viewing, "front", door.front);
       client
           .request(to(HttpMethod.DELETE, "/v/" + viewing))
           .compose(HttpClientRequest::send)
--- a/src/main/java/linengauge/standin/SetUpHandler.java
+++ b/src/main/java/linengauge/standin/SetUpHandler.java
@@ -97,7 +97,7 @@
     if (!setUp.answered) {
       setUp.answered = true;
       viewings.endSetUp(setUp.id, setUp.request);
-      tap.saw(
+      tap.recordEvent(
           "set-up-broken", "box", box.location().id(), "viewing", setUp.id, "tuneIn", setUp.tuneIn);
     }
   }
@@ -188,13 +188,13 @@
     if (coldSetUps.size() <= most) {
       return false;
     }
-    tap.saw("box-fell", "box", box.location().id());
+    tap.recordEvent("box-fell", "box", box.location().id());
     box.becomeUnreachable();
     return true;
   }
 
   private void recordRequest(SetUp setUp, String key) {
-    tap.saw(
+    tap.recordEvent(
         "set-up",
         "box",
         box.location().id(),
@@ -215,7 +215,7 @@
   }
 
   private void recordAnswer(SetUp setUp, String how) {
-    tap.saw(
+    tap.recordEvent(
         "set-up-answered",
         "box",
         box.location().id(),
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -136,7 +136,7 @@
       if (id.find() && asked.find()) {
         ask = id.group(1);
         tookBy.put(ask, node);
-        tap.saw(
+        tap.recordEvent(
             "asked",
             "ask",
             ask,
@@ -161,7 +161,7 @@
     /** The switch sends it elsewhere from now on, where nobody knows it. */
     private void breakOff() {
       if (ask != null) {
-        tap.saw("cut", "ask", ask, "front", node);
+        tap.recordEvent("cut", "ask", ask, "front", node);
       }
       end();
     }
@@ -255,7 +255,7 @@
     if (b.length() < 8) {
       return;
     }
-    tap.saw(
+    tap.recordEvent(
         "advert",
         "node",
         from.number,
@@ -293,7 +293,7 @@
       return;
     }
     announced.put(from.number + "/" + vrid, number);
-    tap.saw(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
+    tap.recordEvent(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
     Integer before = holders.get(vrid);
     if (takes && (before == null || before != from.number)) {
       holders.put(vrid, from.number);
--- a/src/main/java/linengauge/standin/SlowCrowd.java
+++ b/src/main/java/linengauge/standin/SlowCrowd.java
@@ -83,7 +83,7 @@
 
   /** So many come in this way, evenly over a span. */
   public synchronized void come(Way way, int count, long overMs) {
-    long now = tap.micros();
+    long now = tap.elapsedMicros();
     for (int i = 0; i < count; i++) {
       coming.add(new Member(way, number++, now + 1000 * overMs * i / count));
     }
@@ -94,7 +94,7 @@
   }
 
   private synchronized List<Member> present() {
-    long now = tap.micros();
+    long now = tap.elapsedMicros();
     coming.removeIf(m -> m.comesAt <= now && members.add(m));
     return new ArrayList<>(members);
   }
@@ -169,7 +169,7 @@
       if (endedAt >= 0) {
         return;
       }
-      long now = tap.micros();
+      long now = tap.elapsedMicros();
       try {
         if (channel == null) {
           if (now >= retryAt) {
@@ -199,7 +199,7 @@
         return;
       }
       ask = key + "-" + tries++;
-      tap.saw(
+      tap.recordEvent(
           "asked",
           "ask",
           ask,
@@ -348,7 +348,7 @@
     private void joined(long now) throws IOException {
       Matcher m = VIEWING.matcher(body);
       boolean plays = status == 200 && m.find();
-      tap.saw(
+      tap.recordEvent(
           "answered",
           "ask",
           ask,
@@ -377,26 +377,26 @@
 
     private void broke() {
       if (ask != null) {
-        tap.saw("broke", "ask", ask, "front", front);
+        tap.recordEvent("broke", "ask", ask, "front", front);
         ask = null;
       } else if (viewing != null) {
-        tap.saw("play-broke", "viewing", viewing, "front", front, "status", status);
+        tap.recordEvent("play-broke", "viewing", viewing, "front", front, "status", status);
       }
       end(true);
     }
 
     private synchronized void end(boolean byFront) {
       if (endedAt < 0) {
-        endedAt = tap.micros();
+        endedAt = tap.elapsedMicros();
         if (!byFront && viewing != null) {
-          tap.saw("left", "viewing", viewing, "front", front);
+          tap.recordEvent("left", "viewing", viewing, "front", front);
         }
         try {
           if (channel != null) {
             channel.close();
           }
         } catch (IOException e) {
-          endedAt = tap.micros(); // closed in any case
+          endedAt = tap.elapsedMicros(); // closed in any case
         }
       }
     }
--- a/src/main/java/linengauge/standin/StandInBox.java
+++ b/src/main/java/linengauge/standin/StandInBox.java
@@ -110,7 +110,7 @@
     faults.silent = false;
     setUps.reset();
     startedAt = cold ? System.currentTimeMillis() : startedAt;
-    tap.saw("box-started", "box", location.id(), "cold", cold, "streams", spec.streams());
+    tap.recordEvent("box-started", "box", location.id(), "cold", cold, "streams", spec.streams());
   }
 
   /* ---- faults ---- */
@@ -178,7 +178,7 @@
   }
 
   private void dropState() {
-    tap.saw("box-lost", "box", location.id());
+    tap.recordEvent("box-lost", "box", location.id());
     viewings.clear();
     notes.clear();
     segments.clear();
@@ -254,7 +254,7 @@
   private void changeRung(HttpServerRequest request, String id, Buffer body) {
     RunningViewing viewing = viewings.get(id);
     int rung = readRung(body);
-    tap.saw("rung", "box", location.id(), "viewing", id, "rung", rung);
+    tap.recordEvent("rung", "box", location.id(), "viewing", id, "rung", rung);
     if (faults.isUnresponsive()) {
       return;
     }
@@ -278,7 +278,7 @@
   }
 
   private void end(HttpServerRequest request, String id) {
-    tap.saw("ended", "box", location.id(), "viewing", id, "why", "asked");
+    tap.recordEvent("ended", "box", location.id(), "viewing", id, "why", "asked");
     if (faults.isUnresponsive()) {
       return;
     }
@@ -329,7 +329,7 @@
   private void endLeases(long now) {
     for (RunningViewing viewing : viewings.all()) {
       if (!segments.isSending(viewing) && now - viewing.lastRequestAt() > spec.leaseMs()) {
-        tap.saw("ended", "box", location.id(), "viewing", viewing.id(), "why", "lease");
+        tap.recordEvent("ended", "box", location.id(), "viewing", viewing.id(), "why", "lease");
         viewings.markEnded(viewing.id(), Integer.MAX_VALUE);
         viewings.stop(viewing);
       }
--- a/src/main/java/linengauge/standin/Tap.java
+++ b/src/main/java/linengauge/standin/Tap.java
@@ -11,32 +11,32 @@
 /**
  * What was seen on the sockets, in the order seen, one JSON object a line
  * (docs/protocol/traffic.md). All stand-ins of a drill write to one tap, so their moments are of
- * one clock. It holds at most {@link #MOST} lines and then says that it is full: a record cut short
- * is no proof.
+ * one clock. It holds at most {@link #MAX_LINES} lines and then says that it is full: a record cut
+ * short is no proof.
  */
 public final class Tap {
-  static final int MOST = 4_000_000;
+  static final int MAX_LINES = 4_000_000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final long origin = System.nanoTime();
   private final List<String> lines = new ArrayList<>();
-  private boolean full;
+  private boolean isFull;
 
   /** Microseconds since the tap was opened. */
-  public long micros() {
+  public long elapsedMicros() {
     return (System.nanoTime() - origin) / 1000;
   }
 
   /** Writes one line down; the values go in pairs, name and value. */
-  public synchronized void saw(String what, Object... pairs) {
-    if (lines.size() >= MOST) {
-      full = true;
+  public synchronized void recordEvent(String what, Object... pairs) {
+    if (lines.size() >= MAX_LINES) {
+      isFull = true;
       return;
     }
     StringWriter text = new StringWriter(160);
     try (JsonGenerator g = JSON.createGenerator(text)) {
       g.writeStartObject();
-      g.writeNumberField("at", micros());
+      g.writeNumberField("at", elapsedMicros());
       g.writeStringField("what", what);
       for (int i = 0; i < pairs.length; i += 2) {
         g.writeFieldName((String) pairs[i]);
@@ -53,7 +53,7 @@
     return new ArrayList<>(lines);
   }
 
-  public synchronized boolean full() {
-    return full;
+  public synchronized boolean isFull() {
+    return isFull;
   }
 }
