--- a/src/main/java/linengauge/cli/Drills.java
+++ b/src/main/java/linengauge/cli/Drills.java
@@ -158,7 +158,7 @@
               names = "--only",
               paramLabel = "WAY",
               description = "all slow ones in one way: ${COMPLETION-CANDIDATES}")
-          linengauge.standin.SlowCrowd.Way only)
+          linengauge.standin.SlowPlayerSimulator.SlowMode only)
       throws IOException, InterruptedException {
     if (!guards.equals("on") && !guards.equals("off")) {
       throw new CommandLine.ParameterException(
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -10,7 +10,7 @@
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
-import linengauge.standin.PlayerCrowd;
+import linengauge.standin.PlayerSimulator;
 
 /**
  * Plays a scripted day through real fronts, judges each pass from its traffic, and looks for what
@@ -180,8 +180,8 @@
   /** What is left now of viewers and viewings. */
   private static List<String> left(Grounds g) throws IOException, InterruptedException {
     List<String> left = new ArrayList<>();
-    if (g.crowd.present() > 0) {
-      left.add(g.crowd.present() + " viewers");
+    if (g.crowd.activePlayers() > 0) {
+      left.add(g.crowd.activePlayers() + " viewers");
     }
     if (g.fleet.viewings() > 0) {
       left.add(g.fleet.viewings() + " viewings at boxes");
@@ -216,24 +216,24 @@
   }
 
   private void figures(Report report, String name, Grounds g) {
-    PlayerCrowd.Figures f = g.crowd.figures();
+    PlayerSimulator.Figures f = g.crowd.figures();
     report.figure(
         name + ": requests",
         f.asked
             + " ("
             + f.played
             + " played, "
-            + f.blocked
+            + f.rejected
             + " blocked, "
-            + f.aborted
+            + f.failed
             + " aborted, "
-            + f.brokenOff
+            + f.disconnected
             + " broken off, "
-            + f.refused
+            + f.notReached
             + " not reached, "
             + f.unanswered
             + " unanswered)");
-    report.figure(name + ": came again, starved", f.cameAgain + ", " + f.starved);
+    report.figure(name + ": came again, starved", f.retried + ", " + f.stalled);
     report.figure(
         name + ": join ms p50 p99 max",
         f.joinMicros.getValueAtPercentile(50) / 1000
@@ -242,7 +242,7 @@
             + " "
             + f.joinMicros.getMaxValue() / 1000);
     report.figure(
-        name + ": value joined in time over asked", f.valueInTime / Math.max(1, f.valueAsked));
+        name + ": value joined in time over asked", f.valueOnTime / Math.max(1, f.valueRequested));
     report.figure(name + ": megabytes played", f.bytes / 1_000_000);
     // An imported day may ask for more than the fleet gives: how much is played is its figure, not
     // its claim.
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -25,7 +25,7 @@
 import linengauge.rules.Holders;
 import linengauge.rules.Judge;
 import linengauge.site.BadSite;
-import linengauge.standin.PlayerCrowd;
+import linengauge.standin.PlayerSimulator;
 import linengauge.standin.SharedLan;
 
 /**
@@ -152,7 +152,7 @@
         "-XX:MaxDirectMemorySize=512m",
         "-XX:+UseG1GC",
         "-XX:MaxGCPauseMillis=20");
-    List<PlayerCrowd> crowds = new ArrayList<>();
+    List<PlayerSimulator> crowds = new ArrayList<>();
     for (SharedLan.Shared s : shared) {
       crowds.add(crowd(g, lan, s, seeds.nextLong()));
     }
@@ -221,11 +221,11 @@
     return s;
   }
 
-  private PlayerCrowd crowd(Grounds g, SharedLan lan, SharedLan.Shared at, long chance) {
-    PlayerCrowd crowd =
-        new PlayerCrowd(
+  private PlayerSimulator crowd(Grounds g, SharedLan lan, SharedLan.Shared at, long chance) {
+    PlayerSimulator crowd =
+        new PlayerSimulator(
             players,
-            List.of(new PlayerCrowd.Door(-1, at.host(), at.port(), "east-hall")),
+            List.of(new PlayerSimulator.FrontEndpoint(-1, at.host(), at.port(), "east-hall")),
             g.wants(),
             g.titles(),
             g.day.ladder().size(),
@@ -234,7 +234,7 @@
             chance,
             g.tap,
             "a" + at.vrid() + "-");
-    crowd.by(lan);
+    crowd.setLan(lan);
     Context loop = players.getOrCreateContext();
     loop.runOnContext(
         v ->
@@ -250,7 +250,7 @@
 
   /** One trouble to the holder of one address, what its viewers saw of it, and quiet again. */
   private void round(
-      Grounds g, SharedLan lan, List<PlayerCrowd> crowds, Trouble t, SplittableRandom seeds)
+      Grounds g, SharedLan lan, List<PlayerSimulator> crowds, Trouble t, SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
     Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
@@ -268,7 +268,7 @@
     long to = g.tap.elapsedMicros();
     silences
         .computeIfAbsent(t, k -> new ArrayList<>())
-        .add(crowds.get(vrid - 1).longestSilence(from, to));
+        .add(crowds.get(vrid - 1).longestGapMicros(from, to));
     if (t == Trouble.KILL || t == Trouble.STOP) {
       g.startAgain(front);
       g.awaitReady(front, 20_000);
@@ -323,7 +323,7 @@
   }
 
   /** The better front for the first address dies and comes back, again and again. */
-  private void flap(Report report, String name, Grounds g, List<PlayerCrowd> crowds)
+  private void flap(Report report, String name, Grounds g, List<PlayerSimulator> crowds)
       throws IOException, InterruptedException {
     FrontProcess front = g.fronts.get(0);
     long from = g.tap.elapsedMicros();
@@ -362,7 +362,7 @@
     }
     report.figure(
         name + ": longest silence while it does, ms",
-        crowds.get(0).longestSilence(from, to) / 1000);
+        crowds.get(0).longestGapMicros(from, to) / 1000);
     Thread.sleep(1000 + 4 * down());
   }
 
@@ -371,7 +371,11 @@
    * is killed.
    */
   private void surge(
-      Report report, String name, Grounds g, List<SharedLan.Node> nodes, List<PlayerCrowd> crowds)
+      Report report,
+      String name,
+      Grounds g,
+      List<SharedLan.Node> nodes,
+      List<PlayerSimulator> crowds)
       throws IOException, InterruptedException {
     Context loop = players.getOrCreateContext();
     long[] timers = {-1};
@@ -402,7 +406,7 @@
     loop.runOnContext(v -> players.cancelTimer(timers[0]));
     report.figure(
         name + ": silence as the holder is killed in the surge, ms",
-        crowds.get(0).longestSilence(at, g.tap.elapsedMicros()) / 1000);
+        crowds.get(0).longestGapMicros(at, g.tap.elapsedMicros()) / 1000);
     g.startAgain(g.fronts.get(0));
     g.awaitReady(g.fronts.get(0), 20_000);
     Thread.sleep(1500 + 6 * down());
@@ -457,7 +461,7 @@
     }
   }
 
-  private void figures(Report report, String name, List<PlayerCrowd> crowds, SharedLan lan) {
+  private void figures(Report report, String name, List<PlayerSimulator> crowds, SharedLan lan) {
     List<Long> all = new ArrayList<>();
     silences.forEach(
         (t, list) -> {
@@ -481,21 +485,21 @@
       }
     }
     Map<String, Integer> sums = new HashMap<>();
-    for (PlayerCrowd c : crowds) {
-      PlayerCrowd.Figures f = c.figures();
+    for (PlayerSimulator c : crowds) {
+      PlayerSimulator.Figures f = c.figures();
       sums.merge("asked", f.asked, Integer::sum);
       sums.merge("played", f.played, Integer::sum);
-      sums.merge("blocked", f.blocked, Integer::sum);
-      sums.merge("aborted", f.aborted, Integer::sum);
-      sums.merge("broken off", f.brokenOff, Integer::sum);
-      sums.merge("not reached", f.refused, Integer::sum);
+      sums.merge("blocked", f.rejected, Integer::sum);
+      sums.merge("aborted", f.failed, Integer::sum);
+      sums.merge("broken off", f.disconnected, Integer::sum);
+      sums.merge("not reached", f.notReached, Integer::sum);
       sums.merge("unanswered", f.unanswered, Integer::sum);
     }
     report.figure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
     report.figure(name + ": datagrams carried", lan.carried());
   }
 
-  private static void played(Report report, String name, List<PlayerCrowd> crowds) {
+  private static void played(Report report, String name, List<PlayerSimulator> crowds) {
     int asked = crowds.stream().mapToInt(c -> c.figures().asked).sum();
     int played = crowds.stream().mapToInt(c -> c.figures().played).sum();
     report.claim(
--- a/src/main/java/linengauge/drill/Grounds.java
+++ b/src/main/java/linengauge/drill/Grounds.java
@@ -23,7 +23,7 @@
 import linengauge.site.Site;
 import linengauge.standin.BoxFleet;
 import linengauge.standin.DiscoveryService;
-import linengauge.standin.PlayerCrowd;
+import linengauge.standin.PlayerSimulator;
 import linengauge.standin.StandInBox;
 import linengauge.standin.Tap;
 import linengauge.standin.WordPost;
@@ -41,10 +41,10 @@
   final BoxFleet fleet;
   final DiscoveryService list;
   final WordPost post;
-  final PlayerCrowd crowd;
+  final PlayerSimulator crowd;
   final List<FrontProcess> fronts = new ArrayList<>();
   private final List<Integer> ports;
-  final List<PlayerCrowd.Door> doors = new ArrayList<>();
+  final List<PlayerSimulator.FrontEndpoint> doors = new ArrayList<>();
 
   /** The loops of the boxes with their list and words, and of the players. */
   final Context boxLoop = vertx.getOrCreateContext();
@@ -87,7 +87,7 @@
       addFront(i, siteFile);
     }
     this.crowd =
-        new PlayerCrowd(
+        new PlayerSimulator(
             vertx,
             doors,
             wants(),
@@ -136,7 +136,9 @@
     Files.writeString(site, JSON.writeValueAsString(siteFile.of(number)));
     List<String> buildings = day.fleet().buildings();
     String building = buildings.get(number % buildings.size());
-    doors.add(new PlayerCrowd.Door(number, Ports.HOST, siteFile.viewersPort(number), building));
+    doors.add(
+        new PlayerSimulator.FrontEndpoint(
+            number, Ports.HOST, siteFile.viewersPort(number), building));
     fronts.add(
         new FrontProcess(
             number,
@@ -147,11 +149,12 @@
   }
 
   /** What the viewers of the day ask for. */
-  List<PlayerCrowd.Want> wants() {
-    List<PlayerCrowd.Want> wants = new ArrayList<>();
+  List<PlayerSimulator.PlayerProfile> wants() {
+    List<PlayerSimulator.PlayerProfile> wants = new ArrayList<>();
     for (DayScript.Wanted p : day.packages()) {
       wants.add(
-          new PlayerCrowd.Want(p.name(), p.share(), p.patienceMs(), p.joinTargetMs(), p.value()));
+          new PlayerSimulator.PlayerProfile(
+              p.name(), p.share(), p.patienceMs(), p.joinTargetMs(), p.value()));
     }
     return wants;
   }
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowDrill.java
@@ -19,9 +19,9 @@
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
 import linengauge.site.BadSite;
-import linengauge.standin.PlayerCrowd;
-import linengauge.standin.SlowCrowd;
-import linengauge.standin.SlowCrowd.Way;
+import linengauge.standin.PlayerSimulator;
+import linengauge.standin.SlowPlayerSimulator;
+import linengauge.standin.SlowPlayerSimulator.SlowMode;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -49,7 +49,7 @@
   private final boolean brief;
   private final boolean guards;
   private final Path traffic;
-  private final Way only;
+  private final SlowMode only;
   private volatile long mostDirect;
 
   /**
@@ -59,7 +59,7 @@
   private final Vertx players = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
 
   /** The slow thousand is a mixture, or all of one way where one is given. */
-  public SlowDrill(long seed, boolean brief, boolean guards, Way only, Path traffic) {
+  public SlowDrill(long seed, boolean brief, boolean guards, SlowMode only, Path traffic) {
     this.only = only;
     this.seed = seed;
     this.brief = brief;
@@ -122,18 +122,20 @@
   }
 
   /** Healthy viewers over a span; the same seed brings the same viewers at the same moments. */
-  private PlayerCrowd healthy(Grounds g, long arrivals, long spanMs) {
+  private PlayerSimulator healthy(Grounds g, long arrivals, long spanMs) {
     return healthy(g, arrivals, spanMs, g.day.traffic().perSecond());
   }
 
-  private PlayerCrowd healthy(Grounds g, long arrivals, long spanMs, double perSecond) {
+  private PlayerSimulator healthy(Grounds g, long arrivals, long spanMs, double perSecond) {
     DayScript.Wanted p = g.day.packages().get(0);
     Context loop = players.getOrCreateContext();
-    PlayerCrowd crowd =
-        new PlayerCrowd(
+    PlayerSimulator crowd =
+        new PlayerSimulator(
             players,
             g.doors,
-            List.of(new PlayerCrowd.Want(p.name(), 1, p.patienceMs(), p.joinTargetMs(), p.value())),
+            List.of(
+                new PlayerSimulator.PlayerProfile(
+                    p.name(), 1, p.patienceMs(), p.joinTargetMs(), p.value())),
             g.titles(),
             g.day.ladder().size(),
             (int) (1000 * g.day.traffic().shortestS()),
@@ -149,8 +151,8 @@
     return crowd;
   }
 
-  private static void settle(PlayerCrowd crowd) throws InterruptedException {
-    for (int i = 0; i < 300 && crowd.present() > 0; i++) {
+  private static void settle(PlayerSimulator crowd) throws InterruptedException {
+    for (int i = 0; i < 300 && crowd.activePlayers() > 0; i++) {
       Thread.sleep(50);
     }
   }
@@ -178,43 +180,43 @@
             "direct buffers");
     sampler.setDaemon(true);
     sampler.start();
-    PlayerCrowd warm = healthy(g, seeds.nextLong(), brief ? 3000 : 6000);
+    PlayerSimulator warm = healthy(g, seeds.nextLong(), brief ? 3000 : 6000);
     Thread.sleep(brief ? 3000 : 6000);
     settle(warm);
     // As many join at once as the slow will: what is measured later is not the compiler's first
     // meeting with a wave.
-    PlayerCrowd wave = healthy(g, seeds.nextLong(), 3000, thousand / 3.0);
+    PlayerSimulator wave = healthy(g, seeds.nextLong(), 3000, thousand / 3.0);
     Thread.sleep(3000);
     settle(wave);
     Lateness aloneLate = new Lateness(g.vertx, g.boxLoop);
-    PlayerCrowd alone = healthy(g, arrivals, span);
+    PlayerSimulator alone = healthy(g, arrivals, span);
     Thread.sleep(span);
     settle(alone);
     report.figure("boxes' loop late alone: ms p50 p99", aloneLate.p50p99());
-    try (SlowCrowd slow =
-        new SlowCrowd(
+    try (SlowPlayerSimulator slow =
+        new SlowPlayerSimulator(
             g.doors.get(0).host(), g.doors.get(0).port(), 0, "lesson", g.titles(), g.tap)) {
-      Map<Way, Integer> come = new EnumMap<>(Way.class);
+      Map<SlowMode, Integer> come = new EnumMap<>(SlowMode.class);
       if (only == null) {
-        come.put(Way.BYTE_A_SECOND, thousand / 4);
-        come.put(Way.HEADER_A_SECOND, thousand / 4);
-        come.put(Way.NEVER_AGAIN, thousand / 5);
-        come.put(Way.THIRD, thousand / 10);
-        come.put(Way.PAUSES, thousand * 3 / 20);
-        come.put(Way.WEAK, thousand / 20);
+        come.put(SlowMode.BYTE_A_SECOND, thousand / 4);
+        come.put(SlowMode.HEADER_A_SECOND, thousand / 4);
+        come.put(SlowMode.NEVER_AGAIN, thousand / 5);
+        come.put(SlowMode.THIRD, thousand / 10);
+        come.put(SlowMode.PAUSES, thousand * 3 / 20);
+        come.put(SlowMode.WEAK, thousand / 20);
       } else {
         come.put(only, thousand);
       }
-      come.forEach((way, n) -> slow.come(way, n, 3000));
+      come.forEach((way, n) -> slow.schedulePlayers(way, n, 3000));
       Thread.sleep(1000);
       Lateness besideLate = new Lateness(g.vertx, g.boxLoop);
-      PlayerCrowd beside = healthy(g, arrivals, span);
+      PlayerSimulator beside = healthy(g, arrivals, span);
       Thread.sleep(span);
       report.figure("boxes' loop late beside the slow: ms p50 p99", besideLate.p50p99());
       Thread.sleep(Math.max(1, IDLE_MS + 5000 - span));
       settle(beside);
       joins(report, alone, beside);
-      fates(report, slow.fates(), come, g.tap.lines());
+      fates(report, slow.outcomes(), come, g.tap.lines());
       JsonNode s = front.state();
       long most = s.path("flow").path("mostWaitingBytes").asLong();
       report.claim(
@@ -261,16 +263,16 @@
     }
   }
 
-  private void joins(Report report, PlayerCrowd alone, PlayerCrowd beside) {
-    PlayerCrowd.Figures a = alone.figures();
-    PlayerCrowd.Figures b = beside.figures();
-    for (PlayerCrowd.Figures f : List.of(a, b)) {
+  private void joins(Report report, PlayerSimulator alone, PlayerSimulator beside) {
+    PlayerSimulator.Figures a = alone.figures();
+    PlayerSimulator.Figures b = beside.figures();
+    for (PlayerSimulator.Figures f : List.of(a, b)) {
       String when = f == a ? "alone" : "beside the slow";
       report.claim(
           "healthy viewers joined within their join target, " + when,
           "all of them",
-          Math.round(f.valueInTime) + " of " + Math.round(f.valueAsked),
-          f.valueInTime == f.valueAsked);
+          Math.round(f.valueOnTime) + " of " + Math.round(f.valueRequested),
+          f.valueOnTime == f.valueRequested);
       report.figure(
           "healthy " + when + ": join ms p50 p99 max",
           String.format(
@@ -281,7 +283,7 @@
               f.joinMicros.getMaxValue() / 1e3));
       report.figure(
           "healthy " + when + ": requests, megabytes, starved",
-          f.asked + ", " + f.bytes / 1_000_000 + ", " + f.starved);
+          f.asked + ", " + f.bytes / 1_000_000 + ", " + f.stalled);
     }
     double p99 =
         (double) b.joinMicros.getValueAtPercentile(99) / a.joinMicros.getValueAtPercentile(99);
@@ -299,7 +301,10 @@
   }
 
   private void fates(
-      Report report, List<SlowCrowd.Fate> fates, Map<Way, Integer> come, List<String> record)
+      Report report,
+      List<SlowPlayerSimulator.PlayerOutcome> fates,
+      Map<SlowMode, Integer> come,
+      List<String> record)
       throws IOException {
     Map<String, Long> endedAtBox = new HashMap<>();
     for (String line : record) {
@@ -310,11 +315,12 @@
     }
     come.forEach(
         (way, n) -> {
-          List<SlowCrowd.Fate> of =
-              fates.stream().filter(f -> f.way() == way && f.slowSince() >= 0).toList();
+          List<SlowPlayerSimulator.PlayerOutcome> of =
+              fates.stream().filter(f -> f.mode() == way && f.slowSince() >= 0).toList();
           if (way.isHonest()) {
             long ended = of.stream().filter(f -> f.endedAt() >= 0).count();
-            int fewest = of.stream().mapToInt(SlowCrowd.Fate::segments).min().orElse(0);
+            int fewest =
+                of.stream().mapToInt(SlowPlayerSimulator.PlayerOutcome::segments).min().orElse(0);
             report.claim(
                 way + ": honest, served",
                 "all " + n + ", none ended",
@@ -324,7 +330,7 @@
           }
           // A viewing is over when its box was told; a connection without one when it was closed.
           List<Long> took = new ArrayList<>();
-          for (SlowCrowd.Fate f : of) {
+          for (SlowPlayerSimulator.PlayerOutcome f : of) {
             long end =
                 f.viewing() == null ? f.endedAt() : endedAtBox.getOrDefault(f.viewing(), -1L);
             if (end >= 0) {
@@ -351,38 +357,43 @@
    * again.
    */
   private void stop(
-      Report report, Grounds g, FrontProcess front, SlowCrowd crowd, int many, long arrivals)
+      Report report,
+      Grounds g,
+      FrontProcess front,
+      SlowPlayerSimulator crowd,
+      int many,
+      long arrivals)
       throws IOException, InterruptedException {
-    crowd.come(Way.WEAK, many, 2000);
+    crowd.schedulePlayers(SlowMode.WEAK, many, 2000);
     Thread.sleep(6000);
     long before = gone(front);
     long endedBefore =
-        crowd.fates().stream().filter(f -> f.way().isHonest() && f.endedAt() >= 0).count();
+        crowd.outcomes().stream().filter(f -> f.mode().isHonest() && f.endedAt() >= 0).count();
     front.stopFor(2000);
-    PlayerCrowd surge = healthy(g, arrivals, 1);
+    PlayerSimulator surge = healthy(g, arrivals, 1);
     for (int i = 0; i < (brief ? 40 : 100); i++) {
       players.getOrCreateContext().runOnContext(v -> surge.arrive());
     }
     Thread.sleep(9000);
     settle(surge);
-    List<SlowCrowd.Fate> fates = new ArrayList<>(crowd.fates());
+    List<SlowPlayerSimulator.PlayerOutcome> fates = new ArrayList<>(crowd.outcomes());
     long playing =
         fates.stream()
-            .filter(f -> f.way().isHonest() && f.viewing() != null && f.endedAt() < 0)
+            .filter(f -> f.mode().isHonest() && f.viewing() != null && f.endedAt() < 0)
             .count();
     long ended =
-        fates.stream().filter(f -> f.way().isHonest() && f.endedAt() >= 0).count() - endedBefore;
+        fates.stream().filter(f -> f.mode().isHonest() && f.endedAt() >= 0).count() - endedBefore;
     report.claim(
         "front stopped for 2 s: let go, of those who play",
         "0 of " + many + " and more",
         gone(front) - before + " by the front, " + ended + " connections of " + playing,
         gone(front) == before && ended == 0 && playing >= many);
-    PlayerCrowd.Figures f = surge.figures();
+    PlayerSimulator.Figures f = surge.figures();
     report.claim(
         "the surge after it: answered",
-        "all " + (int) f.valueAsked,
-        f.played + " played, " + f.blocked + " blocked, " + f.unanswered + " unanswered",
-        f.unanswered + f.brokenOff + f.aborted == 0 && f.played >= f.valueAsked);
+        "all " + (int) f.valueRequested,
+        f.played + " played, " + f.rejected + " blocked, " + f.unanswered + " unanswered",
+        f.unanswered + f.disconnected + f.failed == 0 && f.played >= f.valueRequested);
     report.figure(
         "the surge: join ms p50 p99",
         String.format(
--- a/src/main/java/linengauge/drill/Troubles.java
+++ b/src/main/java/linengauge/drill/Troubles.java
@@ -173,8 +173,8 @@
 
   private void hotTitle(DayScript.Trouble t) {
     String title = grounds.titles().get(chance.nextInt(grounds.titles().size()));
-    grounds.crowd.crowdFor(title, t.size());
-    later(t.forS(), () -> grounds.crowd.crowdFor(null, 0));
+    grounds.crowd.setHotTitle(title, t.size());
+    later(t.forS(), () -> grounds.crowd.setHotTitle(null, 0));
   }
 
   private void datagramsLost(DayScript.Trouble t) {
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
-import linengauge.standin.PlayerCrowd;
+import linengauge.standin.PlayerSimulator;
 
 /**
  * The fleet of a day with nobody coming and nothing going wrong, for people to try with a player or
@@ -16,7 +16,7 @@
       throws IOException, InterruptedException {
     try (Grounds g = new Grounds(day, "", 1)) {
       g.open();
-      for (PlayerCrowd.Door d : g.doors) {
+      for (PlayerSimulator.FrontEndpoint d : g.doors) {
         out.printf(
             "front %d: http://%s:%d/titles/title-0/main.m3u8?package=%s%n",
             d.front(), d.host(), d.port(), day.packages().get(0).name());
--- a/src/main/java/linengauge/standin/PlayerCrowd.java
+++ b/src/main/java/linengauge/standin/PlayerSimulator.java
@@ -21,7 +21,7 @@
  * as their patience, play segment by segment, leave, and come again with their key after a break or
  * a block. All on one event loop.
  */
-public final class PlayerCrowd {
+public final class PlayerSimulator {
   private static final Pattern VIEWING = Pattern.compile("/v/([A-Za-z0-9-]+)/media\\.m3u8");
   private static final Pattern OWN = Pattern.compile("http://([^:/]+):([0-9]+)/v/");
 
@@ -29,23 +29,24 @@
   private static final int LISTENS_ON_MS = 400;
 
   /** One package as viewers see it. Shares sum to 1; spans in milliseconds. */
-  public record Want(String pack, double share, int patienceMs, int joinTargetMs, double value) {}
+  public record PlayerProfile(
+      String pack, double share, int timeLimitMs, int latencyObjectiveMs, double value) {}
 
   /** Figures of a day. */
   public static final class Figures {
     public int asked;
     public int played;
-    public int blocked;
-    public int aborted;
-    public int refused;
-    public int cameAgain;
+    public int rejected;
+    public int failed;
+    public int notReached;
+    public int retried;
     public int unanswered;
-    public int brokenOff;
-    public int starved;
+    public int disconnected;
+    public int stalled;
     public int segments;
     public long bytes;
-    public double valueAsked;
-    public double valueInTime;
+    public double valueRequested;
+    public double valueOnTime;
     public final Histogram joinMicros = new Histogram(60_000_000L, 3);
   }
 
@@ -53,13 +54,13 @@
    * Where a front takes viewers, and its building. A front under 0: a shared address, of which the
    * LAN says who took what.
    */
-  public record Door(int front, String host, int port, String building) {}
+  public record FrontEndpoint(int front, String host, int port, String building) {}
 
   private final Vertx vertx;
   private final HttpClient client;
   private final Tap tap;
-  private final List<Door> doors;
-  private final List<Want> wants;
+  private final List<FrontEndpoint> doors;
+  private final List<PlayerProfile> wants;
   private final List<String> titles;
   private final double[] titleWeights;
   private final SplittableRandom chance;
@@ -76,14 +77,14 @@
 
   private String hotTitle;
   private double hotShare;
-  private int present;
+  private int activePlayers;
   private int number;
   private boolean closing;
 
-  public PlayerCrowd(
+  public PlayerSimulator(
       Vertx vertx,
-      List<Door> doors,
-      List<Want> wants,
+      List<FrontEndpoint> doors,
+      List<PlayerProfile> wants,
       List<String> titles,
       int rungs,
       int shortestMs,
@@ -96,10 +97,10 @@
   /**
    * Where several crowds share a record, each names its viewers' keys by a beginning of its own.
    */
-  public PlayerCrowd(
+  public PlayerSimulator(
       Vertx vertx,
-      List<Door> doors,
-      List<Want> wants,
+      List<FrontEndpoint> doors,
+      List<PlayerProfile> wants,
       List<String> titles,
       int rungs,
       int shortestMs,
@@ -149,7 +150,7 @@
   }
 
   /** Doors of shared addresses lead through this LAN. */
-  public void by(SharedLan through) {
+  public void setLan(SharedLan through) {
     lan = through;
   }
 
@@ -157,7 +158,7 @@
    * The longest span without an answer that plays, among those that touch a span; microseconds of
    * the tap.
    */
-  public synchronized long longestSilence(long from, long to) {
+  public synchronized long longestGapMicros(long from, long to) {
     long last = from;
     long most = 0;
     for (long at : playedAt) {
@@ -174,12 +175,12 @@
   }
 
   /** Viewers that wait, play or think of coming again. */
-  public int present() {
-    return present;
+  public int activePlayers() {
+    return activePlayers;
   }
 
   /** A title that many come for. */
-  public void crowdFor(String title, double share) {
+  public void setHotTitle(String title, double share) {
     hotTitle = title;
     hotShare = share;
   }
@@ -196,8 +197,8 @@
   /** One viewer comes. */
   public void arrive() {
     double draw = chance.nextDouble();
-    Want want = wants.get(wants.size() - 1);
-    for (Want w : wants) {
+    PlayerProfile want = wants.get(wants.size() - 1);
+    for (PlayerProfile w : wants) {
       draw -= w.share;
       if (draw < 0) {
         want = w;
@@ -207,7 +208,7 @@
     String title = hotTitle != null && chance.nextDouble() < hotShare ? hotTitle : title();
     int ceiling = chance.nextDouble() < 0.25 ? Math.max(1, ceilingRungs - 2) : ceilingRungs - 1;
     int length = shortestMs + chance.nextInt(Math.max(1, longestMs - shortestMs));
-    present++;
+    activePlayers++;
     new Player(keys + number++, want, title, ceiling, length).ask();
   }
 
@@ -228,25 +229,25 @@
 
   private final class Player {
     private final String key;
-    private final Want want;
+    private final PlayerProfile want;
     private final String title;
     private final int ceiling;
     private final String building;
     private final boolean patientWithAdvice = chance.nextDouble() < 0.6;
     private double leftMs;
-    private Door door;
+    private FrontEndpoint door;
     private int tries;
     private String viewing;
     private int failed;
 
-    private Player(String key, Want want, String title, int ceiling, int lengthMs) {
+    private Player(String key, PlayerProfile want, String title, int ceiling, int lengthMs) {
       this.key = key;
       this.want = want;
       this.title = title;
       this.ceiling = ceiling;
       this.leftMs = lengthMs;
       this.building = doors.get(chance.nextInt(doors.size())).building;
-      figures.valueAsked += want.value;
+      figures.valueRequested += want.value;
     }
 
     private RequestOptions to(HttpMethod method, String uri) {
@@ -258,11 +259,11 @@
     }
 
     private void gone() {
-      present--;
+      activePlayers--;
     }
 
     private void ask() {
-      List<Door> near = new ArrayList<>(doors);
+      List<FrontEndpoint> near = new ArrayList<>(doors);
       near.removeIf(d -> !d.building.equals(building));
       door = near.get(chance.nextInt(near.size()));
       String id = key + "-" + tries++;
@@ -270,7 +271,7 @@
       figures.asked++;
       boolean[] over = {false};
       HttpClientRequest[] sent = {null};
-      long timer = vertx.setTimer(want.patienceMs + LISTENS_ON_MS, t -> giveUp(id, over, sent));
+      long timer = vertx.setTimer(want.timeLimitMs + LISTENS_ON_MS, t -> giveUp(id, over, sent));
       boolean shared = door.front < 0;
       RequestOptions to = to(HttpMethod.GET, askUri());
       if (shared) {
@@ -317,7 +318,7 @@
     }
 
     private void notReached(String id) {
-      figures.refused++;
+      figures.notReached++;
       tap.recordEvent("not-reached", "ask", id, "front", door.front);
       again(0);
     }
@@ -330,7 +331,7 @@
           + "&ceiling="
           + ceiling
           + "&patience="
-          + want.patienceMs
+          + want.timeLimitMs
           + "&key="
           + key;
     }
@@ -351,7 +352,7 @@
           "ceiling",
           ceiling,
           "patienceMs",
-          want.patienceMs);
+          want.timeLimitMs);
     }
 
     private void send(String id, long at, HttpClientRequest request, boolean[] over, long timer) {
@@ -397,17 +398,17 @@
       }
       Integer by = lan.tookBy(id);
       if (by == null) {
-        figures.refused++;
+        figures.notReached++;
         tap.recordEvent("not-reached", "ask", id, "front", -1);
         return false;
       }
-      door = new Door(by, door.host, door.port, door.building);
+      door = new FrontEndpoint(by, door.host, door.port, door.building);
       return true;
     }
 
     private void broke(String id) {
       if (reached(id)) {
-        figures.brokenOff++;
+        figures.disconnected++;
         tap.recordEvent("broke", "ask", id, "front", door.front);
       }
       again(0);
@@ -441,19 +442,21 @@
       if (plays) {
         figures.played++;
         figures.joinMicros.recordValue(Math.min(micros, 59_000_000L));
-        if (tries == 1 && micros <= 1000L * want.joinTargetMs) {
-          figures.valueInTime += want.value;
+        if (tries == 1 && micros <= 1000L * want.latencyObjectiveMs) {
+          figures.valueOnTime += want.value;
         }
         viewing = m.group(1);
         played(tap.elapsedMicros());
         Matcher own = OWN.matcher(body.toString());
         if (own.find()) { // it plays at the front's own address
-          door = new Door(door.front, own.group(1), Integer.parseInt(own.group(2)), door.building);
+          door =
+              new FrontEndpoint(
+                  door.front, own.group(1), Integer.parseInt(own.group(2)), door.building);
         }
         playlist();
       } else {
-        figures.blocked += how.equals("blocked") ? 1 : 0;
-        figures.aborted += how.equals("aborted") ? 1 : 0;
+        figures.rejected += how.equals("blocked") ? 1 : 0;
+        figures.failed += how.equals("aborted") ? 1 : 0;
         String advice = r.getHeader("Retry-After-Ms");
         again(advice != null && patientWithAdvice ? Integer.parseInt(advice) : 0);
       }
@@ -465,7 +468,7 @@
         gone();
         return;
       }
-      figures.cameAgain++;
+      figures.retried++;
       vertx.setTimer(
           Math.max(adviceMs, 300 + chance.nextInt(1200)),
           t -> {
@@ -516,7 +519,7 @@
             leftMs -= Math.max(1000, took);
             failed = took > 2500 ? failed + 1 : 0;
             if (failed >= 2) {
-              figures.starved++;
+              figures.stalled++;
               leave();
               return;
             }
--- a/src/main/java/linengauge/standin/SlowCrowd.java
+++ b/src/main/java/linengauge/standin/SlowPlayerSimulator.java
@@ -17,14 +17,14 @@
  * and one thread: HTTP/1.1 as RFC 9112 has it, as far as a front's answers need. What each was
  * asked and answered goes to the tap as for any player.
  */
-public final class SlowCrowd implements AutoCloseable {
+public final class SlowPlayerSimulator implements AutoCloseable {
   private static final int TICK_MS = 20;
   private static final int RECEIVE_BYTES = 8192;
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *([0-9]+)");
   private static final Pattern VIEWING = Pattern.compile("/v/([A-Za-z0-9-]+)/media\\.m3u8");
 
   /** How a player is slow. The last two are honest and are to be served. */
-  public enum Way {
+  public enum SlowMode {
     /** Asks for a segment and reads one byte a second of it. */
     BYTE_A_SECOND(1),
     /** Sends one byte of its request's headers a second. */
@@ -40,7 +40,7 @@
 
     private final double bytesPerSecond;
 
-    Way(double bytesPerSecond) {
+    SlowMode(double bytesPerSecond) {
       this.bytesPerSecond = bytesPerSecond;
     }
 
@@ -54,8 +54,8 @@
    * connection ended in microseconds of the tap, -1: not (yet). One that does not read hears of its
    * end late; its box hears in time.
    */
-  public record Fate(
-      Way way, String viewing, long slowSince, long endedAt, int segments, long bytes) {}
+  public record PlayerOutcome(
+      SlowMode mode, String viewing, long slowSince, long endedAt, int segments, long bytes) {}
 
   private final String host;
   private final int port;
@@ -70,7 +70,8 @@
   private volatile boolean closing;
   private int number;
 
-  public SlowCrowd(String host, int port, int front, String pack, List<String> titles, Tap tap) {
+  public SlowPlayerSimulator(
+      String host, int port, int front, String pack, List<String> titles, Tap tap) {
     this.host = host;
     this.port = port;
     this.front = front;
@@ -82,14 +83,14 @@
   }
 
   /** So many come in this way, evenly over a span. */
-  public synchronized void come(Way way, int count, long overMs) {
+  public synchronized void schedulePlayers(SlowMode way, int count, long overMs) {
     long now = tap.elapsedMicros();
     for (int i = 0; i < count; i++) {
       coming.add(new Member(way, number++, now + 1000 * overMs * i / count));
     }
   }
 
-  public synchronized List<Fate> fates() {
+  public synchronized List<PlayerOutcome> outcomes() {
     return members.stream().map(Member::fate).toList();
   }
 
@@ -128,7 +129,7 @@
   }
 
   private final class Member {
-    private final Way way;
+    private final SlowMode way;
     private final String key;
     private final String title;
     private final long comesAt;
@@ -154,15 +155,15 @@
     private long bytes;
     private int dripped;
 
-    private Member(Way way, int number, long comesAt) {
+    private Member(SlowMode way, int number, long comesAt) {
       this.way = way;
       this.key = "s" + number;
       this.title = titles.get(number % titles.size());
       this.comesAt = comesAt;
     }
 
-    private synchronized Fate fate() {
-      return new Fate(way, viewing, slowSince, endedAt, segments, bytes);
+    private synchronized PlayerOutcome fate() {
+      return new PlayerOutcome(way, viewing, slowSince, endedAt, segments, bytes);
     }
 
     private synchronized void step() {
@@ -177,7 +178,7 @@
           }
           return;
         }
-        if (way == Way.HEADER_A_SECOND) {
+        if (way == SlowMode.HEADER_A_SECOND) {
           drip(now);
         }
         read(now);
@@ -194,7 +195,7 @@
       channel.connect(new InetSocketAddress(host, port));
       channel.configureBlocking(false);
       steppedAt = now;
-      if (way == Way.HEADER_A_SECOND) {
+      if (way == SlowMode.HEADER_A_SECOND) {
         slowSince = now;
         return;
       }
@@ -280,7 +281,7 @@
     /** Half way through every other segment. */
     private boolean isAtItsPause() {
       return isSegment()
-          && way == Way.PAUSES
+          && way == SlowMode.PAUSES
           && segments % 2 == 1
           && inBody
           && left < whole / 2
@@ -330,7 +331,7 @@
                 .filter(l -> l.startsWith("/v/"))
                 .findFirst()
                 .orElseThrow(() -> new IOException("no segment"));
-        if (way == Way.NEVER_AGAIN) {
+        if (way == SlowMode.NEVER_AGAIN) {
           slowSince = now;
           inBody = false;
           head = "";
