--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -108,14 +108,14 @@
     Path keyFile = Files.createTempFile("linengauge-drill", ".key");
     Files.writeString(keyFile, KEY);
     List<SharedLan.Node> nodes = new ArrayList<>();
-    List<SharedLan.Shared> shared = new ArrayList<>();
+    List<SharedLan.SharedAddress> shared = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
       Map<Integer, String> doors = new TreeMap<>();
       for (int v = 0; v < FRONTS; v++) {
         doors.put(v + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + v));
       }
       nodes.add(new SharedLan.Node(i, Ports.node(i), ports.get(i), ports.get(FRONTS + i), doors));
-      shared.add(new SharedLan.Shared(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
+      shared.add(new SharedLan.SharedAddress(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
     }
     int announcePort = ports.get(5 * FRONTS);
     List<String> record;
@@ -138,14 +138,14 @@
       String name,
       Grounds g,
       List<SharedLan.Node> nodes,
-      List<SharedLan.Shared> shared,
+      List<SharedLan.SharedAddress> shared,
       int announcePort,
       SplittableRandom seeds)
       throws IOException, InterruptedException {
     SharedLan lan =
         new SharedLan(g.vertx, nodes, shared, Ports.HOST, announcePort, seeds.nextLong(), g.tap);
     g.await(lan::open);
-    g.onBoxes(() -> lan.trouble(0, 0.02, 5));
+    g.onBoxes(() -> lan.setImpairments(0, 0.02, 5));
     g.open(
         "-Xmx384m",
         "-Xms384m",
@@ -153,7 +153,7 @@
         "-XX:+UseG1GC",
         "-XX:MaxGCPauseMillis=20");
     List<PlayerSimulator> crowds = new ArrayList<>();
-    for (SharedLan.Shared s : shared) {
+    for (SharedLan.SharedAddress s : shared) {
       crowds.add(crowd(g, lan, s, seeds.nextLong()));
     }
     Thread.sleep(4000 + 4 * down());
@@ -221,7 +221,7 @@
     return s;
   }
 
-  private PlayerSimulator crowd(Grounds g, SharedLan lan, SharedLan.Shared at, long chance) {
+  private PlayerSimulator crowd(Grounds g, SharedLan lan, SharedLan.SharedAddress at, long chance) {
     PlayerSimulator crowd =
         new PlayerSimulator(
             players,
@@ -310,16 +310,16 @@
         g.onBoxes(() -> both(lan, false));
       }
       case ONE_WAY -> {
-        g.onBoxes(() -> lan.cut(node, 1 - node, true));
+        g.onBoxes(() -> lan.setCut(node, 1 - node, true));
         Thread.sleep(lasts);
-        g.onBoxes(() -> lan.cut(node, 1 - node, false));
+        g.onBoxes(() -> lan.setCut(node, 1 - node, false));
       }
     }
   }
 
   private static void both(SharedLan lan, boolean cut) {
-    lan.cut(0, 1, cut);
-    lan.cut(1, 0, cut);
+    lan.setCut(0, 1, cut);
+    lan.setCut(1, 0, cut);
   }
 
   /** The better front for the first address dies and comes back, again and again. */
@@ -496,7 +496,7 @@
       sums.merge("unanswered", f.unanswered, Integer::sum);
     }
     report.figure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
-    report.figure(name + ": datagrams carried", lan.carried());
+    report.figure(name + ": datagrams carried", lan.relayed());
   }
 
   private static void played(Report report, String name, List<PlayerSimulator> crowds) {
--- a/src/main/java/linengauge/drill/Grounds.java
+++ b/src/main/java/linengauge/drill/Grounds.java
@@ -22,11 +22,11 @@
 import java.util.function.IntFunction;
 import linengauge.site.Site;
 import linengauge.standin.BoxFleet;
+import linengauge.standin.DatagramRelay;
 import linengauge.standin.DiscoveryService;
 import linengauge.standin.PlayerSimulator;
 import linengauge.standin.StandInBox;
 import linengauge.standin.Tap;
-import linengauge.standin.WordPost;
 
 /**
  * The grounds of one pass of a day: stand-ins in this process, fronts in processes of their own,
@@ -40,7 +40,7 @@
   final Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(3));
   final BoxFleet fleet;
   final DiscoveryService list;
-  final WordPost post;
+  final DatagramRelay post;
   final PlayerSimulator crowd;
   final List<FrontProcess> fronts = new ArrayList<>();
   private final List<Integer> ports;
@@ -81,7 +81,7 @@
     this.list =
         new DiscoveryService(
             vertx, Ports.HOST, ports.get(boxes), day.list().lateMs(), seeds.nextLong(), tap);
-    this.post = new WordPost(vertx, seeds.nextLong());
+    this.post = new DatagramRelay(vertx, seeds.nextLong());
     DrillSiteFile siteFile = new DrillSiteFile(day, paid, ports, titles(), more);
     for (int i = 0; i < day.fronts().count(); i++) {
       addFront(i, siteFile);
@@ -212,7 +212,7 @@
           opened.add(list.open());
           for (int i = 0; i < fronts.size(); i++) {
             int at = day.fleet().boxes() + 1 + 4 * i;
-            opened.add(post.carry(Ports.HOST, ports.get(at + 3), ports.get(at + 2)));
+            opened.add(post.relay(Ports.HOST, ports.get(at + 3), ports.get(at + 2)));
           }
           for (StandInBox b : fleet.boxes()) {
             list.publish(b.location(), "small", "serving", 0);
--- a/src/main/java/linengauge/drill/Troubles.java
+++ b/src/main/java/linengauge/drill/Troubles.java
@@ -178,8 +178,8 @@
   }
 
   private void datagramsLost(DayScript.Trouble t) {
-    grounds.post.lose(t.size());
-    later(t.forS(), () -> grounds.post.lose(0));
+    grounds.post.setLossRate(t.size());
+    later(t.forS(), () -> grounds.post.setLossRate(0));
   }
 
   private void listGap() {
--- a/src/main/java/linengauge/scale/hollow/LogLinks.java
+++ b/src/main/java/linengauge/scale/hollow/LogLinks.java
@@ -59,10 +59,10 @@
     boolean out = direction != null && direction != HollowEvent.Direction.IN;
     for (Link link : links) {
       if (link.fromRegion == region) {
-        link.link.holdAsked(out);
+        link.link.holdRequests(out);
         link.link.holdAnswers(in);
       } else if (link.toRegion == region) {
-        link.link.holdAsked(in);
+        link.link.holdRequests(in);
         link.link.holdAnswers(out);
       }
     }
--- a/src/main/java/linengauge/standin/WordPost.java
+++ b/src/main/java/linengauge/standin/DatagramRelay.java
@@ -10,21 +10,21 @@
 /**
  * Carries datagrams between fronts, a port for each front that is written to: late, and some lost.
  */
-public final class WordPost {
+public final class DatagramRelay {
   private final Vertx vertx;
   private final SplittableRandom chance;
   private final List<DatagramSocket> sockets = new ArrayList<>();
-  private double lost;
-  private long carried;
+  private double lossRate;
+  private long relayed;
   private long dropped;
 
-  public WordPost(Vertx vertx, long seed) {
+  public DatagramRelay(Vertx vertx, long seed) {
     this.vertx = vertx;
     this.chance = new SplittableRandom(seed);
   }
 
   /** What comes to the one port goes on to the other. */
-  public Future<?> carry(String host, int from, int to) {
+  public Future<?> relay(String host, int from, int to) {
     DatagramSocket socket = vertx.createDatagramSocket();
     sockets.add(socket);
     return socket
@@ -33,22 +33,22 @@
             s ->
                 s.handler(
                     p -> {
-                      if (chance.nextDouble() < lost) {
+                      if (chance.nextDouble() < lossRate) {
                         dropped++;
                         return;
                       }
-                      carried++;
+                      relayed++;
                       vertx.setTimer(2 + chance.nextInt(15), t -> socket.send(p.data(), to, host));
                     }));
   }
 
   /** This part of all datagrams is lost from now on. */
-  public void lose(double part) {
-    lost = part;
+  public void setLossRate(double part) {
+    lossRate = part;
   }
 
-  public long carried() {
-    return carried;
+  public long relayed() {
+    return relayed;
   }
 
   public long dropped() {
--- a/src/main/java/linengauge/standin/FaultyDatagramLinks.java
+++ b/src/main/java/linengauge/standin/FaultyDatagramLinks.java
@@ -49,11 +49,11 @@
       return port;
     }
 
-    public void loseAsked(boolean on) {
+    public void dropRequests(boolean on) {
       losesAsked = on;
     }
 
-    public void loseAnswers(boolean on) {
+    public void dropAnswers(boolean on) {
       losesAnswers = on;
     }
 
--- a/src/main/java/linengauge/standin/FaultyLink.java
+++ b/src/main/java/linengauge/standin/FaultyLink.java
@@ -25,10 +25,10 @@
   private NetServer server;
   private volatile int delayMs;
   private volatile int trickleBytes;
-  private volatile boolean swallowAnswers;
-  private volatile boolean swallowAsked;
+  private volatile boolean dropAnswers;
+  private volatile boolean dropRequests;
   private volatile boolean resetOnAnswer;
-  private volatile boolean holdAsked;
+  private volatile boolean holdRequests;
   private volatile boolean holdAnswers;
 
   public FaultyLink(Vertx vertx, String host, int to) {
@@ -63,7 +63,7 @@
   }
 
   private boolean isHeld(End e) {
-    return e.answers ? holdAnswers : holdAsked;
+    return e.answers ? holdAnswers : holdRequests;
   }
 
   private void goOn(End e) {
@@ -88,7 +88,7 @@
           if (answers && resetOnAnswer) {
             from.close();
             on.close();
-          } else if (answers ? swallowAnswers : swallowAsked) {
+          } else if (answers ? dropAnswers : dropRequests) {
             return;
           } else if (answers && trickleBytes > 0) {
             trickle(on, b, 0);
@@ -112,12 +112,12 @@
     }
   }
 
-  public void delay(int ms) {
+  public void setDelay(int ms) {
     delayMs = ms;
   }
 
   /** Answers come with so many bytes in each tenth of a second; 0: at full speed. */
-  public void trickle(int bytes) {
+  public void setTrickle(int bytes) {
     trickleBytes = bytes;
   }
 
@@ -125,8 +125,8 @@
    * What is asked stays unread from now on, and is carried once this is over: as where a network
    * drops its packets.
    */
-  public void holdAsked(boolean on) {
-    holdAsked = on;
+  public void holdRequests(boolean on) {
+    holdRequests = on;
     open.forEach(this::goOn);
   }
 
@@ -136,12 +136,12 @@
     open.forEach(this::goOn);
   }
 
-  public void swallowAnswers(boolean on) {
-    swallowAnswers = on;
+  public void dropAnswers(boolean on) {
+    dropAnswers = on;
   }
 
-  public void swallowAsked(boolean on) {
-    swallowAsked = on;
+  public void dropRequests(boolean on) {
+    dropRequests = on;
   }
 
   /** Connections break as soon as the other side answers. */
@@ -150,7 +150,7 @@
   }
 
   /** Breaks all connections now. */
-  public void cut() {
+  public void closeConnections() {
     open.forEach(e -> e.socket.close());
   }
 }
--- a/src/main/java/linengauge/standin/FaultyServer.java
+++ b/src/main/java/linengauge/standin/FaultyServer.java
@@ -42,18 +42,18 @@
    * What becomes of attempts; shares are of all attempts, drawn one by one; the rest is answered.
    */
   public record Faults(
-      int mostLatencyMs,
+      int maxLatencyMs,
       double silentShare,
       double unreadableShare,
       double refusedShare,
       double resetShare,
-      int leastAnswerMs,
-      int mostAnswerMs,
+      int minAnswerMs,
+      int maxAnswerMs,
       boolean confirmsEnds,
-      double secondCopyShare) {}
+      double duplicateShare) {}
 
   /** How a session came to its end, where the server ended it. */
-  public enum End {
+  public enum EndCause {
     OPEN,
     RELEASED,
     PROCESS_DIED
@@ -67,24 +67,24 @@
     public final long arrivedAt;
 
     /** When the server answered it, the front wrote its end, or its connection closed. */
-    public long outUntil = NEVER;
+    public long pendingUntil = NEVER;
 
     /** When it or what it set up was over for the server. */
-    public long overAt = NEVER;
+    public long endedAt = NEVER;
 
     /** The server has said that it never ran. */
     public boolean neverRan;
 
-    public boolean stands;
-    public End endedBy = End.OPEN;
-    private final Socket by;
+    public boolean established;
+    public EndCause endedBy = EndCause.OPEN;
+    private final Socket connection;
 
     private Attempt(String request, String server, int rung, Socket by) {
       this.request = request;
       this.server = server;
       this.rung = rung;
       this.arrivedAt = nowMicros();
-      this.by = by;
+      this.connection = by;
     }
   }
 
@@ -102,7 +102,7 @@
   private final List<Socket> fillers = new ArrayList<>();
   private final Map<String, Attempt> open = new HashMap<>();
   private final List<Attempt> attempts = new ArrayList<>();
-  private final List<String> overtaken = new ArrayList<>();
+  private final List<String> overlappingAttempts = new ArrayList<>();
 
   /** What is to be done once the process goes on; null while it runs. */
   private ArrayDeque<Runnable> hung;
@@ -132,7 +132,7 @@
     return listener.getLocalPort();
   }
 
-  public void faults(Faults anew) {
+  public void setFaults(Faults anew) {
     faults = anew;
   }
 
@@ -142,8 +142,8 @@
   }
 
   /** Attempts that were read while another one of the same request was out or stood here. */
-  public synchronized List<String> overtaken() {
-    return List.copyOf(overtaken);
+  public synchronized List<String> overlappingAttempts() {
+    return List.copyOf(overlappingAttempts);
   }
 
   /** Requests that have an attempt or a session open here. */
@@ -168,7 +168,7 @@
         int latencyMs;
         synchronized (this) {
           sockets.add(socket);
-          latencyMs = chance.nextInt(faults.mostLatencyMs() + 1);
+          latencyMs = chance.nextInt(faults.maxLatencyMs() + 1);
         }
         start(() -> read(socket, latencyMs));
       }
@@ -221,11 +221,11 @@
   }
 
   private static void noLongerOut(Attempt attempt) {
-    attempt.outUntil = Math.min(attempt.outUntil, nowMicros());
+    attempt.pendingUntil = Math.min(attempt.pendingUntil, nowMicros());
   }
 
   private synchronized void closeArrived(Socket socket) {
-    attempts.stream().filter(a -> a.by == socket).forEach(FaultyServer::noLongerOut);
+    attempts.stream().filter(a -> a.connection == socket).forEach(FaultyServer::noLongerOut);
   }
 
   private void after(int ms, Runnable step) {
@@ -250,7 +250,7 @@
   }
 
   /** The same, and no new connection comes up: its queue of those to be accepted is full. */
-  public void vanish() throws IOException {
+  public void becomeUnreachable() throws IOException {
     synchronized (this) {
       accepting = false;
     }
@@ -267,7 +267,7 @@
   }
 
   /** Goes on where it stood. */
-  public synchronized void goOn() throws IOException {
+  public synchronized void resume() throws IOException {
     for (Socket filler : fillers) {
       filler.close();
     }
@@ -288,11 +288,12 @@
 
   private void started(Attempt attempt, String description) {
     if (open.put(attempt.request, attempt) != null) {
-      overtaken.add("request " + attempt.request + " set up at " + id + " while one was open");
+      overlappingAttempts.add(
+          "request " + attempt.request + " set up at " + id + " while one was open");
     }
     Faults f = faults;
     double drawn = chance.nextDouble();
-    int answerMs = f.leastAnswerMs() + chance.nextInt(f.mostAnswerMs() - f.leastAnswerMs() + 1);
+    int answerMs = f.minAnswerMs() + chance.nextInt(f.maxAnswerMs() - f.minAnswerMs() + 1);
     int cause = chance.nextBoolean() ? REFUSED_FULL : ERROR;
     double unreadable = f.silentShare() + f.unreadableShare();
     double refused = unreadable + f.refusedShare();
@@ -300,11 +301,11 @@
       return;
     }
     if (drawn < unreadable) {
-      after(answerMs, () -> write(attempt.by, "\u0001{{{ unreadable\n"));
+      after(answerMs, () -> write(attempt.connection, "\u0001{{{ unreadable\n"));
     } else if (drawn < refused) {
       after(answerMs, () -> refuse(attempt, cause));
     } else if (drawn < refused + f.resetShare()) {
-      after(answerMs, () -> reset(attempt.by));
+      after(answerMs, () -> reset(attempt.connection));
     } else {
       after(answerMs, () -> answer(attempt, description));
     }
@@ -319,7 +320,7 @@
 
   private static void over(Attempt attempt) {
     if (attempt != null) {
-      attempt.overAt = nowMicros();
+      attempt.endedAt = nowMicros();
     }
   }
 
@@ -328,7 +329,7 @@
       over(attempt);
       noLongerOut(attempt);
       attempt.neverRan = cause == REFUSED_FULL;
-      say(attempt.by, reply("FINISH", attempt.request, cause));
+      say(attempt.connection, reply("FINISH", attempt.request, cause));
     }
   }
 
@@ -336,13 +337,13 @@
     if (open.get(attempt.request) != attempt) {
       return;
     }
-    attempt.stands = true;
+    attempt.established = true;
     noLongerOut(attempt);
     ObjectNode answer =
         reply("STARTED", attempt.request, -1).put("blob", description + "at " + id + "\r\n");
-    say(attempt.by, answer);
-    if (chance.nextDouble() < faults.secondCopyShare()) {
-      after(LATE_COPY_MS, () -> say(attempt.by, answer));
+    say(attempt.connection, answer);
+    if (chance.nextDouble() < faults.duplicateShare()) {
+      after(LATE_COPY_MS, () -> say(attempt.connection, answer));
     }
   }
 
@@ -361,7 +362,7 @@
     open.values()
         .removeIf(
             attempt -> {
-              boolean ends = attempt.by == socket && !attempt.stands;
+              boolean ends = attempt.connection == socket && !attempt.established;
               if (ends) {
                 over(attempt);
               }
@@ -375,11 +376,12 @@
       return;
     }
     for (Attempt attempt : List.copyOf(open.values())) {
-      Socket by = attempt.by.isClosed() && !sockets.isEmpty() ? sockets.get(0) : attempt.by;
-      if (attempt.stands && !by.isClosed() && chance.nextDouble() < share) {
+      Socket by =
+          attempt.connection.isClosed() && !sockets.isEmpty() ? sockets.get(0) : attempt.connection;
+      if (attempt.established && !by.isClosed() && chance.nextDouble() < share) {
         open.remove(attempt.request);
         over(attempt);
-        attempt.endedBy = End.RELEASED;
+        attempt.endedBy = EndCause.RELEASED;
         say(by, reply("FINISH", attempt.request, chance.nextBoolean() ? OVER : RESET));
       }
     }
@@ -427,7 +429,9 @@
     }
     resetAll();
     open.values().forEach(FaultyServer::over);
-    open.values().stream().filter(a -> a.stands).forEach(a -> a.endedBy = End.PROCESS_DIED);
+    open.values().stream()
+        .filter(a -> a.established)
+        .forEach(a -> a.endedBy = EndCause.PROCESS_DIED);
     open.clear();
     attempts.forEach(FaultyServer::noLongerOut);
     accepting = true;
--- a/src/main/java/linengauge/standin/PlayerSimulator.java
+++ b/src/main/java/linengauge/standin/PlayerSimulator.java
@@ -396,7 +396,7 @@
       if (door.front >= 0) {
         return true;
       }
-      Integer by = lan.tookBy(id);
+      Integer by = lan.receivingNode(id);
       if (by == null) {
         figures.notReached++;
         tap.recordEvent("not-reached", "ask", id, "front", -1);
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -44,13 +44,13 @@
       int number, String host, int port, int lanPort, Map<Integer, String> viewers) {}
 
   /** A shared address. */
-  public record Shared(int vrid, String host, int port) {}
+  public record SharedAddress(int vrid, String host, int port) {}
 
   private final Vertx vertx;
   private final Tap tap;
   private final SplittableRandom chance;
   private final List<Node> nodes;
-  private final List<Shared> shared;
+  private final List<SharedAddress> shared;
   private final List<DatagramSocket> sockets = new ArrayList<>();
   private final boolean[][] cut;
   private final String announceHost;
@@ -67,11 +67,11 @@
   private final Map<String, Long> announced = new HashMap<>();
 
   private final Map<Integer, Set<Line>> lines = new HashMap<>();
-  private final Map<String, Integer> tookBy = new ConcurrentHashMap<>();
+  private final Map<String, Integer> receivingNode = new ConcurrentHashMap<>();
   private double lost;
   private double copied;
   private int lateMs;
-  private long carried;
+  private long relayed;
 
   /** One viewer's connection through the switch. */
   private final class Line {
@@ -135,7 +135,7 @@
       Matcher asked = ASKED.matcher(head);
       if (id.find() && asked.find()) {
         ask = id.group(1);
-        tookBy.put(ask, node);
+        receivingNode.put(ask, node);
         tap.recordEvent(
             "asked",
             "ask",
@@ -179,7 +179,7 @@
   public SharedLan(
       Vertx vertx,
       List<Node> nodes,
-      List<Shared> shared,
+      List<SharedAddress> shared,
       String announceHost,
       int announcePort,
       long seed,
@@ -195,7 +195,9 @@
     this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000));
   }
 
-  /** Opens all ways; to be called on the LAN's loop, as everything here but {@link #tookBy}. */
+  /**
+   * Opens all ways; to be called on the LAN's loop, as everything here but {@link #receivingNode}.
+   */
   public Future<?> open() {
     List<Future<?>> open = new ArrayList<>();
     for (Node n : nodes) {
@@ -205,7 +207,7 @@
     }
     DatagramSocket announcements = vertx.createDatagramSocket();
     open.add(hear(announcements, announcePort, announceHost, this::announced));
-    for (Shared a : shared) {
+    for (SharedAddress a : shared) {
       open.add(openShared(a));
     }
     return Future.all(open);
@@ -230,7 +232,7 @@
   }
 
   /** Opens a shared address: its connections go to whoever holds it. */
-  private Future<?> openShared(Shared a) {
+  private Future<?> openShared(SharedAddress a) {
     lines.put(a.vrid, new HashSet<>());
     NetServer server = vertx.createNetServer(new NetServerOptions().setReusePort(false));
     server.connectHandler(
@@ -272,7 +274,7 @@
       if (cut[from.number][to.number] || chance.nextDouble() < lost) {
         continue;
       }
-      carried++;
+      relayed++;
       DatagramSocket socket = sockets.get(from.number);
       if (lateMs == 0) {
         socket.send(b, to.port, to.host);
@@ -304,8 +306,8 @@
   }
 
   /** The node that a request was handed to; null where it was to none. On any thread. */
-  public Integer tookBy(String ask) {
-    return tookBy.get(ask);
+  public Integer receivingNode(String ask) {
+    return receivingNode.get(ask);
   }
 
   /** The node that announced an address last; null where none did. */
@@ -313,7 +315,7 @@
     return holders.get(vrid);
   }
 
-  public void cut(int from, int to, boolean isCut) {
+  public void setCut(int from, int to, boolean isCut) {
     cut[from][to] = isCut;
   }
 
@@ -321,13 +323,13 @@
    * From now on this part of all datagrams is lost, this part comes twice, and each up to so late,
    * out of order too.
    */
-  public void trouble(double lose, double copy, int late) {
+  public void setImpairments(double lose, double copy, int late) {
     lost = lose;
     copied = copy;
     lateMs = late;
   }
 
-  public long carried() {
-    return carried;
+  public long relayed() {
+    return relayed;
   }
 }
--- a/src/test/java/linengauge/consensus/ConsensusProcessesTest.java
+++ b/src/test/java/linengauge/consensus/ConsensusProcessesTest.java
@@ -323,7 +323,7 @@
   void aLeaderThatIsNotHeardOneWayIsFollowedByAnother() throws Exception {
     int was = leader();
     for (int v = 0; v < VOTERS; v++) {
-      links[was][v].holdAsked(v != was); // it hears all the others
+      links[was][v].holdRequests(v != was); // it hears all the others
     }
     int other = (was + 1) % VOTERS;
     until(() -> !stands(was).path("role").asText().equals("LEADER"));
@@ -331,7 +331,7 @@
     until(() -> decided(3, "without-it"));
     assertFalse(stands(other).path("role").isMissingNode());
     for (int v = 0; v < VOTERS; v++) {
-      links[was][v].holdAsked(false);
+      links[was][v].holdRequests(false);
     }
     until(() -> leader() >= 0);
     comesRound();
@@ -341,7 +341,7 @@
   void aLeaderThatHearsNobodyStepsDownAndDeposesNobodyAfterwards() throws Exception {
     int was = leader();
     for (int v = 0; v < VOTERS; v++) {
-      links[v][was].holdAsked(v != was); // the others hear it
+      links[v][was].holdRequests(v != was); // the others hear it
     }
     until(() -> !stands(was).path("role").asText().equals("LEADER"));
     want(3, "meanwhile");
@@ -350,7 +350,7 @@
     long term = stands(now).path("term").asLong();
     Thread.sleep(1500); // it wants to lead all the while
     for (int v = 0; v < VOTERS; v++) {
-      links[v][was].holdAsked(false);
+      links[v][was].holdRequests(false);
     }
     until(() -> stands(was).path("leader").asInt(-1) == now);
     comesRound();
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -398,13 +398,13 @@
           "serving",
           0);
       Rig.until(() -> r.state().getLong("listRevision") == 3);
-      link.swallowAnswers(true);
+      link.dropAnswers(true);
       int status = r.join("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
-      link.swallowAnswers(false);
-      link.trickle(100);
+      link.dropAnswers(false);
+      link.setTrickle(100);
       Rig.until(() -> r.join("").statusCode() == 200);
-      link.trickle(0);
+      link.setTrickle(0);
       link.resetOnAnswer(true);
       long before = box.saw("PUT");
       Rig.until(
@@ -412,7 +412,7 @@
               r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
                   == 502);
       assertEquals(before + 1, box.saw("PUT"), "it may have run: not sent again");
-      link.cut();
+      link.closeConnections();
     }
   }
 
--- a/src/test/java/linengauge/lease/LeaseProcesses.java
+++ b/src/test/java/linengauge/lease/LeaseProcesses.java
@@ -186,15 +186,15 @@
   void cutMachine(int machine, boolean cut) {
     for (int to = 0; to < MACHINES; to++) {
       if (to != machine) {
-        links.get("c" + machine + ">" + to).loseAsked(cut);
-        logLinks[machine][to].holdAsked(cut);
+        links.get("c" + machine + ">" + to).dropRequests(cut);
+        logLinks[machine][to].holdRequests(cut);
       }
     }
   }
 
   /** What a front says is not heard by that control machine, or is again. */
   void cutFront(int front, int machine, boolean cut) {
-    links.get("f" + front + ">" + machine).loseAsked(cut);
+    links.get("f" + front + ">" + machine).dropRequests(cut);
   }
 
   private static List<JsonNode> lines(Path record) {
--- a/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
@@ -122,7 +122,7 @@
     start(seed, faults);
     Map<Long, Integer> answers = ask();
     List<String> overtaken = new ArrayList<>();
-    servers.forEach(server -> overtaken.addAll(server.overtaken()));
+    servers.forEach(server -> overtaken.addAll(server.overlappingAttempts()));
     assertEquals(List.of(), overtaken, () -> logged(overtaken));
     assertEquals(REQUESTS, answers.size(), "each request is answered");
     assertTrue(answers.containsValue(ANSWERED), "some are served");
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -97,7 +97,7 @@
 
   private List<String> settle() throws Exception {
     for (Listed one : listed) {
-      one.server.faults(healthy());
+      one.server.setFaults(healthy());
     }
     clients.forEach(SoakClients::stopAsking);
     Thread.sleep(terms.deadlineMs() + 4000); // the last answers, and the last sessions' ends
@@ -238,7 +238,7 @@
       case 3, 4 -> {
         Faults faults = drawFaults();
         note(one.server.id() + " " + faults);
-        one.server.faults(faults);
+        one.server.setFaults(faults);
       }
       case 5 -> aside(() -> replace(one, span));
       case 6 -> silence(span);
@@ -275,7 +275,7 @@
 
   private static void vanish(Listed one) {
     try {
-      one.server.vanish();
+      one.server.becomeUnreachable();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -287,7 +287,7 @@
         () -> {
           fault.run();
           Thread.sleep(ms);
-          one.server.goOn();
+          one.server.resume();
           return null;
         });
   }
--- a/src/test/java/linengauge/soak/SoakJudge.java
+++ b/src/test/java/linengauge/soak/SoakJudge.java
@@ -65,7 +65,7 @@
     SoakJudge judge = new SoakJudge(day);
     day.requests.forEach(judge::answers);
     judge.attempts.forEach(judge::attemptsOf);
-    day.servers.forEach(s -> judge.broken.addAll(s.overtaken()));
+    day.servers.forEach(s -> judge.broken.addAll(s.overlappingAttempts()));
     judge.drains();
     judge.coldServers();
     day.fronts.forEach(judge::retryBudget);
@@ -169,7 +169,7 @@
   }
 
   private void judgePair(SoakRequest request, Attempt earlier, Attempt later) {
-    if (earlier.outUntil > later.arrivedAt + SLACK) {
+    if (earlier.pendingUntil > later.arrivedAt + SLACK) {
       breaks(
           "duplicates",
           request.tag,
@@ -178,9 +178,9 @@
               + " as it was set up at "
               + later.server
               + ", for "
-              + (earlier.outUntil == Long.MAX_VALUE
+              + (earlier.pendingUntil == Long.MAX_VALUE
                   ? "ever"
-                  : after(later.arrivedAt, earlier.outUntil)));
+                  : after(later.arrivedAt, earlier.pendingUntil)));
     }
     if (request.paid && !earlier.neverRan) {
       breaks("duplicates", request.tag, "set up again though it may have run");
@@ -329,11 +329,11 @@
       SoakFront.Life life = lifeAt(request.front, request.answeredAt);
       for (Attempt attempt : attempts.getOrDefault(request.tag, List.of())) {
         long limit =
-            attempt.endedBy == FaultyServer.End.RELEASED ? RELEASE_WITHIN : RELEASE_AT_LAST;
-        long by = attempt.overAt + limit + SLACK;
+            attempt.endedBy == FaultyServer.EndCause.RELEASED ? RELEASE_WITHIN : RELEASE_AT_LAST;
+        long by = attempt.endedAt + limit + SLACK;
         boolean judged =
             attempt.server.equals(request.server)
-                && attempt.endedBy != FaultyServer.End.OPEN
+                && attempt.endedBy != FaultyServer.EndCause.OPEN
                 && life != null
                 && by < Math.min(life.endedAt, day.endedAt);
         if (judged && request.releasedAt > by) {
