--- a/src/main/java/linengauge/scale/fronts/ServeProcess.java
+++ b/src/main/java/linengauge/scale/fronts/ServeProcess.java
@@ -69,8 +69,8 @@
 
   private boolean passesTest() throws InterruptedException {
     try (var viewers = new PlatformViewers(port)) {
-      viewers.test();
-      PlatformViewers.Said said = viewers.next(ANSWER_MS);
+      viewers.sendProbe();
+      PlatformViewers.FrontMessage said = viewers.next(ANSWER_MS);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // not listening yet
--- a/src/main/java/linengauge/standin/PlatformBox.java
+++ b/src/main/java/linengauge/standin/PlatformBox.java
@@ -22,54 +22,54 @@
  */
 public final class PlatformBox implements AutoCloseable {
   /** What becomes of set-ups. */
-  public enum Mood {
-    WELL,
-    ERRORS,
+  public enum Behavior {
+    NORMAL,
+    ERROR,
     FULL,
     SILENT,
-    NOISE,
-    STOPS_SHORT,
+    GARBAGE,
+    TRUNCATED,
     ENDLESS,
-    RESETS,
-    TWICE,
+    RESET,
+    DUPLICATE,
     NO_DESCRIPTION,
     LATE
   }
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final ServerSocket door;
+  private final ServerSocket listener;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
   /** Viewings that play here, with the connection that they were set up on. */
   private final Map<String, Socket> playing = new ConcurrentHashMap<>();
 
-  private final List<JsonNode> heard = new CopyOnWriteArrayList<>();
-  private final java.util.concurrent.atomic.AtomicLong came =
+  private final List<JsonNode> received = new CopyOnWriteArrayList<>();
+  private final java.util.concurrent.atomic.AtomicLong accepted =
       new java.util.concurrent.atomic.AtomicLong();
-  public volatile Mood mood = Mood.WELL;
+  public volatile Behavior behavior = Behavior.NORMAL;
 
   public PlatformBox() throws IOException {
-    door = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+    listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     start(this::accept);
   }
 
   public int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
   /** Every line heard, in order of its coming. */
-  public List<JsonNode> heard() {
-    return heard;
+  public List<JsonNode> received() {
+    return received;
   }
 
   /** How many connections have come so far. */
   public long connections() {
-    return came.get();
+    return accepted.get();
   }
 
-  public long heard(String verb) {
-    return heard.stream().filter(n -> n.path("verb").asText().equals(verb)).count();
+  public long receivedCount(String verb) {
+    return received.stream().filter(n -> n.path("verb").asText().equals(verb)).count();
   }
 
   public Map<String, Socket> playing() {
@@ -83,14 +83,14 @@
   }
 
   /** A note on a viewing that plays. */
-  public void note(String tag, String kind, double value) throws IOException {
+  public void sendNote(String tag, String kind, double value) throws IOException {
     ObjectNode n = line("NOTICE", tag, -1, null);
     n.putObject("opts").put("note", kind).put("value", value);
     say(playing.get(tag), n);
   }
 
   /** Writes anything on all connections. */
-  public void noise(byte[] bytes) throws IOException {
+  public void sendToAll(byte[] bytes) throws IOException {
     for (Socket s : sockets) {
       s.getOutputStream().write(bytes);
     }
@@ -105,10 +105,10 @@
   private void accept() {
     try {
       while (true) {
-        Socket s = door.accept();
+        Socket s = listener.accept();
         s.setTcpNoDelay(true);
         sockets.add(s);
-        came.incrementAndGet();
+        accepted.incrementAndGet();
         start(() -> serve(s));
       }
     } catch (IOException e) {
@@ -122,7 +122,7 @@
           new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         JsonNode n = JSON.readTree(line);
-        heard.add(n);
+        received.add(n);
         String tag = n.path("tag").asText();
         switch (n.path("verb").asText()) {
           case "START" -> setUp(s, n, tag);
@@ -149,16 +149,16 @@
   private void setUp(Socket s, JsonNode asked, String tag) throws IOException {
     ObjectNode stands =
         line("STARTED", tag, -1, "made for " + tag + "\r\n" + asked.path("blob").asText());
-    switch (mood) {
-      case WELL -> {
+    switch (behavior) {
+      case NORMAL -> {
         playing.put(tag, s);
         say(s, stands);
       }
-      case ERRORS -> say(s, line("FINISH", tag, 47, null));
+      case ERROR -> say(s, line("FINISH", tag, 47, null));
       case FULL -> say(s, line("FINISH", tag, 34, null));
-      case NOISE ->
+      case GARBAGE ->
           s.getOutputStream().write("\u0001{{{ no such thing\n".getBytes(StandardCharsets.UTF_8));
-      case STOPS_SHORT ->
+      case TRUNCATED ->
           s.getOutputStream()
               .write(stands.toString().substring(0, 40).getBytes(StandardCharsets.UTF_8));
       case ENDLESS -> {
@@ -170,11 +170,11 @@
           s.getOutputStream().write(much);
         }
       }
-      case RESETS -> {
+      case RESET -> {
         s.setSoLinger(true, 0);
         s.close();
       }
-      case TWICE -> {
+      case DUPLICATE -> {
         playing.put(tag, s);
         say(s, line("STARTED", "00000000000000aa", -1, "of nobody"));
         say(s, stands);
@@ -203,7 +203,7 @@
   /** Its process dies: nothing listens any more, and connections are reset. */
   @Override
   public void close() throws IOException {
-    door.close();
+    listener.close();
     for (Socket s : sockets) {
       try {
         s.setSoLinger(true, 0);
--- a/src/main/java/linengauge/standin/PlatformJournal.java
+++ b/src/main/java/linengauge/standin/PlatformJournal.java
@@ -15,12 +15,12 @@
  * try-outs.
  */
 public final class PlatformJournal implements AutoCloseable {
-  private final ServerSocket door;
+  private final ServerSocket listener;
   private final List<byte[]> events = new ArrayList<>();
   private final List<Socket> readers = new CopyOnWriteArrayList<>();
 
   /** The numbers from which it was asked. */
-  public final List<Long> asked = new CopyOnWriteArrayList<>();
+  public final List<Long> requestedPositions = new CopyOnWriteArrayList<>();
 
   /** Numbers go on from that of the last event known elsewhere. */
   public PlatformJournal(long from) throws IOException {
@@ -29,7 +29,7 @@
 
   /** The same at a port, as one that comes back there. */
   public PlatformJournal(long from, int port) throws IOException {
-    door = new ServerSocket(port, 16, InetAddress.getLoopbackAddress());
+    listener = new ServerSocket(port, 16, InetAddress.getLoopbackAddress());
     for (long i = 0; i < from; i++) {
       events.add(new byte[0]);
     }
@@ -39,16 +39,16 @@
   }
 
   public int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
   private void accept() {
     try {
       while (true) {
-        Socket s = door.accept();
+        Socket s = listener.accept();
         long last = new DataInputStream(s.getInputStream()).readLong();
         synchronized (this) {
-          asked.add(last);
+          requestedPositions.add(last);
           readers.add(s);
           for (long n = last; n < events.size(); n++) {
             s.getOutputStream().write(events.get((int) n));
@@ -75,7 +75,7 @@
         .array();
   }
 
-  public synchronized void change(byte[]... records) {
+  public synchronized void publish(byte[]... records) {
     ByteBuffer f =
         ByteBuffer.allocate(13 + 27 * records.length)
             .putInt(9 + 27 * records.length)
@@ -85,16 +85,16 @@
       f.put(r);
     }
     events.add(f.array());
-    tell(f.array());
+    send(f.array());
   }
 
   /** The sign of life. */
-  public synchronized void nothingNew() {
-    tell(ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0).array());
+  public synchronized void sendHeartbeat() {
+    send(ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0).array());
   }
 
   /** Begins an event and breaks off within it; who asks again gets it whole. */
-  public synchronized void breakWithin(byte[] record) throws IOException {
+  public synchronized void breakDuringEvent(byte[] record) throws IOException {
     ByteBuffer f =
         ByteBuffer.allocate(13 + 27)
             .putInt(9 + 27)
@@ -109,7 +109,7 @@
     readers.clear();
   }
 
-  public synchronized void tell(byte[] bytes) {
+  public synchronized void send(byte[] bytes) {
     for (Socket s : readers) {
       try {
         s.getOutputStream().write(bytes);
@@ -121,7 +121,7 @@
 
   @Override
   public void close() throws IOException {
-    door.close();
+    listener.close();
     for (Socket s : readers) {
       s.close();
     }
--- a/src/main/java/linengauge/standin/PlatformTryOut.java
+++ b/src/main/java/linengauge/standin/PlatformTryOut.java
@@ -41,12 +41,13 @@
   public boolean play() throws IOException, InterruptedException {
     int played = 0;
     try (var viewers = new PlatformViewers(port)) {
-      viewers.test();
+      viewers.sendProbe();
       viewers.next(2000);
-      journal.change(PlatformJournal.record(9, 1, 1, 3, 0));
+      journal.publish(PlatformJournal.record(9, 1, 1, 3, 0));
       for (int id = 1; id <= VIEWINGS; id++) {
         viewers.send(PlatformViewers.setUp(id, "lesson", 2000, ""));
-        boxes[id % 3].mood = id % 20 == 0 ? PlatformBox.Mood.FULL : PlatformBox.Mood.WELL;
+        boxes[id % 3].behavior =
+            id % 20 == 0 ? PlatformBox.Behavior.FULL : PlatformBox.Behavior.NORMAL;
         for (var said = viewers.next(3000); said != null; said = viewers.next(3000)) {
           if (said.id() == id) {
             played += said.type() == 9 ? 1 : 0;
@@ -58,7 +59,7 @@
         } else {
           for (PlatformBox b : boxes) {
             if (b.playing().containsKey(String.format("%016x", id))) {
-              b.note(String.format("%016x", id), "got", 0.9);
+              b.sendNote(String.format("%016x", id), "got", 0.9);
               b.end(String.format("%016x", id), 16);
             }
           }
--- a/src/main/java/linengauge/standin/PlatformViewers.java
+++ b/src/main/java/linengauge/standin/PlatformViewers.java
@@ -19,12 +19,12 @@
    * What the front said: type, id, cause (-1: none), description and advice (null: none). CLOSED
    * ends it.
    */
-  public record Said(int type, long id, int cause, String description, String comeBack) {
-    public static final Said CLOSED = new Said(-1, 0, -1, null, null);
+  public record FrontMessage(int type, long id, int cause, String description, String retryAdvice) {
+    public static final FrontMessage CLOSED = new FrontMessage(-1, 0, -1, null, null);
   }
 
   private final Socket socket;
-  private final BlockingQueue<Said> said = new LinkedBlockingQueue<>();
+  private final BlockingQueue<FrontMessage> received = new LinkedBlockingQueue<>();
 
   public PlatformViewers(int port) throws IOException {
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
@@ -57,16 +57,16 @@
             default -> {}
           }
         }
-        said.add(new Said(type, id, cause, description, comeBack));
+        received.add(new FrontMessage(type, id, cause, description, comeBack));
       }
     } catch (IOException e) {
-      said.add(Said.CLOSED);
+      received.add(FrontMessage.CLOSED);
     }
   }
 
   /** The next thing the front says, or null when nothing came in that time. */
-  public Said next(long ms) throws InterruptedException {
-    return said.poll(ms, TimeUnit.MILLISECONDS);
+  public FrontMessage next(long ms) throws InterruptedException {
+    return received.poll(ms, TimeUnit.MILLISECONDS);
   }
 
   public static byte[] message(int type, long id, Object... parameters) {
@@ -102,7 +102,7 @@
     socket.getOutputStream().write(bytes);
   }
 
-  public void test() throws IOException {
+  public void sendProbe() throws IOException {
     send(message(52, 1, 61, new byte[] {0}));
   }
 
--- a/src/test/java/linengauge/platform/CrossingProcessesTest.java
+++ b/src/test/java/linengauge/platform/CrossingProcessesTest.java
@@ -23,7 +23,7 @@
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -104,8 +104,8 @@
     until(
         () -> {
           try (var v = new PlatformViewers(port)) {
-            v.test();
-            Said s = v.next(2000);
+            v.sendProbe();
+            FrontMessage s = v.next(2000);
             return s != null && s.type() == 53;
           } catch (IOException | InterruptedException e) {
             return false;
@@ -125,9 +125,9 @@
     assertTrue(done.getAsBoolean());
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
+  private static FrontMessage answer(PlatformViewers v, long id) throws InterruptedException {
+    for (FrontMessage s = v.next(10_000); s != null; s = v.next(10_000)) {
+      if (s.id() == id || s == FrontMessage.CLOSED) {
         return s;
       }
     }
@@ -158,7 +158,9 @@
       a.send(setUp(100));
       assertNotNull(answer(a, 100), "what still comes is answered");
       for (PlatformViewers v : List.of(a, b)) {
-        for (Said s = v.next(10_000); s != null && s != Said.CLOSED; s = v.next(10_000)) {
+        for (FrontMessage s = v.next(10_000);
+            s != null && s != FrontMessage.CLOSED;
+            s = v.next(10_000)) {
           if (s.type() == OVER) {
             owed.remove(s.id());
           }
@@ -223,23 +225,23 @@
         }
         try (var v = new PlatformViewers(port)) {
           v.send(setUp(id));
-          Said s = answer(v, id);
+          FrontMessage s = answer(v, id);
           assertTrue(s != null && s.type() == PLAYS, "viewing " + id + ": " + s);
         }
       }
       journal = new PlatformJournal(1, at);
-      until(() -> !journal.asked.isEmpty());
-      journal.change(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
+      until(() -> !journal.requestedPositions.isEmpty());
+      journal.publish(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
       try (var v = new PlatformViewers(port)) {
         until(
             () -> {
               try {
-                long before = boxes.get(0).heard("START");
+                long before = boxes.get(0).receivedCount("START");
                 for (long id = 1000 + 10 * before; id < 1010 + 10 * before; id++) {
                   v.send(setUp(id));
                   answer(v, id);
                 }
-                return boxes.get(0).heard("START") == before;
+                return boxes.get(0).receivedCount("START") == before;
               } catch (IOException | InterruptedException e) {
                 throw new IllegalStateException(e);
               }
--- a/src/test/java/linengauge/platform/CrossingSocketsTest.java
+++ b/src/test/java/linengauge/platform/CrossingSocketsTest.java
@@ -25,11 +25,11 @@
 import linengauge.Span;
 import linengauge.platform.keep.DescriptorBudget;
 import linengauge.standin.PlatformBox;
-import linengauge.standin.PlatformBox.Mood;
+import linengauge.standin.PlatformBox.Behavior;
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -159,9 +159,9 @@
     return all.toByteArray();
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
+  private static FrontMessage answer(PlatformViewers v, long id) throws InterruptedException {
+    for (FrontMessage s = v.next(10_000); s != null; s = v.next(10_000)) {
+      if (s.id() == id || s == FrontMessage.CLOSED) {
         return s;
       }
     }
@@ -170,7 +170,7 @@
 
   private static void plays(PlatformViewers v, long id) throws Exception {
     v.send(setUp(id));
-    Said s = answer(v, id);
+    FrontMessage s = answer(v, id);
     assertTrue(s != null && s.type() == PLAYS, "viewing " + id + ": " + s);
   }
 
@@ -181,7 +181,7 @@
   private long started(long id) {
     String tag = tag(id);
     return boxes.stream()
-        .flatMap(b -> b.heard().stream())
+        .flatMap(b -> b.received().stream())
         .filter(n -> n.path("verb").asText().equals("START") && n.path("tag").asText().equals(tag))
         .count();
   }
@@ -226,19 +226,19 @@
   @Test
   void aRefusalAndTheViewersEndReadInOneTurnMakeNoFurtherAttempt() throws Exception {
     try (var v = new PlatformViewers(port)) {
-      boxes.forEach(b -> b.mood = Mood.SILENT);
+      boxes.forEach(b -> b.behavior = Behavior.SILENT);
       v.send(setUp(2));
       until(() -> started(2) == 1);
       try (Gate gate = new Gate()) {
         for (PlatformBox b : boxes) {
-          b.noise(
+          b.sendToAll(
               ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(2) + "\",\"opts\":{},\"rc\":34}\n")
                   .getBytes(StandardCharsets.UTF_8));
         }
         v.end(2, 16);
         Thread.sleep(120);
       }
-      boxes.forEach(b -> b.mood = Mood.WELL);
+      boxes.forEach(b -> b.behavior = Behavior.NORMAL);
       goesOn(3);
       assertEquals(1, started(2));
     }
@@ -283,12 +283,12 @@
       for (long id = 2000; id < 2300; id++) {
         boxes
             .get(0)
-            .noise(
+            .sendToAll(
                 ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(id) + "\",\"opts\":{},\"rc\":16}\n")
                     .getBytes(StandardCharsets.UTF_8));
       }
       while (released.size() < 300) {
-        Said s = v.next(5000);
+        FrontMessage s = v.next(5000);
         assertNotNull(s, "released so far: " + released.size());
         if (s.type() == OVER) {
           released.add(s.id());
@@ -317,7 +317,7 @@
         }
         socket.close();
       }
-      assertEquals(new Said(OVER, 2, 16, null, null), answer(other, 2));
+      assertEquals(new FrontMessage(OVER, 2, 16, null, null), answer(other, 2));
     }
   }
 
@@ -382,16 +382,17 @@
       Thread.sleep(100);
       Files.writeString(pipe, configuration(older.port()));
       CompletableFuture.allOf(first, second).get(10, TimeUnit.SECONDS);
-      until(() -> !newer.asked.isEmpty());
+      until(() -> !newer.requestedPositions.isEmpty());
       goesOn(3);
-      older.change(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
-      newer.change(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
+      older.publish(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
+      newer.publish(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
       Thread.sleep(200);
-      long before = boxes.get(1).heard("START");
+      long before = boxes.get(1).receivedCount("START");
       for (long id = 10; id < 16; id++) {
         goesOn(id);
       }
-      assertEquals(before, boxes.get(1).heard("START"), "the newer one's word holds: it drains");
+      assertEquals(
+          before, boxes.get(1).receivedCount("START"), "the newer one's word holds: it drains");
     }
   }
 
--- a/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderProcessesTest.java
@@ -17,7 +17,7 @@
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -72,8 +72,8 @@
 
   private boolean passesTest() throws InterruptedException {
     try (var viewers = new PlatformViewers(port)) {
-      viewers.test();
-      Said said = viewers.next(2000);
+      viewers.sendProbe();
+      FrontMessage said = viewers.next(2000);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // not listening yet
@@ -108,7 +108,7 @@
       throws Exception {
     long until = System.nanoTime() + ms * 1_000_000;
     for (long left = ms; left > 0; left = (until - System.nanoTime()) / 1_000_000) {
-      Said said = viewers.next(left);
+      FrontMessage said = viewers.next(left);
       if (said != null && said.type() == ANSWERED) {
         answers.put(said.id(), ANSWERED);
         viewers.end(said.id(), 16);
--- a/src/test/java/linengauge/platform/ServeProcessesTest.java
+++ b/src/test/java/linengauge/platform/ServeProcessesTest.java
@@ -16,7 +16,7 @@
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -71,8 +71,8 @@
 
     private boolean answersATest() {
       try (var v = new PlatformViewers(port)) {
-        v.test();
-        Said s = v.next(2000);
+        v.sendProbe();
+        FrontMessage s = v.next(2000);
         return s != null && s.type() == 53;
       } catch (Exception e) {
         return false;
@@ -132,14 +132,14 @@
   }
 
   /** What is said until so many ids have been spoken of. */
-  private static Map<Long, List<Said>> said(PlatformViewers v, int ids) throws Exception {
-    Map<Long, List<Said>> all = new HashMap<>();
+  private static Map<Long, List<FrontMessage>> said(PlatformViewers v, int ids) throws Exception {
+    Map<Long, List<FrontMessage>> all = new HashMap<>();
     while (all.size() < ids) {
-      Said s = v.next(20_000);
-      assertTrue(s != null && s != Said.CLOSED, "heard of " + all.keySet());
+      FrontMessage s = v.next(20_000);
+      assertTrue(s != null && s != FrontMessage.CLOSED, "heard of " + all.keySet());
       all.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(s);
     }
-    for (Said s = v.next(300); s != null; s = v.next(1)) {
+    for (FrontMessage s = v.next(300); s != null; s = v.next(1)) {
       all.computeIfAbsent(s.id(), i -> new ArrayList<>()).add(s);
     }
     return all;
@@ -166,7 +166,9 @@
           b.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
         }
         said(b, 6)
-            .forEach((id, s) -> assertEquals(List.of(PLAYS), s.stream().map(Said::type).toList()));
+            .forEach(
+                (id, s) ->
+                    assertEquals(List.of(PLAYS), s.stream().map(FrontMessage::type).toList()));
       }
       killed.process.destroyForcibly().waitFor();
       frozen.signal("CONT");
@@ -174,7 +176,7 @@
           .forEach(
               (id, s) ->
                   assertEquals(
-                      List.of(OVER), s.stream().map(Said::type).toList(), "viewing " + id));
+                      List.of(OVER), s.stream().map(FrontMessage::type).toList(), "viewing " + id));
       for (long id = 100; id < 110; id++) {
         long gone = id;
         until(() -> !playsAnywhere(gone));
@@ -198,7 +200,7 @@
         Thread.sleep(300);
         for (PlatformBox box : boxes) {
           for (String t : List.copyOf(box.playing().keySet())) {
-            box.noise(
+            box.sendToAll(
                 ("{\"verb\":\"FINISH\",\"tag\":\"" + t + "\",\"opts\":{},\"rc\":16}\n").getBytes());
           }
         }
@@ -206,17 +208,19 @@
             .forEach(
                 (id, s) ->
                     assertEquals(
-                        List.of(OVER), s.stream().map(Said::type).toList(), "viewing " + id));
+                        List.of(OVER),
+                        s.stream().map(FrontMessage::type).toList(),
+                        "viewing " + id));
       }
       // SIGHUP moves the journal service: what the new one tells holds.
       moved.post(next);
       moved.signal("HUP");
-      until(() -> next.asked.contains(1L));
-      next.change(
+      until(() -> next.requestedPositions.contains(1L));
+      next.publish(
           PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0),
           PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
       Thread.sleep(300);
-      long before = boxes.get(0).heard("START") + boxes.get(1).heard("START");
+      long before = boxes.get(0).receivedCount("START") + boxes.get(1).receivedCount("START");
       try (var c = new PlatformViewers(moved.port)) {
         for (long id = 300; id < 306; id++) {
           c.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
@@ -227,7 +231,10 @@
         c.send(PlatformViewers.setUp(306, "lesson", 5000, ""));
         assertTrue(said(c, 1).containsKey(306L));
       }
-      assertEquals(before, boxes.get(0).heard("START") + boxes.get(1).heard("START"), "both drain");
+      assertEquals(
+          before,
+          boxes.get(0).receivedCount("START") + boxes.get(1).receivedCount("START"),
+          "both drain");
       assertEquals(0, moved.process.waitFor());
     }
   }
--- a/src/test/java/linengauge/platform/ServiceTest.java
+++ b/src/test/java/linengauge/platform/ServiceTest.java
@@ -14,11 +14,11 @@
 import java.util.Map;
 import java.util.function.BooleanSupplier;
 import linengauge.standin.PlatformBox;
-import linengauge.standin.PlatformBox.Mood;
+import linengauge.standin.PlatformBox.Behavior;
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -85,9 +85,9 @@
     return boxes.stream().filter(b -> b.playing().containsKey(tag(id))).findFirst().orElseThrow();
   }
 
-  private static Said answer(PlatformViewers v, long id) throws InterruptedException {
-    for (Said s = v.next(10_000); s != null; s = v.next(10_000)) {
-      if (s.id() == id || s == Said.CLOSED) {
+  private static FrontMessage answer(PlatformViewers v, long id) throws InterruptedException {
+    for (FrontMessage s = v.next(10_000); s != null; s = v.next(10_000)) {
+      if (s.id() == id || s == FrontMessage.CLOSED) {
         return s;
       }
     }
@@ -97,10 +97,10 @@
   @Test
   void aViewingJoinsPlaysAndEndsByItsBoxOrByItsViewer() throws Exception {
     try (var v = new PlatformViewers(port)) {
-      v.test();
+      v.sendProbe();
       assertEquals(53, v.next(5000).type());
       v.send(PlatformViewers.setUp(1, "lesson", 5000, ""));
-      Said s = answer(v, 1);
+      FrontMessage s = answer(v, 1);
       assertEquals(PLAYS, s.type());
       assertEquals("made for " + tag(1) + "\r\nm=audio of 1\r\n", s.description());
       boxOf(1).end(tag(1), 16);
@@ -130,8 +130,8 @@
         "NO_DESCRIPTION",
         "SILENT"
       })
-  void whateverOneBoxDoesEachRequestHasOneAnswer(Mood mood) throws Exception {
-    boxes.get(0).mood = mood;
+  void whateverOneBoxDoesEachRequestHasOneAnswer(Behavior mood) throws Exception {
+    boxes.get(0).behavior = mood;
     Map<Long, Integer> answers = new HashMap<>();
     Map<Long, String> descriptions = new HashMap<>();
     try (var v = new PlatformViewers(port)) {
@@ -141,7 +141,7 @@
       until(
           () -> {
             try {
-              for (Said s = v.next(1); s != null; s = v.next(1)) {
+              for (FrontMessage s = v.next(1); s != null; s = v.next(1)) {
                 answers.merge(s.id(), 1, Integer::sum);
                 if (s.type() == PLAYS) {
                   descriptions.put(s.id(), s.description());
@@ -153,7 +153,7 @@
             return answers.size() == 12;
           });
       Thread.sleep(200);
-      for (Said s = v.next(1); s != null; s = v.next(1)) {
+      for (FrontMessage s = v.next(1); s != null; s = v.next(1)) {
         answers.merge(s.id(), 1, Integer::sum);
       }
     }
@@ -174,12 +174,12 @@
     at.close();
     try (var tester = new PlatformViewers(port);
         var other = new PlatformViewers(port)) {
-      tester.test();
+      tester.sendProbe();
       assertEquals(53, tester.next(5000).type());
       other.send(PlatformViewers.setUp(99, "lesson", 5000, ""));
-      List<Said> said = new ArrayList<>(List.of(other.next(10_000), other.next(10_000)));
+      List<FrontMessage> said = new ArrayList<>(List.of(other.next(10_000), other.next(10_000)));
       said.removeIf(s -> s.id() == 99);
-      assertEquals(List.of(new Said(OVER, id, 41, null, null)), said);
+      assertEquals(List.of(new FrontMessage(OVER, id, 41, null, null)), said);
       assertEquals(null, tester.next(100), "who only tests the front is no viewer");
     }
   }
@@ -217,7 +217,7 @@
       until(() -> boxes.get(1).connections() > 0);
       boxes
           .get(1)
-          .noise(
+          .sendToAll(
               ("{\"verb\":\"FINISH\",\"tag\":\"" + tag(7) + "\",\"opts\":{},\"rc\":16}\n")
                   .getBytes(StandardCharsets.UTF_8));
       assertEquals(OVER, answer(v, 7).type());
@@ -233,52 +233,55 @@
         var half = new PlatformViewers(port)) {
       huge.send(new byte[] {(byte) 0xff, (byte) 0xff, 1, 2, 3});
       half.send(new byte[] {0, 40, 1, 2});
-      boxes.forEach(b -> b.mood = Mood.SILENT);
+      boxes.forEach(b -> b.behavior = Behavior.SILENT);
       good.send(PlatformViewers.setUp(9, "lesson", 8000, ""));
-      until(() -> boxes.stream().anyMatch(b -> b.heard("START") > 0));
+      until(() -> boxes.stream().anyMatch(b -> b.receivedCount("START") > 0));
       same.send(PlatformViewers.setUp(9, "lesson", 8000, ";x:1"));
       assertEquals(OVER, answer(same, 9).type(), "the id of another's viewing");
       same.send(PlatformViewers.setUp(10, "cinema", 5000, ""));
       assertEquals(OVER, answer(same, 10).type());
-      assertEquals(Said.CLOSED, huge.next(5000));
-      assertEquals(Said.CLOSED, half.next(5000));
-      assertEquals(Said.CLOSED, silent.next(5000));
-      boxes.forEach(b -> b.mood = Mood.WELL);
+      assertEquals(FrontMessage.CLOSED, huge.next(5000));
+      assertEquals(FrontMessage.CLOSED, half.next(5000));
+      assertEquals(FrontMessage.CLOSED, silent.next(5000));
+      boxes.forEach(b -> b.behavior = Behavior.NORMAL);
       assertNotNull(answer(good, 9));
     }
   }
 
   @Test
   void theJournalServiceMovesBreaksOffAndIsTakenUpWhereItWas() throws Exception {
-    until(() -> journal.asked.contains(1L));
-    journal.breakWithin(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
-    until(() -> journal.asked.size() == 2);
-    assertEquals(1L, journal.asked.get(1), "an event cut off has not been told");
+    until(() -> journal.requestedPositions.contains(1L));
+    journal.breakDuringEvent(PlatformJournal.record(1, boxes.get(0).port(), 1, 0, 0));
+    until(() -> journal.requestedPositions.size() == 2);
+    assertEquals(1L, journal.requestedPositions.get(1), "an event cut off has not been told");
     try (var next = new PlatformJournal(2)) {
       Files.writeString(file, "{ half a file");
       service.postedAnew();
       Files.writeString(file, TryOut.configuration(port, next.port(), ports()));
       service.postedAnew();
-      until(() -> next.asked.contains(2L));
-      next.change(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
+      until(() -> next.requestedPositions.contains(2L));
+      next.publish(PlatformJournal.record(2, boxes.get(1).port(), 1, 1, 0));
       try (var v = new PlatformViewers(port)) {
         for (long id = 20; id < 30; id++) {
           v.send(PlatformViewers.setUp(id, "lesson", 5000, ""));
           answer(v, id);
         }
       }
-      assertEquals(0, boxes.get(0).heard("START") + boxes.get(1).heard("START"), "both drain");
-      assertTrue(boxes.get(2).heard("START") > 0);
+      assertEquals(
+          0,
+          boxes.get(0).receivedCount("START") + boxes.get(1).receivedCount("START"),
+          "both drain");
+      assertTrue(boxes.get(2).receivedCount("START") > 0);
     }
   }
 
   @Test
   void toldToStopItAnswersWhatItHasTakenAndWhatStillComes() throws Exception {
     try (var v = new PlatformViewers(port)) {
-      boxes.forEach(b -> b.mood = Mood.SILENT);
+      boxes.forEach(b -> b.behavior = Behavior.SILENT);
       v.send(PlatformViewers.setUp(31, "lesson", 5000, ""));
-      until(() -> boxes.stream().anyMatch(b -> b.heard("START") > 0));
-      boxes.forEach(b -> b.mood = Mood.WELL);
+      until(() -> boxes.stream().anyMatch(b -> b.receivedCount("START") > 0));
+      boxes.forEach(b -> b.behavior = Behavior.NORMAL);
       service.tellToStop();
       v.send(PlatformViewers.setUp(32, "lesson", 5000, ""));
       assertNotNull(answer(v, 31));
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import linengauge.standin.FaultyServer;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 
 /**
  * The clients of one front, on a thread of their own: usual ones, some that give up early, repeat,
@@ -198,8 +198,8 @@
   /* ---- hearing ---- */
 
   private void hear(Connection by) throws InterruptedException {
-    for (Said said = by.socket.next(0); said != null; said = by.socket.next(0)) {
-      if (said == Said.CLOSED) {
+    for (FrontMessage said = by.socket.next(0); said != null; said = by.socket.next(0)) {
+      if (said == FrontMessage.CLOSED) {
         ended(by);
         return;
       }
@@ -222,7 +222,7 @@
     }
   }
 
-  private void hear(SoakRequest request, Said said) {
+  private void hear(SoakRequest request, FrontMessage said) {
     long now = FaultyServer.nowMicros();
     if (said.type() == ANSWERED) {
       answered(request, said, now);
@@ -235,7 +235,7 @@
     }
   }
 
-  private void answered(SoakRequest request, Said said, long now) {
+  private void answered(SoakRequest request, FrontMessage said, long now) {
     settle(request, "answered", now);
     String made = "m=audio of " + request.id + "\r\nat ";
     if (said.description() == null || !said.description().startsWith(made)) {
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -456,8 +456,8 @@
 
   private boolean ready(SoakFront front) throws InterruptedException {
     try (var viewers = new PlatformViewers(front.port)) {
-      viewers.test();
-      PlatformViewers.Said said = viewers.next(2000);
+      viewers.sendProbe();
+      PlatformViewers.FrontMessage said = viewers.next(2000);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // not listening yet, or any more
