--- a/src/main/java/linengauge/cli/Drills.java
+++ b/src/main/java/linengauge/cli/Drills.java
@@ -22,7 +22,7 @@
 import linengauge.drill.TryOut;
 import linengauge.lease.ControlMachine;
 import linengauge.membership.Member;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 import linengauge.scale.hollow.HollowChild;
@@ -498,7 +498,7 @@
     Verdict v;
     try {
       v = Judge.judge(Files.readAllLines(record));
-    } catch (BadRecord e) {
+    } catch (InvalidRecordException e) {
       System.err.println(record + ": " + e.getMessage());
       return 1;
     }
--- a/src/main/java/linengauge/drill/DayDrill.java
+++ b/src/main/java/linengauge/drill/DayDrill.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 import linengauge.standin.PlayerSimulator;
@@ -115,10 +115,10 @@
         report.claim(
             name + ": " + rule + " tried and kept",
             "over 0, 0 broken",
-            v.checked(rule) + ", " + v.broken(rule),
-            v.checked(rule) > 0 && v.broken(rule) == 0);
+            v.checkCount(rule) + ", " + v.breachCount(rule),
+            v.checkCount(rule) > 0 && v.breachCount(rule) == 0);
       }
-    } catch (BadRecord e) {
+    } catch (InvalidRecordException e) {
       report.claim(name + ": the record can be judged", "yes", e.getMessage(), false);
     }
   }
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import linengauge.rules.BadRecord;
-import linengauge.rules.Holders;
+import linengauge.rules.AddressOwnershipJudge;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.site.BadSite;
 import linengauge.standin.PlayerSimulator;
@@ -338,10 +338,10 @@
       times++;
     }
     long to = g.tap.elapsedMicros();
-    Holders.Outcome o;
+    AddressOwnershipJudge.Outcome o;
     try {
-      o = Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000);
-    } catch (BadRecord e) {
+      o = AddressOwnershipJudge.judge(g.tap.lines(), advertMs, 10_000, 100_000);
+    } catch (InvalidRecordException e) {
       throw new IOException(e);
     }
     long handovers =
@@ -441,8 +441,8 @@
 
   private long handovers(Grounds g) throws IOException {
     try {
-      return Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000).handovers;
-    } catch (BadRecord e) {
+      return AddressOwnershipJudge.judge(g.tap.lines(), advertMs, 10_000, 100_000).handovers;
+    } catch (InvalidRecordException e) {
       throw new IOException(e);
     }
   }
@@ -513,15 +513,16 @@
     try {
       report.judged(name, Judge.judge(record));
       // An interval, the LAN's delay, and what two processes on a busy machine are late.
-      Holders.Outcome o =
-          Holders.judge(record, advertMs, advertMs + 60, down() + 4L * advertMs + 1000);
+      AddressOwnershipJudge.Outcome o =
+          AddressOwnershipJudge.judge(
+              record, advertMs, advertMs + 60, down() + 4L * advertMs + 1000);
       report.claim(
           name + ": two claimed one address in quiet times",
           "at most an interval and 60 ms",
-          o.bothMost / 1000 + " ms over " + o.claims + " claims",
+          o.longestOverlapMicros / 1000 + " ms over " + o.claims + " claims",
           o.breaches.isEmpty() && o.claims > 0);
-      report.figure(name + ": longest span in which none did, ms", o.noneMost / 1000);
-      report.figure(name + ": nodes that woke and kept silent", o.woken);
+      report.figure(name + ": longest span in which none did, ms", o.longestGapMicros / 1000);
+      report.figure(name + ": nodes that woke and kept silent", o.resumedNodes);
       report.figure(name + ": handovers in all", o.handovers);
       o.breaches.stream().limit(10).forEach(b -> report.figure(name + ": " + b, "broken"));
       report.claim(
@@ -529,7 +530,7 @@
           "0 and 0 of " + o.answered,
           o.answeredTwice + " and " + o.answeredByOther,
           o.answeredTwice + o.answeredByOther == 0 && o.answered > 0);
-    } catch (BadRecord e) {
+    } catch (InvalidRecordException e) {
       report.claim(name + ": the record can be judged", "yes", e.getMessage(), false);
     }
   }
--- a/src/main/java/linengauge/drill/Report.java
+++ b/src/main/java/linengauge/drill/Report.java
@@ -34,8 +34,8 @@
   public void judged(String record, Verdict verdict) {
     for (String rule : Verdict.RULES) {
       long[] sum = rules.computeIfAbsent(rule, r -> new long[2]);
-      sum[0] += verdict.checked(rule);
-      sum[1] += verdict.broken(rule);
+      sum[0] += verdict.checkCount(rule);
+      sum[1] += verdict.breachCount(rule);
     }
     verdict.breaches().stream().limit(40).forEach(b -> breaches.add(record + ": " + b));
   }
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowDrill.java
@@ -16,7 +16,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.site.BadSite;
 import linengauge.standin.PlayerSimulator;
@@ -98,7 +98,7 @@
     }
     try {
       report.judged("day", Judge.judge(record));
-    } catch (BadRecord e) {
+    } catch (InvalidRecordException e) {
       report.claim("the record can be judged", "yes", e.getMessage(), false);
     }
     return report;
--- a/src/main/java/linengauge/rehearsal/FleetDay.java
+++ b/src/main/java/linengauge/rehearsal/FleetDay.java
@@ -15,7 +15,7 @@
 import linengauge.briefing.BadBriefing;
 import linengauge.platform.Configuration;
 import linengauge.platform.PlatformFront;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 
@@ -525,7 +525,7 @@
 
   /* ---- the day ---- */
 
-  public Outcome play() throws BadRecord {
+  public Outcome play() throws InvalidRecordException {
     for (int i = 0; i < simulatedFronts.size(); i++) {
       start(i);
     }
--- a/src/main/java/linengauge/rules/Holders.java
+++ b/src/main/java/linengauge/rules/AddressOwnershipJudge.java
@@ -16,7 +16,7 @@
  * while nothing is wrong one node claims an address and no other does for longer than a bound; a
  * node that stood still claims nothing as it wakes.
  */
-public final class Holders {
+public final class AddressOwnershipJudge {
   private static final ObjectMapper JSON = new ObjectMapper();
 
   /** What was found. Spans in microseconds. */
@@ -27,12 +27,12 @@
     public long claims;
 
     public long gaps;
-    public long woken;
+    public long resumedNodes;
 
     /** The longest that two claimed one address in quiet times, and the longest that none did. */
-    public long bothMost;
+    public long longestOverlapMicros;
 
-    public long noneMost;
+    public long longestGapMicros;
 
     /** Changes of who announced an address last. */
     public long handovers;
@@ -68,7 +68,7 @@
   private boolean quiet;
   private long quietSince;
 
-  private Holders(long intervalMicros, long bothBound, long noneBound) {
+  private AddressOwnershipJudge(long intervalMicros, long bothBound, long noneBound) {
     this.interval = intervalMicros;
     this.bothBound = bothBound;
     this.noneBound = noneBound;
@@ -83,15 +83,16 @@
    * @param noneMs how long none may claim one in quiet times
    */
   public static Outcome judge(List<String> lines, long intervalMs, long bothMs, long noneMs)
-      throws BadRecord {
-    Holders h = new Holders(1000 * intervalMs, 1000 * bothMs, 1000 * noneMs);
+      throws InvalidRecordException {
+    AddressOwnershipJudge h =
+        new AddressOwnershipJudge(1000 * intervalMs, 1000 * bothMs, 1000 * noneMs);
     long number = 0;
     for (String line : lines) {
       number++;
       try {
         h.take(JSON.readTree(line));
       } catch (JacksonException e) {
-        throw new BadRecord(number, "not JSON");
+        throw new InvalidRecordException(number, "not JSON");
       }
     }
     return h.out;
@@ -153,7 +154,7 @@
     if (last != null) {
       out.gaps++;
       long none = at - Math.max(last, quietSince);
-      out.noneMost = Math.max(out.noneMost, none);
+      out.longestGapMicros = Math.max(out.longestGapMicros, none);
       if (none > noneBound) {
         out.breaches.add(
             at + " address " + vrid + ": nobody claimed it for " + none / 1000 + " ms");
@@ -163,7 +164,7 @@
         (key, other) -> {
           if (other != mine && key.startsWith(vrid + "/") && other.last >= mine.since) {
             long both = other.last - Math.max(Math.max(mine.since, other.since), quietSince);
-            out.bothMost = Math.max(out.bothMost, both);
+            out.longestOverlapMicros = Math.max(out.longestOverlapMicros, both);
             if (both > bothBound) {
               out.breaches.add(
                   at
@@ -204,7 +205,7 @@
               + " ms after it woke, and another has it");
     }
     if (at - woke >= 2 * interval) {
-      out.woken++;
+      out.resumedNodes++;
       wokeAt.remove(node);
     }
   }
--- a/src/main/java/linengauge/rules/Judge.java
+++ b/src/main/java/linengauge/rules/Judge.java
@@ -17,16 +17,16 @@
   private static final String NO_DOUBLE_SET_UP = "no-double-set-up";
   private static final Set<String> ANSWERS = Set.of("plays", "blocked", "aborted");
 
-  private final Day day;
+  private final TrafficRecord day;
   private final Verdict verdict = new Verdict();
 
-  private Judge(Day day) {
+  private Judge(TrafficRecord day) {
     this.day = day;
   }
 
   /** Judges a record, one JSON object a line. */
-  public static Verdict judge(List<String> lines) throws BadRecord {
-    Judge j = new Judge(Day.read(lines));
+  public static Verdict judge(List<String> lines) throws InvalidRecordException {
+    Judge j = new Judge(TrafficRecord.read(lines));
     j.oneAnswer();
     j.noDoubleSetUp();
     j.drains();
@@ -42,31 +42,31 @@
    * viewer's patience.
    */
   private void oneAnswer() {
-    for (Day.Ask a : day.asks.values()) {
+    for (TrafficRecord.ViewerRequest a : day.asks.values()) {
       if (hadNoFront(a)) {
         judgeAnswersOfKilled(a);
       } else if (isTaken(a)) {
-        verdict.tried(ONE_ANSWER);
+        verdict.countCheck(ONE_ANSWER);
         String wrong = wrongAnswer(a);
         if (wrong != null) {
-          verdict.broken(ONE_ANSWER, a.at, a.id, 0, wrong);
+          verdict.addBreach(ONE_ANSWER, a.at, a.id, 0, wrong);
         }
       }
     }
   }
 
   /** Its front was dead, or killed before the request was over. */
-  private boolean hadNoFront(Day.Ask a) {
+  private boolean hadNoFront(TrafficRecord.ViewerRequest a) {
     long patienceEnds = a.at + a.patience;
     long last = a.ends.isEmpty() ? patienceEnds : a.ends.get(a.ends.size() - 1).at();
     return day.down(a.front, a.at)
         || day.killedWithin(a.front, a.at, Math.max(last, patienceEnds) + day.terms.slack());
   }
 
-  private void judgeAnswersOfKilled(Day.Ask a) {
+  private void judgeAnswersOfKilled(TrafficRecord.ViewerRequest a) {
     long answers = a.ends.stream().filter(e -> e.what().equals("answered")).count();
     if (answers > 1) {
-      verdict.broken(
+      verdict.addBreach(
           ONE_ANSWER, a.at, a.id, 0, "answered " + answers + " times by a front since killed");
     }
   }
@@ -75,18 +75,18 @@
    * Its front did not stand still past the viewer's patience, and the network did not break it as
    * the shared address went to another front.
    */
-  private boolean isTaken(Day.Ask a) {
+  private boolean isTaken(TrafficRecord.ViewerRequest a) {
     long patienceEnds = a.at + a.patience;
     boolean cut = a.cut && a.ends.size() == 1 && !a.ends.get(0).what().equals("answered");
     return day.running(a.front, patienceEnds) == patienceEnds && !cut;
   }
 
   /** What is wrong with how the request ended, or null. */
-  private String wrongAnswer(Day.Ask a) {
+  private String wrongAnswer(TrafficRecord.ViewerRequest a) {
     if (a.ends.size() != 1) {
       return a.ends.size() + " ends of one request";
     }
-    Seen end = a.ends.get(0);
+    RecordEvent end = a.ends.get(0);
     String how = end.text("how");
     long patienceEnds = a.at + a.patience;
     if (!end.what().equals("answered")) {
@@ -111,10 +111,10 @@
   /** Rule 2. */
   private void noDoubleSetUp() {
     day.byViewing.values().forEach(this::judgeSetUpsOfOneViewing);
-    Map<String, List<Day.SetUp>> byKey = new HashMap<>();
+    Map<String, List<TrafficRecord.SetUp>> byKey = new HashMap<>();
     day.setUps.forEach(
         u -> byKey.computeIfAbsent(u.key + "@" + u.front, k -> new ArrayList<>()).add(u));
-    for (Day.Ask a : day.asks.values()) {
+    for (TrafficRecord.ViewerRequest a : day.asks.values()) {
       if (day.terms.packages().get(a.pack).paid()
           && !a.ends.isEmpty()
           && "blocked".equals(a.ends.get(0).text("how"))) {
@@ -123,15 +123,15 @@
     }
   }
 
-  private void judgeSetUpsOfOneViewing(List<Day.SetUp> setUps) {
+  private void judgeSetUpsOfOneViewing(List<TrafficRecord.SetUp> setUps) {
     Set<Integer> numbers = new HashSet<>();
     for (int i = 0; i < setUps.size(); i++) {
-      Day.SetUp u = setUps.get(i);
-      verdict.tried(NO_DOUBLE_SET_UP);
+      TrafficRecord.SetUp u = setUps.get(i);
+      verdict.countCheck(NO_DOUBLE_SET_UP);
       if (!numbers.add(u.tuneIn)) {
         breaksNoDoubleSetUp(u.at, u, "tune-in " + u.tuneIn + " was sent twice");
       }
-      for (Day.SetUp earlier : setUps.subList(0, i)) {
+      for (TrafficRecord.SetUp earlier : setUps.subList(0, i)) {
         if (earlier.noLongerOut() > u.at + day.terms.slack()) {
           breaksNoDoubleSetUp(u.at, u, "two tune-ins out: the other at box " + earlier.box);
         }
@@ -142,18 +142,19 @@
     }
   }
 
-  private void judgeBlockedThoughPaid(Day.Ask a, List<Day.SetUp> ofItsKey) {
-    verdict.tried(NO_DOUBLE_SET_UP);
+  private void judgeBlockedThoughPaid(
+      TrafficRecord.ViewerRequest a, List<TrafficRecord.SetUp> ofItsKey) {
+    verdict.countCheck(NO_DOUBLE_SET_UP);
     long answered = a.ends.get(0).at();
-    for (Day.SetUp u : ofItsKey) {
+    for (TrafficRecord.SetUp u : ofItsKey) {
       if (u.at >= a.at && u.at <= answered && !u.provablyNeverRan()) {
         breaksNoDoubleSetUp(answered, u, "blocked, though paid for and perhaps set up");
       }
     }
   }
 
-  private void breaksNoDoubleSetUp(long at, Day.SetUp u, String why) {
-    verdict.broken(NO_DOUBLE_SET_UP, at, u.viewing, u.box, why);
+  private void breaksNoDoubleSetUp(long at, TrafficRecord.SetUp u, String why) {
+    verdict.addBreach(NO_DOUBLE_SET_UP, at, u.viewing, u.box, why);
   }
 
   /**
@@ -164,8 +165,8 @@
     String rule = "drains";
     Map<String, Long> notServing = new HashMap<>();
     Map<Integer, Set<Long>> known = new HashMap<>();
-    for (Seen s : day.all) {
-      int front = (int) s.whole("front");
+    for (RecordEvent s : day.all) {
+      int front = (int) s.number("front");
       switch (s.what()) {
         case "front-started" -> {
           notServing.keySet().removeIf(k -> k.startsWith(front + "/"));
@@ -176,7 +177,7 @@
                 notServing,
                 known,
                 front,
-                s.whole("box"),
+                s.number("box"),
                 s.at(),
                 s.text("state").equals("serving"));
         case "told-whole" -> {
@@ -189,14 +190,14 @@
           }
         }
         case "set-up" -> {
-          Long since = notServing.get(front + "/" + s.whole("box"));
+          Long since = notServing.get(front + "/" + s.number("box"));
           if (since != null
               && s.at() > day.running(front, since) + day.terms.grace() + day.terms.slack()) {
-            verdict.broken(
+            verdict.addBreach(
                 rule,
                 s.at(),
                 s.text("viewing"),
-                s.whole("box"),
+                s.number("box"),
                 "sent " + (s.at() - since) / 1000 + " ms after it was told not to serve");
           }
         }
@@ -216,7 +217,7 @@
     if (serving) {
       notServing.remove(front + "/" + box);
     } else if (notServing.putIfAbsent(front + "/" + box, at) == null) {
-      verdict.tried("drains");
+      verdict.countCheck("drains");
     }
   }
 
@@ -228,23 +229,23 @@
     String rule = "cold-boxes";
     Map<Long, long[]> cold = new HashMap<>();
     Map<Long, List<Long>> sends = new HashMap<>();
-    for (Seen s : day.all) {
-      long box = s.whole("box");
+    for (RecordEvent s : day.all) {
+      long box = s.number("box");
       if (s.what().equals("box-started")) {
         sends.remove(box);
         cold.remove(box);
         if (s.fields().path("cold").asBoolean()) {
-          cold.put(box, new long[] {s.at(), s.whole("streams")});
+          cold.put(box, new long[] {s.at(), s.number("streams")});
         }
       } else if (s.what().equals("box-fell")) {
-        verdict.broken(rule, s.at(), "all", box, "the box fell over");
+        verdict.addBreach(rule, s.at(), "all", box, "the box fell over");
       } else if (s.what().equals("set-up") && cold.containsKey(box)) {
         long[] start = cold.get(box);
         if (s.at() - start[0] >= day.terms.cold()) {
           cold.remove(box);
           continue;
         }
-        verdict.tried(rule);
+        verdict.countCheck(rule);
         List<Long> of = sends.computeIfAbsent(box, b -> new ArrayList<>());
         of.add(s.at());
         long from = s.at() - day.terms.fallAfter();
@@ -257,7 +258,7 @@
                     * warmed(Math.max(0, from - start[0]), s.at() - start[0])
                     / day.terms.cold());
         if (of.size() > most) {
-          verdict.broken(
+          verdict.addBreach(
               rule,
               s.at(),
               s.text("viewing"),
@@ -283,7 +284,7 @@
   /** Rule 5, the rungs. */
   private void floors() {
     Map<String, Terms.Pack> packs = new HashMap<>();
-    for (Seen s : day.all) {
+    for (RecordEvent s : day.all) {
       boolean setUp = s.what().equals("set-up");
       if (!setUp && !s.what().equals("rung")) {
         continue;
@@ -296,15 +297,15 @@
         continue;
       }
       if (p.lowest() > 0) {
-        verdict.tried("terms");
+        verdict.countCheck("terms");
       }
-      if (s.whole("rung") < p.lowest() || s.whole("rung") > p.highest()) {
-        verdict.broken(
+      if (s.number("rung") < p.lowest() || s.number("rung") > p.highest()) {
+        verdict.addBreach(
             "terms",
             s.at(),
             s.text("viewing"),
-            s.whole("box"),
-            "rung " + s.whole("rung") + " of a package with " + p.lowest() + " to " + p.highest());
+            s.number("box"),
+            "rung " + s.number("rung") + " of a package with " + p.lowest() + " to " + p.highest());
       }
     }
   }
@@ -314,20 +315,20 @@
    * counted.
    */
   private void seats() {
-    Map<String, List<Day.SetUp>> held = new HashMap<>();
-    for (Day.SetUp u : day.setUps) {
+    Map<String, List<TrafficRecord.SetUp>> held = new HashMap<>();
+    for (TrafficRecord.SetUp u : day.setUps) {
       int seats = day.terms.packages().get(u.pack).seats();
       if (seats <= 0) {
         continue;
       }
-      verdict.tried("terms");
-      List<Day.SetUp> of =
+      verdict.countCheck("terms");
+      List<TrafficRecord.SetUp> of =
           held.computeIfAbsent(u.life() + "/" + u.title + "/" + u.pack, k -> new ArrayList<>());
       of.removeIf(
           other -> other.overAt <= u.at + day.terms.slack() || other.viewing.equals(u.viewing));
       of.add(u);
       if (of.size() > seats) {
-        verdict.broken(
+        verdict.addBreach(
             "terms",
             u.at,
             u.viewing,
@@ -343,11 +344,11 @@
       return;
     }
     Map<String, List<Long>> further = new HashMap<>();
-    for (Day.SetUp u : day.setUps) {
+    for (TrafficRecord.SetUp u : day.setUps) {
       if (u.tuneIn == 0) {
         continue;
       }
-      verdict.tried("further-tune-ins");
+      verdict.countCheck("further-tune-ins");
       List<Long> of = further.computeIfAbsent(u.life(), l -> new ArrayList<>());
       of.add(u.at);
       long from = u.at - day.terms.furtherSpan();
@@ -360,7 +361,7 @@
               .count();
       double most = day.terms.furtherFree() + day.terms.furtherShare() * taken;
       if (of.size() > most) {
-        verdict.broken(
+        verdict.addBreach(
             "further-tune-ins",
             u.at,
             u.viewing,
--- a/src/main/java/linengauge/rules/Seen.java
+++ b/src/main/java/linengauge/rules/RecordEvent.java
@@ -3,13 +3,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /** One line of a record: what was seen, and when, in microseconds since the record began. */
-record Seen(long at, String what, JsonNode fields) {
+record RecordEvent(long at, String what, JsonNode fields) {
   String text(String name) {
     JsonNode v = fields.path(name);
     return v.isMissingNode() || v.isNull() ? null : v.asText();
   }
 
-  long whole(String name) {
+  long number(String name) {
     return fields.path(name).asLong();
   }
 }
--- a/src/main/java/linengauge/rules/Terms.java
+++ b/src/main/java/linengauge/rules/Terms.java
@@ -19,7 +19,7 @@
 
   record Pack(int lowest, int highest, int seats, boolean paid) {}
 
-  static Terms read(JsonNode line) throws BadRecord {
+  static Terms read(JsonNode line) throws InvalidRecordException {
     Map<String, Pack> packs = new HashMap<>();
     for (JsonNode p : line.path("packages")) {
       packs.put(
@@ -33,7 +33,7 @@
     if (packs.isEmpty()
         || !line.path("drainGraceMs").isNumber()
         || !line.path("slackMs").isNumber()) {
-      throw new BadRecord(1, "the terms lack packages, drainGraceMs or slackMs");
+      throw new InvalidRecordException(1, "the terms lack packages, drainGraceMs or slackMs");
     }
     return new Terms(
         packs,
--- a/src/main/java/linengauge/rules/Day.java
+++ b/src/main/java/linengauge/rules/TrafficRecord.java
@@ -14,7 +14,7 @@
  * A record put in order: who asked and was answered, every set-up from its coming to its end, and
  * what befell whom.
  */
-final class Day {
+final class TrafficRecord {
   static final long NEVER = Long.MAX_VALUE;
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -58,7 +58,7 @@
   }
 
   /** One request of a viewer. */
-  static final class Ask {
+  static final class ViewerRequest {
     String id;
     long at;
     int front;
@@ -69,28 +69,28 @@
     /** The network broke its connection: the shared address had gone to another front. */
     boolean cut;
 
-    final List<Seen> ends = new ArrayList<>();
+    final List<RecordEvent> ends = new ArrayList<>();
   }
 
   /** A span in which a front did not run. */
-  record Stop(long from, long to) {}
+  record Pause(long from, long to) {}
 
   final Terms terms;
-  final List<Seen> all;
-  final Map<String, Ask> asks = new LinkedHashMap<>();
+  final List<RecordEvent> all;
+  final Map<String, ViewerRequest> asks = new LinkedHashMap<>();
   final List<SetUp> setUps = new ArrayList<>();
   final Map<String, List<SetUp>> byViewing = new LinkedHashMap<>();
-  private final Map<Integer, List<Stop>> stops = new HashMap<>();
+  private final Map<Integer, List<Pause>> stops = new HashMap<>();
   private final Map<Integer, List<Long>> kills = new HashMap<>();
   private final Map<Integer, List<Long>> starts = new HashMap<>();
 
-  private Day(Terms terms, List<Seen> all) {
+  private TrafficRecord(Terms terms, List<RecordEvent> all) {
     this.terms = terms;
     this.all = all;
   }
 
-  static Day read(List<String> lines) throws BadRecord {
-    List<Seen> all = new ArrayList<>();
+  static TrafficRecord read(List<String> lines) throws InvalidRecordException {
+    List<RecordEvent> all = new ArrayList<>();
     long number = 0;
     long last = Long.MIN_VALUE;
     for (String line : lines) {
@@ -99,59 +99,59 @@
       try {
         n = JSON.readTree(line);
       } catch (JacksonException e) {
-        throw new BadRecord(number, "not JSON");
+        throw new InvalidRecordException(number, "not JSON");
       }
       if (!n.path("at").isIntegralNumber() || !n.path("what").isTextual()) {
-        throw new BadRecord(number, "a line needs `at`, microseconds, and `what`");
+        throw new InvalidRecordException(number, "a line needs `at`, microseconds, and `what`");
       }
       if (n.path("at").asLong() < last) {
-        throw new BadRecord(number, "earlier than the line before");
+        throw new InvalidRecordException(number, "earlier than the line before");
       }
       last = n.path("at").asLong();
-      all.add(new Seen(last, n.path("what").asText(), n));
+      all.add(new RecordEvent(last, n.path("what").asText(), n));
     }
     if (all.isEmpty() || !all.get(0).what().equals("terms")) {
-      throw new BadRecord(1, "a record begins with its terms");
+      throw new InvalidRecordException(1, "a record begins with its terms");
     }
-    Day day = new Day(Terms.read(all.get(0).fields()), all);
+    TrafficRecord day = new TrafficRecord(Terms.read(all.get(0).fields()), all);
     long line = 0;
-    for (Seen s : all) {
+    for (RecordEvent s : all) {
       line++;
       day.take(s, line);
     }
     return day;
   }
 
-  private void take(Seen s, long line) throws BadRecord {
+  private void take(RecordEvent s, long line) throws InvalidRecordException {
     switch (s.what()) {
       case "asked" -> asked(s, line);
       case "answered", "broke", "gave-up" -> askOf(s, "an answer to", line).ends.add(s);
       case "cut" -> askOf(s, "a cut of", line).cut = true;
       case "set-up" -> setUp(s, line);
       case "set-up-answered", "set-up-broken", "ended" -> ends(s);
-      case "box-lost" -> endSetUps(u -> u.box == s.whole("box"), s.at());
+      case "box-lost" -> endSetUps(u -> u.box == s.number("box"), s.at());
       case "front-stopped", "front-continued", "front-started", "front-killed" -> front(s);
       default -> {}
     }
   }
 
-  private void asked(Seen s, long line) throws BadRecord {
-    Ask a = new Ask();
+  private void asked(RecordEvent s, long line) throws InvalidRecordException {
+    ViewerRequest a = new ViewerRequest();
     a.id = s.text("ask");
     a.at = s.at();
-    a.front = (int) s.whole("front");
+    a.front = (int) s.number("front");
     a.key = s.text("key");
     a.pack = pack(s, line);
-    a.patience = s.whole("patienceMs") * 1000;
+    a.patience = s.number("patienceMs") * 1000;
     if (asks.put(a.id, a) != null) {
-      throw new BadRecord(line, "ask " + a.id + " stands twice");
+      throw new InvalidRecordException(line, "ask " + a.id + " stands twice");
     }
   }
 
-  private Ask askOf(Seen s, String what, long line) throws BadRecord {
-    Ask a = asks.get(s.text("ask"));
+  private ViewerRequest askOf(RecordEvent s, String what, long line) throws InvalidRecordException {
+    ViewerRequest a = asks.get(s.text("ask"));
     if (a == null) {
-      throw new BadRecord(line, what + " what was never asked: " + s.text("ask"));
+      throw new InvalidRecordException(line, what + " what was never asked: " + s.text("ask"));
     }
     return a;
   }
@@ -166,15 +166,15 @@
   }
 
   /** A front is stopped, goes on, is started or is killed. */
-  private void front(Seen s) {
-    int front = (int) s.whole("front");
+  private void front(RecordEvent s) {
+    int front = (int) s.number("front");
     switch (s.what()) {
       case "front-stopped" ->
-          stops.computeIfAbsent(front, f -> new ArrayList<>()).add(new Stop(s.at(), NEVER));
+          stops.computeIfAbsent(front, f -> new ArrayList<>()).add(new Pause(s.at(), NEVER));
       case "front-continued" -> {
-        List<Stop> of = stops.getOrDefault(front, List.of());
+        List<Pause> of = stops.getOrDefault(front, List.of());
         if (!of.isEmpty()) {
-          of.set(of.size() - 1, new Stop(of.get(of.size() - 1).from, s.at()));
+          of.set(of.size() - 1, new Pause(of.get(of.size() - 1).from, s.at()));
         }
       }
       case "front-started" -> starts.computeIfAbsent(front, f -> new ArrayList<>()).add(s.at());
@@ -185,33 +185,33 @@
     }
   }
 
-  private String pack(Seen s, long line) throws BadRecord {
+  private String pack(RecordEvent s, long line) throws InvalidRecordException {
     String name = s.text("package");
     if (!terms.packages().containsKey(name)) {
-      throw new BadRecord(line, "package " + name + " is not in the terms");
+      throw new InvalidRecordException(line, "package " + name + " is not in the terms");
     }
     return name;
   }
 
-  private void setUp(Seen s, long line) throws BadRecord {
+  private void setUp(RecordEvent s, long line) throws InvalidRecordException {
     SetUp u = new SetUp();
     u.at = s.at();
-    u.box = s.whole("box");
+    u.box = s.number("box");
     u.viewing = s.text("viewing");
-    u.front = (int) s.whole("front");
-    u.tuneIn = (int) s.whole("tuneIn");
+    u.front = (int) s.number("front");
+    u.tuneIn = (int) s.number("tuneIn");
     u.title = s.text("title");
     u.pack = pack(s, line);
-    u.rung = (int) s.whole("rung");
+    u.rung = (int) s.number("rung");
     u.key = s.text("key");
     setUps.add(u);
     byViewing.computeIfAbsent(u.viewing, v -> new ArrayList<>()).add(u);
   }
 
-  private void ends(Seen s) {
+  private void ends(RecordEvent s) {
     for (SetUp u : byViewing.getOrDefault(s.text("viewing"), List.of())) {
-      boolean same = u.box == s.whole("box");
-      if (s.what().equals("ended") ? !same : !same || u.tuneIn != s.whole("tuneIn")) {
+      boolean same = u.box == s.number("box");
+      if (s.what().equals("ended") ? !same : !same || u.tuneIn != s.number("tuneIn")) {
         continue;
       }
       if (s.what().equals("set-up-answered")) {
@@ -229,7 +229,7 @@
 
   /** When the front next ran, from this moment on. */
   long running(int front, long at) {
-    for (Stop s : stops.getOrDefault(front, List.of())) {
+    for (Pause s : stops.getOrDefault(front, List.of())) {
       if (s.from <= at && at < s.to) {
         return s.to;
       }
--- a/src/main/java/linengauge/rules/Verdict.java
+++ b/src/main/java/linengauge/rules/Verdict.java
@@ -34,20 +34,20 @@
     RULES.forEach(r -> checked.put(r, 0));
   }
 
-  void tried(String rule) {
+  void countCheck(String rule) {
     checked.merge(rule, 1, Integer::sum);
   }
 
-  void broken(String rule, long at, String viewing, long box, String what) {
+  void addBreach(String rule, long at, String viewing, long box, String what) {
     breaches.add(new Breach(rule, at, viewing, box, what));
   }
 
   /** How often the rule was tried; 0: the record says nothing of it. */
-  public int checked(String rule) {
+  public int checkCount(String rule) {
     return checked.get(rule);
   }
 
-  public long broken(String rule) {
+  public long breachCount(String rule) {
     return breaches.stream().filter(b -> b.rule.equals(rule)).count();
   }
 
--- a/src/test/java/linengauge/rehearsal/FleetDayTest.java
+++ b/src/test/java/linengauge/rehearsal/FleetDayTest.java
@@ -45,10 +45,11 @@
     assertEquals(List.of(), o.verdict().breaches(), o.line());
     assertEquals(0, o.count("left standing"), o.line());
     assertTrue(
-        o.verdict().checked("one-answer") > 1000 && o.verdict().checked("no-double-set-up") > 1000,
+        o.verdict().checkCount("one-answer") > 1000
+            && o.verdict().checkCount("no-double-set-up") > 1000,
         o.line());
     assertTrue(
-        shape != Shape.ROLL && shape != Shape.JOIN || o.verdict().checked("drains") > 1000,
+        shape != Shape.ROLL && shape != Shape.JOIN || o.verdict().checkCount("drains") > 1000,
         o.line());
     assertTrue(shape != Shape.HERD || o.count("handed over") > 1200, o.line());
   }
@@ -186,6 +187,6 @@
 
   private static long broken(List<String> record, String rule) throws Exception {
     Verdict v = Judge.judge(record);
-    return v.broken(rule);
+    return v.breachCount(rule);
   }
 }
--- a/src/test/java/linengauge/rules/HoldersTest.java
+++ b/src/test/java/linengauge/rules/AddressOwnershipJudgeTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The judge of shared addresses, fed records that are in order and records that are not. */
-class HoldersTest {
+class AddressOwnershipJudgeTest {
   private final List<String> record = new ArrayList<>();
 
   private void saw(long ms, String what, String more) {
@@ -26,9 +26,9 @@
     saw(ms, "announced", ",\"node\":" + node + ",\"vrid\":1");
   }
 
-  private Holders.Outcome judged() throws BadRecord {
+  private AddressOwnershipJudge.Outcome judged() throws InvalidRecordException {
     record.sort((a, b) -> Long.compare(at(a), at(b)));
-    return Holders.judge(record, 100, 150, 500);
+    return AddressOwnershipJudge.judge(record, 100, 150, 500);
   }
 
   private static long at(String line) {
@@ -36,21 +36,22 @@
   }
 
   @Test
-  void aHandoverInOrderIsNoBreach() throws BadRecord {
+  void aHandoverInOrderIsNoBreach() throws InvalidRecordException {
     saw(0, "pair-quiet", "");
     announced(0, 0);
     claims(0, 10, 1000);
     announced(1, 1000);
     claims(1, 1010, 2000);
-    Holders.Outcome o = judged();
+    AddressOwnershipJudge.Outcome o = judged();
     assertEquals(List.of(), o.breaches);
     assertEquals(20, o.claims);
     assertEquals(1, o.handovers);
-    assertTrue(o.bothMost <= 0, "both " + o.bothMost);
+    assertTrue(o.longestOverlapMicros <= 0, "both " + o.longestOverlapMicros);
   }
 
   @Test
-  void twoThatClaimOneAddressInQuietTimesAreABreachAndInASplitAreNot() throws BadRecord {
+  void twoThatClaimOneAddressInQuietTimesAreABreachAndInASplitAreNot()
+      throws InvalidRecordException {
     saw(0, "pair-trouble", "");
     claims(0, 10, 2000);
     claims(1, 60, 1050);
@@ -60,13 +61,13 @@
     saw(0, "pair-quiet", "");
     claims(0, 10, 2000);
     claims(1, 60, 1050);
-    Holders.Outcome o = judged();
+    AddressOwnershipJudge.Outcome o = judged();
     assertTrue(o.breaches.size() > 3, "breaches " + o.breaches);
-    assertTrue(o.bothMost >= 900_000, "both " + o.bothMost);
+    assertTrue(o.longestOverlapMicros >= 900_000, "both " + o.longestOverlapMicros);
   }
 
   @Test
-  void anAddressThatNobodyClaimsIsABreach() throws BadRecord {
+  void anAddressThatNobodyClaimsIsABreach() throws InvalidRecordException {
     saw(0, "pair-quiet", "");
     claims(0, 10, 1000);
     claims(1, 2000, 2100);
@@ -74,7 +75,7 @@
   }
 
   @Test
-  void aNodeThatClaimsAsItWakesIsABreachWhereAnotherHasTheAddress() throws BadRecord {
+  void aNodeThatClaimsAsItWakesIsABreachWhereAnotherHasTheAddress() throws InvalidRecordException {
     saw(0, "pair-trouble", "");
     announced(0, 5);
     claims(0, 10, 100);
@@ -85,25 +86,26 @@
     assertEquals(1, judged().breaches.size());
     record.removeIf(l -> at(l) == 2_010_000);
     claims(0, 3000, 3050);
-    Holders.Outcome o = judged();
+    AddressOwnershipJudge.Outcome o = judged();
     assertEquals(List.of(), o.breaches);
-    assertEquals(1, o.woken);
+    assertEquals(1, o.resumedNodes);
   }
 
   @Test
-  void aRequestAnsweredTwiceOrByAnotherFrontIsCounted() throws BadRecord {
+  void aRequestAnsweredTwiceOrByAnotherFrontIsCounted() throws InvalidRecordException {
     saw(1, "answered", ",\"ask\":\"a\",\"front\":0,\"viewing\":\"0-x-1\"");
     saw(2, "answered", ",\"ask\":\"b\",\"front\":1,\"viewing\":null");
     assertEquals(0, judged().answeredTwice + judged().answeredByOther);
     saw(3, "answered", ",\"ask\":\"a\",\"front\":0,\"viewing\":\"0-x-1\"");
     saw(4, "answered", ",\"ask\":\"c\",\"front\":0,\"viewing\":\"1-x-1\"");
-    Holders.Outcome o = judged();
+    AddressOwnershipJudge.Outcome o = judged();
     assertEquals(List.of(3L, 1L, 1L), List.of(o.answered, o.answeredTwice, o.answeredByOther));
   }
 
   @Test
   void aLineThatIsNotJsonIsRefused() {
     record.add("nonsense");
-    assertThrows(BadRecord.class, () -> Holders.judge(record, 100, 150, 500));
+    assertThrows(
+        InvalidRecordException.class, () -> AddressOwnershipJudge.judge(record, 100, 150, 500));
   }
 }
--- a/src/test/java/linengauge/rules/JudgeTest.java
+++ b/src/test/java/linengauge/rules/JudgeTest.java
@@ -99,7 +99,7 @@
           .forEach(l -> text.add(l.text));
       try {
         return Judge.judge(text);
-      } catch (BadRecord e) {
+      } catch (InvalidRecordException e) {
         throw new AssertionError(e);
       }
     }
@@ -125,7 +125,7 @@
 
   private static void breaks(Pen record, String rule, String what) {
     Verdict v = record.judged();
-    assertEquals(1, v.broken(rule), v.breaches().toString());
+    assertEquals(1, v.breachCount(rule), v.breaches().toString());
     assertEquals(1, v.breaches().size(), v.breaches().toString());
     assertTrue(v.breaches().get(0).what().contains(what), v.breaches().toString());
   }
@@ -134,7 +134,7 @@
   void aSoundRecordBreaksNothingAndTriesEveryRule() {
     Verdict v = sound().judged();
     assertEquals(List.of(), v.breaches());
-    Verdict.RULES.forEach(r -> assertTrue(v.checked(r) > 0, r));
+    Verdict.RULES.forEach(r -> assertTrue(v.checkCount(r) > 0, r));
   }
 
   @Test
@@ -342,9 +342,10 @@
             "{\"at\":\"5\"}",
             "{\"at\":-1,\"what\":\"told\"}",
             "{\"at\":5,\"what\":\"answered\",\"ask\":\"nobody\"}")) {
-      BadRecord e = assertThrows(BadRecord.class, () -> Judge.judge(List.of(TERMS, bad)), bad);
+      InvalidRecordException e =
+          assertThrows(InvalidRecordException.class, () -> Judge.judge(List.of(TERMS, bad)), bad);
       assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     }
-    assertThrows(BadRecord.class, () -> Judge.judge(List.of()));
+    assertThrows(InvalidRecordException.class, () -> Judge.judge(List.of()));
   }
 }
--- a/src/test/java/linengauge/session/CoreStage.java
+++ b/src/test/java/linengauge/session/CoreStage.java
@@ -10,7 +10,7 @@
 import linengauge.Outside;
 import linengauge.PackageTerms;
 import linengauge.Span;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 
@@ -437,7 +437,7 @@
   Verdict judged() {
     try {
       return Judge.judge(record);
-    } catch (BadRecord e) {
+    } catch (InvalidRecordException e) {
       throw new AssertionError(e);
     }
   }
--- a/src/test/java/linengauge/session/DeskTest.java
+++ b/src/test/java/linengauge/session/DeskTest.java
@@ -76,7 +76,8 @@
     }
     s.pass(Span.ofSeconds(20));
     assertEquals(List.of(), s.judged().breaches());
-    assertTrue(s.judged().checked("one-answer") > 100 && played > 20, "hardly anything happened");
+    assertTrue(
+        s.judged().checkCount("one-answer") > 100 && played > 20, "hardly anything happened");
     for (CoreStage.Front f : s.fronts) {
       assertNull(f.failure);
       assertEquals(
@@ -134,7 +135,7 @@
         "paid, yet free to go elsewhere: it never ran");
     s.pass(Span.ofSeconds(2));
     assertEquals("plays", w.answer);
-    assertEquals(0, s.judged().broken("drains"));
+    assertEquals(0, s.judged().breachCount("drains"));
   }
 
   /**
@@ -176,7 +177,7 @@
     CoreStage.Watcher w = s.fronts.get(0).ask(2, "t", PATIENCE, null);
     s.pass(Span.ofSeconds(4));
     assertEquals("aborted", w.answer);
-    assertEquals(1, s.judged().checked("no-double-set-up"));
+    assertEquals(1, s.judged().checkCount("no-double-set-up"));
   }
 
   @Test
@@ -256,7 +257,7 @@
     w.held.abort();
     w.held.block(Span.NONE, Outside.Refusal.NO_SERVER);
     assertEquals("plays", w.answer);
-    assertEquals(0, s.judged().broken("one-answer"));
+    assertEquals(0, s.judged().breachCount("one-answer"));
   }
 
   @Test
@@ -352,8 +353,8 @@
       s.change(0, BoxTable.State.SERVING);
     }
     s.pass(Span.ofSeconds(1));
-    assertTrue(s.judged().checked("cold-boxes") > 0);
-    assertEquals(0, s.judged().broken("cold-boxes"));
+    assertTrue(s.judged().checkCount("cold-boxes") > 0);
+    assertEquals(0, s.judged().breachCount("cold-boxes"));
   }
 
   @Test
