--- a/src/main/java/linengauge/rules/AddressOwnershipJudge.java
+++ b/src/main/java/linengauge/rules/AddressOwnershipJudge.java
@@ -56,22 +56,22 @@
   }
 
   private final long interval;
-  private final long bothBound;
-  private final long noneBound;
-  private final Outcome out = new Outcome();
+  private final long overlapLimit;
+  private final long gapLimit;
+  private final Outcome outcome = new Outcome();
   private final Map<String, Claim> claims = new HashMap<>();
   private final Map<Long, Long> lastByVrid = new HashMap<>();
-  private final Map<Long, Long> holder = new HashMap<>();
+  private final Map<Long, Long> ownerByVrid = new HashMap<>();
   private final Map<Long, Long> stoppedAt = new HashMap<>();
-  private final Map<Long, Long> wokeAt = new HashMap<>();
+  private final Map<Long, Long> resumedAt = new HashMap<>();
   private final Set<String> answers = new HashSet<>();
   private boolean quiet;
   private long quietSince;
 
-  private AddressOwnershipJudge(long intervalMicros, long bothBound, long noneBound) {
+  private AddressOwnershipJudge(long intervalMicros, long overlapLimit, long gapLimit) {
     this.interval = intervalMicros;
-    this.bothBound = bothBound;
-    this.noneBound = noneBound;
+    this.overlapLimit = overlapLimit;
+    this.gapLimit = gapLimit;
   }
 
   /**
@@ -82,91 +82,96 @@
    *     network has healed
    * @param noneMs how long none may claim one in quiet times
    */
-  public static Outcome judge(List<String> lines, long intervalMs, long bothMs, long noneMs)
+  public static Outcome judge(
+      List<String> lines, long intervalMs, long overlapLimitMs, long gapLimitMs)
       throws InvalidRecordException {
-    AddressOwnershipJudge h =
-        new AddressOwnershipJudge(1000 * intervalMs, 1000 * bothMs, 1000 * noneMs);
+    AddressOwnershipJudge judge =
+        new AddressOwnershipJudge(1000 * intervalMs, 1000 * overlapLimitMs, 1000 * gapLimitMs);
     long number = 0;
     for (String line : lines) {
       number++;
       try {
-        h.take(JSON.readTree(line));
+        judge.add(JSON.readTree(line));
       } catch (JacksonException e) {
         throw new InvalidRecordException(number, "not JSON");
       }
     }
-    return h.out;
+    return judge.outcome;
   }
 
-  private void take(JsonNode l) {
-    long at = l.path("at").asLong();
-    switch (l.path("what").asText()) {
+  private void add(JsonNode event) {
+    long at = event.path("at").asLong();
+    switch (event.path("what").asText()) {
       case "pair-trouble" -> quiet = false;
       case "pair-quiet" -> {
         quiet = true;
         quietSince = at;
         lastByVrid.replaceAll((v, t) -> at);
       }
-      case "front-stopped" -> stoppedAt.put(l.path("front").asLong(), at);
-      case "front-continued" -> wokeAt.put(l.path("front").asLong(), at);
-      case "announced" -> announced(l.path("vrid").asLong(), l.path("node").asLong(), at);
+      case "front-stopped" -> stoppedAt.put(event.path("front").asLong(), at);
+      case "front-continued" -> resumedAt.put(event.path("front").asLong(), at);
+      case "announced" ->
+          onAnnouncement(event.path("vrid").asLong(), event.path("node").asLong(), at);
       case "answered" ->
-          answered(l.path("ask").asText(), l.path("viewing").asText(""), l.path("front").asLong());
+          onAnswer(
+              event.path("ask").asText(),
+              event.path("viewing").asText(""),
+              event.path("front").asLong());
       case "advert" -> {
-        if (l.path("priority").asInt() > 0) {
-          claimed(l.path("vrid").asLong(), l.path("node").asLong(), at);
+        if (event.path("priority").asInt() > 0) {
+          onClaim(event.path("vrid").asLong(), event.path("node").asLong(), at);
         }
       }
       default -> {}
     }
   }
 
-  private void announced(long vrid, long node, long at) {
-    Long before = holder.put(vrid, node);
-    if (before != null && before != node) {
-      out.handovers++;
-      out.handoversAt.computeIfAbsent(vrid, v -> new ArrayList<>()).add(at);
+  private void onAnnouncement(long vrid, long node, long at) {
+    Long previous = ownerByVrid.put(vrid, node);
+    if (previous != null && previous != node) {
+      outcome.handovers++;
+      outcome.handoversAt.computeIfAbsent(vrid, v -> new ArrayList<>()).add(at);
     }
   }
 
   /** The front of a viewing stands first in its id. */
-  private void answered(String ask, String viewing, long front) {
+  private void onAnswer(String ask, String viewing, long front) {
     if (answers.add(ask)) {
-      out.answered++;
+      outcome.answered++;
     } else {
-      out.answeredTwice++;
+      outcome.answeredTwice++;
     }
-    out.answeredByOther += viewing.contains("-") && !viewing.startsWith(front + "-") ? 1 : 0;
+    outcome.answeredByOther += viewing.contains("-") && !viewing.startsWith(front + "-") ? 1 : 0;
   }
 
-  private void claimed(long vrid, long node, long at) {
-    woken(vrid, node, at);
-    Claim mine = claims.computeIfAbsent(vrid + "/" + node, k -> new Claim());
-    if (at - mine.last > 3 * interval) {
-      mine.since = at;
+  private void onClaim(long vrid, long node, long at) {
+    checkAfterResume(vrid, node, at);
+    Claim claim = claims.computeIfAbsent(vrid + "/" + node, k -> new Claim());
+    if (at - claim.last > 3 * interval) {
+      claim.since = at;
     }
-    mine.last = at;
+    claim.last = at;
     Long last = lastByVrid.put(vrid, at);
     if (!quiet) {
       return;
     }
-    out.claims++;
+    outcome.claims++;
     if (last != null) {
-      out.gaps++;
-      long none = at - Math.max(last, quietSince);
-      out.longestGapMicros = Math.max(out.longestGapMicros, none);
-      if (none > noneBound) {
-        out.breaches.add(
-            at + " address " + vrid + ": nobody claimed it for " + none / 1000 + " ms");
+      outcome.gaps++;
+      long gap = at - Math.max(last, quietSince);
+      outcome.longestGapMicros = Math.max(outcome.longestGapMicros, gap);
+      if (gap > gapLimit) {
+        outcome.breaches.add(
+            at + " address " + vrid + ": nobody claimed it for " + gap / 1000 + " ms");
       }
     }
     claims.forEach(
         (key, other) -> {
-          if (other != mine && key.startsWith(vrid + "/") && other.last >= mine.since) {
-            long both = other.last - Math.max(Math.max(mine.since, other.since), quietSince);
-            out.longestOverlapMicros = Math.max(out.longestOverlapMicros, both);
-            if (both > bothBound) {
-              out.breaches.add(
+          if (other != claim && key.startsWith(vrid + "/") && other.last >= claim.since) {
+            long overlap = other.last - Math.max(Math.max(claim.since, other.since), quietSince);
+            outcome.longestOverlapMicros = Math.max(outcome.longestOverlapMicros, overlap);
+            if (overlap > overlapLimit) {
+              outcome.breaches.add(
                   at
                       + " address "
                       + vrid
@@ -175,7 +180,7 @@
                       + " and "
                       + node
                       + " for "
-                      + both / 1000
+                      + overlap / 1000
                       + " ms");
             }
           }
@@ -186,27 +191,27 @@
    * A node that stood still for over three intervals, and another has the address: it must have
    * stepped down first.
    */
-  private void woken(long vrid, long node, long at) {
-    Long woke = wokeAt.get(node);
+  private void checkAfterResume(long vrid, long node, long at) {
+    Long resumed = resumedAt.get(node);
     Long stopped = stoppedAt.get(node);
-    if (woke == null || stopped == null) {
+    if (resumed == null || stopped == null) {
       return;
     }
-    boolean another = holder.getOrDefault(vrid, node) != node;
-    if (woke - stopped > 4 * interval && at - woke < 2 * interval && another) {
-      out.breaches.add(
+    boolean ownedByOther = ownerByVrid.getOrDefault(vrid, node) != node;
+    if (resumed - stopped > 4 * interval && at - resumed < 2 * interval && ownedByOther) {
+      outcome.breaches.add(
           at
               + " address "
               + vrid
               + ": node "
               + node
               + " claimed it "
-              + (at - woke) / 1000
+              + (at - resumed) / 1000
               + " ms after it woke, and another has it");
     }
-    if (at - woke >= 2 * interval) {
-      out.resumedNodes++;
-      wokeAt.remove(node);
+    if (at - resumed >= 2 * interval) {
+      outcome.resumedNodes++;
+      resumedAt.remove(node);
     }
   }
 }
--- a/src/main/java/linengauge/rules/Judge.java
+++ b/src/main/java/linengauge/rules/Judge.java
@@ -17,57 +17,65 @@
   private static final String NO_DOUBLE_SET_UP = "no-double-set-up";
   private static final Set<String> ANSWERS = Set.of("plays", "blocked", "aborted");
 
-  private final TrafficRecord day;
+  private final TrafficRecord record;
   private final Verdict verdict = new Verdict();
 
-  private Judge(TrafficRecord day) {
-    this.day = day;
+  private Judge(TrafficRecord record) {
+    this.record = record;
   }
 
   /** Judges a record, one JSON object a line. */
   public static Verdict judge(List<String> lines) throws InvalidRecordException {
-    Judge j = new Judge(TrafficRecord.read(lines));
-    j.oneAnswer();
-    j.noDoubleSetUp();
-    j.drains();
-    j.coldBoxes();
-    j.floors();
-    j.seats();
-    j.furtherTuneIns();
-    return j.verdict;
+    Judge judge = new Judge(TrafficRecord.read(lines));
+    judge.checkOneAnswer();
+    judge.checkNoDoubleSetUp();
+    judge.checkDrains();
+    judge.checkColdBoxes();
+    judge.checkRungLimits();
+    judge.checkSeats();
+    judge.checkRetryBudget();
+    return judge.verdict;
   }
 
   /**
    * Rule 1. A request counts as taken unless its front was dead or killed, or stood still past the
    * viewer's patience.
    */
-  private void oneAnswer() {
-    for (TrafficRecord.ViewerRequest a : day.asks.values()) {
-      if (hadNoFront(a)) {
-        judgeAnswersOfKilled(a);
-      } else if (isTaken(a)) {
+  private void checkOneAnswer() {
+    for (TrafficRecord.ViewerRequest request : record.requests.values()) {
+      if (hadNoRunningFront(request)) {
+        checkAnswersOfKilledFront(request);
+      } else if (isTaken(request)) {
         verdict.countCheck(ONE_ANSWER);
-        String wrong = wrongAnswer(a);
-        if (wrong != null) {
-          verdict.addBreach(ONE_ANSWER, a.at, a.id, 0, wrong);
+        String fault = answerFault(request);
+        if (fault != null) {
+          verdict.addBreach(ONE_ANSWER, request.at, request.id, 0, fault);
         }
       }
     }
   }
 
   /** Its front was dead, or killed before the request was over. */
-  private boolean hadNoFront(TrafficRecord.ViewerRequest a) {
-    long patienceEnds = a.at + a.patience;
-    long last = a.ends.isEmpty() ? patienceEnds : a.ends.get(a.ends.size() - 1).at();
-    return day.down(a.front, a.at)
-        || day.killedWithin(a.front, a.at, Math.max(last, patienceEnds) + day.terms.slack());
+  private boolean hadNoRunningFront(TrafficRecord.ViewerRequest request) {
+    long deadline = request.at + request.timeLimit;
+    long last =
+        request.outcomes.isEmpty()
+            ? deadline
+            : request.outcomes.get(request.outcomes.size() - 1).at();
+    return record.isDown(request.front, request.at)
+        || record.wasKilledWithin(
+            request.front, request.at, Math.max(last, deadline) + record.terms.slack());
   }
 
-  private void judgeAnswersOfKilled(TrafficRecord.ViewerRequest a) {
-    long answers = a.ends.stream().filter(e -> e.what().equals("answered")).count();
+  private void checkAnswersOfKilledFront(TrafficRecord.ViewerRequest request) {
+    long answers = request.outcomes.stream().filter(e -> e.what().equals("answered")).count();
     if (answers > 1) {
       verdict.addBreach(
-          ONE_ANSWER, a.at, a.id, 0, "answered " + answers + " times by a front since killed");
+          ONE_ANSWER,
+          request.at,
+          request.id,
+          0,
+          "answered " + answers + " times by a front since killed");
     }
   }
 
@@ -75,28 +83,31 @@
    * Its front did not stand still past the viewer's patience, and the network did not break it as
    * the shared address went to another front.
    */
-  private boolean isTaken(TrafficRecord.ViewerRequest a) {
-    long patienceEnds = a.at + a.patience;
-    boolean cut = a.cut && a.ends.size() == 1 && !a.ends.get(0).what().equals("answered");
-    return day.running(a.front, patienceEnds) == patienceEnds && !cut;
+  private boolean isTaken(TrafficRecord.ViewerRequest request) {
+    long deadline = request.at + request.timeLimit;
+    boolean cut =
+        request.cutByNetwork
+            && request.outcomes.size() == 1
+            && !request.outcomes.get(0).what().equals("answered");
+    return record.nextRunningAt(request.front, deadline) == deadline && !cut;
   }
 
   /** What is wrong with how the request ended, or null. */
-  private String wrongAnswer(TrafficRecord.ViewerRequest a) {
-    if (a.ends.size() != 1) {
-      return a.ends.size() + " ends of one request";
+  private String answerFault(TrafficRecord.ViewerRequest request) {
+    if (request.outcomes.size() != 1) {
+      return request.outcomes.size() + " ends of one request";
     }
-    RecordEvent end = a.ends.get(0);
+    RecordEvent end = request.outcomes.get(0);
     String how = end.text("how");
-    long patienceEnds = a.at + a.patience;
+    long deadline = request.at + request.timeLimit;
     if (!end.what().equals("answered")) {
       return "no answer: " + end.what();
     }
     if (how == null || !ANSWERS.contains(how)) {
       return "an unclear answer: " + end.text("status");
     }
-    if (end.at() > patienceEnds + day.terms.slack()) {
-      return "answered " + (end.at() - patienceEnds) / 1000 + " ms after the viewer's patience";
+    if (end.at() > deadline + record.terms.slack()) {
+      return "answered " + (end.at() - deadline) / 1000 + " ms after the viewer's patience";
     }
     return how.equals("plays") && !isPlayed(end.text("viewing"))
         ? "said to play, and no box plays it"
@@ -104,101 +115,110 @@
   }
 
   private boolean isPlayed(String viewing) {
-    return day.byViewing.getOrDefault(viewing, List.of()).stream()
-        .anyMatch(u -> "plays".equals(u.how));
+    return record.byViewing.getOrDefault(viewing, List.of()).stream()
+        .anyMatch(setUp -> "plays".equals(setUp.answer));
   }
 
   /** Rule 2. */
-  private void noDoubleSetUp() {
-    day.byViewing.values().forEach(this::judgeSetUpsOfOneViewing);
+  private void checkNoDoubleSetUp() {
+    record.byViewing.values().forEach(this::checkSetUpsOfViewing);
     Map<String, List<TrafficRecord.SetUp>> byKey = new HashMap<>();
-    day.setUps.forEach(
-        u -> byKey.computeIfAbsent(u.key + "@" + u.front, k -> new ArrayList<>()).add(u));
-    for (TrafficRecord.ViewerRequest a : day.asks.values()) {
-      if (day.terms.packages().get(a.pack).paid()
-          && !a.ends.isEmpty()
-          && "blocked".equals(a.ends.get(0).text("how"))) {
-        judgeBlockedThoughPaid(a, byKey.getOrDefault(a.key + "@" + a.front, List.of()));
+    record.setUps.forEach(
+        setUp ->
+            byKey
+                .computeIfAbsent(setUp.key + "@" + setUp.front, k -> new ArrayList<>())
+                .add(setUp));
+    for (TrafficRecord.ViewerRequest request : record.requests.values()) {
+      if (record.terms.packages().get(request.pack).paid()
+          && !request.outcomes.isEmpty()
+          && "blocked".equals(request.outcomes.get(0).text("how"))) {
+        checkRejectedDespitePayment(
+            request, byKey.getOrDefault(request.key + "@" + request.front, List.of()));
       }
     }
   }
 
-  private void judgeSetUpsOfOneViewing(List<TrafficRecord.SetUp> setUps) {
+  private void checkSetUpsOfViewing(List<TrafficRecord.SetUp> setUps) {
     Set<Integer> numbers = new HashSet<>();
     for (int i = 0; i < setUps.size(); i++) {
-      TrafficRecord.SetUp u = setUps.get(i);
+      TrafficRecord.SetUp setUp = setUps.get(i);
       verdict.countCheck(NO_DOUBLE_SET_UP);
-      if (!numbers.add(u.tuneIn)) {
-        breaksNoDoubleSetUp(u.at, u, "tune-in " + u.tuneIn + " was sent twice");
+      if (!numbers.add(setUp.tuneIn)) {
+        addDoubleSetUpBreach(setUp.at, setUp, "tune-in " + setUp.tuneIn + " was sent twice");
       }
       for (TrafficRecord.SetUp earlier : setUps.subList(0, i)) {
-        if (earlier.noLongerOut() > u.at + day.terms.slack()) {
-          breaksNoDoubleSetUp(u.at, u, "two tune-ins out: the other at box " + earlier.box);
+        if (earlier.pendingUntil() > setUp.at + record.terms.slack()) {
+          addDoubleSetUpBreach(
+              setUp.at, setUp, "two tune-ins out: the other at box " + earlier.box);
         }
-        if (day.terms.packages().get(u.pack).paid() && !earlier.provablyNeverRan()) {
-          breaksNoDoubleSetUp(u.at, u, "set up again though paid for at box " + earlier.box);
+        if (record.terms.packages().get(setUp.pack).paid() && !earlier.provablyNeverRan()) {
+          addDoubleSetUpBreach(
+              setUp.at, setUp, "set up again though paid for at box " + earlier.box);
         }
       }
     }
   }
 
-  private void judgeBlockedThoughPaid(
-      TrafficRecord.ViewerRequest a, List<TrafficRecord.SetUp> ofItsKey) {
+  private void checkRejectedDespitePayment(
+      TrafficRecord.ViewerRequest request, List<TrafficRecord.SetUp> setUpsOfKey) {
     verdict.countCheck(NO_DOUBLE_SET_UP);
-    long answered = a.ends.get(0).at();
-    for (TrafficRecord.SetUp u : ofItsKey) {
-      if (u.at >= a.at && u.at <= answered && !u.provablyNeverRan()) {
-        breaksNoDoubleSetUp(answered, u, "blocked, though paid for and perhaps set up");
+    long answered = request.outcomes.get(0).at();
+    for (TrafficRecord.SetUp setUp : setUpsOfKey) {
+      if (setUp.at >= request.at && setUp.at <= answered && !setUp.provablyNeverRan()) {
+        addDoubleSetUpBreach(answered, setUp, "blocked, though paid for and perhaps set up");
       }
     }
   }
 
-  private void breaksNoDoubleSetUp(long at, TrafficRecord.SetUp u, String why) {
-    verdict.addBreach(NO_DOUBLE_SET_UP, at, u.viewing, u.box, why);
+  private void addDoubleSetUpBreach(long at, TrafficRecord.SetUp setUp, String why) {
+    verdict.addBreach(NO_DOUBLE_SET_UP, at, setUp.viewing, setUp.box, why);
   }
 
   /**
    * Rule 3. A front hears when it runs; a whole list that no longer names a box says that it is
    * gone.
    */
-  private void drains() {
+  private void checkDrains() {
     String rule = "drains";
     Map<String, Long> notServing = new HashMap<>();
     Map<Integer, Set<Long>> known = new HashMap<>();
-    for (RecordEvent s : day.all) {
-      int front = (int) s.number("front");
-      switch (s.what()) {
+    for (RecordEvent event : record.events) {
+      int front = (int) event.number("front");
+      switch (event.what()) {
         case "front-started" -> {
           notServing.keySet().removeIf(k -> k.startsWith(front + "/"));
           known.remove(front);
         }
         case "told" ->
-            told(
+            updateBoxState(
                 notServing,
                 known,
                 front,
-                s.number("box"),
-                s.at(),
-                s.text("state").equals("serving"));
+                event.number("box"),
+                event.at(),
+                event.text("state").equals("serving"));
         case "told-whole" -> {
           Set<Long> named = new HashSet<>();
-          s.fields().path("boxes").forEach(b -> named.add(b.asLong()));
+          event.fields().path("boxes").forEach(b -> named.add(b.asLong()));
           for (long box : List.copyOf(known.getOrDefault(front, Set.of()))) {
             if (!named.contains(box)) {
-              told(notServing, known, front, box, s.at(), false);
+              updateBoxState(notServing, known, front, box, event.at(), false);
             }
           }
         }
         case "set-up" -> {
-          Long since = notServing.get(front + "/" + s.number("box"));
+          Long since = notServing.get(front + "/" + event.number("box"));
           if (since != null
-              && s.at() > day.running(front, since) + day.terms.grace() + day.terms.slack()) {
+              && event.at()
+                  > record.nextRunningAt(front, since)
+                      + record.terms.grace()
+                      + record.terms.slack()) {
             verdict.addBreach(
                 rule,
-                s.at(),
-                s.text("viewing"),
-                s.number("box"),
-                "sent " + (s.at() - since) / 1000 + " ms after it was told not to serve");
+                event.at(),
+                event.text("viewing"),
+                event.number("box"),
+                "sent " + (event.at() - since) / 1000 + " ms after it was told not to serve");
           }
         }
         default -> {}
@@ -206,7 +226,7 @@
     }
   }
 
-  private void told(
+  private void updateBoxState(
       Map<String, Long> notServing,
       Map<Integer, Set<Long>> known,
       int front,
@@ -225,47 +245,47 @@
    * Rule 4. In no window of the fall's length may all fronts together send more than the multiple
    * of the pace.
    */
-  private void coldBoxes() {
+  private void checkColdBoxes() {
     String rule = "cold-boxes";
     Map<Long, long[]> cold = new HashMap<>();
     Map<Long, List<Long>> sends = new HashMap<>();
-    for (RecordEvent s : day.all) {
-      long box = s.number("box");
-      if (s.what().equals("box-started")) {
+    for (RecordEvent event : record.events) {
+      long box = event.number("box");
+      if (event.what().equals("box-started")) {
         sends.remove(box);
         cold.remove(box);
-        if (s.fields().path("cold").asBoolean()) {
-          cold.put(box, new long[] {s.at(), s.number("streams")});
+        if (event.fields().path("cold").asBoolean()) {
+          cold.put(box, new long[] {event.at(), event.number("streams")});
         }
-      } else if (s.what().equals("box-fell")) {
-        verdict.addBreach(rule, s.at(), "all", box, "the box fell over");
-      } else if (s.what().equals("set-up") && cold.containsKey(box)) {
+      } else if (event.what().equals("box-fell")) {
+        verdict.addBreach(rule, event.at(), "all", box, "the box fell over");
+      } else if (event.what().equals("set-up") && cold.containsKey(box)) {
         long[] start = cold.get(box);
-        if (s.at() - start[0] >= day.terms.cold()) {
+        if (event.at() - start[0] >= record.terms.cold()) {
           cold.remove(box);
           continue;
         }
         verdict.countCheck(rule);
-        List<Long> of = sends.computeIfAbsent(box, b -> new ArrayList<>());
-        of.add(s.at());
-        long from = s.at() - day.terms.fallAfter();
-        of.removeIf(at -> at < from);
-        double most =
+        List<Long> recentSends = sends.computeIfAbsent(box, b -> new ArrayList<>());
+        recentSends.add(event.at());
+        long from = event.at() - record.terms.fallAfter();
+        recentSends.removeIf(at -> at < from);
+        double limit =
             Math.max(
                 1,
-                day.terms.fallMultiple()
+                record.terms.fallMultiple()
                     * start[1]
-                    * warmed(Math.max(0, from - start[0]), s.at() - start[0])
-                    / day.terms.cold());
-        if (of.size() > most) {
+                    * warmCapacity(Math.max(0, from - start[0]), event.at() - start[0])
+                    / record.terms.cold());
+        if (recentSends.size() > limit) {
           verdict.addBreach(
               rule,
-              s.at(),
-              s.text("viewing"),
+              event.at(),
+              event.text("viewing"),
               box,
-              of.size()
+              recentSends.size()
                   + " set-ups in a window of "
-                  + String.format(java.util.Locale.ROOT, "%.1f", most));
+                  + String.format(java.util.Locale.ROOT, "%.1f", limit));
         }
       }
     }
@@ -275,37 +295,42 @@
    * The share warmed, summed over a window of a cold box's age, microseconds. A window that began
    * before it counts whole.
    */
-  private double warmed(long from, long to) {
-    double start = day.terms.startCapacity();
-    double middle = start + (1 - start) * ((from + to) / 2.0) / day.terms.cold();
-    return Math.min(1, middle) * day.terms.fallAfter();
+  private double warmCapacity(long from, long to) {
+    double start = record.terms.startCapacity();
+    double middle = start + (1 - start) * ((from + to) / 2.0) / record.terms.cold();
+    return Math.min(1, middle) * record.terms.fallAfter();
   }
 
   /** Rule 5, the rungs. */
-  private void floors() {
+  private void checkRungLimits() {
     Map<String, Terms.Pack> packs = new HashMap<>();
-    for (RecordEvent s : day.all) {
-      boolean setUp = s.what().equals("set-up");
-      if (!setUp && !s.what().equals("rung")) {
+    for (RecordEvent event : record.events) {
+      boolean isSetUp = event.what().equals("set-up");
+      if (!isSetUp && !event.what().equals("rung")) {
         continue;
       }
-      if (setUp) {
-        packs.put(s.text("viewing"), day.terms.packages().get(s.text("package")));
+      if (isSetUp) {
+        packs.put(event.text("viewing"), record.terms.packages().get(event.text("package")));
       }
-      Terms.Pack p = packs.get(s.text("viewing"));
-      if (p == null) {
+      Terms.Pack limits = packs.get(event.text("viewing"));
+      if (limits == null) {
         continue;
       }
-      if (p.lowest() > 0) {
+      if (limits.lowest() > 0) {
         verdict.countCheck("terms");
       }
-      if (s.number("rung") < p.lowest() || s.number("rung") > p.highest()) {
+      if (event.number("rung") < limits.lowest() || event.number("rung") > limits.highest()) {
         verdict.addBreach(
             "terms",
-            s.at(),
-            s.text("viewing"),
-            s.number("box"),
-            "rung " + s.number("rung") + " of a package with " + p.lowest() + " to " + p.highest());
+            event.at(),
+            event.text("viewing"),
+            event.number("box"),
+            "rung "
+                + event.number("rung")
+                + " of a package with "
+                + limits.lowest()
+                + " to "
+                + limits.highest());
       }
     }
   }
@@ -314,61 +339,66 @@
    * Rule 5, the seats: viewings of one title and package that one life of a front holds, set-ups
    * counted.
    */
-  private void seats() {
+  private void checkSeats() {
     Map<String, List<TrafficRecord.SetUp>> held = new HashMap<>();
-    for (TrafficRecord.SetUp u : day.setUps) {
-      int seats = day.terms.packages().get(u.pack).seats();
+    for (TrafficRecord.SetUp setUp : record.setUps) {
+      int seats = record.terms.packages().get(setUp.pack).seats();
       if (seats <= 0) {
         continue;
       }
       verdict.countCheck("terms");
-      List<TrafficRecord.SetUp> of =
-          held.computeIfAbsent(u.life() + "/" + u.title + "/" + u.pack, k -> new ArrayList<>());
-      of.removeIf(
-          other -> other.overAt <= u.at + day.terms.slack() || other.viewing.equals(u.viewing));
-      of.add(u);
-      if (of.size() > seats) {
+      List<TrafficRecord.SetUp> occupied =
+          held.computeIfAbsent(
+              setUp.life() + "/" + setUp.title + "/" + setUp.pack, k -> new ArrayList<>());
+      occupied.removeIf(
+          other ->
+              other.endedAt <= setUp.at + record.terms.slack()
+                  || other.viewing.equals(setUp.viewing));
+      occupied.add(setUp);
+      if (occupied.size() > seats) {
         verdict.addBreach(
             "terms",
-            u.at,
-            u.viewing,
-            u.box,
-            of.size() + " viewings of " + u.title + " on " + seats + " seats");
+            setUp.at,
+            setUp.viewing,
+            setUp.box,
+            occupied.size() + " viewings of " + setUp.title + " on " + seats + " seats");
       }
     }
   }
 
   /** Rule 6, for each life of a front. */
-  private void furtherTuneIns() {
-    if (day.terms.furtherSpan() <= 0) {
+  private void checkRetryBudget() {
+    if (record.terms.furtherSpan() <= 0) {
       return;
     }
-    Map<String, List<Long>> further = new HashMap<>();
-    for (TrafficRecord.SetUp u : day.setUps) {
-      if (u.tuneIn == 0) {
+    Map<String, List<Long>> retriesByLife = new HashMap<>();
+    for (TrafficRecord.SetUp setUp : record.setUps) {
+      if (setUp.tuneIn == 0) {
         continue;
       }
       verdict.countCheck("further-tune-ins");
-      List<Long> of = further.computeIfAbsent(u.life(), l -> new ArrayList<>());
-      of.add(u.at);
-      long from = u.at - day.terms.furtherSpan();
-      of.removeIf(at -> at <= from + day.terms.slack());
-      long taken =
-          day.asks.values().stream()
-              .filter(a -> a.front == u.front)
-              .mapToLong(a -> day.running(a.front, a.at))
-              .filter(at -> at >= from - day.terms.slack() && at <= u.at + day.terms.slack())
+      List<Long> recentRetries =
+          retriesByLife.computeIfAbsent(setUp.life(), l -> new ArrayList<>());
+      recentRetries.add(setUp.at);
+      long from = setUp.at - record.terms.furtherSpan();
+      recentRetries.removeIf(at -> at <= from + record.terms.slack());
+      long acceptedRequests =
+          record.requests.values().stream()
+              .filter(request -> request.front == setUp.front)
+              .mapToLong(request -> record.nextRunningAt(request.front, request.at))
+              .filter(
+                  at -> at >= from - record.terms.slack() && at <= setUp.at + record.terms.slack())
               .count();
-      double most = day.terms.furtherFree() + day.terms.furtherShare() * taken;
-      if (of.size() > most) {
+      double limit = record.terms.furtherFree() + record.terms.furtherShare() * acceptedRequests;
+      if (recentRetries.size() > limit) {
         verdict.addBreach(
             "further-tune-ins",
-            u.at,
-            u.viewing,
-            u.box,
-            of.size()
+            setUp.at,
+            setUp.viewing,
+            setUp.box,
+            recentRetries.size()
                 + " further tune-ins of "
-                + String.format(java.util.Locale.ROOT, "%.1f", most));
+                + String.format(java.util.Locale.ROOT, "%.1f", limit));
       }
     }
   }
--- a/src/main/java/linengauge/rules/RecordEvent.java
+++ b/src/main/java/linengauge/rules/RecordEvent.java
@@ -5,8 +5,8 @@
 /** One line of a record: what was seen, and when, in microseconds since the record began. */
 record RecordEvent(long at, String what, JsonNode fields) {
   String text(String name) {
-    JsonNode v = fields.path(name);
-    return v.isMissingNode() || v.isNull() ? null : v.asText();
+    JsonNode value = fields.path(name);
+    return value.isMissingNode() || value.isNull() ? null : value.asText();
   }
 
   long number(String name) {
--- a/src/main/java/linengauge/rules/Terms.java
+++ b/src/main/java/linengauge/rules/Terms.java
@@ -20,23 +20,23 @@
   record Pack(int lowest, int highest, int seats, boolean paid) {}
 
   static Terms read(JsonNode line) throws InvalidRecordException {
-    Map<String, Pack> packs = new HashMap<>();
-    for (JsonNode p : line.path("packages")) {
-      packs.put(
-          p.path("name").asText(),
+    Map<String, Pack> packages = new HashMap<>();
+    for (JsonNode entry : line.path("packages")) {
+      packages.put(
+          entry.path("name").asText(),
           new Pack(
-              p.path("lowestRung").asInt(),
-              p.path("highestRung").asInt(),
-              p.path("seats").asInt(),
-              p.path("paidAtSetUp").asBoolean()));
+              entry.path("lowestRung").asInt(),
+              entry.path("highestRung").asInt(),
+              entry.path("seats").asInt(),
+              entry.path("paidAtSetUp").asBoolean()));
     }
-    if (packs.isEmpty()
+    if (packages.isEmpty()
         || !line.path("drainGraceMs").isNumber()
         || !line.path("slackMs").isNumber()) {
       throw new InvalidRecordException(1, "the terms lack packages, drainGraceMs or slackMs");
     }
     return new Terms(
-        packs,
+        packages,
         ms(line, "drainGraceMs"),
         ms(line, "coldMs"),
         line.path("startCapacity").asDouble(),
--- a/src/main/java/linengauge/rules/TrafficRecord.java
+++ b/src/main/java/linengauge/rules/TrafficRecord.java
@@ -31,19 +31,19 @@
     String key;
 
     /** How it was answered, or null; and when. */
-    String how;
+    String answer;
 
     long answeredAt = NEVER;
 
     /** When the connection was broken before an answer, or the box was asked to end it. */
-    long givenUpAt = NEVER;
+    long cancelledAt = NEVER;
 
     /** When nothing of it is at the box any more, as far as the front could know. */
-    long overAt = NEVER;
+    long endedAt = NEVER;
 
     /** When it was no longer out: answered, or given up. */
-    long noLongerOut() {
-      return Math.min("swallowed".equals(how) ? NEVER : answeredAt, givenUpAt);
+    long pendingUntil() {
+      return Math.min("swallowed".equals(answer) ? NEVER : answeredAt, cancelledAt);
     }
 
     /** Front and life of it: ids are front-life-number. */
@@ -53,7 +53,7 @@
     }
 
     boolean provablyNeverRan() {
-      return "turned-away".equals(how);
+      return "turned-away".equals(answer);
     }
   }
 
@@ -64,192 +64,200 @@
     int front;
     String key;
     String pack;
-    long patience;
+    long timeLimit;
 
     /** The network broke its connection: the shared address had gone to another front. */
-    boolean cut;
+    boolean cutByNetwork;
 
-    final List<RecordEvent> ends = new ArrayList<>();
+    final List<RecordEvent> outcomes = new ArrayList<>();
   }
 
   /** A span in which a front did not run. */
   record Pause(long from, long to) {}
 
   final Terms terms;
-  final List<RecordEvent> all;
-  final Map<String, ViewerRequest> asks = new LinkedHashMap<>();
+  final List<RecordEvent> events;
+  final Map<String, ViewerRequest> requests = new LinkedHashMap<>();
   final List<SetUp> setUps = new ArrayList<>();
   final Map<String, List<SetUp>> byViewing = new LinkedHashMap<>();
-  private final Map<Integer, List<Pause>> stops = new HashMap<>();
+  private final Map<Integer, List<Pause>> pauses = new HashMap<>();
   private final Map<Integer, List<Long>> kills = new HashMap<>();
   private final Map<Integer, List<Long>> starts = new HashMap<>();
 
-  private TrafficRecord(Terms terms, List<RecordEvent> all) {
+  private TrafficRecord(Terms terms, List<RecordEvent> events) {
     this.terms = terms;
-    this.all = all;
+    this.events = events;
   }
 
   static TrafficRecord read(List<String> lines) throws InvalidRecordException {
-    List<RecordEvent> all = new ArrayList<>();
+    List<RecordEvent> events = new ArrayList<>();
     long number = 0;
     long last = Long.MIN_VALUE;
     for (String line : lines) {
       number++;
-      JsonNode n;
+      JsonNode fields;
       try {
-        n = JSON.readTree(line);
+        fields = JSON.readTree(line);
       } catch (JacksonException e) {
         throw new InvalidRecordException(number, "not JSON");
       }
-      if (!n.path("at").isIntegralNumber() || !n.path("what").isTextual()) {
+      if (!fields.path("at").isIntegralNumber() || !fields.path("what").isTextual()) {
         throw new InvalidRecordException(number, "a line needs `at`, microseconds, and `what`");
       }
-      if (n.path("at").asLong() < last) {
+      if (fields.path("at").asLong() < last) {
         throw new InvalidRecordException(number, "earlier than the line before");
       }
-      last = n.path("at").asLong();
-      all.add(new RecordEvent(last, n.path("what").asText(), n));
+      last = fields.path("at").asLong();
+      events.add(new RecordEvent(last, fields.path("what").asText(), fields));
     }
-    if (all.isEmpty() || !all.get(0).what().equals("terms")) {
+    if (events.isEmpty() || !events.get(0).what().equals("terms")) {
       throw new InvalidRecordException(1, "a record begins with its terms");
     }
-    TrafficRecord day = new TrafficRecord(Terms.read(all.get(0).fields()), all);
+    TrafficRecord record = new TrafficRecord(Terms.read(events.get(0).fields()), events);
     long line = 0;
-    for (RecordEvent s : all) {
+    for (RecordEvent event : events) {
       line++;
-      day.take(s, line);
+      record.add(event, line);
     }
-    return day;
+    return record;
   }
 
-  private void take(RecordEvent s, long line) throws InvalidRecordException {
-    switch (s.what()) {
-      case "asked" -> asked(s, line);
-      case "answered", "broke", "gave-up" -> askOf(s, "an answer to", line).ends.add(s);
-      case "cut" -> askOf(s, "a cut of", line).cut = true;
-      case "set-up" -> setUp(s, line);
-      case "set-up-answered", "set-up-broken", "ended" -> ends(s);
-      case "box-lost" -> endSetUps(u -> u.box == s.number("box"), s.at());
-      case "front-stopped", "front-continued", "front-started", "front-killed" -> front(s);
+  private void add(RecordEvent event, long line) throws InvalidRecordException {
+    switch (event.what()) {
+      case "asked" -> addRequest(event, line);
+      case "answered", "broke", "gave-up" ->
+          findRequest(event, "an answer to", line).outcomes.add(event);
+      case "cut" -> findRequest(event, "a cut of", line).cutByNetwork = true;
+      case "set-up" -> addSetUp(event, line);
+      case "set-up-answered", "set-up-broken", "ended" -> updateSetUps(event);
+      case "box-lost" -> endSetUps(setUp -> setUp.box == event.number("box"), event.at());
+      case "front-stopped", "front-continued", "front-started", "front-killed" ->
+          updateFront(event);
       default -> {}
     }
   }
 
-  private void asked(RecordEvent s, long line) throws InvalidRecordException {
-    ViewerRequest a = new ViewerRequest();
-    a.id = s.text("ask");
-    a.at = s.at();
-    a.front = (int) s.number("front");
-    a.key = s.text("key");
-    a.pack = pack(s, line);
-    a.patience = s.number("patienceMs") * 1000;
-    if (asks.put(a.id, a) != null) {
-      throw new InvalidRecordException(line, "ask " + a.id + " stands twice");
+  private void addRequest(RecordEvent event, long line) throws InvalidRecordException {
+    ViewerRequest request = new ViewerRequest();
+    request.id = event.text("ask");
+    request.at = event.at();
+    request.front = (int) event.number("front");
+    request.key = event.text("key");
+    request.pack = packageName(event, line);
+    request.timeLimit = event.number("patienceMs") * 1000;
+    if (requests.put(request.id, request) != null) {
+      throw new InvalidRecordException(line, "ask " + request.id + " stands twice");
     }
   }
 
-  private ViewerRequest askOf(RecordEvent s, String what, long line) throws InvalidRecordException {
-    ViewerRequest a = asks.get(s.text("ask"));
-    if (a == null) {
-      throw new InvalidRecordException(line, what + " what was never asked: " + s.text("ask"));
+  private ViewerRequest findRequest(RecordEvent event, String what, long line)
+      throws InvalidRecordException {
+    ViewerRequest request = requests.get(event.text("ask"));
+    if (request == null) {
+      throw new InvalidRecordException(line, what + " what was never asked: " + event.text("ask"));
     }
-    return a;
+    return request;
   }
 
   /** All such set-ups are over by then. */
-  private void endSetUps(Predicate<SetUp> such, long at) {
-    for (SetUp u : setUps) {
-      if (such.test(u)) {
-        u.overAt = Math.min(u.overAt, at);
+  private void endSetUps(Predicate<SetUp> condition, long at) {
+    for (SetUp setUp : setUps) {
+      if (condition.test(setUp)) {
+        setUp.endedAt = Math.min(setUp.endedAt, at);
       }
     }
   }
 
   /** A front is stopped, goes on, is started or is killed. */
-  private void front(RecordEvent s) {
-    int front = (int) s.number("front");
-    switch (s.what()) {
+  private void updateFront(RecordEvent event) {
+    int front = (int) event.number("front");
+    switch (event.what()) {
       case "front-stopped" ->
-          stops.computeIfAbsent(front, f -> new ArrayList<>()).add(new Pause(s.at(), NEVER));
+          pauses.computeIfAbsent(front, f -> new ArrayList<>()).add(new Pause(event.at(), NEVER));
       case "front-continued" -> {
-        List<Pause> of = stops.getOrDefault(front, List.of());
-        if (!of.isEmpty()) {
-          of.set(of.size() - 1, new Pause(of.get(of.size() - 1).from, s.at()));
+        List<Pause> frontPauses = pauses.getOrDefault(front, List.of());
+        if (!frontPauses.isEmpty()) {
+          frontPauses.set(
+              frontPauses.size() - 1,
+              new Pause(frontPauses.get(frontPauses.size() - 1).from, event.at()));
         }
       }
-      case "front-started" -> starts.computeIfAbsent(front, f -> new ArrayList<>()).add(s.at());
+      case "front-started" -> starts.computeIfAbsent(front, f -> new ArrayList<>()).add(event.at());
       default -> {
-        kills.computeIfAbsent(front, f -> new ArrayList<>()).add(s.at());
-        endSetUps(u -> u.front == front, s.at());
+        kills.computeIfAbsent(front, f -> new ArrayList<>()).add(event.at());
+        endSetUps(setUp -> setUp.front == front, event.at());
       }
     }
   }
 
-  private String pack(RecordEvent s, long line) throws InvalidRecordException {
-    String name = s.text("package");
+  private String packageName(RecordEvent event, long line) throws InvalidRecordException {
+    String name = event.text("package");
     if (!terms.packages().containsKey(name)) {
       throw new InvalidRecordException(line, "package " + name + " is not in the terms");
     }
     return name;
   }
 
-  private void setUp(RecordEvent s, long line) throws InvalidRecordException {
-    SetUp u = new SetUp();
-    u.at = s.at();
-    u.box = s.number("box");
-    u.viewing = s.text("viewing");
-    u.front = (int) s.number("front");
-    u.tuneIn = (int) s.number("tuneIn");
-    u.title = s.text("title");
-    u.pack = pack(s, line);
-    u.rung = (int) s.number("rung");
-    u.key = s.text("key");
-    setUps.add(u);
-    byViewing.computeIfAbsent(u.viewing, v -> new ArrayList<>()).add(u);
+  private void addSetUp(RecordEvent event, long line) throws InvalidRecordException {
+    SetUp setUp = new SetUp();
+    setUp.at = event.at();
+    setUp.box = event.number("box");
+    setUp.viewing = event.text("viewing");
+    setUp.front = (int) event.number("front");
+    setUp.tuneIn = (int) event.number("tuneIn");
+    setUp.title = event.text("title");
+    setUp.pack = packageName(event, line);
+    setUp.rung = (int) event.number("rung");
+    setUp.key = event.text("key");
+    setUps.add(setUp);
+    byViewing.computeIfAbsent(setUp.viewing, v -> new ArrayList<>()).add(setUp);
   }
 
-  private void ends(RecordEvent s) {
-    for (SetUp u : byViewing.getOrDefault(s.text("viewing"), List.of())) {
-      boolean same = u.box == s.number("box");
-      if (s.what().equals("ended") ? !same : !same || u.tuneIn != s.number("tuneIn")) {
+  private void updateSetUps(RecordEvent event) {
+    for (SetUp setUp : byViewing.getOrDefault(event.text("viewing"), List.of())) {
+      boolean sameBox = setUp.box == event.number("box");
+      if (event.what().equals("ended")
+          ? !sameBox
+          : !sameBox || setUp.tuneIn != event.number("tuneIn")) {
         continue;
       }
-      if (s.what().equals("set-up-answered")) {
-        u.how = s.text("how");
-        u.answeredAt = s.at();
-        if (u.how.equals("turned-away") || u.how.equals("error")) {
-          u.overAt = Math.min(u.overAt, s.at());
+      if (event.what().equals("set-up-answered")) {
+        setUp.answer = event.text("how");
+        setUp.answeredAt = event.at();
+        if (setUp.answer.equals("turned-away") || setUp.answer.equals("error")) {
+          setUp.endedAt = Math.min(setUp.endedAt, event.at());
         }
       } else {
-        u.givenUpAt = Math.min(u.givenUpAt, s.at());
-        u.overAt = Math.min(u.overAt, s.at());
+        setUp.cancelledAt = Math.min(setUp.cancelledAt, event.at());
+        setUp.endedAt = Math.min(setUp.endedAt, event.at());
       }
     }
   }
 
   /** When the front next ran, from this moment on. */
-  long running(int front, long at) {
-    for (Pause s : stops.getOrDefault(front, List.of())) {
-      if (s.from <= at && at < s.to) {
-        return s.to;
+  long nextRunningAt(int front, long moment) {
+    for (Pause pause : pauses.getOrDefault(front, List.of())) {
+      if (pause.from <= moment && moment < pause.to) {
+        return pause.to;
       }
     }
-    return at;
+    return moment;
   }
 
-  boolean killedWithin(int front, long from, long to) {
-    return kills.getOrDefault(front, List.of()).stream().anyMatch(k -> k >= from && k <= to);
+  boolean wasKilledWithin(int front, long from, long to) {
+    return kills.getOrDefault(front, List.of()).stream()
+        .anyMatch(killedAt -> killedAt >= from && killedAt <= to);
   }
 
   /** The front had been killed and not been started again. */
-  boolean down(int front, long at) {
+  boolean isDown(int front, long at) {
     long killed = latest(kills, front, at);
     return killed > latest(starts, front, at);
   }
 
-  private static long latest(Map<Integer, List<Long>> of, int front, long at) {
-    return of.getOrDefault(front, List.of()).stream()
-        .filter(m -> m <= at)
+  private static long latest(Map<Integer, List<Long>> momentsByFront, int front, long at) {
+    return momentsByFront.getOrDefault(front, List.of()).stream()
+        .filter(moment -> moment <= at)
         .max(Long::compare)
         .orElse(Long.MIN_VALUE);
   }
--- a/src/main/java/linengauge/standin/BoxFleet.java
+++ b/src/main/java/linengauge/standin/BoxFleet.java
@@ -46,31 +46,31 @@
    */
   public BoxFleet(
       Vertx vertx,
-      BoxSpec kind,
-      List<BoxLocation> places,
+      BoxSpec spec,
+      List<BoxLocation> locations,
       int racks,
       double linkKb,
       double uplinkKb,
       long seed,
       Tap tap) {
     this.vertx = vertx;
-    this.spec = kind;
+    this.spec = spec;
     this.tap = tap;
     this.random = new SplittableRandom(seed);
-    this.rates = new MediaRates(kind, random);
-    double[] sizes = new double[places.size()];
-    int[] rackOf = new int[places.size()];
+    this.rates = new MediaRates(spec, random);
+    double[] sizes = new double[locations.size()];
+    int[] rackOf = new int[locations.size()];
     double[] uplinks = new double[racks];
     for (int i = 0; i < sizes.length; i++) {
       sizes[i] = linkKb * (0.8 + 0.4 * random.nextDouble());
-      rackOf[i] = places.get(i).cell() % racks;
+      rackOf[i] = locations.get(i).cell() % racks;
     }
     for (int i = 0; i < racks; i++) {
       uplinks[i] = uplinkKb * (0.8 + 0.4 * random.nextDouble());
     }
     this.links = new NetworkLinks(sizes, rackOf, uplinks);
-    for (int i = 0; i < places.size(); i++) {
-      boxes.add(new StandInBox(this, i, places.get(i)));
+    for (int i = 0; i < locations.size(); i++) {
+      boxes.add(new StandInBox(this, i, locations.get(i)));
     }
   }
 
@@ -93,8 +93,8 @@
     return links.racks();
   }
 
-  public void setUplinkCapacity(int rack, double part) {
-    links.setUplinkCapacity(rack, part);
+  public void setUplinkCapacity(int rack, double share) {
+    links.setUplinkCapacity(rack, share);
   }
 
   /** Notes come this much later than usual. */
--- a/src/main/java/linengauge/standin/DatagramRelay.java
+++ b/src/main/java/linengauge/standin/DatagramRelay.java
@@ -12,7 +12,7 @@
  */
 public final class DatagramRelay {
   private final Vertx vertx;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<DatagramSocket> sockets = new ArrayList<>();
   private double lossRate;
   private long relayed;
@@ -20,7 +20,7 @@
 
   public DatagramRelay(Vertx vertx, long seed) {
     this.vertx = vertx;
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
   }
 
   /** What comes to the one port goes on to the other. */
@@ -30,21 +30,22 @@
     return socket
         .listen(from, host)
         .onSuccess(
-            s ->
-                s.handler(
-                    p -> {
-                      if (chance.nextDouble() < lossRate) {
+            bound ->
+                bound.handler(
+                    packet -> {
+                      if (random.nextDouble() < lossRate) {
                         dropped++;
                         return;
                       }
                       relayed++;
-                      vertx.setTimer(2 + chance.nextInt(15), t -> socket.send(p.data(), to, host));
+                      vertx.setTimer(
+                          2 + random.nextInt(15), t -> socket.send(packet.data(), to, host));
                     }));
   }
 
   /** This part of all datagrams is lost from now on. */
-  public void setLossRate(double part) {
-    lossRate = part;
+  public void setLossRate(double rate) {
+    lossRate = rate;
   }
 
   public long relayed() {
--- a/src/main/java/linengauge/standin/DiscoveryService.java
+++ b/src/main/java/linengauge/standin/DiscoveryService.java
@@ -22,30 +22,30 @@
  */
 public final class DiscoveryService {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int KEPT = 500;
+  private static final int MAX_CHANGES = 500;
 
   private record Change(long revision, ObjectNode box) {}
 
-  private final class Follower {
+  private final class Subscriber {
     private final int front;
-    private final HttpServerResponse to;
-    private long told;
+    private final HttpServerResponse response;
+    private long sentRevision;
     private boolean skipNext;
-    private long clearAt;
+    private long sendAt;
 
-    private Follower(int front, HttpServerResponse to) {
+    private Subscriber(int front, HttpServerResponse response) {
       this.front = front;
-      this.to = to;
+      this.response = response;
     }
 
-    private void tell(Change change) {
+    private void scheduleChange(Change change) {
       // Late, each front by its own span, and never out of order.
       long now = System.currentTimeMillis();
-      clearAt = Math.max(clearAt, now + lateMs / 2 + chance.nextInt(Math.max(1, lateMs)));
+      sendAt = Math.max(sendAt, now + delayMs / 2 + random.nextInt(Math.max(1, delayMs)));
       vertx.setTimer(
-          Math.max(1, clearAt - now),
+          Math.max(1, sendAt - now),
           t -> {
-            if (to.closed()) {
+            if (response.closed()) {
               return;
             }
             if (skipNext) {
@@ -71,35 +71,35 @@
             "state",
             row.path("state").asText());
       }
-      to.write(line + "\n");
+      response.write(line + "\n");
     }
   }
 
   private final Vertx vertx;
   private final String host;
   private final int port;
-  private final int lateMs;
-  private final SplittableRandom chance;
+  private final int delayMs;
+  private final SplittableRandom random;
   private final Tap tap;
   private final Map<Long, ObjectNode> boxes = new LinkedHashMap<>();
   private final List<Change> changes = new ArrayList<>();
-  private final Set<Follower> followers = new LinkedHashSet<>();
+  private final Set<Subscriber> subscribers = new LinkedHashSet<>();
   private long revision = 1;
-  private boolean refusing;
+  private boolean rejecting;
 
-  public DiscoveryService(Vertx vertx, String host, int port, int lateMs, long seed, Tap tap) {
+  public DiscoveryService(Vertx vertx, String host, int port, int delayMs, long seed, Tap tap) {
     this.vertx = vertx;
     this.host = host;
     this.port = port;
-    this.lateMs = lateMs;
-    this.chance = new SplittableRandom(seed);
+    this.delayMs = delayMs;
+    this.random = new SplittableRandom(seed);
     this.tap = tap;
   }
 
   public Future<?> open() {
     HttpServer server = vertx.createHttpServer();
-    server.requestHandler(this::asked);
-    vertx.setPeriodic(1000, t -> followers.forEach(f -> f.to.write("\n")));
+    server.requestHandler(this::handle);
+    vertx.setPeriodic(1000, t -> subscribers.forEach(f -> f.response.write("\n")));
     return server.listen(port, host);
   }
 
@@ -124,55 +124,59 @@
     }
     Change change = new Change(++revision, row);
     changes.add(change);
-    if (changes.size() > KEPT) {
+    if (changes.size() > MAX_CHANGES) {
       changes.remove(0);
     }
-    followers.forEach(f -> f.tell(change));
+    subscribers.forEach(f -> f.scheduleChange(change));
   }
 
   /** Breaks all streams; refuses new ones for a while. */
   public void interruptFor(int ms) {
-    refusing = true;
-    for (Follower f : List.copyOf(followers)) {
-      f.to.reset();
+    rejecting = true;
+    for (Subscriber f : List.copyOf(subscribers)) {
+      f.response.reset();
     }
-    followers.clear();
-    vertx.setTimer(Math.max(1, ms), t -> refusing = false);
+    subscribers.clear();
+    vertx.setTimer(Math.max(1, ms), t -> rejecting = false);
   }
 
   /** The next change is lost on its way to every front. */
   public void dropNextChange() {
-    followers.forEach(f -> f.skipNext = true);
+    subscribers.forEach(f -> f.skipNext = true);
   }
 
-  private void asked(HttpServerRequest r) {
-    if (refusing) {
-      r.connection().close();
+  private void handle(HttpServerRequest request) {
+    if (rejecting) {
+      request.connection().close();
       return;
     }
-    if (!"/boxes".equals(r.path())) {
-      r.response().setStatusCode(404).end();
+    if (!"/boxes".equals(request.path())) {
+      request.response().setStatusCode(404).end();
       return;
     }
-    String since = r.getParam("since");
-    long from = since == null ? -1 : Long.parseLong(since);
-    if (from > revision || from >= 0 && !changes.isEmpty() && from < changes.get(0).revision - 1) {
-      r.response().setStatusCode(410).end();
+    String sinceText = request.getParam("since");
+    long since = sinceText == null ? -1 : Long.parseLong(sinceText);
+    if (since > revision
+        || since >= 0 && !changes.isEmpty() && since < changes.get(0).revision - 1) {
+      request.response().setStatusCode(410).end();
       return;
     }
-    Follower f = new Follower(Integer.parseInt(r.getParam("front")), r.response().setChunked(true));
-    f.to.exceptionHandler(e -> {});
-    f.to.closeHandler(v -> followers.remove(f));
-    followers.add(f);
-    if (from < 0) {
+    Subscriber subscriber =
+        new Subscriber(
+            Integer.parseInt(request.getParam("front")), request.response().setChunked(true));
+    subscriber.response.exceptionHandler(e -> {});
+    subscriber.response.closeHandler(v -> subscribers.remove(subscriber));
+    subscribers.add(subscriber);
+    if (since < 0) {
       ObjectNode whole = JSON.createObjectNode().put("whole", true).put("revision", revision);
       ArrayNode rows = whole.putArray("boxes");
       rows.addAll(boxes.values());
-      tap.recordEvent("told-whole", "front", f.front, "boxes", List.copyOf(boxes.keySet()));
-      f.write(whole, rows);
+      tap.recordEvent(
+          "told-whole", "front", subscriber.front, "boxes", List.copyOf(boxes.keySet()));
+      subscriber.write(whole, rows);
     } else {
-      f.to.write("\n");
-      changes.stream().filter(c -> c.revision > from).forEach(f::tell);
+      subscriber.response.write("\n");
+      changes.stream().filter(c -> c.revision > since).forEach(subscriber::scheduleChange);
     }
   }
 }
--- a/src/main/java/linengauge/standin/FaultyDatagramLinks.java
+++ b/src/main/java/linengauge/standin/FaultyDatagramLinks.java
@@ -16,30 +16,30 @@
  * what is answered. One thread carries all of them.
  */
 public final class FaultyDatagramLinks implements AutoCloseable {
-  private static final String HERE = "127.0.0.1";
-  private static final int MOST_BYTES = 2048;
-  private static final int MOST_LINKS = 256;
+  private static final String LOOPBACK = "127.0.0.1";
+  private static final int MAX_BYTES = 2048;
+  private static final int MAX_LINKS = 256;
 
   /** One link; its methods may be called from any thread. */
   public static final class Link {
-    private final DatagramChannel near;
-    private final DatagramChannel far;
-    private final InetSocketAddress to;
+    private final DatagramChannel callerSide;
+    private final DatagramChannel targetSide;
+    private final InetSocketAddress target;
     private final int port;
     private SocketAddress caller;
-    private volatile boolean losesAsked;
-    private volatile boolean losesAnswers;
+    private volatile boolean dropsRequests;
+    private volatile boolean dropsAnswers;
 
     private Link(int toPort) throws IOException {
-      to = new InetSocketAddress(InetAddress.getByName(HERE), toPort);
-      near = open();
-      far = open();
-      port = ((InetSocketAddress) near.getLocalAddress()).getPort();
+      target = new InetSocketAddress(InetAddress.getByName(LOOPBACK), toPort);
+      callerSide = open();
+      targetSide = open();
+      port = ((InetSocketAddress) callerSide.getLocalAddress()).getPort();
     }
 
     private static DatagramChannel open() throws IOException {
       DatagramChannel channel = DatagramChannel.open();
-      channel.bind(new InetSocketAddress(InetAddress.getByName(HERE), 0));
+      channel.bind(new InetSocketAddress(InetAddress.getByName(LOOPBACK), 0));
       channel.configureBlocking(false);
       return channel;
     }
@@ -50,27 +50,27 @@
     }
 
     public void dropRequests(boolean on) {
-      losesAsked = on;
+      dropsRequests = on;
     }
 
     public void dropAnswers(boolean on) {
-      losesAnswers = on;
+      dropsAnswers = on;
     }
 
-    private void carry(DatagramChannel from, ByteBuffer room) {
+    private void forward(DatagramChannel from, ByteBuffer buffer) {
       try {
-        room.clear();
-        SocketAddress sender = from.receive(room);
-        room.flip();
-        boolean asked = from == near;
-        if (sender == null || (asked ? losesAsked : losesAnswers)) {
+        buffer.clear();
+        SocketAddress sender = from.receive(buffer);
+        buffer.flip();
+        boolean isRequest = from == callerSide;
+        if (sender == null || (isRequest ? dropsRequests : dropsAnswers)) {
           return;
         }
-        if (asked) {
+        if (isRequest) {
           caller = sender;
-          far.send(room, to);
+          targetSide.send(buffer, target);
         } else if (caller != null) {
-          near.send(room, caller);
+          callerSide.send(buffer, caller);
         }
       } catch (IOException e) {
         return; // lost, as on any link
@@ -79,7 +79,7 @@
   }
 
   private final Selector selector = Selector.open();
-  private final ArrayBlockingQueue<Link> opened = new ArrayBlockingQueue<>(MOST_LINKS);
+  private final ArrayBlockingQueue<Link> opened = new ArrayBlockingQueue<>(MAX_LINKS);
   private final Thread thread = new Thread(this::run, "datagram-links");
   private volatile boolean closing;
 
@@ -93,23 +93,23 @@
   public Link open(int toPort) throws IOException {
     Link link = new Link(toPort);
     if (!opened.offer(link)) {
-      throw new IOException("more than " + MOST_LINKS + " links at once");
+      throw new IOException("more than " + MAX_LINKS + " links at once");
     }
     selector.wakeup();
     return link;
   }
 
   private void run() {
-    ByteBuffer room = ByteBuffer.allocate(MOST_BYTES);
+    ByteBuffer buffer = ByteBuffer.allocate(MAX_BYTES);
     try {
       while (!closing) {
         selector.select();
         for (Link link = opened.poll(); link != null; link = opened.poll()) {
-          link.near.register(selector, SelectionKey.OP_READ, link);
-          link.far.register(selector, SelectionKey.OP_READ, link);
+          link.callerSide.register(selector, SelectionKey.OP_READ, link);
+          link.targetSide.register(selector, SelectionKey.OP_READ, link);
         }
         for (SelectionKey key : List.copyOf(selector.selectedKeys())) {
-          ((Link) key.attachment()).carry((DatagramChannel) key.channel(), room);
+          ((Link) key.attachment()).forward((DatagramChannel) key.channel(), buffer);
         }
         selector.selectedKeys().clear();
       }
--- a/src/main/java/linengauge/standin/FaultyLink.java
+++ b/src/main/java/linengauge/standin/FaultyLink.java
@@ -17,11 +17,11 @@
   private final Vertx vertx;
   private final NetClient client;
   private final String host;
-  private final int to;
+  private final int targetPort;
 
-  private record End(NetSocket socket, boolean answers) {}
+  private record Endpoint(NetSocket socket, boolean sendsAnswers) {}
 
-  private final List<End> open = new CopyOnWriteArrayList<>();
+  private final List<Endpoint> endpoints = new CopyOnWriteArrayList<>();
   private NetServer server;
   private volatile int delayMs;
   private volatile int trickleBytes;
@@ -31,10 +31,10 @@
   private volatile boolean holdRequests;
   private volatile boolean holdAnswers;
 
-  public FaultyLink(Vertx vertx, String host, int to) {
+  public FaultyLink(Vertx vertx, String host, int targetPort) {
     this.vertx = vertx;
     this.host = host;
-    this.to = to;
+    this.targetPort = targetPort;
     this.client = vertx.createNetClient();
   }
 
@@ -42,73 +42,73 @@
   public Future<Integer> open() {
     server = vertx.createNetServer();
     server.connectHandler(
-        near -> {
-          End asks = new End(near, false);
-          open.add(asks);
-          near.pause();
+        callerSocket -> {
+          Endpoint callerEnd = new Endpoint(callerSocket, false);
+          endpoints.add(callerEnd);
+          callerSocket.pause();
           client
-              .connect(to, host)
-              .onFailure(e -> near.close())
+              .connect(targetPort, host)
+              .onFailure(endpoint -> callerSocket.close())
               .onSuccess(
-                  far -> {
-                    End answers = new End(far, true);
-                    open.add(answers);
-                    carry(asks, far);
-                    carry(answers, near);
-                    goOn(asks);
-                    goOn(answers);
+                  targetSocket -> {
+                    Endpoint targetEnd = new Endpoint(targetSocket, true);
+                    endpoints.add(targetEnd);
+                    forward(callerEnd, targetSocket);
+                    forward(targetEnd, callerSocket);
+                    updateReading(callerEnd);
+                    updateReading(targetEnd);
                   });
         });
     return server.listen(0, host).map(NetServer::actualPort);
   }
 
-  private boolean isHeld(End e) {
-    return e.answers ? holdAnswers : holdRequests;
+  private boolean isHeld(Endpoint endpoint) {
+    return endpoint.sendsAnswers ? holdAnswers : holdRequests;
   }
 
-  private void goOn(End e) {
-    if (isHeld(e)) {
-      e.socket.pause();
+  private void updateReading(Endpoint endpoint) {
+    if (isHeld(endpoint)) {
+      endpoint.socket.pause();
     } else {
-      e.socket.resume();
+      endpoint.socket.resume();
     }
   }
 
-  private void carry(End end, NetSocket on) {
-    NetSocket from = end.socket;
-    boolean answers = end.answers;
-    from.exceptionHandler(e -> {});
-    from.closeHandler(
+  private void forward(Endpoint endpoint, NetSocket destination) {
+    NetSocket source = endpoint.socket;
+    boolean answers = endpoint.sendsAnswers;
+    source.exceptionHandler(error -> {});
+    source.closeHandler(
         v -> {
-          open.remove(end);
-          vertx.setTimer(Math.max(1, delayMs), t -> on.close());
+          endpoints.remove(endpoint);
+          vertx.setTimer(Math.max(1, delayMs), t -> destination.close());
         });
-    from.handler(
-        b -> {
+    source.handler(
+        data -> {
           if (answers && resetOnAnswer) {
-            from.close();
-            on.close();
+            source.close();
+            destination.close();
           } else if (answers ? dropAnswers : dropRequests) {
             return;
           } else if (answers && trickleBytes > 0) {
-            trickle(on, b, 0);
+            trickle(destination, data, 0);
           } else if (delayMs > 0) {
-            vertx.setTimer(delayMs, t -> on.write(b));
+            vertx.setTimer(delayMs, t -> destination.write(data));
           } else {
-            on.write(b);
-            if (on.writeQueueFull()) {
-              from.pause();
-              on.drainHandler(v -> goOn(end));
+            destination.write(data);
+            if (destination.writeQueueFull()) {
+              source.pause();
+              destination.drainHandler(v -> updateReading(endpoint));
             }
           }
         });
   }
 
-  private void trickle(NetSocket on, Buffer b, int from) {
-    int until = Math.min(b.length(), from + trickleBytes);
-    on.write(b.getBuffer(from, until));
-    if (until < b.length()) {
-      vertx.setTimer(100, t -> trickle(on, b, until));
+  private void trickle(NetSocket destination, Buffer data, int from) {
+    int until = Math.min(data.length(), from + trickleBytes);
+    destination.write(data.getBuffer(from, until));
+    if (until < data.length()) {
+      vertx.setTimer(100, t -> trickle(destination, data, until));
     }
   }
 
@@ -127,13 +127,13 @@
    */
   public void holdRequests(boolean on) {
     holdRequests = on;
-    open.forEach(this::goOn);
+    endpoints.forEach(this::updateReading);
   }
 
   /** The same of what is answered. */
   public void holdAnswers(boolean on) {
     holdAnswers = on;
-    open.forEach(this::goOn);
+    endpoints.forEach(this::updateReading);
   }
 
   public void dropAnswers(boolean on) {
@@ -151,6 +151,6 @@
 
   /** Breaks all connections now. */
   public void closeConnections() {
-    open.forEach(e -> e.socket.close());
+    endpoints.forEach(endpoint -> endpoint.socket.close());
   }
 }
--- a/src/main/java/linengauge/standin/FaultyServer.java
+++ b/src/main/java/linengauge/standin/FaultyServer.java
@@ -30,12 +30,12 @@
  */
 public final class FaultyServer implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int REFUSED_FULL = 34;
+  private static final int REJECTED_FULL = 34;
   private static final int ERROR = 47;
   private static final int RESET = 41;
-  private static final int OVER = 16;
+  private static final int FINISHED_NORMALLY = 16;
   private static final int ACCEPT_QUEUE = 64;
-  private static final int LATE_COPY_MS = 8;
+  private static final int DUPLICATE_DELAY_MS = 8;
   private static final long NEVER = Long.MAX_VALUE;
 
   /**
@@ -79,18 +79,18 @@
     public EndCause endedBy = EndCause.OPEN;
     private final Socket connection;
 
-    private Attempt(String request, String server, int rung, Socket by) {
+    private Attempt(String request, String server, int rung, Socket connection) {
       this.request = request;
       this.server = server;
       this.rung = rung;
       this.arrivedAt = nowMicros();
-      this.connection = by;
+      this.connection = connection;
     }
   }
 
   private final String id;
   private final ServerSocket listener;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final ScheduledExecutorService loop =
       Executors.newSingleThreadScheduledExecutor(
           r -> {
@@ -105,7 +105,7 @@
   private final List<String> overlappingAttempts = new ArrayList<>();
 
   /** What is to be done once the process goes on; null while it runs. */
-  private ArrayDeque<Runnable> hung;
+  private ArrayDeque<Runnable> deferredSteps;
 
   private boolean accepting = true;
   private volatile Faults faults;
@@ -115,7 +115,7 @@
     this.listener = new ServerSocket();
     this.listener.setReuseAddress(true);
     this.listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_QUEUE);
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.faults = faults;
     start(this::accept);
   }
@@ -132,8 +132,8 @@
     return listener.getLocalPort();
   }
 
-  public void setFaults(Faults anew) {
-    faults = anew;
+  public void setFaults(Faults newFaults) {
+    faults = newFaults;
   }
 
   /** Every attempt so far. */
@@ -168,7 +168,7 @@
         int latencyMs;
         synchronized (this) {
           sockets.add(socket);
-          latencyMs = chance.nextInt(faults.maxLatencyMs() + 1);
+          latencyMs = random.nextInt(faults.maxLatencyMs() + 1);
         }
         start(() -> read(socket, latencyMs));
       }
@@ -190,53 +190,57 @@
               new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         JsonNode message = JSON.readTree(line);
-        Runnable step = arrived(socket, message);
-        after(latencyMs, step);
+        Runnable step = onMessageArrived(socket, message);
+        schedule(latencyMs, step);
       }
     } catch (IOException e) {
       // its other side has gone
     } finally {
-      closeArrived(socket);
-      after(latencyMs, () -> closed(socket));
+      onCloseArrived(socket);
+      schedule(latencyMs, () -> onClosed(socket));
     }
   }
 
   /** Notes what has come, and returns what is to be done once it is read. */
-  private synchronized Runnable arrived(Socket socket, JsonNode message) {
+  private synchronized Runnable onMessageArrived(Socket socket, JsonNode message) {
     String tag = message.path("tag").asText();
     return switch (message.path("verb").asText()) {
       case "START" -> {
         int rung = message.path("opts").path("rung").asInt();
         Attempt attempt = new Attempt(tag, id, rung, socket);
         attempts.add(attempt);
-        yield () -> started(attempt, message.path("blob").asText());
+        yield () -> onStart(attempt, message.path("blob").asText());
       }
       case "FINISH" -> {
-        attempts.stream().filter(a -> a.request.equals(tag)).forEach(FaultyServer::noLongerOut);
-        yield () -> finished(socket, tag);
+        attempts.stream()
+            .filter(a -> a.request.equals(tag))
+            .forEach(FaultyServer::markNoLongerPending);
+        yield () -> onFinish(socket, tag);
       }
-      case "ECHO" -> () -> say(socket, tested(tag));
+      case "ECHO" -> () -> send(socket, probeReply(tag));
       default -> () -> {};
     };
   }
 
-  private static void noLongerOut(Attempt attempt) {
+  private static void markNoLongerPending(Attempt attempt) {
     attempt.pendingUntil = Math.min(attempt.pendingUntil, nowMicros());
   }
 
-  private synchronized void closeArrived(Socket socket) {
-    attempts.stream().filter(a -> a.connection == socket).forEach(FaultyServer::noLongerOut);
+  private synchronized void onCloseArrived(Socket socket) {
+    attempts.stream()
+        .filter(a -> a.connection == socket)
+        .forEach(FaultyServer::markNoLongerPending);
   }
 
-  private void after(int ms, Runnable step) {
+  private void schedule(int ms, Runnable step) {
     if (!loop.isShutdown()) {
       loop.schedule(() -> runOrDefer(step), ms, TimeUnit.MILLISECONDS);
     }
   }
 
   private synchronized void runOrDefer(Runnable step) {
-    if (hung != null) {
-      hung.add(step);
+    if (deferredSteps != null) {
+      deferredSteps.add(step);
     } else {
       step.run();
     }
@@ -246,7 +250,7 @@
 
   /** Reads and says nothing until told to go on; connections stay open and new ones come up. */
   public synchronized void hang() {
-    hung = hung == null ? new ArrayDeque<>() : hung;
+    deferredSteps = deferredSteps == null ? new ArrayDeque<>() : deferredSteps;
   }
 
   /** The same, and no new connection comes up: its queue of those to be accepted is full. */
@@ -274,8 +278,8 @@
     fillers.clear();
     accepting = true;
     notifyAll();
-    ArrayDeque<Runnable> deferred = hung == null ? new ArrayDeque<>() : hung;
-    hung = null;
+    ArrayDeque<Runnable> deferred = deferredSteps == null ? new ArrayDeque<>() : deferredSteps;
+    deferredSteps = null;
     deferred.forEach(Runnable::run);
   }
 
@@ -286,50 +290,52 @@
 
   /* ---- attempts ---- */
 
-  private void started(Attempt attempt, String description) {
+  private void onStart(Attempt attempt, String description) {
     if (open.put(attempt.request, attempt) != null) {
       overlappingAttempts.add(
           "request " + attempt.request + " set up at " + id + " while one was open");
     }
-    Faults f = faults;
-    double drawn = chance.nextDouble();
-    int answerMs = f.minAnswerMs() + chance.nextInt(f.maxAnswerMs() - f.minAnswerMs() + 1);
-    int cause = chance.nextBoolean() ? REFUSED_FULL : ERROR;
-    double unreadable = f.silentShare() + f.unreadableShare();
-    double refused = unreadable + f.refusedShare();
-    if (drawn < f.silentShare()) {
+    Faults currentFaults = faults;
+    double drawn = random.nextDouble();
+    int answerMs =
+        currentFaults.minAnswerMs()
+            + random.nextInt(currentFaults.maxAnswerMs() - currentFaults.minAnswerMs() + 1);
+    int cause = random.nextBoolean() ? REJECTED_FULL : ERROR;
+    double unreadable = currentFaults.silentShare() + currentFaults.unreadableShare();
+    double rejected = unreadable + currentFaults.refusedShare();
+    if (drawn < currentFaults.silentShare()) {
       return;
     }
     if (drawn < unreadable) {
-      after(answerMs, () -> write(attempt.connection, "\u0001{{{ unreadable\n"));
-    } else if (drawn < refused) {
-      after(answerMs, () -> refuse(attempt, cause));
-    } else if (drawn < refused + f.resetShare()) {
-      after(answerMs, () -> reset(attempt.connection));
+      schedule(answerMs, () -> write(attempt.connection, "\u0001{{{ unreadable\n"));
+    } else if (drawn < rejected) {
+      schedule(answerMs, () -> reject(attempt, cause));
+    } else if (drawn < rejected + currentFaults.resetShare()) {
+      schedule(answerMs, () -> reset(attempt.connection));
     } else {
-      after(answerMs, () -> answer(attempt, description));
+      schedule(answerMs, () -> answer(attempt, description));
     }
   }
 
-  private void finished(Socket socket, String tag) {
-    over(open.remove(tag));
+  private void onFinish(Socket socket, String tag) {
+    markEnded(open.remove(tag));
     if (faults.confirmsEnds()) {
-      say(socket, reply("FINISHED", tag, -1));
+      send(socket, reply("FINISHED", tag, -1));
     }
   }
 
-  private static void over(Attempt attempt) {
+  private static void markEnded(Attempt attempt) {
     if (attempt != null) {
       attempt.endedAt = nowMicros();
     }
   }
 
-  private void refuse(Attempt attempt, int cause) {
+  private void reject(Attempt attempt, int cause) {
     if (open.remove(attempt.request, attempt)) {
-      over(attempt);
-      noLongerOut(attempt);
-      attempt.neverRan = cause == REFUSED_FULL;
-      say(attempt.connection, reply("FINISH", attempt.request, cause));
+      markEnded(attempt);
+      markNoLongerPending(attempt);
+      attempt.neverRan = cause == REJECTED_FULL;
+      send(attempt.connection, reply("FINISH", attempt.request, cause));
     }
   }
 
@@ -338,12 +344,12 @@
       return;
     }
     attempt.established = true;
-    noLongerOut(attempt);
+    markNoLongerPending(attempt);
     ObjectNode answer =
         reply("STARTED", attempt.request, -1).put("blob", description + "at " + id + "\r\n");
-    say(attempt.connection, answer);
-    if (chance.nextDouble() < faults.duplicateShare()) {
-      after(LATE_COPY_MS, () -> say(attempt.connection, answer));
+    send(attempt.connection, answer);
+    if (random.nextDouble() < faults.duplicateShare()) {
+      schedule(DUPLICATE_DELAY_MS, () -> send(attempt.connection, answer));
     }
   }
 
@@ -357,14 +363,14 @@
   }
 
   /** Attempts open on a connection that closes are given up; what stands stays. */
-  private void closed(Socket socket) {
+  private void onClosed(Socket socket) {
     sockets.remove(socket);
     open.values()
         .removeIf(
             attempt -> {
               boolean ends = attempt.connection == socket && !attempt.established;
               if (ends) {
-                over(attempt);
+                markEnded(attempt);
               }
               return ends;
             });
@@ -372,17 +378,19 @@
 
   /** Ends some of the sessions that stand, as at their ordinary end or cut. */
   public synchronized void endSome(double share) {
-    if (hung != null) {
+    if (deferredSteps != null) {
       return;
     }
     for (Attempt attempt : List.copyOf(open.values())) {
-      Socket by =
+      Socket connection =
           attempt.connection.isClosed() && !sockets.isEmpty() ? sockets.get(0) : attempt.connection;
-      if (attempt.established && !by.isClosed() && chance.nextDouble() < share) {
+      if (attempt.established && !connection.isClosed() && random.nextDouble() < share) {
         open.remove(attempt.request);
-        over(attempt);
+        markEnded(attempt);
         attempt.endedBy = EndCause.RELEASED;
-        say(by, reply("FINISH", attempt.request, chance.nextBoolean() ? OVER : RESET));
+        send(
+            connection,
+            reply("FINISH", attempt.request, random.nextBoolean() ? FINISHED_NORMALLY : RESET));
       }
     }
   }
@@ -393,20 +401,20 @@
     return cause < 0 ? reply : reply.put("rc", cause);
   }
 
-  private static ObjectNode tested(String tag) {
+  private static ObjectNode probeReply(String tag) {
     ObjectNode reply = reply("ECHOED", tag, 1);
     reply.withObject("/opts").put("load", "x0:0.2;x1:0.2;outstanding:1");
     return reply;
   }
 
-  private void say(Socket socket, JsonNode line) {
+  private void send(Socket socket, JsonNode line) {
     write(socket, line + "\n");
   }
 
   /** One line in ten leaves in two pieces. */
   private void write(Socket socket, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int first = chance.nextInt(10) == 0 ? chance.nextInt(bytes.length) : bytes.length;
+    int first = random.nextInt(10) == 0 ? random.nextInt(bytes.length) : bytes.length;
     try {
       socket.getOutputStream().write(bytes, 0, first);
       if (first < bytes.length) {
@@ -428,12 +436,12 @@
       filler.close();
     }
     resetAll();
-    open.values().forEach(FaultyServer::over);
+    open.values().forEach(FaultyServer::markEnded);
     open.values().stream()
         .filter(a -> a.established)
         .forEach(a -> a.endedBy = EndCause.PROCESS_DIED);
     open.clear();
-    attempts.forEach(FaultyServer::noLongerOut);
+    attempts.forEach(FaultyServer::markNoLongerPending);
     accepting = true;
     notifyAll();
     loop.shutdownNow();
--- a/src/main/java/linengauge/standin/MediaRates.java
+++ b/src/main/java/linengauge/standin/MediaRates.java
@@ -8,17 +8,18 @@
 final class MediaRates {
   private final BoxFleet.BoxSpec spec;
   private final SplittableRandom random;
-  private final Map<String, Double> factorOfTitle = new LinkedHashMap<>();
+  private final Map<String, Double> factorByTitle = new LinkedHashMap<>();
 
-  MediaRates(BoxFleet.BoxSpec kind, SplittableRandom random) {
-    this.spec = kind;
+  MediaRates(BoxFleet.BoxSpec spec, SplittableRandom random) {
+    this.spec = spec;
     this.random = random;
   }
 
   /** In kB a second; a rung beyond the ladder counts as the nearest one. */
   double rate(String title, String pack, int rung) {
-    double ofTitle = factorOfTitle.computeIfAbsent(title, t -> 0.85 + 0.3 * random.nextDouble());
+    double titleFactor =
+        factorByTitle.computeIfAbsent(title, t -> 0.85 + 0.3 * random.nextDouble());
     int nearest = Math.max(0, Math.min(rung, spec.ladderKb().length - 1));
-    return spec.ladderKb()[nearest] * spec.rateFactors().getOrDefault(pack, 1.0) * ofTitle;
+    return spec.ladderKb()[nearest] * spec.rateFactors().getOrDefault(pack, 1.0) * titleFactor;
   }
 }
--- a/src/main/java/linengauge/standin/NetworkLinks.java
+++ b/src/main/java/linengauge/standin/NetworkLinks.java
@@ -26,29 +26,29 @@
     this.rackDemandKb = new double[uplinkKb.length];
   }
 
-  private static double[] ones(int n) {
-    double[] v = new double[n];
-    java.util.Arrays.fill(v, 1);
-    return v;
+  private static double[] ones(int length) {
+    double[] values = new double[length];
+    java.util.Arrays.fill(values, 1);
+    return values;
   }
 
   /** A viewing's rate comes, goes or changes. */
-  void addDemand(int box, double kb) {
-    demandKb[box] = Math.max(0, demandKb[box] + kb);
-    rackDemandKb[rackOf[box]] = Math.max(0, rackDemandKb[rackOf[box]] + kb);
+  void addDemand(int box, double kbPerSecond) {
+    demandKb[box] = Math.max(0, demandKb[box] + kbPerSecond);
+    rackDemandKb[rackOf[box]] = Math.max(0, rackDemandKb[rackOf[box]] + kbPerSecond);
   }
 
-  void setLinkCapacity(int box, double part) {
-    linkCapacity[box] = part;
+  void setLinkCapacity(int box, double share) {
+    linkCapacity[box] = share;
   }
 
   /** Another program takes this part of the link. */
-  void setBackgroundUsage(int box, double part) {
-    backgroundUsage[box] = part;
+  void setBackgroundUsage(int box, double share) {
+    backgroundUsage[box] = share;
   }
 
-  void setUplinkCapacity(int rack, double part) {
-    uplinkCapacity[rack] = part;
+  void setUplinkCapacity(int rack, double share) {
+    uplinkCapacity[rack] = share;
   }
 
   double linkLoad(int box) {
--- a/src/main/java/linengauge/standin/PlatformBox.java
+++ b/src/main/java/linengauge/standin/PlatformBox.java
@@ -69,7 +69,7 @@
   }
 
   public long receivedCount(String verb) {
-    return received.stream().filter(n -> n.path("verb").asText().equals(verb)).count();
+    return received.stream().filter(message -> message.path("verb").asText().equals(verb)).count();
   }
 
   public Map<String, Socket> playing() {
@@ -78,63 +78,64 @@
 
   /** Ends a viewing that plays. */
   public void end(String tag, int cause) throws IOException {
-    Socket by = playing.remove(tag);
-    say(by, line("FINISH", tag, cause, null));
+    Socket connection = playing.remove(tag);
+    send(connection, message("FINISH", tag, cause, null));
   }
 
   /** A note on a viewing that plays. */
   public void sendNote(String tag, String kind, double value) throws IOException {
-    ObjectNode n = line("NOTICE", tag, -1, null);
-    n.putObject("opts").put("note", kind).put("value", value);
-    say(playing.get(tag), n);
+    ObjectNode message = message("NOTICE", tag, -1, null);
+    message.putObject("opts").put("note", kind).put("value", value);
+    send(playing.get(tag), message);
   }
 
   /** Writes anything on all connections. */
   public void sendToAll(byte[] bytes) throws IOException {
-    for (Socket s : sockets) {
-      s.getOutputStream().write(bytes);
+    for (Socket socket : sockets) {
+      socket.getOutputStream().write(bytes);
     }
   }
 
   private static void start(Runnable job) {
-    Thread t = new Thread(job, "platform-box");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(job, "platform-box");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   private void accept() {
     try {
       while (true) {
-        Socket s = listener.accept();
-        s.setTcpNoDelay(true);
-        sockets.add(s);
+        Socket socket = listener.accept();
+        socket.setTcpNoDelay(true);
+        sockets.add(socket);
         accepted.incrementAndGet();
-        start(() -> serve(s));
+        start(() -> serve(socket));
       }
     } catch (IOException e) {
       // closed
     }
   }
 
-  private void serve(Socket s) {
-    try (s) {
+  private void serve(Socket socket) {
+    try (socket) {
       var in =
-          new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+          new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        JsonNode n = JSON.readTree(line);
-        received.add(n);
-        String tag = n.path("tag").asText();
-        switch (n.path("verb").asText()) {
-          case "START" -> setUp(s, n, tag);
+        JsonNode message = JSON.readTree(line);
+        received.add(message);
+        String tag = message.path("tag").asText();
+        switch (message.path("verb").asText()) {
+          case "START" -> setUp(socket, message, tag);
           case "FINISH" -> playing.remove(tag);
           case "ECHO" -> {
-            ObjectNode answer = line("ECHOED", tag, 1, null);
-            if (n.path("rc").asInt() == 1) { // a report comes to a test of cause 1 alone
+            ObjectNode answer = message("ECHOED", tag, 1, null);
+            if (message.path("rc").asInt() == 1) { // a report comes to a test of cause 1 alone
               answer
                   .putObject("opts")
                   .put("load", "outstanding:" + playing.size() + ";x0:0.2;x1:0.3");
             }
-            say(s, answer);
+            send(socket, answer);
           }
           default -> {}
         }
@@ -142,75 +143,78 @@
     } catch (IOException e) {
       // its other side has gone
     } finally {
-      sockets.remove(s);
+      sockets.remove(socket);
     }
   }
 
-  private void setUp(Socket s, JsonNode asked, String tag) throws IOException {
-    ObjectNode stands =
-        line("STARTED", tag, -1, "made for " + tag + "\r\n" + asked.path("blob").asText());
+  private void setUp(Socket socket, JsonNode request, String tag) throws IOException {
+    ObjectNode answer =
+        message("STARTED", tag, -1, "made for " + tag + "\r\n" + request.path("blob").asText());
     switch (behavior) {
       case NORMAL -> {
-        playing.put(tag, s);
-        say(s, stands);
+        playing.put(tag, socket);
+        send(socket, answer);
       }
-      case ERROR -> say(s, line("FINISH", tag, 47, null));
-      case FULL -> say(s, line("FINISH", tag, 34, null));
+      case ERROR -> send(socket, message("FINISH", tag, 47, null));
+      case FULL -> send(socket, message("FINISH", tag, 34, null));
       case GARBAGE ->
-          s.getOutputStream().write("\u0001{{{ no such thing\n".getBytes(StandardCharsets.UTF_8));
+          socket
+              .getOutputStream()
+              .write("\u0001{{{ no such thing\n".getBytes(StandardCharsets.UTF_8));
       case TRUNCATED ->
-          s.getOutputStream()
-              .write(stands.toString().substring(0, 40).getBytes(StandardCharsets.UTF_8));
+          socket
+              .getOutputStream()
+              .write(answer.toString().substring(0, 40).getBytes(StandardCharsets.UTF_8));
       case ENDLESS -> {
-        byte[] much =
+        byte[] chunk =
             "{\"verb\":\"STARTED\",\"x\":\""
                 .concat("y".repeat(8000))
                 .getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < 1000; i++) {
-          s.getOutputStream().write(much);
+          socket.getOutputStream().write(chunk);
         }
       }
       case RESET -> {
-        s.setSoLinger(true, 0);
-        s.close();
+        socket.setSoLinger(true, 0);
+        socket.close();
       }
       case DUPLICATE -> {
-        playing.put(tag, s);
-        say(s, line("STARTED", "00000000000000aa", -1, "of nobody"));
-        say(s, stands);
-        say(s, stands);
+        playing.put(tag, socket);
+        send(socket, message("STARTED", "00000000000000aa", -1, "of nobody"));
+        send(socket, answer);
+        send(socket, answer);
       }
-      case NO_DESCRIPTION -> say(s, line("STARTED", tag, -1, null));
+      case NO_DESCRIPTION -> send(socket, message("STARTED", tag, -1, null));
       default -> {
         // no answer
       }
     }
   }
 
-  private static ObjectNode line(String verb, String tag, int cause, String blob) {
-    ObjectNode n = JSON.createObjectNode().put("verb", verb).put("tag", tag);
-    n.putObject("opts");
+  private static ObjectNode message(String verb, String tag, int cause, String blob) {
+    ObjectNode message = JSON.createObjectNode().put("verb", verb).put("tag", tag);
+    message.putObject("opts");
     if (cause >= 0) {
-      n.put("rc", cause);
+      message.put("rc", cause);
     }
-    return blob == null ? n : n.put("blob", blob);
+    return blob == null ? message : message.put("blob", blob);
   }
 
-  private static synchronized void say(Socket s, JsonNode line) throws IOException {
-    s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+  private static synchronized void send(Socket socket, JsonNode message) throws IOException {
+    socket.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
   /** Its process dies: nothing listens any more, and connections are reset. */
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket s : sockets) {
+    for (Socket socket : sockets) {
       try {
-        s.setSoLinger(true, 0);
+        socket.setSoLinger(true, 0);
       } catch (SocketException e) {
         // its other side has closed it meanwhile
       }
-      s.close();
+      socket.close();
     }
   }
 }
--- a/src/main/java/linengauge/standin/PlatformJournal.java
+++ b/src/main/java/linengauge/standin/PlatformJournal.java
@@ -23,19 +23,19 @@
   public final List<Long> requestedPositions = new CopyOnWriteArrayList<>();
 
   /** Numbers go on from that of the last event known elsewhere. */
-  public PlatformJournal(long from) throws IOException {
-    this(from, 0);
+  public PlatformJournal(long lastNumber) throws IOException {
+    this(lastNumber, 0);
   }
 
   /** The same at a port, as one that comes back there. */
-  public PlatformJournal(long from, int port) throws IOException {
+  public PlatformJournal(long lastNumber, int port) throws IOException {
     listener = new ServerSocket(port, 16, InetAddress.getLoopbackAddress());
-    for (long i = 0; i < from; i++) {
+    for (long i = 0; i < lastNumber; i++) {
       events.add(new byte[0]);
     }
-    Thread t = new Thread(this::accept, "platform-journal");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(this::accept, "platform-journal");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   public int port() {
@@ -45,13 +45,13 @@
   private void accept() {
     try {
       while (true) {
-        Socket s = listener.accept();
-        long last = new DataInputStream(s.getInputStream()).readLong();
+        Socket socket = listener.accept();
+        long last = new DataInputStream(socket.getInputStream()).readLong();
         synchronized (this) {
           requestedPositions.add(last);
-          readers.add(s);
-          for (long n = last; n < events.size(); n++) {
-            s.getOutputStream().write(events.get((int) n));
+          readers.add(socket);
+          for (long number = last; number < events.size(); number++) {
+            socket.getOutputStream().write(events.get((int) number));
           }
         }
       }
@@ -76,16 +76,16 @@
   }
 
   public synchronized void publish(byte[]... records) {
-    ByteBuffer f =
+    ByteBuffer frame =
         ByteBuffer.allocate(13 + 27 * records.length)
             .putInt(9 + 27 * records.length)
             .putLong(events.size() + 1)
             .put((byte) 2);
-    for (byte[] r : records) {
-      f.put(r);
+    for (byte[] entry : records) {
+      frame.put(entry);
     }
-    events.add(f.array());
-    send(f.array());
+    events.add(frame.array());
+    send(frame.array());
   }
 
   /** The sign of life. */
@@ -95,26 +95,26 @@
 
   /** Begins an event and breaks off within it; who asks again gets it whole. */
   public synchronized void breakDuringEvent(byte[] record) throws IOException {
-    ByteBuffer f =
+    ByteBuffer frame =
         ByteBuffer.allocate(13 + 27)
             .putInt(9 + 27)
             .putLong(events.size() + 1)
             .put((byte) 2)
             .put(record);
-    events.add(f.array());
-    for (Socket s : readers) {
-      s.getOutputStream().write(f.array(), 0, 20);
-      s.close();
+    events.add(frame.array());
+    for (Socket socket : readers) {
+      socket.getOutputStream().write(frame.array(), 0, 20);
+      socket.close();
     }
     readers.clear();
   }
 
   public synchronized void send(byte[] bytes) {
-    for (Socket s : readers) {
+    for (Socket socket : readers) {
       try {
-        s.getOutputStream().write(bytes);
+        socket.getOutputStream().write(bytes);
       } catch (IOException e) {
-        readers.remove(s);
+        readers.remove(socket);
       }
     }
   }
@@ -122,8 +122,8 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    for (Socket s : readers) {
-      s.close();
+    for (Socket socket : readers) {
+      socket.close();
     }
   }
 }
--- a/src/main/java/linengauge/standin/PlatformTryOut.java
+++ b/src/main/java/linengauge/standin/PlatformTryOut.java
@@ -20,8 +20,8 @@
 
   /** A port that was free just now. */
   public static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
@@ -48,19 +48,19 @@
         viewers.send(PlatformViewers.setUp(id, "lesson", 2000, ""));
         boxes[id % 3].behavior =
             id % 20 == 0 ? PlatformBox.Behavior.FULL : PlatformBox.Behavior.NORMAL;
-        for (var said = viewers.next(3000); said != null; said = viewers.next(3000)) {
-          if (said.id() == id) {
-            played += said.type() == 9 ? 1 : 0;
+        for (var message = viewers.next(3000); message != null; message = viewers.next(3000)) {
+          if (message.id() == id) {
+            played += message.type() == 9 ? 1 : 0;
             break;
           }
         }
         if (id % 2 == 0) {
           viewers.end(id, 16);
         } else {
-          for (PlatformBox b : boxes) {
-            if (b.playing().containsKey(String.format("%016x", id))) {
-              b.sendNote(String.format("%016x", id), "got", 0.9);
-              b.end(String.format("%016x", id), 16);
+          for (PlatformBox box : boxes) {
+            if (box.playing().containsKey(String.format("%016x", id))) {
+              box.sendNote(String.format("%016x", id), "got", 0.9);
+              box.end(String.format("%016x", id), 16);
             }
           }
         }
@@ -71,8 +71,8 @@
 
   @Override
   public void close() throws IOException {
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox box : boxes) {
+      box.close();
     }
     journal.close();
   }
--- a/src/main/java/linengauge/standin/PlatformViewers.java
+++ b/src/main/java/linengauge/standin/PlatformViewers.java
@@ -29,35 +29,35 @@
   public PlatformViewers(int port) throws IOException {
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setTcpNoDelay(true);
-    Thread t = new Thread(this::read, "platform-viewers");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(this::read, "platform-viewers");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   private void read() {
     try {
       var in = new DataInputStream(socket.getInputStream());
       while (true) {
-        byte[] m = new byte[in.readUnsignedShort()];
-        in.readFully(m);
-        ByteBuffer b = ByteBuffer.wrap(m);
-        int type = b.get() & 0xff;
-        long id = b.getLong();
+        byte[] frame = new byte[in.readUnsignedShort()];
+        in.readFully(frame);
+        ByteBuffer buffer = ByteBuffer.wrap(frame);
+        int type = buffer.get() & 0xff;
+        long id = buffer.getLong();
         int cause = -1;
         String description = null;
-        String comeBack = null;
-        while (b.hasRemaining()) {
-          int code = b.get() & 0xff;
-          byte[] value = new byte[b.getShort() & 0xffff];
-          b.get(value);
+        String retryAdvice = null;
+        while (buffer.hasRemaining()) {
+          int code = buffer.get() & 0xff;
+          byte[] value = new byte[buffer.getShort() & 0xffff];
+          buffer.get(value);
           switch (code) {
             case 61 -> cause = value[0] & 0xff;
             case 63 -> description = new String(value, StandardCharsets.UTF_8);
-            case 45 -> comeBack = new String(value, StandardCharsets.UTF_8);
+            case 45 -> retryAdvice = new String(value, StandardCharsets.UTF_8);
             default -> {}
           }
         }
-        received.add(new FrontMessage(type, id, cause, description, comeBack));
+        received.add(new FrontMessage(type, id, cause, description, retryAdvice));
       }
     } catch (IOException e) {
       received.add(FrontMessage.CLOSED);
@@ -65,24 +65,25 @@
   }
 
   /** The next thing the front says, or null when nothing came in that time. */
-  public FrontMessage next(long ms) throws InterruptedException {
-    return received.poll(ms, TimeUnit.MILLISECONDS);
+  public FrontMessage next(long timeLimitMs) throws InterruptedException {
+    return received.poll(timeLimitMs, TimeUnit.MILLISECONDS);
   }
 
   public static byte[] message(int type, long id, Object... parameters) {
-    ByteBuffer b = ByteBuffer.allocate(16 * 1024).putShort((short) 0).put((byte) type).putLong(id);
+    ByteBuffer buffer =
+        ByteBuffer.allocate(16 * 1024).putShort((short) 0).put((byte) type).putLong(id);
     for (int i = 0; i < parameters.length; i += 2) {
       byte[] value =
           parameters[i + 1] instanceof byte[] bytes
               ? bytes
               : parameters[i + 1].toString().getBytes(StandardCharsets.UTF_8);
-      b.put(((Integer) parameters[i]).byteValue()).putShort((short) value.length).put(value);
+      buffer.put(((Integer) parameters[i]).byteValue()).putShort((short) value.length).put(value);
     }
-    b.putShort(0, (short) (b.position() - 2));
-    return java.util.Arrays.copyOf(b.array(), b.position());
+    buffer.putShort(0, (short) (buffer.position() - 2));
+    return java.util.Arrays.copyOf(buffer.array(), buffer.position());
   }
 
-  public static byte[] setUp(long id, String pack, long leftMs, String more) {
+  public static byte[] setUp(long id, String pack, long leftMs, String moreAttributes) {
     return message(
         1,
         id,
@@ -93,7 +94,7 @@
         41,
         "7f3a9c21e0b4d655",
         43,
-        "home:0;copies:0;top:4;viewer:00000000b4d65521" + more,
+        "home:0;copies:0;top:4;viewer:00000000b4d65521" + moreAttributes,
         63,
         "m=audio of " + id + "\r\n");
   }
--- a/src/main/java/linengauge/standin/PlayerSimulator.java
+++ b/src/main/java/linengauge/standin/PlayerSimulator.java
@@ -23,10 +23,10 @@
  */
 public final class PlayerSimulator {
   private static final Pattern VIEWING = Pattern.compile("/v/([A-Za-z0-9-]+)/media\\.m3u8");
-  private static final Pattern OWN = Pattern.compile("http://([^:/]+):([0-9]+)/v/");
+  private static final Pattern OWN_ADDRESS = Pattern.compile("http://([^:/]+):([0-9]+)/v/");
 
   /** How long after its patience a player still listens, so that a late answer is seen. */
-  private static final int LISTENS_ON_MS = 400;
+  private static final int LATE_ANSWER_WAIT_MS = 400;
 
   /** One package as viewers see it. Shares sum to 1; spans in milliseconds. */
   public record PlayerProfile(
@@ -59,17 +59,17 @@
   private final Vertx vertx;
   private final HttpClient client;
   private final Tap tap;
-  private final List<FrontEndpoint> doors;
-  private final List<PlayerProfile> wants;
+  private final List<FrontEndpoint> endpoints;
+  private final List<PlayerProfile> profiles;
   private final List<String> titles;
   private final double[] titleWeights;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final Figures figures = new Figures();
   private final int ceilingRungs;
   private final int shortestMs;
   private final int longestMs;
-  private final String keys;
-  private final HttpClient once;
+  private final String keyPrefix;
+  private final HttpClient unpooledClient;
   private SharedLan lan;
 
   /** When requests were answered that they play, microseconds of the tap. */
@@ -78,20 +78,20 @@
   private String hotTitle;
   private double hotShare;
   private int activePlayers;
-  private int number;
+  private int nextPlayerNumber;
   private boolean closing;
 
   public PlayerSimulator(
       Vertx vertx,
-      List<FrontEndpoint> doors,
-      List<PlayerProfile> wants,
+      List<FrontEndpoint> endpoints,
+      List<PlayerProfile> profiles,
       List<String> titles,
       int rungs,
       int shortestMs,
       int longestMs,
       long seed,
       Tap tap) {
-    this(vertx, doors, wants, titles, rungs, shortestMs, longestMs, seed, tap, "k");
+    this(vertx, endpoints, profiles, titles, rungs, shortestMs, longestMs, seed, tap, "k");
   }
 
   /**
@@ -99,25 +99,25 @@
    */
   public PlayerSimulator(
       Vertx vertx,
-      List<FrontEndpoint> doors,
-      List<PlayerProfile> wants,
+      List<FrontEndpoint> endpoints,
+      List<PlayerProfile> profiles,
       List<String> titles,
       int rungs,
       int shortestMs,
       int longestMs,
       long seed,
       Tap tap,
-      String keys) {
-    this.keys = keys;
+      String keyPrefix) {
+    this.keyPrefix = keyPrefix;
     this.vertx = vertx;
-    this.doors = List.copyOf(doors);
-    this.wants = List.copyOf(wants);
+    this.endpoints = List.copyOf(endpoints);
+    this.profiles = List.copyOf(profiles);
     this.titles = List.copyOf(titles);
     this.ceilingRungs = rungs;
     this.shortestMs = shortestMs;
     this.longestMs = longestMs;
     this.tap = tap;
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.titleWeights = new double[titles.size()];
     for (int i = 0; i < titleWeights.length; i++) {
       titleWeights[i] = 1 / Math.pow(i + 1, 0.8);
@@ -126,13 +126,13 @@
         client(
             new HttpClientOptions().setConnectTimeout(1000).setKeepAliveTimeout(10),
             new PoolOptions().setHttp1MaxSize(4000).setMaxWaitQueueSize(20_000));
-    this.once =
+    this.unpooledClient =
         client(
             new HttpClientOptions().setConnectTimeout(1000).setKeepAlive(false),
             new PoolOptions().setHttp1MaxSize(4000).setMaxWaitQueueSize(20_000));
   }
 
-  private synchronized void played(long at) {
+  private synchronized void recordPlayed(long at) {
     playedAt.add(at);
   }
 
@@ -150,8 +150,8 @@
   }
 
   /** Doors of shared addresses lead through this LAN. */
-  public void setLan(SharedLan through) {
-    lan = through;
+  public void setLan(SharedLan sharedLan) {
+    lan = sharedLan;
   }
 
   /**
@@ -160,14 +160,14 @@
    */
   public synchronized long longestGapMicros(long from, long to) {
     long last = from;
-    long most = 0;
+    long longest = 0;
     for (long at : playedAt) {
       if (at >= from) {
-        most = last <= to ? Math.max(most, at - last) : most;
+        longest = last <= to ? Math.max(longest, at - last) : longest;
         last = at;
       }
     }
-    return last <= to ? Math.max(most, to - last) : most;
+    return last <= to ? Math.max(longest, to - last) : longest;
   }
 
   public Figures figures() {
@@ -196,28 +196,28 @@
 
   /** One viewer comes. */
   public void arrive() {
-    double draw = chance.nextDouble();
-    PlayerProfile want = wants.get(wants.size() - 1);
-    for (PlayerProfile w : wants) {
-      draw -= w.share;
+    double draw = random.nextDouble();
+    PlayerProfile profile = profiles.get(profiles.size() - 1);
+    for (PlayerProfile candidate : profiles) {
+      draw -= candidate.share;
       if (draw < 0) {
-        want = w;
+        profile = candidate;
         break;
       }
     }
-    String title = hotTitle != null && chance.nextDouble() < hotShare ? hotTitle : title();
-    int ceiling = chance.nextDouble() < 0.25 ? Math.max(1, ceilingRungs - 2) : ceilingRungs - 1;
-    int length = shortestMs + chance.nextInt(Math.max(1, longestMs - shortestMs));
+    String title = hotTitle != null && random.nextDouble() < hotShare ? hotTitle : drawTitle();
+    int ceiling = random.nextDouble() < 0.25 ? Math.max(1, ceilingRungs - 2) : ceilingRungs - 1;
+    int lengthMs = shortestMs + random.nextInt(Math.max(1, longestMs - shortestMs));
     activePlayers++;
-    new Player(keys + number++, want, title, ceiling, length).ask();
+    new Player(keyPrefix + nextPlayerNumber++, profile, title, ceiling, lengthMs).requestViewing();
   }
 
-  private String title() {
-    double all = 0;
-    for (double w : titleWeights) {
-      all += w;
+  private String drawTitle() {
+    double totalWeight = 0;
+    for (double weight : titleWeights) {
+      totalWeight += weight;
     }
-    double draw = chance.nextDouble() * all;
+    double draw = random.nextDouble() * totalWeight;
     for (int i = 0; i < titleWeights.length; i++) {
       draw -= titleWeights[i];
       if (draw < 0) {
@@ -229,162 +229,166 @@
 
   private final class Player {
     private final String key;
-    private final PlayerProfile want;
+    private final PlayerProfile profile;
     private final String title;
     private final int ceiling;
     private final String building;
-    private final boolean patientWithAdvice = chance.nextDouble() < 0.6;
+    private final boolean followsRetryAdvice = random.nextDouble() < 0.6;
     private double leftMs;
-    private FrontEndpoint door;
-    private int tries;
+    private FrontEndpoint endpoint;
+    private int attempts;
     private String viewing;
-    private int failed;
+    private int consecutiveFailures;
 
-    private Player(String key, PlayerProfile want, String title, int ceiling, int lengthMs) {
+    private Player(String key, PlayerProfile profile, String title, int ceiling, int lengthMs) {
       this.key = key;
-      this.want = want;
+      this.profile = profile;
       this.title = title;
       this.ceiling = ceiling;
       this.leftMs = lengthMs;
-      this.building = doors.get(chance.nextInt(doors.size())).building;
-      figures.valueRequested += want.value;
+      this.building = endpoints.get(random.nextInt(endpoints.size())).building;
+      figures.valueRequested += profile.value;
     }
 
-    private RequestOptions to(HttpMethod method, String uri) {
+    private RequestOptions requestOptions(HttpMethod method, String uri) {
       return new RequestOptions()
           .setMethod(method)
-          .setHost(door.host)
-          .setPort(door.port)
+          .setHost(endpoint.host)
+          .setPort(endpoint.port)
           .setURI(uri);
     }
 
-    private void gone() {
+    private void onGone() {
       activePlayers--;
     }
 
-    private void ask() {
-      List<FrontEndpoint> near = new ArrayList<>(doors);
-      near.removeIf(d -> !d.building.equals(building));
-      door = near.get(chance.nextInt(near.size()));
-      String id = key + "-" + tries++;
-      long at = tap.elapsedMicros();
+    private void requestViewing() {
+      List<FrontEndpoint> nearby = new ArrayList<>(endpoints);
+      nearby.removeIf(candidate -> !candidate.building.equals(building));
+      endpoint = nearby.get(random.nextInt(nearby.size()));
+      String id = key + "-" + attempts++;
+      long askedAt = tap.elapsedMicros();
       figures.asked++;
-      boolean[] over = {false};
+      boolean[] done = {false};
       HttpClientRequest[] sent = {null};
-      long timer = vertx.setTimer(want.timeLimitMs + LISTENS_ON_MS, t -> giveUp(id, over, sent));
-      boolean shared = door.front < 0;
-      RequestOptions to = to(HttpMethod.GET, askUri());
+      long timer =
+          vertx.setTimer(profile.timeLimitMs + LATE_ANSWER_WAIT_MS, t -> onTimeout(id, done, sent));
+      boolean shared = endpoint.front < 0;
+      RequestOptions options = requestOptions(HttpMethod.GET, viewingUri());
       if (shared) {
-        to.putHeader("X-Ask", id);
+        options.putHeader("X-Ask", id);
       }
-      (shared ? once : client)
-          .request(to)
+      (shared ? unpooledClient : client)
+          .request(options)
           .onComplete(
-              r -> {
-                if (over[0]) {
-                  if (r.succeeded()) {
-                    r.result().reset();
+              result -> {
+                if (done[0]) {
+                  if (result.succeeded()) {
+                    result.result().reset();
                   }
                   return;
                 }
-                if (r.failed()) {
-                  over[0] = true;
+                if (result.failed()) {
+                  done[0] = true;
                   vertx.cancelTimer(timer);
-                  notReached(id);
+                  onNotReached(id);
                   return;
                 }
-                sent[0] = r.result();
+                sent[0] = result.result();
                 if (!shared) {
-                  sawAsked(id);
+                  recordRequest(id);
                 }
-                send(id, at, r.result(), over, timer);
+                send(id, askedAt, result.result(), done, timer);
               });
     }
 
     /** Its patience is over, and a while more. */
-    private void giveUp(String id, boolean[] over, HttpClientRequest[] sent) {
-      if (over[0]) {
+    private void onTimeout(String id, boolean[] done, HttpClientRequest[] sent) {
+      if (done[0]) {
         return;
       }
-      over[0] = true;
-      if (reached(id)) {
+      done[0] = true;
+      if (resolveFront(id)) {
         figures.unanswered++;
-        tap.recordEvent("gave-up", "ask", id, "front", door.front);
+        tap.recordEvent("gave-up", "ask", id, "front", endpoint.front);
       }
       if (sent[0] != null) {
         sent[0].reset();
       }
-      again(0);
+      retryLater(0);
     }
 
-    private void notReached(String id) {
+    private void onNotReached(String id) {
       figures.notReached++;
-      tap.recordEvent("not-reached", "ask", id, "front", door.front);
-      again(0);
+      tap.recordEvent("not-reached", "ask", id, "front", endpoint.front);
+      retryLater(0);
     }
 
-    private String askUri() {
+    private String viewingUri() {
       return "/titles/"
           + title
           + "/main.m3u8?package="
-          + want.pack
+          + profile.pack
           + "&ceiling="
           + ceiling
           + "&patience="
-          + want.timeLimitMs
+          + profile.timeLimitMs
           + "&key="
           + key;
     }
 
-    private void sawAsked(String id) {
+    private void recordRequest(String id) {
       tap.recordEvent(
           "asked",
           "ask",
           id,
           "front",
-          door.front,
+          endpoint.front,
           "key",
           key,
           "title",
           title,
           "package",
-          want.pack,
+          profile.pack,
           "ceiling",
           ceiling,
           "patienceMs",
-          want.timeLimitMs);
+          profile.timeLimitMs);
     }
 
-    private void send(String id, long at, HttpClientRequest request, boolean[] over, long timer) {
+    private void send(
+        String id, long askedAt, HttpClientRequest request, boolean[] done, long timer) {
       request
           .send()
           .onComplete(
-              a -> {
-                if (over[0]) {
+              result -> {
+                if (done[0]) {
                   return;
                 }
-                if (a.failed()) {
-                  over[0] = true;
+                if (result.failed()) {
+                  done[0] = true;
                   vertx.cancelTimer(timer);
-                  broke(id);
+                  onDisconnected(id);
                 } else {
-                  a.result()
+                  result
+                      .result()
                       .exceptionHandler(
                           e -> {
-                            if (!over[0]) {
-                              over[0] = true;
+                            if (!done[0]) {
+                              done[0] = true;
                               vertx.cancelTimer(timer);
-                              broke(id);
+                              onDisconnected(id);
                             }
                           });
-                  a.result()
+                  result
+                      .result()
                       .body()
                       .onSuccess(
-                          b -> {
-                            if (!over[0]) {
-                              over[0] = true;
+                          body -> {
+                            if (!done[0]) {
+                              done[0] = true;
                               vertx.cancelTimer(timer);
-                              answered(id, at, a.result(), b);
+                              onAnswer(id, askedAt, result.result(), body);
                             }
                           });
                 }
@@ -392,37 +396,37 @@
     }
 
     /** By a shared address: the front that the LAN handed it to, or none. */
-    private boolean reached(String id) {
-      if (door.front >= 0) {
+    private boolean resolveFront(String id) {
+      if (endpoint.front >= 0) {
         return true;
       }
-      Integer by = lan.receivingNode(id);
-      if (by == null) {
+      Integer node = lan.receivingNode(id);
+      if (node == null) {
         figures.notReached++;
         tap.recordEvent("not-reached", "ask", id, "front", -1);
         return false;
       }
-      door = new FrontEndpoint(by, door.host, door.port, door.building);
+      endpoint = new FrontEndpoint(node, endpoint.host, endpoint.port, endpoint.building);
       return true;
     }
 
-    private void broke(String id) {
-      if (reached(id)) {
+    private void onDisconnected(String id) {
+      if (resolveFront(id)) {
         figures.disconnected++;
-        tap.recordEvent("broke", "ask", id, "front", door.front);
+        tap.recordEvent("broke", "ask", id, "front", endpoint.front);
       }
-      again(0);
+      retryLater(0);
     }
 
-    private void answered(String id, long askedAt, HttpClientResponse r, Buffer body) {
+    private void onAnswer(String id, long askedAt, HttpClientResponse response, Buffer body) {
       long micros = tap.elapsedMicros() - askedAt;
-      reached(id);
-      Matcher m = VIEWING.matcher(body.toString());
-      boolean plays = r.statusCode() == 200 && m.find();
+      resolveFront(id);
+      Matcher viewingMatch = VIEWING.matcher(body.toString());
+      boolean plays = response.statusCode() == 200 && viewingMatch.find();
       String how =
           plays
               ? "plays"
-              : switch (r.statusCode()) {
+              : switch (response.statusCode()) {
                 case 503 -> "blocked";
                 case 502, 504 -> "aborted";
                 default -> "unclear";
@@ -432,55 +436,58 @@
           "ask",
           id,
           "front",
-          door.front,
+          endpoint.front,
           "how",
           how,
           "status",
-          r.statusCode(),
+          response.statusCode(),
           "viewing",
-          plays ? m.group(1) : null);
+          plays ? viewingMatch.group(1) : null);
       if (plays) {
         figures.played++;
         figures.joinMicros.recordValue(Math.min(micros, 59_000_000L));
-        if (tries == 1 && micros <= 1000L * want.latencyObjectiveMs) {
-          figures.valueOnTime += want.value;
+        if (attempts == 1 && micros <= 1000L * profile.latencyObjectiveMs) {
+          figures.valueOnTime += profile.value;
         }
-        viewing = m.group(1);
-        played(tap.elapsedMicros());
-        Matcher own = OWN.matcher(body.toString());
-        if (own.find()) { // it plays at the front's own address
-          door =
+        viewing = viewingMatch.group(1);
+        recordPlayed(tap.elapsedMicros());
+        Matcher ownAddressMatch = OWN_ADDRESS.matcher(body.toString());
+        if (ownAddressMatch.find()) { // it plays at the front's own address
+          endpoint =
               new FrontEndpoint(
-                  door.front, own.group(1), Integer.parseInt(own.group(2)), door.building);
+                  endpoint.front,
+                  ownAddressMatch.group(1),
+                  Integer.parseInt(ownAddressMatch.group(2)),
+                  endpoint.building);
         }
-        playlist();
+        fetchPlaylist();
       } else {
         figures.rejected += how.equals("blocked") ? 1 : 0;
         figures.failed += how.equals("aborted") ? 1 : 0;
-        String advice = r.getHeader("Retry-After-Ms");
-        again(advice != null && patientWithAdvice ? Integer.parseInt(advice) : 0);
+        String advice = response.getHeader("Retry-After-Ms");
+        retryLater(advice != null && followsRetryAdvice ? Integer.parseInt(advice) : 0);
       }
     }
 
-    private void again(int adviceMs) {
+    private void retryLater(int adviceMs) {
       viewing = null;
-      if (closing || tries >= 5 || chance.nextDouble() > 0.9) {
-        gone();
+      if (closing || attempts >= 5 || random.nextDouble() > 0.9) {
+        onGone();
         return;
       }
       figures.retried++;
       vertx.setTimer(
-          Math.max(adviceMs, 300 + chance.nextInt(1200)),
+          Math.max(adviceMs, 300 + random.nextInt(1200)),
           t -> {
             if (closing) {
-              gone();
+              onGone();
             } else {
-              ask();
+              requestViewing();
             }
           });
     }
 
-    private void playlist() {
+    private void fetchPlaylist() {
       get(
           "/v/" + viewing + "/media.m3u8",
           5000,
@@ -488,103 +495,110 @@
             if (status == 200 && body.toString().startsWith("#EXTM3U")) {
               String first =
                   body.toString().lines().filter(l -> l.startsWith("/v/")).findFirst().orElse("");
-              segment(first, 0);
+              fetchSegment(first, 0);
             } else {
-              lost(status);
+              onPlaybackLost(status);
             }
           });
     }
 
-    private void segment(String firstUri, int n) {
+    private void fetchSegment(String firstUri, int index) {
       if (leftMs <= 0 || closing) {
         leave();
         return;
       }
-      long from = tap.elapsedMicros();
+      long startedAt = tap.elapsedMicros();
       get(
-          firstUri.replaceFirst("[0-9]+\\.ts$", n + ".ts"),
+          firstUri.replaceFirst("[0-9]+\\.ts$", index + ".ts"),
           8000,
           (status, body) -> {
             if (status != 200) {
-              if (++failed >= 2 || status == 410) {
-                lost(status);
+              if (++consecutiveFailures >= 2 || status == 410) {
+                onPlaybackLost(status);
               } else {
-                segment(firstUri, n);
+                fetchSegment(firstUri, index);
               }
               return;
             }
             figures.segments++;
             figures.bytes += body.length();
-            long took = (tap.elapsedMicros() - from) / 1000;
-            leftMs -= Math.max(1000, took);
-            failed = took > 2500 ? failed + 1 : 0;
-            if (failed >= 2) {
+            long tookMs = (tap.elapsedMicros() - startedAt) / 1000;
+            leftMs -= Math.max(1000, tookMs);
+            consecutiveFailures = tookMs > 2500 ? consecutiveFailures + 1 : 0;
+            if (consecutiveFailures >= 2) {
               figures.stalled++;
               leave();
               return;
             }
-            vertx.setTimer(Math.max(1, 1000 - took), t -> segment(firstUri, n + 1));
+            vertx.setTimer(Math.max(1, 1000 - tookMs), t -> fetchSegment(firstUri, index + 1));
           });
     }
 
-    private void lost(int status) {
-      tap.recordEvent("play-broke", "viewing", viewing, "front", door.front, "status", status);
+    private void onPlaybackLost(int status) {
+      tap.recordEvent("play-broke", "viewing", viewing, "front", endpoint.front, "status", status);
       if (status != 410 && status != 0) {
-        client.request(to(HttpMethod.DELETE, "/v/" + viewing)).compose(HttpClientRequest::send);
+        client
+            .request(requestOptions(HttpMethod.DELETE, "/v/" + viewing))
+            .compose(HttpClientRequest::send);
       }
-      again(0);
+      retryLater(0);
     }
 
     private void leave() {
-      tap.recordEvent("left", "viewing", viewing, "front", door.front);
+      tap.recordEvent("left", "viewing", viewing, "front", endpoint.front);
       client
-          .request(to(HttpMethod.DELETE, "/v/" + viewing))
+          .request(requestOptions(HttpMethod.DELETE, "/v/" + viewing))
           .compose(HttpClientRequest::send)
-          .onComplete(r -> gone());
+          .onComplete(r -> onGone());
     }
 
-    private interface Got {
-      void with(int status, Buffer body);
+    private interface ResponseHandler {
+      void onResponse(int status, Buffer body);
     }
 
     /** Status 0: the front cannot be reached, broke off, or sent nothing whole in time. */
-    private void get(String uri, int ms, Got then) {
-      boolean[] over = {false};
+    private void get(String uri, int timeLimitMs, ResponseHandler handler) {
+      boolean[] done = {false};
       HttpClientRequest[] sent = {null};
       long timer =
           vertx.setTimer(
-              ms,
+              timeLimitMs,
               t -> {
-                if (!over[0]) {
-                  over[0] = true;
+                if (!done[0]) {
+                  done[0] = true;
                   if (sent[0] != null) {
                     sent[0].reset();
                   }
-                  then.with(0, Buffer.buffer());
+                  handler.onResponse(0, Buffer.buffer());
                 }
               });
-      Got once =
+      ResponseHandler onceHandler =
           (status, body) -> {
-            if (!over[0]) {
-              over[0] = true;
+            if (!done[0]) {
+              done[0] = true;
               vertx.cancelTimer(timer);
-              then.with(status, body);
+              handler.onResponse(status, body);
             }
           };
       client
-          .request(to(HttpMethod.GET, uri))
-          .onFailure(e -> once.with(0, Buffer.buffer()))
+          .request(requestOptions(HttpMethod.GET, uri))
+          .onFailure(e -> onceHandler.onResponse(0, Buffer.buffer()))
           .onSuccess(
-              q -> {
-                sent[0] = q;
-                q.send()
-                    .onFailure(e -> once.with(0, Buffer.buffer()))
+              request -> {
+                sent[0] = request;
+                request
+                    .send()
+                    .onFailure(e -> onceHandler.onResponse(0, Buffer.buffer()))
                     .onSuccess(
-                        r -> {
-                          r.exceptionHandler(e -> once.with(0, Buffer.buffer()));
-                          r.body()
-                              .onSuccess(b -> once.with(r.statusCode(), b))
-                              .onFailure(e -> once.with(0, Buffer.buffer()));
+                        response -> {
+                          response.exceptionHandler(
+                              e -> onceHandler.onResponse(0, Buffer.buffer()));
+                          response
+                              .body()
+                              .onSuccess(
+                                  responseBody ->
+                                      onceHandler.onResponse(response.statusCode(), responseBody))
+                              .onFailure(e -> onceHandler.onResponse(0, Buffer.buffer()));
                         });
               });
     }
--- a/src/main/java/linengauge/standin/SegmentSender.java
+++ b/src/main/java/linengauge/standin/SegmentSender.java
@@ -10,24 +10,24 @@
   static final int TICK_MS = 100;
 
   /** How much faster than it plays a segment is sent where the link gives all that is asked. */
-  private static final double AHEAD = 1.25;
+  private static final double SPEED_FACTOR = 1.25;
 
   /** A segment on its way; bytes go out with each tick. */
-  private static final class Sending {
+  private static final class Transmission {
     private final RunningViewing viewing;
     private final HttpServerResponse response;
-    private double left;
-    private double due;
+    private double bytesLeft;
+    private double bytesDue;
 
-    private Sending(RunningViewing viewing, HttpServerResponse response, double bytes) {
+    private Transmission(RunningViewing viewing, HttpServerResponse response, double bytes) {
       this.viewing = viewing;
       this.response = response;
-      this.left = bytes;
+      this.bytesLeft = bytes;
     }
   }
 
   private final BoxViewings viewings;
-  private final List<Sending> sending = new ArrayList<>();
+  private final List<Transmission> transmissions = new ArrayList<>();
 
   SegmentSender(BoxViewings viewings) {
     this.viewings = viewings;
@@ -39,23 +39,23 @@
         .putHeader("Content-Type", "video/mp2t")
         .putHeader("Content-Length", Long.toString(bytes))
         .putHeader("Rung", Integer.toString(viewing.rung()));
-    sending.add(new Sending(viewing, response, bytes));
+    transmissions.add(new Transmission(viewing, response, bytes));
   }
 
   boolean isSending(RunningViewing viewing) {
-    return sending.stream().anyMatch(s -> s.viewing == viewing);
+    return transmissions.stream().anyMatch(s -> s.viewing == viewing);
   }
 
   void clear() {
-    sending.clear();
+    transmissions.clear();
   }
 
   /** Sends what is due of all segments, at that share of their rates. */
   void tick(double share) {
-    sending.removeIf(segment -> isOver(segment) || sendDue(segment, share));
+    transmissions.removeIf(segment -> isOver(segment) || sendDue(segment, share));
   }
 
-  private boolean isOver(Sending segment) {
+  private boolean isOver(Transmission segment) {
     if (segment.response.closed() || segment.response.ended()) {
       return true;
     }
@@ -67,17 +67,17 @@
   }
 
   /** True once all of the segment is sent. */
-  private static boolean sendDue(Sending segment, double share) {
-    segment.due += segment.viewing.kb() * 1000 * share * AHEAD * TICK_MS / 1000;
+  private static boolean sendDue(Transmission segment, double share) {
+    segment.bytesDue += segment.viewing.kb() * 1000 * share * SPEED_FACTOR * TICK_MS / 1000;
     if (segment.response.writeQueueFull()) {
-      segment.due = 0; // its reader is slower than the link
+      segment.bytesDue = 0; // its reader is slower than the link
       return false;
     }
-    int bytes = (int) Math.min(segment.left, segment.due);
-    segment.due -= bytes;
-    segment.left -= bytes;
+    int bytes = (int) Math.min(segment.bytesLeft, segment.bytesDue);
+    segment.bytesDue -= bytes;
+    segment.bytesLeft -= bytes;
     segment.response.write(Buffer.buffer(new byte[bytes]));
-    if (segment.left < 1) {
+    if (segment.bytesLeft < 1) {
       segment.response.end();
       return true;
     }
--- a/src/main/java/linengauge/standin/SetUpHandler.java
+++ b/src/main/java/linengauge/standin/SetUpHandler.java
@@ -53,14 +53,14 @@
   SetUpHandler(
       Vertx vertx,
       StandInBox box,
-      BoxFleet.BoxSpec kind,
+      BoxFleet.BoxSpec spec,
       BoxViewings viewings,
       MediaRates rates,
       SplittableRandom random,
       Tap tap) {
     this.vertx = vertx;
     this.box = box;
-    this.spec = kind;
+    this.spec = spec;
     this.viewings = viewings;
     this.rates = rates;
     this.random = random;
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -30,11 +30,11 @@
  * Everything here runs on one event loop, whose clock is the tap's.
  */
 public final class SharedLan {
-  private static final Pattern ASKED =
+  private static final Pattern VIEWING_REQUEST =
       Pattern.compile(
           "^GET /titles/([^/]+)/main\\.m3u8\\?package=([^&]+)&ceiling=(\\d+)&patience=(\\d+)&key=(\\S+) HTTP");
-  private static final Pattern ASK = Pattern.compile("(?i)\r\nX-Ask: *([^\r]+)\r\n");
-  private static final int LONGEST_HEAD = 16_384;
+  private static final Pattern REQUEST_ID = Pattern.compile("(?i)\r\nX-Ask: *([^\r]+)\r\n");
+  private static final int MAX_HEAD_CHARS = 16_384;
 
   /**
    * A node: its address, its port for datagrams, the LAN's port in its place, and where it takes
@@ -48,7 +48,7 @@
 
   private final Vertx vertx;
   private final Tap tap;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<Node> nodes;
   private final List<SharedAddress> shared;
   private final List<DatagramSocket> sockets = new ArrayList<>();
@@ -64,94 +64,94 @@
    * By node and VRID: the number of its last announcement, so that one overtaken by another is
    * passed over.
    */
-  private final Map<String, Long> announced = new HashMap<>();
+  private final Map<String, Long> lastAnnouncements = new HashMap<>();
 
-  private final Map<Integer, Set<Line>> lines = new HashMap<>();
+  private final Map<Integer, Set<Connection>> connections = new HashMap<>();
   private final Map<String, Integer> receivingNode = new ConcurrentHashMap<>();
-  private double lost;
-  private double copied;
-  private int lateMs;
+  private double lossRate;
+  private double duplicationRate;
+  private int maxDelayMs;
   private long relayed;
 
   /** One viewer's connection through the switch. */
-  private final class Line {
+  private final class Connection {
     private final int vrid;
     private final int node;
-    private final NetSocket near;
-    private NetSocket far;
+    private final NetSocket viewerSide;
+    private NetSocket nodeSide;
     private String head = "";
-    private String ask;
-    private boolean over;
+    private String requestId;
+    private boolean closed;
 
-    private Line(int vrid, int node, NetSocket near) {
+    private Connection(int vrid, int node, NetSocket viewerSide) {
       this.vrid = vrid;
       this.node = node;
-      this.near = near;
+      this.viewerSide = viewerSide;
     }
 
     private void open() {
-      near.pause();
-      near.exceptionHandler(e -> {});
-      near.closeHandler(v -> end());
+      viewerSide.pause();
+      viewerSide.exceptionHandler(e -> {});
+      viewerSide.closeHandler(v -> end());
       String[] at = nodes.get(node).viewers.get(vrid).split(":");
       client
           .connect(Integer.parseInt(at[1]), at[0])
-          .onFailure(e -> near.close())
+          .onFailure(e -> viewerSide.close())
           .onSuccess(
               s -> {
-                far = s;
-                far.exceptionHandler(e -> {});
-                far.closeHandler(v -> end());
-                near.handler(
+                nodeSide = s;
+                nodeSide.exceptionHandler(e -> {});
+                nodeSide.closeHandler(v -> end());
+                viewerSide.handler(
                     b -> {
-                      if (over) {
+                      if (closed) {
                         return; // nothing more is handed on, nor seen
                       }
-                      look(b);
-                      far.write(b);
+                      inspect(b);
+                      nodeSide.write(b);
                     });
-                far.handler(
+                nodeSide.handler(
                     b -> {
-                      near.write(b);
-                      if (near.writeQueueFull()) {
-                        far.pause();
-                        near.drainHandler(v -> far.resume());
+                      viewerSide.write(b);
+                      if (viewerSide.writeQueueFull()) {
+                        nodeSide.pause();
+                        viewerSide.drainHandler(v -> nodeSide.resume());
                       }
                     });
-                near.resume();
+                viewerSide.resume();
               });
     }
 
     /** The tap: a request for a viewing is about to be handed on, to this node. */
-    private void look(Buffer b) {
-      if (ask != null || head.length() > LONGEST_HEAD) {
+    private void inspect(Buffer data) {
+      if (requestId != null || head.length() > MAX_HEAD_CHARS) {
         return;
       }
-      head += b.toString("ISO-8859-1");
+      head += data.toString("ISO-8859-1");
       if (!head.contains("\r\n\r\n")) {
         return;
       }
-      Matcher id = ASK.matcher(head);
-      Matcher asked = ASKED.matcher(head);
-      if (id.find() && asked.find()) {
-        ask = id.group(1);
-        receivingNode.put(ask, node);
+      Matcher idMatch = REQUEST_ID.matcher(head);
+      Matcher requestMatch = VIEWING_REQUEST.matcher(head);
+      if (idMatch.find() && requestMatch.find()) {
+        requestId = idMatch.group(1);
+        receivingNode.put(requestId, node);
         tap.recordEvent(
             "asked",
             "ask",
-            ask,
+            requestId,
             "front",
             node,
             "key",
-            asked.group(5),
+            requestMatch.group(5),
             "title",
-            asked.group(1),
+            requestMatch.group(1),
             "package",
-            asked.group(2),
+            requestMatch.group(2),
             "ceiling",
-            Integer.parseInt(asked.group(3)),
+            Integer.parseInt(requestMatch.group(3)),
             "patienceMs",
-            Integer.parseInt(asked.group(4)),
+            Integer.parseInt(requestMatch.group(4)),
             "vrid",
             vrid);
       }
@@ -159,19 +159,19 @@
     }
 
     /** The switch sends it elsewhere from now on, where nobody knows it. */
-    private void breakOff() {
-      if (ask != null) {
-        tap.recordEvent("cut", "ask", ask, "front", node);
+    private void cutByHandover() {
+      if (requestId != null) {
+        tap.recordEvent("cut", "ask", requestId, "front", node);
       }
       end();
     }
 
     private void end() {
-      over = true;
-      lines.get(vrid).remove(this);
-      near.close();
-      if (far != null) {
-        far.close();
+      closed = true;
+      connections.get(vrid).remove(this);
+      viewerSide.close();
+      if (nodeSide != null) {
+        nodeSide.close();
       }
     }
   }
@@ -190,7 +190,7 @@
     this.announceHost = announceHost;
     this.announcePort = announcePort;
     this.tap = tap;
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.cut = new boolean[nodes.size()][nodes.size()];
     this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000));
   }
@@ -203,10 +203,10 @@
     for (Node n : nodes) {
       DatagramSocket s = vertx.createDatagramSocket();
       sockets.add(s);
-      open.add(hear(s, n.lanPort, n.host, (from, data) -> carry(from, n, data)));
+      open.add(bind(s, n.lanPort, n.host, (from, data) -> forward(from, n, data)));
     }
     DatagramSocket announcements = vertx.createDatagramSocket();
-    open.add(hear(announcements, announcePort, announceHost, this::announced));
+    open.add(bind(announcements, announcePort, announceHost, this::onAnnouncement));
     for (SharedAddress a : shared) {
       open.add(openShared(a));
     }
@@ -214,47 +214,47 @@
   }
 
   /** Binds a socket; what a node sends there goes to the receiver, with the node. */
-  private Future<?> hear(
+  private Future<?> bind(
       DatagramSocket socket, int port, String host, BiConsumer<Node, Buffer> receiver) {
     return socket
         .listen(port, host)
         .onSuccess(
             bound ->
                 bound.handler(
-                    p -> {
+                    packet -> {
                       for (Node from : nodes) {
-                        if (from.host.equals(p.sender().hostAddress())
-                            && from.port == p.sender().port()) {
-                          receiver.accept(from, p.data());
+                        if (from.host.equals(packet.sender().hostAddress())
+                            && from.port == packet.sender().port()) {
+                          receiver.accept(from, packet.data());
                         }
                       }
                     }));
   }
 
   /** Opens a shared address: its connections go to whoever holds it. */
-  private Future<?> openShared(SharedAddress a) {
-    lines.put(a.vrid, new HashSet<>());
+  private Future<?> openShared(SharedAddress address) {
+    connections.put(address.vrid, new HashSet<>());
     NetServer server = vertx.createNetServer(new NetServerOptions().setReusePort(false));
     server.connectHandler(
-        near -> {
-          Integer holder = holders.get(a.vrid);
+        viewerSide -> {
+          Integer holder = holders.get(address.vrid);
           if (holder == null) {
-            near.close();
+            viewerSide.close();
             return;
           }
-          Line l = new Line(a.vrid, holder, near);
-          lines.get(a.vrid).add(l);
-          l.open();
+          Connection connection = new Connection(address.vrid, holder, viewerSide);
+          connections.get(address.vrid).add(connection);
+          connection.open();
         });
-    return server.listen(a.port, a.host);
+    return server.listen(address.port, address.host);
   }
 
   /**
    * What a node sends to another, as it is on the wire; section 5.2 of RFC 9568 says where priority
    * and VRID are.
    */
-  private void carry(Node from, Node to, Buffer b) {
-    if (b.length() < 8) {
+  private void forward(Node from, Node to, Buffer data) {
+    if (data.length() < 8) {
       return;
     }
     tap.recordEvent(
@@ -264,50 +264,50 @@
         "to",
         to.number,
         "vrid",
-        b.getUnsignedByte(1),
+        data.getUnsignedByte(1),
         "priority",
-        b.getUnsignedByte(2),
+        data.getUnsignedByte(2),
         "carried",
         !cut[from.number][to.number]);
-    int times = 1 + (chance.nextDouble() < copied ? 1 : 0);
+    int times = 1 + (random.nextDouble() < duplicationRate ? 1 : 0);
     for (int i = 0; i < times; i++) {
-      if (cut[from.number][to.number] || chance.nextDouble() < lost) {
+      if (cut[from.number][to.number] || random.nextDouble() < lossRate) {
         continue;
       }
       relayed++;
       DatagramSocket socket = sockets.get(from.number);
-      if (lateMs == 0) {
-        socket.send(b, to.port, to.host);
+      if (maxDelayMs == 0) {
+        socket.send(data, to.port, to.host);
       } else {
-        vertx.setTimer(1 + chance.nextInt(lateMs), t -> socket.send(b, to.port, to.host));
+        vertx.setTimer(1 + random.nextInt(maxDelayMs), t -> socket.send(data, to.port, to.host));
       }
     }
   }
 
-  private void announced(Node from, Buffer b) {
-    if (b.length() != 12 || b.getByte(0) != 0x4c || b.getByte(1) != 0x41) {
+  private void onAnnouncement(Node from, Buffer data) {
+    if (data.length() != 12 || data.getByte(0) != 0x4c || data.getByte(1) != 0x41) {
       return;
     }
-    int vrid = b.getUnsignedByte(3);
-    boolean takes = b.getByte(2) == 1;
-    long number = b.getLong(4);
-    if (number <= announced.getOrDefault(from.number + "/" + vrid, Long.MIN_VALUE)) {
+    int vrid = data.getUnsignedByte(3);
+    boolean takes = data.getByte(2) == 1;
+    long number = data.getLong(4);
+    if (number <= lastAnnouncements.getOrDefault(from.number + "/" + vrid, Long.MIN_VALUE)) {
       return;
     }
-    announced.put(from.number + "/" + vrid, number);
+    lastAnnouncements.put(from.number + "/" + vrid, number);
     tap.recordEvent(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
-    Integer before = holders.get(vrid);
-    if (takes && (before == null || before != from.number)) {
+    Integer previous = holders.get(vrid);
+    if (takes && (previous == null || previous != from.number)) {
       holders.put(vrid, from.number);
-      for (Line l : List.copyOf(lines.getOrDefault(vrid, Set.of()))) {
-        l.breakOff();
+      for (Connection connection : List.copyOf(connections.getOrDefault(vrid, Set.of()))) {
+        connection.cutByHandover();
       }
     }
   }
 
   /** The node that a request was handed to; null where it was to none. On any thread. */
-  public Integer receivingNode(String ask) {
-    return receivingNode.get(ask);
+  public Integer receivingNode(String request) {
+    return receivingNode.get(request);
   }
 
   /** The node that announced an address last; null where none did. */
@@ -323,10 +323,10 @@
    * From now on this part of all datagrams is lost, this part comes twice, and each up to so late,
    * out of order too.
    */
-  public void setImpairments(double lose, double copy, int late) {
-    lost = lose;
-    copied = copy;
-    lateMs = late;
+  public void setImpairments(double loss, double duplication, int delayMs) {
+    lossRate = loss;
+    duplicationRate = duplication;
+    maxDelayMs = delayMs;
   }
 
   public long relayed() {
--- a/src/main/java/linengauge/standin/SlowPlayerSimulator.java
+++ b/src/main/java/linengauge/standin/SlowPlayerSimulator.java
@@ -63,12 +63,12 @@
   private final String pack;
   private final List<String> titles;
   private final Tap tap;
-  private final List<Member> members = new ArrayList<>();
-  private final List<Member> coming = new ArrayList<>();
+  private final List<Player> players = new ArrayList<>();
+  private final List<Player> scheduled = new ArrayList<>();
   private final ByteBuffer buffer = ByteBuffer.allocateDirect(65_536);
   private final Thread thread = new Thread(this::run, "slow players");
   private volatile boolean closing;
-  private int number;
+  private int nextPlayerNumber;
 
   public SlowPlayerSimulator(
       String host, int port, int front, String pack, List<String> titles, Tap tap) {
@@ -83,32 +83,32 @@
   }
 
   /** So many come in this way, evenly over a span. */
-  public synchronized void schedulePlayers(SlowMode way, int count, long overMs) {
+  public synchronized void schedulePlayers(SlowMode mode, int count, long spanMs) {
     long now = tap.elapsedMicros();
     for (int i = 0; i < count; i++) {
-      coming.add(new Member(way, number++, now + 1000 * overMs * i / count));
+      scheduled.add(new Player(mode, nextPlayerNumber++, now + 1000 * spanMs * i / count));
     }
   }
 
   public synchronized List<PlayerOutcome> outcomes() {
-    return members.stream().map(Member::fate).toList();
+    return players.stream().map(Player::outcome).toList();
   }
 
-  private synchronized List<Member> present() {
+  private synchronized List<Player> currentPlayers() {
     long now = tap.elapsedMicros();
-    coming.removeIf(m -> m.comesAt <= now && members.add(m));
-    return new ArrayList<>(members);
+    scheduled.removeIf(player -> player.arrivesAt <= now && players.add(player));
+    return new ArrayList<>(players);
   }
 
   private void run() {
     while (!closing) {
-      long from = System.nanoTime();
-      for (Member m : present()) {
-        m.step();
+      long startedAt = System.nanoTime();
+      for (Player player : currentPlayers()) {
+        player.step();
       }
-      long left = TICK_MS - (System.nanoTime() - from) / 1_000_000;
+      long leftMs = TICK_MS - (System.nanoTime() - startedAt) / 1_000_000;
       try {
-        Thread.sleep(Math.max(1, left));
+        Thread.sleep(Math.max(1, leftMs));
       } catch (InterruptedException e) {
         return;
       }
@@ -123,26 +123,26 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    for (Member m : present()) {
-      m.end(false);
+    for (Player player : currentPlayers()) {
+      player.end(false);
     }
   }
 
-  private final class Member {
-    private final SlowMode way;
+  private final class Player {
+    private final SlowMode mode;
     private final String key;
     private final String title;
-    private final long comesAt;
+    private final long arrivesAt;
     private SocketChannel channel;
     private long steppedAt;
-    private double credit;
-    private String ask;
-    private int tries;
+    private double byteCredit;
+    private String requestId;
+    private int attempts;
     private String head = "";
     private String body = "";
     private boolean inBody;
-    private long left;
-    private long whole;
+    private long bytesLeft;
+    private long bodyLength;
     private int status;
     private String viewing;
     private String firstSegment;
@@ -153,17 +153,17 @@
     private boolean hasPaused;
     private int segments;
     private long bytes;
-    private int dripped;
+    private int headerBytesSent;
 
-    private Member(SlowMode way, int number, long comesAt) {
-      this.way = way;
+    private Player(SlowMode mode, int number, long arrivesAt) {
+      this.mode = mode;
       this.key = "s" + number;
       this.title = titles.get(number % titles.size());
-      this.comesAt = comesAt;
+      this.arrivesAt = arrivesAt;
     }
 
-    private synchronized PlayerOutcome fate() {
-      return new PlayerOutcome(way, viewing, slowSince, endedAt, segments, bytes);
+    private synchronized PlayerOutcome outcome() {
+      return new PlayerOutcome(mode, viewing, slowSince, endedAt, segments, bytes);
     }
 
     private synchronized void step() {
@@ -178,12 +178,12 @@
           }
           return;
         }
-        if (way == SlowMode.HEADER_A_SECOND) {
-          drip(now);
+        if (mode == SlowMode.HEADER_A_SECOND) {
+          sendHeaderByte(now);
         }
         read(now);
       } catch (IOException e) {
-        broke();
+        onDisconnected();
       }
       steppedAt = now;
     }
@@ -195,15 +195,15 @@
       channel.connect(new InetSocketAddress(host, port));
       channel.configureBlocking(false);
       steppedAt = now;
-      if (way == SlowMode.HEADER_A_SECOND) {
+      if (mode == SlowMode.HEADER_A_SECOND) {
         slowSince = now;
         return;
       }
-      ask = key + "-" + tries++;
+      requestId = key + "-" + attempts++;
       tap.recordEvent(
           "asked",
           "ask",
-          ask,
+          requestId,
           "front",
           front,
           "key",
@@ -233,17 +233,20 @@
     }
 
     private void write(String text) throws IOException {
-      ByteBuffer b = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
-      while (b.hasRemaining()) {
-        channel.write(b); // a request is far smaller than the socket's buffer
+      ByteBuffer data = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+      while (data.hasRemaining()) {
+        channel.write(data); // a request is far smaller than the socket's buffer
       }
     }
 
-    private void drip(long now) throws IOException {
-      if (now - slowSince >= 1_000_000L * dripped) {
+    private void sendHeaderByte(long now) throws IOException {
+      if (now - slowSince >= 1_000_000L * headerBytesSent) {
         String line = "GET /titles/" + title + "/main.m3u8 HTTP/1.1\r\nHost: x\r\nX: ";
-        write(dripped < line.length() ? line.substring(dripped, dripped + 1) : "y");
-        dripped++;
+        write(
+            headerBytesSent < line.length()
+                ? line.substring(headerBytesSent, headerBytesSent + 1)
+                : "y");
+        headerBytesSent++;
       }
     }
 
@@ -252,59 +255,59 @@
     }
 
     private void read(long now) throws IOException {
-      double rate = isSegment() ? way.bytesPerSecond : 1e9;
-      if (isAtItsPause()) {
+      double rate = isSegment() ? mode.bytesPerSecond : 1e9;
+      if (mustPause()) {
         hasPaused = true;
         pausedUntil = now + 3_000_000;
       }
       if (now < pausedUntil) {
-        credit = 0;
+        byteCredit = 0;
         return;
       }
-      credit = Math.min(credit + rate * (now - steppedAt) / 1e6, Math.max(1, rate / 4));
-      while (credit >= 1) {
-        int n = readOnce();
-        if (n < 0) {
-          broke();
+      byteCredit = Math.min(byteCredit + rate * (now - steppedAt) / 1e6, Math.max(1, rate / 4));
+      while (byteCredit >= 1) {
+        int count = readOnce();
+        if (count < 0) {
+          onDisconnected();
           return;
         }
-        if (n == 0) {
+        if (count == 0) {
           return;
         }
-        if (inBody && left == 0) {
-          answered(now);
+        if (inBody && bytesLeft == 0) {
+          onResponse(now);
           return;
         }
       }
     }
 
     /** Half way through every other segment. */
-    private boolean isAtItsPause() {
+    private boolean mustPause() {
       return isSegment()
-          && way == SlowMode.PAUSES
+          && mode == SlowMode.PAUSES
           && segments % 2 == 1
           && inBody
-          && left < whole / 2
+          && bytesLeft < bodyLength / 2
           && !hasPaused;
     }
 
     /** Reads what its credit allows: one byte of a head, or more of a body. */
     private int readOnce() throws IOException {
-      long most = inBody ? Math.min(left, (long) credit) : 1;
-      buffer.clear().limit((int) Math.min(buffer.capacity(), most));
-      int n = channel.read(buffer);
-      if (n > 0) {
-        credit -= n;
-        bytes += n;
+      long limit = inBody ? Math.min(bytesLeft, (long) byteCredit) : 1;
+      buffer.clear().limit((int) Math.min(buffer.capacity(), limit));
+      int count = channel.read(buffer);
+      if (count > 0) {
+        byteCredit -= count;
+        bytes += count;
         buffer.flip();
-        take(n);
+        consume(count);
       }
-      return n;
+      return count;
     }
 
-    private void take(int n) {
+    private void consume(int count) {
       if (inBody) {
-        left -= n;
+        bytesLeft -= count;
         if (!isSegment()) {
           body += StandardCharsets.US_ASCII.decode(buffer);
         }
@@ -313,25 +316,25 @@
       head += (char) buffer.get();
       if (head.endsWith("\r\n\r\n")) {
         status = Integer.parseInt(head.substring(9, 12));
-        Matcher m = LENGTH.matcher(head);
-        left = m.find() ? Long.parseLong(m.group(1)) : 0;
-        whole = left;
+        Matcher lengthMatch = LENGTH.matcher(head);
+        bytesLeft = lengthMatch.find() ? Long.parseLong(lengthMatch.group(1)) : 0;
+        bodyLength = bytesLeft;
         inBody = true;
       }
     }
 
-    private void answered(long now) throws IOException {
+    private void onResponse(long now) throws IOException {
       if (viewing == null) {
-        joined(now);
+        onViewingAnswer(now);
       } else if (status != 200) {
-        broke();
+        onDisconnected();
       } else if (firstSegment == null) {
         firstSegment =
             body.lines()
                 .filter(l -> l.startsWith("/v/"))
                 .findFirst()
                 .orElseThrow(() -> new IOException("no segment"));
-        if (way == SlowMode.NEVER_AGAIN) {
+        if (mode == SlowMode.NEVER_AGAIN) {
           slowSince = now;
           inBody = false;
           head = "";
@@ -346,13 +349,13 @@
       }
     }
 
-    private void joined(long now) throws IOException {
-      Matcher m = VIEWING.matcher(body);
-      boolean plays = status == 200 && m.find();
+    private void onViewingAnswer(long now) throws IOException {
+      Matcher viewingMatch = VIEWING.matcher(body);
+      boolean plays = status == 200 && viewingMatch.find();
       tap.recordEvent(
           "answered",
           "ask",
-          ask,
+          requestId,
           "front",
           front,
           "how",
@@ -362,12 +365,12 @@
           "status",
           status,
           "viewing",
-          plays ? m.group(1) : null);
-      ask = null;
+          plays ? viewingMatch.group(1) : null);
+      requestId = null;
       if (plays) {
-        viewing = m.group(1);
+        viewing = viewingMatch.group(1);
         request("/v/" + viewing + "/media.m3u8");
-      } else if (tries < 5) {
+      } else if (attempts < 5) {
         channel.close();
         channel = null;
         retryAt = now + 1_000_000;
@@ -376,10 +379,10 @@
       }
     }
 
-    private void broke() {
-      if (ask != null) {
-        tap.recordEvent("broke", "ask", ask, "front", front);
-        ask = null;
+    private void onDisconnected() {
+      if (requestId != null) {
+        tap.recordEvent("broke", "ask", requestId, "front", front);
+        requestId = null;
       } else if (viewing != null) {
         tap.recordEvent("play-broke", "viewing", viewing, "front", front, "status", status);
       }
@@ -404,7 +407,7 @@
 
     @Override
     public String toString() {
-      return String.format(Locale.ROOT, "%s %s", way, key);
+      return String.format(Locale.ROOT, "%s %s", mode, key);
     }
   }
 }
--- a/src/main/java/linengauge/standin/StandInBox.java
+++ b/src/main/java/linengauge/standin/StandInBox.java
@@ -49,12 +49,12 @@
   private boolean up;
   private double lastShare = 1;
 
-  StandInBox(BoxFleet fleet, int number, BoxFleet.BoxLocation place) {
+  StandInBox(BoxFleet fleet, int number, BoxFleet.BoxLocation location) {
     this.fleet = fleet;
     this.vertx = fleet.vertx();
     this.spec = fleet.spec();
     this.number = number;
-    this.location = place;
+    this.location = location;
     this.links = fleet.links();
     this.rates = fleet.rates();
     this.random = fleet.random();
@@ -116,15 +116,15 @@
   /* ---- faults ---- */
 
   /** Set-ups fail with this chance. */
-  public void setFailureRate(double part) {
-    faults.failureRate = part;
+  public void setFailureRate(double rate) {
+    faults.failureRate = rate;
   }
 
   /**
    * Set-ups run, but their answers are lost with this chance: in silence, or with the connection.
    */
-  public void setAnswerLoss(double part, boolean byReset) {
-    faults.answerLossRate = part;
+  public void setAnswerLoss(double rate, boolean byReset) {
+    faults.answerLossRate = rate;
     faults.resetsOnLostAnswer = byReset;
   }
 
@@ -134,8 +134,8 @@
   }
 
   /** Set-ups take so many times as long. */
-  public void setSlowdown(double times) {
-    faults.slowdownFactor = times;
+  public void setSlowdown(double factor) {
+    faults.slowdownFactor = factor;
   }
 
   public void setBadPlaylists(boolean on) {
@@ -146,12 +146,12 @@
     faults.draining = on;
   }
 
-  public void setLinkCapacity(double part) {
-    links.setLinkCapacity(number, part);
+  public void setLinkCapacity(double share) {
+    links.setLinkCapacity(number, share);
   }
 
-  public void setBackgroundUsage(double part) {
-    links.setBackgroundUsage(number, part);
+  public void setBackgroundUsage(double share) {
+    links.setBackgroundUsage(number, share);
   }
 
   /** The machine is gone without a word: its sockets stay open, and nothing is answered. */
@@ -322,11 +322,11 @@
       return;
     }
     long now = System.currentTimeMillis();
-    endLeases(now);
+    endExpiredLeases(now);
     sendNotes(now);
   }
 
-  private void endLeases(long now) {
+  private void endExpiredLeases(long now) {
     for (RunningViewing viewing : viewings.all()) {
       if (!segments.isSending(viewing) && now - viewing.lastRequestAt() > spec.leaseMs()) {
         tap.recordEvent("ended", "box", location.id(), "viewing", viewing.id(), "why", "lease");
@@ -338,16 +338,17 @@
 
   private void sendNotes(long now) {
     double share = 0.5 * lastShare + 0.5 * links.share(number);
-    boolean tellsShare = share < SHORT_SHARE || lastShare < SHORT_SHARE;
+    boolean reportsShare = share < SHORT_SHARE || lastShare < SHORT_SHARE;
     lastShare = share;
-    int tellSeconds = Math.max(1, spec.loadReportIntervalMs() / 1000);
-    boolean tellsLoad = spec.loadReportIntervalMs() > 0 && (now / 1000 + number) % tellSeconds == 0;
+    int reportIntervalSeconds = Math.max(1, spec.loadReportIntervalMs() / 1000);
+    boolean reportsLoad =
+        spec.loadReportIntervalMs() > 0 && (now / 1000 + number) % reportIntervalSeconds == 0;
     int delayMs = spec.noteDelayMs() + fleet.extraNoteDelayMs();
     String note =
-        tellsShare ? String.format(Locale.ROOT, "{\"share\":%.3f}", Math.min(1, share)) : "";
+        reportsShare ? String.format(Locale.ROOT, "{\"share\":%.3f}", Math.min(1, share)) : "";
     for (int front : notes.fronts()) {
       notes.send(front, note, delayMs);
-      if (tellsLoad) {
+      if (reportsLoad) {
         sendLinkLoad(front, delayMs);
       }
     }
--- a/src/main/java/linengauge/standin/Tap.java
+++ b/src/main/java/linengauge/standin/Tap.java
@@ -34,15 +34,15 @@
       return;
     }
     StringWriter text = new StringWriter(160);
-    try (JsonGenerator g = JSON.createGenerator(text)) {
-      g.writeStartObject();
-      g.writeNumberField("at", elapsedMicros());
-      g.writeStringField("what", what);
+    try (JsonGenerator generator = JSON.createGenerator(text)) {
+      generator.writeStartObject();
+      generator.writeNumberField("at", elapsedMicros());
+      generator.writeStringField("what", what);
       for (int i = 0; i < pairs.length; i += 2) {
-        g.writeFieldName((String) pairs[i]);
-        g.writePOJO(pairs[i + 1]);
+        generator.writeFieldName((String) pairs[i]);
+        generator.writePOJO(pairs[i + 1]);
       }
-      g.writeEndObject();
+      generator.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/src/test/java/linengauge/rules/JudgeTest.java
+++ b/src/test/java/linengauge/rules/JudgeTest.java
@@ -22,10 +22,10 @@
   private record Line(long ms, int order, String text) {}
 
   /** A record under the pen: lines may be written in any order of time. */
-  private static final class Pen {
+  private static final class RecordBuilder {
     private final List<Line> lines = new ArrayList<>();
 
-    Pen saw(long ms, String fields, Object... values) {
+    RecordBuilder event(long ms, String fields, Object... values) {
       lines.add(
           new Line(
               ms,
@@ -38,8 +38,8 @@
       return this;
     }
 
-    Pen asked(long ms, String ask, String pack) {
-      return saw(
+    RecordBuilder asked(long ms, String ask, String pack) {
+      return event(
           ms,
           "'what':'asked','ask':'%s','front':0,'key':'%s','title':'t','package':'%s','ceiling':4,"
               + "'patienceMs':3000",
@@ -48,8 +48,8 @@
           pack);
     }
 
-    Pen answered(long ms, String ask, String how, String viewing) {
-      return saw(
+    RecordBuilder answered(long ms, String ask, String how, String viewing) {
+      return event(
           ms,
           "'what':'answered','ask':'%s','front':0,'how':'%s','status':200,'viewing':'%s'",
           ask,
@@ -57,8 +57,9 @@
           viewing);
     }
 
-    Pen setUp(long ms, int box, String viewing, int tuneIn, String key, String pack, int rung) {
-      return saw(
+    RecordBuilder setUp(
+        long ms, int box, String viewing, int tuneIn, String key, String pack, int rung) {
+      return event(
           ms,
           "'what':'set-up','box':%d,'viewing':'%s','front':0,'tuneIn':%d,'title':'t','package':'%s',"
               + "'rung':%d,'key':'%s'",
@@ -70,8 +71,8 @@
           key);
     }
 
-    Pen heard(long ms, int box, String viewing, int tuneIn, String how) {
-      return saw(
+    RecordBuilder setUpAnswered(long ms, int box, String viewing, int tuneIn, String how) {
+      return event(
           ms,
           "'what':'set-up-answered','box':%d,'viewing':'%s','tuneIn':%d,'how':'%s'",
           box,
@@ -81,18 +82,18 @@
     }
 
     /** A viewing from request to end, with one tune-in. */
-    Pen plays(long ms, int box, String id, String pack, int rung) {
+    RecordBuilder viewing(long ms, int box, String id, String pack, int rung) {
       return asked(ms, "k" + id, pack)
           .setUp(ms + 5, box, "0-a-" + id, 0, "k" + id, pack, rung)
-          .heard(ms + 50, box, "0-a-" + id, 0, "plays")
+          .setUpAnswered(ms + 50, box, "0-a-" + id, 0, "plays")
           .answered(ms + 55, "k" + id, "plays", "0-a-" + id);
     }
 
-    Pen told(long ms, int box, String state) {
-      return saw(ms, "'what':'told','front':0,'box':%d,'state':'%s'", box, state);
+    RecordBuilder boxState(long ms, int box, String state) {
+      return event(ms, "'what':'told','front':0,'box':%d,'state':'%s'", box, state);
     }
 
-    Verdict judged() {
+    Verdict judge() {
       List<String> text = new ArrayList<>(List.of(TERMS));
       lines.stream()
           .sorted(Comparator.comparingLong(Line::ms).thenComparingInt(Line::order))
@@ -106,216 +107,224 @@
   }
 
   /** Everything that a day may hold, all of it in order. */
-  private static Pen sound() {
-    return new Pen()
-        .told(1, 7, "serving")
-        .saw(2, "'what':'box-started','box':9,'cold':true,'streams':24")
-        .plays(100, 7, "1", "plain", 2)
-        .plays(200, 7, "2", "floor", 1)
-        .plays(300, 9, "3", "plain", 0)
+  private static RecordBuilder validRecord() {
+    return new RecordBuilder()
+        .boxState(1, 7, "serving")
+        .event(2, "'what':'box-started','box':9,'cold':true,'streams':24")
+        .viewing(100, 7, "1", "plain", 2)
+        .viewing(200, 7, "2", "floor", 1)
+        .viewing(300, 9, "3", "plain", 0)
         .asked(400, "k4", "plain")
         .setUp(405, 7, "0-a-4", 0, "k4", "plain", 0)
-        .heard(420, 7, "0-a-4", 0, "error")
+        .setUpAnswered(420, 7, "0-a-4", 0, "error")
         .setUp(425, 8, "0-a-4", 1, "k4", "plain", 0)
-        .heard(460, 8, "0-a-4", 1, "plays")
+        .setUpAnswered(460, 8, "0-a-4", 1, "plays")
         .answered(465, "k4", "plays", "0-a-4")
-        .told(3000, 7, "draining")
-        .plays(5000, 8, "5", "paid", 2);
+        .boxState(3000, 7, "draining")
+        .viewing(5000, 8, "5", "paid", 2);
   }
 
-  private static void breaks(Pen record, String rule, String what) {
-    Verdict v = record.judged();
-    assertEquals(1, v.breachCount(rule), v.breaches().toString());
-    assertEquals(1, v.breaches().size(), v.breaches().toString());
-    assertTrue(v.breaches().get(0).what().contains(what), v.breaches().toString());
+  private static void assertBreach(RecordBuilder record, String rule, String what) {
+    Verdict verdict = record.judge();
+    assertEquals(1, verdict.breachCount(rule), verdict.breaches().toString());
+    assertEquals(1, verdict.breaches().size(), verdict.breaches().toString());
+    assertTrue(verdict.breaches().get(0).what().contains(what), verdict.breaches().toString());
   }
 
   @Test
-  void aSoundRecordBreaksNothingAndTriesEveryRule() {
-    Verdict v = sound().judged();
-    assertEquals(List.of(), v.breaches());
-    Verdict.RULES.forEach(r -> assertTrue(v.checkCount(r) > 0, r));
+  void aValidRecordHasNoBreachesAndChecksEveryRule() {
+    Verdict verdict = validRecord().judge();
+    assertEquals(List.of(), verdict.breaches());
+    Verdict.RULES.forEach(r -> assertTrue(verdict.checkCount(r) > 0, r));
   }
 
   @Test
-  void anAnswerRemovedIsFound() {
-    breaks(sound().asked(6000, "k9", "plain"), "one-answer", "0 ends");
-    breaks(
-        sound().asked(6000, "k9", "plain").saw(9300, "'what':'gave-up','ask':'k9','front':0"),
+  void aMissingAnswerIsFound() {
+    assertBreach(validRecord().asked(6000, "k9", "plain"), "one-answer", "0 ends");
+    assertBreach(
+        validRecord()
+            .asked(6000, "k9", "plain")
+            .event(9300, "'what':'gave-up','ask':'k9','front':0"),
         "one-answer",
         "gave-up");
   }
 
   @Test
-  void anAnswerDoubledIsFound() {
-    breaks(sound().answered(600, "k1", "plays", "0-a-1"), "one-answer", "2 ends");
+  void aDuplicateAnswerIsFound() {
+    assertBreach(validRecord().answered(600, "k1", "plays", "0-a-1"), "one-answer", "2 ends");
   }
 
   @Test
-  void anAnswerAfterThePatienceIsFound() {
-    breaks(
-        sound().asked(6000, "k9", "plain").answered(9400, "k9", "blocked", ""),
+  void anAnswerAfterTheDeadlineIsFound() {
+    assertBreach(
+        validRecord().asked(6000, "k9", "plain").answered(9400, "k9", "blocked", ""),
         "one-answer",
         "after the viewer's");
   }
 
   @Test
-  void anUnclearAnswerAndOneThatNoBoxPlaysAreFound() {
-    breaks(
-        sound().asked(6000, "k9", "plain").answered(6100, "k9", "unclear", ""),
+  void anUnclearAnswerAndOneWithoutARunningViewingAreFound() {
+    assertBreach(
+        validRecord().asked(6000, "k9", "plain").answered(6100, "k9", "unclear", ""),
         "one-answer",
         "unclear");
-    breaks(
-        sound().asked(6000, "k9", "plain").answered(6100, "k9", "plays", "0-a-9"),
+    assertBreach(
+        validRecord().asked(6000, "k9", "plain").answered(6100, "k9", "plays", "0-a-9"),
         "one-answer",
         "no box plays");
   }
 
   @Test
-  void aRequestBrokenOffIsForgivenOnlyToAKilledFront() {
-    Pen broken =
-        sound().asked(6000, "k9", "plain").saw(6500, "'what':'broke','ask':'k9','front':0");
-    breaks(broken, "one-answer", "broke");
-    assertEquals(0, broken.saw(6400, "'what':'front-killed','front':0").judged().breaches().size());
-    Pen dead =
-        sound()
-            .saw(5900, "'what':'front-killed','front':0")
+  void aBrokenConnectionIsExcusedOnlyIfTheFrontWasKilled() {
+    RecordBuilder broken =
+        validRecord().asked(6000, "k9", "plain").event(6500, "'what':'broke','ask':'k9','front':0");
+    assertBreach(broken, "one-answer", "broke");
+    assertEquals(
+        0, broken.event(6400, "'what':'front-killed','front':0").judge().breaches().size());
+    RecordBuilder dead =
+        validRecord()
+            .event(5900, "'what':'front-killed','front':0")
             .asked(6000, "k9", "plain")
-            .saw(6010, "'what':'broke','ask':'k9','front':0");
-    assertEquals(0, dead.judged().breaches().size(), "a dead front takes nothing");
-    breaks(dead.saw(5950, "'what':'front-started','front':0"), "one-answer", "broke");
+            .event(6010, "'what':'broke','ask':'k9','front':0");
+    assertEquals(0, dead.judge().breaches().size(), "a dead front takes nothing");
+    assertBreach(dead.event(5950, "'what':'front-started','front':0"), "one-answer", "broke");
   }
 
   @Test
-  void aSetUpDoubledIsFound() {
-    breaks(
-        sound().setUp(6000, 8, "0-a-5", 1, "k5", "paid", 2),
+  void aDuplicateSetUpIsFound() {
+    assertBreach(
+        validRecord().setUp(6000, 8, "0-a-5", 1, "k5", "paid", 2),
         "no-double-set-up",
         "paid for at box 8");
-    breaks(sound().setUp(6000, 8, "0-a-1", 0, "k1", "plain", 2), "no-double-set-up", "twice");
+    assertBreach(
+        validRecord().setUp(6000, 8, "0-a-1", 0, "k1", "plain", 2), "no-double-set-up", "twice");
   }
 
   @Test
-  void aPaidViewingMayBeSentAgainOnlyWhereItProvablyNeverRan() {
-    Pen again =
-        sound()
+  void aPaidViewingMayBeRetriedOnlyIfItProvablyNeverRan() {
+    RecordBuilder again =
+        validRecord()
             .asked(6000, "k9", "paid")
             .setUp(6005, 7, "0-b-9", 0, "k9", "paid", 0)
-            .heard(6010, 7, "0-b-9", 0, "turned-away")
+            .setUpAnswered(6010, 7, "0-b-9", 0, "turned-away")
             .setUp(6020, 8, "0-b-9", 1, "k9", "paid", 0)
-            .heard(6050, 8, "0-b-9", 1, "plays")
+            .setUpAnswered(6050, 8, "0-b-9", 1, "plays")
             .answered(6060, "k9", "plays", "0-b-9");
     assertEquals(
         List.of(),
         new ArrayList<>(
-            again.judged().breaches().stream()
+            again.judge().breaches().stream()
                 .filter(b -> b.rule().equals("no-double-set-up"))
                 .toList()));
-    breaks(
-        sound()
+    assertBreach(
+        validRecord()
             .asked(6000, "k9", "paid")
             .setUp(6005, 8, "0-a-9", 0, "k9", "paid", 0)
-            .heard(6010, 8, "0-a-9", 0, "error")
+            .setUpAnswered(6010, 8, "0-a-9", 0, "error")
             .answered(6060, "k9", "blocked", ""),
         "no-double-set-up",
         "blocked");
   }
 
   @Test
-  void twoTuneInsOutAreFound() {
-    breaks(
-        sound()
+  void concurrentTuneInsOfOneViewingAreFound() {
+    assertBreach(
+        validRecord()
             .asked(6000, "k9", "plain")
             .setUp(6005, 8, "0-b-9", 0, "k9", "plain", 0)
             .setUp(6400, 9, "0-b-9", 1, "k9", "plain", 0)
-            .heard(6450, 9, "0-b-9", 1, "plays")
+            .setUpAnswered(6450, 9, "0-b-9", 1, "plays")
             .answered(6460, "k9", "plays", "0-b-9"),
         "no-double-set-up",
         "two tune-ins out");
   }
 
   @Test
-  void aSendAfterTheGraceIsFound() {
-    breaks(sound().plays(4300, 7, "9", "plain", 0), "drains", "told not to serve");
+  void aSetUpAfterTheDrainGracePeriodIsFound() {
+    assertBreach(validRecord().viewing(4300, 7, "9", "plain", 0), "drains", "told not to serve");
     assertEquals(
-        0, sound().plays(3900, 7, "9", "plain", 0).judged().breaches().size(), "within the grace");
+        0,
+        validRecord().viewing(3900, 7, "9", "plain", 0).judge().breaches().size(),
+        "within the grace");
     assertEquals(
         0,
-        sound()
-            .saw(2900, "'what':'front-stopped','front':0")
-            .saw(4200, "'what':'front-continued','front':0")
-            .plays(4300, 7, "9", "plain", 0)
-            .judged()
+        validRecord()
+            .event(2900, "'what':'front-stopped','front':0")
+            .event(4200, "'what':'front-continued','front':0")
+            .viewing(4300, 7, "9", "plain", 0)
+            .judge()
             .breaches()
             .size(),
         "a stopped front hears when it runs again");
-    breaks(
-        sound()
-            .saw(3500, "'what':'told-whole','front':0,'boxes':[7,8,9]")
-            .told(3400, 6, "serving")
-            .plays(4800, 6, "9", "plain", 0)
-            .plays(4810, 9, "8", "plain", 0),
+    assertBreach(
+        validRecord()
+            .event(3500, "'what':'told-whole','front':0,'boxes':[7,8,9]")
+            .boxState(3400, 6, "serving")
+            .viewing(4800, 6, "9", "plain", 0)
+            .viewing(4810, 9, "8", "plain", 0),
         "drains",
         "told not to serve");
   }
 
   @Test
-  void aFloorUndercutIsFound() {
-    breaks(sound().plays(6000, 8, "9", "floor", 0), "terms", "rung 0");
-    breaks(
-        sound().saw(7000, "'what':'rung','box':7,'viewing':'0-a-2','rung':0"), "terms", "rung 0");
-    breaks(sound().plays(6000, 8, "9", "floor", 4), "terms", "rung 4");
+  void aRungOutsideThePackageLimitsIsFound() {
+    assertBreach(validRecord().viewing(6000, 8, "9", "floor", 0), "terms", "rung 0");
+    assertBreach(
+        validRecord().event(7000, "'what':'rung','box':7,'viewing':'0-a-2','rung':0"),
+        "terms",
+        "rung 0");
+    assertBreach(validRecord().viewing(6000, 8, "9", "floor", 4), "terms", "rung 4");
   }
 
   @Test
-  void aSeatTooManyIsFound() {
-    Pen full = sound().plays(6000, 8, "8", "floor", 1);
-    assertEquals(0, full.judged().breaches().size());
-    breaks(full.plays(6500, 8, "9", "floor", 1), "terms", "3 viewings of t on 2 seats");
+  void tooManyViewingsForTheSeatsAreFound() {
+    RecordBuilder full = validRecord().viewing(6000, 8, "8", "floor", 1);
+    assertEquals(0, full.judge().breaches().size());
+    assertBreach(full.viewing(6500, 8, "9", "floor", 1), "terms", "3 viewings of t on 2 seats");
     assertEquals(
         0,
-        full.saw(6400, "'what':'ended','box':7,'viewing':'0-a-2','why':'asked'")
-            .judged()
+        full.event(6400, "'what':'ended','box':7,'viewing':'0-a-2','why':'asked'")
+            .judge()
             .breaches()
             .size());
   }
 
   @Test
-  void aRationExceededIsFound() {
-    Pen record = sound();
+  void anExceededRetryBudgetIsFound() {
+    RecordBuilder record = validRecord();
     for (int i = 20;
         i < 22;
         i++) { // seven taken in all: two further ones of 2.4 are made, then a third
       record
           .asked(6000, "k" + i, "plain")
           .setUp(6005, 8, "0-a-" + i, 0, "k" + i, "plain", 0)
-          .heard(6010, 8, "0-a-" + i, 0, "error")
+          .setUpAnswered(6010, 8, "0-a-" + i, 0, "error")
           .setUp(6020 + i, 8, "0-a-" + i, 1, "k" + i, "plain", 0)
-          .heard(6100, 8, "0-a-" + i, 1, "plays")
+          .setUpAnswered(6100, 8, "0-a-" + i, 1, "plays")
           .answered(6160, "k" + i, "plays", "0-a-" + i);
     }
-    breaks(record, "further-tune-ins", "3 further tune-ins of 2.4");
+    assertBreach(record, "further-tune-ins", "3 further tune-ins of 2.4");
   }
 
   @Test
-  void whatTheNetworkBreaksIsNotTheFrontsAndWhatTheFrontBreaksIs() {
+  void aConnectionCutByTheNetworkIsNotChargedToTheFront() {
     assertEquals(
         0,
-        sound()
+        validRecord()
             .asked(600, "k8", "plain")
-            .saw(610, "'what':'cut','ask':'k8','front':0")
-            .saw(611, "'what':'broke','ask':'k8','front':0")
-            .judged()
+            .event(610, "'what':'cut','ask':'k8','front':0")
+            .event(611, "'what':'broke','ask':'k8','front':0")
+            .judge()
             .breaches()
             .size());
-    breaks(
-        sound().asked(600, "k8", "plain").saw(611, "'what':'broke','ask':'k8','front':0"),
+    assertBreach(
+        validRecord().asked(600, "k8", "plain").event(611, "'what':'broke','ask':'k8','front':0"),
         "one-answer",
         "no answer");
-    breaks(
-        sound()
+    assertBreach(
+        validRecord()
             .asked(600, "k8", "plain")
-            .saw(610, "'what':'cut','ask':'k8','front':0")
+            .event(610, "'what':'cut','ask':'k8','front':0")
             .answered(620, "k8", "blocked", "")
             .answered(630, "k8", "blocked", ""),
         "one-answer",
@@ -323,18 +332,18 @@
   }
 
   @Test
-  void aColdBoxPushedIsFound() {
-    Pen record = sound();
+  void anOverloadedColdBoxIsFound() {
+    RecordBuilder record = validRecord();
     for (int i = 30; i < 34; i++) {
-      record.plays(400 + 100 * (i - 30), 9, "" + i, "plain", 0);
+      record.viewing(400 + 100 * (i - 30), 9, "" + i, "plain", 0);
     }
-    assertEquals(0, record.judged().breaches().size(), "five in a window of 4.8 and more");
-    breaks(record.plays(850, 9, "35", "plain", 0), "cold-boxes", "6 set-ups");
-    breaks(sound().saw(8000, "'what':'box-fell','box':9"), "cold-boxes", "fell");
+    assertEquals(0, record.judge().breaches().size(), "five in a window of 4.8 and more");
+    assertBreach(record.viewing(850, 9, "35", "plain", 0), "cold-boxes", "6 set-ups");
+    assertBreach(validRecord().event(8000, "'what':'box-fell','box':9"), "cold-boxes", "fell");
   }
 
   @Test
-  void aRecordThatCannotBeReadIsRefused() {
+  void anUnreadableRecordIsRejected() {
     for (String bad :
         List.of(
             "nonsense",
