--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -225,7 +225,7 @@
     PlayerSimulator crowd =
         new PlayerSimulator(
             players,
-            List.of(new PlayerSimulator.FrontEndpoint(-1, at.host(), at.port(), "east-hall")),
+            List.of(new PlayerSimulator.Front(-1, at.host(), at.port(), "east-hall")),
             g.wants(),
             g.titles(),
             g.day.ladder().size(),
@@ -253,7 +253,7 @@
       Grounds g, SharedLan lan, List<PlayerSimulator> crowds, Trouble t, SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
-    Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
+    Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.owner(vrid)));
     int node = holder == null ? vrid - 1 : holder;
     long freeze = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
     FrontProcess front = g.fronts.get(node);
--- a/src/main/java/linengauge/drill/Grounds.java
+++ b/src/main/java/linengauge/drill/Grounds.java
@@ -44,7 +44,7 @@
   final PlayerSimulator crowd;
   final List<FrontProcess> fronts = new ArrayList<>();
   private final List<Integer> ports;
-  final List<PlayerSimulator.FrontEndpoint> doors = new ArrayList<>();
+  final List<PlayerSimulator.Front> doors = new ArrayList<>();
 
   /** The loops of the boxes with their list and words, and of the players. */
   final Context boxLoop = vertx.getOrCreateContext();
@@ -137,8 +137,7 @@
     List<String> buildings = day.fleet().buildings();
     String building = buildings.get(number % buildings.size());
     doors.add(
-        new PlayerSimulator.FrontEndpoint(
-            number, Ports.HOST, siteFile.viewersPort(number), building));
+        new PlayerSimulator.Front(number, Ports.HOST, siteFile.viewersPort(number), building));
     fronts.add(
         new FrontProcess(
             number,
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowDrill.java
@@ -317,7 +317,7 @@
         (way, n) -> {
           List<SlowPlayerSimulator.PlayerOutcome> of =
               fates.stream().filter(f -> f.mode() == way && f.slowSince() >= 0).toList();
-          if (way.isHonest()) {
+          if (way.isLegitimate()) {
             long ended = of.stream().filter(f -> f.endedAt() >= 0).count();
             int fewest =
                 of.stream().mapToInt(SlowPlayerSimulator.PlayerOutcome::segments).min().orElse(0);
@@ -368,7 +368,7 @@
     Thread.sleep(6000);
     long before = gone(front);
     long endedBefore =
-        crowd.outcomes().stream().filter(f -> f.mode().isHonest() && f.endedAt() >= 0).count();
+        crowd.outcomes().stream().filter(f -> f.mode().isLegitimate() && f.endedAt() >= 0).count();
     front.stopFor(2000);
     PlayerSimulator surge = healthy(g, arrivals, 1);
     for (int i = 0; i < (brief ? 40 : 100); i++) {
@@ -379,10 +379,11 @@
     List<SlowPlayerSimulator.PlayerOutcome> fates = new ArrayList<>(crowd.outcomes());
     long playing =
         fates.stream()
-            .filter(f -> f.mode().isHonest() && f.viewing() != null && f.endedAt() < 0)
+            .filter(f -> f.mode().isLegitimate() && f.viewing() != null && f.endedAt() < 0)
             .count();
     long ended =
-        fates.stream().filter(f -> f.mode().isHonest() && f.endedAt() >= 0).count() - endedBefore;
+        fates.stream().filter(f -> f.mode().isLegitimate() && f.endedAt() >= 0).count()
+            - endedBefore;
     report.claim(
         "front stopped for 2 s: let go, of those who play",
         "0 of " + many + " and more",
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -16,7 +16,7 @@
       throws IOException, InterruptedException {
     try (Grounds g = new Grounds(day, "", 1)) {
       g.open();
-      for (PlayerSimulator.FrontEndpoint d : g.doors) {
+      for (PlayerSimulator.Front d : g.doors) {
         out.printf(
             "front %d: http://%s:%d/titles/title-0/main.m3u8?package=%s%n",
             d.front(), d.host(), d.port(), day.packages().get(0).name());
--- a/src/main/java/linengauge/standin/FaultyServer.java
+++ b/src/main/java/linengauge/standin/FaultyServer.java
@@ -46,7 +46,7 @@
       int maxLatencyMs,
       double silentShare,
       double unreadableShare,
-      double refusedShare,
+      double rejectedShare,
       double resetShare,
       int minAnswerMs,
       int maxAnswerMs,
@@ -306,7 +306,7 @@
             + random.nextInt(currentFaults.maxAnswerMs() - currentFaults.minAnswerMs() + 1);
     int cause = random.nextBoolean() ? REJECTED_FULL : ERROR;
     double unreadable = currentFaults.silentShare() + currentFaults.unreadableShare();
-    double rejected = unreadable + currentFaults.refusedShare();
+    double rejected = unreadable + currentFaults.rejectedShare();
     if (drawn < currentFaults.silentShare()) {
       return;
     }
--- a/src/main/java/linengauge/standin/PlayerSimulator.java
+++ b/src/main/java/linengauge/standin/PlayerSimulator.java
@@ -30,7 +30,7 @@
 
   /** The requests of one package. Shares sum to 1; spans are in milliseconds. */
   public record PlayerProfile(
-      String pack, double share, int timeLimitMs, int latencyObjectiveMs, double value) {}
+      String packageName, double share, int timeLimitMs, int latencyObjectiveMs, double value) {}
 
   /** The counters of a run. */
   public static final class Figures {
@@ -54,12 +54,12 @@
    * The address at which a front accepts viewers, and its building. A front below 0 stands for a
    * shared address; the LAN then reports which front received each request.
    */
-  public record FrontEndpoint(int front, String host, int port, String building) {}
+  public record Front(int front, String host, int port, String building) {}
 
   private final Vertx vertx;
   private final HttpClient client;
   private final Tap tap;
-  private final List<FrontEndpoint> endpoints;
+  private final List<Front> endpoints;
   private final List<PlayerProfile> profiles;
   private final List<String> titles;
   private final double[] titleWeights;
@@ -83,7 +83,7 @@
 
   public PlayerSimulator(
       Vertx vertx,
-      List<FrontEndpoint> endpoints,
+      List<Front> endpoints,
       List<PlayerProfile> profiles,
       List<String> titles,
       int rungs,
@@ -97,7 +97,7 @@
   /** If several simulators share a record, each has a key prefix of its own. */
   public PlayerSimulator(
       Vertx vertx,
-      List<FrontEndpoint> endpoints,
+      List<Front> endpoints,
       List<PlayerProfile> profiles,
       List<String> titles,
       int rungs,
@@ -233,7 +233,7 @@
     private final String building;
     private final boolean followsRetryAdvice = random.nextDouble() < 0.6;
     private double leftMs;
-    private FrontEndpoint endpoint;
+    private Front endpoint;
     private int attempts;
     private String viewing;
     private int consecutiveFailures;
@@ -261,7 +261,7 @@
     }
 
     private void requestViewing() {
-      List<FrontEndpoint> nearby = new ArrayList<>(endpoints);
+      List<Front> nearby = new ArrayList<>(endpoints);
       nearby.removeIf(candidate -> !candidate.building.equals(building));
       endpoint = nearby.get(random.nextInt(nearby.size()));
       String id = key + "-" + attempts++;
@@ -326,7 +326,7 @@
       return "/titles/"
           + title
           + "/main.m3u8?package="
-          + profile.pack
+          + profile.packageName
           + "&ceiling="
           + ceiling
           + "&patience="
@@ -347,7 +347,7 @@
           "title",
           title,
           "package",
-          profile.pack,
+          profile.packageName,
           "ceiling",
           ceiling,
           "patienceMs",
@@ -407,7 +407,7 @@
         tap.recordEvent("not-reached", "ask", id, "front", -1);
         return false;
       }
-      endpoint = new FrontEndpoint(node, endpoint.host, endpoint.port, endpoint.building);
+      endpoint = new Front(node, endpoint.host, endpoint.port, endpoint.building);
       return true;
     }
 
@@ -455,7 +455,7 @@
         Matcher ownAddressMatch = OWN_ADDRESS.matcher(body.toString());
         if (ownAddressMatch.find()) { // The viewing plays at the front's own address.
           endpoint =
-              new FrontEndpoint(
+              new Front(
                   endpoint.front,
                   ownAddressMatch.group(1),
                   Integer.parseInt(ownAddressMatch.group(2)),
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -315,7 +315,7 @@
   }
 
   /** Returns the node that announced an address last, or null if none did. */
-  public Integer holder(int vrid) {
+  public Integer owner(int vrid) {
     return holders.get(vrid);
   }
 
--- a/src/main/java/linengauge/standin/SlowPlayerSimulator.java
+++ b/src/main/java/linengauge/standin/SlowPlayerSimulator.java
@@ -44,7 +44,7 @@
       this.bytesPerSecond = bytesPerSecond;
     }
 
-    public boolean isHonest() {
+    public boolean isLegitimate() {
       return this == PAUSES || this == WEAK;
     }
   }
