--- a/src/main/java/linengauge/rules/AddressOwnershipJudge.java
+++ b/src/main/java/linengauge/rules/AddressOwnershipJudge.java
@@ -71,8 +71,8 @@
   private final Map<Long, Long> stoppedAt = new HashMap<>();
   private final Map<Long, Long> resumedAt = new HashMap<>();
   private final Set<String> answers = new HashSet<>();
-  private boolean quiet;
-  private long quietSince;
+  private boolean faultFree;
+  private long faultFreeSince;
 
   private AddressOwnershipJudge(long intervalMicros, long overlapLimit, long gapLimit) {
     this.interval = intervalMicros;
@@ -108,10 +108,10 @@
   private void add(JsonNode event) {
     long at = event.path("at").asLong();
     switch (event.path("what").asText()) {
-      case "pair-trouble" -> quiet = false;
+      case "pair-trouble" -> faultFree = false;
       case "pair-quiet" -> {
-        quiet = true;
-        quietSince = at;
+        faultFree = true;
+        faultFreeSince = at;
         lastByVrid.replaceAll((v, t) -> at);
       }
       case "front-stopped" -> stoppedAt.put(event.path("front").asLong(), at);
@@ -141,8 +141,8 @@
   }
 
   /** The id of a viewing begins with the number of its front. */
-  private void onAnswer(String ask, String viewing, long front) {
-    if (answers.add(ask)) {
+  private void onAnswer(String request, String viewing, long front) {
+    if (answers.add(request)) {
       outcome.answered++;
     } else {
       outcome.answeredTwice++;
@@ -158,13 +158,13 @@
     }
     claim.last = at;
     Long last = lastByVrid.put(vrid, at);
-    if (!quiet) {
+    if (!faultFree) {
       return;
     }
     outcome.claims++;
     if (last != null) {
       outcome.gaps++;
-      long gap = at - Math.max(last, quietSince);
+      long gap = at - Math.max(last, faultFreeSince);
       outcome.longestGapMicros = Math.max(outcome.longestGapMicros, gap);
       if (gap > gapLimit) {
         outcome.breaches.add(
@@ -174,7 +174,8 @@
     claims.forEach(
         (key, other) -> {
           if (other != claim && key.startsWith(vrid + "/") && other.last >= claim.since) {
-            long overlap = other.last - Math.max(Math.max(claim.since, other.since), quietSince);
+            long overlap =
+                other.last - Math.max(Math.max(claim.since, other.since), faultFreeSince);
             outcome.longestOverlapMicros = Math.max(outcome.longestOverlapMicros, overlap);
             if (overlap > overlapLimit) {
               outcome.breaches.add(
--- a/src/main/java/linengauge/rules/Judge.java
+++ b/src/main/java/linengauge/rules/Judge.java
@@ -46,7 +46,7 @@
     for (TrafficRecord.ViewerRequest request : record.requests.values()) {
       if (hadNoRunningFront(request)) {
         checkAnswersOfKilledFront(request);
-      } else if (isTaken(request)) {
+      } else if (isAccepted(request)) {
         verdict.countCheck(ONE_ANSWER);
         String fault = answerFault(request);
         if (fault != null) {
@@ -84,13 +84,13 @@
    * The front was not paused at the viewer's deadline, and the network did not break the connection
    * because the shared address moved to another front.
    */
-  private boolean isTaken(TrafficRecord.ViewerRequest request) {
+  private boolean isAccepted(TrafficRecord.ViewerRequest request) {
     long deadline = request.at + request.timeLimit;
     boolean cut =
         request.cutByNetwork
             && request.outcomes.size() == 1
             && !request.outcomes.get(0).what().equals("answered");
-    return record.nextRunningAt(request.front, deadline) == deadline && !cut;
+    return record.runsFrom(request.front, deadline) == deadline && !cut;
   }
 
   /** Returns what is wrong with the end of the request, or null. */
@@ -130,7 +130,7 @@
                 .computeIfAbsent(setUp.key + "@" + setUp.front, k -> new ArrayList<>())
                 .add(setUp));
     for (TrafficRecord.ViewerRequest request : record.requests.values()) {
-      if (record.terms.packages().get(request.pack).paid()
+      if (record.terms.packages().get(request.packageName).paid()
           && !request.outcomes.isEmpty()
           && "blocked".equals(request.outcomes.get(0).text("how"))) {
         checkRejectedDespitePayment(
@@ -152,7 +152,7 @@
           addDoubleSetUpBreach(
               setUp.at, setUp, "two tune-ins out: the other at box " + earlier.box);
         }
-        if (record.terms.packages().get(setUp.pack).paid() && !earlier.provablyNeverRan()) {
+        if (record.terms.packages().get(setUp.packageName).paid() && !earlier.provablyNeverRan()) {
           addDoubleSetUpBreach(
               setUp.at, setUp, "set up again though paid for at box " + earlier.box);
         }
@@ -211,9 +211,7 @@
           Long since = notServing.get(front + "/" + event.number("box"));
           if (since != null
               && event.at()
-                  > record.nextRunningAt(front, since)
-                      + record.terms.grace()
-                      + record.terms.slack()) {
+                  > record.runsFrom(front, since) + record.terms.grace() + record.terms.slack()) {
             verdict.addBreach(
                 rule,
                 event.at(),
@@ -304,7 +302,7 @@
 
   /** Rule 5, rungs: each viewing stays within the rungs of its package. */
   private void checkRungLimits() {
-    Map<String, Terms.Pack> packs = new HashMap<>();
+    Map<String, Terms.PackageLimits> packs = new HashMap<>();
     for (RecordEvent event : record.events) {
       boolean isSetUp = event.what().equals("set-up");
       if (!isSetUp && !event.what().equals("rung")) {
@@ -313,7 +311,7 @@
       if (isSetUp) {
         packs.put(event.text("viewing"), record.terms.packages().get(event.text("package")));
       }
-      Terms.Pack limits = packs.get(event.text("viewing"));
+      Terms.PackageLimits limits = packs.get(event.text("viewing"));
       if (limits == null) {
         continue;
       }
@@ -341,16 +339,16 @@
    * including set-ups.
    */
   private void checkSeats() {
-    Map<String, List<TrafficRecord.SetUp>> held = new HashMap<>();
+    Map<String, List<TrafficRecord.SetUp>> viewingsByPackage = new HashMap<>();
     for (TrafficRecord.SetUp setUp : record.setUps) {
-      int seats = record.terms.packages().get(setUp.pack).seats();
+      int seats = record.terms.packages().get(setUp.packageName).seats();
       if (seats <= 0) {
         continue;
       }
       verdict.countCheck("terms");
       List<TrafficRecord.SetUp> occupied =
-          held.computeIfAbsent(
-              setUp.life() + "/" + setUp.title + "/" + setUp.pack, k -> new ArrayList<>());
+          viewingsByPackage.computeIfAbsent(
+              setUp.life() + "/" + setUp.title + "/" + setUp.packageName, k -> new ArrayList<>());
       occupied.removeIf(
           other ->
               other.endedAt <= setUp.at + record.terms.slack()
@@ -386,7 +384,7 @@
       long acceptedRequests =
           record.requests.values().stream()
               .filter(request -> request.front == setUp.front)
-              .mapToLong(request -> record.nextRunningAt(request.front, request.at))
+              .mapToLong(request -> record.runsFrom(request.front, request.at))
               .filter(
                   at -> at >= from - record.terms.slack() && at <= setUp.at + record.terms.slack())
               .count();
--- a/src/main/java/linengauge/rules/Terms.java
+++ b/src/main/java/linengauge/rules/Terms.java
@@ -6,7 +6,7 @@
 
 /** The limits that apply to a record, read from its first line; spans are in microseconds. */
 record Terms(
-    Map<String, Pack> packages,
+    Map<String, PackageLimits> packages,
     long grace,
     long cold,
     double startCapacity,
@@ -17,14 +17,14 @@
     long furtherSpan,
     long slack) {
 
-  record Pack(int lowest, int highest, int seats, boolean paid) {}
+  record PackageLimits(int lowest, int highest, int seats, boolean paid) {}
 
   static Terms read(JsonNode line) throws InvalidRecordException {
-    Map<String, Pack> packages = new HashMap<>();
+    Map<String, PackageLimits> packages = new HashMap<>();
     for (JsonNode entry : line.path("packages")) {
       packages.put(
           entry.path("name").asText(),
-          new Pack(
+          new PackageLimits(
               entry.path("lowestRung").asInt(),
               entry.path("highestRung").asInt(),
               entry.path("seats").asInt(),
--- a/src/main/java/linengauge/rules/TrafficRecord.java
+++ b/src/main/java/linengauge/rules/TrafficRecord.java
@@ -26,7 +26,7 @@
     int front;
     int tuneIn;
     String title;
-    String pack;
+    String packageName;
     int rung;
     String key;
 
@@ -63,7 +63,7 @@
     long at;
     int front;
     String key;
-    String pack;
+    String packageName;
     long timeLimit;
 
     /** The network broke the connection because the shared address moved to another front. */
@@ -143,7 +143,7 @@
     request.at = event.at();
     request.front = (int) event.number("front");
     request.key = event.text("key");
-    request.pack = packageName(event, line);
+    request.packageName = packageName(event, line);
     request.timeLimit = event.number("patienceMs") * 1000;
     if (requests.put(request.id, request) != null) {
       throw new InvalidRecordException(line, "request " + request.id + " occurs twice");
@@ -207,7 +207,7 @@
     setUp.front = (int) event.number("front");
     setUp.tuneIn = (int) event.number("tuneIn");
     setUp.title = event.text("title");
-    setUp.pack = packageName(event, line);
+    setUp.packageName = packageName(event, line);
     setUp.rung = (int) event.number("rung");
     setUp.key = event.text("key");
     setUps.add(setUp);
@@ -236,7 +236,7 @@
   }
 
   /** Returns the first moment from this one on at which the front was running. */
-  long nextRunningAt(int front, long moment) {
+  long runsFrom(int front, long moment) {
     for (Pause pause : pauses.getOrDefault(front, List.of())) {
       if (pause.from <= moment && moment < pause.to) {
         return pause.to;
--- a/src/main/java/linengauge/standin/MediaRates.java
+++ b/src/main/java/linengauge/standin/MediaRates.java
@@ -16,10 +16,12 @@
   }
 
   /** Returns the rate in kB per second; a rung beyond the ladder counts as the nearest one. */
-  double rate(String title, String pack, int rung) {
+  double rate(String title, String packageName, int rung) {
     double titleFactor =
         factorByTitle.computeIfAbsent(title, t -> 0.85 + 0.3 * random.nextDouble());
     int nearest = Math.max(0, Math.min(rung, spec.ladderKb().length - 1));
-    return spec.ladderKb()[nearest] * spec.rateFactors().getOrDefault(pack, 1.0) * titleFactor;
+    return spec.ladderKb()[nearest]
+        * spec.rateFactors().getOrDefault(packageName, 1.0)
+        * titleFactor;
   }
 }
--- a/src/main/java/linengauge/standin/PlatformBox.java
+++ b/src/main/java/linengauge/standin/PlatformBox.java
@@ -130,8 +130,7 @@
           case "FINISH" -> playing.remove(tag);
           case "ECHO" -> {
             ObjectNode answer = message("ECHOED", tag, 1, null);
-            if (message.path("rc").asInt()
-                == 1) { // Only a probe with cause 1 is answered with a load report.
+            if (message.path("rc").asInt() == 1) { // Only a probe of cause 1 gets a report.
               answer
                   .putObject("opts")
                   .put("load", "outstanding:" + playing.size() + ";x0:0.2;x1:0.3");
--- a/src/main/java/linengauge/standin/PlatformViewers.java
+++ b/src/main/java/linengauge/standin/PlatformViewers.java
@@ -83,12 +83,12 @@
     return java.util.Arrays.copyOf(buffer.array(), buffer.position());
   }
 
-  public static byte[] setUp(long id, String pack, long leftMs, String moreAttributes) {
+  public static byte[] setUp(long id, String packageName, long leftMs, String moreAttributes) {
     return message(
         1,
         id,
         33,
-        pack,
+        packageName,
         35,
         leftMs,
         41,
--- a/src/main/java/linengauge/standin/PlayerSimulator.java
+++ b/src/main/java/linengauge/standin/PlayerSimulator.java
@@ -233,7 +233,7 @@
     private final String building;
     private final boolean followsRetryAdvice = random.nextDouble() < 0.6;
     private double leftMs;
-    private Front endpoint;
+    private Front peer;
     private int attempts;
     private String viewing;
     private int consecutiveFailures;
@@ -248,11 +248,11 @@
       figures.valueRequested += profile.value;
     }
 
-    private RequestOptions requestOptions(HttpMethod method, String uri) {
+    private RequestOptions options(HttpMethod method, String uri) {
       return new RequestOptions()
           .setMethod(method)
-          .setHost(endpoint.host)
-          .setPort(endpoint.port)
+          .setHost(peer.host)
+          .setPort(peer.port)
           .setURI(uri);
     }
 
@@ -263,7 +263,7 @@
     private void requestViewing() {
       List<Front> nearby = new ArrayList<>(endpoints);
       nearby.removeIf(candidate -> !candidate.building.equals(building));
-      endpoint = nearby.get(random.nextInt(nearby.size()));
+      peer = nearby.get(random.nextInt(nearby.size()));
       String id = key + "-" + attempts++;
       long askedAt = tap.elapsedMicros();
       figures.asked++;
@@ -271,8 +271,8 @@
       HttpClientRequest[] sent = {null};
       long timer =
           vertx.setTimer(profile.timeLimitMs + LATE_ANSWER_WAIT_MS, t -> onTimeout(id, done, sent));
-      boolean shared = endpoint.front < 0;
-      RequestOptions options = requestOptions(HttpMethod.GET, viewingUri());
+      boolean shared = peer.front < 0;
+      RequestOptions options = options(HttpMethod.GET, viewingUri());
       if (shared) {
         options.putHeader("X-Ask", id);
       }
@@ -308,7 +308,7 @@
       done[0] = true;
       if (resolveFront(id)) {
         figures.unanswered++;
-        tap.recordEvent("gave-up", "ask", id, "front", endpoint.front);
+        tap.recordEvent("gave-up", "ask", id, "front", peer.front);
       }
       if (sent[0] != null) {
         sent[0].reset();
@@ -318,7 +318,7 @@
 
     private void onNotReached(String id) {
       figures.notReached++;
-      tap.recordEvent("not-reached", "ask", id, "front", endpoint.front);
+      tap.recordEvent("not-reached", "ask", id, "front", peer.front);
       retryLater(0);
     }
 
@@ -341,7 +341,7 @@
           "ask",
           id,
           "front",
-          endpoint.front,
+          peer.front,
           "key",
           key,
           "title",
@@ -393,12 +393,9 @@
               });
     }
 
-    /**
-     * Returns whether a front received the request. For a shared address, the LAN reports which
-     * one.
-     */
+    /** Returns whether a front received the request; for a shared address, the LAN knows it. */
     private boolean resolveFront(String id) {
-      if (endpoint.front >= 0) {
+      if (peer.front >= 0) {
         return true;
       }
       Integer node = lan.receivingNode(id);
@@ -407,14 +404,14 @@
         tap.recordEvent("not-reached", "ask", id, "front", -1);
         return false;
       }
-      endpoint = new Front(node, endpoint.host, endpoint.port, endpoint.building);
+      peer = new Front(node, peer.host, peer.port, peer.building);
       return true;
     }
 
     private void onDisconnected(String id) {
       if (resolveFront(id)) {
         figures.disconnected++;
-        tap.recordEvent("broke", "ask", id, "front", endpoint.front);
+        tap.recordEvent("broke", "ask", id, "front", peer.front);
       }
       retryLater(0);
     }
@@ -437,7 +434,7 @@
           "ask",
           id,
           "front",
-          endpoint.front,
+          peer.front,
           "how",
           how,
           "status",
@@ -452,14 +449,9 @@
         }
         viewing = viewingMatch.group(1);
         recordPlayed(tap.elapsedMicros());
-        Matcher ownAddressMatch = OWN_ADDRESS.matcher(body.toString());
-        if (ownAddressMatch.find()) { // The viewing plays at the front's own address.
-          endpoint =
-              new Front(
-                  endpoint.front,
-                  ownAddressMatch.group(1),
-                  Integer.parseInt(ownAddressMatch.group(2)),
-                  endpoint.building);
+        Matcher own = OWN_ADDRESS.matcher(body.toString());
+        if (own.find()) { // The viewing plays at the front's own address.
+          peer = new Front(peer.front, own.group(1), Integer.parseInt(own.group(2)), peer.building);
         }
         fetchPlaylist();
       } else {
@@ -536,19 +528,19 @@
     }
 
     private void onPlaybackLost(int status) {
-      tap.recordEvent("play-broke", "viewing", viewing, "front", endpoint.front, "status", status);
+      tap.recordEvent("play-broke", "viewing", viewing, "front", peer.front, "status", status);
       if (status != 410 && status != 0) {
         client
-            .request(requestOptions(HttpMethod.DELETE, "/v/" + viewing))
+            .request(options(HttpMethod.DELETE, "/v/" + viewing))
             .compose(HttpClientRequest::send);
       }
       retryLater(0);
     }
 
     private void leave() {
-      tap.recordEvent("left", "viewing", viewing, "front", endpoint.front);
+      tap.recordEvent("left", "viewing", viewing, "front", peer.front);
       client
-          .request(requestOptions(HttpMethod.DELETE, "/v/" + viewing))
+          .request(options(HttpMethod.DELETE, "/v/" + viewing))
           .compose(HttpClientRequest::send)
           .onComplete(r -> onGone());
     }
@@ -557,10 +549,7 @@
       void onResponse(int status, Buffer body);
     }
 
-    /**
-     * Status 0 means that the front cannot be reached, closed the connection, or sent no complete
-     * answer in time.
-     */
+    /** Status 0: unreachable, disconnected, or no complete answer within the time limit. */
     private void get(String uri, int timeLimitMs, ResponseHandler handler) {
       boolean[] done = {false};
       HttpClientRequest[] sent = {null};
@@ -585,7 +574,7 @@
             }
           };
       client
-          .request(requestOptions(HttpMethod.GET, uri))
+          .request(options(HttpMethod.GET, uri))
           .onFailure(e -> onceHandler.onResponse(0, Buffer.buffer()))
           .onSuccess(
               request -> {
--- a/src/main/java/linengauge/standin/RunningViewing.java
+++ b/src/main/java/linengauge/standin/RunningViewing.java
@@ -4,15 +4,15 @@
 final class RunningViewing {
   private final String id;
   private final String title;
-  private final String pack;
+  private final String packageName;
   private int rung;
   private double kb;
   private long lastRequestAt;
 
-  RunningViewing(String id, String title, String pack, int rung, double kb) {
+  RunningViewing(String id, String title, String packageName, int rung, double kb) {
     this.id = id;
     this.title = title;
-    this.pack = pack;
+    this.packageName = packageName;
     this.rung = rung;
     this.kb = kb;
     renewLease();
@@ -27,8 +27,8 @@
   }
 
   /** The package in which the title is sent. */
-  String pack() {
-    return pack;
+  String packageName() {
+    return packageName;
   }
 
   int rung() {
--- a/src/main/java/linengauge/standin/SetUpHandler.java
+++ b/src/main/java/linengauge/standin/SetUpHandler.java
@@ -24,18 +24,18 @@
     private final int front;
     private final int tuneIn;
     private final String title;
-    private final String pack;
+    private final String packageName;
     private final int rung;
     private boolean answered;
 
-    private SetUp(HttpServerRequest request, String id, JsonNode ask) {
+    private SetUp(HttpServerRequest request, String id, JsonNode fields) {
       this.request = request;
       this.id = id;
-      this.front = ask.path("front").asInt(-1);
-      this.tuneIn = ask.path("tuneIn").asInt();
-      this.title = ask.path("title").asText();
-      this.pack = ask.path("package").asText();
-      this.rung = ask.path("rung").asInt();
+      this.front = fields.path("front").asInt(-1);
+      this.tuneIn = fields.path("tuneIn").asInt();
+      this.title = fields.path("title").asText();
+      this.packageName = fields.path("package").asText();
+      this.rung = fields.path("rung").asInt();
     }
   }
 
@@ -73,15 +73,15 @@
   }
 
   void handle(HttpServerRequest request, String id, Buffer body) {
-    JsonNode ask;
+    JsonNode fields;
     try {
-      ask = JSON.readTree(body.getBytes());
+      fields = JSON.readTree(body.getBytes());
     } catch (IOException e) {
       box.answer(request, 400, "");
       return;
     }
-    SetUp setUp = new SetUp(request, id, ask);
-    recordRequest(setUp, ask.path("key").asText(null));
+    SetUp setUp = new SetUp(request, id, fields);
+    recordRequest(setUp, fields.path("key").asText(null));
     request.response().closeHandler(v -> onClosed(setUp));
     if (box.faults().isUnresponsive() || failsFromColdOverload()) {
       return;
@@ -150,8 +150,9 @@
   }
 
   private void run(SetUp setUp) {
-    double kb = rates.rate(setUp.title, setUp.pack, setUp.rung);
-    RunningViewing viewing = new RunningViewing(setUp.id, setUp.title, setUp.pack, setUp.rung, kb);
+    double kb = rates.rate(setUp.title, setUp.packageName, setUp.rung);
+    RunningViewing viewing =
+        new RunningViewing(setUp.id, setUp.title, setUp.packageName, setUp.rung, kb);
     viewings.start(viewing);
     if (random.nextDouble() < box.faults().answerLossRate) {
       recordAnswer(setUp, "swallowed");
@@ -207,7 +208,7 @@
         "title",
         setUp.title,
         "package",
-        setUp.pack,
+        setUp.packageName,
         "rung",
         setUp.rung,
         "key",
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -58,7 +58,7 @@
   private final NetClient client;
 
   /** By VRID: the node that announced last. */
-  private final Map<Integer, Integer> holders = new HashMap<>();
+  private final Map<Integer, Integer> owners = new HashMap<>();
 
   /**
    * By node and VRID: the number of the last announcement, so that one that arrives out of order is
@@ -93,27 +93,26 @@
       viewerSide.pause();
       viewerSide.exceptionHandler(e -> {});
       viewerSide.closeHandler(v -> end());
-      String[] at = nodes.get(node).viewers.get(vrid).split(":");
+      String[] hostAndPort = nodes.get(node).viewers.get(vrid).split(":");
       client
-          .connect(Integer.parseInt(at[1]), at[0])
+          .connect(Integer.parseInt(hostAndPort[1]), hostAndPort[0])
           .onFailure(e -> viewerSide.close())
           .onSuccess(
-              s -> {
-                nodeSide = s;
+              socket -> {
+                nodeSide = socket;
                 nodeSide.exceptionHandler(e -> {});
                 nodeSide.closeHandler(v -> end());
                 viewerSide.handler(
-                    b -> {
+                    received -> {
                       if (closed) {
-                        return; // Data that arrives after the close is neither forwarded nor
-                        // recorded.
+                        return; // Late data is neither forwarded nor recorded.
                       }
-                      inspect(b);
-                      nodeSide.write(b);
+                      inspect(received);
+                      nodeSide.write(received);
                     });
                 nodeSide.handler(
-                    b -> {
-                      viewerSide.write(b);
+                    received -> {
+                      viewerSide.write(received);
                       if (viewerSide.writeQueueFull()) {
                         nodeSide.pause();
                         viewerSide.drainHandler(v -> nodeSide.resume());
@@ -204,15 +203,15 @@
    */
   public Future<?> open() {
     List<Future<?>> open = new ArrayList<>();
-    for (Node n : nodes) {
-      DatagramSocket s = vertx.createDatagramSocket();
-      sockets.add(s);
-      open.add(bind(s, n.lanPort, n.host, (from, data) -> forward(from, n, data)));
+    for (Node node : nodes) {
+      DatagramSocket socket = vertx.createDatagramSocket();
+      sockets.add(socket);
+      open.add(bind(socket, node.lanPort, node.host, (from, data) -> forward(from, node, data)));
     }
     DatagramSocket announcements = vertx.createDatagramSocket();
     open.add(bind(announcements, announcePort, announceHost, this::onAnnouncement));
-    for (SharedAddress a : shared) {
-      open.add(openShared(a));
+    for (SharedAddress address : shared) {
+      open.add(openShared(address));
     }
     return Future.all(open);
   }
@@ -241,12 +240,12 @@
     NetServer server = vertx.createNetServer(new NetServerOptions().setReusePort(false));
     server.connectHandler(
         viewerSide -> {
-          Integer holder = holders.get(address.vrid);
-          if (holder == null) {
+          Integer owner = owners.get(address.vrid);
+          if (owner == null) {
             viewerSide.close();
             return;
           }
-          Connection connection = new Connection(address.vrid, holder, viewerSide);
+          Connection connection = new Connection(address.vrid, owner, viewerSide);
           connections.get(address.vrid).add(connection);
           connection.open();
         });
@@ -300,9 +299,9 @@
     }
     lastAnnouncements.put(from.number + "/" + vrid, number);
     tap.recordEvent(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
-    Integer previous = holders.get(vrid);
+    Integer previous = owners.get(vrid);
     if (takes && (previous == null || previous != from.number)) {
-      holders.put(vrid, from.number);
+      owners.put(vrid, from.number);
       for (Connection connection : List.copyOf(connections.getOrDefault(vrid, Set.of()))) {
         connection.cutByHandover();
       }
@@ -316,7 +315,7 @@
 
   /** Returns the node that announced an address last, or null if none did. */
   public Integer owner(int vrid) {
-    return holders.get(vrid);
+    return owners.get(vrid);
   }
 
   public void setCut(int from, int to, boolean isCut) {
--- a/src/main/java/linengauge/standin/SlowPlayerSimulator.java
+++ b/src/main/java/linengauge/standin/SlowPlayerSimulator.java
@@ -60,7 +60,7 @@
   private final String host;
   private final int port;
   private final int front;
-  private final String pack;
+  private final String packageName;
   private final List<String> titles;
   private final Tap tap;
   private final List<Player> players = new ArrayList<>();
@@ -71,11 +71,11 @@
   private int nextPlayerNumber;
 
   public SlowPlayerSimulator(
-      String host, int port, int front, String pack, List<String> titles, Tap tap) {
+      String host, int port, int front, String packageName, List<String> titles, Tap tap) {
     this.host = host;
     this.port = port;
     this.front = front;
-    this.pack = pack;
+    this.packageName = packageName;
     this.titles = List.copyOf(titles);
     this.tap = tap;
     thread.setDaemon(true);
@@ -211,7 +211,7 @@
           "title",
           title,
           "package",
-          pack,
+          packageName,
           "ceiling",
           2,
           "patienceMs",
@@ -220,7 +220,7 @@
           "/titles/"
               + title
               + "/main.m3u8?package="
-              + pack
+              + packageName
               + "&ceiling=2&patience=3000&key="
               + key);
     }
--- a/src/main/java/linengauge/standin/StandInBox.java
+++ b/src/main/java/linengauge/standin/StandInBox.java
@@ -266,7 +266,7 @@
     } else if (rung < 0 || rung >= spec.ladderKb().length) {
       answer(request, 400, "");
     } else {
-      viewings.change(viewing, rung, rates.rate(viewing.title(), viewing.pack(), rung));
+      viewings.change(viewing, rung, rates.rate(viewing.title(), viewing.packageName(), rung));
       answer(request, 200, "");
     }
   }
--- a/src/main/java/linengauge/standin/StandInPlaylists.java
+++ b/src/main/java/linengauge/standin/StandInPlaylists.java
@@ -11,7 +11,7 @@
     StringBuilder text =
         new StringBuilder("#EXTM3U\n#EXT-X-VERSION:4\n#EXT-X-INDEPENDENT-SEGMENTS\n");
     for (int rung = 0; rung < rungs; rung++) {
-      double kb = rates.rate(viewing.title(), viewing.pack(), rung);
+      double kb = rates.rate(viewing.title(), viewing.packageName(), rung);
       text.append("#EXT-X-STREAM-INF:BANDWIDTH=")
           .append(Math.round(8000 * kb))
           .append(",CODECS=\"avc1.4d401e,mp4a.40.2\"\nrung")
--- a/src/test/java/linengauge/rules/JudgeTest.java
+++ b/src/test/java/linengauge/rules/JudgeTest.java
@@ -292,9 +292,7 @@
   @Test
   void anExceededRetryBudgetIsFound() {
     RecordBuilder record = validRecord();
-    for (int i = 20;
-        i < 22;
-        i++) { // Seven accepted requests allow 2.4 retries: two are made, then a third.
+    for (int i = 20; i < 22; i++) { // Seven requests allow 2.4 retries: two, then a third.
       record
           .asked(6000, "k" + i, "plain")
           .setUp(6005, 8, "0-a-" + i, 0, "k" + i, "plain", 0)
@@ -338,7 +336,7 @@
       record.viewing(400 + 100 * (i - 30), 9, "" + i, "plain", 0);
     }
     assertEquals(
-        0, record.judge().breaches().size(), "five set-ups within the limit of a cold box");
+        0, record.judge().breaches().size(), "five set-ups in windows that allow 4.8 or more");
     assertBreach(record.viewing(850, 9, "35", "plain", 0), "cold-boxes", "6 set-ups");
     assertBreach(validRecord().event(8000, "'what':'box-fell','box':9"), "cold-boxes", "fell");
   }
