--- a/src/main/java/linengauge/standin/DatagramRelay.java
+++ b/src/main/java/linengauge/standin/DatagramRelay.java
@@ -24,11 +24,11 @@
   }
 
   /** Relays what arrives at one port to the other. */
-  public Future<?> relay(String host, int from, int to) {
+  public Future<?> relay(String host, int fromPort, int toPort) {
     DatagramSocket socket = vertx.createDatagramSocket();
     sockets.add(socket);
     return socket
-        .listen(from, host)
+        .listen(fromPort, host)
         .onSuccess(
             bound ->
                 bound.handler(
@@ -39,7 +39,7 @@
                       }
                       relayed++;
                       vertx.setTimer(
-                          2 + random.nextInt(15), t -> socket.send(packet.data(), to, host));
+                          2 + random.nextInt(15), t -> socket.send(packet.data(), toPort, host));
                     }));
   }
 
--- a/src/main/java/linengauge/standin/DiscoveryService.java
+++ b/src/main/java/linengauge/standin/DiscoveryService.java
@@ -99,7 +99,8 @@
   public Future<?> open() {
     HttpServer server = vertx.createHttpServer();
     server.requestHandler(this::handle);
-    vertx.setPeriodic(1000, t -> subscribers.forEach(f -> f.response.write("\n")));
+    vertx.setPeriodic(
+        1000, t -> subscribers.forEach(subscriber -> subscriber.response.write("\n")));
     return server.listen(port, host);
   }
 
@@ -107,37 +108,38 @@
    * Sets one entry of the list; state "gone" removes it. startedAtMillis is 0 for a box that
    * started long ago.
    */
-  public void publish(BoxFleet.BoxLocation place, String kind, String state, long startedAtMillis) {
+  public void publish(
+      BoxFleet.BoxLocation location, String kind, String state, long startedAtMillis) {
     ObjectNode row =
         JSON.createObjectNode()
-            .put("id", place.id())
+            .put("id", location.id())
             .put("state", state)
-            .put("address", place.host() + ":" + place.port())
-            .put("cell", place.cell())
+            .put("address", location.host() + ":" + location.port())
+            .put("cell", location.cell())
             .put("kind", kind)
-            .put("building", place.building())
+            .put("building", location.building())
             .put("weight", 1.0);
     if (startedAtMillis > 0) {
       row.put("startedAt", startedAtMillis);
     }
     if (state.equals("gone")) {
-      boxes.remove(place.id());
+      boxes.remove(location.id());
     } else {
-      boxes.put(place.id(), row);
+      boxes.put(location.id(), row);
     }
     Change change = new Change(++revision, row);
     changes.add(change);
     if (changes.size() > MAX_CHANGES) {
       changes.remove(0);
     }
-    subscribers.forEach(f -> f.scheduleChange(change));
+    subscribers.forEach(subscriber -> subscriber.scheduleChange(change));
   }
 
   /** Breaks all streams and rejects new ones for that long. */
   public void interruptFor(int ms) {
     rejecting = true;
-    for (Subscriber f : List.copyOf(subscribers)) {
-      f.response.reset();
+    for (Subscriber subscriber : List.copyOf(subscribers)) {
+      subscriber.response.reset();
     }
     subscribers.clear();
     vertx.setTimer(Math.max(1, ms), t -> rejecting = false);
@@ -145,7 +147,7 @@
 
   /** Drops the next change on its way to every front. */
   public void dropNextChange() {
-    subscribers.forEach(f -> f.skipNext = true);
+    subscribers.forEach(subscriber -> subscriber.skipNext = true);
   }
 
   private void handle(HttpServerRequest request) {
--- a/src/main/java/linengauge/standin/FaultyLink.java
+++ b/src/main/java/linengauge/standin/FaultyLink.java
@@ -48,7 +48,7 @@
           callerSocket.pause();
           client
               .connect(targetPort, host)
-              .onFailure(endpoint -> callerSocket.close())
+              .onFailure(error -> callerSocket.close())
               .onSuccess(
                   targetSocket -> {
                     Endpoint targetEnd = new Endpoint(targetSocket, true);
--- a/src/test/java/linengauge/rules/JudgeTest.java
+++ b/src/test/java/linengauge/rules/JudgeTest.java
@@ -38,14 +38,14 @@
       return this;
     }
 
-    RecordBuilder asked(long ms, String ask, String pack) {
+    RecordBuilder asked(long ms, String ask, String packageName) {
       return event(
           ms,
           "'what':'asked','ask':'%s','front':0,'key':'%s','title':'t','package':'%s','ceiling':4,"
               + "'patienceMs':3000",
           ask,
           ask,
-          pack);
+          packageName);
     }
 
     RecordBuilder answered(long ms, String ask, String how, String viewing) {
@@ -58,7 +58,7 @@
     }
 
     RecordBuilder setUp(
-        long ms, int box, String viewing, int tuneIn, String key, String pack, int rung) {
+        long ms, int box, String viewing, int tuneIn, String key, String packageName, int rung) {
       return event(
           ms,
           "'what':'set-up','box':%d,'viewing':'%s','front':0,'tuneIn':%d,'title':'t','package':'%s',"
@@ -66,7 +66,7 @@
           box,
           viewing,
           tuneIn,
-          pack,
+          packageName,
           rung,
           key);
     }
@@ -82,9 +82,9 @@
     }
 
     /** Adds a viewing with its request, one tune-in and the answers. */
-    RecordBuilder viewing(long ms, int box, String id, String pack, int rung) {
-      return asked(ms, "k" + id, pack)
-          .setUp(ms + 5, box, "0-a-" + id, 0, "k" + id, pack, rung)
+    RecordBuilder viewing(long ms, int box, String id, String packageName, int rung) {
+      return asked(ms, "k" + id, packageName)
+          .setUp(ms + 5, box, "0-a-" + id, 0, "k" + id, packageName, rung)
           .setUpAnswered(ms + 50, box, "0-a-" + id, 0, "plays")
           .answered(ms + 55, "k" + id, "plays", "0-a-" + id);
     }
