--- a/src/main/java/linengauge/cli/ScaleHollow.java
+++ b/src/main/java/linengauge/cli/ScaleHollow.java
@@ -149,7 +149,7 @@
         fleet,
         followersEach,
         LeaseSettings.USUAL,
-        MembershipSettings.USUAL,
+        MembershipSettings.DEFAULT,
         times,
         events.stream().map(named::get).toList(),
         heapMb,
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -73,7 +73,7 @@
     if (start.gossipAt() != null) {
       gossip =
           new MembershipNode(
-              MembershipSettings.USUAL.inPeriods(start.heartbeat()),
+              MembershipSettings.DEFAULT.withPeriod(start.heartbeat()),
               new Member(own.number(), start.gossipAt(), own.zone(), own.region()),
               start.seeds(),
               key,
@@ -138,7 +138,7 @@
         "\"number\":"
             + update.member().number()
             + ",\"standing\":\""
-            + update.standing()
+            + update.state()
             + "\",\"incarnation\":"
             + update.incarnation());
   }
@@ -182,7 +182,7 @@
   }
 
   private String combined(List<DirectoryEntry> present) {
-    List<MemberUpdate> held = gossip == null ? List.of() : gossip.held();
+    List<MemberUpdate> held = gossip == null ? List.of() : gossip.members();
     String all =
         CombinedView.of(present, held).stream()
             .map(p -> "{\"number\":" + p.member().number() + ",\"by\":\"" + p.by() + "\"}")
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -29,7 +29,7 @@
    */
   public static void run(Member own, List<String> seeds, Path keyFile, Path record, Span period)
       throws IOException, InterruptedException {
-    MembershipSettings terms = MembershipSettings.USUAL.inPeriods(period);
+    MembershipSettings terms = MembershipSettings.DEFAULT.withPeriod(period);
     try (BufferedWriter out = Files.newBufferedWriter(record);
         MembershipNode node =
             new MembershipNode(
@@ -46,7 +46,7 @@
             out,
             "holds",
             "\"others\":["
-                + node.held().stream().map(MemberProcess::one).collect(Collectors.joining(","))
+                + node.members().stream().map(MemberProcess::one).collect(Collectors.joining(","))
                 + "],\"strangers\":"
                 + d.strangers()
                 + ",\"replayed\":"
@@ -61,11 +61,11 @@
     return "{\"number\":"
         + n.member().number()
         + ",\"standing\":\""
-        + n.standing()
+        + n.state()
         + "\",\"incarnation\":"
         + n.incarnation()
         + ",\"by\":"
-        + n.by()
+        + n.source()
         + ",\"zone\":"
         + n.member().zone()
         + "}";
--- a/src/main/java/linengauge/front/FleetMembers.java
+++ b/src/main/java/linengauge/front/FleetMembers.java
@@ -32,7 +32,7 @@
             site.front().number(), members.listen(), site.headend().building(), members.region());
     this.node =
         new MembershipNode(
-            MembershipSettings.USUAL.inPeriods(Span.ofMillis(members.periodMs())),
+            MembershipSettings.DEFAULT.withPeriod(Span.ofMillis(members.periodMs())),
             own,
             members.seeds(),
             KeyFile.read(members.keyFile(), "members.keyFile"),
@@ -43,9 +43,9 @@
     LOG.info(
         "member {} {} {} {}",
         StructuredArguments.kv("number", update.member().number()),
-        StructuredArguments.kv("standing", update.standing()),
+        StructuredArguments.kv("standing", update.state()),
         StructuredArguments.kv("incarnation", update.incarnation()),
-        StructuredArguments.kv("by", update.by()));
+        StructuredArguments.kv("by", update.source()));
   }
 
   void start() {
@@ -72,7 +72,7 @@
       return new JsonObject();
     }
     JsonArray others = new JsonArray();
-    node.held().forEach(update -> others.add(state(update)));
+    node.members().forEach(update -> others.add(state(update)));
     MembershipNode.Drops drops = node.drops();
     return new JsonObject()
         .put("others", others)
@@ -87,8 +87,8 @@
         .put("zone", update.member().zone())
         .put("region", update.member().region())
         .put("address", update.member().address())
-        .put("standing", update.standing().name())
+        .put("standing", update.state().name())
         .put("incarnation", update.incarnation())
-        .put("by", update.by());
+        .put("by", update.source());
   }
 }
--- a/src/main/java/linengauge/lease/CombinedView.java
+++ b/src/main/java/linengauge/lease/CombinedView.java
@@ -29,7 +29,7 @@
       Collection<DirectoryEntry> directory, Collection<MemberUpdate> gossip) {
     TreeMap<Integer, Present> byNumber = new TreeMap<>();
     for (MemberUpdate update : gossip) {
-      if (update.standing().isThere()) {
+      if (update.state().isPresent()) {
         byNumber.put(update.member().number(), new Present(update.member(), Source.GOSSIP));
       }
     }
--- a/src/main/java/linengauge/membership/Datagram.java
+++ b/src/main/java/linengauge/membership/Datagram.java
@@ -11,15 +11,16 @@
  * to ping another front and to pass its ACK on, or to say NAK (Lifeguard, IV.A); PULL asks for
  * members from a number on, PAGE brings them.
  *
- * @param about of ASK, whom to ping; of PULL and PAGE, the number from which on; of PAGE -1 where
- *     the whole has been told
+ * @param argument of ASK, whom to ping; of PULL and PAGE, the number from which on; of PAGE -1
+ *     where the whole has been told
  */
-public record Datagram(Kind kind, int from, int sequence, int about, List<MemberUpdate> updates) {
+public record Datagram(
+    Kind kind, int from, int sequence, int argument, List<MemberUpdate> updates) {
   /** Bytes of a datagram at the most, without the carrier's trailer. */
-  public static final int MOST = 1200;
+  public static final int MAX_BYTES = 1200;
 
   /** Bytes of an address at the most. */
-  public static final int MOST_TEXT = 64;
+  public static final int MAX_ADDRESS_BYTES = 64;
 
   private static final byte VERSION = 1;
   private static final int HEAD = 16;
@@ -36,31 +37,32 @@
   }
 
   /** Bytes that one piece of news takes. */
-  static int size(MemberUpdate n) {
+  static int encodedSize(MemberUpdate n) {
     return 2 + 2 + 2 + 1 + 8 + 2 + 1 + n.member().address().getBytes(StandardCharsets.UTF_8).length;
   }
 
   /** Room for news in one datagram. */
-  static int room() {
-    return MOST - HEAD;
+  static int maxUpdateBytes() {
+    return MAX_BYTES - HEAD;
   }
 
-  public byte[] bytes() {
-    ByteBuffer b = ByteBuffer.allocate(HEAD + updates.stream().mapToInt(Datagram::size).sum());
+  public byte[] encode() {
+    ByteBuffer b =
+        ByteBuffer.allocate(HEAD + updates.stream().mapToInt(Datagram::encodedSize).sum());
     b.put(VERSION)
         .put((byte) kind.ordinal())
         .putInt(from)
         .putInt(sequence)
-        .putInt(about)
+        .putInt(argument)
         .putShort((short) updates.size());
     for (MemberUpdate n : updates) {
       byte[] address = n.member().address().getBytes(StandardCharsets.UTF_8);
       b.putShort((short) n.member().number())
           .putShort((short) n.member().zone())
           .putShort((short) n.member().region())
-          .put((byte) n.standing().ordinal())
+          .put((byte) n.state().ordinal())
           .putLong(n.incarnation())
-          .putShort((short) n.by())
+          .putShort((short) n.source())
           .put((byte) address.length)
           .put(address);
     }
@@ -72,10 +74,10 @@
    *
    * @throws IllegalArgumentException where it is none of this version's, with why in a few words
    */
-  public static Datagram read(byte[] bytes, int length) {
+  public static Datagram decode(byte[] bytes, int length) {
     try {
-      if (length > MOST) {
-        throw new IllegalArgumentException("longer than " + MOST + " bytes");
+      if (length > MAX_BYTES) {
+        throw new IllegalArgumentException("longer than " + MAX_BYTES + " bytes");
       }
       ByteBuffer b = ByteBuffer.wrap(bytes, 0, length);
       if (b.get() != VERSION) {
@@ -96,7 +98,7 @@
         int by = b.getShort() & 0xffff;
         byte[] address = new byte[b.get() & 0xff];
         b.get(address);
-        if (address.length > MOST_TEXT || incarnation < 0) {
+        if (address.length > MAX_ADDRESS_BYTES || incarnation < 0) {
           throw new IllegalArgumentException("a member that cannot be");
         }
         updates.add(
--- a/src/main/java/linengauge/membership/Dissemination.java
+++ b/src/main/java/linengauge/membership/Dissemination.java
@@ -51,7 +51,7 @@
 
   /** Sends a datagram of this front's own accord, these updates first. */
   void send(Kind kind, String to, int number, int about, List<MemberUpdate> first) {
-    int room = Datagram.room() - first.stream().mapToInt(Datagram::size).sum();
+    int room = Datagram.maxUpdateBytes() - first.stream().mapToInt(Datagram::encodedSize).sum();
     List<MemberUpdate> updates = new ArrayList<>(first);
     updates.addAll(queue.take(room, transmissions()));
     sendBare(kind, to, number, about, updates);
--- a/src/main/java/linengauge/membership/FailureDetector.java
+++ b/src/main/java/linengauge/membership/FailureDetector.java
@@ -206,7 +206,7 @@
 
   /** Another asks this front to ping a member in its place. */
   void onAsk(String asker, Datagram datagram, Moment now) {
-    MemberEntry target = table.get(datagram.about());
+    MemberEntry target = table.get(datagram.argument());
     if (target == null || relays.size() >= MOST_RELAYS) {
       return;
     }
--- a/src/main/java/linengauge/membership/GossipQueue.java
+++ b/src/main/java/linengauge/membership/GossipQueue.java
@@ -37,7 +37,7 @@
     List<MemberUpdate> out = new ArrayList<>();
     int left = room;
     for (QueuedUpdate r : all) {
-      int size = Datagram.size(r.update);
+      int size = Datagram.encodedSize(r.update);
       if (size > left) {
         continue;
       }
--- a/src/main/java/linengauge/membership/Member.java
+++ b/src/main/java/linengauge/membership/Member.java
@@ -5,7 +5,7 @@
  *
  * @param number its number in the site file, from 0
  * @param address where it is reached, as the carrier writes addresses; at most {@link
- *     Datagram#MOST_TEXT} bytes of UTF-8
+ *     Datagram#MAX_ADDRESS_BYTES} bytes of UTF-8
  * @param zone its zone's number
  * @param region its region's number
  */
--- a/src/main/java/linengauge/membership/MemberEntry.java
+++ b/src/main/java/linengauge/membership/MemberEntry.java
@@ -19,7 +19,7 @@
 
   /** Takes an update in the place of what was held; a suspicion of that ends with it. */
   void setUpdate(MemberUpdate next, Moment now) {
-    since = update == null || update.standing() != next.standing() ? now : since;
+    since = update == null || update.state() != next.state() ? now : since;
     update = next;
     suspicion = null;
   }
@@ -47,10 +47,10 @@
   }
 
   boolean isThere() {
-    return update.standing().isThere();
+    return update.state().isPresent();
   }
 
   boolean is(MemberState state) {
-    return update.standing() == state;
+    return update.state() == state;
   }
 }
--- a/src/main/java/linengauge/membership/MemberState.java
+++ b/src/main/java/linengauge/membership/MemberState.java
@@ -13,7 +13,7 @@
   LEFT;
 
   /** Taken for there: one that is suspected is served with until it is given up. */
-  public boolean isThere() {
+  public boolean isPresent() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -9,10 +9,10 @@
 /**
  * Who of the fleet is there, as one front holds it: SWIM's pings, indirect pings, suspicion and
  * updates sent on with them (Das and others 2002), made aware of its own slowness (Lifeguard,
- * Dadgar and others 2017). It is told the time, has its next timer read by {@link #next}, and acts
- * through {@link Port}. Added to the papers, each at its place: a front that stood still takes its
- * waits anew; word of a death is a suspicion to whoever has not suspected; those gone are called on
- * again.
+ * Dadgar and others 2017). It is told the time, has its next timer read by {@link #nextStep}, and
+ * acts through {@link Port}. Added to the papers, each at its place: a front that stood still takes
+ * its waits anew; word of a death is a suspicion to whoever has not suspected; those gone are
+ * called on again.
  *
  * <p>Split by concern: {@link MemberTable} is what is held, {@link FailureDetector} pings, {@link
  * UpdateHandler} weighs updates, {@link Dissemination} sends them on, {@link Reconnection} calls on
@@ -24,10 +24,10 @@
     void send(String address, Datagram datagram);
 
     /** Another is held for something else than before. */
-    void changed(MemberUpdate held);
+    void stateChanged(MemberUpdate held);
 
     /** Another process goes by this one's number, from that address. */
-    void clash(String address);
+    void numberConflict(String address);
   }
 
   private final MembershipSettings settings;
@@ -81,7 +81,7 @@
   }
 
   /** The moment at which it wants to be stepped, at the latest. */
-  public Moment next() {
+  public Moment nextStep() {
     Moment next = FailureDetector.earlier(detector.next(), reconnection.next());
     for (MemberEntry entry : table.all()) {
       if (entry.suspicion() != null) {
@@ -92,7 +92,7 @@
   }
 
   /** All that is held of others, by number. */
-  public List<MemberUpdate> held() {
+  public List<MemberUpdate> members() {
     return table.updates();
   }
 
@@ -101,12 +101,12 @@
   }
 
   /** Members that were not taken in since there were too many. */
-  public int refused() {
+  public int rejectedMembers() {
     return table.refused();
   }
 
   /** How slow this front takes itself to be, from 0. */
-  public int slowness() {
+  public int healthScore() {
     return health.count();
   }
 
@@ -146,8 +146,8 @@
    * habit: deaths would be found late, as they should.
    */
   private void checkStandstill(Moment now) {
-    Span late = now.since(next());
-    if (!stoodStill(late)) {
+    Span late = now.since(nextStep());
+    if (!isProcessPause(late)) {
       return;
     }
     health.worse(1);
@@ -157,11 +157,11 @@
   }
 
   /** A datagram has come, proved to be of the fleet, from that address. */
-  public void heard(Moment now, String address, Datagram datagram) {
+  public void onDatagram(Moment now, String address, Datagram datagram) {
     checkStandstill(now);
     if (datagram.from() == own.number()) {
       if (!address.equals(own.address())) {
-        port.clash(address);
+        port.numberConflict(address);
       }
       return;
     }
@@ -182,17 +182,17 @@
   /* ---- guards; a test takes them out one by one ---- */
 
   /** A step that is so late. */
-  protected boolean stoodStill(Span late) {
+  protected boolean isProcessPause(Span late) {
     return !late.under(settings.answer());
   }
 
   /** Whether a death that it has only heard of is a suspicion to it. */
-  protected boolean doubts() {
+  protected boolean verifiesReportedDeaths() {
     return true;
   }
 
   /** Whether it speaks against what is not so. */
-  protected boolean denies() {
+  protected boolean refutes() {
     return true;
   }
 }
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -33,7 +33,7 @@
     Span regather,
     int most) {
   /** Fit for some hundreds of fronts in a few buildings. */
-  public static final MembershipSettings USUAL =
+  public static final MembershipSettings DEFAULT =
       new MembershipSettings(
           Span.ofMillis(1000),
           Span.ofMillis(300),
@@ -48,7 +48,7 @@
           1024);
 
   /** The same with another period, and what goes by it in proportion. */
-  public MembershipSettings inPeriods(Span each) {
+  public MembershipSettings withPeriod(Span each) {
     double scale = each.seconds() / period.seconds();
     return new MembershipSettings(
         each,
--- a/src/main/java/linengauge/membership/OwnMember.java
+++ b/src/main/java/linengauge/membership/OwnMember.java
@@ -56,14 +56,14 @@
   /** Another process says by that update that it is this member, at another address. */
   boolean isClash(MemberUpdate update) {
     return !update.member().address().equals(member.address())
-        && update.standing() == MemberState.ALIVE
+        && update.state() == MemberState.ALIVE
         && update.incarnation() >= incarnation;
   }
 
   /** Whether what is said of this front is not so, and would overrule what it says itself. */
   boolean mustDeny(MemberUpdate update) {
     return update.incarnation() > incarnation
-        || update.incarnation() == incarnation && update.standing() != MemberState.ALIVE && !left;
+        || update.incarnation() == incarnation && update.state() != MemberState.ALIVE && !left;
   }
 
   /** Raises the incarnation above what was said. */
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -111,8 +111,8 @@
     if (datagram.sequence() != requested) {
       return;
     }
-    pageFrom = Math.max(0, datagram.about());
-    if (datagram.about() > 0) {
+    pageFrom = Math.max(0, datagram.argument());
+    if (datagram.argument() > 0) {
       requestPage(address);
     }
   }
@@ -123,13 +123,13 @@
     all.add(own.update());
     all.sort(Comparator.comparingInt(u -> u.member().number()));
     List<MemberUpdate> page = new ArrayList<>();
-    int room = Datagram.room();
+    int room = Datagram.maxUpdateBytes();
     int next = -1;
     for (MemberUpdate update : all) {
-      if (update.member().number() < datagram.about()) {
+      if (update.member().number() < datagram.argument()) {
         continue;
       }
-      room -= Datagram.size(update);
+      room -= Datagram.encodedSize(update);
       if (room < 0) {
         next = update.member().number();
         break;
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -48,8 +48,8 @@
     MemberEntry entry = table.get(update.member().number());
     if (entry == null) {
       onNewMember(update, now, sendOn);
-    } else if (update.overrules(entry.update())) {
-      if (update.standing() == MemberState.DEAD && entry.isThere()) {
+    } else if (update.supersedes(entry.update())) {
+      if (update.state() == MemberState.DEAD && entry.isThere()) {
         onDeath(entry, update, now);
       } else {
         accept(entry, update, now, sendOn);
@@ -60,7 +60,7 @@
   }
 
   private void onNewMember(MemberUpdate update, Moment now, boolean sendOn) {
-    if (!update.standing().isThere()) {
+    if (!update.state().isPresent()) {
       return; // forgotten, or never known: nothing to give up
     }
     MemberEntry entry = table.add(update.member().number(), now);
@@ -70,11 +70,11 @@
   }
 
   private boolean confirmsSuspicion(MemberEntry entry, MemberUpdate update) {
-    return update.standing() == MemberState.SUSPECT
+    return update.state() == MemberState.SUSPECT
         && update.incarnation() == entry.update().incarnation()
         && entry.suspicion() != null
-        && update.by() != own.number()
-        && entry.suspicion().confirmed(update.by());
+        && update.source() != own.number()
+        && entry.suspicion().confirmed(update.source());
   }
 
   /**
@@ -86,15 +86,15 @@
   private void onDeath(MemberEntry entry, MemberUpdate update, Moment now) {
     boolean suspected =
         entry.suspicion() != null && entry.update().incarnation() == update.incarnation();
-    if (!membership.doubts()) {
+    if (!membership.verifiesReportedDeaths()) {
       accept(entry, update, now, true);
     } else if (suspected) {
-      entry.suspicion().confirmed(update.by());
+      entry.suspicion().confirmed(update.source());
       if (!now.before(entry.suspicion().endsAt())) {
         accept(entry, update, now, true);
       }
     } else {
-      suspect(entry, update.by(), update.incarnation(), now);
+      suspect(entry, update.source(), update.incarnation(), now);
     }
   }
 
@@ -124,16 +124,16 @@
   private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean sendOn) {
     MemberUpdate before = entry.update();
     entry.setUpdate(update, now);
-    if (update.standing() == MemberState.SUSPECT) {
+    if (update.state() == MemberState.SUSPECT) {
       entry.setSuspicion(newSuspicion(update, now));
     }
     if (sendOn) {
       dissemination.add(update);
     }
     if (before == null
-        || before.standing() != update.standing()
+        || before.state() != update.state()
         || before.incarnation() != update.incarnation()) {
-      port.changed(update);
+      port.stateChanged(update);
     }
   }
 
@@ -143,8 +143,8 @@
     Span least = settings.period().times(periods);
     Span most = least.times(settings.longest());
     int confirming = (int) Math.min(settings.confirmed(), Math.max(0, there - 3));
-    boolean byThis = update.by() == own.number();
-    return new Suspicion(now, least, most, confirming, update.by(), byThis);
+    boolean byThis = update.source() == own.number();
+    return new Suspicion(now, least, most, confirming, update.source(), byThis);
   }
 
   /**
@@ -153,14 +153,14 @@
    */
   private void onOwnUpdate(MemberUpdate update) {
     if (own.isClash(update)) {
-      port.clash(update.member().address());
+      port.numberConflict(update.member().address());
     }
-    if (!membership.denies() || !own.mustDeny(update)) {
+    if (!membership.refutes() || !own.mustDeny(update)) {
       return;
     }
     own.deny(update);
     boolean heldForGone =
-        update.standing() == MemberState.SUSPECT || update.standing() == MemberState.DEAD;
+        update.state() == MemberState.SUSPECT || update.state() == MemberState.DEAD;
     health.worse(heldForGone ? 1 : 0);
     dissemination.add(own.update());
   }
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -87,7 +87,7 @@
     }
 
     private void wake() {
-      Moment next = core.next().orLater(now);
+      Moment next = core.nextStep().orLater(now);
       if (wakesAt != null && !next.before(wakesAt)) {
         return;
       }
@@ -141,7 +141,7 @@
       Datagram w = words;
       if (schedule.is(Fault.Kind.SICK, number, 0, now)) {
         List<MemberUpdate> nonsense = new ArrayList<>();
-        core.held()
+        core.members()
             .forEach(
                 n ->
                     nonsense.add(
@@ -151,11 +151,11 @@
                 words.kind(),
                 number,
                 words.sequence(),
-                words.about(),
+                words.argument(),
                 nonsense.subList(0, Math.min(20, nonsense.size())));
       }
-      byte[] sent = w.bytes();
-      if (sent.length > Datagram.MOST) {
+      byte[] sent = w.encode();
+      if (sent.length > Datagram.MAX_BYTES) {
         broken.add(at() + number + " sends " + sent.length + " bytes");
       }
       datagrams++;
@@ -183,11 +183,11 @@
               if (f.up) {
                 traffic.received(now, to, sent.length);
                 int mine = f.life;
-                Datagram read = Datagram.read(sent, sent.length);
+                Datagram read = Datagram.decode(sent, sent.length);
                 f.run(
                     () -> {
                       if (f.life == mine) {
-                        f.core.heard(now, member.address(), read);
+                        f.core.onDatagram(now, member.address(), read);
                         f.wake();
                       }
                     });
@@ -197,18 +197,18 @@
     }
 
     @Override
-    public void changed(MemberUpdate held) {
+    public void stateChanged(MemberUpdate held) {
       Long before = seen.put(held.member().number(), held.incarnation());
       if (before != null && held.incarnation() < before) {
         broken.add(
             at() + number + " holds an older life of " + held.member().number() + " after a newer");
       }
-      if (held.standing() == MemberState.SUSPECT
-          && held.by() == number
+      if (held.state() == MemberState.SUSPECT
+          && held.source() == number
           && !troubled(held.member().number())) {
         suspected++;
       }
-      if (held.standing() == MemberState.DEAD) {
+      if (held.state() == MemberState.DEAD) {
         Moment died = killedAt.get(held.member().number());
         if (died != null) {
           foundAfter.add(now.since(died));
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public void clash(String address) {
+    public void numberConflict(String address) {
       broken.add(at() + number + " hears its own number from " + address);
     }
   }
@@ -338,14 +338,14 @@
   /** Long after the last trouble everybody holds everybody for there, in their present life. */
   private void comeRound() {
     for (Front f : fronts) {
-      List<MemberUpdate> held = f.core.held();
+      List<MemberUpdate> held = f.core.members();
       if (held.size() != fronts.size() - 1) {
         broken.add(at() + f.number + " holds " + held.size() + " of " + (fronts.size() - 1));
       }
       for (MemberUpdate n : held) {
         Front other = fronts.get(n.member().number());
-        if (n.standing() != MemberState.ALIVE || n.incarnation() != other.core.incarnation()) {
-          broken.add(at() + f.number + " holds " + n.member().number() + " for " + n.standing());
+        if (n.state() != MemberState.ALIVE || n.incarnation() != other.core.incarnation()) {
+          broken.add(at() + f.number + " holds " + n.member().number() + " for " + n.state());
         }
       }
     }
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -23,7 +23,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(MembershipNode.class);
 
   /** Version 1, and where a datagram says who sends it. */
-  private static final SealedChannel.Form FORM = new SealedChannel.Form(1, 2, 4, Datagram.MOST);
+  private static final SealedChannel.Form FORM =
+      new SealedChannel.Form(1, 2, 4, Datagram.MAX_BYTES);
 
   /** What was dropped, by cause; another version is unreadable. */
   public record Drops(long strangers, long replayed, long unreadable) {}
@@ -31,13 +32,13 @@
   private final DatagramLoop ownLoop;
   private final DatagramLoop loop;
   private final SealedChannel channel;
-  private final Membership members;
+  private final Membership membership;
   private final Served part = new Served();
   private boolean clashed;
   private boolean stale;
   private volatile boolean silently;
   private volatile boolean started;
-  private volatile List<MemberUpdate> held = List.of();
+  private volatile List<MemberUpdate> memberSnapshot = List.of();
 
   /** The members as the loop serves them. */
   private final class Served implements DatagramLoop.Part {
@@ -48,12 +49,12 @@
 
     @Override
     public void start(Moment now) {
-      members.start(now);
+      membership.start(now);
     }
 
     @Override
     public void heard(Moment now, String address, byte[] bytes, int length) {
-      members.heard(now, address, Datagram.read(bytes, length));
+      membership.onDatagram(now, address, Datagram.decode(bytes, length));
       if (stale) {
         publish();
       }
@@ -61,19 +62,19 @@
 
     @Override
     public void step(Moment now) {
-      members.step(now);
+      membership.step(now);
       publish();
     }
 
     @Override
     public Moment next() {
-      return members.next();
+      return membership.nextStep();
     }
 
     @Override
     public void end(Moment now) {
       if (!silently) {
-        members.leave(now);
+        membership.leave(now);
       }
     }
   }
@@ -114,7 +115,7 @@
     ownLoop = shared == null ? new DatagramLoop("members") : null;
     loop = shared == null ? ownLoop : shared;
     long clock = System.currentTimeMillis();
-    members =
+    membership =
         new Membership(
             terms,
             own,
@@ -128,17 +129,17 @@
     return new Membership.Port() {
       @Override
       public void send(String address, Datagram words) {
-        channel.send(address, words.bytes());
+        channel.send(address, words.encode());
       }
 
       @Override
-      public void changed(MemberUpdate news) {
+      public void stateChanged(MemberUpdate news) {
         stale = true;
         changed.accept(news);
       }
 
       @Override
-      public void clash(String address) {
+      public void numberConflict(String address) {
         if (!clashed) {
           clashed = true;
           LOG.error(
@@ -153,8 +154,8 @@
   }
 
   /** All that is held of the others, as of the last turn. */
-  public List<MemberUpdate> held() {
-    return held;
+  public List<MemberUpdate> members() {
+    return memberSnapshot;
   }
 
   public Drops drops() {
@@ -173,7 +174,7 @@
   }
 
   /** Ends without a word, as a front that is killed; waited for, a second at most. */
-  public void stop() {
+  public void stopWithoutLeaving() {
     silently = true;
     close();
   }
@@ -195,7 +196,7 @@
   }
 
   private void publish() {
-    held = members.held();
+    memberSnapshot = membership.members();
     stale = false;
   }
 }
--- a/src/main/java/linengauge/scale/GossipSimulator.java
+++ b/src/main/java/linengauge/scale/GossipSimulator.java
@@ -44,7 +44,7 @@
   /** One run holds all its events. */
   @Override
   public Played play(int fronts, long seed, List<String> events) {
-    var run = new GossipMeasurement(MembershipSettings.USUAL, fronts, seed, MOST_MEMBERS);
+    var run = new GossipMeasurement(MembershipSettings.DEFAULT, fronts, seed, MOST_MEMBERS);
     List<SimulationFigures> figures = run.play();
     int end = figures.stream().mapToInt(f -> f.traffic().toSecond()).max().orElseThrow();
     return new Played(figures, end);
--- a/src/main/java/linengauge/scale/hollow/HollowFront.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFront.java
@@ -91,7 +91,7 @@
   }
 
   private void changed(MemberUpdate update) {
-    if (update.standing() == MemberState.DEAD) {
+    if (update.state() == MemberState.DEAD) {
       gone.add(update.member().number());
     }
   }
@@ -124,7 +124,7 @@
     if (lease != null) {
       lease.stop();
     } else {
-      gossip.stop();
+      gossip.stopWithoutLeaving();
     }
     ofEarlierLives = traffic();
     open();
--- a/src/main/java/linengauge/scale/hollow/HollowFronts.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFronts.java
@@ -117,7 +117,7 @@
     Map<Long, Integer> views = new HashMap<>();
     long ownSum = 0;
     for (HollowFront front : fronts) {
-      views.merge(MemberSum.ofGossip(front.number(), front.gossip().held()), 1, Integer::sum);
+      views.merge(MemberSum.ofGossip(front.number(), front.gossip().members()), 1, Integer::sum);
       ownSum += MemberSum.of(front.number(), 0);
     }
     return new Watched(views, ownSum);
--- a/src/main/java/linengauge/scale/hollow/MemberSum.java
+++ b/src/main/java/linengauge/scale/hollow/MemberSum.java
@@ -26,7 +26,7 @@
   static long ofGossip(int own, Collection<MemberUpdate> held) {
     return of(own, 0)
         + held.stream()
-            .filter(update -> update.standing().isThere())
+            .filter(update -> update.state().isPresent())
             .mapToLong(update -> of(update.member().number(), 0))
             .sum();
   }
--- a/src/test/java/linengauge/front/MembersTest.java
+++ b/src/test/java/linengauge/front/MembersTest.java
@@ -45,7 +45,7 @@
     Member own = new Member(1, Ports.HOST + ":" + ports.get(1), 0, 2);
     try (MembershipNode other =
         new MembershipNode(
-            MembershipSettings.USUAL.inPeriods(Span.ofMillis(100)),
+            MembershipSettings.DEFAULT.withPeriod(Span.ofMillis(100)),
             own,
             List.of(),
             KEY.getBytes(StandardCharsets.UTF_8),
@@ -54,16 +54,16 @@
       try (Rig rig = new Rig(1, section(ports.get(0), ports.get(1), key)).start()) {
         Rig.until(
             () ->
-                other.held().size() == 1
+                other.members().size() == 1
                     && rig.state().getJsonObject("members").getJsonArray("others").size() == 1);
         JsonObject seen =
             rig.state().getJsonObject("members").getJsonArray("others").getJsonObject(0);
         assertEquals("ALIVE", seen.getString("standing"));
         assertEquals(2, seen.getInteger("region"));
         assertEquals(
-            new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.held().get(0).member());
+            new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.members().get(0).member());
       }
-      Rig.until(() -> other.held().get(0).standing() == MemberState.LEFT);
+      Rig.until(() -> other.members().get(0).state() == MemberState.LEFT);
     }
   }
 
--- a/src/test/java/linengauge/lease/LeaseCodecTest.java
+++ b/src/test/java/linengauge/lease/LeaseCodecTest.java
@@ -116,7 +116,7 @@
 
   @Test
   void anotherMechanismsDatagramsAreRefused() {
-    byte[] swim = new Datagram(Datagram.Kind.PING, 4, 5, 0, List.of()).bytes();
+    byte[] swim = new Datagram(Datagram.Kind.PING, 4, 5, 0, List.of()).encode();
 
     assertThrows(IllegalArgumentException.class, () -> LeaseCodec.read(swim, swim.length));
     byte[] own = LeaseCodec.write(evidence(List.of(1, 2)));
--- a/src/test/java/linengauge/lease/LeaseProcessesTest.java
+++ b/src/test/java/linengauge/lease/LeaseProcessesTest.java
@@ -190,7 +190,7 @@
     Member leasing = new Member(13, LeaseProcesses.freeAddress(), 0, 0);
     try (MembershipNode gossip =
             new MembershipNode(
-                MembershipSettings.USUAL, gossiping, List.of(machine, front), KEY, n -> {});
+                MembershipSettings.DEFAULT, gossiping, List.of(machine, front), KEY, n -> {});
         LeaseNode lease =
             new LeaseNode(
                 LeaseSettings.USUAL,
@@ -211,7 +211,7 @@
             });
       }
       LeaseProcesses.until(() -> gossip.drops().unreadable() > 1);
-      assertEquals(List.of(), gossip.held());
+      assertEquals(List.of(), gossip.members());
     }
     LeaseProcesses.until(() -> fleet.last("c0", "holds").path("unreadable").asLong() > 0);
     // and nobody has noticed
--- a/src/test/java/linengauge/membership/DatagramTest.java
+++ b/src/test/java/linengauge/membership/DatagramTest.java
@@ -17,26 +17,27 @@
 
   @Test
   void whatIsWrittenIsReadAsItWas() {
-    byte[] b = WORDS.bytes();
-    assertEquals(WORDS, Datagram.read(b, b.length));
-    assertEquals(2 * Datagram.size(NEWS) + Datagram.MOST - Datagram.room(), b.length);
+    byte[] b = WORDS.encode();
+    assertEquals(WORDS, Datagram.decode(b, b.length));
+    assertEquals(
+        2 * Datagram.encodedSize(NEWS) + Datagram.MAX_BYTES - Datagram.maxUpdateBytes(), b.length);
   }
 
   @Test
   void whatIsCutShortLongerThanItSaysOrAnotherVersionsIsRefused() {
-    byte[] b = WORDS.bytes();
+    byte[] b = WORDS.encode();
     for (int length = 0; length < b.length; length++) {
       int l = length;
-      assertThrows(IllegalArgumentException.class, () -> Datagram.read(b, l));
+      assertThrows(IllegalArgumentException.class, () -> Datagram.decode(b, l));
     }
     assertThrows(
         IllegalArgumentException.class,
-        () -> Datagram.read(Arrays.copyOf(b, b.length + 1), b.length + 1));
+        () -> Datagram.decode(Arrays.copyOf(b, b.length + 1), b.length + 1));
     assertThrows(
         IllegalArgumentException.class,
-        () -> Datagram.read(Arrays.copyOf(b, Datagram.MOST + 1), Datagram.MOST + 1));
+        () -> Datagram.decode(Arrays.copyOf(b, Datagram.MAX_BYTES + 1), Datagram.MAX_BYTES + 1));
     b[0]++;
-    assertThrows(IllegalArgumentException.class, () -> Datagram.read(b, b.length));
+    assertThrows(IllegalArgumentException.class, () -> Datagram.decode(b, b.length));
   }
 
   /** Noise is refused or read; nothing else is thrown, and nothing is kept of what is not there. */
@@ -45,12 +46,12 @@
     SplittableRandom chance = new SplittableRandom(5);
     int read = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] b = WORDS.bytes();
+      byte[] b = WORDS.encode();
       for (int k = chance.nextInt(4); k >= 0; k--) {
         b[chance.nextInt(b.length)] = (byte) chance.nextInt(256);
       }
       try {
-        read += Datagram.read(b, b.length).updates().size() <= 2 ? 1 : 0;
+        read += Datagram.decode(b, b.length).updates().size() <= 2 ? 1 : 0;
       } catch (IllegalArgumentException e) {
         continue;
       }
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -21,7 +21,7 @@
  * one of their guards.
  */
 class FleetSimulationTest {
-  private static final MembershipSettings USUAL = MembershipSettings.USUAL;
+  private static final MembershipSettings USUAL = MembershipSettings.DEFAULT;
   private static final Span ROUND = Span.ofSeconds(30);
 
   private static Fault trouble(Fault.Kind kind, int a, int b, long from, long to) {
@@ -113,17 +113,17 @@
               terms.most());
       return new Membership(less, own, incarnation, seeds, port, chance) {
         @Override
-        protected boolean stoodStill(Span late) {
-          return Guard.this != AWAKE && super.stoodStill(late);
+        protected boolean isProcessPause(Span late) {
+          return Guard.this != AWAKE && super.isProcessPause(late);
         }
 
         @Override
-        protected boolean doubts() {
+        protected boolean verifiesReportedDeaths() {
           return Guard.this != DOUBT;
         }
 
         @Override
-        protected boolean denies() {
+        protected boolean refutes() {
           return Guard.this != DENIAL;
         }
       };
@@ -215,9 +215,9 @@
           new MemberUpdate(new Member(i, "10.0.0." + i + ":7000", 0, 0), 1, MemberState.ALIVE, i));
     }
     Membership m = membership(few, new ArrayList<>());
-    m.heard(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PAGE, 1, 0, -1, all));
-    assertEquals(5, m.held().size());
-    assertEquals(4, m.refused());
+    m.onDatagram(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PAGE, 1, 0, -1, all));
+    assertEquals(5, m.members().size());
+    assertEquals(4, m.rejectedMembers());
   }
 
   private static Membership membership(MembershipSettings terms, List<Datagram> sent) {
@@ -234,12 +234,12 @@
               }
 
               @Override
-              public void changed(MemberUpdate held) {
+              public void stateChanged(MemberUpdate held) {
                 // read from the membership
               }
 
               @Override
-              public void clash(String address) {
+              public void numberConflict(String address) {
                 sent.add(null);
               }
             },
@@ -254,14 +254,14 @@
     Membership m = membership(USUAL, sent);
     MemberUpdate dead =
         new MemberUpdate(new Member(0, "10.0.0.0:7000", 0, 0), 5000, MemberState.DEAD, 1);
-    m.heard(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 1, 0, List.of(dead)));
+    m.onDatagram(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 1, 0, List.of(dead)));
     assertEquals(5001, m.incarnation());
     MemberUpdate never =
         new MemberUpdate(
             new Member(0, "10.0.0.0:7000", 0, 0), Long.MAX_VALUE / 2, MemberState.DEAD, 1);
-    m.heard(at(6), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 2, 0, List.of(never)));
+    m.onDatagram(at(6), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 2, 0, List.of(never)));
     assertEquals(5001, m.incarnation());
-    m.heard(at(7), "10.0.0.9:7000", new Datagram(Datagram.Kind.PING, 0, 3, 0, List.of()));
+    m.onDatagram(at(7), "10.0.0.9:7000", new Datagram(Datagram.Kind.PING, 0, 3, 0, List.of()));
     assertEquals(1, sent.stream().filter(w -> w == null).count(), "another goes by its number");
   }
 
@@ -270,7 +270,7 @@
     List<Datagram> sent = new ArrayList<>();
     Membership m = membership(USUAL, sent);
     Member other = new Member(1, "10.0.0.1:7000", 0, 0);
-    m.heard(
+    m.onDatagram(
         at(5),
         other.address(),
         new Datagram(
@@ -279,7 +279,7 @@
             1,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.ALIVE, 1))));
-    m.heard(
+    m.onDatagram(
         at(6),
         other.address(),
         new Datagram(
@@ -288,7 +288,7 @@
             2,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.LEFT, 1))));
-    m.heard(
+    m.onDatagram(
         at(7),
         "10.0.0.2:7000",
         new Datagram(
@@ -297,8 +297,8 @@
             1,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.SUSPECT, 2))));
-    assertEquals(MemberState.LEFT, m.held().get(0).standing());
-    m.heard(
+    assertEquals(MemberState.LEFT, m.members().get(0).state());
+    m.onDatagram(
         at(8),
         other.address(),
         new Datagram(
@@ -307,6 +307,6 @@
             3,
             0,
             List.of(new MemberUpdate(other, 11, MemberState.ALIVE, 1))));
-    assertEquals(MemberState.ALIVE, m.held().get(0).standing());
+    assertEquals(MemberState.ALIVE, m.members().get(0).state());
   }
 }
--- a/src/test/java/linengauge/membership/MemberProcessesTest.java
+++ b/src/test/java/linengauge/membership/MemberProcessesTest.java
@@ -234,10 +234,12 @@
     assertThrows(
         IllegalArgumentException.class,
         () ->
-            new MembershipNode(MembershipSettings.USUAL, named, List.of(), new byte[15], n -> {}));
+            new MembershipNode(
+                MembershipSettings.DEFAULT, named, List.of(), new byte[15], n -> {}));
     assertThrows(
         IllegalArgumentException.class,
         () ->
-            new MembershipNode(MembershipSettings.USUAL, named, List.of(), new byte[16], n -> {}));
+            new MembershipNode(
+                MembershipSettings.DEFAULT, named, List.of(), new byte[16], n -> {}));
   }
 }
--- a/src/test/java/linengauge/scale/HollowMeasurementsTest.java
+++ b/src/test/java/linengauge/scale/HollowMeasurementsTest.java
@@ -29,7 +29,7 @@
             HollowPlan.Fleet.of(60, 12),
             0,
             LeaseSettings.USUAL,
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             new HollowPlan.Times(Span.NONE, Span.ofSeconds(60), Span.ofSeconds(60)),
             List.of(),
             256,
--- a/src/test/java/linengauge/scale/hollow/HollowFleetTest.java
+++ b/src/test/java/linengauge/scale/hollow/HollowFleetTest.java
@@ -35,7 +35,7 @@
         new HollowPlan.Fleet(fronts, 3, 3, PROCESSES, 3, 3),
         10,
         LeaseProcess.settings(Span.ofMillis((long) (1000 / HEARTBEATS_A_SECOND))),
-        MembershipSettings.USUAL,
+        MembershipSettings.DEFAULT,
         new HollowPlan.Times(Span.NONE, Span.ofSeconds(3), Span.ofSeconds(40)),
         events,
         heapMb,
--- a/src/test/java/linengauge/scale/hollow/HollowProcessTest.java
+++ b/src/test/java/linengauge/scale/hollow/HollowProcessTest.java
@@ -34,7 +34,7 @@
             new HollowPlan.Fleet(5, 1, 1, 1, 1, 1),
             0,
             LeaseSettings.USUAL,
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             FIRST_PORT,
             new TreeMap<>(),
             new HollowSpec.Files(key.toString(), null));
@@ -72,7 +72,7 @@
             new HollowPlan.Fleet(10, 1, 1, 2, 1, 1),
             0,
             LeaseSettings.USUAL,
-            MembershipSettings.USUAL,
+            MembershipSettings.DEFAULT,
             new HollowPlan.Times(Span.NONE, Span.ofSeconds(60), Span.ofSeconds(30)),
             List.of(),
             48,
