--- a/src/main/java/linengauge/consensus/explore/Fault.java
+++ b/src/main/java/linengauge/consensus/explore/Fault.java
@@ -9,8 +9,8 @@
 /**
  * One fault, from then to then.
  *
- * @param a the voter or follower that it meets, or the one that is not heard
- * @param b by whom, for what goes one way between two
+ * @param target the voter or follower that it meets, or the one that is not heard
+ * @param peer by whom, for what goes one way between two
  */
 public record Fault(Kind kind, int a, int b, Moment from, Moment to) {
   /** What can go wrong: with one, on the way from one to another, on all ways. */
--- a/src/main/java/linengauge/lease/explore/LeaseSimulation.java
+++ b/src/main/java/linengauge/lease/explore/LeaseSimulation.java
@@ -204,17 +204,17 @@
 
   private void sent(int party, int bytes) {
     if (Topology.isControl(party)) {
-      controlTraffic.sent(events.now(), party, bytes);
+      controlTraffic.recordSent(events.now(), party, bytes);
     } else {
-      frontTraffic.sent(events.now(), Topology.index(party), bytes);
+      frontTraffic.recordSent(events.now(), Topology.index(party), bytes);
     }
   }
 
   private void received(int party, int bytes) {
     if (Topology.isControl(party)) {
-      controlTraffic.received(events.now(), party, bytes);
+      controlTraffic.recordReceived(events.now(), party, bytes);
     } else {
-      frontTraffic.received(events.now(), Topology.index(party), bytes);
+      frontTraffic.recordReceived(events.now(), Topology.index(party), bytes);
     }
   }
 
@@ -227,16 +227,16 @@
     boolean travels = from != to;
     int bytes = travels ? message.bytes().length : 0;
     if (travels) {
-      controlTraffic.sent(events.now(), from.number, bytes);
-      consensusTraffic.sent(events.now(), from.number, bytes);
+      controlTraffic.recordSent(events.now(), from.number, bytes);
+      consensusTraffic.recordSent(events.now(), from.number, bytes);
     }
     ways.message(
         from.number,
         to.number,
         () -> {
           if (travels && to.isUp()) {
-            controlTraffic.received(events.now(), to.number, bytes);
-            consensusTraffic.received(events.now(), to.number, bytes);
+            controlTraffic.recordReceived(events.now(), to.number, bytes);
+            consensusTraffic.recordReceived(events.now(), to.number, bytes);
           }
           to.deliver(() -> hears.accept(message));
         });
--- a/src/main/java/linengauge/membership/explore/Fault.java
+++ b/src/main/java/linengauge/membership/explore/Fault.java
@@ -5,10 +5,10 @@
 /**
  * One trouble of a schedule.
  *
- * @param a whom it befalls: a front, or of MUTE and DEAF a zone
- * @param b of CUT, the front to which its words are lost; else unused
+ * @param target whom it befalls: a front, or of MUTE and DEAF a zone
+ * @param peer of CUT, the front to which its words are lost; else unused
  */
-public record Fault(Kind kind, int a, int b, Moment from, Moment to) {
+public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
   /**
    * KILL: dead from then on, started anew at the end. CUT: one way between two fronts. MUTE, DEAF:
    * nothing leaves a zone, or comes to it. LOSS: three in ten datagrams to and from it are lost,
@@ -28,8 +28,8 @@
   public String toString() {
     return kind
         + " "
-        + a
-        + (kind == Kind.CUT ? " to " + b : "")
+        + target
+        + (kind == Kind.CUT ? " to " + peer : "")
         + " "
         + from.micros() / 1000
         + "-"
--- a/src/main/java/linengauge/membership/explore/FaultSchedule.java
+++ b/src/main/java/linengauge/membership/explore/FaultSchedule.java
@@ -10,15 +10,15 @@
  * What befalls a fleet: troubles, then quiet until all has come round.
  *
  * @param fronts how many, in so many zones by number
- * @param quietFrom after it nothing is wrong any more
+ * @param faultsEnd after it nothing is wrong any more
  */
 public record FaultSchedule(
-    long seed, int fronts, int zones, List<Fault> troubles, Moment quietFrom, Moment end) {
+    long seed, int fronts, int zones, List<Fault> faults, Moment faultsEnd, Moment end) {
   /**
    * Troubles drawn from a seed: so many, of spans from a blip to half a minute, and now and then a
    * whole zone cut off.
    */
-  public static FaultSchedule drawn(long seed, int fronts, int zones, int most, Span round) {
+  public static FaultSchedule random(long seed, int fronts, int zones, int most, Span round) {
     SplittableRandom chance = new SplittableRandom(seed);
     List<Fault> all = new ArrayList<>();
     Moment quiet = new Moment(0);
@@ -45,18 +45,18 @@
   }
 
   /** Whether what one sends another is lost on its way. */
-  boolean isCut(int from, int to, Moment now) {
-    return is(Fault.Kind.CUT, from, to, now)
+  boolean isBlocked(int from, int to, Moment now) {
+    return isActive(Fault.Kind.CUT, from, to, now)
         || from % zones != to % zones
-            && (is(Fault.Kind.MUTE, from % zones, 0, now)
-                || is(Fault.Kind.DEAF, to % zones, 0, now));
+            && (isActive(Fault.Kind.MUTE, from % zones, 0, now)
+                || isActive(Fault.Kind.DEAF, to % zones, 0, now));
   }
 
-  boolean is(Fault.Kind kind, int a, int b, Moment now) {
-    for (Fault t : troubles) {
+  boolean isActive(Fault.Kind kind, int a, int b, Moment now) {
+    for (Fault t : faults) {
       if (t.kind() == kind
-          && t.a() == a
-          && (kind != Fault.Kind.CUT || t.b() == b)
+          && t.target() == a
+          && (kind != Fault.Kind.CUT || t.peer() == b)
           && !now.before(t.from())
           && now.before(t.to())) {
         return true;
@@ -66,9 +66,9 @@
   }
 
   /** The same without one of its troubles. */
-  public FaultSchedule without(int trouble) {
-    List<Fault> rest = new ArrayList<>(troubles);
+  public FaultSchedule withoutFault(int trouble) {
+    List<Fault> rest = new ArrayList<>(faults);
     rest.remove(trouble);
-    return new FaultSchedule(seed, fronts, zones, List.copyOf(rest), quietFrom, end);
+    return new FaultSchedule(seed, fronts, zones, List.copyOf(rest), faultsEnd, end);
   }
 }
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -25,19 +25,19 @@
   /**
    * What was broken, and when; the figures of the run.
    *
-   * @param suspected how often a front began by itself to suspect one that nothing ailed
-   * @param foundAfter of each front that held a dead one for dead, how long after it had died
+   * @param falseSuspicions how often a front began by itself to suspect one that nothing ailed
+   * @param detectionDelays of each front that held a dead one for dead, how long after it had died
    */
   public record Outcome(
-      List<String> broken,
+      List<String> violations,
       long datagrams,
-      int mostBytesASecond,
-      int suspected,
-      List<Span> foundAfter) {}
+      int maxBytesPerSecond,
+      int falseSuspicions,
+      List<Span> detectionDelays) {}
 
   /** Makes a front's core; one that lacks a guard, to see what it guards. */
-  public interface Maker {
-    Membership make(
+  public interface MembershipFactory {
+    Membership create(
         MembershipSettings terms,
         Member own,
         long incarnation,
@@ -75,7 +75,7 @@
       unread.clear();
       seen.clear();
       core =
-          maker.make(
+          maker.create(
               terms,
               member,
               now.micros() / 1000 + 1,
@@ -109,14 +109,17 @@
 
     /** One that is stopped reads and steps when it goes on. */
     private void run(Runnable deed) {
-      if (schedule.is(Fault.Kind.FREEZE, number, 0, now)) {
+      if (schedule.isActive(Fault.Kind.FREEZE, number, 0, now)) {
         unread.add(deed);
         if (!stepping) {
           stepping = true;
           Moment goesOn =
-              schedule.troubles().stream()
+              schedule.faults().stream()
                   .filter(
-                      t -> t.kind() == Fault.Kind.FREEZE && t.a() == number && now.before(t.to()))
+                      t ->
+                          t.kind() == Fault.Kind.FREEZE
+                              && t.target() == number
+                              && now.before(t.to()))
                   .map(Fault::to)
                   .max(Moment::compareTo)
                   .orElse(now);
@@ -139,7 +142,7 @@
     @Override
     public void send(String address, Datagram words) {
       Datagram w = words;
-      if (schedule.is(Fault.Kind.SICK, number, 0, now)) {
+      if (schedule.isActive(Fault.Kind.SICK, number, 0, now)) {
         List<MemberUpdate> nonsense = new ArrayList<>();
         core.members()
             .forEach(
@@ -159,7 +162,7 @@
         broken.add(at() + number + " sends " + sent.length + " bytes");
       }
       datagrams++;
-      traffic.sent(now, number, sent.length);
+      traffic.recordSent(now, number, sent.length);
       if (second != now.micros() / 1_000_000) {
         second = now.micros() / 1_000_000;
         bytes = 0;
@@ -168,9 +171,10 @@
       mostBytes = Math.max(mostBytes, bytes);
       int to = Integer.parseInt(address.substring("10.0.0.".length(), address.indexOf(':')));
       boolean lossy =
-          schedule.is(Fault.Kind.LOSS, number, 0, now) || schedule.is(Fault.Kind.LOSS, to, 0, now);
+          schedule.isActive(Fault.Kind.LOSS, number, 0, now)
+              || schedule.isActive(Fault.Kind.LOSS, to, 0, now);
       if (to >= fronts.size()
-          || schedule.isCut(number, to, now)
+          || schedule.isBlocked(number, to, now)
           || lossy && chance.nextInt(10) < 3) {
         return;
       }
@@ -181,7 +185,7 @@
             () -> {
               Front f = fronts.get(to);
               if (f.up) {
-                traffic.received(now, to, sent.length);
+                traffic.recordReceived(now, to, sent.length);
                 int mine = f.life;
                 Datagram read = Datagram.decode(sent, sent.length);
                 f.run(
@@ -225,7 +229,7 @@
     }
   }
 
-  private final Maker maker;
+  private final MembershipFactory maker;
   private final MembershipSettings terms;
   private final FaultSchedule schedule;
   private final SplittableRandom chance;
@@ -247,7 +251,8 @@
     this(terms, schedule, Membership::new);
   }
 
-  public FleetSimulation(MembershipSettings terms, FaultSchedule schedule, Maker maker) {
+  public FleetSimulation(
+      MembershipSettings terms, FaultSchedule schedule, MembershipFactory maker) {
     this.maker = maker;
     this.terms = terms;
     this.schedule = schedule;
@@ -274,11 +279,11 @@
   private boolean troubled(int a) {
     Moment from = now.minus(longestSuspicion());
     long cuts =
-        schedule.troubles().stream()
+        schedule.faults().stream()
             .filter(t -> t.kind() == Fault.Kind.CUT && from.before(t.to()) && !now.before(t.from()))
             .count();
     return cuts > 1
-        || schedule.troubles().stream()
+        || schedule.faults().stream()
             .anyMatch(
                 t ->
                     from.before(t.to())
@@ -286,9 +291,9 @@
                         && switch (t.kind()) {
                           case CUT -> false; // the others reach it
                           case MUTE, DEAF -> true;
-                          case LOSS, KILL, FREEZE -> t.a() == a;
+                          case LOSS, KILL, FREEZE -> t.target() == a;
                           case SICK ->
-                              t.a()
+                              t.target()
                                   == a; // it denies nothing; what it says of others is no reason to
                             // give these up
                         });
@@ -301,26 +306,27 @@
             terms.suspicion() * Math.max(1, Math.log10(schedule.fronts())) * terms.longest() + 6);
   }
 
-  public Outcome play() {
+  public Outcome run() {
     for (int i = 0; i < schedule.fronts(); i++) {
       Front f = new Front(i);
       fronts.add(f);
       at(new Moment(chance.nextInt(1_000_000)), f::start);
     }
-    for (Fault t : schedule.troubles()) {
+    for (Fault t : schedule.faults()) {
       if (t.kind() == Fault.Kind.KILL) {
         at(
             t.from(),
             () -> {
-              fronts.get(t.a()).up = false;
-              killedAt.put(t.a(), now);
+              fronts.get(t.target()).up = false;
+              killedAt.put(t.target(), now);
             });
         at(
             t.to(),
             () -> {
-              if (!schedule.is(Fault.Kind.KILL, t.a(), 0, now) && !fronts.get(t.a()).up) {
-                killedAt.remove(t.a());
-                fronts.get(t.a()).start();
+              if (!schedule.isActive(Fault.Kind.KILL, t.target(), 0, now)
+                  && !fronts.get(t.target()).up) {
+                killedAt.remove(t.target());
+                fronts.get(t.target()).start();
               }
             });
       }
--- a/src/main/java/linengauge/membership/explore/GossipMeasurement.java
+++ b/src/main/java/linengauge/membership/explore/GossipMeasurement.java
@@ -49,15 +49,15 @@
   }
 
   /** Plays the run: the figures of the start, of the quiet minute, and of the death. */
-  public List<SimulationFigures> play() {
+  public List<SimulationFigures> run() {
     Moment death = at(QUIET_END + 1);
     Moment end = at(DEATH_END);
     Fault kill = new Fault(Fault.Kind.KILL, VICTIM, 0, death, end.plus(Span.ofSeconds(1)));
     FaultSchedule schedule = new FaultSchedule(seed, fronts, ZONES, List.of(kill), end, end);
     FleetSimulation fleet = new FleetSimulation(settings, schedule);
-    FleetSimulation.Outcome outcome = fleet.play();
+    FleetSimulation.Outcome outcome = fleet.run();
     DetectionFigures none = DetectionFigures.of(0, List.of());
-    DetectionFigures found = DetectionFigures.of(fronts - 1, outcome.foundAfter());
+    DetectionFigures found = DetectionFigures.of(fronts - 1, outcome.detectionDelays());
     TrafficMeter traffic = fleet.traffic();
     return List.of(
         figures("START", traffic.figures(0, START_END), none),
--- a/src/main/java/linengauge/membership/explore/TrafficMeter.java
+++ b/src/main/java/linengauge/membership/explore/TrafficMeter.java
@@ -17,7 +17,7 @@
   public static final int WIRE_OVERHEAD = 24 + 28;
 
   /** Of so many seconds the worst is looked for. */
-  public static final int WORST_SECONDS = 10;
+  public static final int WORST_WINDOW_SECONDS = 10;
 
   private static final long MICROS_A_SECOND = 1_000_000;
 
@@ -55,14 +55,14 @@
   }
 
   /** A party sends a datagram of so many bytes of payload. */
-  public void sent(Moment now, int party, int payload) {
+  public void recordSent(Moment now, int party, int payload) {
     Counts counts = at(now);
     counts.bytesSent[party] += payload;
     counts.datagramsSent[party]++;
   }
 
   /** A datagram of so many bytes of payload reaches a party. */
-  public void received(Moment now, int party, int payload) {
+  public void recordReceived(Moment now, int party, int payload) {
     Counts counts = at(now);
     counts.bytesReceived[party] += payload;
     counts.datagramsReceived[party]++;
@@ -121,19 +121,23 @@
       long sum = 0;
       for (int s = from; s < to; s++) {
         sum += quantity.of(seconds.get(s), p);
-        sum -= s - from >= WORST_SECONDS ? quantity.of(seconds.get(s - WORST_SECONDS), p) : 0;
+        sum -=
+            s - from >= WORST_WINDOW_SECONDS
+                ? quantity.of(seconds.get(s - WORST_WINDOW_SECONDS), p)
+                : 0;
         most = Math.max(most, sum);
       }
     }
-    return (double) most / WORST_SECONDS;
+    return (double) most / WORST_WINDOW_SECONDS;
   }
 
   /** A second of the worst ten in a row of the mean party. */
   private double worstOfAll(int from, int to) {
     double most = 0;
-    for (int s = from; s + WORST_SECONDS <= to; s++) {
+    for (int s = from; s + WORST_WINDOW_SECONDS <= to; s++) {
       most =
-          Math.max(most, mean(s, s + WORST_SECONDS, (c, p) -> c.wireSent(p) + c.wireReceived(p)));
+          Math.max(
+              most, mean(s, s + WORST_WINDOW_SECONDS, (c, p) -> c.wireSent(p) + c.wireReceived(p)));
     }
     return most;
   }
--- a/src/main/java/linengauge/scale/GossipSimulator.java
+++ b/src/main/java/linengauge/scale/GossipSimulator.java
@@ -45,7 +45,7 @@
   @Override
   public Played play(int fronts, long seed, List<String> events) {
     var run = new GossipMeasurement(MembershipSettings.DEFAULT, fronts, seed, MOST_MEMBERS);
-    List<SimulationFigures> figures = run.play();
+    List<SimulationFigures> figures = run.run();
     int end = figures.stream().mapToInt(f -> f.traffic().toSecond()).max().orElseThrow();
     return new Played(figures, end);
   }
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -38,7 +38,7 @@
   }
 
   private static FleetSimulation.Outcome play(FaultSchedule s) {
-    return new FleetSimulation(USUAL, s).play();
+    return new FleetSimulation(USUAL, s).run();
   }
 
   /**
@@ -48,20 +48,20 @@
   @Test
   void underAnyTroublesNobodyIsGivenUpWithoutCauseAndAllComeRound() {
     for (long seed = 1; seed <= 400; seed++) {
-      FaultSchedule s = FaultSchedule.drawn(seed, 7, 4, 6, ROUND);
+      FaultSchedule s = FaultSchedule.random(seed, 7, 4, 6, ROUND);
       FleetSimulation.Outcome o = play(s);
-      for (int i = 0; !o.broken().isEmpty() && i < s.troubles().size(); i++) {
-        if (!play(s.without(i)).broken().isEmpty()) {
-          s = s.without(i);
+      for (int i = 0; !o.violations().isEmpty() && i < s.faults().size(); i++) {
+        if (!play(s.withoutFault(i)).violations().isEmpty()) {
+          s = s.withoutFault(i);
           i = -1;
         }
       }
-      assertEquals(List.of(), o.broken(), "seed " + seed + ", shortest " + s.troubles());
+      assertEquals(List.of(), o.violations(), "seed " + seed + ", shortest " + s.faults());
     }
     for (long seed = 1; seed <= 20; seed++) {
       assertEquals(
           List.of(),
-          play(FaultSchedule.drawn(seed, 24, 4, 8, ROUND)).broken(),
+          play(FaultSchedule.random(seed, 24, 4, 8, ROUND)).violations(),
           "24 fronts, seed " + seed);
     }
   }
@@ -69,7 +69,8 @@
   @Test
   void theSameSeedIsTheSameRun() {
     assertEquals(
-        play(FaultSchedule.drawn(3, 7, 4, 6, ROUND)), play(FaultSchedule.drawn(3, 7, 4, 6, ROUND)));
+        play(FaultSchedule.random(3, 7, 4, 6, ROUND)),
+        play(FaultSchedule.random(3, 7, 4, 6, ROUND)));
   }
 
   /** Each guard, and the shortest schedule found that breaks a rule without it. */
@@ -133,8 +134,9 @@
   @ParameterizedTest
   @EnumSource
   void withoutThisGuardARuleBreaks(Guard guard) {
-    assertEquals(List.of(), play(guard.breaks).broken());
-    assertFalse(new FleetSimulation(USUAL, guard.breaks, guard::without).play().broken().isEmpty());
+    assertEquals(List.of(), play(guard.breaks).violations());
+    assertFalse(
+        new FleetSimulation(USUAL, guard.breaks, guard::without).run().violations().isEmpty());
   }
 
   /** One way between two fronts is cut: without helpers each round would make a suspicion of it. */
@@ -154,8 +156,8 @@
             USUAL.deadKept(),
             USUAL.regather(),
             USUAL.most());
-    int with = play(s).suspected();
-    int without = new FleetSimulation(none, s).play().suspected();
+    int with = play(s).falseSuspicions();
+    int without = new FleetSimulation(none, s).run().falseSuspicions();
     assertTrue(without > 4 && with * 4 < without, with + " with, " + without + " without");
   }
 
@@ -176,8 +178,8 @@
             USUAL.deadKept(),
             USUAL.regather(),
             USUAL.most());
-    int with = play(s).suspected();
-    int without = new FleetSimulation(deaf, s).play().suspected();
+    int with = play(s).falseSuspicions();
+    int without = new FleetSimulation(deaf, s).run().falseSuspicions();
     assertTrue(with < without, with + " with, " + without + " without");
   }
 
@@ -185,13 +187,13 @@
   void aDeathIsFoundByAllInBoundedTimeAndBytes() {
     FleetSimulation.Outcome o =
         play(schedule(2, 60, trouble(Fault.Kind.KILL, 7, 0, 40_000, 100_000)));
-    assertEquals(List.of(), o.broken());
-    assertTrue(o.foundAfter().size() >= 59, "found by " + o.foundAfter().size());
+    assertEquals(List.of(), o.violations());
+    assertTrue(o.detectionDelays().size() >= 59, "found by " + o.detectionDelays().size());
     Span least = USUAL.period().times(USUAL.suspicion() * Math.log10(60));
-    for (Span after : o.foundAfter()) {
+    for (Span after : o.detectionDelays()) {
       assertTrue(after.under(least.times(USUAL.longest())), after.toString());
     }
-    assertTrue(o.mostBytesASecond() < 64 * 1024, o.mostBytesASecond() + " bytes in one second");
+    assertTrue(o.maxBytesPerSecond() < 64 * 1024, o.maxBytesPerSecond() + " bytes in one second");
   }
 
   @Test
