--- a/src/main/java/linengauge/membership/Datagram.java
+++ b/src/main/java/linengauge/membership/Datagram.java
@@ -23,8 +23,8 @@
   public static final int MAX_ADDRESS_BYTES = 64;
 
   private static final byte VERSION = 1;
-  private static final int HEAD = 16;
-  private static final int MOST_NUMBER = 0xffff;
+  private static final int HEADER_BYTES = 16;
+  private static final int MAX_MEMBER_NUMBER = 0xffff;
 
   /** What it is for. */
   public enum Kind {
@@ -37,36 +37,45 @@
   }
 
   /** Bytes that one piece of news takes. */
-  static int encodedSize(MemberUpdate n) {
-    return 2 + 2 + 2 + 1 + 8 + 2 + 1 + n.member().address().getBytes(StandardCharsets.UTF_8).length;
+  static int encodedSize(MemberUpdate update) {
+    return 2
+        + 2
+        + 2
+        + 1
+        + 8
+        + 2
+        + 1
+        + update.member().address().getBytes(StandardCharsets.UTF_8).length;
   }
 
   /** Room for news in one datagram. */
   static int maxUpdateBytes() {
-    return MAX_BYTES - HEAD;
+    return MAX_BYTES - HEADER_BYTES;
   }
 
   public byte[] encode() {
-    ByteBuffer b =
-        ByteBuffer.allocate(HEAD + updates.stream().mapToInt(Datagram::encodedSize).sum());
-    b.put(VERSION)
+    ByteBuffer buffer =
+        ByteBuffer.allocate(HEADER_BYTES + updates.stream().mapToInt(Datagram::encodedSize).sum());
+    buffer
+        .put(VERSION)
         .put((byte) kind.ordinal())
         .putInt(from)
         .putInt(sequence)
         .putInt(argument)
         .putShort((short) updates.size());
-    for (MemberUpdate n : updates) {
-      byte[] address = n.member().address().getBytes(StandardCharsets.UTF_8);
-      b.putShort((short) n.member().number())
-          .putShort((short) n.member().zone())
-          .putShort((short) n.member().region())
-          .put((byte) n.state().ordinal())
-          .putLong(n.incarnation())
-          .putShort((short) n.source())
+    for (MemberUpdate update : updates) {
+      byte[] address = update.member().address().getBytes(StandardCharsets.UTF_8);
+      buffer
+          .putShort((short) update.member().number())
+          .putShort((short) update.member().zone())
+          .putShort((short) update.member().region())
+          .put((byte) update.state().ordinal())
+          .putLong(update.incarnation())
+          .putShort((short) update.source())
           .put((byte) address.length)
           .put(address);
     }
-    return b.array();
+    return buffer.array();
   }
 
   /**
@@ -79,25 +88,25 @@
       if (length > MAX_BYTES) {
         throw new IllegalArgumentException("longer than " + MAX_BYTES + " bytes");
       }
-      ByteBuffer b = ByteBuffer.wrap(bytes, 0, length);
-      if (b.get() != VERSION) {
+      ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
+      if (buffer.get() != VERSION) {
         throw new IllegalArgumentException("another version");
       }
-      Kind kind = of(Kind.values(), b.get());
-      int from = number(b.getInt());
-      int sequence = b.getInt();
-      int about = b.getInt();
-      int count = b.getShort() & 0xffff;
+      Kind kind = constantAt(Kind.values(), buffer.get());
+      int from = requireMemberNumber(buffer.getInt());
+      int sequence = buffer.getInt();
+      int argument = buffer.getInt();
+      int count = buffer.getShort() & 0xffff;
       List<MemberUpdate> updates = new ArrayList<>();
       for (int i = 0; i < count; i++) {
-        int number = b.getShort() & 0xffff;
-        int zone = b.getShort() & 0xffff;
-        int region = b.getShort() & 0xffff;
-        MemberState standing = of(MemberState.values(), b.get());
-        long incarnation = b.getLong();
-        int by = b.getShort() & 0xffff;
-        byte[] address = new byte[b.get() & 0xff];
-        b.get(address);
+        int number = buffer.getShort() & 0xffff;
+        int zone = buffer.getShort() & 0xffff;
+        int region = buffer.getShort() & 0xffff;
+        MemberState state = constantAt(MemberState.values(), buffer.get());
+        long incarnation = buffer.getLong();
+        int source = buffer.getShort() & 0xffff;
+        byte[] address = new byte[buffer.get() & 0xff];
+        buffer.get(address);
         if (address.length > MAX_ADDRESS_BYTES || incarnation < 0) {
           throw new IllegalArgumentException("a member that cannot be");
         }
@@ -105,29 +114,29 @@
             new MemberUpdate(
                 new Member(number, new String(address, StandardCharsets.UTF_8), zone, region),
                 incarnation,
-                standing,
-                by));
+                state,
+                source));
       }
-      if (b.hasRemaining()) {
+      if (buffer.hasRemaining()) {
         throw new IllegalArgumentException("more than it says");
       }
-      return new Datagram(kind, from, sequence, about, List.copyOf(updates));
+      return new Datagram(kind, from, sequence, argument, List.copyOf(updates));
     } catch (BufferUnderflowException e) {
       throw new IllegalArgumentException("cut short", e);
     }
   }
 
-  private static int number(int n) {
-    if (n < 0 || n > MOST_NUMBER) {
+  private static int requireMemberNumber(int value) {
+    if (value < 0 || value > MAX_MEMBER_NUMBER) {
       throw new IllegalArgumentException("a number out of bounds");
     }
-    return n;
+    return value;
   }
 
-  private static <T> T of(T[] all, byte at) {
-    if (at < 0 || at >= all.length) {
+  private static <T> T constantAt(T[] constants, byte ordinal) {
+    if (ordinal < 0 || ordinal >= constants.length) {
       throw new IllegalArgumentException("a kind that is not known");
     }
-    return all[at];
+    return constants[ordinal];
   }
 }
--- a/src/main/java/linengauge/membership/Dissemination.java
+++ b/src/main/java/linengauge/membership/Dissemination.java
@@ -14,21 +14,22 @@
    * answers, the first so many carry updates and the others are bare: a front that many call at
    * once, as a seed is when the fleet starts, is not there for those whom it leaves without one.
    */
-  private static final int MOST_ANSWERS = 2048;
+  private static final int MAX_RESPONSES_PER_PERIOD = 2048;
 
-  private static final int MOST_WITH_UPDATES = 32;
+  private static final int MAX_RESPONSES_WITH_UPDATES = 32;
 
   private final MembershipSettings settings;
-  private final int own;
+  private final int ownNumber;
   private final Membership.Port port;
   private final MemberTable table;
   private final GossipQueue queue = new GossipQueue();
   private int sequence;
-  private int answered;
+  private int responsesSent;
 
-  Dissemination(MembershipSettings settings, int own, Membership.Port port, MemberTable table) {
+  Dissemination(
+      MembershipSettings settings, int ownNumber, Membership.Port port, MemberTable table) {
     this.settings = settings;
-    this.own = own;
+    this.ownNumber = ownNumber;
     this.port = port;
     this.table = table;
   }
@@ -46,30 +47,31 @@
 
   /** A new period's answers may be sent. */
   void startPeriod() {
-    answered = 0;
+    responsesSent = 0;
   }
 
   /** Sends a datagram of this front's own accord, these updates first. */
-  void send(Kind kind, String to, int number, int about, List<MemberUpdate> first) {
+  void send(Kind kind, String address, int sequence, int argument, List<MemberUpdate> first) {
     int room = Datagram.maxUpdateBytes() - first.stream().mapToInt(Datagram::encodedSize).sum();
     List<MemberUpdate> updates = new ArrayList<>(first);
     updates.addAll(queue.take(room, transmissions()));
-    sendBare(kind, to, number, about, updates);
+    sendWithoutGossip(kind, address, sequence, argument, updates);
   }
 
   /** Sends a datagram since another asked for it, as long as not too many have. */
-  void answer(Kind kind, String to, int number, int about, List<MemberUpdate> first) {
-    answered++;
-    if (answered <= MOST_WITH_UPDATES) {
-      send(kind, to, number, about, first);
-    } else if (answered <= MOST_ANSWERS) {
-      sendBare(kind, to, number, about, first);
+  void respond(Kind kind, String address, int sequence, int argument, List<MemberUpdate> first) {
+    responsesSent++;
+    if (responsesSent <= MAX_RESPONSES_WITH_UPDATES) {
+      send(kind, address, sequence, argument, first);
+    } else if (responsesSent <= MAX_RESPONSES_PER_PERIOD) {
+      sendWithoutGossip(kind, address, sequence, argument, first);
     }
   }
 
   /** Sends a datagram with these updates alone. */
-  void sendBare(Kind kind, String to, int number, int about, List<MemberUpdate> updates) {
-    port.send(to, new Datagram(kind, own, number, about, updates));
+  void sendWithoutGossip(
+      Kind kind, String address, int sequence, int argument, List<MemberUpdate> updates) {
+    port.send(address, new Datagram(kind, ownNumber, sequence, argument, updates));
   }
 
   /** How often each update is sent on: in proportion to the fleet's logarithm (SWIM, 4.1). */
--- a/src/main/java/linengauge/membership/FailureDetector.java
+++ b/src/main/java/linengauge/membership/FailureDetector.java
@@ -17,37 +17,41 @@
  * (Lifeguard, IV.A).
  */
 final class FailureDetector {
-  private static final int MOST_RELAYS = 64;
+  private static final int MAX_RELAYED_PINGS = 64;
 
   /** This front's own ping of one period. */
   private static final class Probe {
     private final int target;
     private final int sequence;
-    private final Moment askHelpersAt;
-    private boolean helpersAsked;
-    private boolean answered;
-    private int owedNaks;
+    private final Moment indirectProbesAt;
+    private boolean indirectProbesSent;
+    private boolean acknowledged;
+    private int missingNaks;
 
-    private Probe(int target, int sequence, Moment askHelpersAt) {
+    private Probe(int target, int sequence, Moment indirectProbesAt) {
       this.target = target;
       this.sequence = sequence;
-      this.askHelpersAt = askHelpersAt;
+      this.indirectProbesAt = indirectProbesAt;
     }
 
-    private boolean waitsForDirectAnswer() {
-      return !helpersAsked && !answered;
+    private boolean isAwaitingDirectAck() {
+      return !indirectProbesSent && !acknowledged;
     }
   }
 
   /** A ping made in another's place. */
-  private record Relay(
-      String asker, int askerSequence, Moment nakAt, Moment goneAt, boolean nakSent) {
-    private Moment next() {
-      return nakSent ? goneAt : nakAt;
+  private record RelayedPing(
+      String requesterAddress,
+      int requesterSequence,
+      Moment nakAt,
+      Moment expiresAt,
+      boolean nakSent) {
+    private Moment nextStep() {
+      return nakSent ? expiresAt : nakAt;
     }
 
-    private Relay withNakSent() {
-      return new Relay(asker, askerSequence, nakAt, goneAt, true);
+    private RelayedPing withNakSent() {
+      return new RelayedPing(requesterAddress, requesterSequence, nakAt, expiresAt, true);
     }
   }
 
@@ -56,10 +60,10 @@
   private final Dissemination dissemination;
   private final LocalHealth health;
   private final SplittableRandom random;
-  private final Map<Integer, Relay> relays = new TreeMap<>();
-  private final List<Integer> round = new ArrayList<>();
+  private final Map<Integer, RelayedPing> relayedPings = new TreeMap<>();
+  private final List<Integer> remainingInRound = new ArrayList<>();
   private Probe probe;
-  private Moment periodAt;
+  private Moment periodEndsAt;
 
   FailureDetector(
       MembershipSettings settings,
@@ -75,58 +79,58 @@
   }
 
   /** The moment at which it wants to be stepped, at the latest. */
-  Moment next() {
-    Moment next = periodAt;
-    if (probe != null && probe.waitsForDirectAnswer()) {
-      next = earlier(next, probe.askHelpersAt);
+  Moment nextStep() {
+    Moment next = periodEndsAt;
+    if (probe != null && probe.isAwaitingDirectAck()) {
+      next = earliest(next, probe.indirectProbesAt);
     }
-    for (Relay relay : relays.values()) {
-      next = earlier(next, relay.next());
+    for (RelayedPing relay : relayedPings.values()) {
+      next = earliest(next, relay.nextStep());
     }
     return next;
   }
 
-  static Moment earlier(Moment a, Moment b) {
-    return b.before(a) ? b : a;
+  static Moment earliest(Moment first, Moment second) {
+    return second.before(first) ? second : first;
   }
 
   boolean isPeriodOver(Moment now) {
-    return !now.before(periodAt);
+    return !now.before(periodEndsAt);
   }
 
-  void setPeriodEnd(Moment at) {
-    periodAt = at;
+  void setPeriodEnd(Moment endsAt) {
+    periodEndsAt = endsAt;
   }
 
   /** Gives up all waits and begins a new period. */
   void restart(Moment now) {
     probe = null;
-    relays.clear();
-    periodAt = now;
+    relayedPings.clear();
+    periodEndsAt = now;
   }
 
   /* ---- this front's own pings ---- */
 
   /** Ends the period's probe; the member that did not answer it and is held for there, or null. */
   MemberEntry endProbe() {
-    if (probe == null || probe.answered) {
+    if (probe == null || probe.acknowledged) {
       return null;
     }
-    health.worse(probe.owedNaks > 0 ? probe.owedNaks : 1);
+    health.degrade(probe.missingNaks > 0 ? probe.missingNaks : 1);
     MemberEntry target = table.get(probe.target);
-    return target != null && target.isThere() ? target : null;
+    return target != null && target.isPresent() ? target : null;
   }
 
   /** Begins a period with a ping to the next member in turn. */
   void startPeriod(Moment now) {
-    periodAt = now.plus(health.lengthened(settings.period()));
+    periodEndsAt = now.plus(health.scale(settings.period()));
     probe = null;
     MemberEntry target = nextTarget();
     if (target == null) {
       return;
     }
-    Moment askHelpersAt = now.plus(health.lengthened(settings.answer()));
-    probe = new Probe(target.number(), dissemination.nextSequence(), askHelpersAt);
+    Moment indirectProbesAt = now.plus(health.scale(settings.answer()));
+    probe = new Probe(target.number(), dissemination.nextSequence(), indirectProbesAt);
     // Whom somebody suspects hears of it with the ping, and can deny it (Lifeguard, IV.C).
     dissemination.send(Kind.PING, target.address(), probe.sequence, 0, updateIfSuspected(target));
   }
@@ -136,18 +140,18 @@
    * within two rounds.
    */
   private MemberEntry nextTarget() {
-    MemberEntry target = nextOfRound();
+    MemberEntry target = nextInRound();
     if (target == null) {
       startRound();
-      target = nextOfRound();
+      target = nextInRound();
     }
     return target;
   }
 
-  private MemberEntry nextOfRound() {
-    while (!round.isEmpty()) {
-      MemberEntry entry = table.get(round.remove(round.size() - 1));
-      if (entry != null && entry.isThere()) {
+  private MemberEntry nextInRound() {
+    while (!remainingInRound.isEmpty()) {
+      MemberEntry entry = table.get(remainingInRound.remove(remainingInRound.size() - 1));
+      if (entry != null && entry.isPresent()) {
         return entry;
       }
     }
@@ -155,8 +159,10 @@
   }
 
   private void startRound() {
-    table.all().stream().filter(MemberEntry::isThere).forEach(e -> round.add(e.number()));
-    Collections.shuffle(round, new Random(random.nextLong()));
+    table.all().stream()
+        .filter(MemberEntry::isPresent)
+        .forEach(entry -> remainingInRound.add(entry.number()));
+    Collections.shuffle(remainingInRound, new Random(random.nextLong()));
   }
 
   private static List<MemberUpdate> updateIfSuspected(MemberEntry entry) {
@@ -165,10 +171,10 @@
 
   /** Asks helpers to ping the member once it has not answered in time (SWIM, 4.1). */
   void probeIndirectly(Moment now) {
-    if (probe == null || !probe.waitsForDirectAnswer() || now.before(probe.askHelpersAt)) {
+    if (probe == null || !probe.isAwaitingDirectAck() || now.before(probe.indirectProbesAt)) {
       return;
     }
-    probe.helpersAsked = true;
+    probe.indirectProbesSent = true;
     MemberEntry target = table.get(probe.target);
     if (target == null) {
       return;
@@ -176,58 +182,60 @@
     for (MemberEntry helper : table.sampleAlive(settings.helpers(), probe.target)) {
       dissemination.send(
           Kind.ASK, helper.address(), probe.sequence, probe.target, List.of(target.update()));
-      probe.owedNaks++;
+      probe.missingNaks++;
     }
   }
 
   /** Of a ping of this front's own, or of one made in another's place. */
   void onAck(int sequence) {
     if (probe != null && probe.sequence == sequence) {
-      if (!probe.answered) {
-        health.better();
+      if (!probe.acknowledged) {
+        health.improve();
       }
-      probe.answered = true;
+      probe.acknowledged = true;
       return;
     }
-    Relay relay = relays.remove(sequence);
+    RelayedPing relay = relayedPings.remove(sequence);
     if (relay != null) {
-      dissemination.answer(Kind.ACK, relay.asker, relay.askerSequence, 0, List.of());
+      dissemination.respond(
+          Kind.ACK, relay.requesterAddress, relay.requesterSequence, 0, List.of());
     }
   }
 
   /** A helper is there and could not reach the member: this front is not what is slow. */
   void onNak(int sequence) {
-    if (probe != null && probe.sequence == sequence && probe.owedNaks > 0) {
-      probe.owedNaks--;
+    if (probe != null && probe.sequence == sequence && probe.missingNaks > 0) {
+      probe.missingNaks--;
     }
   }
 
   /* ---- pings made in another's place ---- */
 
   /** Another asks this front to ping a member in its place. */
-  void onAsk(String asker, Datagram datagram, Moment now) {
+  void onPingRequest(String requesterAddress, Datagram datagram, Moment now) {
     MemberEntry target = table.get(datagram.argument());
-    if (target == null || relays.size() >= MOST_RELAYS) {
+    if (target == null || relayedPings.size() >= MAX_RELAYED_PINGS) {
       return;
     }
     int sequence = dissemination.nextSequence();
     Moment nakAt = now.plus(settings.answer());
-    Moment goneAt = now.plus(settings.period());
-    relays.put(sequence, new Relay(asker, datagram.sequence(), nakAt, goneAt, false));
-    dissemination.answer(Kind.PING, target.address(), sequence, 0, updateIfSuspected(target));
+    Moment expiresAt = now.plus(settings.period());
+    relayedPings.put(
+        sequence, new RelayedPing(requesterAddress, datagram.sequence(), nakAt, expiresAt, false));
+    dissemination.respond(Kind.PING, target.address(), sequence, 0, updateIfSuspected(target));
   }
 
   /** Says of pings made in another's place that they were not answered in time. */
   void sendNaks(Moment now) {
-    Iterator<Map.Entry<Integer, Relay>> entries = relays.entrySet().iterator();
+    Iterator<Map.Entry<Integer, RelayedPing>> entries = relayedPings.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Integer, Relay> entry = entries.next();
-      Relay relay = entry.getValue();
-      if (!now.before(relay.goneAt)) {
+      Map.Entry<Integer, RelayedPing> entry = entries.next();
+      RelayedPing relay = entry.getValue();
+      if (!now.before(relay.expiresAt)) {
         entries.remove();
       } else if (!relay.nakSent && !now.before(relay.nakAt)) {
         entry.setValue(relay.withNakSent());
-        dissemination.send(Kind.NAK, relay.asker, relay.askerSequence, 0, List.of());
+        dissemination.send(Kind.NAK, relay.requesterAddress, relay.requesterSequence, 0, List.of());
       }
     }
   }
--- a/src/main/java/linengauge/membership/GossipQueue.java
+++ b/src/main/java/linengauge/membership/GossipQueue.java
@@ -31,22 +31,22 @@
   }
 
   /** What fits into so many bytes, each counted as told; those told so often leave. */
-  List<MemberUpdate> take(int room, int times) {
+  List<MemberUpdate> take(int maxBytes, int maxTransmissions) {
     List<QueuedUpdate> all = new ArrayList<>(queued.values());
-    all.sort(Comparator.comparingInt(r -> r.timesSent));
-    List<MemberUpdate> out = new ArrayList<>();
-    int left = room;
-    for (QueuedUpdate r : all) {
-      int size = Datagram.encodedSize(r.update);
-      if (size > left) {
+    all.sort(Comparator.comparingInt(queuedUpdate -> queuedUpdate.timesSent));
+    List<MemberUpdate> taken = new ArrayList<>();
+    int remaining = maxBytes;
+    for (QueuedUpdate queuedUpdate : all) {
+      int size = Datagram.encodedSize(queuedUpdate.update);
+      if (size > remaining) {
         continue;
       }
-      left -= size;
-      out.add(r.update);
-      if (++r.timesSent >= times) {
-        queued.remove(r.update.member().number());
+      remaining -= size;
+      taken.add(queuedUpdate.update);
+      if (++queuedUpdate.timesSent >= maxTransmissions) {
+        queued.remove(queuedUpdate.update.member().number());
       }
     }
-    return out;
+    return taken;
   }
 }
--- a/src/main/java/linengauge/membership/LocalHealth.java
+++ b/src/main/java/linengauge/membership/LocalHealth.java
@@ -9,26 +9,26 @@
  * are found later, by so many times the period.
  */
 final class LocalHealth {
-  private final int most;
-  private int count;
+  private final int maxScore;
+  private int score;
 
-  LocalHealth(int most) {
-    this.most = most;
+  LocalHealth(int maxScore) {
+    this.maxScore = maxScore;
   }
 
-  void worse(int by) {
-    count = Math.min(most, count + by);
+  void degrade(int by) {
+    score = Math.min(maxScore, score + by);
   }
 
-  void better() {
-    count = Math.max(0, count - 1);
+  void improve() {
+    score = Math.max(0, score - 1);
   }
 
-  int count() {
-    return count;
+  int score() {
+    return score;
   }
 
-  Span lengthened(Span span) {
-    return span.times(1 + count);
+  Span scale(Span span) {
+    return span.times(1 + score);
   }
 }
--- a/src/main/java/linengauge/membership/MemberEntry.java
+++ b/src/main/java/linengauge/membership/MemberEntry.java
@@ -46,7 +46,7 @@
     return update.member().address();
   }
 
-  boolean isThere() {
+  boolean isPresent() {
     return update.state().isPresent();
   }
 
--- a/src/main/java/linengauge/membership/MemberTable.java
+++ b/src/main/java/linengauge/membership/MemberTable.java
@@ -14,15 +14,15 @@
 /** All other members that this front knows of, by number. Bounded; those long gone leave. */
 final class MemberTable {
   /** In {@link #sampleAlive}: no member is left out. */
-  static final int NOBODY = -1;
+  static final int NO_EXCLUSION = -1;
 
   private final Map<Integer, MemberEntry> entries = new TreeMap<>();
-  private final int most;
+  private final int maxMembers;
   private final SplittableRandom random;
-  private int refused;
+  private int rejected;
 
-  MemberTable(int most, SplittableRandom random) {
-    this.most = most;
+  MemberTable(int maxMembers, SplittableRandom random) {
+    this.maxMembers = maxMembers;
     this.random = random;
   }
 
@@ -33,8 +33,8 @@
 
   /** A new entry for that member, or null where there are too many. */
   MemberEntry add(int number, Moment now) {
-    if (entries.size() >= most) {
-      refused++;
+    if (entries.size() >= maxMembers) {
+      rejected++;
       return null;
     }
     MemberEntry entry = new MemberEntry(now);
@@ -56,38 +56,40 @@
   }
 
   /** Members that were not taken in since there were too many. */
-  int refused() {
-    return refused;
+  int rejected() {
+    return rejected;
   }
 
   /** How many of the others are there, suspected ones among them. */
-  long countThere() {
-    return entries.values().stream().filter(MemberEntry::isThere).count();
+  long countPresent() {
+    return entries.values().stream().filter(MemberEntry::isPresent).count();
   }
 
   /** So many at the most that are there and not suspected, drawn at random. */
-  List<MemberEntry> sampleAlive(int atMost, int except) {
+  List<MemberEntry> sampleAlive(int maxCount, int excluded) {
     List<MemberEntry> alive = new ArrayList<>();
     entries.forEach(
         (number, entry) -> {
-          if (number != except && entry.is(MemberState.ALIVE)) {
+          if (number != excluded && entry.is(MemberState.ALIVE)) {
             alive.add(entry);
           }
         });
     Collections.shuffle(alive, new Random(random.nextLong()));
-    return alive.subList(0, Math.min(atMost, alive.size()));
+    return alive.subList(0, Math.min(maxCount, alive.size()));
   }
 
   /** Forgets those that have been gone for longer than that. */
-  void forgetGone(Moment now, Span kept) {
-    entries.values().removeIf(e -> !e.isThere() && kept.under(now.since(e.since())));
+  void removeExpired(Moment now, Span retention) {
+    entries
+        .values()
+        .removeIf(entry -> !entry.isPresent() && retention.under(now.since(entry.since())));
   }
 
   /** This front was not there to hear anybody for so long: suspicions last so much longer. */
-  void holdUpSuspicions(Span span) {
+  void extendSuspicions(Span span) {
     for (MemberEntry entry : entries.values()) {
       if (entry.suspicion() != null) {
-        entry.suspicion().heldUp(span);
+        entry.suspicion().extend(span);
       }
     }
   }
--- a/src/main/java/linengauge/membership/MemberUpdate.java
+++ b/src/main/java/linengauge/membership/MemberUpdate.java
@@ -9,9 +9,9 @@
  */
 public record MemberUpdate(Member member, long incarnation, MemberState state, int source) {
   /** Whether this overrules what is held. */
-  boolean supersedes(MemberUpdate held) {
-    return held == null
-        || incarnation > held.incarnation
-        || incarnation == held.incarnation && state.compareTo(held.state) > 0;
+  boolean supersedes(MemberUpdate current) {
+    return current == null
+        || incarnation > current.incarnation
+        || incarnation == current.incarnation && state.compareTo(current.state) > 0;
   }
 }
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -24,7 +24,7 @@
     void send(String address, Datagram datagram);
 
     /** Another is held for something else than before. */
-    void stateChanged(MemberUpdate held);
+    void stateChanged(MemberUpdate update);
 
     /** Another process goes by this one's number, from that address. */
     void numberConflict(String address);
@@ -65,7 +65,7 @@
 
   public void start(Moment now) {
     detector.setPeriodEnd(now);
-    reconnection.setNext(now);
+    reconnection.setNextStep(now);
     dissemination.add(own.update());
     step(now);
   }
@@ -74,7 +74,7 @@
   public void leave(Moment now) {
     own.leave();
     dissemination.add(own.update());
-    for (MemberEntry entry : table.sampleAlive(settings.helpers(), MemberTable.NOBODY)) {
+    for (MemberEntry entry : table.sampleAlive(settings.helpers(), MemberTable.NO_EXCLUSION)) {
       int sequence = dissemination.nextSequence();
       dissemination.send(Kind.PING, entry.address(), sequence, 0, List.of(own.update()));
     }
@@ -82,10 +82,10 @@
 
   /** The moment at which it wants to be stepped, at the latest. */
   public Moment nextStep() {
-    Moment next = FailureDetector.earlier(detector.next(), reconnection.next());
+    Moment next = FailureDetector.earliest(detector.nextStep(), reconnection.nextStep());
     for (MemberEntry entry : table.all()) {
       if (entry.suspicion() != null) {
-        next = FailureDetector.earlier(next, entry.suspicion().endsAt());
+        next = FailureDetector.earliest(next, entry.suspicion().endsAt());
       }
     }
     return next;
@@ -102,41 +102,41 @@
 
   /** Members that were not taken in since there were too many. */
   public int rejectedMembers() {
-    return table.refused();
+    return table.rejected();
   }
 
   /** How slow this front takes itself to be, from 0. */
   public int healthScore() {
-    return health.count();
+    return health.score();
   }
 
   public void step(Moment now) {
-    checkStandstill(now);
+    checkProcessPause(now);
     if (own.hasLeft()) {
       Moment next = now.plus(settings.period());
       detector.setPeriodEnd(next);
-      reconnection.setNext(next);
+      reconnection.setNextStep(next);
       return;
     }
-    updates.endSuspicions(now);
+    updates.expireSuspicions(now);
     detector.sendNaks(now);
     detector.probeIndirectly(now);
     if (detector.isPeriodOver(now)) {
       startPeriod(now);
     }
-    if (!now.before(reconnection.next())) {
+    if (!now.before(reconnection.nextStep())) {
       reconnection.step(now);
     }
   }
 
   private void startPeriod(Moment now) {
-    MemberEntry silent = detector.endProbe();
-    if (silent != null) {
-      updates.suspect(silent, own.number(), silent.update().incarnation(), now);
+    MemberEntry unresponsive = detector.endProbe();
+    if (unresponsive != null) {
+      updates.suspect(unresponsive, own.number(), unresponsive.update().incarnation(), now);
     }
     dissemination.startPeriod();
     reconnection.startPeriod();
-    table.forgetGone(now, settings.deadKept());
+    table.removeExpired(now, settings.deadKept());
     detector.startPeriod(now);
   }
 
@@ -145,20 +145,20 @@
    * all of them begin anew, and it takes itself for slow. It could hurt where steps are late by
    * habit: deaths would be found late, as they should.
    */
-  private void checkStandstill(Moment now) {
+  private void checkProcessPause(Moment now) {
     Span late = now.since(nextStep());
     if (!isProcessPause(late)) {
       return;
     }
-    health.worse(1);
+    health.degrade(1);
     detector.restart(now);
-    table.holdUpSuspicions(late);
-    reconnection.setNext(now.orLater(reconnection.next()));
+    table.extendSuspicions(late);
+    reconnection.setNextStep(now.orLater(reconnection.nextStep()));
   }
 
   /** A datagram has come, proved to be of the fleet, from that address. */
   public void onDatagram(Moment now, String address, Datagram datagram) {
-    checkStandstill(now);
+    checkProcessPause(now);
     if (datagram.from() == own.number()) {
       if (!address.equals(own.address())) {
         port.numberConflict(address);
@@ -170,10 +170,10 @@
       updates.onUpdate(update, now, sendOn);
     }
     switch (datagram.kind()) {
-      case PING -> dissemination.answer(Kind.ACK, address, datagram.sequence(), 0, List.of());
+      case PING -> dissemination.respond(Kind.ACK, address, datagram.sequence(), 0, List.of());
       case ACK -> detector.onAck(datagram.sequence());
       case NAK -> detector.onNak(datagram.sequence());
-      case ASK -> detector.onAsk(address, datagram, now);
+      case ASK -> detector.onPingRequest(address, datagram, now);
       case PULL -> reconnection.onPageRequest(address, datagram);
       case PAGE -> reconnection.onPage(address, datagram);
     }
--- a/src/main/java/linengauge/membership/OwnMember.java
+++ b/src/main/java/linengauge/membership/OwnMember.java
@@ -6,7 +6,7 @@
    * No front lives so many milliseconds: an incarnation further ahead is nonsense, and could not be
    * denied.
    */
-  private static final long MOST_AHEAD = 1L << 40;
+  private static final long MAX_INCARNATION_DISTANCE = 1L << 40;
 
   private final Member member;
   private final long firstIncarnation;
@@ -50,24 +50,24 @@
 
   /** Whether any front could have come to such an incarnation. */
   boolean isPlausible(MemberUpdate update) {
-    return Math.abs(update.incarnation() - firstIncarnation) <= MOST_AHEAD;
+    return Math.abs(update.incarnation() - firstIncarnation) <= MAX_INCARNATION_DISTANCE;
   }
 
   /** Another process says by that update that it is this member, at another address. */
-  boolean isClash(MemberUpdate update) {
+  boolean isNumberConflict(MemberUpdate update) {
     return !update.member().address().equals(member.address())
         && update.state() == MemberState.ALIVE
         && update.incarnation() >= incarnation;
   }
 
   /** Whether what is said of this front is not so, and would overrule what it says itself. */
-  boolean mustDeny(MemberUpdate update) {
+  boolean mustRefute(MemberUpdate update) {
     return update.incarnation() > incarnation
         || update.incarnation() == incarnation && update.state() != MemberState.ALIVE && !left;
   }
 
   /** Raises the incarnation above what was said. */
-  void deny(MemberUpdate update) {
+  void refute(MemberUpdate update) {
     incarnation = update.incarnation() + 1;
   }
 }
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -13,7 +13,7 @@
  * page (anti-entropy). Not in the papers.
  */
 final class Reconnection {
-  private static final int MOST_PAGES = 32;
+  private static final int MAX_PAGES_PER_PERIOD = 32;
 
   private final MembershipSettings settings;
   private final OwnMember own;
@@ -21,10 +21,10 @@
   private final MemberTable table;
   private final Dissemination dissemination;
   private final SplittableRandom random;
-  private Moment nextAt;
+  private Moment nextStepAt;
   private int pagesSent;
   private int pageFrom;
-  private int requested;
+  private int requestedSequence;
 
   /**
    * @param seeds addresses to begin with, and to turn to when nobody is there
@@ -38,19 +38,19 @@
       SplittableRandom random) {
     this.settings = settings;
     this.own = own;
-    this.seeds = seeds.stream().filter(s -> !s.equals(own.address())).toList();
+    this.seeds = seeds.stream().filter(seed -> !seed.equals(own.address())).toList();
     this.table = table;
     this.dissemination = dissemination;
     this.random = random;
   }
 
   /** The moment at which it wants to be stepped, at the latest. */
-  Moment next() {
-    return nextAt;
+  Moment nextStep() {
+    return nextStepAt;
   }
 
-  void setNext(Moment at) {
-    nextAt = at;
+  void setNextStep(Moment at) {
+    nextStepAt = at;
   }
 
   /** A new period's pages may be sent. */
@@ -66,49 +66,53 @@
    */
   void step(Moment now) {
     if (!Span.NONE.under(settings.regather())) {
-      nextAt = now.plus(settings.deadKept());
+      nextStepAt = now.plus(settings.deadKept());
       return;
     }
-    List<MemberEntry> there = table.sampleAlive(1, MemberTable.NOBODY);
-    nextAt = now.plus(there.isEmpty() ? settings.period() : settings.regather());
-    List<String> away = addressesAway();
-    if (!away.isEmpty()) {
-      String to = away.get(random.nextInt(away.size()));
-      call(to);
-      if (there.isEmpty()) {
-        requestPage(to);
+    List<MemberEntry> alive = table.sampleAlive(1, MemberTable.NO_EXCLUSION);
+    nextStepAt = now.plus(alive.isEmpty() ? settings.period() : settings.regather());
+    List<String> unreachable = unreachableAddresses();
+    if (!unreachable.isEmpty()) {
+      String address = unreachable.get(random.nextInt(unreachable.size()));
+      ping(address);
+      if (alive.isEmpty()) {
+        requestPage(address);
       }
     }
-    if (!there.isEmpty()) {
-      requestPage(there.get(0).address());
+    if (!alive.isEmpty()) {
+      requestPage(alive.get(0).address());
     }
   }
 
   /** Of members held for dead, and of seeds that no known member has. */
-  private List<String> addressesAway() {
-    List<String> away = new ArrayList<>();
-    table.all().stream().filter(e -> e.is(MemberState.DEAD)).forEach(e -> away.add(e.address()));
+  private List<String> unreachableAddresses() {
+    List<String> unreachable = new ArrayList<>();
+    table.all().stream()
+        .filter(entry -> entry.is(MemberState.DEAD))
+        .forEach(entry -> unreachable.add(entry.address()));
     seeds.stream()
-        .filter(seed -> table.all().stream().noneMatch(e -> e.address().equals(seed)))
-        .forEach(away::add);
-    return away;
+        .filter(seed -> table.all().stream().noneMatch(entry -> entry.address().equals(seed)))
+        .forEach(unreachable::add);
+    return unreachable;
   }
 
   /** A ping that says what is held of whoever is there, so that it can deny it. */
-  private void call(String to) {
+  private void ping(String address) {
     List<MemberUpdate> first = new ArrayList<>(List.of(own.update()));
-    table.all().stream().filter(e -> e.address().equals(to)).forEach(e -> first.add(e.update()));
-    dissemination.send(Kind.PING, to, dissemination.nextSequence(), 0, first);
+    table.all().stream()
+        .filter(entry -> entry.address().equals(address))
+        .forEach(entry -> first.add(entry.update()));
+    dissemination.send(Kind.PING, address, dissemination.nextSequence(), 0, first);
   }
 
-  private void requestPage(String from) {
-    requested = dissemination.nextSequence();
-    dissemination.send(Kind.PULL, from, requested, pageFrom, List.of(own.update()));
+  private void requestPage(String address) {
+    requestedSequence = dissemination.nextSequence();
+    dissemination.send(Kind.PULL, address, requestedSequence, pageFrom, List.of(own.update()));
   }
 
   /** A page that was asked for: the next one follows until there are no more. */
   void onPage(String address, Datagram datagram) {
-    if (datagram.sequence() != requested) {
+    if (datagram.sequence() != requestedSequence) {
       return;
     }
     pageFrom = Math.max(0, datagram.argument());
@@ -118,27 +122,27 @@
   }
 
   /** Another asks for what is held here, from a member's number on. */
-  void onPageRequest(String asker, Datagram datagram) {
+  void onPageRequest(String requesterAddress, Datagram datagram) {
     List<MemberUpdate> all = new ArrayList<>(table.updates());
     all.add(own.update());
-    all.sort(Comparator.comparingInt(u -> u.member().number()));
+    all.sort(Comparator.comparingInt(update -> update.member().number()));
     List<MemberUpdate> page = new ArrayList<>();
-    int room = Datagram.maxUpdateBytes();
+    int remainingBytes = Datagram.maxUpdateBytes();
     int next = -1;
     for (MemberUpdate update : all) {
       if (update.member().number() < datagram.argument()) {
         continue;
       }
-      room -= Datagram.encodedSize(update);
-      if (room < 0) {
+      remainingBytes -= Datagram.encodedSize(update);
+      if (remainingBytes < 0) {
         next = update.member().number();
         break;
       }
       page.add(update);
     }
     pagesSent++;
-    if (pagesSent <= MOST_PAGES) {
-      dissemination.sendBare(Kind.PAGE, asker, datagram.sequence(), next, page);
+    if (pagesSent <= MAX_PAGES_PER_PERIOD) {
+      dissemination.sendWithoutGossip(Kind.PAGE, requesterAddress, datagram.sequence(), next, page);
     }
   }
 }
--- a/src/main/java/linengauge/membership/Suspicion.java
+++ b/src/main/java/linengauge/membership/Suspicion.java
@@ -11,43 +11,54 @@
  * matters.
  */
 final class Suspicion {
-  private final Span least;
-  private final Span most;
-  private final int enough;
-  private final int by;
-  private final boolean own;
+  private final Span minDuration;
+  private final Span maxDuration;
+  private final int maxConfirmations;
+  private final int source;
+  private final boolean raisedLocally;
   private Moment since;
-  private final Set<Integer> others = new TreeSet<>();
+  private final Set<Integer> confirmedBy = new TreeSet<>();
 
   /**
-   * @param by who suspected it first; where that is not this front and nobody could confirm it, it
-   *     waits the longest
+   * @param source who suspected it first; where that is not this front and nobody could confirm it,
+   *     it waits the longest
    */
-  Suspicion(Moment since, Span least, Span most, int enough, int by, boolean own) {
-    this.by = by;
-    this.own = own;
+  Suspicion(
+      Moment since,
+      Span minDuration,
+      Span maxDuration,
+      int maxConfirmations,
+      int source,
+      boolean raisedLocally) {
+    this.source = source;
+    this.raisedLocally = raisedLocally;
     this.since = since;
-    this.least = least;
-    this.most = most;
-    this.enough = enough;
+    this.minDuration = minDuration;
+    this.maxDuration = maxDuration;
+    this.maxConfirmations = maxConfirmations;
   }
 
   /**
    * A front suspects it as well; true where that is news. Who said so first confirms nothing by
    * saying it again.
    */
-  boolean confirmed(int by) {
-    return by != this.by && others.size() < enough && others.add(by);
+  boolean confirm(int source) {
+    return source != this.source
+        && confirmedBy.size() < maxConfirmations
+        && confirmedBy.add(source);
   }
 
   /** This front was not there to hear it speak for so long. */
-  void heldUp(Span span) {
+  void extend(Span span) {
     since = since.plus(span);
   }
 
   Moment endsAt() {
     double share =
-        enough == 0 ? own ? 1 : 0 : Math.log(others.size() + 1.0) / Math.log(enough + 1.0);
-    return since.plus(most.minus(most.minus(least).times(share)).orMore(least));
+        maxConfirmations == 0
+            ? raisedLocally ? 1 : 0
+            : Math.log(confirmedBy.size() + 1.0) / Math.log(maxConfirmations + 1.0);
+    return since.plus(
+        maxDuration.minus(maxDuration.minus(minDuration).times(share)).orMore(minDuration));
   }
 }
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -49,8 +49,8 @@
     if (entry == null) {
       onNewMember(update, now, sendOn);
     } else if (update.supersedes(entry.update())) {
-      if (update.state() == MemberState.DEAD && entry.isThere()) {
-        onDeath(entry, update, now);
+      if (update.state() == MemberState.DEAD && entry.isPresent()) {
+        onReportedDeath(entry, update, now);
       } else {
         accept(entry, update, now, sendOn);
       }
@@ -74,7 +74,7 @@
         && update.incarnation() == entry.update().incarnation()
         && entry.suspicion() != null
         && update.source() != own.number()
-        && entry.suspicion().confirmed(update.source());
+        && entry.suspicion().confirm(update.source());
   }
 
   /**
@@ -83,13 +83,13 @@
    * suspicion was never heard here: a death is found later by one more wait, shortened by whoever
    * confirms it.
    */
-  private void onDeath(MemberEntry entry, MemberUpdate update, Moment now) {
+  private void onReportedDeath(MemberEntry entry, MemberUpdate update, Moment now) {
     boolean suspected =
         entry.suspicion() != null && entry.update().incarnation() == update.incarnation();
     if (!membership.verifiesReportedDeaths()) {
       accept(entry, update, now, true);
     } else if (suspected) {
-      entry.suspicion().confirmed(update.source());
+      entry.suspicion().confirm(update.source());
       if (!now.before(entry.suspicion().endsAt())) {
         accept(entry, update, now, true);
       }
@@ -99,30 +99,31 @@
   }
 
   /** A front could not reach the member in that incarnation: it is suspected. */
-  void suspect(MemberEntry entry, int by, long incarnation, Moment now) {
+  void suspect(MemberEntry entry, int source, long incarnation, Moment now) {
     MemberUpdate update =
-        new MemberUpdate(entry.update().member(), incarnation, MemberState.SUSPECT, by);
+        new MemberUpdate(entry.update().member(), incarnation, MemberState.SUSPECT, source);
     if (entry.suspicion() == null || entry.update().incarnation() != incarnation) {
       accept(entry, update, now, true);
-    } else if (entry.suspicion().confirmed(by)) {
+    } else if (entry.suspicion().confirm(source)) {
       dissemination.add(update);
     }
   }
 
   /** Gives up those whose suspicion has run out. */
-  void endSuspicions(Moment now) {
+  void expireSuspicions(Moment now) {
     for (MemberEntry entry : List.copyOf(table.all())) {
       if (entry.suspicion() != null && !now.before(entry.suspicion().endsAt())) {
-        MemberUpdate held = entry.update();
+        MemberUpdate current = entry.update();
         MemberUpdate dead =
-            new MemberUpdate(held.member(), held.incarnation(), MemberState.DEAD, own.number());
+            new MemberUpdate(
+                current.member(), current.incarnation(), MemberState.DEAD, own.number());
         accept(entry, dead, now, true);
       }
     }
   }
 
   private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean sendOn) {
-    MemberUpdate before = entry.update();
+    MemberUpdate previous = entry.update();
     entry.setUpdate(update, now);
     if (update.state() == MemberState.SUSPECT) {
       entry.setSuspicion(newSuspicion(update, now));
@@ -130,21 +131,22 @@
     if (sendOn) {
       dissemination.add(update);
     }
-    if (before == null
-        || before.state() != update.state()
-        || before.incarnation() != update.incarnation()) {
+    if (previous == null
+        || previous.state() != update.state()
+        || previous.incarnation() != update.incarnation()) {
       port.stateChanged(update);
     }
   }
 
   private Suspicion newSuspicion(MemberUpdate update, Moment now) {
-    long there = table.countThere() + 1;
-    double periods = settings.suspicion() * Math.max(1, Math.log10(there));
-    Span least = settings.period().times(periods);
-    Span most = least.times(settings.longest());
-    int confirming = (int) Math.min(settings.confirmed(), Math.max(0, there - 3));
-    boolean byThis = update.source() == own.number();
-    return new Suspicion(now, least, most, confirming, update.source(), byThis);
+    long present = table.countPresent() + 1;
+    double periods = settings.suspicion() * Math.max(1, Math.log10(present));
+    Span minDuration = settings.period().times(periods);
+    Span maxDuration = minDuration.times(settings.longest());
+    int maxConfirmations = (int) Math.min(settings.confirmed(), Math.max(0, present - 3));
+    boolean raisedLocally = update.source() == own.number();
+    return new Suspicion(
+        now, minDuration, maxDuration, maxConfirmations, update.source(), raisedLocally);
   }
 
   /**
@@ -152,16 +154,16 @@
    * (SWIM, 4.2).
    */
   private void onOwnUpdate(MemberUpdate update) {
-    if (own.isClash(update)) {
+    if (own.isNumberConflict(update)) {
       port.numberConflict(update.member().address());
     }
-    if (!membership.refutes() || !own.mustDeny(update)) {
+    if (!membership.refutes() || !own.mustRefute(update)) {
       return;
     }
-    own.deny(update);
-    boolean heldForGone =
+    own.refute(update);
+    boolean reportedUnreachable =
         update.state() == MemberState.SUSPECT || update.state() == MemberState.DEAD;
-    health.worse(heldForGone ? 1 : 0);
+    health.degrade(reportedUnreachable ? 1 : 0);
     dissemination.add(own.update());
   }
 }
--- a/src/main/java/linengauge/membership/explore/DetectionFigures.java
+++ b/src/main/java/linengauge/membership/explore/DetectionFigures.java
@@ -12,7 +12,7 @@
  * @param last the longest: when it was known everywhere
  */
 public record DetectionFigures(int expected, int known, Span mean, Span p99, Span last) {
-  private static final double HIGH = 0.99;
+  private static final double HIGH_PERCENTILE = 0.99;
 
   /** The figures of those delays. */
   public static DetectionFigures of(int expected, List<Span> delays) {
@@ -21,12 +21,12 @@
     }
     List<Span> sorted = delays.stream().sorted().toList();
     double sum = sorted.stream().mapToDouble(Span::seconds).sum();
-    int high = (int) Math.ceil(HIGH * sorted.size()) - 1;
+    int percentileIndex = (int) Math.ceil(HIGH_PERCENTILE * sorted.size()) - 1;
     return new DetectionFigures(
         expected,
         sorted.size(),
         Span.ofSeconds(sum / sorted.size()),
-        sorted.get(high),
+        sorted.get(percentileIndex),
         sorted.get(sorted.size() - 1));
   }
 }
--- a/src/main/java/linengauge/membership/explore/FaultSchedule.java
+++ b/src/main/java/linengauge/membership/explore/FaultSchedule.java
@@ -18,30 +18,33 @@
    * Troubles drawn from a seed: so many, of spans from a blip to half a minute, and now and then a
    * whole zone cut off.
    */
-  public static FaultSchedule random(long seed, int fronts, int zones, int most, Span round) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    List<Fault> all = new ArrayList<>();
-    Moment quiet = new Moment(0);
-    Moment begin = new Moment(0).plus(round);
-    for (int i = 0; i < most; i++) {
-      Fault.Kind kind = Fault.Kind.values()[chance.nextInt(Fault.Kind.values().length)];
-      Moment from = begin.plus(Span.ofMillis(chance.nextInt(40_000)));
+  public static FaultSchedule random(
+      long seed, int fronts, int zones, int maxFaults, Span settlingTime) {
+    SplittableRandom random = new SplittableRandom(seed);
+    List<Fault> faults = new ArrayList<>();
+    Moment faultsEnd = new Moment(0);
+    Moment firstFault = new Moment(0).plus(settlingTime);
+    for (int i = 0; i < maxFaults; i++) {
+      Fault.Kind kind = Fault.Kind.values()[random.nextInt(Fault.Kind.values().length)];
+      Moment from = firstFault.plus(Span.ofMillis(random.nextInt(40_000)));
       Moment to =
-          from.plus(Span.ofMillis(200 + chance.nextInt(chance.nextInt(3) == 0 ? 30_000 : 4_000)));
-      if (kind == Fault.Kind.SICK && all.stream().anyMatch(t -> t.kind() == Fault.Kind.SICK)) {
+          from.plus(Span.ofMillis(200 + random.nextInt(random.nextInt(3) == 0 ? 30_000 : 4_000)));
+      if (kind == Fault.Kind.SICK
+          && faults.stream().anyMatch(fault -> fault.kind() == Fault.Kind.SICK)) {
         continue; // several that lie at once are beyond what is promised
       }
-      quiet = quiet.orLater(to);
-      boolean ofZone = kind == Fault.Kind.MUTE || kind == Fault.Kind.DEAF;
-      int a = chance.nextInt(ofZone ? zones : fronts);
-      all.add(new Fault(kind, a, chance.nextInt(fronts), from, to));
-      if (ofZone && chance.nextInt(2) == 0) {
-        all.add(
-            new Fault(kind == Fault.Kind.MUTE ? Fault.Kind.DEAF : Fault.Kind.MUTE, a, 0, from, to));
+      faultsEnd = faultsEnd.orLater(to);
+      boolean isZoneFault = kind == Fault.Kind.MUTE || kind == Fault.Kind.DEAF;
+      int target = random.nextInt(isZoneFault ? zones : fronts);
+      faults.add(new Fault(kind, target, random.nextInt(fronts), from, to));
+      if (isZoneFault && random.nextInt(2) == 0) {
+        faults.add(
+            new Fault(
+                kind == Fault.Kind.MUTE ? Fault.Kind.DEAF : Fault.Kind.MUTE, target, 0, from, to));
       }
     }
     return new FaultSchedule(
-        seed, fronts, zones, List.copyOf(all), quiet, quiet.plus(round.times(2)));
+        seed, fronts, zones, List.copyOf(faults), faultsEnd, faultsEnd.plus(settlingTime.times(2)));
   }
 
   /** Whether what one sends another is lost on its way. */
@@ -52,13 +55,13 @@
                 || isActive(Fault.Kind.DEAF, to % zones, 0, now));
   }
 
-  boolean isActive(Fault.Kind kind, int a, int b, Moment now) {
-    for (Fault t : faults) {
-      if (t.kind() == kind
-          && t.target() == a
-          && (kind != Fault.Kind.CUT || t.peer() == b)
-          && !now.before(t.from())
-          && now.before(t.to())) {
+  boolean isActive(Fault.Kind kind, int target, int peer, Moment now) {
+    for (Fault fault : faults) {
+      if (fault.kind() == kind
+          && fault.target() == target
+          && (kind != Fault.Kind.CUT || fault.peer() == peer)
+          && !now.before(fault.from())
+          && now.before(fault.to())) {
         return true;
       }
     }
@@ -66,9 +69,9 @@
   }
 
   /** The same without one of its troubles. */
-  public FaultSchedule withoutFault(int trouble) {
-    List<Fault> rest = new ArrayList<>(faults);
-    rest.remove(trouble);
-    return new FaultSchedule(seed, fronts, zones, List.copyOf(rest), faultsEnd, end);
+  public FaultSchedule withoutFault(int index) {
+    List<Fault> remaining = new ArrayList<>(faults);
+    remaining.remove(index);
+    return new FaultSchedule(seed, fronts, zones, List.copyOf(remaining), faultsEnd, end);
   }
 }
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -38,30 +38,30 @@
   /** Makes a front's core; one that lacks a guard, to see what it guards. */
   public interface MembershipFactory {
     Membership create(
-        MembershipSettings terms,
+        MembershipSettings settings,
         Member own,
         long incarnation,
         List<String> seeds,
         Membership.Port port,
-        SplittableRandom chance);
+        SplittableRandom random);
   }
 
-  private record Due(Moment at, long number, Runnable deed) {}
+  private record Event(Moment at, long order, Runnable action) {}
 
   private final class Front implements Membership.Port {
     private final int number;
     private final Member member;
-    private Membership core;
+    private Membership membership;
     private int life;
-    private Moment wakesAt;
+    private Moment timerAt;
     private boolean up;
-    private boolean stepping;
-    private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
-    private int bytes;
+    private boolean resumeScheduled;
+    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
+    private int bytesInSecond;
     private long second;
 
     /** The incarnation of each other that this life holds. */
-    private final Map<Integer, Long> seen = new HashMap<>();
+    private final Map<Integer, Long> seenIncarnations = new HashMap<>();
 
     private Front(int number) {
       this.number = number;
@@ -71,128 +71,130 @@
     private void start() {
       life++;
       up = true;
-      wakesAt = null;
-      unread.clear();
-      seen.clear();
-      core =
-          maker.create(
-              terms,
+      timerAt = null;
+      deferred.clear();
+      seenIncarnations.clear();
+      membership =
+          factory.create(
+              settings,
               member,
               now.micros() / 1000 + 1,
               List.of("10.0.0.0:7000", "10.0.0.1:7000"),
               this,
-              chance.split());
-      core.start(now);
-      wake();
+              random.split());
+      membership.start(now);
+      scheduleTimer();
     }
 
-    private void wake() {
-      Moment next = core.nextStep().orLater(now);
-      if (wakesAt != null && !next.before(wakesAt)) {
+    private void scheduleTimer() {
+      Moment next = membership.nextStep().orLater(now);
+      if (timerAt != null && !next.before(timerAt)) {
         return;
       }
-      wakesAt = next;
-      int mine = life;
-      at(
+      timerAt = next;
+      int timerLife = life;
+      scheduleAt(
           next,
           () -> {
-            if (up && mine == life && next.equals(wakesAt)) {
-              run(
+            if (up && timerLife == life && next.equals(timerAt)) {
+              runOrDefer(
                   () -> {
-                    wakesAt = null;
-                    core.step(now);
-                    wake();
+                    timerAt = null;
+                    membership.step(now);
+                    scheduleTimer();
                   });
             }
           });
     }
 
     /** One that is stopped reads and steps when it goes on. */
-    private void run(Runnable deed) {
+    private void runOrDefer(Runnable action) {
       if (schedule.isActive(Fault.Kind.FREEZE, number, 0, now)) {
-        unread.add(deed);
-        if (!stepping) {
-          stepping = true;
-          Moment goesOn =
+        deferred.add(action);
+        if (!resumeScheduled) {
+          resumeScheduled = true;
+          Moment resumesAt =
               schedule.faults().stream()
                   .filter(
-                      t ->
-                          t.kind() == Fault.Kind.FREEZE
-                              && t.target() == number
-                              && now.before(t.to()))
+                      fault ->
+                          fault.kind() == Fault.Kind.FREEZE
+                              && fault.target() == number
+                              && now.before(fault.to()))
                   .map(Fault::to)
                   .max(Moment::compareTo)
                   .orElse(now);
-          at(
-              goesOn,
+          scheduleAt(
+              resumesAt,
               () -> {
-                stepping = false;
-                List<Runnable> all = List.copyOf(unread);
-                unread.clear();
+                resumeScheduled = false;
+                List<Runnable> actions = List.copyOf(deferred);
+                deferred.clear();
                 if (up) {
-                  all.forEach(this::run);
+                  actions.forEach(this::runOrDefer);
                 }
               });
         }
       } else {
-        deed.run();
+        action.run();
       }
     }
 
     @Override
-    public void send(String address, Datagram words) {
-      Datagram w = words;
+    public void send(String address, Datagram datagram) {
+      Datagram outgoing = datagram;
       if (schedule.isActive(Fault.Kind.SICK, number, 0, now)) {
-        List<MemberUpdate> nonsense = new ArrayList<>();
-        core.members()
+        List<MemberUpdate> falseDeaths = new ArrayList<>();
+        membership
+            .members()
             .forEach(
-                n ->
-                    nonsense.add(
-                        new MemberUpdate(n.member(), n.incarnation(), MemberState.DEAD, number)));
-        w =
+                update ->
+                    falseDeaths.add(
+                        new MemberUpdate(
+                            update.member(), update.incarnation(), MemberState.DEAD, number)));
+        outgoing =
             new Datagram(
-                words.kind(),
+                datagram.kind(),
                 number,
-                words.sequence(),
-                words.argument(),
-                nonsense.subList(0, Math.min(20, nonsense.size())));
+                datagram.sequence(),
+                datagram.argument(),
+                falseDeaths.subList(0, Math.min(20, falseDeaths.size())));
       }
-      byte[] sent = w.encode();
-      if (sent.length > Datagram.MAX_BYTES) {
-        broken.add(at() + number + " sends " + sent.length + " bytes");
+      byte[] bytes = outgoing.encode();
+      if (bytes.length > Datagram.MAX_BYTES) {
+        violations.add(timePrefix() + number + " sends " + bytes.length + " bytes");
       }
       datagrams++;
-      traffic.recordSent(now, number, sent.length);
+      traffic.recordSent(now, number, bytes.length);
       if (second != now.micros() / 1_000_000) {
         second = now.micros() / 1_000_000;
-        bytes = 0;
+        bytesInSecond = 0;
       }
-      bytes += sent.length;
-      mostBytes = Math.max(mostBytes, bytes);
+      bytesInSecond += bytes.length;
+      maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesInSecond);
       int to = Integer.parseInt(address.substring("10.0.0.".length(), address.indexOf(':')));
       boolean lossy =
           schedule.isActive(Fault.Kind.LOSS, number, 0, now)
               || schedule.isActive(Fault.Kind.LOSS, to, 0, now);
       if (to >= fronts.size()
           || schedule.isBlocked(number, to, now)
-          || lossy && chance.nextInt(10) < 3) {
+          || lossy && random.nextInt(10) < 3) {
         return;
       }
-      int copies = chance.nextInt(50) == 0 ? 2 : 1;
+      int copies = random.nextInt(50) == 0 ? 2 : 1;
       for (int i = 0; i < copies; i++) {
-        at(
-            now.plus(new Span(200 + chance.nextInt(lossy ? 150_000 : 5_000))),
+        scheduleAt(
+            now.plus(new Span(200 + random.nextInt(lossy ? 150_000 : 5_000))),
             () -> {
-              Front f = fronts.get(to);
-              if (f.up) {
-                traffic.recordReceived(now, to, sent.length);
-                int mine = f.life;
-                Datagram read = Datagram.decode(sent, sent.length);
-                f.run(
+              Front receiver = fronts.get(to);
+              if (receiver.up) {
+                traffic.recordReceived(now, to, bytes.length);
+                int receiverLife = receiver.life;
+                Datagram decoded = Datagram.decode(bytes, bytes.length);
+                receiver.runOrDefer(
                     () -> {
-                      if (f.life == mine) {
-                        f.core.onDatagram(now, member.address(), read);
-                        f.wake();
+                      if (receiver.life == receiverLife) {
+                        receiver.membership.onDatagram(now, member.address(), decoded);
+                        receiver.scheduleTimer();
                       }
                     });
               }
@@ -201,62 +203,70 @@
     }
 
     @Override
-    public void stateChanged(MemberUpdate held) {
-      Long before = seen.put(held.member().number(), held.incarnation());
-      if (before != null && held.incarnation() < before) {
-        broken.add(
-            at() + number + " holds an older life of " + held.member().number() + " after a newer");
+    public void stateChanged(MemberUpdate update) {
+      Long previous = seenIncarnations.put(update.member().number(), update.incarnation());
+      if (previous != null && update.incarnation() < previous) {
+        violations.add(
+            timePrefix()
+                + number
+                + " holds an older life of "
+                + update.member().number()
+                + " after a newer");
       }
-      if (held.state() == MemberState.SUSPECT
-          && held.source() == number
-          && !troubled(held.member().number())) {
-        suspected++;
+      if (update.state() == MemberState.SUSPECT
+          && update.source() == number
+          && !isAffectedByFault(update.member().number())) {
+        falseSuspicions++;
       }
-      if (held.state() == MemberState.DEAD) {
-        Moment died = killedAt.get(held.member().number());
+      if (update.state() == MemberState.DEAD) {
+        Moment died = killedAt.get(update.member().number());
         if (died != null) {
-          foundAfter.add(now.since(died));
-        } else if (!troubled(held.member().number())) {
-          broken.add(
-              at() + number + " gives up " + held.member().number() + ", which nothing ailed");
+          detectionDelays.add(now.since(died));
+        } else if (!isAffectedByFault(update.member().number())) {
+          violations.add(
+              timePrefix()
+                  + number
+                  + " gives up "
+                  + update.member().number()
+                  + ", which nothing ailed");
         }
       }
     }
 
     @Override
     public void numberConflict(String address) {
-      broken.add(at() + number + " hears its own number from " + address);
+      violations.add(timePrefix() + number + " hears its own number from " + address);
     }
   }
 
-  private final MembershipFactory maker;
-  private final MembershipSettings terms;
+  private final MembershipFactory factory;
+  private final MembershipSettings settings;
   private final FaultSchedule schedule;
-  private final SplittableRandom chance;
-  private final PriorityQueue<Due> due =
+  private final SplittableRandom random;
+  private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
+          (a, b) -> a.at.equals(b.at) ? Long.compare(a.order, b.order) : a.at.compareTo(b.at));
   private final List<Front> fronts = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
-  private final List<Span> foundAfter = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
+  private final List<Span> detectionDelays = new ArrayList<>();
   private final Map<Integer, Moment> killedAt = new HashMap<>();
   private final TrafficMeter traffic;
   private Moment now = new Moment(0);
-  private long number;
+  private long nextOrder;
   private long datagrams;
-  private int mostBytes;
-  private int suspected;
+  private int maxBytesPerSecond;
+  private int falseSuspicions;
 
-  public FleetSimulation(MembershipSettings terms, FaultSchedule schedule) {
-    this(terms, schedule, Membership::new);
+  public FleetSimulation(MembershipSettings settings, FaultSchedule schedule) {
+    this(settings, schedule, Membership::new);
   }
 
   public FleetSimulation(
-      MembershipSettings terms, FaultSchedule schedule, MembershipFactory maker) {
-    this.maker = maker;
-    this.terms = terms;
+      MembershipSettings settings, FaultSchedule schedule, MembershipFactory factory) {
+    this.factory = factory;
+    this.settings = settings;
     this.schedule = schedule;
-    this.chance = new SplittableRandom(schedule.seed() ^ 0x5bd1e995L);
+    this.random = new SplittableRandom(schedule.seed() ^ 0x5bd1e995L);
     this.traffic = new TrafficMeter(schedule.fronts());
   }
 
@@ -265,93 +275,116 @@
     return traffic;
   }
 
-  private String at() {
+  private String timePrefix() {
     return String.format("%.3f s: ", now.micros() / 1e6);
   }
 
-  private void at(Moment when, Runnable deed) {
-    due.add(new Due(when, number++, deed));
+  private void scheduleAt(Moment when, Runnable action) {
+    events.add(new Event(when, nextOrder++, action));
   }
 
   /**
    * Whether anything ails the member or all its ways, within the time that a suspicion may take.
    */
-  private boolean troubled(int a) {
+  private boolean isAffectedByFault(int front) {
     Moment from = now.minus(longestSuspicion());
     long cuts =
         schedule.faults().stream()
-            .filter(t -> t.kind() == Fault.Kind.CUT && from.before(t.to()) && !now.before(t.from()))
+            .filter(
+                fault ->
+                    fault.kind() == Fault.Kind.CUT
+                        && from.before(fault.to())
+                        && !now.before(fault.from()))
             .count();
     return cuts > 1
         || schedule.faults().stream()
             .anyMatch(
-                t ->
-                    from.before(t.to())
-                        && !now.before(t.from())
-                        && switch (t.kind()) {
+                fault ->
+                    from.before(fault.to())
+                        && !now.before(fault.from())
+                        && switch (fault.kind()) {
                           case CUT -> false; // the others reach it
                           case MUTE, DEAF -> true;
-                          case LOSS, KILL, FREEZE -> t.target() == a;
+                          case LOSS, KILL, FREEZE -> fault.target() == front;
                           case SICK ->
-                              t.target()
-                                  == a; // it denies nothing; what it says of others is no reason to
+                              fault.target()
+                                  == front; // it denies nothing; what it says of others is no
+                            // reason to
                             // give these up
                         });
   }
 
   private Span longestSuspicion() {
-    return terms
+    return settings
         .period()
         .times(
-            terms.suspicion() * Math.max(1, Math.log10(schedule.fronts())) * terms.longest() + 6);
+            settings.suspicion() * Math.max(1, Math.log10(schedule.fronts())) * settings.longest()
+                + 6);
   }
 
   public Outcome run() {
     for (int i = 0; i < schedule.fronts(); i++) {
-      Front f = new Front(i);
-      fronts.add(f);
-      at(new Moment(chance.nextInt(1_000_000)), f::start);
+      Front front = new Front(i);
+      fronts.add(front);
+      scheduleAt(new Moment(random.nextInt(1_000_000)), front::start);
     }
-    for (Fault t : schedule.faults()) {
-      if (t.kind() == Fault.Kind.KILL) {
-        at(
-            t.from(),
+    for (Fault fault : schedule.faults()) {
+      if (fault.kind() == Fault.Kind.KILL) {
+        scheduleAt(
+            fault.from(),
             () -> {
-              fronts.get(t.target()).up = false;
-              killedAt.put(t.target(), now);
+              fronts.get(fault.target()).up = false;
+              killedAt.put(fault.target(), now);
             });
-        at(
-            t.to(),
+        scheduleAt(
+            fault.to(),
             () -> {
-              if (!schedule.isActive(Fault.Kind.KILL, t.target(), 0, now)
-                  && !fronts.get(t.target()).up) {
-                killedAt.remove(t.target());
-                fronts.get(t.target()).start();
+              if (!schedule.isActive(Fault.Kind.KILL, fault.target(), 0, now)
+                  && !fronts.get(fault.target()).up) {
+                killedAt.remove(fault.target());
+                fronts.get(fault.target()).start();
               }
             });
       }
     }
-    while (!due.isEmpty() && due.peek().at.before(schedule.end())) {
-      Due d = due.poll();
-      now = d.at;
-      d.deed.run();
+    while (!events.isEmpty() && events.peek().at.before(schedule.end())) {
+      Event event = events.poll();
+      now = event.at;
+      event.action.run();
     }
-    comeRound();
+    checkConvergence();
     return new Outcome(
-        List.copyOf(broken), datagrams, mostBytes, suspected, List.copyOf(foundAfter));
+        List.copyOf(violations),
+        datagrams,
+        maxBytesPerSecond,
+        falseSuspicions,
+        List.copyOf(detectionDelays));
   }
 
   /** Long after the last trouble everybody holds everybody for there, in their present life. */
-  private void comeRound() {
-    for (Front f : fronts) {
-      List<MemberUpdate> held = f.core.members();
-      if (held.size() != fronts.size() - 1) {
-        broken.add(at() + f.number + " holds " + held.size() + " of " + (fronts.size() - 1));
+  private void checkConvergence() {
+    for (Front front : fronts) {
+      List<MemberUpdate> members = front.membership.members();
+      if (members.size() != fronts.size() - 1) {
+        violations.add(
+            timePrefix()
+                + front.number
+                + " holds "
+                + members.size()
+                + " of "
+                + (fronts.size() - 1));
       }
-      for (MemberUpdate n : held) {
-        Front other = fronts.get(n.member().number());
-        if (n.state() != MemberState.ALIVE || n.incarnation() != other.core.incarnation()) {
-          broken.add(at() + f.number + " holds " + n.member().number() + " for " + n.state());
+      for (MemberUpdate update : members) {
+        Front other = fronts.get(update.member().number());
+        if (update.state() != MemberState.ALIVE
+            || update.incarnation() != other.membership.incarnation()) {
+          violations.add(
+              timePrefix()
+                  + front.number
+                  + " holds "
+                  + update.member().number()
+                  + " for "
+                  + update.state());
         }
       }
     }
--- a/src/main/java/linengauge/membership/explore/GossipMeasurement.java
+++ b/src/main/java/linengauge/membership/explore/GossipMeasurement.java
@@ -16,9 +16,9 @@
   /** Front that dies: no seed, since those are called on by all at a start. */
   private static final int VICTIM = 7;
 
-  private static final int START_END = 60;
-  private static final int QUIET_END = 120;
-  private static final int DEATH_END = 180;
+  private static final int START_END_SECONDS = 60;
+  private static final int QUIET_END_SECONDS = 120;
+  private static final int DEATH_END_SECONDS = 180;
 
   private final MembershipSettings settings;
   private final int fronts;
@@ -27,42 +27,42 @@
   /**
    * @param mostMembers in place of the settings' own bound, so that larger fleets can be measured
    */
-  public GossipMeasurement(MembershipSettings settings, int fronts, long seed, int mostMembers) {
-    this.settings = withMost(settings, mostMembers);
+  public GossipMeasurement(MembershipSettings settings, int fronts, long seed, int maxMembers) {
+    this.settings = withMaxMembers(settings, maxMembers);
     this.fronts = fronts;
     this.seed = seed;
   }
 
-  private static MembershipSettings withMost(MembershipSettings of, int most) {
+  private static MembershipSettings withMaxMembers(MembershipSettings settings, int maxMembers) {
     return new MembershipSettings(
-        of.period(),
-        of.answer(),
-        of.helpers(),
-        of.suspicion(),
-        of.longest(),
-        of.confirmed(),
-        of.healthMost(),
-        of.retellings(),
-        of.deadKept(),
-        of.regather(),
-        most);
+        settings.period(),
+        settings.answer(),
+        settings.helpers(),
+        settings.suspicion(),
+        settings.longest(),
+        settings.confirmed(),
+        settings.healthMost(),
+        settings.retellings(),
+        settings.deadKept(),
+        settings.regather(),
+        maxMembers);
   }
 
   /** Plays the run: the figures of the start, of the quiet minute, and of the death. */
   public List<SimulationFigures> run() {
-    Moment death = at(QUIET_END + 1);
-    Moment end = at(DEATH_END);
+    Moment death = at(QUIET_END_SECONDS + 1);
+    Moment end = at(DEATH_END_SECONDS);
     Fault kill = new Fault(Fault.Kind.KILL, VICTIM, 0, death, end.plus(Span.ofSeconds(1)));
     FaultSchedule schedule = new FaultSchedule(seed, fronts, ZONES, List.of(kill), end, end);
     FleetSimulation fleet = new FleetSimulation(settings, schedule);
     FleetSimulation.Outcome outcome = fleet.run();
     DetectionFigures none = DetectionFigures.of(0, List.of());
-    DetectionFigures found = DetectionFigures.of(fronts - 1, outcome.detectionDelays());
+    DetectionFigures detection = DetectionFigures.of(fronts - 1, outcome.detectionDelays());
     TrafficMeter traffic = fleet.traffic();
     return List.of(
-        figures("START", traffic.figures(0, START_END), none),
-        figures("QUIET", traffic.figures(START_END, QUIET_END), none),
-        figures("FRONT_KILLED", traffic.figures(QUIET_END, DEATH_END), found));
+        figures("START", traffic.figures(0, START_END_SECONDS), none),
+        figures("QUIET", traffic.figures(START_END_SECONDS, QUIET_END_SECONDS), none),
+        figures("FRONT_KILLED", traffic.figures(QUIET_END_SECONDS, DEATH_END_SECONDS), detection));
   }
 
   private SimulationFigures figures(String event, TrafficFigures traffic, DetectionFigures ends) {
--- a/src/main/java/linengauge/membership/explore/TrafficMeter.java
+++ b/src/main/java/linengauge/membership/explore/TrafficMeter.java
@@ -19,7 +19,7 @@
   /** Of so many seconds the worst is looked for. */
   public static final int WORST_WINDOW_SECONDS = 10;
 
-  private static final long MICROS_A_SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   private static final class Counts {
     private final int[] bytesSent;
@@ -27,62 +27,62 @@
     private final int[] bytesReceived;
     private final int[] datagramsReceived;
 
-    private Counts(int parties) {
-      bytesSent = new int[parties];
-      datagramsSent = new int[parties];
-      bytesReceived = new int[parties];
-      datagramsReceived = new int[parties];
+    private Counts(int participants) {
+      bytesSent = new int[participants];
+      datagramsSent = new int[participants];
+      bytesReceived = new int[participants];
+      datagramsReceived = new int[participants];
     }
 
-    private long wireSent(int party) {
-      return bytesSent[party] + (long) WIRE_OVERHEAD * datagramsSent[party];
+    private long wireSent(int participant) {
+      return bytesSent[participant] + (long) WIRE_OVERHEAD * datagramsSent[participant];
     }
 
-    private long wireReceived(int party) {
-      return bytesReceived[party] + (long) WIRE_OVERHEAD * datagramsReceived[party];
+    private long wireReceived(int participant) {
+      return bytesReceived[participant] + (long) WIRE_OVERHEAD * datagramsReceived[participant];
     }
   }
 
   private interface Quantity {
-    long of(Counts counts, int party);
+    long of(Counts counts, int participant);
   }
 
-  private final int parties;
+  private final int participants;
   private final List<Counts> seconds = new ArrayList<>();
 
-  public TrafficMeter(int parties) {
-    this.parties = parties;
+  public TrafficMeter(int participants) {
+    this.participants = participants;
   }
 
   /** A party sends a datagram of so many bytes of payload. */
-  public void recordSent(Moment now, int party, int payload) {
-    Counts counts = at(now);
-    counts.bytesSent[party] += payload;
-    counts.datagramsSent[party]++;
+  public void recordSent(Moment now, int participant, int payloadBytes) {
+    Counts counts = countsAt(now);
+    counts.bytesSent[participant] += payloadBytes;
+    counts.datagramsSent[participant]++;
   }
 
   /** A datagram of so many bytes of payload reaches a party. */
-  public void recordReceived(Moment now, int party, int payload) {
-    Counts counts = at(now);
-    counts.bytesReceived[party] += payload;
-    counts.datagramsReceived[party]++;
+  public void recordReceived(Moment now, int participant, int payloadBytes) {
+    Counts counts = countsAt(now);
+    counts.bytesReceived[participant] += payloadBytes;
+    counts.datagramsReceived[participant]++;
   }
 
-  private Counts at(Moment now) {
-    int second = (int) (now.micros() / MICROS_A_SECOND);
+  private Counts countsAt(Moment now) {
+    int second = (int) (now.micros() / MICROS_PER_SECOND);
     while (seconds.size() <= second) {
-      seconds.add(new Counts(parties));
+      seconds.add(new Counts(participants));
     }
     return seconds.get(second);
   }
 
   /** Bytes on the wire that the party sent and received within that second. */
-  public long wireBytes(int second, int party) {
+  public long wireBytes(int second, int participant) {
     if (second >= seconds.size()) {
       return 0;
     }
     Counts counts = seconds.get(second);
-    return counts.wireSent(party) + counts.wireReceived(party);
+    return counts.wireSent(participant) + counts.wireReceived(participant);
   }
 
   /** The figures of the seconds from the one to before the other, over all parties. */
@@ -93,52 +93,61 @@
         to,
         mean(from, to, Counts::wireSent),
         mean(from, to, Counts::wireReceived),
-        mean(from, to, (c, p) -> c.bytesSent[p]),
-        mean(from, to, (c, p) -> c.bytesReceived[p]),
-        mean(from, to, (c, p) -> c.datagramsSent[p]),
-        mean(from, to, (c, p) -> c.datagramsReceived[p]),
+        mean(from, to, (counts, participant) -> counts.bytesSent[participant]),
+        mean(from, to, (counts, participant) -> counts.bytesReceived[participant]),
+        mean(from, to, (counts, participant) -> counts.datagramsSent[participant]),
+        mean(from, to, (counts, participant) -> counts.datagramsReceived[participant]),
         worst(from, end, Counts::wireSent),
         worst(from, end, Counts::wireReceived),
-        worst(from, end, (c, p) -> c.wireSent(p) + c.wireReceived(p)),
-        worst(from, end, (c, p) -> c.bytesSent[p]),
+        worst(
+            from,
+            end,
+            (counts, participant) ->
+                counts.wireSent(participant) + counts.wireReceived(participant)),
+        worst(from, end, (counts, participant) -> counts.bytesSent[participant]),
         worstOfAll(from, end));
   }
 
   private double mean(int from, int to, Quantity quantity) {
     long sum = 0;
-    for (int s = from; s < Math.min(to, seconds.size()); s++) {
-      for (int p = 0; p < parties; p++) {
-        sum += quantity.of(seconds.get(s), p);
+    for (int second = from; second < Math.min(to, seconds.size()); second++) {
+      for (int participant = 0; participant < participants; participant++) {
+        sum += quantity.of(seconds.get(second), participant);
       }
     }
-    return (double) sum / parties / (to - from);
+    return (double) sum / participants / (to - from);
   }
 
   /** A second of the worst ten in a row of the party that is worst off. */
   private double worst(int from, int to, Quantity quantity) {
-    long most = 0;
-    for (int p = 0; p < parties; p++) {
+    long maxSum = 0;
+    for (int participant = 0; participant < participants; participant++) {
       long sum = 0;
-      for (int s = from; s < to; s++) {
-        sum += quantity.of(seconds.get(s), p);
+      for (int second = from; second < to; second++) {
+        sum += quantity.of(seconds.get(second), participant);
         sum -=
-            s - from >= WORST_WINDOW_SECONDS
-                ? quantity.of(seconds.get(s - WORST_WINDOW_SECONDS), p)
+            second - from >= WORST_WINDOW_SECONDS
+                ? quantity.of(seconds.get(second - WORST_WINDOW_SECONDS), participant)
                 : 0;
-        most = Math.max(most, sum);
+        maxSum = Math.max(maxSum, sum);
       }
     }
-    return (double) most / WORST_WINDOW_SECONDS;
+    return (double) maxSum / WORST_WINDOW_SECONDS;
   }
 
   /** A second of the worst ten in a row of the mean party. */
   private double worstOfAll(int from, int to) {
-    double most = 0;
-    for (int s = from; s + WORST_WINDOW_SECONDS <= to; s++) {
-      most =
+    double maxMean = 0;
+    for (int second = from; second + WORST_WINDOW_SECONDS <= to; second++) {
+      maxMean =
           Math.max(
-              most, mean(s, s + WORST_WINDOW_SECONDS, (c, p) -> c.wireSent(p) + c.wireReceived(p)));
+              maxMean,
+              mean(
+                  second,
+                  second + WORST_WINDOW_SECONDS,
+                  (counts, participant) ->
+                      counts.wireSent(participant) + counts.wireReceived(participant)));
     }
-    return most;
+    return maxMean;
   }
 }
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -23,7 +23,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(MembershipNode.class);
 
   /** Version 1, and where a datagram says who sends it. */
-  private static final SealedChannel.Form FORM =
+  private static final SealedChannel.Form HEADER_FORMAT =
       new SealedChannel.Form(1, 2, 4, Datagram.MAX_BYTES);
 
   /** What was dropped, by cause; another version is unreadable. */
@@ -33,15 +33,15 @@
   private final DatagramLoop loop;
   private final SealedChannel channel;
   private final Membership membership;
-  private final Served part = new Served();
-  private boolean clashed;
-  private boolean stale;
-  private volatile boolean silently;
+  private final LoopPart loopPart = new LoopPart();
+  private boolean conflictLogged;
+  private boolean snapshotStale;
+  private volatile boolean stopsWithoutLeaving;
   private volatile boolean started;
   private volatile List<MemberUpdate> memberSnapshot = List.of();
 
   /** The members as the loop serves them. */
-  private final class Served implements DatagramLoop.Part {
+  private final class LoopPart implements DatagramLoop.Part {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -55,15 +55,15 @@
     @Override
     public void heard(Moment now, String address, byte[] bytes, int length) {
       membership.onDatagram(now, address, Datagram.decode(bytes, length));
-      if (stale) {
-        publish();
+      if (snapshotStale) {
+        updateSnapshot();
       }
     }
 
     @Override
     public void step(Moment now) {
       membership.step(now);
-      publish();
+      updateSnapshot();
     }
 
     @Override
@@ -73,7 +73,7 @@
 
     @Override
     public void end(Moment now) {
-      if (!silently) {
+      if (!stopsWithoutLeaving) {
         membership.leave(now);
       }
     }
@@ -89,13 +89,13 @@
    * @throws IOException where it cannot listen there
    */
   public MembershipNode(
-      MembershipSettings terms,
+      MembershipSettings settings,
       Member own,
       List<String> seeds,
       byte[] key,
-      Consumer<MemberUpdate> changed)
+      Consumer<MemberUpdate> listener)
       throws IOException {
-    this(terms, own, seeds, key, changed, null);
+    this(settings, own, seeds, key, listener, null);
   }
 
   /**
@@ -104,44 +104,44 @@
    * @param shared null: a thread of its own
    */
   public MembershipNode(
-      MembershipSettings terms,
+      MembershipSettings settings,
       Member own,
       List<String> seeds,
       byte[] key,
-      Consumer<MemberUpdate> changed,
-      DatagramLoop shared)
+      Consumer<MemberUpdate> listener,
+      DatagramLoop sharedLoop)
       throws IOException {
-    channel = new SealedChannel(FORM, own.address(), own.number(), key);
-    ownLoop = shared == null ? new DatagramLoop("members") : null;
-    loop = shared == null ? ownLoop : shared;
-    long clock = System.currentTimeMillis();
+    channel = new SealedChannel(HEADER_FORMAT, own.address(), own.number(), key);
+    ownLoop = sharedLoop == null ? new DatagramLoop("members") : null;
+    loop = sharedLoop == null ? ownLoop : sharedLoop;
+    long wallClockMillis = System.currentTimeMillis();
     membership =
         new Membership(
-            terms,
+            settings,
             own,
-            clock,
+            wallClockMillis,
             seeds,
-            port(own, changed),
-            new SplittableRandom(clock ^ own.number()));
+            port(own, listener),
+            new SplittableRandom(wallClockMillis ^ own.number()));
   }
 
-  private Membership.Port port(Member own, Consumer<MemberUpdate> changed) {
+  private Membership.Port port(Member own, Consumer<MemberUpdate> listener) {
     return new Membership.Port() {
       @Override
-      public void send(String address, Datagram words) {
-        channel.send(address, words.encode());
+      public void send(String address, Datagram datagram) {
+        channel.send(address, datagram.encode());
       }
 
       @Override
-      public void stateChanged(MemberUpdate news) {
-        stale = true;
-        changed.accept(news);
+      public void stateChanged(MemberUpdate update) {
+        snapshotStale = true;
+        listener.accept(update);
       }
 
       @Override
       public void numberConflict(String address) {
-        if (!clashed) {
-          clashed = true;
+        if (!conflictLogged) {
+          conflictLogged = true;
           LOG.error(
               "members: another front goes by this one's number {} at {}", own.number(), address);
         }
@@ -150,7 +150,7 @@
   }
 
   public void start() {
-    started = loop.add(part);
+    started = loop.add(loopPart);
   }
 
   /** All that is held of the others, as of the last turn. */
@@ -159,8 +159,11 @@
   }
 
   public Drops drops() {
-    SealedChannel.Drops all = channel.drops();
-    return new Drops(all.strangers(), all.replayed(), all.unreadable() + all.otherVersions());
+    SealedChannel.Drops channelDrops = channel.drops();
+    return new Drops(
+        channelDrops.strangers(),
+        channelDrops.replayed(),
+        channelDrops.unreadable() + channelDrops.otherVersions());
   }
 
   /** What goes over its socket, and for trials what is lost there on purpose. */
@@ -170,12 +173,12 @@
 
   /** Tells some that it leaves, and ends; does not wait for it. */
   public void leave() {
-    loop.remove(part);
+    loop.remove(loopPart);
   }
 
   /** Ends without a word, as a front that is killed; waited for, a second at most. */
   public void stopWithoutLeaving() {
-    silently = true;
+    stopsWithoutLeaving = true;
     close();
   }
 
@@ -183,7 +186,7 @@
   @Override
   public void close() {
     try {
-      if (started && !loop.removeAndWait(part)) {
+      if (started && !loop.removeAndWait(loopPart)) {
         LOG.warn("members: still at work");
       }
       if (ownLoop != null) {
@@ -195,8 +198,8 @@
     }
   }
 
-  private void publish() {
+  private void updateSnapshot() {
     memberSnapshot = membership.members();
-    stale = false;
+    snapshotStale = false;
   }
 }
--- a/src/test/java/linengauge/membership/DatagramTest.java
+++ b/src/test/java/linengauge/membership/DatagramTest.java
@@ -9,53 +9,55 @@
 import org.junit.jupiter.api.Test;
 
 class DatagramTest {
-  private static final MemberUpdate NEWS =
+  private static final MemberUpdate UPDATE =
       new MemberUpdate(
           new Member(7, "127.0.3.1:7000", 3, 1), 1_764_600_000_000L, MemberState.SUSPECT, 12);
-  private static final Datagram WORDS =
-      new Datagram(Datagram.Kind.ASK, 4, -5, 9, List.of(NEWS, NEWS));
+  private static final Datagram DATAGRAM =
+      new Datagram(Datagram.Kind.ASK, 4, -5, 9, List.of(UPDATE, UPDATE));
 
   @Test
-  void whatIsWrittenIsReadAsItWas() {
-    byte[] b = WORDS.encode();
-    assertEquals(WORDS, Datagram.decode(b, b.length));
+  void decodingAnEncodedDatagramYieldsTheOriginal() {
+    byte[] bytes = DATAGRAM.encode();
+    assertEquals(DATAGRAM, Datagram.decode(bytes, bytes.length));
     assertEquals(
-        2 * Datagram.encodedSize(NEWS) + Datagram.MAX_BYTES - Datagram.maxUpdateBytes(), b.length);
+        2 * Datagram.encodedSize(UPDATE) + Datagram.MAX_BYTES - Datagram.maxUpdateBytes(),
+        bytes.length);
   }
 
   @Test
-  void whatIsCutShortLongerThanItSaysOrAnotherVersionsIsRefused() {
-    byte[] b = WORDS.encode();
-    for (int length = 0; length < b.length; length++) {
-      int l = length;
-      assertThrows(IllegalArgumentException.class, () -> Datagram.decode(b, l));
+  void truncatedOverlongAndOtherVersionDatagramsAreRejected() {
+    byte[] bytes = DATAGRAM.encode();
+    for (int length = 0; length < bytes.length; length++) {
+      int truncatedLength = length;
+      assertThrows(IllegalArgumentException.class, () -> Datagram.decode(bytes, truncatedLength));
     }
     assertThrows(
         IllegalArgumentException.class,
-        () -> Datagram.decode(Arrays.copyOf(b, b.length + 1), b.length + 1));
+        () -> Datagram.decode(Arrays.copyOf(bytes, bytes.length + 1), bytes.length + 1));
     assertThrows(
         IllegalArgumentException.class,
-        () -> Datagram.decode(Arrays.copyOf(b, Datagram.MAX_BYTES + 1), Datagram.MAX_BYTES + 1));
-    b[0]++;
-    assertThrows(IllegalArgumentException.class, () -> Datagram.decode(b, b.length));
+        () ->
+            Datagram.decode(Arrays.copyOf(bytes, Datagram.MAX_BYTES + 1), Datagram.MAX_BYTES + 1));
+    bytes[0]++;
+    assertThrows(IllegalArgumentException.class, () -> Datagram.decode(bytes, bytes.length));
   }
 
   /** Noise is refused or read; nothing else is thrown, and nothing is kept of what is not there. */
   @Test
-  void noiseDoesNoHarm() {
-    SplittableRandom chance = new SplittableRandom(5);
-    int read = 0;
+  void corruptedDatagramsAreDecodedOrRejected() {
+    SplittableRandom random = new SplittableRandom(5);
+    int decoded = 0;
     for (int i = 0; i < 20_000; i++) {
-      byte[] b = WORDS.encode();
-      for (int k = chance.nextInt(4); k >= 0; k--) {
-        b[chance.nextInt(b.length)] = (byte) chance.nextInt(256);
+      byte[] bytes = DATAGRAM.encode();
+      for (int changes = random.nextInt(4); changes >= 0; changes--) {
+        bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
       }
       try {
-        read += Datagram.decode(b, b.length).updates().size() <= 2 ? 1 : 0;
+        decoded += Datagram.decode(bytes, bytes.length).updates().size() <= 2 ? 1 : 0;
       } catch (IllegalArgumentException e) {
         continue;
       }
     }
-    assertEquals(true, read > 1000, "read " + read);
+    assertEquals(true, decoded > 1000, "read " + decoded);
   }
 }
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -21,24 +21,25 @@
  * one of their guards.
  */
 class FleetSimulationTest {
-  private static final MembershipSettings USUAL = MembershipSettings.DEFAULT;
-  private static final Span ROUND = Span.ofSeconds(30);
+  private static final MembershipSettings DEFAULT = MembershipSettings.DEFAULT;
+  private static final Span SETTLING_TIME = Span.ofSeconds(30);
 
-  private static Fault trouble(Fault.Kind kind, int a, int b, long from, long to) {
-    return new Fault(kind, a, b, at(from), at(to));
+  private static Fault fault(Fault.Kind kind, int target, int peer, long from, long to) {
+    return new Fault(kind, target, peer, at(from), at(to));
   }
 
   private static Moment at(long ms) {
     return new Moment(ms * 1000);
   }
 
-  private static FaultSchedule schedule(long seed, int fronts, Fault... troubles) {
-    Moment quiet = List.of(troubles).stream().map(Fault::to).max(Moment::compareTo).orElse(at(0));
-    return new FaultSchedule(seed, fronts, 4, List.of(troubles), quiet, quiet.plus(ROUND.times(2)));
+  private static FaultSchedule schedule(long seed, int fronts, Fault... faults) {
+    Moment faultsEnd = List.of(faults).stream().map(Fault::to).max(Moment::compareTo).orElse(at(0));
+    return new FaultSchedule(
+        seed, fronts, 4, List.of(faults), faultsEnd, faultsEnd.plus(SETTLING_TIME.times(2)));
   }
 
-  private static FleetSimulation.Outcome play(FaultSchedule s) {
-    return new FleetSimulation(USUAL, s).run();
+  private static FleetSimulation.Outcome run(FaultSchedule schedule) {
+    return new FleetSimulation(DEFAULT, schedule).run();
   }
 
   /**
@@ -46,31 +47,32 @@
    * found.
    */
   @Test
-  void underAnyTroublesNobodyIsGivenUpWithoutCauseAndAllComeRound() {
+  void underRandomFaultsNoHealthyMemberIsDeclaredDeadAndTheFleetConverges() {
     for (long seed = 1; seed <= 400; seed++) {
-      FaultSchedule s = FaultSchedule.random(seed, 7, 4, 6, ROUND);
-      FleetSimulation.Outcome o = play(s);
-      for (int i = 0; !o.violations().isEmpty() && i < s.faults().size(); i++) {
-        if (!play(s.withoutFault(i)).violations().isEmpty()) {
-          s = s.withoutFault(i);
+      FaultSchedule schedule = FaultSchedule.random(seed, 7, 4, 6, SETTLING_TIME);
+      FleetSimulation.Outcome outcome = run(schedule);
+      for (int i = 0; !outcome.violations().isEmpty() && i < schedule.faults().size(); i++) {
+        if (!run(schedule.withoutFault(i)).violations().isEmpty()) {
+          schedule = schedule.withoutFault(i);
           i = -1;
         }
       }
-      assertEquals(List.of(), o.violations(), "seed " + seed + ", shortest " + s.faults());
+      assertEquals(
+          List.of(), outcome.violations(), "seed " + seed + ", shortest " + schedule.faults());
     }
     for (long seed = 1; seed <= 20; seed++) {
       assertEquals(
           List.of(),
-          play(FaultSchedule.random(seed, 24, 4, 8, ROUND)).violations(),
+          run(FaultSchedule.random(seed, 24, 4, 8, SETTLING_TIME)).violations(),
           "24 fronts, seed " + seed);
     }
   }
 
   @Test
-  void theSameSeedIsTheSameRun() {
+  void theSameSeedGivesTheSameRun() {
     assertEquals(
-        play(FaultSchedule.random(3, 7, 4, 6, ROUND)),
-        play(FaultSchedule.random(3, 7, 4, 6, ROUND)));
+        run(FaultSchedule.random(3, 7, 4, 6, SETTLING_TIME)),
+        run(FaultSchedule.random(3, 7, 4, 6, SETTLING_TIME)));
   }
 
   /** Each guard, and the shortest schedule found that breaks a rule without it. */
@@ -79,40 +81,40 @@
         schedule(
             754,
             7,
-            trouble(Fault.Kind.FREEZE, 0, 0, 51_511, 79_209),
-            trouble(Fault.Kind.SICK, 3, 0, 50_268, 54_130))),
-    DOUBT(schedule(4, 7, trouble(Fault.Kind.SICK, 3, 0, 32_952, 33_331))),
-    DENIAL(schedule(1, 7, trouble(Fault.Kind.MUTE, 0, 0, 53_669, 68_399))),
+            fault(Fault.Kind.FREEZE, 0, 0, 51_511, 79_209),
+            fault(Fault.Kind.SICK, 3, 0, 50_268, 54_130))),
+    DOUBT(schedule(4, 7, fault(Fault.Kind.SICK, 3, 0, 32_952, 33_331))),
+    DENIAL(schedule(1, 7, fault(Fault.Kind.MUTE, 0, 0, 53_669, 68_399))),
     REGATHER(schedule(1, 7)),
-    SUSPICION(schedule(5, 7, trouble(Fault.Kind.SICK, 0, 0, 39_020, 39_948)));
+    SUSPICION(schedule(5, 7, fault(Fault.Kind.SICK, 0, 0, 39_020, 39_948)));
 
-    private final FaultSchedule breaks;
+    private final FaultSchedule failingSchedule;
 
-    Guard(FaultSchedule breaks) {
-      this.breaks = breaks;
+    Guard(FaultSchedule failingSchedule) {
+      this.failingSchedule = failingSchedule;
     }
 
     private Membership without(
-        MembershipSettings terms,
+        MembershipSettings settings,
         Member own,
         long incarnation,
         List<String> seeds,
         Membership.Port port,
-        SplittableRandom chance) {
-      MembershipSettings less =
+        SplittableRandom random) {
+      MembershipSettings unguarded =
           new MembershipSettings(
-              terms.period(),
-              terms.answer(),
-              terms.helpers(),
-              this == SUSPICION ? 0 : terms.suspicion(),
-              terms.longest(),
-              terms.confirmed(),
-              terms.healthMost(),
-              terms.retellings(),
-              terms.deadKept(),
-              this == REGATHER ? Span.NONE : terms.regather(),
-              terms.most());
-      return new Membership(less, own, incarnation, seeds, port, chance) {
+              settings.period(),
+              settings.answer(),
+              settings.helpers(),
+              this == SUSPICION ? 0 : settings.suspicion(),
+              settings.longest(),
+              settings.confirmed(),
+              settings.healthMost(),
+              settings.retellings(),
+              settings.deadKept(),
+              this == REGATHER ? Span.NONE : settings.regather(),
+              settings.most());
+      return new Membership(unguarded, own, incarnation, seeds, port, random) {
         @Override
         protected boolean isProcessPause(Span late) {
           return Guard.this != AWAKE && super.isProcessPause(late);
@@ -133,110 +135,117 @@
 
   @ParameterizedTest
   @EnumSource
-  void withoutThisGuardARuleBreaks(Guard guard) {
-    assertEquals(List.of(), play(guard.breaks).violations());
+  void removingAGuardViolatesAnInvariant(Guard guard) {
+    assertEquals(List.of(), run(guard.failingSchedule).violations());
     assertFalse(
-        new FleetSimulation(USUAL, guard.breaks, guard::without).run().violations().isEmpty());
+        new FleetSimulation(DEFAULT, guard.failingSchedule, guard::without)
+            .run()
+            .violations()
+            .isEmpty());
   }
 
   /** One way between two fronts is cut: without helpers each round would make a suspicion of it. */
   @Test
-  void helpersKeepOneCutWayFromBeingASuspicion() {
-    FaultSchedule s = schedule(9, 7, trouble(Fault.Kind.CUT, 1, 2, 30_000, 120_000));
-    MembershipSettings none =
+  void indirectProbesPreventSuspicionOverOneBlockedDirection() {
+    FaultSchedule schedule = schedule(9, 7, fault(Fault.Kind.CUT, 1, 2, 30_000, 120_000));
+    MembershipSettings noIndirectProbes =
         new MembershipSettings(
-            USUAL.period(),
-            USUAL.answer(),
+            DEFAULT.period(),
+            DEFAULT.answer(),
             0,
-            USUAL.suspicion(),
-            USUAL.longest(),
-            USUAL.confirmed(),
-            USUAL.healthMost(),
-            USUAL.retellings(),
-            USUAL.deadKept(),
-            USUAL.regather(),
-            USUAL.most());
-    int with = play(s).falseSuspicions();
-    int without = new FleetSimulation(none, s).run().falseSuspicions();
+            DEFAULT.suspicion(),
+            DEFAULT.longest(),
+            DEFAULT.confirmed(),
+            DEFAULT.healthMost(),
+            DEFAULT.retellings(),
+            DEFAULT.deadKept(),
+            DEFAULT.regather(),
+            DEFAULT.most());
+    int with = run(schedule).falseSuspicions();
+    int without = new FleetSimulation(noIndirectProbes, schedule).run().falseSuspicions();
     assertTrue(without > 4 && with * 4 < without, with + " with, " + without + " without");
   }
 
   /** A front that hears badly lengthens its own waits. */
   @Test
-  void aFrontThatIsSlowItselfSuspectsLess() {
-    FaultSchedule s = schedule(11, 24, trouble(Fault.Kind.LOSS, 3, 0, 30_000, 230_000));
-    MembershipSettings deaf =
+  void localHealthReducesSuspicionsRaisedByAnImpairedFront() {
+    FaultSchedule schedule = schedule(11, 24, fault(Fault.Kind.LOSS, 3, 0, 30_000, 230_000));
+    MembershipSettings withoutLocalHealth =
         new MembershipSettings(
-            USUAL.period(),
-            USUAL.answer(),
-            USUAL.helpers(),
-            USUAL.suspicion(),
-            USUAL.longest(),
-            USUAL.confirmed(),
+            DEFAULT.period(),
+            DEFAULT.answer(),
+            DEFAULT.helpers(),
+            DEFAULT.suspicion(),
+            DEFAULT.longest(),
+            DEFAULT.confirmed(),
             0,
-            USUAL.retellings(),
-            USUAL.deadKept(),
-            USUAL.regather(),
-            USUAL.most());
-    int with = play(s).falseSuspicions();
-    int without = new FleetSimulation(deaf, s).run().falseSuspicions();
+            DEFAULT.retellings(),
+            DEFAULT.deadKept(),
+            DEFAULT.regather(),
+            DEFAULT.most());
+    int with = run(schedule).falseSuspicions();
+    int without = new FleetSimulation(withoutLocalHealth, schedule).run().falseSuspicions();
     assertTrue(with < without, with + " with, " + without + " without");
   }
 
   @Test
-  void aDeathIsFoundByAllInBoundedTimeAndBytes() {
-    FleetSimulation.Outcome o =
-        play(schedule(2, 60, trouble(Fault.Kind.KILL, 7, 0, 40_000, 100_000)));
-    assertEquals(List.of(), o.violations());
-    assertTrue(o.detectionDelays().size() >= 59, "found by " + o.detectionDelays().size());
-    Span least = USUAL.period().times(USUAL.suspicion() * Math.log10(60));
-    for (Span after : o.detectionDelays()) {
-      assertTrue(after.under(least.times(USUAL.longest())), after.toString());
+  void allFrontsDetectADeathWithinBoundedTimeAndTraffic() {
+    FleetSimulation.Outcome outcome =
+        run(schedule(2, 60, fault(Fault.Kind.KILL, 7, 0, 40_000, 100_000)));
+    assertEquals(List.of(), outcome.violations());
+    assertTrue(
+        outcome.detectionDelays().size() >= 59, "found by " + outcome.detectionDelays().size());
+    Span minSuspicion = DEFAULT.period().times(DEFAULT.suspicion() * Math.log10(60));
+    for (Span delay : outcome.detectionDelays()) {
+      assertTrue(delay.under(minSuspicion.times(DEFAULT.longest())), delay.toString());
     }
-    assertTrue(o.maxBytesPerSecond() < 64 * 1024, o.maxBytesPerSecond() + " bytes in one second");
+    assertTrue(
+        outcome.maxBytesPerSecond() < 64 * 1024,
+        outcome.maxBytesPerSecond() + " bytes in one second");
   }
 
   @Test
-  void moreMembersThanThereMayBeAreNotTakenIn() {
-    MembershipSettings few =
+  void membersBeyondTheLimitAreRejected() {
+    MembershipSettings fiveMembers =
         new MembershipSettings(
-            USUAL.period(),
-            USUAL.answer(),
+            DEFAULT.period(),
+            DEFAULT.answer(),
             3,
             4,
             6,
             3,
             8,
             4,
-            USUAL.deadKept(),
-            USUAL.regather(),
+            DEFAULT.deadKept(),
+            DEFAULT.regather(),
             5);
-    List<MemberUpdate> all = new ArrayList<>();
+    List<MemberUpdate> updates = new ArrayList<>();
     for (int i = 1; i <= 9; i++) {
-      all.add(
+      updates.add(
           new MemberUpdate(new Member(i, "10.0.0." + i + ":7000", 0, 0), 1, MemberState.ALIVE, i));
     }
-    Membership m = membership(few, new ArrayList<>());
-    m.onDatagram(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PAGE, 1, 0, -1, all));
-    assertEquals(5, m.members().size());
-    assertEquals(4, m.rejectedMembers());
+    Membership membership = membership(fiveMembers, new ArrayList<>());
+    membership.onDatagram(
+        at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PAGE, 1, 0, -1, updates));
+    assertEquals(5, membership.members().size());
+    assertEquals(4, membership.rejectedMembers());
   }
 
-  private static Membership membership(MembershipSettings terms, List<Datagram> sent) {
-    Membership m =
+  private static Membership membership(MembershipSettings settings, List<Datagram> sent) {
+    Membership membership =
         new Membership(
-            terms,
+            settings,
             new Member(0, "10.0.0.0:7000", 0, 0),
             1000,
             List.of("10.0.0.1:7000"),
             new Membership.Port() {
               @Override
-              public void send(String address, Datagram words) {
-                sent.add(words);
+              public void send(String address, Datagram datagram) {
+                sent.add(datagram);
               }
 
               @Override
-              public void stateChanged(MemberUpdate held) {
+              public void stateChanged(MemberUpdate update) {
                 // read from the membership
               }
 
@@ -246,33 +255,39 @@
               }
             },
             new SplittableRandom(1));
-    m.start(at(0));
-    return m;
+    membership.start(at(0));
+    return membership;
   }
 
   @Test
-  void nonsenseOfItselfIsDeniedAndWhatCannotBeDeniedIsPassedOver() {
+  void falseUpdatesAboutItselfAreRefutedAndImplausibleOnesIgnored() {
     List<Datagram> sent = new ArrayList<>();
-    Membership m = membership(USUAL, sent);
+    Membership membership = membership(DEFAULT, sent);
     MemberUpdate dead =
         new MemberUpdate(new Member(0, "10.0.0.0:7000", 0, 0), 5000, MemberState.DEAD, 1);
-    m.onDatagram(at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 1, 0, List.of(dead)));
-    assertEquals(5001, m.incarnation());
-    MemberUpdate never =
+    membership.onDatagram(
+        at(5), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 1, 0, List.of(dead)));
+    assertEquals(5001, membership.incarnation());
+    MemberUpdate implausible =
         new MemberUpdate(
             new Member(0, "10.0.0.0:7000", 0, 0), Long.MAX_VALUE / 2, MemberState.DEAD, 1);
-    m.onDatagram(at(6), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 2, 0, List.of(never)));
-    assertEquals(5001, m.incarnation());
-    m.onDatagram(at(7), "10.0.0.9:7000", new Datagram(Datagram.Kind.PING, 0, 3, 0, List.of()));
-    assertEquals(1, sent.stream().filter(w -> w == null).count(), "another goes by its number");
+    membership.onDatagram(
+        at(6), "10.0.0.1:7000", new Datagram(Datagram.Kind.PING, 1, 2, 0, List.of(implausible)));
+    assertEquals(5001, membership.incarnation());
+    membership.onDatagram(
+        at(7), "10.0.0.9:7000", new Datagram(Datagram.Kind.PING, 0, 3, 0, List.of()));
+    assertEquals(
+        1,
+        sent.stream().filter(datagram -> datagram == null).count(),
+        "another goes by its number");
   }
 
   @Test
-  void whoeverLeavesIsNotSuspectedAndComesBackByANewLife() {
+  void aMemberThatLeftIsNotSuspectedAndRejoinsWithAHigherIncarnation() {
     List<Datagram> sent = new ArrayList<>();
-    Membership m = membership(USUAL, sent);
+    Membership membership = membership(DEFAULT, sent);
     Member other = new Member(1, "10.0.0.1:7000", 0, 0);
-    m.onDatagram(
+    membership.onDatagram(
         at(5),
         other.address(),
         new Datagram(
@@ -281,7 +296,7 @@
             1,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.ALIVE, 1))));
-    m.onDatagram(
+    membership.onDatagram(
         at(6),
         other.address(),
         new Datagram(
@@ -290,7 +305,7 @@
             2,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.LEFT, 1))));
-    m.onDatagram(
+    membership.onDatagram(
         at(7),
         "10.0.0.2:7000",
         new Datagram(
@@ -299,8 +314,8 @@
             1,
             0,
             List.of(new MemberUpdate(other, 10, MemberState.SUSPECT, 2))));
-    assertEquals(MemberState.LEFT, m.members().get(0).state());
-    m.onDatagram(
+    assertEquals(MemberState.LEFT, membership.members().get(0).state());
+    membership.onDatagram(
         at(8),
         other.address(),
         new Datagram(
@@ -309,6 +324,6 @@
             3,
             0,
             List.of(new MemberUpdate(other, 11, MemberState.ALIVE, 1))));
-    assertEquals(MemberState.ALIVE, m.members().get(0).state());
+    assertEquals(MemberState.ALIVE, membership.members().get(0).state());
   }
 }
--- a/src/test/java/linengauge/membership/MemberProcessesTest.java
+++ b/src/test/java/linengauge/membership/MemberProcessesTest.java
@@ -30,41 +30,41 @@
  */
 class MemberProcessesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int ALL = 5;
+  private static final int PROCESSES = 5;
 
-  @TempDir private Path dir;
+  @TempDir private Path directory;
   private final List<Integer> ports = new ArrayList<>();
   private final List<Process> processes = new ArrayList<>();
   private final List<Path> records = new ArrayList<>();
 
   @BeforeEach
   void start() throws Exception {
-    Files.writeString(dir.resolve("key"), "a key of the whole fleet");
-    Files.writeString(dir.resolve("other-key"), "a key of somebody else's");
-    for (int i = 0; i <= ALL; i++) {
+    Files.writeString(directory.resolve("key"), "a key of the whole fleet");
+    Files.writeString(directory.resolve("other-key"), "a key of somebody else's");
+    for (int i = 0; i <= PROCESSES; i++) {
       try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
         ports.add(free.getLocalPort());
       }
       records.add(null);
       processes.add(null);
     }
-    for (int i = 0; i < ALL; i++) {
-      life(i, "key");
+    for (int i = 0; i < PROCESSES; i++) {
+      startProcess(i, "key");
     }
-    until(() -> all(0, 1, 2, 3, 4).equals("ALIVE"));
+    awaitTrue(() -> commonState(0, 1, 2, 3, 4).equals("ALIVE"));
   }
 
   @AfterEach
   void stop() throws Exception {
-    for (Process p : processes) {
-      if (p != null) {
-        p.destroyForcibly().waitFor();
+    for (Process process : processes) {
+      if (process != null) {
+        process.destroyForcibly().waitFor();
       }
     }
   }
 
-  private void life(int number, String key) throws Exception {
-    Path record = dir.resolve("record-" + number + "-" + System.nanoTime());
+  private void startProcess(int number, String key) throws Exception {
+    Path record = directory.resolve("record-" + number + "-" + System.nanoTime());
     records.set(number, record);
     processes.set(
         number,
@@ -88,13 +88,13 @@
                 "--seed",
                 "127.0.0.1:" + ports.get(1),
                 "--key-file",
-                dir.resolve(key).toString(),
+                directory.resolve(key).toString(),
                 "--record",
                 record.toString(),
                 "--period-ms",
                 "200")
             .redirectErrorStream(true)
-            .redirectOutput(dir.resolve("log-" + number).toFile())
+            .redirectOutput(directory.resolve("log-" + number).toFile())
             .start());
   }
 
@@ -106,14 +106,14 @@
             .waitFor());
   }
 
-  private static void until(BooleanSupplier done) throws InterruptedException {
-    for (int i = 0; i < 6000 && !done.getAsBoolean(); i++) {
+  private static void awaitTrue(BooleanSupplier condition) throws InterruptedException {
+    for (int i = 0; i < 6000 && !condition.getAsBoolean(); i++) {
       Thread.sleep(10);
     }
-    assertTrue(done.getAsBoolean());
+    assertTrue(condition.getAsBoolean());
   }
 
-  private List<JsonNode> record(int number) {
+  private List<JsonNode> readRecord(int number) {
     try {
       List<JsonNode> lines = new ArrayList<>();
       for (String line : Files.readString(records.get(number)).split("\n")) {
@@ -127,8 +127,8 @@
     }
   }
 
-  private JsonNode view(int number) {
-    List<JsonNode> lines = record(number);
+  private JsonNode lastView(int number) {
+    List<JsonNode> lines = readRecord(number);
     for (int i = lines.size() - 1; i >= 0; i--) {
       if (lines.get(i).path("what").asText().equals("holds")) {
         return lines.get(i);
@@ -137,9 +137,9 @@
     return JSON.createObjectNode();
   }
 
-  private String standing(int by, int of) {
-    for (JsonNode other : view(by).path("others")) {
-      if (other.path("number").asInt() == of) {
+  private String stateSeen(int observer, int member) {
+    for (JsonNode other : lastView(observer).path("others")) {
+      if (other.path("number").asInt() == member) {
         return other.path("standing").asText();
       }
     }
@@ -147,21 +147,21 @@
   }
 
   /** What these hold of each other, where that is one word; else all of it. */
-  private String all(int... numbers) {
-    var seen = new TreeMap<String, Integer>();
-    for (int by : numbers) {
-      for (int of : numbers) {
-        if (by != of) {
-          seen.merge(standing(by, of), 1, Integer::sum);
+  private String commonState(int... numbers) {
+    var counts = new TreeMap<String, Integer>();
+    for (int observer : numbers) {
+      for (int member : numbers) {
+        if (observer != member) {
+          counts.merge(stateSeen(observer, member), 1, Integer::sum);
         }
       }
     }
-    return seen.size() == 1 ? seen.firstKey() : seen.toString();
+    return counts.size() == 1 ? counts.firstKey() : counts.toString();
   }
 
-  private boolean othersHold(int of, String standing) {
-    for (int by = 0; by < ALL; by++) {
-      if (by != of && !standing(by, of).equals(standing)) {
+  private boolean othersSee(int member, String state) {
+    for (int observer = 0; observer < PROCESSES; observer++) {
+      if (observer != member && !stateSeen(observer, member).equals(state)) {
         return false;
       }
     }
@@ -169,77 +169,82 @@
   }
 
   @Test
-  void oneThatIsFrozenIsGivenUpAndComesBackWithoutGivingUpAnybody() throws Exception {
+  void aPausedProcessIsDeclaredDeadAndRejoinsWithoutDeclaringOthersDead() throws Exception {
     signal(3, "STOP");
-    until(() -> othersHold(3, "DEAD"));
-    assertEquals("ALIVE", all(0, 1, 2, 4));
-    int before = record(3).size();
+    awaitTrue(() -> othersSee(3, "DEAD"));
+    assertEquals("ALIVE", commonState(0, 1, 2, 4));
+    int before = readRecord(3).size();
     signal(3, "CONT");
-    until(() -> all(0, 1, 2, 3, 4).equals("ALIVE"));
-    for (JsonNode line : record(3).subList(before, record(3).size())) {
+    awaitTrue(() -> commonState(0, 1, 2, 3, 4).equals("ALIVE"));
+    for (JsonNode line : readRecord(3).subList(before, readRecord(3).size())) {
       assertTrue(!line.path("other").path("standing").asText().equals("DEAD"), line.toString());
     }
   }
 
   @Test
-  void oneThatIsKilledIsGivenUpAndItsNextLifeIsTakenIn() throws Exception {
+  void aKilledProcessIsDeclaredDeadAndRejoinsAfterARestart() throws Exception {
     processes.get(0).destroyForcibly().waitFor(); // the seed itself
-    until(() -> othersHold(0, "DEAD"));
-    life(0, "key");
-    until(() -> all(0, 1, 2, 3, 4).equals("ALIVE"));
+    awaitTrue(() -> othersSee(0, "DEAD"));
+    startProcess(0, "key");
+    awaitTrue(() -> commonState(0, 1, 2, 3, 4).equals("ALIVE"));
   }
 
   @Test
-  void oneThatLeavesIsNotMissed() throws Exception {
+  void aProcessThatLeavesIsNeverDeclaredDead() throws Exception {
     processes.get(2).getOutputStream().write('\n');
     processes.get(2).getOutputStream().flush();
     assertEquals(0, processes.get(2).waitFor());
-    until(() -> othersHold(2, "LEFT"));
-    for (int by : new int[] {0, 1, 3, 4}) {
+    awaitTrue(() -> othersSee(2, "LEFT"));
+    for (int observer : new int[] {0, 1, 3, 4}) {
       assertTrue(
-          record(by).stream()
+          readRecord(observer).stream()
               .noneMatch(
-                  l ->
-                      l.path("other").path("number").asInt() == 2
-                          && l.path("other").path("standing").asText().equals("DEAD")));
+                  line ->
+                      line.path("other").path("number").asInt() == 2
+                          && line.path("other").path("standing").asText().equals("DEAD")));
     }
   }
 
   @Test
-  void whoeverHasNoKeyOrSendsNoiseIsNotHeard() throws Exception {
-    life(ALL, "other-key");
-    SplittableRandom chance = new SplittableRandom(1);
+  void datagramsWithAWrongKeyOrRandomBytesAreDropped() throws Exception {
+    startProcess(PROCESSES, "other-key");
+    SplittableRandom random = new SplittableRandom(1);
     try (DatagramSocket noise = new DatagramSocket()) {
       for (int i = 0; i < 2000; i++) {
-        byte[] b = new byte[chance.nextInt(1, 1500)];
-        chance.nextBytes(b);
-        if (b.length > 6 && i % 2 == 0) {
-          Arrays.fill(b, 2, 5, (byte) 0); // a number that could be
+        byte[] bytes = new byte[random.nextInt(1, 1500)];
+        random.nextBytes(bytes);
+        if (bytes.length > 6 && i % 2 == 0) {
+          Arrays.fill(bytes, 2, 5, (byte) 0); // a number that could be
         }
         noise.send(
             new DatagramPacket(
-                b, b.length, InetAddress.getByName("127.0.0.1"), ports.get(i % ALL)));
+                bytes, bytes.length, InetAddress.getByName("127.0.0.1"), ports.get(i % PROCESSES)));
       }
     }
-    until(() -> view(0).path("strangers").asLong() > 5 && view(0).path("unreadable").asLong() > 0);
-    until(() -> view(ALL).path("strangers").asLong() > 0 || !record(ALL).isEmpty());
-    assertEquals("ALIVE", all(0, 1, 2, 3, 4));
-    assertEquals("unknown", standing(0, ALL));
-    assertEquals(0, view(ALL).path("others").size());
+    awaitTrue(
+        () ->
+            lastView(0).path("strangers").asLong() > 5
+                && lastView(0).path("unreadable").asLong() > 0);
+    awaitTrue(
+        () ->
+            lastView(PROCESSES).path("strangers").asLong() > 0 || !readRecord(PROCESSES).isEmpty());
+    assertEquals("ALIVE", commonState(0, 1, 2, 3, 4));
+    assertEquals("unknown", stateSeen(0, PROCESSES));
+    assertEquals(0, lastView(PROCESSES).path("others").size());
   }
 
   @Test
-  void aKeyThatIsShortAndAnAddressThatIsANameAreRefused() {
+  void shortKeysAndHostNamesAreRejected() {
     Member named = new Member(0, "localhost:7000", 0, 0);
     assertThrows(
         IllegalArgumentException.class,
         () ->
             new MembershipNode(
-                MembershipSettings.DEFAULT, named, List.of(), new byte[15], n -> {}));
+                MembershipSettings.DEFAULT, named, List.of(), new byte[15], update -> {}));
     assertThrows(
         IllegalArgumentException.class,
         () ->
             new MembershipNode(
-                MembershipSettings.DEFAULT, named, List.of(), new byte[16], n -> {}));
+                MembershipSettings.DEFAULT, named, List.of(), new byte[16], update -> {}));
   }
 }
