--- a/src/main/java/linengauge/membership/Datagram.java
+++ b/src/main/java/linengauge/membership/Datagram.java
@@ -7,26 +7,29 @@
 import java.util.List;
 
 /**
- * One datagram between fronts (docs/protocol/members.md). PING asks for ACK; ASK asks the receiver
- * to ping another front and to pass its ACK on, or to say NAK (Lifeguard, IV.A); PULL asks for
- * members from a number on, PAGE brings them.
+ * A datagram of the membership protocol (docs/protocol/members.md). PING requests an ACK. ASK
+ * requests that the receiver ping another member and relay its ACK, or send a NAK if none arrives
+ * in time (Lifeguard, IV.A). PULL requests a page of the member table starting at a given member
+ * number; PAGE carries it.
  *
- * @param argument of ASK, whom to ping; of PULL and PAGE, the number from which on; of PAGE -1
- *     where the whole has been told
+ * @param from member number of the sender
+ * @param sequence matches a response to its request
+ * @param argument for ASK, the number of the member to ping; for PULL, the member number the page
+ *     starts at; for PAGE, the member number the next page starts at, or -1 after the last page
  */
 public record Datagram(
     Kind kind, int from, int sequence, int argument, List<MemberUpdate> updates) {
-  /** Bytes of a datagram at the most, without the carrier's trailer. */
+  /** Maximum size of a datagram, without the trailer that the transport adds. */
   public static final int MAX_BYTES = 1200;
 
-  /** Bytes of an address at the most. */
+  /** Maximum length of an address in UTF-8 bytes. */
   public static final int MAX_ADDRESS_BYTES = 64;
 
   private static final byte VERSION = 1;
   private static final int HEADER_BYTES = 16;
   private static final int MAX_MEMBER_NUMBER = 0xffff;
 
-  /** What it is for. */
+  /** Message type. Its ordinal is the wire code. */
   public enum Kind {
     PING,
     ACK,
@@ -36,7 +39,7 @@
     PAGE
   }
 
-  /** Bytes that one piece of news takes. */
+  /** Encoded size of an update in bytes. */
   static int encodedSize(MemberUpdate update) {
     return 2
         + 2
@@ -48,7 +51,7 @@
         + update.member().address().getBytes(StandardCharsets.UTF_8).length;
   }
 
-  /** Room for news in one datagram. */
+  /** Number of bytes available for updates in one datagram. */
   static int maxUpdateBytes() {
     return MAX_BYTES - HEADER_BYTES;
   }
@@ -79,18 +82,19 @@
   }
 
   /**
-   * Reads one datagram.
+   * Decodes a datagram.
    *
-   * @throws IllegalArgumentException where it is none of this version's, with why in a few words
+   * @throws IllegalArgumentException if it is malformed or of another protocol version; the message
+   *     gives the reason
    */
   public static Datagram decode(byte[] bytes, int length) {
     try {
       if (length > MAX_BYTES) {
-        throw new IllegalArgumentException("longer than " + MAX_BYTES + " bytes");
+        throw new IllegalArgumentException("datagram exceeds " + MAX_BYTES + " bytes");
       }
       ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
       if (buffer.get() != VERSION) {
-        throw new IllegalArgumentException("another version");
+        throw new IllegalArgumentException("unsupported protocol version");
       }
       Kind kind = constantAt(Kind.values(), buffer.get());
       int from = requireMemberNumber(buffer.getInt());
@@ -108,7 +112,7 @@
         byte[] address = new byte[buffer.get() & 0xff];
         buffer.get(address);
         if (address.length > MAX_ADDRESS_BYTES || incarnation < 0) {
-          throw new IllegalArgumentException("a member that cannot be");
+          throw new IllegalArgumentException("member address too long or incarnation negative");
         }
         updates.add(
             new MemberUpdate(
@@ -118,24 +122,24 @@
                 source));
       }
       if (buffer.hasRemaining()) {
-        throw new IllegalArgumentException("more than it says");
+        throw new IllegalArgumentException("trailing bytes after the last update");
       }
       return new Datagram(kind, from, sequence, argument, List.copyOf(updates));
     } catch (BufferUnderflowException e) {
-      throw new IllegalArgumentException("cut short", e);
+      throw new IllegalArgumentException("datagram is truncated", e);
     }
   }
 
   private static int requireMemberNumber(int value) {
     if (value < 0 || value > MAX_MEMBER_NUMBER) {
-      throw new IllegalArgumentException("a number out of bounds");
+      throw new IllegalArgumentException("member number out of range");
     }
     return value;
   }
 
   private static <T> T constantAt(T[] constants, byte ordinal) {
     if (ordinal < 0 || ordinal >= constants.length) {
-      throw new IllegalArgumentException("a kind that is not known");
+      throw new IllegalArgumentException("unknown message type or member state");
     }
     return constants[ordinal];
   }
--- a/src/main/java/linengauge/membership/Dissemination.java
+++ b/src/main/java/linengauge/membership/Dissemination.java
@@ -5,14 +5,15 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * Sends datagrams, each with as many queued updates as it has room for (SWIM, 4.1: infection-style
- * dissemination), within what may be spent on answers in one period.
+ * Sends datagrams and fills the space left in each with queued updates (infection-style
+ * dissemination, SWIM 4.1). Limits the responses that are sent in one protocol period.
  */
 final class Dissemination {
   /**
-   * Sent because another asked, in one period: bounds what this front spends on a storm. Of
-   * answers, the first so many carry updates and the others are bare: a front that many call at
-   * once, as a seed is when the fleet starts, is not there for those whom it leaves without one.
+   * Limits the work and traffic spent on responses in one period during a burst of requests. Beyond
+   * {@link #MAX_RESPONSES_WITH_UPDATES}, responses carry no gossip but are still sent: a front that
+   * many others ping at once, such as a seed while the fleet starts, appears dead to every
+   * requester that gets no response.
    */
   private static final int MAX_RESPONSES_PER_PERIOD = 2048;
 
@@ -34,23 +35,23 @@
     this.table = table;
   }
 
-  /** An update that is to be sent on. */
+  /** Queues an update for dissemination. */
   void add(MemberUpdate update) {
     queue.add(update);
   }
 
-  /** A number for a datagram, by which its answer is known. */
+  /** Returns a new sequence number, which matches a response to its request. */
   int nextSequence() {
     sequence++;
     return sequence;
   }
 
-  /** A new period's answers may be sent. */
+  /** Resets the limit on responses for a new period. */
   void startPeriod() {
     responsesSent = 0;
   }
 
-  /** Sends a datagram of this front's own accord, these updates first. */
+  /** Sends a datagram that starts with the given updates and is filled up with queued ones. */
   void send(Kind kind, String address, int sequence, int argument, List<MemberUpdate> first) {
     int room = Datagram.maxUpdateBytes() - first.stream().mapToInt(Datagram::encodedSize).sum();
     List<MemberUpdate> updates = new ArrayList<>(first);
@@ -58,7 +59,7 @@
     sendWithoutGossip(kind, address, sequence, argument, updates);
   }
 
-  /** Sends a datagram since another asked for it, as long as not too many have. */
+  /** Sends a response to a request unless the limit for this period is reached. */
   void respond(Kind kind, String address, int sequence, int argument, List<MemberUpdate> first) {
     responsesSent++;
     if (responsesSent <= MAX_RESPONSES_WITH_UPDATES) {
@@ -68,13 +69,13 @@
     }
   }
 
-  /** Sends a datagram with these updates alone. */
+  /** Sends a datagram with the given updates only. */
   void sendWithoutGossip(
       Kind kind, String address, int sequence, int argument, List<MemberUpdate> updates) {
     port.send(address, new Datagram(kind, ownNumber, sequence, argument, updates));
   }
 
-  /** How often each update is sent on: in proportion to the fleet's logarithm (SWIM, 4.1). */
+  /** Number of times each update is sent, proportional to the log of the fleet size (SWIM, 4.1). */
   private int transmissions() {
     int log2 = Integer.SIZE - Integer.numberOfLeadingZeros(table.size() + 1);
     return (int) Math.ceil(settings.retellings() * log2);
--- a/src/main/java/linengauge/membership/FailureDetector.java
+++ b/src/main/java/linengauge/membership/FailureDetector.java
@@ -12,14 +12,14 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * SWIM's failure detector (4.1 and 4.3): one member pinged in each period, first by this front,
- * then by helpers in its place; periods and waits are lengthened while this front itself is slow
- * (Lifeguard, IV.A).
+ * Failure detector of SWIM (4.1 and 4.3). In each period it pings one member, first directly and
+ * then through helpers. Periods and timeouts grow while this front itself is slow (Lifeguard,
+ * IV.A).
  */
 final class FailureDetector {
   private static final int MAX_RELAYED_PINGS = 64;
 
-  /** This front's own ping of one period. */
+  /** The probe that this front runs in the current period. */
   private static final class Probe {
     private final int target;
     private final int sequence;
@@ -39,7 +39,7 @@
     }
   }
 
-  /** A ping made in another's place. */
+  /** A ping sent on behalf of another front. */
   private record RelayedPing(
       String requesterAddress,
       int requesterSequence,
@@ -78,7 +78,7 @@
     this.random = random;
   }
 
-  /** The moment at which it wants to be stepped, at the latest. */
+  /** Returns the time by which {@link Membership#step} has to be called. */
   Moment nextStep() {
     Moment next = periodEndsAt;
     if (probe != null && probe.isAwaitingDirectAck()) {
@@ -102,16 +102,18 @@
     periodEndsAt = endsAt;
   }
 
-  /** Gives up all waits and begins a new period. */
+  /** Discards all pending probes and starts a new period. */
   void restart(Moment now) {
     probe = null;
     relayedPings.clear();
     periodEndsAt = now;
   }
 
-  /* ---- this front's own pings ---- */
+  /* ---- own probes ---- */
 
-  /** Ends the period's probe; the member that did not answer it and is held for there, or null. */
+  /**
+   * Ends the current probe. Returns its target if that is present and did not respond, else null.
+   */
   MemberEntry endProbe() {
     if (probe == null || probe.acknowledged) {
       return null;
@@ -121,7 +123,7 @@
     return target != null && target.isPresent() ? target : null;
   }
 
-  /** Begins a period with a ping to the next member in turn. */
+  /** Starts a period by pinging the next member in the round. */
   void startPeriod(Moment now) {
     periodEndsAt = now.plus(health.scale(settings.period()));
     probe = null;
@@ -131,13 +133,14 @@
     }
     Moment indirectProbesAt = now.plus(health.scale(settings.answer()));
     probe = new Probe(target.number(), dissemination.nextSequence(), indirectProbesAt);
-    // Whom somebody suspects hears of it with the ping, and can deny it (Lifeguard, IV.C).
+    // The ping tells a suspected member of the suspicion so that it can refute it (Lifeguard,
+    // IV.C).
     dissemination.send(Kind.PING, target.address(), probe.sequence, 0, updateIfSuspected(target));
   }
 
   /**
-   * All there are, each once in a round, the rounds shuffled (SWIM, 4.3): whoever dies is pinged
-   * within two rounds.
+   * Visits each present member once per round, in shuffled order (SWIM, 4.3), so that a dead member
+   * is pinged within two rounds.
    */
   private MemberEntry nextTarget() {
     MemberEntry target = nextInRound();
@@ -169,7 +172,7 @@
     return entry.suspicion() == null ? List.of() : List.of(entry.update());
   }
 
-  /** Asks helpers to ping the member once it has not answered in time (SWIM, 4.1). */
+  /** Requests indirect probes if the direct ping has timed out (SWIM, 4.1). */
   void probeIndirectly(Moment now) {
     if (probe == null || !probe.isAwaitingDirectAck() || now.before(probe.indirectProbesAt)) {
       return;
@@ -186,7 +189,9 @@
     }
   }
 
-  /** Of a ping of this front's own, or of one made in another's place. */
+  /**
+   * Handles the ACK of an own probe, or relays the ACK of a ping sent on behalf of another front.
+   */
   void onAck(int sequence) {
     if (probe != null && probe.sequence == sequence) {
       if (!probe.acknowledged) {
@@ -202,16 +207,19 @@
     }
   }
 
-  /** A helper is there and could not reach the member: this front is not what is slow. */
+  /**
+   * Handles a NAK: the helper is reachable but the target did not respond to it, so this front's
+   * own slowness is not the cause.
+   */
   void onNak(int sequence) {
     if (probe != null && probe.sequence == sequence && probe.missingNaks > 0) {
       probe.missingNaks--;
     }
   }
 
-  /* ---- pings made in another's place ---- */
+  /* ---- pings on behalf of other fronts ---- */
 
-  /** Another asks this front to ping a member in its place. */
+  /** Pings a member on behalf of another front. */
   void onPingRequest(String requesterAddress, Datagram datagram, Moment now) {
     MemberEntry target = table.get(datagram.argument());
     if (target == null || relayedPings.size() >= MAX_RELAYED_PINGS) {
@@ -225,7 +233,7 @@
     dissemination.respond(Kind.PING, target.address(), sequence, 0, updateIfSuspected(target));
   }
 
-  /** Says of pings made in another's place that they were not answered in time. */
+  /** Sends a NAK for each ping on behalf of another front that has timed out. */
   void sendNaks(Moment now) {
     Iterator<Map.Entry<Integer, RelayedPing>> entries = relayedPings.entrySet().iterator();
     while (entries.hasNext()) {
--- a/src/main/java/linengauge/membership/GossipQueue.java
+++ b/src/main/java/linengauge/membership/GossipQueue.java
@@ -7,8 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * What is to be sent on, one piece a member, each so many times; the least told goes first (SWIM,
- * 4.1). Bounded by the number of members; emptied by telling, and by later news of the same member.
+ * Updates waiting to be disseminated, at most one per member. Each is sent a limited number of
+ * times, those sent least often first (SWIM, 4.1). The size is bounded by the number of members; an
+ * update is dropped when it has been sent often enough or a later update of the same member
+ * replaces it.
  */
 final class GossipQueue {
   private static final class QueuedUpdate {
@@ -30,7 +32,10 @@
     return queued.size();
   }
 
-  /** What fits into so many bytes, each counted as told; those told so often leave. */
+  /**
+   * Takes updates that fit into {@code maxBytes} and counts each as sent once. An update sent
+   * {@code maxTransmissions} times leaves the queue.
+   */
   List<MemberUpdate> take(int maxBytes, int maxTransmissions) {
     List<QueuedUpdate> all = new ArrayList<>(queued.values());
     all.sort(Comparator.comparingInt(queuedUpdate -> queuedUpdate.timesSent));
--- a/src/main/java/linengauge/membership/LocalHealth.java
+++ b/src/main/java/linengauge/membership/LocalHealth.java
@@ -3,10 +3,10 @@
 import linengauge.Span;
 
 /**
- * How slow this front itself is (Lifeguard, IV.A): a count that rises with what it misses and falls
- * with what it gets in time, and lengthens its waits. Guards against a front that stands still or
- * hears badly and accuses all others. It could hurt where the fault is the others': their deaths
- * are found later, by so many times the period.
+ * Local health score (Lifeguard, IV.A). It rises with missed responses, falls with timely ones, and
+ * scales this front's timeouts. It keeps a front that was paused or loses incoming datagrams from
+ * suspecting all others. The cost: if the other members are at fault, their deaths are detected
+ * later, by up to the score in periods.
  */
 final class LocalHealth {
   private final int maxScore;
--- a/src/main/java/linengauge/membership/Member.java
+++ b/src/main/java/linengauge/membership/Member.java
@@ -1,12 +1,12 @@
 package linengauge.membership;
 
 /**
- * A front of the fleet, as it tells of itself.
+ * Identity and location of a front, as it announces them.
  *
- * @param number its number in the site file, from 0
- * @param address where it is reached, as the carrier writes addresses; at most {@link
- *     Datagram#MAX_ADDRESS_BYTES} bytes of UTF-8
- * @param zone its zone's number
- * @param region its region's number
+ * @param number number in the site file, from 0
+ * @param address address in the transport's notation, at most {@link Datagram#MAX_ADDRESS_BYTES}
+ *     bytes of UTF-8
+ * @param zone zone number
+ * @param region region number
  */
 public record Member(int number, String address, int zone, int region) {}
--- a/src/main/java/linengauge/membership/MemberEntry.java
+++ b/src/main/java/linengauge/membership/MemberEntry.java
@@ -2,7 +2,7 @@
 
 import linengauge.Moment;
 
-/** One other member as this front holds it. */
+/** This front's record of another member. */
 final class MemberEntry {
   private MemberUpdate update;
   private Suspicion suspicion;
@@ -12,24 +12,24 @@
     this.since = since;
   }
 
-  /** The last update that overruled what was held before; null until there was one. */
+  /** Returns the latest accepted update, or null before the first one. */
   MemberUpdate update() {
     return update;
   }
 
-  /** Takes an update in the place of what was held; a suspicion of that ends with it. */
+  /** Replaces the current update and clears the suspicion that belonged to it. */
   void setUpdate(MemberUpdate next, Moment now) {
     since = update == null || update.state() != next.state() ? now : since;
     update = next;
     suspicion = null;
   }
 
-  /** Since when it has been held for what it is held for now. */
+  /** Returns the time at which the member entered its current state. */
   Moment since() {
     return since;
   }
 
-  /** The running suspicion, or null. */
+  /** Returns the active suspicion, or null. */
   Suspicion suspicion() {
     return suspicion;
   }
--- a/src/main/java/linengauge/membership/MemberState.java
+++ b/src/main/java/linengauge/membership/MemberState.java
@@ -1,18 +1,18 @@
 package linengauge.membership;
 
 /**
- * What is held of a member, in the order in which one overrules the other at the same incarnation
- * (SWIM, 4.2).
+ * State of a member. At the same incarnation, a later constant supersedes an earlier one (SWIM,
+ * 4.2).
  */
 public enum MemberState {
   ALIVE,
   SUSPECT,
-  /** Nobody could reach it, and it has not spoken against that in its time. */
+  /** It was unreachable and did not refute the suspicion in time. */
   DEAD,
-  /** It has said itself that it leaves. */
+  /** It announced that it leaves. */
   LEFT;
 
-  /** Taken for there: one that is suspected is served with until it is given up. */
+  /** Whether the member counts as present. A suspected member stays in use until it is dead. */
   public boolean isPresent() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/src/main/java/linengauge/membership/MemberTable.java
+++ b/src/main/java/linengauge/membership/MemberTable.java
@@ -11,9 +11,11 @@
 import linengauge.Moment;
 import linengauge.Span;
 
-/** All other members that this front knows of, by number. Bounded; those long gone leave. */
+/**
+ * Table of all other known members by number. Its size is bounded and old absent entries expire.
+ */
 final class MemberTable {
-  /** In {@link #sampleAlive}: no member is left out. */
+  /** Argument of {@link #sampleAlive} that excludes no member. */
   static final int NO_EXCLUSION = -1;
 
   private final Map<Integer, MemberEntry> entries = new TreeMap<>();
@@ -26,12 +28,12 @@
     this.random = random;
   }
 
-  /** Null where the member is not known. */
+  /** Returns the member's entry, or null if it is unknown. */
   MemberEntry get(int number) {
     return entries.get(number);
   }
 
-  /** A new entry for that member, or null where there are too many. */
+  /** Adds an entry for the member, or returns null if the table is full. */
   MemberEntry add(int number, Moment now) {
     if (entries.size() >= maxMembers) {
       rejected++;
@@ -46,7 +48,7 @@
     return entries.values();
   }
 
-  /** All that is held, by number. */
+  /** Returns the current update of every member, ordered by number. */
   List<MemberUpdate> updates() {
     return entries.values().stream().map(MemberEntry::update).toList();
   }
@@ -55,17 +57,17 @@
     return entries.size();
   }
 
-  /** Members that were not taken in since there were too many. */
+  /** Number of members rejected because the table was full. */
   int rejected() {
     return rejected;
   }
 
-  /** How many of the others are there, suspected ones among them. */
+  /** Number of other members present, including suspected ones. */
   long countPresent() {
     return entries.values().stream().filter(MemberEntry::isPresent).count();
   }
 
-  /** So many at the most that are there and not suspected, drawn at random. */
+  /** Returns a random sample of members that are alive and not suspected. */
   List<MemberEntry> sampleAlive(int maxCount, int excluded) {
     List<MemberEntry> alive = new ArrayList<>();
     entries.forEach(
@@ -78,14 +80,14 @@
     return alive.subList(0, Math.min(maxCount, alive.size()));
   }
 
-  /** Forgets those that have been gone for longer than that. */
+  /** Removes members that have been absent for longer than {@code retention}. */
   void removeExpired(Moment now, Span retention) {
     entries
         .values()
         .removeIf(entry -> !entry.isPresent() && retention.under(now.since(entry.since())));
   }
 
-  /** This front was not there to hear anybody for so long: suspicions last so much longer. */
+  /** Extends all suspicions by a time in which this front could not receive refutations. */
   void extendSuspicions(Span span) {
     for (MemberEntry entry : entries.values()) {
       if (entry.suspicion() != null) {
--- a/src/main/java/linengauge/membership/MemberUpdate.java
+++ b/src/main/java/linengauge/membership/MemberUpdate.java
@@ -1,14 +1,14 @@
 package linengauge.membership;
 
 /**
- * What one front tells another of a member.
+ * State of a member as one front reports it to another.
  *
- * @param incarnation the member's own count of its lives and denials; only it raises it
- * @param source who says so: itself of ALIVE and LEFT; of SUSPECT and DEAD, the front that could
- *     not reach it
+ * @param incarnation number that only the member itself raises, on each restart and refutation
+ * @param source front that made the observation: for ALIVE and LEFT the member itself, for SUSPECT
+ *     and DEAD the front that could not reach it
  */
 public record MemberUpdate(Member member, long incarnation, MemberState state, int source) {
-  /** Whether this overrules what is held. */
+  /** Whether this update supersedes the current one. */
   boolean supersedes(MemberUpdate current) {
     return current == null
         || incarnation > current.incarnation
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -7,26 +7,26 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * Who of the fleet is there, as one front holds it: SWIM's pings, indirect pings, suspicion and
- * updates sent on with them (Das and others 2002), made aware of its own slowness (Lifeguard,
- * Dadgar and others 2017). It is told the time, has its next timer read by {@link #nextStep}, and
- * acts through {@link Port}. Added to the papers, each at its place: a front that stood still takes
- * its waits anew; word of a death is a suspicion to whoever has not suspected; those gone are
- * called on again.
+ * Membership of the fleet as one front sees it: SWIM's direct and indirect probes, suspicion and
+ * piggybacked updates (Das et al. 2002), with Lifeguard's awareness of local health (Dadgar et al.
+ * 2017). It has no clock of its own: callers pass the time and read the next timer from {@link
+ * #nextStep}; effects go through {@link Port}. It extends the papers in three points: a front that
+ * was paused restarts its timeouts, a reported death is only a suspicion to a front that has not
+ * suspected the member before, and absent members are contacted again.
  *
- * <p>Split by concern: {@link MemberTable} is what is held, {@link FailureDetector} pings, {@link
- * UpdateHandler} weighs updates, {@link Dissemination} sends them on, {@link Reconnection} calls on
- * those gone.
+ * <p>{@link MemberTable} holds the state, {@link FailureDetector} probes members, {@link
+ * UpdateHandler} evaluates updates, {@link Dissemination} sends them on, and {@link Reconnection}
+ * contacts absent members.
  */
 public class Membership {
-  /** What it acts through. */
+  /** Effects of the membership protocol on its environment. */
   public interface Port {
     void send(String address, Datagram datagram);
 
-    /** Another is held for something else than before. */
+    /** Called when the state or the incarnation of another member has changed. */
     void stateChanged(MemberUpdate update);
 
-    /** Another process goes by this one's number, from that address. */
+    /** Called when another process at that address uses this member's number. */
     void numberConflict(String address);
   }
 
@@ -41,9 +41,9 @@
   private final Reconnection reconnection;
 
   /**
-   * @param incarnation higher than in any earlier life of this front: the wall's clock in
+   * @param incarnation higher than in any earlier run of this front, such as the wall clock in
    *     milliseconds
-   * @param seeds addresses to begin with, and to turn to when nobody is there
+   * @param seeds addresses contacted at startup and whenever no other member is reachable
    */
   public Membership(
       MembershipSettings settings,
@@ -70,7 +70,7 @@
     step(now);
   }
 
-  /** Tells some that it leaves; nothing more is sent of its own accord. */
+  /** Announces to some members that this one leaves. After that it only sends responses. */
   public void leave(Moment now) {
     own.leave();
     dissemination.add(own.update());
@@ -80,7 +80,7 @@
     }
   }
 
-  /** The moment at which it wants to be stepped, at the latest. */
+  /** Returns the time by which {@link #step} has to be called. */
   public Moment nextStep() {
     Moment next = FailureDetector.earliest(detector.nextStep(), reconnection.nextStep());
     for (MemberEntry entry : table.all()) {
@@ -91,7 +91,7 @@
     return next;
   }
 
-  /** All that is held of others, by number. */
+  /** Returns the current update of every other member, ordered by number. */
   public List<MemberUpdate> members() {
     return table.updates();
   }
@@ -100,12 +100,12 @@
     return own.incarnation();
   }
 
-  /** Members that were not taken in since there were too many. */
+  /** Number of members rejected because the table was full. */
   public int rejectedMembers() {
     return table.rejected();
   }
 
-  /** How slow this front takes itself to be, from 0. */
+  /** Returns the local health score; 0 is healthy. */
   public int healthScore() {
     return health.score();
   }
@@ -141,9 +141,9 @@
   }
 
   /**
-   * Guards against a front that was stopped and then acts on waits in which it could hear nobody:
-   * all of them begin anew, and it takes itself for slow. It could hurt where steps are late by
-   * habit: deaths would be found late, as they should.
+   * Restarts all timeouts after a process pause and lowers the local health. A front that acted on
+   * timeouts which ran out while it could not receive anything would suspect healthy members. The
+   * cost: where steps are habitually late, deaths are detected late too.
    */
   private void checkProcessPause(Moment now) {
     Span late = now.since(nextStep());
@@ -156,7 +156,7 @@
     reconnection.setNextStep(now.orLater(reconnection.nextStep()));
   }
 
-  /** A datagram has come, proved to be of the fleet, from that address. */
+  /** Handles an authenticated datagram from the given address. */
   public void onDatagram(Moment now, String address, Datagram datagram) {
     checkProcessPause(now);
     if (datagram.from() == own.number()) {
@@ -179,19 +179,19 @@
     }
   }
 
-  /* ---- guards; a test takes them out one by one ---- */
+  /* ---- safeguards; overridden by tests to disable them one at a time ---- */
 
-  /** A step that is so late. */
+  /** Whether a step this late means that the process was paused. */
   protected boolean isProcessPause(Span late) {
     return !late.under(settings.answer());
   }
 
-  /** Whether a death that it has only heard of is a suspicion to it. */
+  /** Whether a death reported by another front is treated as a suspicion first. */
   protected boolean verifiesReportedDeaths() {
     return true;
   }
 
-  /** Whether it speaks against what is not so. */
+  /** Whether this front refutes false updates about itself. */
   protected boolean refutes() {
     return true;
   }
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -3,22 +3,23 @@
 import linengauge.Span;
 
 /**
- * What members go by. The names of the papers in brackets: SWIM (Das, Gupta, Motivala 2002),
- * Lifeguard (Dadgar, Phillips, Currey 2017).
+ * Settings of the membership protocol. Parentheses give the symbols of the papers: SWIM (Das,
+ * Gupta, Motivala 2002) and Lifeguard (Dadgar, Phillips, Currey 2017).
  *
- * @param period between two pings of this front's own (T')
- * @param answer how long the direct ping may take; the helpers' have the rest of the period
- * @param helpers fronts asked to ping in this one's place (k)
- * @param suspicion times log10 of the fleet, times the period: how long a suspected member has to
- *     speak at the least (alpha)
- * @param longest times that at the most, while nobody else suspects it (beta)
- * @param confirmed by so many others, it is the least (K)
- * @param healthMost how often the period and the answer may be lengthened while this front itself
- *     is slow (S)
- * @param retellings times log2 of the fleet: how often each piece of news is sent on (lambda)
- * @param deadKept how long a member that is gone is remembered, and called on now and then
- * @param regather between two calls on one that is gone or has never answered; NONE: never
- * @param most members at the most; further ones are not heard of
+ * @param period time between two probes of this front (T')
+ * @param answer timeout of a direct ping; indirect probes have the rest of the period
+ * @param helpers number of members asked for an indirect probe (k)
+ * @param suspicion factor of the minimum suspicion timeout, which is this times log10 of the fleet
+ *     size times the period (alpha)
+ * @param longest maximum suspicion timeout as a multiple of the minimum; it applies while no other
+ *     front confirms the suspicion (beta)
+ * @param confirmed number of confirmations that shorten the suspicion timeout to its minimum (K)
+ * @param healthMost maximum local health score, which limits how far timeouts are scaled (S)
+ * @param retellings transmissions of each update, as a multiple of log2 of the fleet size (lambda)
+ * @param deadKept how long an absent member is remembered and occasionally contacted
+ * @param regather time between two attempts to contact an absent member or unreached seed; NONE
+ *     disables them
+ * @param most maximum number of other members; further ones are rejected
  */
 public record MembershipSettings(
     Span period,
@@ -32,7 +33,7 @@
     Span deadKept,
     Span regather,
     int most) {
-  /** Fit for some hundreds of fronts in a few buildings. */
+  /** Settings for a few hundred fronts in a few buildings. */
   public static final MembershipSettings DEFAULT =
       new MembershipSettings(
           Span.ofMillis(1000),
@@ -47,7 +48,7 @@
           Span.ofSeconds(5),
           1024);
 
-  /** The same with another period, and what goes by it in proportion. */
+  /** Returns these settings with another period; timeouts that depend on it scale in proportion. */
   public MembershipSettings withPeriod(Span each) {
     double scale = each.seconds() / period.seconds();
     return new MembershipSettings(
--- a/src/main/java/linengauge/membership/OwnMember.java
+++ b/src/main/java/linengauge/membership/OwnMember.java
@@ -1,10 +1,10 @@
 package linengauge.membership;
 
-/** This front as a member: its incarnation, and what it denies of itself (SWIM, 4.2). */
+/** State of this front as a member: its incarnation and its refutations (SWIM, 4.2). */
 final class OwnMember {
   /**
-   * No front lives so many milliseconds: an incarnation further ahead is nonsense, and could not be
-   * denied.
+   * Maximum distance of an incarnation from the first one. No front runs for this many
+   * milliseconds, so a larger distance is invalid; refuting it would be impossible.
    */
   private static final long MAX_INCARNATION_DISTANCE = 1L << 40;
 
@@ -14,7 +14,7 @@
   private boolean left;
 
   /**
-   * @param incarnation higher than in any earlier life of this front
+   * @param incarnation higher than in any earlier run of this front
    */
   OwnMember(Member member, long incarnation) {
     this.member = member;
@@ -42,31 +42,31 @@
     left = true;
   }
 
-  /** What this front tells of itself. */
+  /** Returns the update that this front announces about itself. */
   MemberUpdate update() {
     MemberState state = left ? MemberState.LEFT : MemberState.ALIVE;
     return new MemberUpdate(member, incarnation, state, member.number());
   }
 
-  /** Whether any front could have come to such an incarnation. */
+  /** Whether the incarnation is one that a front could have reached. */
   boolean isPlausible(MemberUpdate update) {
     return Math.abs(update.incarnation() - firstIncarnation) <= MAX_INCARNATION_DISTANCE;
   }
 
-  /** Another process says by that update that it is this member, at another address. */
+  /** Whether another process at a different address claims to be this member. */
   boolean isNumberConflict(MemberUpdate update) {
     return !update.member().address().equals(member.address())
         && update.state() == MemberState.ALIVE
         && update.incarnation() >= incarnation;
   }
 
-  /** Whether what is said of this front is not so, and would overrule what it says itself. */
+  /** Whether the update about this front is false and would supersede its own. */
   boolean mustRefute(MemberUpdate update) {
     return update.incarnation() > incarnation
         || update.incarnation() == incarnation && update.state() != MemberState.ALIVE && !left;
   }
 
-  /** Raises the incarnation above what was said. */
+  /** Raises the incarnation above that of the update. */
   void refute(MemberUpdate update) {
     incarnation = update.incarnation() + 1;
   }
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -9,8 +9,8 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * Calls on members that are gone or were never heard, and evens out what two members hold, page by
- * page (anti-entropy). Not in the papers.
+ * Contacts absent members and unreached seeds, and synchronizes member tables page by page
+ * (anti-entropy). Neither is part of the papers.
  */
 final class Reconnection {
   private static final int MAX_PAGES_PER_PERIOD = 32;
@@ -27,7 +27,7 @@
   private int requestedSequence;
 
   /**
-   * @param seeds addresses to begin with, and to turn to when nobody is there
+   * @param seeds addresses contacted at startup and whenever no other member is reachable
    */
   Reconnection(
       MembershipSettings settings,
@@ -44,7 +44,7 @@
     this.random = random;
   }
 
-  /** The moment at which it wants to be stepped, at the latest. */
+  /** Returns the time by which {@link #step} has to be called. */
   Moment nextStep() {
     return nextStepAt;
   }
@@ -53,16 +53,16 @@
     nextStepAt = at;
   }
 
-  /** A new period's pages may be sent. */
+  /** Resets the limit on pages for a new period. */
   void startPeriod() {
     pagesSent = 0;
   }
 
   /**
-   * Calls on one that is gone or has never been heard, and asks one that is there for a page of
-   * what it holds. Guards against two halves of the fleet that were cut apart and have each given
-   * the other up: without it nobody would call across again. It could hurt where many are gone for
-   * good: one datagram each such time, until they are forgotten.
+   * Pings one absent member or unreached seed and requests a page from one that is alive. Without
+   * this, two halves of a partitioned fleet that have declared each other dead would never contact
+   * each other again. The cost: if many members are gone for good, one datagram per interval until
+   * they expire.
    */
   void step(Moment now) {
     if (!Span.NONE.under(settings.regather())) {
@@ -84,7 +84,7 @@
     }
   }
 
-  /** Of members held for dead, and of seeds that no known member has. */
+  /** Addresses of dead members and of seeds that are not the address of a known member. */
   private List<String> unreachableAddresses() {
     List<String> unreachable = new ArrayList<>();
     table.all().stream()
@@ -96,7 +96,7 @@
     return unreachable;
   }
 
-  /** A ping that says what is held of whoever is there, so that it can deny it. */
+  /** Sends a ping with the state recorded for that address, so that the receiver can refute it. */
   private void ping(String address) {
     List<MemberUpdate> first = new ArrayList<>(List.of(own.update()));
     table.all().stream()
@@ -110,7 +110,7 @@
     dissemination.send(Kind.PULL, address, requestedSequence, pageFrom, List.of(own.update()));
   }
 
-  /** A page that was asked for: the next one follows until there are no more. */
+  /** Handles a requested page and requests the next one until the last. */
   void onPage(String address, Datagram datagram) {
     if (datagram.sequence() != requestedSequence) {
       return;
@@ -121,7 +121,7 @@
     }
   }
 
-  /** Another asks for what is held here, from a member's number on. */
+  /** Sends a page of the member table that starts at the requested member number. */
   void onPageRequest(String requesterAddress, Datagram datagram) {
     List<MemberUpdate> all = new ArrayList<>(table.updates());
     all.add(own.update());
--- a/src/main/java/linengauge/membership/Suspicion.java
+++ b/src/main/java/linengauge/membership/Suspicion.java
@@ -6,9 +6,9 @@
 import linengauge.Span;
 
 /**
- * One member suspected: until when it may speak against that (Lifeguard, IV.B). The wait shrinks
- * with each further front that suspects it. Who confirms is remembered up to the number that
- * matters.
+ * Suspicion of a member, which the member can refute until the timeout (Lifeguard, IV.B). The
+ * timeout shrinks with each further front that confirms the suspicion. Only as many confirmations
+ * as affect the timeout are recorded.
  */
 final class Suspicion {
   private final Span minDuration;
@@ -20,8 +20,9 @@
   private final Set<Integer> confirmedBy = new TreeSet<>();
 
   /**
-   * @param source who suspected it first; where that is not this front and nobody could confirm it,
-   *     it waits the longest
+   * @param maxConfirmations number of confirmations at which the timeout reaches its minimum; with
+   *     0, the timeout is the minimum if raised locally and the maximum otherwise
+   * @param source front that first raised the suspicion
    */
   Suspicion(
       Moment since,
@@ -39,8 +40,8 @@
   }
 
   /**
-   * A front suspects it as well; true where that is news. Who said so first confirms nothing by
-   * saying it again.
+   * Records a confirmation by another front. Returns false if it adds nothing, as when the first
+   * source repeats its suspicion.
    */
   boolean confirm(int source) {
     return source != this.source
@@ -48,7 +49,7 @@
         && confirmedBy.add(source);
   }
 
-  /** This front was not there to hear it speak for so long. */
+  /** Extends the timeout by a time in which this front could not receive a refutation. */
   void extend(Span span) {
     since = since.plus(span);
   }
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -5,8 +5,8 @@
 import linengauge.Span;
 
 /**
- * What an update about a member changes in what is held of it: by incarnation and state (SWIM,
- * 4.2), with suspicions that others confirm (Lifeguard, IV.B).
+ * Applies updates to the member table by incarnation and state (SWIM, 4.2), and counts
+ * confirmations of suspicions (Lifeguard, IV.B).
  */
 final class UpdateHandler {
   private final Membership membership;
@@ -35,7 +35,7 @@
   }
 
   /**
-   * @param sendOn whether it goes on to others by gossip; what came in a page does not
+   * @param sendOn whether the update is disseminated further; updates from a page are not
    */
   void onUpdate(MemberUpdate update, Moment now, boolean sendOn) {
     if (!own.isPlausible(update)) {
@@ -61,7 +61,7 @@
 
   private void onNewMember(MemberUpdate update, Moment now, boolean sendOn) {
     if (!update.state().isPresent()) {
-      return; // forgotten, or never known: nothing to give up
+      return; // The member has expired or was never known, so there is nothing to remove.
     }
     MemberEntry entry = table.add(update.member().number(), now);
     if (entry != null) {
@@ -78,10 +78,10 @@
   }
 
   /**
-   * Word of a death. Guards against one sick front that gives up all others: whoever has not
-   * suspected the member yet only does so now, and the member can deny it. It could hurt where the
-   * suspicion was never heard here: a death is found later by one more wait, shortened by whoever
-   * confirms it.
+   * Handles a reported death. A front that has not suspected the member yet only starts to suspect
+   * it, so that the member can refute the report; otherwise one faulty front could remove all
+   * others. The cost: where the suspicion was not received, the death is detected one suspicion
+   * timeout later, shortened by confirmations.
    */
   private void onReportedDeath(MemberEntry entry, MemberUpdate update, Moment now) {
     boolean suspected =
@@ -98,7 +98,7 @@
     }
   }
 
-  /** A front could not reach the member in that incarnation: it is suspected. */
+  /** Records that a front could not reach the member at that incarnation. */
   void suspect(MemberEntry entry, int source, long incarnation, Moment now) {
     MemberUpdate update =
         new MemberUpdate(entry.update().member(), incarnation, MemberState.SUSPECT, source);
@@ -109,7 +109,7 @@
     }
   }
 
-  /** Gives up those whose suspicion has run out. */
+  /** Declares members dead whose suspicion has timed out. */
   void expireSuspicions(Moment now) {
     for (MemberEntry entry : List.copyOf(table.all())) {
       if (entry.suspicion() != null && !now.before(entry.suspicion().endsAt())) {
@@ -150,8 +150,8 @@
   }
 
   /**
-   * Somebody speaks of this front: what is not so it denies, by an incarnation that overrules it
-   * (SWIM, 4.2).
+   * Handles an update about this front. A false one is refuted with a higher incarnation, which
+   * supersedes it (SWIM, 4.2).
    */
   private void onOwnUpdate(MemberUpdate update) {
     if (own.isNumberConflict(update)) {
--- a/src/main/java/linengauge/membership/explore/ControlFigures.java
+++ b/src/main/java/linengauge/membership/explore/ControlFigures.java
@@ -1,14 +1,14 @@
 package linengauge.membership.explore;
 
 /**
- * What the control machines of a simulated fleet did within a stretch of virtual time.
+ * Activity of the control machines of a simulated fleet in an interval of virtual time.
  *
- * @param machines how many there are
- * @param traffic all that one of them sent and received in a second, the log's messages included
- * @param log the log's messages alone
- * @param versions changes that the directory made
- * @param failures fronts that ended without a word
- * @param expiries lives that ended for want of a heartbeat
+ * @param machines number of control machines
+ * @param traffic traffic per control machine and second, including messages of the log
+ * @param log traffic of the log's messages only
+ * @param versions number of changes made by the directory
+ * @param failures number of fronts that ended without deregistering
+ * @param expiries number of registrations that ended for lack of a heartbeat
  */
 public record ControlFigures(
     int machines,
@@ -17,12 +17,12 @@
     long versions,
     int failures,
     int expiries) {
-  /** Bytes on the wire that all control machines sent and received in the stretch. */
+  /** Bytes on the wire sent and received by all control machines in the interval. */
   public double bytes() {
     return traffic.meanTotal() * machines * seconds();
   }
 
-  /** Datagrams and messages that all control machines sent and received in the stretch. */
+  /** Datagrams and messages sent and received by all control machines in the interval. */
   public double datagrams() {
     return (traffic.meanDatagramsSent() + traffic.meanDatagramsReceived()) * machines * seconds();
   }
--- a/src/main/java/linengauge/membership/explore/DetectionFigures.java
+++ b/src/main/java/linengauge/membership/explore/DetectionFigures.java
@@ -4,17 +4,16 @@
 import linengauge.Span;
 
 /**
- * How long it took until a change was known, over all pairs of a change and a party that had to
- * learn of it.
+ * Delay between a change and its detection, over all pairs of a change and an observer.
  *
- * @param expected pairs there were
- * @param known pairs where it came to be known
- * @param last the longest: when it was known everywhere
+ * @param expected number of pairs
+ * @param known number of pairs in which the change was detected
+ * @param last longest delay, after which every observer had detected the change
  */
 public record DetectionFigures(int expected, int known, Span mean, Span p99, Span last) {
   private static final double HIGH_PERCENTILE = 0.99;
 
-  /** The figures of those delays. */
+  /** Summarizes the delays of the pairs in which the change was detected. */
   public static DetectionFigures of(int expected, List<Span> delays) {
     if (delays.isEmpty()) {
       return new DetectionFigures(expected, 0, Span.NONE, Span.NONE, Span.NONE);
--- a/src/main/java/linengauge/membership/explore/Fault.java
+++ b/src/main/java/linengauge/membership/explore/Fault.java
@@ -3,16 +3,17 @@
 import linengauge.Moment;
 
 /**
- * One trouble of a schedule.
+ * A fault injected during an interval.
  *
- * @param target whom it befalls: a front, or of MUTE and DEAF a zone
- * @param peer of CUT, the front to which its words are lost; else unused
+ * @param target affected front, or affected zone for MUTE and DEAF
+ * @param peer for CUT, the front that the target's datagrams do not reach; otherwise unused
  */
 public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
   /**
-   * KILL: dead from then on, started anew at the end. CUT: one way between two fronts. MUTE, DEAF:
-   * nothing leaves a zone, or comes to it. LOSS: three in ten datagrams to and from it are lost,
-   * the others late. SICK: gives up all in every datagram.
+   * KILL: the front is dead and restarts at the end. FREEZE: the process is paused. CUT: datagrams
+   * from one front to another are lost, in that direction only. MUTE, DEAF: no datagrams leave the
+   * zone, or none enter it. LOSS: three in ten datagrams to and from the front are lost and the
+   * others are delayed. SICK: every datagram of the front declares others dead.
    */
   public enum Kind {
     KILL,
--- a/src/main/java/linengauge/membership/explore/FaultSchedule.java
+++ b/src/main/java/linengauge/membership/explore/FaultSchedule.java
@@ -7,16 +7,16 @@
 import linengauge.Span;
 
 /**
- * What befalls a fleet: troubles, then quiet until all has come round.
+ * Faults injected into a fleet, followed by a fault-free time in which it has to converge.
  *
- * @param fronts how many, in so many zones by number
- * @param faultsEnd after it nothing is wrong any more
+ * @param fronts number of fronts, distributed over the zones by number
+ * @param faultsEnd time after which no fault is active
  */
 public record FaultSchedule(
     long seed, int fronts, int zones, List<Fault> faults, Moment faultsEnd, Moment end) {
   /**
-   * Troubles drawn from a seed: so many, of spans from a blip to half a minute, and now and then a
-   * whole zone cut off.
+   * Draws faults from a seed. They last from a fraction of a second to half a minute, and some
+   * isolate a whole zone in both directions.
    */
   public static FaultSchedule random(
       long seed, int fronts, int zones, int maxFaults, Span settlingTime) {
@@ -31,7 +31,7 @@
           from.plus(Span.ofMillis(200 + random.nextInt(random.nextInt(3) == 0 ? 30_000 : 4_000)));
       if (kind == Fault.Kind.SICK
           && faults.stream().anyMatch(fault -> fault.kind() == Fault.Kind.SICK)) {
-        continue; // several that lie at once are beyond what is promised
+        continue; // The protocol does not tolerate several fronts with false reports at once.
       }
       faultsEnd = faultsEnd.orLater(to);
       boolean isZoneFault = kind == Fault.Kind.MUTE || kind == Fault.Kind.DEAF;
@@ -47,7 +47,7 @@
         seed, fronts, zones, List.copyOf(faults), faultsEnd, faultsEnd.plus(settlingTime.times(2)));
   }
 
-  /** Whether what one sends another is lost on its way. */
+  /** Whether datagrams from one front to the other are lost. */
   boolean isBlocked(int from, int to, Moment now) {
     return isActive(Fault.Kind.CUT, from, to, now)
         || from % zones != to % zones
@@ -68,7 +68,7 @@
     return false;
   }
 
-  /** The same without one of its troubles. */
+  /** Returns this schedule without the fault at that index. */
   public FaultSchedule withoutFault(int index) {
     List<Fault> remaining = new ArrayList<>(faults);
     remaining.remove(index);
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -17,16 +17,17 @@
 import linengauge.membership.MembershipSettings;
 
 /**
- * Fronts that tell each other of themselves, in virtual time, over ways that lose, hold up and
- * double what is sent. It judges by what it does to them itself and by what each holds, never by a
- * front's reasons.
+ * Simulates fronts in virtual time over a network that loses, delays and duplicates datagrams. It
+ * checks invariants against the injected faults and the resulting member tables only, never against
+ * the internal reasons of a front.
  */
 public final class FleetSimulation {
   /**
-   * What was broken, and when; the figures of the run.
+   * Violated invariants with their times, and the figures of the run.
    *
-   * @param falseSuspicions how often a front began by itself to suspect one that nothing ailed
-   * @param detectionDelays of each front that held a dead one for dead, how long after it had died
+   * @param falseSuspicions how often a front itself raised a suspicion of an unaffected member
+   * @param detectionDelays for each front that declared a dead member dead, the time since the
+   *     death
    */
   public record Outcome(
       List<String> violations,
@@ -35,7 +36,7 @@
       int falseSuspicions,
       List<Span> detectionDelays) {}
 
-  /** Makes a front's core; one that lacks a guard, to see what it guards. */
+  /** Creates the membership of a front. Tests create variants in which a safeguard is disabled. */
   public interface MembershipFactory {
     Membership create(
         MembershipSettings settings,
@@ -60,7 +61,7 @@
     private int bytesInSecond;
     private long second;
 
-    /** The incarnation of each other that this life holds. */
+    /** Latest incarnation of each other member seen since the last start. */
     private final Map<Integer, Long> seenIncarnations = new HashMap<>();
 
     private Front(int number) {
@@ -107,7 +108,7 @@
           });
     }
 
-    /** One that is stopped reads and steps when it goes on. */
+    /** Runs the action, or defers it until the end of the pause if the front is paused. */
     private void runOrDefer(Runnable action) {
       if (schedule.isActive(Fault.Kind.FREEZE, number, 0, now)) {
         deferred.add(action);
@@ -209,7 +210,7 @@
         violations.add(
             timePrefix()
                 + number
-                + " holds an older life of "
+                + " holds an older incarnation of "
                 + update.member().number()
                 + " after a newer");
       }
@@ -226,16 +227,16 @@
           violations.add(
               timePrefix()
                   + number
-                  + " gives up "
+                  + " declares "
                   + update.member().number()
-                  + ", which nothing ailed");
+                  + " dead, which no fault affects");
         }
       }
     }
 
     @Override
     public void numberConflict(String address) {
-      violations.add(timePrefix() + number + " hears its own number from " + address);
+      violations.add(timePrefix() + number + " receives its own number from " + address);
     }
   }
 
@@ -270,7 +271,7 @@
     this.traffic = new TrafficMeter(schedule.fronts());
   }
 
-  /** What each front sent and received, by second. */
+  /** Returns the traffic of each front by second. */
   public TrafficMeter traffic() {
     return traffic;
   }
@@ -284,7 +285,10 @@
   }
 
   /**
-   * Whether anything ails the member or all its ways, within the time that a suspicion may take.
+   * Whether a fault affects the member, or all paths to it, within the longest time that a
+   * suspicion can last. Of a SICK front only the front itself counts, since it refutes nothing; its
+   * reports about other members are no reason to declare those dead. A single CUT does not count
+   * either, since other fronts still reach the member.
    */
   private boolean isAffectedByFault(int front) {
     Moment from = now.minus(longestSuspicion());
@@ -303,14 +307,10 @@
                     from.before(fault.to())
                         && !now.before(fault.from())
                         && switch (fault.kind()) {
-                          case CUT -> false; // the others reach it
+                          case CUT -> false; // reachable through others
                           case MUTE, DEAF -> true;
                           case LOSS, KILL, FREEZE -> fault.target() == front;
-                          case SICK ->
-                              fault.target()
-                                  == front; // it denies nothing; what it says of others is no
-                            // reason to
-                            // give these up
+                          case SICK -> fault.target() == front; // never refutes
                         });
   }
 
@@ -361,7 +361,7 @@
         List.copyOf(detectionDelays));
   }
 
-  /** Long after the last trouble everybody holds everybody for there, in their present life. */
+  /** Checks that every front holds every other one as alive, at its current incarnation. */
   private void checkConvergence() {
     for (Front front : fronts) {
       List<MemberUpdate> members = front.membership.members();
@@ -383,7 +383,7 @@
                   + front.number
                   + " holds "
                   + update.member().number()
-                  + " for "
+                  + " as "
                   + update.state());
         }
       }
--- a/src/main/java/linengauge/membership/explore/GossipMeasurement.java
+++ b/src/main/java/linengauge/membership/explore/GossipMeasurement.java
@@ -7,13 +7,14 @@
 import linengauge.membership.explore.SimulationFigures.Mechanism;
 
 /**
- * Measures membership by gossip: a whole fleet starts within a second, a quiet minute follows, then
- * one front dies. It measures only; the rules are judged by {@link FleetSimulation}'s own tests.
+ * Measures gossip membership: the whole fleet starts within one second, a minute without events
+ * follows, then one front dies. It only measures; the tests of {@link FleetSimulation} check the
+ * invariants.
  */
 public final class GossipMeasurement {
   private static final int ZONES = 6;
 
-  /** Front that dies: no seed, since those are called on by all at a start. */
+  /** Front that dies. It is not a seed, since every front contacts the seeds at startup. */
   private static final int VICTIM = 7;
 
   private static final int START_END_SECONDS = 60;
@@ -25,7 +26,7 @@
   private final long seed;
 
   /**
-   * @param mostMembers in place of the settings' own bound, so that larger fleets can be measured
+   * @param maxMembers replaces the limit of the settings so that larger fleets can be measured
    */
   public GossipMeasurement(MembershipSettings settings, int fronts, long seed, int maxMembers) {
     this.settings = withMaxMembers(settings, maxMembers);
@@ -48,7 +49,7 @@
         maxMembers);
   }
 
-  /** Plays the run: the figures of the start, of the quiet minute, and of the death. */
+  /** Runs the simulation and returns the figures of the start, the quiet minute and the death. */
   public List<SimulationFigures> run() {
     Moment death = at(QUIET_END_SECONDS + 1);
     Moment end = at(DEATH_END_SECONDS);
--- a/src/main/java/linengauge/membership/explore/SimulationFigures.java
+++ b/src/main/java/linengauge/membership/explore/SimulationFigures.java
@@ -1,18 +1,18 @@
 package linengauge.membership.explore;
 
 /**
- * What one run of a simulated fleet measured round one event.
+ * Measurements of one event in a run of a simulated fleet.
  *
- * @param mechanism GOSSIP or LEASE
- * @param event what befell the fleet, QUIET where nothing did
- * @param fronts how many there were
- * @param seed that gives the same run again
- * @param traffic of the fronts
- * @param ends how soon all other fronts knew of each life that ended without a word
- * @param leavings the same of each front that said that it leaves
- * @param beginnings the same of each life that began
- * @param control what the control machines did; null where there are none
- * @param broken rules that the run broke, as it judged itself
+ * @param mechanism membership mechanism in use
+ * @param event event in the fleet, QUIET if there was none
+ * @param fronts number of fronts
+ * @param seed random seed, which reproduces the run
+ * @param traffic traffic of the fronts
+ * @param ends how soon all other fronts detected each front that ended without announcing it
+ * @param leavings the same for each front that announced that it leaves
+ * @param beginnings the same for each front that started
+ * @param control activity of the control machines; null if there are none
+ * @param broken number of invariants that the run violated
  */
 public record SimulationFigures(
     Mechanism mechanism,
@@ -25,7 +25,7 @@
     DetectionFigures beginnings,
     ControlFigures control,
     int broken) {
-  /** How fronts learn of each other. */
+  /** Mechanism by which fronts learn of each other. */
   public enum Mechanism {
     GOSSIP,
     LEASE
--- a/src/main/java/linengauge/membership/explore/TrafficFigures.java
+++ b/src/main/java/linengauge/membership/explore/TrafficFigures.java
@@ -1,17 +1,19 @@
 package linengauge.membership.explore;
 
 /**
- * Traffic of the parties of a simulation within a stretch of virtual seconds: bytes or datagrams of
- * one party in one second. On the wire is the payload with {@link TrafficMeter#WIRE_OVERHEAD}.
+ * Traffic of the participants of a simulation in an interval of virtual time, in bytes or datagrams
+ * per participant and second. Bytes on the wire are the payload plus {@link
+ * TrafficMeter#WIRE_OVERHEAD} for each datagram.
  *
- * @param fromSecond first second of the stretch
- * @param toSecond the second after its last
- * @param meanSent bytes on the wire, the mean of all parties and seconds
- * @param worstSent bytes on the wire, the party's that sent most in ten seconds in a row, a tenth
- *     of that
- * @param worstReceived the same of what was received
- * @param worstTotal the same of the sum of both
- * @param worstTotalOfAll the same of the mean party: its worst ten seconds
+ * @param fromSecond first second of the interval
+ * @param toSecond end of the interval, exclusive
+ * @param meanSent bytes on the wire, mean over all participants and seconds
+ * @param worstSent bytes on the wire per second, of the participant that sent most in any ten
+ *     consecutive seconds
+ * @param worstReceived the same for received bytes
+ * @param worstTotal the same for the sum of sent and received bytes
+ * @param worstTotalOfAll the same sum as the mean over all participants, in its worst ten
+ *     consecutive seconds
  */
 public record TrafficFigures(
     int fromSecond,
--- a/src/main/java/linengauge/membership/explore/TrafficMeter.java
+++ b/src/main/java/linengauge/membership/explore/TrafficMeter.java
@@ -5,18 +5,18 @@
 import linengauge.Moment;
 
 /**
- * Counts what each party of a simulation sends and receives, by virtual second.
+ * Counts the traffic of each participant of a simulation by virtual second.
  *
- * <p>A datagram is counted as received where it reaches a party that is up, whether or not that
- * party gets to read it.
+ * <p>A datagram counts as received when it reaches a participant that is up, whether or not that
+ * participant ever reads it.
  */
 public final class TrafficMeter {
   /**
-   * What a datagram has on the wire beside its payload: a keyed trailer, and UDP's and IP's heads.
+   * Bytes that a datagram adds to its payload: the authentication trailer and UDP and IP headers.
    */
   public static final int WIRE_OVERHEAD = 24 + 28;
 
-  /** Of so many seconds the worst is looked for. */
+  /** Length in seconds of the window over which the worst traffic is determined. */
   public static final int WORST_WINDOW_SECONDS = 10;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
@@ -54,14 +54,14 @@
     this.participants = participants;
   }
 
-  /** A party sends a datagram of so many bytes of payload. */
+  /** Records that a participant sends a datagram. */
   public void recordSent(Moment now, int participant, int payloadBytes) {
     Counts counts = countsAt(now);
     counts.bytesSent[participant] += payloadBytes;
     counts.datagramsSent[participant]++;
   }
 
-  /** A datagram of so many bytes of payload reaches a party. */
+  /** Records that a datagram reaches a participant. */
   public void recordReceived(Moment now, int participant, int payloadBytes) {
     Counts counts = countsAt(now);
     counts.bytesReceived[participant] += payloadBytes;
@@ -76,7 +76,7 @@
     return seconds.get(second);
   }
 
-  /** Bytes on the wire that the party sent and received within that second. */
+  /** Bytes on the wire that the participant sent and received in that second. */
   public long wireBytes(int second, int participant) {
     if (second >= seconds.size()) {
       return 0;
@@ -85,7 +85,7 @@
     return counts.wireSent(participant) + counts.wireReceived(participant);
   }
 
-  /** The figures of the seconds from the one to before the other, over all parties. */
+  /** Returns the figures of the seconds in [from, to) over all participants. */
   public TrafficFigures figures(int from, int to) {
     int end = Math.min(to, seconds.size());
     return new TrafficFigures(
@@ -118,7 +118,7 @@
     return (double) sum / participants / (to - from);
   }
 
-  /** A second of the worst ten in a row of the party that is worst off. */
+  /** Mean per second of the worst window of the worst participant. */
   private double worst(int from, int to, Quantity quantity) {
     long maxSum = 0;
     for (int participant = 0; participant < participants; participant++) {
@@ -135,7 +135,7 @@
     return (double) maxSum / WORST_WINDOW_SECONDS;
   }
 
-  /** A second of the worst ten in a row of the mean party. */
+  /** Mean per participant and second of the worst window of the whole fleet. */
   private double worstOfAll(int from, int to) {
     double maxMean = 0;
     for (int second = from; second + WORST_WINDOW_SECONDS <= to; second++) {
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -16,17 +16,17 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One front's members over UDP, on a thread of their own or on a loop that it shares with others.
- * Datagrams go through a {@link SealedChannel}.
+ * Runs the membership of one front over UDP, on a thread of its own or on a shared loop. Datagrams
+ * go through a {@link SealedChannel}.
  */
 public final class MembershipNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipNode.class);
 
-  /** Version 1, and where a datagram says who sends it. */
+  /** Protocol version 1, and the position of the sender's number in a datagram. */
   private static final SealedChannel.Form HEADER_FORMAT =
       new SealedChannel.Form(1, 2, 4, Datagram.MAX_BYTES);
 
-  /** What was dropped, by cause; another version is unreadable. */
+  /** Dropped datagrams by cause. Those of another protocol version count as unreadable. */
   public record Drops(long strangers, long replayed, long unreadable) {}
 
   private final DatagramLoop ownLoop;
@@ -40,7 +40,7 @@
   private volatile boolean started;
   private volatile List<MemberUpdate> memberSnapshot = List.of();
 
-  /** The members as the loop serves them. */
+  /** Adapter that the loop calls. */
   private final class LoopPart implements DatagramLoop.Part {
     @Override
     public SealedChannel channel() {
@@ -80,13 +80,13 @@
   }
 
   /**
-   * Binds at once and starts with {@link #start}, on a thread of its own.
+   * Binds the socket on a loop with a thread of its own. The protocol starts with {@link #start}.
    *
-   * @param own its address is where it listens and where the others reach it, as host:port with the
-   *     host in numbers
-   * @param key the fleet's, of 16 bytes at least
-   * @param changed told on the node's thread of each change, to be over at once
-   * @throws IOException where it cannot listen there
+   * @param own its address is where this node listens and where others reach it, as host:port with
+   *     a numeric host
+   * @param key key of the fleet, at least 16 bytes
+   * @param listener called on the node's thread for each change; must return quickly
+   * @throws IOException if the socket cannot be bound
    */
   public MembershipNode(
       MembershipSettings settings,
@@ -99,9 +99,9 @@
   }
 
   /**
-   * The same on a loop that serves others as well.
+   * Binds the socket on a shared loop.
    *
-   * @param shared null: a thread of its own
+   * @param sharedLoop loop to run on, or null for a thread of its own
    */
   public MembershipNode(
       MembershipSettings settings,
@@ -143,7 +143,7 @@
         if (!conflictLogged) {
           conflictLogged = true;
           LOG.error(
-              "members: another front goes by this one's number {} at {}", own.number(), address);
+              "members: another front uses this front's number {} at {}", own.number(), address);
         }
       }
     };
@@ -153,7 +153,7 @@
     started = loop.add(loopPart);
   }
 
-  /** All that is held of the others, as of the last turn. */
+  /** Returns the current update of every other member as of the last iteration of the loop. */
   public List<MemberUpdate> members() {
     return memberSnapshot;
   }
@@ -166,35 +166,35 @@
         channelDrops.unreadable() + channelDrops.otherVersions());
   }
 
-  /** What goes over its socket, and for trials what is lost there on purpose. */
+  /** Returns the channel, with its traffic and, for tests, its injected loss. */
   public SealedChannel channel() {
     return channel;
   }
 
-  /** Tells some that it leaves, and ends; does not wait for it. */
+  /** Announces to some members that this one leaves, and stops. Does not wait. */
   public void leave() {
     loop.remove(loopPart);
   }
 
-  /** Ends without a word, as a front that is killed; waited for, a second at most. */
+  /** Stops without announcing it, as a killed front does. Waits for at most one second. */
   public void stopWithoutLeaving() {
     stopsWithoutLeaving = true;
     close();
   }
 
-  /** {@link #leave}, waited for, a second at most. */
+  /** Leaves as {@link #leave} does, and waits for it for at most one second. */
   @Override
   public void close() {
     try {
       if (started && !loop.removeAndWait(loopPart)) {
-        LOG.warn("members: still at work");
+        LOG.warn("members: loop did not stop in time");
       }
       if (ownLoop != null) {
         ownLoop.close();
       }
       channel.close();
     } catch (IOException e) {
-      LOG.warn("members", e);
+      LOG.warn("members: closing the socket failed", e);
     }
   }
 
--- a/src/test/java/linengauge/membership/DatagramTest.java
+++ b/src/test/java/linengauge/membership/DatagramTest.java
@@ -42,7 +42,7 @@
     assertThrows(IllegalArgumentException.class, () -> Datagram.decode(bytes, bytes.length));
   }
 
-  /** Noise is refused or read; nothing else is thrown, and nothing is kept of what is not there. */
+  /** Corruption causes no other exception and no update that the datagram does not hold. */
   @Test
   void corruptedDatagramsAreDecodedOrRejected() {
     SplittableRandom random = new SplittableRandom(5);
@@ -58,6 +58,6 @@
         continue;
       }
     }
-    assertEquals(true, decoded > 1000, "read " + decoded);
+    assertEquals(true, decoded > 1000, "datagrams decoded: " + decoded);
   }
 }
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Members in virtual time, under troubles from seeds and under the shortest that break them without
- * one of their guards.
+ * Runs membership in virtual time under random faults, and under the shortest schedules that
+ * violate an invariant when a safeguard is disabled.
  */
 class FleetSimulationTest {
   private static final MembershipSettings DEFAULT = MembershipSettings.DEFAULT;
@@ -43,8 +43,8 @@
   }
 
   /**
-   * The first that breaks says which seed; without one trouble after another its shortest form is
-   * found.
+   * The first failing seed is reported together with its schedule, which is minimized by removing
+   * one fault at a time.
    */
   @Test
   void underRandomFaultsNoHealthyMemberIsDeclaredDeadAndTheFleetConverges() {
@@ -58,7 +58,9 @@
         }
       }
       assertEquals(
-          List.of(), outcome.violations(), "seed " + seed + ", shortest " + schedule.faults());
+          List.of(),
+          outcome.violations(),
+          "seed " + seed + ", shortest schedule " + schedule.faults());
     }
     for (long seed = 1; seed <= 20; seed++) {
       assertEquals(
@@ -75,7 +77,7 @@
         run(FaultSchedule.random(3, 7, 4, 6, SETTLING_TIME)));
   }
 
-  /** Each guard, and the shortest schedule found that breaks a rule without it. */
+  /** Each safeguard with the shortest known schedule that violates an invariant without it. */
   private enum Guard {
     AWAKE(
         schedule(
@@ -144,7 +146,10 @@
             .isEmpty());
   }
 
-  /** One way between two fronts is cut: without helpers each round would make a suspicion of it. */
+  /**
+   * Only one direction between two fronts is blocked. Without indirect probes every round would
+   * raise a suspicion.
+   */
   @Test
   void indirectProbesPreventSuspicionOverOneBlockedDirection() {
     FaultSchedule schedule = schedule(9, 7, fault(Fault.Kind.CUT, 1, 2, 30_000, 120_000));
@@ -166,7 +171,7 @@
     assertTrue(without > 4 && with * 4 < without, with + " with, " + without + " without");
   }
 
-  /** A front that hears badly lengthens its own waits. */
+  /** A front that loses incoming datagrams scales its own timeouts. */
   @Test
   void localHealthReducesSuspicionsRaisedByAnImpairedFront() {
     FaultSchedule schedule = schedule(11, 24, fault(Fault.Kind.LOSS, 3, 0, 30_000, 230_000));
@@ -194,7 +199,7 @@
         run(schedule(2, 60, fault(Fault.Kind.KILL, 7, 0, 40_000, 100_000)));
     assertEquals(List.of(), outcome.violations());
     assertTrue(
-        outcome.detectionDelays().size() >= 59, "found by " + outcome.detectionDelays().size());
+        outcome.detectionDelays().size() >= 59, "detected by " + outcome.detectionDelays().size());
     Span minSuspicion = DEFAULT.period().times(DEFAULT.suspicion() * Math.log10(60));
     for (Span delay : outcome.detectionDelays()) {
       assertTrue(delay.under(minSuspicion.times(DEFAULT.longest())), delay.toString());
@@ -246,7 +251,7 @@
 
               @Override
               public void stateChanged(MemberUpdate update) {
-                // read from the membership
+                // The test reads the member table instead.
               }
 
               @Override
@@ -279,7 +284,7 @@
     assertEquals(
         1,
         sent.stream().filter(datagram -> datagram == null).count(),
-        "another goes by its number");
+        "another process uses the same member number");
   }
 
   @Test
--- a/src/test/java/linengauge/membership/MemberProcessesTest.java
+++ b/src/test/java/linengauge/membership/MemberProcessesTest.java
@@ -25,8 +25,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Five processes of the program that tell each other of themselves; judged by what each has written
- * of the others.
+ * Five processes of the program exchange membership over loopback. The checks read what each
+ * process records about the others.
  */
 class MemberProcessesTest {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -146,7 +146,7 @@
     return "unknown";
   }
 
-  /** What these hold of each other, where that is one word; else all of it. */
+  /** Returns the state that these processes record of each other if all agree, else the counts. */
   private String commonState(int... numbers) {
     var counts = new TreeMap<String, Integer>();
     for (int observer : numbers) {
@@ -183,7 +183,7 @@
 
   @Test
   void aKilledProcessIsDeclaredDeadAndRejoinsAfterARestart() throws Exception {
-    processes.get(0).destroyForcibly().waitFor(); // the seed itself
+    processes.get(0).destroyForcibly().waitFor(); // Process 0 is also a seed.
     awaitTrue(() -> othersSee(0, "DEAD"));
     startProcess(0, "key");
     awaitTrue(() -> commonState(0, 1, 2, 3, 4).equals("ALIVE"));
@@ -214,7 +214,7 @@
         byte[] bytes = new byte[random.nextInt(1, 1500)];
         random.nextBytes(bytes);
         if (bytes.length > 6 && i % 2 == 0) {
-          Arrays.fill(bytes, 2, 5, (byte) 0); // a number that could be
+          Arrays.fill(bytes, 2, 5, (byte) 0); // A sender number that is in range.
         }
         noise.send(
             new DatagramPacket(
