--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -165,9 +165,9 @@
       }
       return;
     }
-    boolean sendOn = datagram.kind() != Kind.PAGE;
+    boolean disseminate = datagram.kind() != Kind.PAGE;
     for (MemberUpdate update : datagram.updates()) {
-      updates.onUpdate(update, now, sendOn);
+      updates.onUpdate(update, now, disseminate);
     }
     switch (datagram.kind()) {
       case PING -> dissemination.respond(Kind.ACK, address, datagram.sequence(), 0, List.of());
--- a/src/main/java/linengauge/membership/OwnMember.java
+++ b/src/main/java/linengauge/membership/OwnMember.java
@@ -4,7 +4,7 @@
 final class OwnMember {
   /**
    * Maximum distance of an incarnation from the first one. No front runs for this many
-   * milliseconds, so a larger distance is invalid; refuting it would be impossible.
+   * milliseconds, so a larger distance is invalid, and this front could not refute it.
    */
   private static final long MAX_INCARNATION_DISTANCE = 1L << 40;
 
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -35,9 +35,9 @@
   }
 
   /**
-   * @param sendOn whether the update is disseminated further; updates from a page are not
+   * @param disseminate whether the update is sent on to others; updates from a page are not
    */
-  void onUpdate(MemberUpdate update, Moment now, boolean sendOn) {
+  void onUpdate(MemberUpdate update, Moment now, boolean disseminate) {
     if (!own.isPlausible(update)) {
       return;
     }
@@ -47,25 +47,25 @@
     }
     MemberEntry entry = table.get(update.member().number());
     if (entry == null) {
-      onNewMember(update, now, sendOn);
+      onNewMember(update, now, disseminate);
     } else if (update.supersedes(entry.update())) {
       if (update.state() == MemberState.DEAD && entry.isPresent()) {
         onReportedDeath(entry, update, now);
       } else {
-        accept(entry, update, now, sendOn);
+        accept(entry, update, now, disseminate);
       }
     } else if (confirmsSuspicion(entry, update)) {
       dissemination.add(update);
     }
   }
 
-  private void onNewMember(MemberUpdate update, Moment now, boolean sendOn) {
+  private void onNewMember(MemberUpdate update, Moment now, boolean disseminate) {
     if (!update.state().isPresent()) {
       return; // The member has expired or was never known, so there is nothing to remove.
     }
     MemberEntry entry = table.add(update.member().number(), now);
     if (entry != null) {
-      accept(entry, update, now, sendOn);
+      accept(entry, update, now, disseminate);
     }
   }
 
@@ -122,13 +122,13 @@
     }
   }
 
-  private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean sendOn) {
+  private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean disseminate) {
     MemberUpdate previous = entry.update();
     entry.setUpdate(update, now);
     if (update.state() == MemberState.SUSPECT) {
       entry.setSuspicion(newSuspicion(update, now));
     }
-    if (sendOn) {
+    if (disseminate) {
       dissemination.add(update);
     }
     if (previous == null
--- a/src/test/java/linengauge/membership/FleetSimulationTest.java
+++ b/src/test/java/linengauge/membership/FleetSimulationTest.java
@@ -79,15 +79,15 @@
 
   /** Each safeguard with the shortest known schedule that violates an invariant without it. */
   private enum Guard {
-    AWAKE(
+    PAUSE_DETECTION(
         schedule(
             754,
             7,
             fault(Fault.Kind.FREEZE, 0, 0, 51_511, 79_209),
             fault(Fault.Kind.SICK, 3, 0, 50_268, 54_130))),
-    DOUBT(schedule(4, 7, fault(Fault.Kind.SICK, 3, 0, 32_952, 33_331))),
-    DENIAL(schedule(1, 7, fault(Fault.Kind.MUTE, 0, 0, 53_669, 68_399))),
-    REGATHER(schedule(1, 7)),
+    DEATH_VERIFICATION(schedule(4, 7, fault(Fault.Kind.SICK, 3, 0, 32_952, 33_331))),
+    REFUTATION(schedule(1, 7, fault(Fault.Kind.MUTE, 0, 0, 53_669, 68_399))),
+    RECONNECTION(schedule(1, 7)),
     SUSPICION(schedule(5, 7, fault(Fault.Kind.SICK, 0, 0, 39_020, 39_948)));
 
     private final FaultSchedule failingSchedule;
@@ -96,7 +96,7 @@
       this.failingSchedule = failingSchedule;
     }
 
-    private Membership without(
+    private Membership createWithout(
         MembershipSettings settings,
         Member own,
         long incarnation,
@@ -114,22 +114,22 @@
               settings.healthMost(),
               settings.retellings(),
               settings.deadKept(),
-              this == REGATHER ? Span.NONE : settings.regather(),
+              this == RECONNECTION ? Span.NONE : settings.regather(),
               settings.most());
       return new Membership(unguarded, own, incarnation, seeds, port, random) {
         @Override
         protected boolean isProcessPause(Span late) {
-          return Guard.this != AWAKE && super.isProcessPause(late);
+          return Guard.this != PAUSE_DETECTION && super.isProcessPause(late);
         }
 
         @Override
         protected boolean verifiesReportedDeaths() {
-          return Guard.this != DOUBT;
+          return Guard.this != DEATH_VERIFICATION;
         }
 
         @Override
         protected boolean refutes() {
-          return Guard.this != DENIAL;
+          return Guard.this != REFUTATION;
         }
       };
     }
@@ -140,7 +140,7 @@
   void removingAGuardViolatesAnInvariant(Guard guard) {
     assertEquals(List.of(), run(guard.failingSchedule).violations());
     assertFalse(
-        new FleetSimulation(DEFAULT, guard.failingSchedule, guard::without)
+        new FleetSimulation(DEFAULT, guard.failingSchedule, guard::createWithout)
             .run()
             .violations()
             .isEmpty());
@@ -166,9 +166,11 @@
             DEFAULT.deadKept(),
             DEFAULT.regather(),
             DEFAULT.most());
-    int with = run(schedule).falseSuspicions();
-    int without = new FleetSimulation(noIndirectProbes, schedule).run().falseSuspicions();
-    assertTrue(without > 4 && with * 4 < without, with + " with, " + without + " without");
+    int withMechanism = run(schedule).falseSuspicions();
+    int withoutMechanism = new FleetSimulation(noIndirectProbes, schedule).run().falseSuspicions();
+    assertTrue(
+        withoutMechanism > 4 && withMechanism * 4 < withoutMechanism,
+        withMechanism + " with, " + withoutMechanism + " without");
   }
 
   /** A front that loses incoming datagrams scales its own timeouts. */
@@ -188,9 +190,12 @@
             DEFAULT.deadKept(),
             DEFAULT.regather(),
             DEFAULT.most());
-    int with = run(schedule).falseSuspicions();
-    int without = new FleetSimulation(withoutLocalHealth, schedule).run().falseSuspicions();
-    assertTrue(with < without, with + " with, " + without + " without");
+    int withMechanism = run(schedule).falseSuspicions();
+    int withoutMechanism =
+        new FleetSimulation(withoutLocalHealth, schedule).run().falseSuspicions();
+    assertTrue(
+        withMechanism < withoutMechanism,
+        withMechanism + " with, " + withoutMechanism + " without");
   }
 
   @Test
