--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import linengauge.front.FrontProgram;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.site.Site;
 import linengauge.site.SiteFile;
 import picocli.CommandLine;
@@ -96,7 +96,7 @@
       Site site;
       try {
         site = SiteFile.read(file);
-      } catch (BadSite e) {
+      } catch (InvalidSiteException e) {
         System.err.println(e.getMessage());
         return 1;
       }
@@ -150,7 +150,7 @@
         Site site = SiteFile.read(file);
         System.out.println(show ? SiteFile.show(site) : file + ": good");
         return 0;
-      } catch (BadSite e) {
+      } catch (InvalidSiteException e) {
         System.err.println(e.getMessage());
         return 1;
       }
--- a/src/main/java/linengauge/cli/Drills.java
+++ b/src/main/java/linengauge/cli/Drills.java
@@ -26,7 +26,7 @@
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 import linengauge.scale.hollow.HollowChild;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -100,7 +100,7 @@
     DayScript day;
     try {
       day = DayScript.read(script);
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       System.err.println(e.getMessage());
       return 1;
     }
@@ -120,7 +120,7 @@
               defaultValue = "600",
               description = "how long it runs (default: 600)")
           int seconds)
-      throws IOException, InterruptedException, BadSite {
+      throws IOException, InterruptedException, InvalidSiteException {
     log.apply();
     TryOut.run(DayScript.read("builtin:bad-day"), seconds, System.out);
     return 0;
@@ -291,7 +291,7 @@
     got.changes().forEach(c -> System.out.println("changed: " + c));
     try {
       DayScript.read(script.toString());
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       System.err.println(e.getMessage());
       return 1;
     }
--- a/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
@@ -146,8 +146,8 @@
 
   private void runUntil(Moment then) {
     int atOnce = 0;
-    while (time.nextAt() != null && time.nextAt().before(then) && !judge.isDone()) {
-      atOnce = time.nextAt().equals(now()) ? atOnce + 1 : 0;
+    while (time.nextEventAt() != null && time.nextEventAt().before(then) && !judge.isDone()) {
+      atOnce = time.nextEventAt().equals(now()) ? atOnce + 1 : 0;
       if (atOnce > MOST_AT_ONCE) {
         judge.report("no end of things at one moment");
         return;
--- a/src/main/java/linengauge/consensus/tcp/ConsensusStore.java
+++ b/src/main/java/linengauge/consensus/tcp/ConsensusStore.java
@@ -38,7 +38,7 @@
   }
 
   private PersistentState read(Path path) throws IOException {
-    Snapshots.Read r = generations.read();
+    Snapshots.ReadResult r = generations.read();
     switch (r.found()) {
       case NOTHING -> {
         return null;
--- a/src/main/java/linengauge/drill/DayScript.java
+++ b/src/main/java/linengauge/drill/DayScript.java
@@ -8,7 +8,7 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.site.Site;
 import linengauge.site.SiteFile;
 
@@ -101,7 +101,7 @@
       double atS, double forS, String kind, double part, double size, double extra, String how) {}
 
   /** Reads a file, or a script in the jar where the name is "builtin:NAME". */
-  public static DayScript read(String name) throws BadSite, IOException {
+  public static DayScript read(String name) throws InvalidSiteException, IOException {
     byte[] bytes;
     if (name.startsWith("builtin:")) {
       try (InputStream in =
@@ -118,7 +118,7 @@
     return parse(name, bytes);
   }
 
-  static DayScript parse(String name, byte[] bytes) throws BadSite, IOException {
+  static DayScript parse(String name, byte[] bytes) throws InvalidSiteException, IOException {
     JsonNode tree = SiteFile.checked(name, bytes, SiteFile.schema("/linengauge/day.schema.json"));
     try {
       return SiteFile.json5().treeToValue(tree, DayScript.class);
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -24,7 +24,7 @@
 import linengauge.rules.BadRecord;
 import linengauge.rules.Holders;
 import linengauge.rules.Judge;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.standin.PlayerCrowd;
 import linengauge.standin.SharedLan;
 
@@ -101,7 +101,7 @@
     DayScript day;
     try {
       day = DayScript.read("builtin:failover");
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       throw new IOException(e);
     }
     List<Integer> ports = Ports.free(2 * FRONTS + 2 * FRONTS + FRONTS + 1);
--- a/src/main/java/linengauge/drill/SlowDrill.java
+++ b/src/main/java/linengauge/drill/SlowDrill.java
@@ -18,7 +18,7 @@
 import java.util.SplittableRandom;
 import linengauge.rules.BadRecord;
 import linengauge.rules.Judge;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.standin.PlayerCrowd;
 import linengauge.standin.SlowCrowd;
 import linengauge.standin.SlowCrowd.Way;
@@ -76,7 +76,7 @@
     DayScript day;
     try {
       day = DayScript.read("builtin:slow-peers");
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       throw new IOException(e);
     }
     List<String> record;
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -19,7 +19,7 @@
 import linengauge.Outside.Ending;
 import linengauge.Span;
 import linengauge.carry.Sparse;
-import linengauge.hls.BadPlaylist;
+import linengauge.hls.MalformedPlaylistException;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
 import linengauge.session.Backoff;
@@ -113,7 +113,7 @@
   }
 
   static RequestOptions to(BoxTable.Entry box, HttpMethod method, String uri, int connectMs) {
-    Site.Address at = Site.Address.of(box.address());
+    Site.Address at = Site.Address.parse(box.address());
     return new RequestOptions()
         .setMethod(method)
         .setHost(at.host())
@@ -257,7 +257,7 @@
                     o.base + "/v/" + vw.id() + "/media.m3u8",
                     uri -> o.base + Paths.under(vw.id(), "", uri));
             program.onDesk(() -> plays(vw, o, box, text));
-          } catch (BadPlaylist e) {
+          } catch (MalformedPlaylistException e) {
             broken(vw, o, box, e.getMessage());
           }
         });
--- a/src/main/java/linengauge/front/ControlListener.java
+++ b/src/main/java/linengauge/front/ControlListener.java
@@ -34,7 +34,7 @@
   }
 
   Future<?> open() {
-    Site.Address at = Site.Address.of(site.front().control());
+    Site.Address at = Site.Address.parse(site.front().control());
     Site.Control control = site.control();
     HttpServer server =
         vertx.createHttpServer(
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -40,7 +40,7 @@
   private final Site site;
   private final Headend house;
   private final Map<String, Integer> packages;
-  private final Map<String, Site.Held> cells;
+  private final Map<String, Site.TitleCells> cells;
   private final Sparse log = new Sparse(LoggerFactory.getLogger(Door.class));
   private Loops here;
   private HttpClient media;
@@ -83,7 +83,7 @@
   /** Opens one way in; where it is that of a shared address, it is open while the lease holds. */
   private Future<?> listen(String address, Lease lease) {
     Site.Viewers v = site.viewers();
-    Site.Address at = Site.Address.of(address);
+    Site.Address at = Site.Address.parse(address);
     HttpServer server =
         vertx.createHttpServer(
             new HttpServerOptions()
@@ -273,7 +273,7 @@
       refuse(r, 400, "ceiling and patience are whole numbers, patience in milliseconds and over 0");
       return null;
     }
-    Site.Held where = cells.get(title);
+    Site.TitleCells where = cells.get(title);
     if (where == null && !site.titles().anywhere()) {
       refuse(r, 404, "no such title");
       return null;
--- a/src/main/java/linengauge/front/FleetLease.java
+++ b/src/main/java/linengauge/front/FleetLease.java
@@ -36,7 +36,7 @@
     }
     Member own =
         new Member(
-            site.front().number(), lease.listen(), site.headend().building(), lease.region());
+            site.front().number(), lease.listen(), site.deployment().building(), lease.region());
     List<ControlMachine> machines =
         lease.control().stream()
             .map(
--- a/src/main/java/linengauge/front/FleetMembers.java
+++ b/src/main/java/linengauge/front/FleetMembers.java
@@ -29,7 +29,10 @@
     }
     Member own =
         new Member(
-            site.front().number(), members.listen(), site.headend().building(), members.region());
+            site.front().number(),
+            members.listen(),
+            site.deployment().building(),
+            members.region());
     this.node =
         new MembershipNode(
             MembershipSettings.USUAL.inPeriods(Span.ofMillis(members.periodMs())),
--- a/src/main/java/linengauge/front/FrontDatagrams.java
+++ b/src/main/java/linengauge/front/FrontDatagrams.java
@@ -29,10 +29,10 @@
 
   /** Binds the socket, where the site file names one and lets fronts speak to each other. */
   Future<?> open(Consumer<byte[]> receiver) {
-    if (!site.headend().permits().messages() || site.front().words() == null) {
+    if (!site.deployment().permits().messages() || site.front().words() == null) {
       return Future.succeededFuture();
     }
-    Site.Address at = Site.Address.of(site.front().words());
+    Site.Address at = Site.Address.parse(site.front().words());
     socket = vertx.createDatagramSocket();
     return socket
         .listen(at.port(), at.host())
@@ -54,7 +54,7 @@
     String to =
         site.fronts().words() == null ? null : site.fronts().words().get(Integer.toString(front));
     if (socket != null && to != null) {
-      Site.Address at = Site.Address.of(to);
+      Site.Address at = Site.Address.parse(to);
       socket.send(Buffer.buffer(datagram), at.port(), at.host());
     }
   }
--- a/src/main/java/linengauge/front/FrontProgram.java
+++ b/src/main/java/linengauge/front/FrontProgram.java
@@ -100,8 +100,8 @@
 
   public FrontProgram(Site site) {
     this.site = site;
-    this.house = site.headend();
-    this.gate = new Gate(site.door());
+    this.house = site.deployment();
+    this.gate = new Gate(site.listenerSettings());
     this.vertx = loops(1);
     this.callLoops = loops(1);
     this.viewerLoops = loops(site.viewers().loops());
@@ -193,9 +193,11 @@
       @Override
       public Future<?> start() {
         desk.begin(context);
-        core = new Desk(house, site.bounds(), seeds.nextLong(), epoch, FrontProgram.this);
+        core =
+            new Desk(
+                house, site.sessionManagerLimits(), seeds.nextLong(), epoch, FrontProgram.this);
         desk.setCore(core);
-        chores = new Chores(FrontProgram.this, site.work().terms(), seeds.nextLong());
+        chores = new Chores(FrontProgram.this, site.work().settings(), seeds.nextLong());
         calls = new BoxCalls(callLoops, site, seeds.nextLong(), FrontProgram.this);
         notes = new Notes(callLoops, site, seeds.nextLong(), FrontProgram.this);
         feed = new ListFeed(callLoops, site, seeds.nextLong(), FrontProgram.this);
--- a/src/main/java/linengauge/front/ListFeed.java
+++ b/src/main/java/linengauge/front/ListFeed.java
@@ -60,7 +60,7 @@
       return;
     }
     long from = program.core().listRevision();
-    Site.Address at = Site.Address.of(site.list().address());
+    Site.Address at = Site.Address.parse(site.list().address());
     stream =
         new Stream(
             program,
--- a/src/main/java/linengauge/front/Loops.java
+++ b/src/main/java/linengauge/front/Loops.java
@@ -25,10 +25,10 @@
   private volatile Map<String, Long> seen = Map.of();
 
   Loops(Vertx vertx, Site site) {
-    var terms = site.flowOfLoop();
+    var terms = site.flowSettingsPerLoop();
     this.time = new OwnTime(terms.beat(), terms.late());
     this.watch = new Watch(terms, time);
-    this.knocks = new Knocks(site.door(), time);
+    this.knocks = new Knocks(site.listenerSettings(), time);
     time.beat(Wall.now());
     tell();
     vertx.setPeriodic(site.flow().beatMs(), t -> beat());
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/Relay.java
@@ -17,7 +17,7 @@
 import linengauge.carry.Sparse;
 import linengauge.carry.Wall;
 import linengauge.flow.Account;
-import linengauge.hls.BadPlaylist;
+import linengauge.hls.MalformedPlaylistException;
 import linengauge.hls.Paths;
 import linengauge.hls.Playlists;
 import linengauge.site.Site;
@@ -310,7 +310,7 @@
         to.putHeader("Content-Type", "application/vnd.apple.mpegurl")
             .putHeader("Cache-Control", "no-store")
             .end(text);
-      } catch (BadPlaylist e) {
+      } catch (MalformedPlaylistException e) {
         broken(502, "the media box sends a broken playlist: " + e.getMessage());
       }
     }
--- a/src/main/java/linengauge/front/ViewerEnd.java
+++ b/src/main/java/linengauge/front/ViewerEnd.java
@@ -95,7 +95,7 @@
   @Override
   public void plays(Held vw) {
     lastAsked = Wall.micros();
-    var at = linengauge.site.Site.Address.of(vw.box().address());
+    var at = linengauge.site.Site.Address.parse(vw.box().address());
     route = new Route(at.host(), at.port());
     routes.put(vw.id(), this);
     String text = playlist;
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -59,7 +59,7 @@
   }
 
   private static InetSocketAddress socket(String address) {
-    Site.Address at = Site.Address.of(address);
+    Site.Address at = Site.Address.parse(address);
     return new InetSocketAddress(at.host(), at.port());
   }
 
--- a/src/main/java/linengauge/hls/Attributes.java
+++ b/src/main/java/linengauge/hls/Attributes.java
@@ -11,23 +11,23 @@
   private Attributes() {}
 
   /** Names and raw values (quoted strings with their quotes), in order. */
-  static Map<String, String> read(int line, String list) throws BadPlaylist {
+  static Map<String, String> read(int line, String list) throws MalformedPlaylistException {
     Map<String, String> read = new LinkedHashMap<>();
     int i = 0;
     while (i < list.length()) {
       int equals = list.indexOf('=', i);
       if (equals < 0) {
-        throw new BadPlaylist(line, "an attribute has no value");
+        throw new MalformedPlaylistException(line, "an attribute has no value");
       }
       String name = list.substring(i, equals).trim();
       if (!NAME.matcher(name).matches()) {
-        throw new BadPlaylist(line, "'" + name + "' is no attribute name");
+        throw new MalformedPlaylistException(line, "'" + name + "' is no attribute name");
       }
       int end;
       if (equals + 1 < list.length() && list.charAt(equals + 1) == '"') {
         int close = list.indexOf('"', equals + 2);
         if (close < 0) {
-          throw new BadPlaylist(line, "a quoted string does not end");
+          throw new MalformedPlaylistException(line, "a quoted string does not end");
         }
         end = close + 1;
       } else {
@@ -35,10 +35,10 @@
         end = comma < 0 ? list.length() : comma;
       }
       if (read.put(name, list.substring(equals + 1, end)) != null) {
-        throw new BadPlaylist(line, "attribute " + name + " stands twice");
+        throw new MalformedPlaylistException(line, "attribute " + name + " stands twice");
       }
       if (end < list.length() && list.charAt(end) != ',') {
-        throw new BadPlaylist(line, "a comma was expected after attribute " + name);
+        throw new MalformedPlaylistException(line, "a comma was expected after attribute " + name);
       }
       i = end + 1;
     }
--- a/src/main/java/linengauge/hls/BadPlaylist.java
+++ b/src/main/java/linengauge/hls/MalformedPlaylistException.java
@@ -1,10 +1,10 @@
 package linengauge.hls;
 
 /** A playlist that cannot be passed on; its message names the line and what is wrong. */
-public final class BadPlaylist extends Exception {
+public final class MalformedPlaylistException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  BadPlaylist(int line, String what) {
+  MalformedPlaylistException(int line, String what) {
     super((line > 0 ? "line " + line + ": " : "") + what);
   }
 }
--- a/src/main/java/linengauge/hls/Playlists.java
+++ b/src/main/java/linengauge/hls/Playlists.java
@@ -45,12 +45,13 @@
    * @param uri gives the address under this viewing of one that stands in the playlist
    */
   public static String multivariant(
-      byte[] playlist, int rung, String variantUri, UnaryOperator<String> uri) throws BadPlaylist {
+      byte[] playlist, int rung, String variantUri, UnaryOperator<String> uri)
+      throws MalformedPlaylistException {
     String text = text(playlist);
     try {
       MULTIVARIANT.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
-      throw new BadPlaylist(0, "not a multivariant playlist: " + e.getMessage());
+      throw new MalformedPlaylistException(0, "not a multivariant playlist: " + e.getMessage());
     }
     List<String> lines = text.lines().toList();
     Variant chosen = variant(lines, rung);
@@ -87,12 +88,13 @@
   /**
    * A media playlist with every address under this viewing; all else stands as the box wrote it.
    */
-  public static String media(byte[] playlist, UnaryOperator<String> uri) throws BadPlaylist {
+  public static String media(byte[] playlist, UnaryOperator<String> uri)
+      throws MalformedPlaylistException {
     String text = text(playlist);
     try {
       MEDIA.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
-      throw new BadPlaylist(0, "not a media playlist: " + e.getMessage());
+      throw new MalformedPlaylistException(0, "not a media playlist: " + e.getMessage());
     }
     StringBuilder out = new StringBuilder();
     boolean target = false;
@@ -111,14 +113,14 @@
       out.append('\n');
     }
     if (!target) {
-      throw new BadPlaylist(0, "not a media playlist: no EXT-X-TARGETDURATION");
+      throw new MalformedPlaylistException(0, "not a media playlist: no EXT-X-TARGETDURATION");
     }
     return out.toString();
   }
 
   private record Variant(int line, long bandwidth, Map<String, String> attributes) {}
 
-  private static Variant variant(List<String> lines, int rung) throws BadPlaylist {
+  private static Variant variant(List<String> lines, int rung) throws MalformedPlaylistException {
     List<Variant> variants = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i);
@@ -128,19 +130,19 @@
         try {
           variants.add(new Variant(i, Long.parseLong(a.getOrDefault("BANDWIDTH", "")), a));
         } catch (NumberFormatException e) {
-          throw new BadPlaylist(i + 1, "a variant has no BANDWIDTH");
+          throw new MalformedPlaylistException(i + 1, "a variant has no BANDWIDTH");
         }
         uriAfter(lines, i);
       }
     }
     if (variants.isEmpty()) {
-      throw new BadPlaylist(0, "no variant is named");
+      throw new MalformedPlaylistException(0, "no variant is named");
     }
     variants.sort((a, b) -> Long.compare(a.bandwidth, b.bandwidth));
     return variants.get(Math.max(0, Math.min(rung, variants.size() - 1)));
   }
 
-  private static int uriAfter(List<String> lines, int tagLine) throws BadPlaylist {
+  private static int uriAfter(List<String> lines, int tagLine) throws MalformedPlaylistException {
     for (int i = tagLine + 1; i < lines.size(); i++) {
       if (!lines.get(i).isBlank() && !lines.get(i).startsWith("#")) {
         return i;
@@ -149,11 +151,11 @@
         break;
       }
     }
-    throw new BadPlaylist(tagLine + 1, "a variant has no address");
+    throw new MalformedPlaylistException(tagLine + 1, "a variant has no address");
   }
 
   private static String withUri(int number, String line, String tag, UnaryOperator<String> uri)
-      throws BadPlaylist {
+      throws MalformedPlaylistException {
     if (line.length() <= tag.length()) {
       return line;
     }
@@ -175,15 +177,15 @@
   }
 
   /** Playlists are UTF-8 without a byte order mark, and start with EXTM3U (section 4.1). */
-  private static String text(byte[] playlist) throws BadPlaylist {
+  private static String text(byte[] playlist) throws MalformedPlaylistException {
     String text;
     try {
       text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(playlist)).toString();
     } catch (CharacterCodingException e) {
-      throw new BadPlaylist(0, "not UTF-8");
+      throw new MalformedPlaylistException(0, "not UTF-8");
     }
     if (!text.startsWith("#EXTM3U") || text.length() > 7 && " \r\n\t".indexOf(text.charAt(7)) < 0) {
-      throw new BadPlaylist(1, "does not start with #EXTM3U");
+      throw new MalformedPlaylistException(1, "does not start with #EXTM3U");
     }
     return text;
   }
--- a/src/main/java/linengauge/lease/udp/ControlNode.java
+++ b/src/main/java/linengauge/lease/udp/ControlNode.java
@@ -64,7 +64,7 @@
   private long toldVersion;
 
   /** The registrar as the loop serves it. */
-  private final class Served implements DatagramLoop.Part {
+  private final class Served implements DatagramLoop.Handler {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -76,7 +76,7 @@
     }
 
     @Override
-    public void heard(Moment now, String address, byte[] bytes, int length) {
+    public void onDatagram(Moment now, String address, byte[] bytes, int length) {
       LeaseMessage message = LeaseCodec.read(bytes, length);
       catchUp(now);
       registrar.heard(now, address, message);
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public Moment next() {
+    public Moment nextStepAt() {
       return registrar.next();
     }
 
@@ -161,7 +161,7 @@
 
   /** Once, until the registrar has looked. */
   private void wake() {
-    if (woken.compareAndSet(false, true) && !loop.wake(part)) {
+    if (woken.compareAndSet(false, true) && !loop.requestStep(part)) {
       woken.set(false); // too much waits on the loop: the next datagram or timer has it looked at
     }
   }
--- a/src/main/java/linengauge/lease/udp/LeaseForm.java
+++ b/src/main/java/linengauge/lease/udp/LeaseForm.java
@@ -5,7 +5,8 @@
 
 /** How lease datagrams begin: version 2, a kind, the sender's number in two bytes. */
 final class LeaseForm {
-  static final SealedChannel.Form FORM = new SealedChannel.Form(2, 2, 2, LeaseCodec.MOST);
+  static final SealedChannel.DatagramFormat FORM =
+      new SealedChannel.DatagramFormat(2, 2, 2, LeaseCodec.MOST);
 
   private LeaseForm() {}
 }
--- a/src/main/java/linengauge/lease/udp/LeaseNode.java
+++ b/src/main/java/linengauge/lease/udp/LeaseNode.java
@@ -44,7 +44,7 @@
   private volatile boolean silent;
 
   /** The agent as the loop serves it. */
-  private final class Served implements DatagramLoop.Part {
+  private final class Served implements DatagramLoop.Handler {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -56,7 +56,7 @@
     }
 
     @Override
-    public void heard(Moment now, String address, byte[] bytes, int length) {
+    public void onDatagram(Moment now, String address, byte[] bytes, int length) {
       agent.heard(now, address, LeaseCodec.read(bytes, length));
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public Moment next() {
+    public Moment nextStepAt() {
       silent = agent.isSilent();
       return agent.next();
     }
@@ -141,7 +141,7 @@
   /** Says that it leaves; goes on until that is known, or was said often enough. */
   public void leave() {
     loop.execute(() -> agent.leave(DatagramLoop.now()));
-    loop.wake(part);
+    loop.requestStep(part);
   }
 
   /** It left, was ended, or another process has its number. */
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -23,7 +23,8 @@
   private static final Logger LOG = LoggerFactory.getLogger(MembershipNode.class);
 
   /** Version 1, and where a datagram says who sends it. */
-  private static final SealedChannel.Form FORM = new SealedChannel.Form(1, 2, 4, Datagram.MOST);
+  private static final SealedChannel.DatagramFormat FORM =
+      new SealedChannel.DatagramFormat(1, 2, 4, Datagram.MOST);
 
   /** What was dropped, by cause; another version is unreadable. */
   public record Drops(long strangers, long replayed, long unreadable) {}
@@ -40,7 +41,7 @@
   private volatile List<MemberUpdate> held = List.of();
 
   /** The members as the loop serves them. */
-  private final class Served implements DatagramLoop.Part {
+  private final class Served implements DatagramLoop.Handler {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -52,7 +53,7 @@
     }
 
     @Override
-    public void heard(Moment now, String address, byte[] bytes, int length) {
+    public void onDatagram(Moment now, String address, byte[] bytes, int length) {
       members.heard(now, address, Datagram.read(bytes, length));
       if (stale) {
         publish();
@@ -66,7 +67,7 @@
     }
 
     @Override
-    public Moment next() {
+    public Moment nextStepAt() {
       return members.next();
     }
 
--- a/src/main/java/linengauge/memory/Snapshots.java
+++ b/src/main/java/linengauge/memory/Snapshots.java
@@ -32,7 +32,7 @@
   private static final String TEMPORARY = ".new";
 
   /** What reading found. */
-  public enum Found {
+  public enum ReadOutcome {
     WHOLE,
     NOTHING,
     ALL_BROKEN,
@@ -43,7 +43,8 @@
    * What was read: the table and its format where one is whole, and the names of files passed over
    * as they were not.
    */
-  public record Read(Found found, long generation, int format, byte[] table, List<String> broken) {}
+  public record ReadResult(
+      ReadOutcome found, long generation, int format, byte[] table, List<String> broken) {}
 
   private final Folder folder;
   private final String prefix;
@@ -71,7 +72,7 @@
   }
 
   /** The newest generation that is whole; to be called first, before anything is saved. */
-  public Read read() throws IOException {
+  public ReadResult read() throws IOException {
     List<Long> generations = new ArrayList<>();
     for (String name : folder.names()) {
       long g = generation(name);
@@ -95,17 +96,21 @@
         broken.add(prefix + g);
       } else if (f > format) {
         newer = true;
-        return new Read(Found.NEWER, g, f, null, broken);
+        return new ReadResult(ReadOutcome.NEWER, g, f, null, broken);
       } else {
         kept = g;
         tidy(generations);
         byte[] table = new byte[bytes.length - HEAD_BYTES - SUM_BYTES];
         System.arraycopy(bytes, HEAD_BYTES, table, 0, table.length);
-        return new Read(Found.WHOLE, g, f, table, broken);
+        return new ReadResult(ReadOutcome.WHOLE, g, f, table, broken);
       }
     }
-    return new Read(
-        generations.isEmpty() ? Found.NOTHING : Found.ALL_BROKEN, -1, format, null, broken);
+    return new ReadResult(
+        generations.isEmpty() ? ReadOutcome.NOTHING : ReadOutcome.ALL_BROKEN,
+        -1,
+        format,
+        null,
+        broken);
   }
 
   /** The generation that a file's name tells; -1 where it is none of this table's. */
--- a/src/main/java/linengauge/rehearsal/Clockwork.java
+++ b/src/main/java/linengauge/rehearsal/Clockwork.java
@@ -27,7 +27,7 @@
 
   /** Runs everything up to that moment. */
   public void run(Moment until) {
-    while (events.nextAt() != null && !until.before(events.nextAt())) {
+    while (events.nextEventAt() != null && !until.before(events.nextEventAt())) {
       events.runNext();
     }
     events.advanceTo(until);
--- a/src/main/java/linengauge/scale/hollow/HollowControl.java
+++ b/src/main/java/linengauge/scale/hollow/HollowControl.java
@@ -52,7 +52,7 @@
             ports.machines(),
             log);
     node = new ControlNode(settings, store(spec, key), listener());
-    node.channel().filter(gate);
+    node.channel().setFilter(gate);
   }
 
   private static ConsensusStore store(HollowSpec spec, byte[] key) throws IOException {
--- a/src/main/java/linengauge/scale/hollow/HollowFront.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFront.java
@@ -63,7 +63,7 @@
     } else {
       gossip = new MembershipNode(spec.gossip(), own, seeds(), key, this::changed, loop);
     }
-    channel().filter(gate);
+    channel().setFilter(gate);
   }
 
   private List<String> seeds() {
--- a/src/main/java/linengauge/site/BadSite.java
+++ b/src/main/java/linengauge/site/InvalidSiteException.java
@@ -4,11 +4,11 @@
 import java.util.stream.Collectors;
 
 /** A site file that is refused, whole; its message has one line a fault. */
-public final class BadSite extends Exception {
+public final class InvalidSiteException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient List<SiteFault> faults;
 
-  BadSite(List<SiteFault> faults) {
+  InvalidSiteException(List<SiteFault> faults) {
     super(faults.stream().map(SiteFault::toString).collect(Collectors.joining("\n")));
     this.faults = List.copyOf(faults);
   }
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -30,10 +30,10 @@
     Rules rules,
     Permits permits,
     Titles titles,
-    BoxList list,
+    Discovery list,
     Viewers viewers,
     Boxes boxes,
-    DeskBounds desk,
+    SessionLimits desk,
     Flow flow,
     Control control,
     Work work,
@@ -45,7 +45,7 @@
   /** A host and a port. */
   public record Address(String host, int port) {
     /** Reads "host:port". */
-    public static Address of(String text) {
+    public static Address parse(String text) {
       int colon = text.lastIndexOf(':');
       return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
@@ -113,13 +113,13 @@
       int longestAdviceMs) {}
 
   /** A title that is held by so many cells in a row, from the first on. */
-  public record Held(String name, int first, int inRow) {}
+  public record TitleCells(String name, int first, int inRow) {}
 
   /** Which cells hold which titles; anywhere: titles that are not named may be asked for too. */
-  public record Titles(boolean anywhere, List<Held> cells) {}
+  public record Titles(boolean anywhere, List<TitleCells> cells) {}
 
   /** The service that tells of boxes, and how a front follows it. */
-  public record BoxList(
+  public record Discovery(
       String address, int retryFirstMs, int retryMostMs, int silenceMs, int lineBytes) {}
 
   /** The listeners for viewers: their bounds, each connection's and all of them together. */
@@ -188,7 +188,7 @@
       int noteBytes) {}
 
   /** What the desk holds and how long it waits, at the most. */
-  public record DeskBounds(
+  public record SessionLimits(
       int viewings,
       int idleMs,
       int adviceMs,
@@ -212,7 +212,7 @@
       int ageingMs,
       int firstPauseMs,
       int mostPauseMs) {
-    public WorkTerms terms() {
+    public WorkTerms settings() {
       return new WorkTerms(
           Span.ofMillis(windowMs),
           Span.ofMillis(deskMs),
@@ -289,7 +289,7 @@
   public record Stop(int playingMs) {}
 
   /** What the module is told at its start. */
-  public Headend headend() {
+  public Headend deployment() {
     return new Headend(
         fronts.count,
         front.number,
@@ -342,7 +342,7 @@
   }
 
   /** What the core is bounded by. */
-  public Desk.Bounds bounds() {
+  public Desk.Bounds sessionManagerLimits() {
     return new Desk.Bounds(
         desk.viewings,
         Span.ofMillis(desk.idleMs),
@@ -367,7 +367,7 @@
   }
 
   /** What slow peers are held to on each loop of viewers' connections. */
-  public FlowTerms flowOfLoop() {
+  public FlowTerms flowSettingsPerLoop() {
     return new FlowTerms(
         flow.guards,
         Span.ofMillis(flow.beatMs),
@@ -396,7 +396,7 @@
   }
 
   /** What the door is held to. */
-  public DoorTerms door() {
+  public DoorTerms listenerSettings() {
     return new DoorTerms(
         flow.guards,
         viewers.connections,
@@ -433,14 +433,14 @@
                     Span.ofMillis(r.advertMs),
                     r.preempt,
                     r.accept,
-                    r.addresses.stream().map(Site::literal).toList(),
-                    literal(Address.of(vrrp.listen).host()),
+                    r.addresses.stream().map(Site::parseAddressLiteral).toList(),
+                    parseAddressLiteral(Address.parse(vrrp.listen).host()),
                     more))
         .toList();
   }
 
   /** An address from its text; null where it is none. */
-  static NodeAddress literal(String text) {
+  static NodeAddress parseAddressLiteral(String text) {
     try {
       return text.matches("[0-9.]+|[0-9A-Fa-f:]+")
           ? new NodeAddress(InetAddress.getByName(text).getAddress())
@@ -466,8 +466,8 @@
   }
 
   /** Where each named title is held. */
-  public Map<String, Held> titleCells() {
-    Map<String, Held> held = new HashMap<>();
+  public Map<String, TitleCells> titleCells() {
+    Map<String, TitleCells> held = new HashMap<>();
     titles.cells.forEach(t -> held.put(t.name, t));
     return held;
   }
--- a/src/main/java/linengauge/site/SiteChecks.java
+++ b/src/main/java/linengauge/site/SiteChecks.java
@@ -36,7 +36,7 @@
 
   private void address(String text, String path) {
     if (text != null) {
-      int port = Site.Address.of(text).port();
+      int port = Site.Address.parse(text).port();
       wants(port <= 65535, path, "port " + port + " is over 65535");
     }
   }
@@ -85,7 +85,7 @@
   private void titles(Site s) {
     Set<String> titles = new HashSet<>();
     int i = 0;
-    for (Site.Held t : s.titles().cells()) {
+    for (Site.TitleCells t : s.titles().cells()) {
       String path = "titles.cells[" + i + "]";
       i++;
       wants(titles.add(t.name()), path, "'" + t.name() + "' is named twice");
@@ -200,7 +200,7 @@
   private void inNumbers(String address, String path) {
     address(address, path);
     wants(
-        Site.literal(Site.Address.of(address).host()) != null,
+        Site.parseAddressLiteral(Site.Address.parse(address).host()) != null,
         path,
         "must be an address in numbers");
   }
@@ -220,7 +220,8 @@
     if (v.routers().isEmpty()) {
       return;
     }
-    NodeAddress own = v.listen() == null ? null : Site.literal(Site.Address.of(v.listen()).host());
+    NodeAddress own =
+        v.listen() == null ? null : Site.parseAddressLiteral(Site.Address.parse(v.listen()).host());
     wants(
         own != null,
         "vrrp.listen",
@@ -250,7 +251,7 @@
     Set<NodeAddress> partners = new HashSet<>();
     for (int i = 0; i < v.partners().size(); i++) {
       String path = "vrrp.partners[" + i + "]";
-      NodeAddress p = Site.literal(Site.Address.of(v.partners().get(i)).host());
+      NodeAddress p = Site.parseAddressLiteral(Site.Address.parse(v.partners().get(i)).host());
       address(v.partners().get(i), path);
       wants(p != null, path, "must be an address: it is what a partner is known by");
       wants(
@@ -266,7 +267,7 @@
 
   private void group(Site.Vrrp v) {
     if (v.group() != null) {
-      NodeAddress group = Site.literal(Site.Address.of(v.group()).host());
+      NodeAddress group = Site.parseAddressLiteral(Site.Address.parse(v.group()).host());
       wants(group != null && group.isMulticast(), "vrrp.group", "is no multicast address");
       wants(
           v.groupInterface() != null, "vrrp.groupInterface", "needed where there is a vrrp.group");
@@ -287,7 +288,7 @@
 
   private void sharedAddresses(Site.Router r, NodeAddress own, String path) {
     for (String a : r.addresses()) {
-      NodeAddress shared = Site.literal(a);
+      NodeAddress shared = Site.parseAddressLiteral(a);
       wants(shared != null, path + ".addresses", "'" + a + "' is no address");
       wants(
           shared == null || own == null || shared.isIpv6() == own.isIpv6(),
--- a/src/main/java/linengauge/site/SiteFile.java
+++ b/src/main/java/linengauge/site/SiteFile.java
@@ -63,7 +63,7 @@
   }
 
   /** Reads and checks a file. */
-  public static Site read(Path file) throws BadSite {
+  public static Site read(Path file) throws InvalidSiteException {
     String name = file.toString();
     try {
       if (Files.size(file) > LARGEST) {
@@ -78,7 +78,7 @@
   }
 
   /** Reads and checks the bytes of a file; the name is for its faults. */
-  public static Site parse(String name, byte[] bytes) throws BadSite {
+  public static Site parse(String name, byte[] bytes) throws InvalidSiteException {
     JsonNode given = checked(name, bytes, schema("/linengauge/site.schema.json"));
     ObjectNode whole = (ObjectNode) defaults();
     fill(whole, given);
@@ -94,25 +94,26 @@
       for (SiteFault f : faults) {
         placed.add(new SiteFault(f.file(), f.path(), lineOf(given, f.path()), f.what()));
       }
-      throw new BadSite(placed);
+      throw new InvalidSiteException(placed);
     }
     return site;
   }
 
   /** A JSON5 text as a tree that fits the schema; each fault with its path and line. */
-  public static JsonNode checked(String name, byte[] bytes, JsonSchema schema) throws BadSite {
+  public static JsonNode checked(String name, byte[] bytes, JsonSchema schema)
+      throws InvalidSiteException {
     JsonNode given = parsed(name, bytes);
     if (given == null || !given.isObject()) {
       throw refused(name, "", 1, "an object was expected");
     }
     List<SiteFault> faults = schemaFaults(name, given, schema);
     if (!faults.isEmpty()) {
-      throw new BadSite(faults);
+      throw new InvalidSiteException(faults);
     }
     return given;
   }
 
-  private static JsonNode parsed(String name, byte[] bytes) throws BadSite {
+  private static JsonNode parsed(String name, byte[] bytes) throws InvalidSiteException {
     try {
       JSON5.readTree(bytes); // tells where it breaks, and what stands after the end
       return JsonNodes.readTree(
@@ -191,8 +192,8 @@
     return line;
   }
 
-  private static BadSite refused(String file, String path, int line, String what) {
-    return new BadSite(List.of(new SiteFault(file, path, line, what)));
+  private static InvalidSiteException refused(String file, String path, int line, String what) {
+    return new InvalidSiteException(List.of(new SiteFault(file, path, line, what)));
   }
 
   private static String firstLine(String text) {
@@ -209,7 +210,7 @@
   }
 
   /** Text in UTF-8, for callers that have a file as text. */
-  public static Site parse(String name, String text) throws BadSite {
+  public static Site parse(String name, String text) throws InvalidSiteException {
     return parse(name, text.getBytes(StandardCharsets.UTF_8));
   }
 }
--- a/src/main/java/linengauge/udp/DatagramLoop.java
+++ b/src/main/java/linengauge/udp/DatagramLoop.java
@@ -27,30 +27,30 @@
   private static final long LONGEST_CLOSE_MS = 1000;
 
   /** What the loop serves; all its methods are called on the loop's thread. */
-  public interface Part {
+  public interface Handler {
     SealedChannel channel();
 
     void start(Moment now);
 
     /** One datagram, proved to be of the fleet; IllegalArgumentException where it has no sense. */
-    void heard(Moment now, String address, byte[] bytes, int length);
+    void onDatagram(Moment now, String address, byte[] bytes, int length);
 
     void step(Moment now);
 
     /** When it wants to be stepped, at the latest. */
-    Moment next();
+    Moment nextStepAt();
 
     /** Its last act. */
     void end(Moment now);
   }
 
   private static final class Timer implements Comparable<Timer> {
-    private final Part part;
+    private final Handler part;
     private final long order;
     private Moment due;
     private SelectionKey key;
 
-    private Timer(Part part, long order) {
+    private Timer(Handler part, long order) {
       this.part = part;
       this.order = order;
     }
@@ -67,7 +67,7 @@
   private final CountDownLatch ended = new CountDownLatch(1);
   private final ArrayBlockingQueue<Runnable> tasks = new ArrayBlockingQueue<>(MOST_TASKS);
   private final TreeSet<Timer> timers = new TreeSet<>();
-  private final Map<Part, Timer> parts = new HashMap<>();
+  private final Map<Handler, Timer> parts = new HashMap<>();
   private long added;
   private volatile boolean closing;
 
@@ -88,17 +88,17 @@
   }
 
   /** Serves it from now on; false where too much waits. */
-  public boolean add(Part part) {
+  public boolean add(Handler part) {
     return execute(() -> addNow(part));
   }
 
   /** Ends it and closes its socket; false where too much waits. */
-  public boolean remove(Part part) {
+  public boolean remove(Handler part) {
     return execute(() -> removeNow(part));
   }
 
   /** {@link #remove}, waited for, a second at most; false where it is still at work. */
-  public boolean removeAndWait(Part part) {
+  public boolean removeAndWait(Handler part) {
     CountDownLatch removed = new CountDownLatch(1);
     boolean taken =
         execute(
@@ -115,7 +115,7 @@
   }
 
   /** Steps it soon: something waits for it that is neither a datagram nor a timer. */
-  public boolean wake(Part part) {
+  public boolean requestStep(Handler part) {
     return execute(() -> act(part, () -> part.step(now())));
   }
 
@@ -169,7 +169,7 @@
     List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
     selector.selectedKeys().clear();
     for (SelectionKey key : ready) {
-      Part part = ((Timer) key.attachment()).part;
+      Handler part = ((Timer) key.attachment()).part;
       act(part, () -> read(part));
     }
     runTasks();
@@ -180,9 +180,9 @@
     return Math.min(LONGEST_WAIT_MS, (timer.due.since(now()).micros() + 999) / 1000);
   }
 
-  private void read(Part part) {
+  private void read(Handler part) {
     part.channel()
-        .read(AT_ONCE, (address, bytes, length) -> part.heard(now(), address, bytes, length));
+        .read(AT_ONCE, (address, bytes, length) -> part.onDatagram(now(), address, bytes, length));
   }
 
   private void runTasks() {
@@ -206,7 +206,7 @@
   }
 
   /** Does something with a part, and looks at its timer anew. */
-  private void act(Part part, Runnable deed) {
+  private void act(Handler part, Runnable deed) {
     Timer timer = parts.get(part);
     if (timer == null) {
       return;
@@ -214,7 +214,7 @@
     timers.remove(timer);
     try {
       deed.run();
-      timer.due = part.next();
+      timer.due = part.nextStepAt();
       timers.add(timer);
     } catch (RuntimeException e) {
       LOG.error("{}: one part has failed, and ends alone", thread.getName(), e);
@@ -222,7 +222,7 @@
     }
   }
 
-  private void addNow(Part part) {
+  private void addNow(Handler part) {
     Timer timer = new Timer(part, added++);
     try {
       timer.key = part.channel().register(selector, timer);
@@ -235,12 +235,12 @@
     }
   }
 
-  private void removeNow(Part part) {
+  private void removeNow(Handler part) {
     act(part, () -> part.end(now()));
     drop(part);
   }
 
-  private void drop(Part part) {
+  private void drop(Handler part) {
     Timer timer = parts.remove(part);
     if (timer != null) {
       timers.remove(timer);
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -33,14 +33,16 @@
    * How the datagrams of one protocol begin.
    *
    * @param version the first byte of each
-   * @param numberAt where the sender's number stands
-   * @param numberBytes two or four
-   * @param most bytes without the trailer
+   * @param senderOffset where the sender's number stands
+   * @param senderBytes two or four
+   * @param maxBytes bytes without the trailer
    */
-  public record Form(int version, int numberAt, int numberBytes, int most) {
+  public record DatagramFormat(int version, int senderOffset, int senderBytes, int maxBytes) {
     private int from(byte[] datagram) {
       ByteBuffer at = ByteBuffer.wrap(datagram);
-      return numberBytes == Short.BYTES ? at.getShort(numberAt) & 0xffff : at.getInt(numberAt);
+      return senderBytes == Short.BYTES
+          ? at.getShort(senderOffset) & 0xffff
+          : at.getInt(senderOffset);
     }
   }
 
@@ -57,7 +59,7 @@
      *
      * @throws IllegalArgumentException where it makes no sense
      */
-    void heard(String address, byte[] bytes, int length);
+    void onDatagram(String address, byte[] bytes, int length);
   }
 
   /** Loses datagrams on purpose, for trials: false, and the datagram is lost. */
@@ -65,7 +67,7 @@
     boolean passes(InetSocketAddress other, boolean outgoing);
   }
 
-  private final Form form;
+  private final DatagramFormat form;
   private final int own;
   private final Seal seal;
   private final DatagramChannel channel;
@@ -97,7 +99,8 @@
    * @param key the fleet's, of 16 bytes at least
    * @throws IOException where it cannot listen there
    */
-  public SealedChannel(Form form, String address, int own, byte[] key) throws IOException {
+  public SealedChannel(DatagramFormat form, String address, int own, byte[] key)
+      throws IOException {
     if (key.length < LEAST_KEY) {
       throw new IllegalArgumentException("a key of 16 bytes at least, not " + key.length);
     }
@@ -105,7 +108,7 @@
     this.form = form;
     this.own = own;
     this.seal = new Seal(key, System.currentTimeMillis() * 1000);
-    this.in = ByteBuffer.allocate(form.most() + Seal.BYTES + 1);
+    this.in = ByteBuffer.allocate(form.maxBytes() + Seal.BYTES + 1);
     channel = DatagramChannel.open();
     try {
       channel.bind(listen);
@@ -117,7 +120,7 @@
   }
 
   /** For trials: what may pass from now on. */
-  public void filter(Filter passing) {
+  public void setFilter(Filter passing) {
     filter = passing;
   }
 
@@ -169,7 +172,7 @@
    */
   private void open(InetSocketAddress sender, byte[] bytes, Receiver to) {
     try {
-      if (bytes.length < form.numberAt() + form.numberBytes()) {
+      if (bytes.length < form.senderOffset() + form.senderBytes()) {
         throw new IllegalArgumentException("cut short");
       }
       if (bytes[0] != form.version()) {
@@ -181,7 +184,7 @@
         throw new IllegalArgumentException("a number out of bounds");
       }
       int length = seal.open(bytes, bytes.length, sealedBy(from));
-      to.heard(sender.getAddress().getHostAddress() + ":" + sender.getPort(), bytes, length);
+      to.onDatagram(sender.getAddress().getHostAddress() + ":" + sender.getPort(), bytes, length);
     } catch (BadPacket e) {
       strangers += e.cause() == Drop.SEAL ? 1 : 0;
       replayed += e.cause() == Drop.REPLAYED ? 1 : 0;
--- a/src/main/java/linengauge/virtualtime/EventQueue.java
+++ b/src/main/java/linengauge/virtualtime/EventQueue.java
@@ -34,7 +34,7 @@
   }
 
   /** The moment of the next task, or null where none is left. */
-  public Moment nextAt() {
+  public Moment nextEventAt() {
     Event next = events.peek();
     return next == null ? null : next.at;
   }
--- a/src/test/java/linengauge/drill/DrillTest.java
+++ b/src/test/java/linengauge/drill/DrillTest.java
@@ -8,7 +8,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -87,9 +87,9 @@
 
   @Test
   void aBadScriptIsRefusedWithItsPlace() {
-    BadSite e =
+    InvalidSiteException e =
         assertThrows(
-            BadSite.class,
+            InvalidSiteException.class,
             () ->
                 DayScript.parse(
                     "d",
--- a/src/test/java/linengauge/front/Rig.java
+++ b/src/test/java/linengauge/front/Rig.java
@@ -18,7 +18,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import linengauge.drill.Ports;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.site.SiteFile;
 import linengauge.standin.BoxFleet;
 import linengauge.standin.BoxListService;
@@ -139,7 +139,7 @@
     return done.toCompletionStage().toCompletableFuture().get(20, TimeUnit.SECONDS);
   }
 
-  FrontProgram program() throws BadSite {
+  FrontProgram program() throws InvalidSiteException {
     return new FrontProgram(SiteFile.parse("rig", site));
   }
 
--- a/src/test/java/linengauge/hls/PlaylistsTest.java
+++ b/src/test/java/linengauge/hls/PlaylistsTest.java
@@ -103,7 +103,8 @@
         "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1,CODECS=\"a\nlow.m3u8\n"
       })
   void aBrokenMultivariantPlaylistIsRefused(String text) {
-    assertThrows(BadPlaylist.class, () -> Playlists.multivariant(bytes(text), 0, "x", UNDER));
+    assertThrows(
+        MalformedPlaylistException.class, () -> Playlists.multivariant(bytes(text), 0, "x", UNDER));
   }
 
   @ParameterizedTest
@@ -115,9 +116,10 @@
         "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-KEY:METHOD=AES-128,URI=\"k\n#EXTINF:1,\na.ts\n"
       })
   void aBrokenMediaPlaylistIsRefused(String text) {
-    assertThrows(BadPlaylist.class, () -> Playlists.media(bytes(text), UNDER));
+    assertThrows(MalformedPlaylistException.class, () -> Playlists.media(bytes(text), UNDER));
     assertThrows(
-        BadPlaylist.class, () -> Playlists.media(new byte[] {'#', 'E', (byte) 0xff}, UNDER));
+        MalformedPlaylistException.class,
+        () -> Playlists.media(new byte[] {'#', 'E', (byte) 0xff}, UNDER));
   }
 
   @Test
--- a/src/test/java/linengauge/memory/SnapshotsTest.java
+++ b/src/test/java/linengauge/memory/SnapshotsTest.java
@@ -151,8 +151,8 @@
             cuts++;
           }
           f.powerBack(mask);
-          Snapshots.Read r = over(f).read();
-          assertEquals(Snapshots.Found.WHOLE, r.found(), "steps " + steps + " mask " + mask);
+          Snapshots.ReadResult r = over(f).read();
+          assertEquals(Snapshots.ReadOutcome.WHOLE, r.found(), "steps " + steps + " mask " + mask);
           boolean old = Arrays.equals(table(1), r.table());
           assertTrue(
               Arrays.equals(table(2), r.table()) || promised == 1 && old,
@@ -178,7 +178,7 @@
     int tried = -1;
     for (int round = 0; round < 500; round++) {
       Snapshots s = over(f);
-      Snapshots.Read r = s.read();
+      Snapshots.ReadResult r = s.read();
       if (promised >= 0) {
         int got =
             Integer.parseInt(new String(r.table(), StandardCharsets.UTF_8).strip().substring(6));
@@ -212,7 +212,7 @@
       f.fails = what;
       assertThrows(IOException.class, () -> s.save(table(2)), what);
       f.fails = "";
-      assertEquals(Snapshots.Found.WHOLE, over(f).read().found());
+      assertEquals(Snapshots.ReadOutcome.WHOLE, over(f).read().found());
       s.save(table(3));
       assertArrayEquals(table(3), over(f).read().table());
     }
@@ -240,7 +240,7 @@
         byte[] bad = whole.clone();
         bad[at] ^= (byte) (1 << bit);
         f.seen.put(newest, bad);
-        Snapshots.Read r = over(f).read();
+        Snapshots.ReadResult r = over(f).read();
         assertArrayEquals(table(1), r.table(), "byte " + at);
         assertEquals(List.of(newest), r.broken());
       }
@@ -265,7 +265,7 @@
     newer.save(table(2));
     Map<String, byte[]> before = new HashMap<>(f.seen);
     Snapshots s = over(f);
-    assertEquals(Snapshots.Found.NEWER, s.read().found());
+    assertEquals(Snapshots.ReadOutcome.NEWER, s.read().found());
     assertThrows(IOException.class, () -> s.save(table(3)));
     assertEquals(before.keySet(), f.seen.keySet());
   }
@@ -276,7 +276,7 @@
     f.seen.put("boxes-x", new byte[3]);
     f.seen.put("orders-1", new byte[3]);
     Snapshots s = over(f);
-    assertEquals(Snapshots.Found.NOTHING, s.read().found());
+    assertEquals(Snapshots.ReadOutcome.NOTHING, s.read().found());
     for (int i = 0; i < 5; i++) {
       s.save(table(i));
     }
@@ -290,7 +290,7 @@
     Path at = folder.resolve("state");
     try (DiskFolder f = new DiskFolder(at)) {
       Snapshots s = over(f);
-      assertEquals(Snapshots.Found.NOTHING, s.read().found());
+      assertEquals(Snapshots.ReadOutcome.NOTHING, s.read().found());
       s.save(table(1));
       s.save(table(2));
       s.save(table(3));
@@ -300,7 +300,7 @@
               .contains("is in use"));
     }
     try (DiskFolder f = new DiskFolder(at)) {
-      Snapshots.Read r = over(f).read();
+      Snapshots.ReadResult r = over(f).read();
       assertArrayEquals(table(3), r.table());
       assertEquals(List.of("boxes-1", "boxes-2"), f.names());
       Files.write(at.resolve("boxes-2"), new byte[2 * MOST]);
--- a/src/test/java/linengauge/site/SiteFileTest.java
+++ b/src/test/java/linengauge/site/SiteFileTest.java
@@ -31,9 +31,9 @@
   }
 
   @Test
-  void aGoodFileIsReadWithDefaults() throws BadSite {
+  void aGoodFileIsReadWithDefaults() throws InvalidSiteException {
     Site site = SiteFile.parse("f", with("", ""));
-    Headend house = site.headend();
+    Headend house = site.deployment();
     assertEquals(1, house.ownNumber());
     assertEquals(1, house.building());
     assertEquals(Span.ofMillis(800), house.packages().get(0).joinTarget());
@@ -91,19 +91,21 @@
         "words: \"127.0.0.1:3\" }|}|front.words: needed"
       })
   void aBadFileIsRefusedWithPathAndLine(String part, String by, String complaint) {
-    BadSite e =
-        assertThrows(BadSite.class, () -> SiteFile.parse("f", with(part, by == null ? "" : by)));
+    InvalidSiteException e =
+        assertThrows(
+            InvalidSiteException.class,
+            () -> SiteFile.parse("f", with(part, by == null ? "" : by)));
     assertTrue(e.getMessage().contains(complaint), e.getMessage());
   }
 
   @Test
   void anUnreadableFileIsNamed() {
     assertTrue(
-        assertThrows(BadSite.class, () -> SiteFile.read(Path.of("none.json5")))
+        assertThrows(InvalidSiteException.class, () -> SiteFile.read(Path.of("none.json5")))
             .getMessage()
             .equals("none.json5: no such file"));
-    assertThrows(BadSite.class, () -> SiteFile.parse("f", ""));
-    assertThrows(BadSite.class, () -> SiteFile.parse("f", "[1]"));
-    assertThrows(BadSite.class, () -> SiteFile.parse("f", with("", "") + "{}"));
+    assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", ""));
+    assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", "[1]"));
+    assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", with("", "") + "{}"));
   }
 }
--- a/src/test/java/linengauge/udp/DatagramLoopTest.java
+++ b/src/test/java/linengauge/udp/DatagramLoopTest.java
@@ -18,11 +18,12 @@
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class DatagramLoopTest {
   private static final byte[] KEY = "a key of the whole fleet".getBytes();
-  private static final SealedChannel.Form FORM = new SealedChannel.Form(2, 1, 4, 100);
+  private static final SealedChannel.DatagramFormat FORM =
+      new SealedChannel.DatagramFormat(2, 1, 4, 100);
   private static final int STEPS = 5;
 
   /** Steps every few milliseconds; may fail at its third step. */
-  private static final class Ticking implements DatagramLoop.Part {
+  private static final class Ticking implements DatagramLoop.Handler {
     private final SealedChannel channel;
     private final boolean fails;
     private final CountDownLatch steps = new CountDownLatch(STEPS);
@@ -44,7 +45,7 @@
     }
 
     @Override
-    public void heard(Moment now, String address, byte[] bytes, int length) {
+    public void onDatagram(Moment now, String address, byte[] bytes, int length) {
       // nobody sends
     }
 
@@ -58,7 +59,7 @@
     }
 
     @Override
-    public Moment next() {
+    public Moment nextStepAt() {
       return next;
     }
 
--- a/src/test/java/linengauge/udp/SealedChannelTest.java
+++ b/src/test/java/linengauge/udp/SealedChannelTest.java
@@ -19,7 +19,8 @@
 class SealedChannelTest {
   private static final byte[] KEY = "a key of the whole fleet".getBytes();
   private static final byte[] OTHER_KEY = "a key of somebody else's".getBytes();
-  private static final SealedChannel.Form FORM = new SealedChannel.Form(2, 1, 4, 100);
+  private static final SealedChannel.DatagramFormat FORM =
+      new SealedChannel.DatagramFormat(2, 1, 4, 100);
 
   private static int freePort() throws IOException {
     try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
