--- a/src/main/java/linengauge/hls/MalformedPlaylistException.java
+++ b/src/main/java/linengauge/hls/MalformedPlaylistException.java
@@ -4,7 +4,7 @@
 public final class MalformedPlaylistException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  MalformedPlaylistException(int line, String what) {
-    super((line > 0 ? "line " + line + ": " : "") + what);
+  MalformedPlaylistException(int line, String message) {
+    super((line > 0 ? "line " + line + ": " : "") + message);
   }
 }
--- a/src/main/java/linengauge/hls/Paths.java
+++ b/src/main/java/linengauge/hls/Paths.java
@@ -13,7 +13,7 @@
  * boxes and nothing else.
  */
 public final class Paths {
-  private static final int LONGEST = 1024;
+  private static final int MAX_PATH_CHARS = 1024;
   private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._/-]+");
 
   private Paths() {}
@@ -41,18 +41,19 @@
    * What a path's rest after /v/{id}/ names at the box, relative to the viewing there; null:
    * nothing that it may.
    */
-  public static String at(String rest) {
-    if (rest.length() > LONGEST) {
+  public static String at(String encodedPath) {
+    if (encodedPath.length() > MAX_PATH_CHARS) {
       return null;
     }
-    if (rest.startsWith("m/")) {
-      return resolve("", rest.substring(2));
+    if (encodedPath.startsWith("m/")) {
+      return resolve("", encodedPath.substring(2));
     }
-    if (rest.startsWith("e/")) {
+    if (encodedPath.startsWith("e/")) {
       try {
         return resolve(
             "",
-            new String(Base64.getUrlDecoder().decode(rest.substring(2)), StandardCharsets.UTF_8));
+            new String(
+                Base64.getUrlDecoder().decode(encodedPath.substring(2)), StandardCharsets.UTF_8));
       } catch (IllegalArgumentException e) {
         return null;
       }
@@ -65,19 +66,19 @@
    * where it leaves it.
    */
   private static String resolve(String base, String uri) {
-    if (isPlain(uri) && base.length() + uri.length() < LONGEST) {
+    if (isPlain(uri) && base.length() + uri.length() < MAX_PATH_CHARS) {
       return base + uri; // what nearly all are: nothing to resolve
     }
     try {
-      URI given = new URI(uri);
-      if (given.isAbsolute()
-          || given.getRawAuthority() != null
+      URI reference = new URI(uri);
+      if (reference.isAbsolute()
+          || reference.getRawAuthority() != null
           || uri.startsWith("/")
           || uri.isEmpty()) {
         return null;
       }
-      String path = new URI("/" + base).resolve(given).normalize().toString();
-      return path.startsWith("/..") || path.length() > LONGEST || path.length() < 2
+      String path = new URI("/" + base).resolve(reference).normalize().toString();
+      return path.startsWith("/..") || path.length() > MAX_PATH_CHARS || path.length() < 2
           ? null
           : path.substring(1);
     } catch (URISyntaxException e) {
--- a/src/main/java/linengauge/hls/Playlists.java
+++ b/src/main/java/linengauge/hls/Playlists.java
@@ -26,7 +26,7 @@
   private static final MediaPlaylistParser MEDIA = new MediaPlaylistParser(ParsingMode.LENIENT);
 
   /** Tags of a media playlist that name further files (sections 4.3.2.4, 4.3.2.5). */
-  private static final Set<String> WITH_URI =
+  private static final Set<String> TAGS_WITH_URI =
       Set.of(
           "#EXT-X-KEY",
           "#EXT-X-MAP",
@@ -45,104 +45,108 @@
    * @param uri gives the address under this viewing of one that stands in the playlist
    */
   public static String multivariant(
-      byte[] playlist, int rung, String variantUri, UnaryOperator<String> uri)
+      byte[] playlist, int rung, String variantUri, UnaryOperator<String> rewriter)
       throws MalformedPlaylistException {
-    String text = text(playlist);
+    String text = decode(playlist);
     try {
       MULTIVARIANT.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
       throw new MalformedPlaylistException(0, "not a multivariant playlist: " + e.getMessage());
     }
     List<String> lines = text.lines().toList();
-    Variant chosen = variant(lines, rung);
+    Variant selected = selectVariant(lines, rung);
     Set<String> groups = new HashSet<>();
-    for (String kind : List.of("AUDIO", "VIDEO", "SUBTITLES", "CLOSED-CAPTIONS")) {
-      groups.add(kind + "/" + Attributes.quoted(chosen.attributes, kind));
+    for (String type : List.of("AUDIO", "VIDEO", "SUBTITLES", "CLOSED-CAPTIONS")) {
+      groups.add(type + "/" + Attributes.quoted(selected.attributes, type));
     }
-    StringBuilder out = new StringBuilder();
+    StringBuilder rewritten = new StringBuilder();
     int i = 0;
     while (i < lines.size()) {
       String line = lines.get(i);
-      String tag = tag(line);
-      int last = i; // of what belongs to this tag
+      String tag = tagOf(line);
+      int lastLine = i; // of what belongs to this tag
       if (tag.equals("#EXT-X-STREAM-INF")) {
-        last = uriAfter(lines, i);
-        if (i == chosen.line) {
-          out.append(line).append('\n').append(variantUri).append('\n');
+        lastLine = uriLineAfter(lines, i);
+        if (i == selected.line) {
+          rewritten.append(line).append('\n').append(variantUri).append('\n');
         }
       } else if (tag.equals("#EXT-X-MEDIA")) {
-        Map<String, String> a = Attributes.read(i + 1, line.substring(tag.length() + 1));
-        if (groups.contains(a.get("TYPE") + "/" + Attributes.quoted(a, "GROUP-ID"))) {
-          out.append(withUri(i + 1, line, tag, uri)).append('\n');
+        Map<String, String> attributes = Attributes.read(i + 1, line.substring(tag.length() + 1));
+        if (groups.contains(
+            attributes.get("TYPE") + "/" + Attributes.quoted(attributes, "GROUP-ID"))) {
+          rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
         }
       } else if (tag.equals("#EXT-X-SESSION-KEY") || tag.equals("#EXT-X-SESSION-DATA")) {
-        out.append(withUri(i + 1, line, tag, uri)).append('\n');
+        rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
       } else if (!tag.equals("#EXT-X-I-FRAME-STREAM-INF")) {
-        out.append(line).append('\n'); // trick play would name rungs past the front's say
+        rewritten.append(line).append('\n'); // trick play would name rungs past the front's say
       }
-      i = last + 1;
+      i = lastLine + 1;
     }
-    return out.toString();
+    return rewritten.toString();
   }
 
   /**
    * A media playlist with every address under this viewing; all else stands as the box wrote it.
    */
-  public static String media(byte[] playlist, UnaryOperator<String> uri)
+  public static String media(byte[] playlist, UnaryOperator<String> rewriter)
       throws MalformedPlaylistException {
-    String text = text(playlist);
+    String text = decode(playlist);
     try {
       MEDIA.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
       throw new MalformedPlaylistException(0, "not a media playlist: " + e.getMessage());
     }
-    StringBuilder out = new StringBuilder();
-    boolean target = false;
-    int number = 0;
+    StringBuilder rewritten = new StringBuilder();
+    boolean hasTargetDuration = false;
+    int lineNumber = 0;
     for (String line : text.lines().toList()) {
-      number++;
-      String tag = tag(line);
-      target |= tag.equals("#EXT-X-TARGETDURATION");
-      if (WITH_URI.contains(tag)) {
-        out.append(withUri(number, line, tag, uri));
+      lineNumber++;
+      String tag = tagOf(line);
+      hasTargetDuration |= tag.equals("#EXT-X-TARGETDURATION");
+      if (TAGS_WITH_URI.contains(tag)) {
+        rewritten.append(rewriteUri(lineNumber, line, tag, rewriter));
       } else if (line.isBlank() || line.startsWith("#")) {
-        out.append(line);
+        rewritten.append(line);
       } else {
-        out.append(uri.apply(line.strip()));
+        rewritten.append(rewriter.apply(line.strip()));
       }
-      out.append('\n');
+      rewritten.append('\n');
     }
-    if (!target) {
+    if (!hasTargetDuration) {
       throw new MalformedPlaylistException(0, "not a media playlist: no EXT-X-TARGETDURATION");
     }
-    return out.toString();
+    return rewritten.toString();
   }
 
   private record Variant(int line, long bandwidth, Map<String, String> attributes) {}
 
-  private static Variant variant(List<String> lines, int rung) throws MalformedPlaylistException {
+  private static Variant selectVariant(List<String> lines, int rung)
+      throws MalformedPlaylistException {
     List<Variant> variants = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i);
-      if (tag(line).equals("#EXT-X-STREAM-INF")) {
-        Map<String, String> a =
+      if (tagOf(line).equals("#EXT-X-STREAM-INF")) {
+        Map<String, String> attributes =
             Attributes.read(i + 1, line.substring("#EXT-X-STREAM-INF:".length()));
         try {
-          variants.add(new Variant(i, Long.parseLong(a.getOrDefault("BANDWIDTH", "")), a));
+          variants.add(
+              new Variant(i, Long.parseLong(attributes.getOrDefault("BANDWIDTH", "")), attributes));
         } catch (NumberFormatException e) {
           throw new MalformedPlaylistException(i + 1, "a variant has no BANDWIDTH");
         }
-        uriAfter(lines, i);
+        uriLineAfter(lines, i);
       }
     }
     if (variants.isEmpty()) {
       throw new MalformedPlaylistException(0, "no variant is named");
     }
-    variants.sort((a, b) -> Long.compare(a.bandwidth, b.bandwidth));
+    variants.sort((attributes, b) -> Long.compare(attributes.bandwidth, b.bandwidth));
     return variants.get(Math.max(0, Math.min(rung, variants.size() - 1)));
   }
 
-  private static int uriAfter(List<String> lines, int tagLine) throws MalformedPlaylistException {
+  private static int uriLineAfter(List<String> lines, int tagLine)
+      throws MalformedPlaylistException {
     for (int i = tagLine + 1; i < lines.size(); i++) {
       if (!lines.get(i).isBlank() && !lines.get(i).startsWith("#")) {
         return i;
@@ -154,21 +158,22 @@
     throw new MalformedPlaylistException(tagLine + 1, "a variant has no address");
   }
 
-  private static String withUri(int number, String line, String tag, UnaryOperator<String> uri)
+  private static String rewriteUri(
+      int lineNumber, String line, String tag, UnaryOperator<String> rewriter)
       throws MalformedPlaylistException {
     if (line.length() <= tag.length()) {
       return line;
     }
-    Map<String, String> a = Attributes.read(number, line.substring(tag.length() + 1));
-    String named = Attributes.quoted(a, "URI");
-    if (named == null) {
+    Map<String, String> attributes = Attributes.read(lineNumber, line.substring(tag.length() + 1));
+    String uri = Attributes.quoted(attributes, "URI");
+    if (uri == null) {
       return line;
     }
-    a.put("URI", "\"" + uri.apply(named) + "\"");
-    return tag + ":" + Attributes.write(a);
+    attributes.put("URI", "\"" + rewriter.apply(uri) + "\"");
+    return tag + ":" + Attributes.write(attributes);
   }
 
-  private static String tag(String line) {
+  private static String tagOf(String line) {
     if (!line.startsWith("#EXT")) {
       return "";
     }
@@ -177,7 +182,7 @@
   }
 
   /** Playlists are UTF-8 without a byte order mark, and start with EXTM3U (section 4.1). */
-  private static String text(byte[] playlist) throws MalformedPlaylistException {
+  private static String decode(byte[] playlist) throws MalformedPlaylistException {
     String text;
     try {
       text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(playlist)).toString();
--- a/src/main/java/linengauge/memory/Folder.java
+++ b/src/main/java/linengauge/memory/Folder.java
@@ -4,25 +4,25 @@
 import java.util.List;
 
 /**
- * A folder that lasts, as far as a store needs one. What was written is certain to be there after a
- * power cut only once {@link #write} has come back, and under its name only once {@link #sync} has
- * after the last change of names.
+ * The operations on a durable folder that a store needs. The bytes of a file survive a power loss
+ * once {@link #write} has returned; its name does once {@link #sync} has returned after the last
+ * creation, rename or deletion.
  */
 public interface Folder {
-  /** The names of all files. */
+  /** Lists the names of all files. */
   List<String> names() throws IOException;
 
-  /** A file's bytes. Never more than the bound given: a longer file is an error. */
-  byte[] read(String name, int most) throws IOException;
+  /** Reads a file; one longer than the given limit is an error. */
+  byte[] read(String name, int maxBytes) throws IOException;
 
-  /** Writes a new file whole and syncs its bytes; one of that name is overwritten. */
+  /** Writes a whole file and syncs its bytes; an existing file of that name is overwritten. */
   void write(String name, byte[] bytes) throws IOException;
 
-  /** Gives a file another name; one that has it is replaced, at once or not at all. */
+  /** Renames a file atomically; an existing file of the new name is replaced. */
   void rename(String from, String to) throws IOException;
 
   void delete(String name) throws IOException;
 
-  /** Makes all changes of names certain. */
+  /** Makes all creations, renames and deletions durable. */
   void sync() throws IOException;
 }
--- a/src/main/java/linengauge/memory/Snapshots.java
+++ b/src/main/java/linengauge/memory/Snapshots.java
@@ -9,29 +9,29 @@
 import java.util.zip.CRC32C;
 
 /**
- * A table kept in generations, each a file of its own: written whole under another name, synced,
- * renamed, and the folder synced, before the one before the last is deleted. Whatever is cut off at
- * whatever moment, one of the last two is whole.
+ * A table stored in generations, one file each. A generation is written under a temporary name,
+ * synced and renamed, and the folder is synced, before the generation before the previous one is
+ * deleted. So one of the last two generations is whole, whenever a power loss interrupts this.
  *
  * <pre>
  * 8 bytes  "LNGMEM" and the format, 2 bytes
  * 8        generation
- * 4        length of what follows
+ * 4        length of the table
  * ...      the table
  * 4        CRC-32C (RFC 3720, appendix B.4) of all before it
  * </pre>
  *
- * A file of a newer format is left as it is, and nothing is written beside it: the older program
- * would be read later in its place. One of an older format is brought up by whoever reads the
- * table; `format` says which it is.
+ * A file of a newer format is left unchanged, and nothing is written beside it: otherwise the older
+ * program's file would later be read in its place. Converting an older format is up to the reader
+ * of the table, to whom `format` tells which one it is.
  */
 public final class Snapshots {
   private static final long MAGIC = 0x4c4e474d454dL << 16;
-  private static final int HEAD_BYTES = 20;
-  private static final int SUM_BYTES = 4;
-  private static final String TEMPORARY = ".new";
+  private static final int HEADER_BYTES = 20;
+  private static final int CHECKSUM_BYTES = 4;
+  private static final String TEMPORARY_SUFFIX = ".new";
 
-  /** What reading found. */
+  /** Outcome of reading the folder. */
   public enum ReadOutcome {
     WHOLE,
     NOTHING,
@@ -40,8 +40,8 @@
   }
 
   /**
-   * What was read: the table and its format where one is whole, and the names of files passed over
-   * as they were not.
+   * The table and its format if a whole file was found, and the names of the broken files that were
+   * skipped.
    */
   public record ReadResult(
       ReadOutcome found, long generation, int format, byte[] table, List<String> broken) {}
@@ -49,60 +49,64 @@
   private final Folder folder;
   private final String prefix;
   private final int format;
-  private final int most;
-  private long last = -1;
+  private final int maxTableBytes;
+  private long lastGeneration = -1;
 
   /**
-   * The generation before the last that is whole: kept, as the last may yet turn out to be broken.
+   * The newest generation known to be whole. It is kept beside the next one, which may turn out to
+   * be broken.
    */
-  private long kept = -1;
+  private long lastWholeGeneration = -1;
 
-  private boolean newer;
+  private boolean newerFormatFound;
 
   /**
-   * @param name of the table, a beginning of its files' names
-   * @param format that this program writes, 0 to 65535
-   * @param most bytes that a table may have
+   * Creates the store; {@link #read} has to be called before {@link #save}.
+   *
+   * @param name the name of the table, which prefixes its file names
+   * @param format the format that this program writes, 0 to 65535
+   * @param maxTableBytes the maximum size of a table
    */
-  public Snapshots(Folder folder, String name, int format, int most) {
+  public Snapshots(Folder folder, String name, int format, int maxTableBytes) {
     this.folder = folder;
     this.prefix = name + "-";
     this.format = format;
-    this.most = most;
+    this.maxTableBytes = maxTableBytes;
   }
 
-  /** The newest generation that is whole; to be called first, before anything is saved. */
+  /** Reads the newest whole generation. Has to be called before anything is saved. */
   public ReadResult read() throws IOException {
     List<Long> generations = new ArrayList<>();
     for (String name : folder.names()) {
-      long g = generation(name);
-      if (g >= 0) {
-        generations.add(g);
+      long generation = generationOf(name);
+      if (generation >= 0) {
+        generations.add(generation);
       }
     }
     generations.sort(Collections.reverseOrder());
     List<String> broken = new ArrayList<>();
-    for (long g : generations) {
-      last = Math.max(last, g); // also of a broken one: its name is not used again
+    for (long generation : generations) {
+      lastGeneration =
+          Math.max(lastGeneration, generation); // the number of a broken file is not reused either
       byte[] bytes;
       try {
-        bytes = folder.read(prefix + g, most + HEAD_BYTES + SUM_BYTES);
+        bytes = folder.read(prefix + generation, maxTableBytes + HEADER_BYTES + CHECKSUM_BYTES);
       } catch (IOException e) {
-        broken.add(prefix + g);
+        broken.add(prefix + generation);
         continue;
       }
-      int f = formatOf(bytes, g);
-      if (f < 0) {
-        broken.add(prefix + g);
-      } else if (f > format) {
-        newer = true;
-        return new ReadResult(ReadOutcome.NEWER, g, f, null, broken);
+      int fileFormat = formatOf(bytes, generation);
+      if (fileFormat < 0) {
+        broken.add(prefix + generation);
+      } else if (fileFormat > format) {
+        newerFormatFound = true;
+        return new ReadResult(ReadOutcome.NEWER, generation, fileFormat, null, broken);
       } else {
-        kept = g;
-        tidy(generations);
-        byte[] table = new byte[bytes.length - HEAD_BYTES - SUM_BYTES];
-        System.arraycopy(bytes, HEAD_BYTES, table, 0, table.length);
-        return new ReadResult(ReadOutcome.WHOLE, g, f, table, broken);
+        lastWholeGeneration = generation;
+        deleteLeftovers(generations);
+        byte[] table = new byte[bytes.length - HEADER_BYTES - CHECKSUM_BYTES];
+        System.arraycopy(bytes, HEADER_BYTES, table, 0, table.length);
+        return new ReadResult(ReadOutcome.WHOLE, generation, fileFormat, table, broken);
       }
     }
     return new ReadResult(
@@ -113,97 +117,102 @@
         broken);
   }
 
-  /** The generation that a file's name tells; -1 where it is none of this table's. */
-  private long generation(String name) {
-    String rest = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
-    return rest.matches("[0-9]{1,18}") ? Long.parseLong(rest) : -1;
+  /** The generation in a file's name, or -1 if the file does not belong to this table. */
+  private long generationOf(String name) {
+    String digits = name.startsWith(prefix) ? name.substring(prefix.length()) : "";
+    return digits.matches("[0-9]{1,18}") ? Long.parseLong(digits) : -1;
   }
 
-  /** The format of a whole file; -1 where it is not whole. */
+  /** The format of a file, or -1 if the file is not whole. */
   private static int formatOf(byte[] bytes, long generation) {
     try {
-      ByteBuffer b = ByteBuffer.wrap(bytes);
-      long head = b.getLong();
-      boolean fits =
-          (head & ~0xffffL) == MAGIC
-              && b.getLong() == generation
-              && b.getInt() == bytes.length - HEAD_BYTES - SUM_BYTES
-              && ByteBuffer.wrap(bytes).getInt(bytes.length - SUM_BYTES)
-                  == sum(bytes, bytes.length - SUM_BYTES);
-      return fits ? (int) (head & 0xffff) : -1;
+      ByteBuffer buffer = ByteBuffer.wrap(bytes);
+      long magicAndFormat = buffer.getLong();
+      boolean whole =
+          (magicAndFormat & ~0xffffL) == MAGIC
+              && buffer.getLong() == generation
+              && buffer.getInt() == bytes.length - HEADER_BYTES - CHECKSUM_BYTES
+              && ByteBuffer.wrap(bytes).getInt(bytes.length - CHECKSUM_BYTES)
+                  == checksum(bytes, bytes.length - CHECKSUM_BYTES);
+      return whole ? (int) (magicAndFormat & 0xffff) : -1;
     } catch (BufferUnderflowException | IndexOutOfBoundsException e) {
       return -1;
     }
   }
 
-  private static int sum(byte[] bytes, int length) {
+  private static int checksum(byte[] bytes, int length) {
     CRC32C crc = new CRC32C();
     crc.update(bytes, 0, length);
     return (int) crc.getValue();
   }
 
   /**
-   * Saves a table as the next generation, which is certain to last once this has come back; its
-   * number. What fails leaves the generations before it as they were.
+   * Saves a table as the next generation and returns its number. The generation is durable once
+   * this returns; a failure leaves the earlier generations unchanged.
    *
-   * @throws IOException where it could not be made to last, or a newer program's file is there
+   * @throws IOException if the table could not be made durable or a file of a newer format exists
    */
   public long save(byte[] table) throws IOException {
-    if (newer) {
-      throw new IOException("a file of a newer format is there, and is left as it is");
+    if (newerFormatFound) {
+      throw new IOException("a file of a newer format exists and is left unchanged");
     }
-    if (table.length > most) {
-      throw new IOException("a table of " + table.length + " bytes, over " + most);
+    if (table.length > maxTableBytes) {
+      throw new IOException(
+          "the table has " + table.length + " bytes; the limit is " + maxTableBytes);
     }
-    long g = last + 1;
-    ByteBuffer b = ByteBuffer.allocate(HEAD_BYTES + table.length + SUM_BYTES);
-    b.putLong(MAGIC | format).putLong(g).putInt(table.length).put(table);
-    b.putInt(sum(b.array(), b.position()));
-    last = g; // a name that may have come to be is not used again
-    folder.write(prefix + g + TEMPORARY, b.array());
-    folder.rename(prefix + g + TEMPORARY, prefix + g);
+    long generation = lastGeneration + 1;
+    ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + table.length + CHECKSUM_BYTES);
+    file.putLong(MAGIC | format).putLong(generation).putInt(table.length).put(table);
+    file.putInt(checksum(file.array(), file.position()));
+    lastGeneration =
+        generation; // the number is not reused, since the file may exist even if a later step fails
+    folder.write(prefix + generation + TEMPORARY_SUFFIX, file.array());
+    folder.rename(prefix + generation + TEMPORARY_SUFFIX, prefix + generation);
     folder.sync();
-    long before = kept;
-    kept = g;
-    sweep(g, before);
-    return g;
+    long previous = lastWholeGeneration;
+    lastWholeGeneration = generation;
+    deleteOldGenerations(generation, previous);
+    return generation;
   }
 
   /**
-   * Before anything is saved: what earlier lives left is deleted for good. Guards against lives
-   * that are all cut off before their own sweep lasts: each would leave a file more.
+   * Deletes the leftovers of earlier runs durably, before anything is saved. Otherwise each of a
+   * series of runs that are killed before their own deletions are durable would leave one more
+   * file.
    */
-  private void tidy(List<Long> newestFirst) {
+  private void deleteLeftovers(List<Long> newestFirst) {
     try {
       for (String name : folder.names()) {
-        boolean cutOff = name.startsWith(prefix) && name.endsWith(TEMPORARY);
-        long g = generation(name);
-        if (cutOff
-            || g >= 0 && g < kept && newestFirst.indexOf(g) > newestFirst.indexOf(kept) + 1) {
+        boolean incomplete = name.startsWith(prefix) && name.endsWith(TEMPORARY_SUFFIX);
+        long generation = generationOf(name);
+        if (incomplete
+            || generation >= 0
+                && generation < lastWholeGeneration
+                && newestFirst.indexOf(generation) > newestFirst.indexOf(lastWholeGeneration) + 1) {
           folder.delete(name);
         }
       }
       folder.sync();
     } catch (IOException e) {
-      return; // a folder that cannot be written is told of when something is saved
+      return; // a folder that cannot be written is reported by the next save
     }
   }
 
   /**
-   * Deletes all but the last two that are whole, and what was cut off while it was written. None of
-   * it needs to last.
+   * Deletes incomplete files and all but the last two whole generations. The deletions need not be
+   * durable.
    */
-  private void sweep(long newest, long before) {
+  private void deleteOldGenerations(long newest, long previous) {
     try {
       for (String name : folder.names()) {
-        long g = generation(name);
-        boolean cutOff = name.startsWith(prefix) && name.endsWith(TEMPORARY);
-        if (cutOff || g >= 0 && g != newest && g != before) {
+        long generation = generationOf(name);
+        boolean incomplete = name.startsWith(prefix) && name.endsWith(TEMPORARY_SUFFIX);
+        if (incomplete || generation >= 0 && generation != newest && generation != previous) {
           folder.delete(name);
         }
       }
     } catch (IOException e) {
-      return; // they are swept with the next one
+      return; // the files are deleted after the next save
     }
   }
 }
--- a/src/main/java/linengauge/memory/disk/DiskFolder.java
+++ b/src/main/java/linengauge/memory/disk/DiskFolder.java
@@ -14,54 +14,56 @@
 import linengauge.memory.Folder;
 
 /**
- * A folder of the file system, locked for one program at a time; the lock goes with the process,
- * however it ends.
+ * A folder in the file system, locked by one process at a time. The system releases the lock when
+ * the process ends, however it does.
  */
 public final class DiskFolder implements Folder, AutoCloseable {
-  private static final String LOCK = "lock";
+  private static final String LOCK_NAME = "lock";
 
   private final Path path;
   private final FileChannel lockFile;
   private final FileLock lock;
 
   /**
-   * Makes the folder where it is missing, and locks it.
+   * Creates the folder if it does not exist, and locks it.
    *
-   * @throws IOException that it cannot be made, or that another program has it
+   * @throws IOException if the folder cannot be created or another process holds the lock
    */
   public DiskFolder(Path path) throws IOException {
     this.path = path;
     Files.createDirectories(path);
     lockFile =
-        FileChannel.open(path.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-    FileLock got;
+        FileChannel.open(
+            path.resolve(LOCK_NAME), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+    FileLock acquired;
     try {
-      got = lockFile.tryLock();
+      acquired = lockFile.tryLock();
     } catch (OverlappingFileLockException e) {
-      got = null; // this very process has it
+      acquired = null; // this process already holds the lock
     }
-    if (got == null) {
+    if (acquired == null) {
       lockFile.close();
       throw new IOException(path + " is in use by another front");
     }
-    lock = got;
+    lock = acquired;
   }
 
   @Override
   public List<String> names() throws IOException {
-    try (Stream<Path> all = Files.list(path)) {
-      return all.map(p -> p.getFileName().toString())
-          .filter(n -> !n.equals(LOCK))
+    try (Stream<Path> files = Files.list(path)) {
+      return files
+          .map(file -> file.getFileName().toString())
+          .filter(name -> !name.equals(LOCK_NAME))
           .sorted()
           .toList();
     }
   }
 
   @Override
-  public byte[] read(String name, int most) throws IOException {
+  public byte[] read(String name, int maxBytes) throws IOException {
     try (FileChannel file = FileChannel.open(path.resolve(name), StandardOpenOption.READ)) {
-      if (file.size() > most) {
-        throw new IOException(name + " has " + file.size() + " bytes, over " + most);
+      if (file.size() > maxBytes) {
+        throw new IOException(name + " has " + file.size() + " bytes; the limit is " + maxBytes);
       }
       ByteBuffer bytes = ByteBuffer.allocate((int) file.size());
       while (bytes.hasRemaining() && file.read(bytes) >= 0) {
@@ -79,9 +81,9 @@
             StandardOpenOption.CREATE,
             StandardOpenOption.WRITE,
             StandardOpenOption.TRUNCATE_EXISTING)) {
-      ByteBuffer left = ByteBuffer.wrap(bytes);
-      while (left.hasRemaining()) {
-        file.write(left);
+      ByteBuffer remaining = ByteBuffer.wrap(bytes);
+      while (remaining.hasRemaining()) {
+        file.write(remaining);
       }
       file.force(true);
     }
--- a/src/main/java/linengauge/udp/DatagramLoop.java
+++ b/src/main/java/linengauge/udp/DatagramLoop.java
@@ -16,47 +16,52 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that serves the sockets and timers of many parts: between two looks at the timers it
- * reads a bounded number of datagrams of each. A part that fails is ended alone.
+ * A single thread that serves the sockets and timers of many handlers. Between two checks of the
+ * timers it reads a bounded number of datagrams per handler. A handler that throws is removed; the
+ * others go on.
  */
 public final class DatagramLoop implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(DatagramLoop.class);
-  private static final int AT_ONCE = 64;
-  private static final int MOST_TASKS = 8192;
-  private static final long LONGEST_WAIT_MS = 1000;
-  private static final long LONGEST_CLOSE_MS = 1000;
+  private static final int MAX_DATAGRAMS_PER_READ = 64;
+  private static final int MAX_QUEUED_TASKS = 8192;
+  private static final long MAX_SELECT_MS = 1000;
+  private static final long MAX_CLOSE_WAIT_MS = 1000;
 
-  /** What the loop serves; all its methods are called on the loop's thread. */
+  /** Owner of one socket and one timer; the loop calls all methods on its own thread. */
   public interface Handler {
     SealedChannel channel();
 
     void start(Moment now);
 
-    /** One datagram, proved to be of the fleet; IllegalArgumentException where it has no sense. */
+    /**
+     * Handles one authenticated datagram.
+     *
+     * @throws IllegalArgumentException if the datagram is malformed
+     */
     void onDatagram(Moment now, String address, byte[] bytes, int length);
 
     void step(Moment now);
 
-    /** When it wants to be stepped, at the latest. */
+    /** The latest time at which the next call of {@link #step} is due. */
     Moment nextStepAt();
 
-    /** Its last act. */
+    /** Called once, as the last call, before the socket is closed. */
     void end(Moment now);
   }
 
-  private static final class Timer implements Comparable<Timer> {
-    private final Handler part;
+  private static final class Registration implements Comparable<Registration> {
+    private final Handler handler;
     private final long order;
     private Moment due;
     private SelectionKey key;
 
-    private Timer(Handler part, long order) {
-      this.part = part;
+    private Registration(Handler handler, long order) {
+      this.handler = handler;
       this.order = order;
     }
 
     @Override
-    public int compareTo(Timer other) {
+    public int compareTo(Registration other) {
       int byDue = due.compareTo(other.due);
       return byDue != 0 ? byDue : Long.compare(order, other.order);
     }
@@ -64,17 +69,17 @@
 
   private final Selector selector = Selector.open();
   private final Thread thread;
-  private final CountDownLatch ended = new CountDownLatch(1);
-  private final ArrayBlockingQueue<Runnable> tasks = new ArrayBlockingQueue<>(MOST_TASKS);
-  private final TreeSet<Timer> timers = new TreeSet<>();
-  private final Map<Handler, Timer> parts = new HashMap<>();
-  private long added;
+  private final CountDownLatch terminated = new CountDownLatch(1);
+  private final ArrayBlockingQueue<Runnable> tasks = new ArrayBlockingQueue<>(MAX_QUEUED_TASKS);
+  private final TreeSet<Registration> timers = new TreeSet<>();
+  private final Map<Handler, Registration> registrations = new HashMap<>();
+  private long registrationCount;
   private volatile boolean closing;
 
   /**
-   * Starts at once.
+   * Creates the loop and starts its thread.
    *
-   * @throws IOException where the system has no selector left
+   * @throws IOException if the system cannot open a selector
    */
   public DatagramLoop(String name) throws IOException {
     thread = new Thread(this::run, name);
@@ -82,58 +87,63 @@
     thread.start();
   }
 
-  /** The time that all parts are told. */
+  /** The current time, as passed to all handlers. */
   public static Moment now() {
     return new Moment(System.nanoTime() / 1000);
   }
 
-  /** Serves it from now on; false where too much waits. */
-  public boolean add(Handler part) {
-    return execute(() -> addNow(part));
+  /** Registers a handler; returns false if the task queue is full. */
+  public boolean add(Handler handler) {
+    return execute(() -> addNow(handler));
   }
 
-  /** Ends it and closes its socket; false where too much waits. */
-  public boolean remove(Handler part) {
-    return execute(() -> removeNow(part));
+  /** Ends a handler and closes its socket; returns false if the task queue is full. */
+  public boolean remove(Handler handler) {
+    return execute(() -> removeNow(handler));
   }
 
-  /** {@link #remove}, waited for, a second at most; false where it is still at work. */
-  public boolean removeAndWait(Handler part) {
+  /**
+   * Like {@link #remove}, but waits until the handler is removed, one second at most; returns false
+   * if it has not been removed by then.
+   */
+  public boolean removeAndWait(Handler handler) {
     CountDownLatch removed = new CountDownLatch(1);
-    boolean taken =
+    boolean accepted =
         execute(
             () -> {
-              removeNow(part);
+              removeNow(handler);
               removed.countDown();
             });
     try {
-      return taken && removed.await(LONGEST_CLOSE_MS, TimeUnit.MILLISECONDS);
+      return accepted && removed.await(MAX_CLOSE_WAIT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     }
   }
 
-  /** Steps it soon: something waits for it that is neither a datagram nor a timer. */
-  public boolean requestStep(Handler part) {
-    return execute(() -> act(part, () -> part.step(now())));
+  /** Requests an early step, for work that comes neither from a datagram nor from the timer. */
+  public boolean requestStep(Handler handler) {
+    return execute(() -> runIsolated(handler, () -> handler.step(now())));
   }
 
-  /** Runs it on the loop's thread; false where too much waits, or the loop has ended. */
+  /**
+   * Runs a task on the loop's thread; returns false if the queue is full or the loop is closing.
+   */
   public boolean execute(Runnable task) {
-    boolean taken = !closing && tasks.offer(task);
+    boolean accepted = !closing && tasks.offer(task);
     selector.wakeup();
-    return taken;
+    return accepted;
   }
 
-  /** Ends all parts; waited for, a second at most. */
+  /** Ends all handlers and waits for the thread to finish, one second at most. */
   @Override
   public void close() {
     closing = true;
     selector.wakeup();
     try {
-      if (!ended.await(LONGEST_CLOSE_MS, TimeUnit.MILLISECONDS)) {
-        LOG.warn("{}: still at work", thread.getName());
+      if (!terminated.await(MAX_CLOSE_WAIT_MS, TimeUnit.MILLISECONDS)) {
+        LOG.warn("{}: did not stop within the time limit", thread.getName());
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -143,46 +153,49 @@
   private void run() {
     try {
       while (!closing) {
-        turn();
+        runOnce();
       }
     } catch (IOException | RuntimeException e) {
-      LOG.error("{} has failed: this process goes on without it", thread.getName(), e);
+      LOG.error("{} failed and has stopped; the process continues without it", thread.getName(), e);
     } finally {
       runTasks();
-      List.copyOf(parts.keySet()).forEach(this::removeNow);
+      List.copyOf(registrations.keySet()).forEach(this::removeNow);
       try {
         selector.close();
       } catch (IOException e) {
         LOG.warn("{}", thread.getName(), e);
       }
-      ended.countDown();
+      terminated.countDown();
     }
   }
 
-  private void turn() throws IOException {
-    long wait = timers.isEmpty() ? LONGEST_WAIT_MS : untilDue(timers.first());
-    if (wait > 0) {
-      selector.select(wait);
+  private void runOnce() throws IOException {
+    long waitMs = timers.isEmpty() ? MAX_SELECT_MS : millisUntilDue(timers.first());
+    if (waitMs > 0) {
+      selector.select(waitMs);
     } else {
       selector.selectNow();
     }
     List<SelectionKey> ready = new ArrayList<>(selector.selectedKeys());
     selector.selectedKeys().clear();
     for (SelectionKey key : ready) {
-      Handler part = ((Timer) key.attachment()).part;
-      act(part, () -> read(part));
+      Handler handler = ((Registration) key.attachment()).handler;
+      runIsolated(handler, () -> read(handler));
     }
     runTasks();
-    stepThoseDue();
+    stepDueHandlers();
   }
 
-  private static long untilDue(Timer timer) {
-    return Math.min(LONGEST_WAIT_MS, (timer.due.since(now()).micros() + 999) / 1000);
+  private static long millisUntilDue(Registration registration) {
+    return Math.min(MAX_SELECT_MS, (registration.due.since(now()).micros() + 999) / 1000);
   }
 
-  private void read(Handler part) {
-    part.channel()
-        .read(AT_ONCE, (address, bytes, length) -> part.onDatagram(now(), address, bytes, length));
+  private void read(Handler handler) {
+    handler
+        .channel()
+        .read(
+            MAX_DATAGRAMS_PER_READ,
+            (address, bytes, length) -> handler.onDatagram(now(), address, bytes, length));
   }
 
   private void runTasks() {
@@ -194,61 +207,63 @@
     }
   }
 
-  private void stepThoseDue() {
+  private void stepDueHandlers() {
     for (int i = timers.size(); i > 0 && !timers.isEmpty(); i--) {
       Moment now = now();
-      Timer first = timers.first();
+      Registration first = timers.first();
       if (now.before(first.due)) {
         return;
       }
-      act(first.part, () -> first.part.step(now));
+      runIsolated(first.handler, () -> first.handler.step(now));
     }
   }
 
-  /** Does something with a part, and looks at its timer anew. */
-  private void act(Handler part, Runnable deed) {
-    Timer timer = parts.get(part);
-    if (timer == null) {
+  /**
+   * Runs an action of a handler and reschedules its timer. An exception removes this handler only.
+   */
+  private void runIsolated(Handler handler, Runnable action) {
+    Registration registration = registrations.get(handler);
+    if (registration == null) {
       return;
     }
-    timers.remove(timer);
+    timers.remove(registration);
     try {
-      deed.run();
-      timer.due = part.nextStepAt();
-      timers.add(timer);
+      action.run();
+      registration.due = handler.nextStepAt();
+      timers.add(registration);
     } catch (RuntimeException e) {
-      LOG.error("{}: one part has failed, and ends alone", thread.getName(), e);
-      drop(part);
+      LOG.error("{}: a handler failed and is removed", thread.getName(), e);
+      unregister(handler);
     }
   }
 
-  private void addNow(Handler part) {
-    Timer timer = new Timer(part, added++);
+  private void addNow(Handler handler) {
+    Registration registration = new Registration(handler, registrationCount++);
     try {
-      timer.key = part.channel().register(selector, timer);
-      timer.due = now();
-      parts.put(part, timer);
-      timers.add(timer);
-      act(part, () -> part.start(now()));
+      registration.key = handler.channel().register(selector, registration);
+      registration.due = now();
+      registrations.put(handler, registration);
+      timers.add(registration);
+      runIsolated(handler, () -> handler.start(now()));
     } catch (IOException e) {
-      LOG.error("{}: a socket cannot be served", thread.getName(), e);
+      LOG.error("{}: cannot register a socket", thread.getName(), e);
     }
   }
 
-  private void removeNow(Handler part) {
-    act(part, () -> part.end(now()));
-    drop(part);
+  private void removeNow(Handler handler) {
+    runIsolated(handler, () -> handler.end(now()));
+    unregister(handler);
   }
 
-  private void drop(Handler part) {
-    Timer timer = parts.remove(part);
-    if (timer != null) {
-      timers.remove(timer);
-      timer.key.cancel();
+  private void unregister(Handler handler) {
+    Registration registration = registrations.remove(handler);
+    if (registration != null) {
+      timers.remove(registration);
+      registration.key.cancel();
     }
     try {
-      part.channel().close();
-      selector.selectNow(); // only now does the system have the port back
+      handler.channel().close();
+      selector.selectNow(); // the system releases the port only when the cancelled key is processed
     } catch (IOException e) {
       LOG.warn("{}", thread.getName(), e);
     }
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -18,65 +18,66 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One UDP socket whose datagrams end with the keyed trailer of {@link Seal}, by the sender's
- * number. What has no key, an old number, no sense or another version is dropped alone and counted
- * by cause. For use by one thread; the counts may be read from any.
+ * A UDP socket whose datagrams end with the keyed trailer of {@link Seal}, computed with the
+ * sender's number. Datagrams that are unauthenticated, replayed, malformed or of another version
+ * are dropped one by one and counted by cause. Not thread-safe, but the counts may be read from any
+ * thread.
  */
 public final class SealedChannel implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(SealedChannel.class);
-  private static final int LEAST_KEY = 16;
-  private static final int NUMBER_BYTES = 4;
-  private static final int MOST_NUMBER = 0xffff;
-  private static final int MOST_ADDRESSES = 4096;
+  private static final int MIN_KEY_BYTES = 16;
+  private static final int SENDER_ADDRESS_BYTES = 4;
+  private static final int MAX_SENDER = 0xffff;
+  private static final int MAX_CACHED_ADDRESSES = 4096;
 
   /**
-   * How the datagrams of one protocol begin.
+   * The common header of one protocol's datagrams.
    *
-   * @param version the first byte of each
-   * @param senderOffset where the sender's number stands
-   * @param senderBytes two or four
-   * @param maxBytes bytes without the trailer
+   * @param version the first byte of each datagram
+   * @param senderOffset offset of the sender's number
+   * @param senderBytes size of the sender's number, 2 or 4 bytes
+   * @param maxBytes maximum datagram size without the trailer
    */
   public record DatagramFormat(int version, int senderOffset, int senderBytes, int maxBytes) {
-    private int from(byte[] datagram) {
-      ByteBuffer at = ByteBuffer.wrap(datagram);
+    private int senderOf(byte[] datagram) {
+      ByteBuffer buffer = ByteBuffer.wrap(datagram);
       return senderBytes == Short.BYTES
-          ? at.getShort(senderOffset) & 0xffff
-          : at.getInt(senderOffset);
+          ? buffer.getShort(senderOffset) & 0xffff
+          : buffer.getInt(senderOffset);
     }
   }
 
-  /** What was dropped, by cause. */
+  /** Counts of dropped datagrams by cause; `strangers` are those with an invalid trailer. */
   public record Drops(long strangers, long replayed, long unreadable, long otherVersions) {}
 
-  /** What went over the socket, trailers included, headers of UDP and IP not. */
+  /** Datagrams and bytes on the socket, with trailers but without the UDP and IP headers. */
   public record Traffic(long sent, long sentBytes, long received, long receivedBytes) {}
 
-  /** Takes what was proved to be of the fleet. */
+  /** Receives the authenticated datagrams. */
   public interface Receiver {
     /**
-     * One datagram.
+     * Handles one datagram.
      *
-     * @throws IllegalArgumentException where it makes no sense
+     * @throws IllegalArgumentException if the datagram is malformed
      */
     void onDatagram(String address, byte[] bytes, int length);
   }
 
-  /** Loses datagrams on purpose, for trials: false, and the datagram is lost. */
+  /** Simulates loss in tests: a datagram for which this returns false is discarded. */
   public interface Filter {
-    boolean passes(InetSocketAddress other, boolean outgoing);
+    boolean passes(InetSocketAddress peer, boolean outgoing);
   }
 
-  private final DatagramFormat form;
-  private final int own;
+  private final DatagramFormat format;
+  private final int ownNumber;
   private final Seal seal;
   private final DatagramChannel channel;
-  private final ByteBuffer in;
+  private final ByteBuffer receiveBuffer;
   private final Map<String, InetSocketAddress> addresses =
       new LinkedHashMap<>(16, 0.75f, true) {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, InetSocketAddress> eldest) {
-          return size() > MOST_ADDRESSES;
+          return size() > MAX_CACHED_ADDRESSES;
         }
       };
   private long strangers;
@@ -87,28 +88,28 @@
   private long sentBytes;
   private long received;
   private long receivedBytes;
-  private volatile Filter filter = (other, outgoing) -> true;
+  private volatile Filter filter = (peer, outgoing) -> true;
   private volatile Drops drops = new Drops(0, 0, 0, 0);
   private volatile Traffic traffic = new Traffic(0, 0, 0, 0);
 
   /**
-   * Binds at once.
+   * Opens the channel and binds it.
    *
-   * @param address where it listens, as host:port with the host in numbers
-   * @param own the number by which it seals
-   * @param key the fleet's, of 16 bytes at least
-   * @throws IOException where it cannot listen there
+   * @param address the address to listen on, as host:port with a numeric host
+   * @param ownNumber the sender's number in the trailers of this channel
+   * @param key the key shared by the fleet, at least 16 bytes
+   * @throws IOException if the address cannot be bound
    */
-  public SealedChannel(DatagramFormat form, String address, int own, byte[] key)
+  public SealedChannel(DatagramFormat format, String address, int ownNumber, byte[] key)
       throws IOException {
-    if (key.length < LEAST_KEY) {
-      throw new IllegalArgumentException("a key of 16 bytes at least, not " + key.length);
+    if (key.length < MIN_KEY_BYTES) {
+      throw new IllegalArgumentException("the key must have at least 16 bytes, not " + key.length);
     }
     InetSocketAddress listen = Address.inNumbers(address);
-    this.form = form;
-    this.own = own;
+    this.format = format;
+    this.ownNumber = ownNumber;
     this.seal = new Seal(key, System.currentTimeMillis() * 1000);
-    this.in = ByteBuffer.allocate(form.maxBytes() + Seal.BYTES + 1);
+    this.receiveBuffer = ByteBuffer.allocate(format.maxBytes() + Seal.BYTES + 1);
     channel = DatagramChannel.open();
     try {
       channel.bind(listen);
@@ -119,9 +120,9 @@
     }
   }
 
-  /** For trials: what may pass from now on. */
-  public void setFilter(Filter passing) {
-    filter = passing;
+  /** Replaces the loss filter. For tests. */
+  public void setFilter(Filter newFilter) {
+    filter = newFilter;
   }
 
   public Drops drops() {
@@ -136,55 +137,56 @@
     return channel.register(selector, SelectionKey.OP_READ, attachment);
   }
 
-  /** Reads what is there, so many datagrams at the most: the timers wait meanwhile. */
-  public void read(int most, Receiver to) {
-    for (int i = 0; i < most && readOne(to); i++) {
+  /** Reads the pending datagrams, up to the given number: timers are not served while this runs. */
+  public void read(int maxDatagrams, Receiver receiver) {
+    for (int i = 0; i < maxDatagrams && readOne(receiver); i++) {
       continue;
     }
     drops = new Drops(strangers, replayed, unreadable, otherVersions);
     traffic = new Traffic(sent, sentBytes, received, receivedBytes);
   }
 
-  /** Reads one datagram; false where none is there. */
-  private boolean readOne(Receiver to) {
-    in.clear();
-    InetSocketAddress sender;
+  /** Reads one datagram; returns false if none is pending. */
+  private boolean readOne(Receiver receiver) {
+    receiveBuffer.clear();
+    InetSocketAddress source;
     try {
-      sender = (InetSocketAddress) channel.receive(in);
+      source = (InetSocketAddress) channel.receive(receiveBuffer);
     } catch (IOException refused) {
-      return true; // one that is not there: the system says so of an earlier datagram
+      return true; // the system reports here that an earlier datagram of ours found no listener
     }
-    if (sender == null) {
+    if (source == null) {
       return false;
     }
-    if (filter.passes(sender, false)) {
+    if (filter.passes(source, false)) {
       received++;
-      receivedBytes += in.position();
-      open(sender, Arrays.copyOf(in.array(), in.position()), to);
+      receivedBytes += receiveBuffer.position();
+      open(source, Arrays.copyOf(receiveBuffer.array(), receiveBuffer.position()), receiver);
     }
     return true;
   }
 
   /**
-   * The version is looked at before the trailer: two protocols of one front share its key and
-   * number, and a datagram of the one, sent on to the port of the other, must not move the window
-   * of numbers heard.
+   * Checks the version before the trailer. Two protocols of one front share its key and number, so
+   * a datagram of one protocol that is redirected to the port of the other must not advance the
+   * replay window.
    */
-  private void open(InetSocketAddress sender, byte[] bytes, Receiver to) {
+  private void open(InetSocketAddress source, byte[] bytes, Receiver receiver) {
     try {
-      if (bytes.length < form.senderOffset() + form.senderBytes()) {
-        throw new IllegalArgumentException("cut short");
+      if (bytes.length < format.senderOffset() + format.senderBytes()) {
+        throw new IllegalArgumentException("datagram is too short");
       }
-      if (bytes[0] != form.version()) {
+      if (bytes[0] != format.version()) {
         otherVersions++;
         return;
       }
-      int from = form.from(bytes);
-      if (from < 0 || from > MOST_NUMBER) {
-        throw new IllegalArgumentException("a number out of bounds");
+      int sender = format.senderOf(bytes);
+      if (sender < 0 || sender > MAX_SENDER) {
+        throw new IllegalArgumentException("sender's number is out of range");
       }
-      int length = seal.open(bytes, bytes.length, sealedBy(from));
-      to.onDatagram(sender.getAddress().getHostAddress() + ":" + sender.getPort(), bytes, length);
+      int length = seal.open(bytes, bytes.length, senderAddress(sender));
+      receiver.onDatagram(
+          source.getAddress().getHostAddress() + ":" + source.getPort(), bytes, length);
     } catch (BadPacket e) {
       strangers += e.cause() == Drop.SEAL ? 1 : 0;
       replayed += e.cause() == Drop.REPLAYED ? 1 : 0;
@@ -193,28 +195,31 @@
     }
   }
 
-  /** Sends it, or loses it where it cannot be sent: whoever misses it asks again. */
+  /**
+   * Sends a datagram. One that cannot be sent is discarded, since the protocols above repeat their
+   * requests.
+   */
   public void send(String address, byte[] bytes) {
     try {
-      InetSocketAddress to = addresses.computeIfAbsent(address, Address::inNumbers);
-      if (!filter.passes(to, true)) {
+      InetSocketAddress destination = addresses.computeIfAbsent(address, Address::inNumbers);
+      if (!filter.passes(destination, true)) {
         return;
       }
-      ByteBuffer sealed = ByteBuffer.wrap(seal.seal(bytes, sealedBy(own)));
+      ByteBuffer sealed = ByteBuffer.wrap(seal.seal(bytes, senderAddress(ownNumber)));
       int length = sealed.remaining();
-      if (channel.send(sealed, to) > 0) {
+      if (channel.send(sealed, destination) > 0) {
         sent++;
         sentBytes += length;
       }
       traffic = new Traffic(sent, sentBytes, received, receivedBytes);
     } catch (IOException | IllegalArgumentException e) {
-      LOG.debug("not sent to {}: {}", address, e.getMessage());
+      LOG.debug("cannot send to {}: {}", address, e.getMessage());
     }
   }
 
-  /** Who seals, as the trailer takes it: the number, in the form of an address. */
-  private static NodeAddress sealedBy(int number) {
-    return new NodeAddress(ByteBuffer.allocate(NUMBER_BYTES).putInt(number).array());
+  /** The sender's number in the form of an address, as the trailer requires it. */
+  private static NodeAddress senderAddress(int number) {
+    return new NodeAddress(ByteBuffer.allocate(SENDER_ADDRESS_BYTES).putInt(number).array());
   }
 
   @Override
--- a/src/main/java/linengauge/udp/package-info.java
+++ b/src/main/java/linengauge/udp/package-info.java
@@ -1,2 +1,2 @@
-/** Datagrams with a keyed trailer, and one thread that serves many sockets. */
+/** Authenticated datagram sockets and a single-threaded event loop that serves many of them. */
 package linengauge.udp;
--- a/src/main/java/linengauge/virtualtime/EventQueue.java
+++ b/src/main/java/linengauge/virtualtime/EventQueue.java
@@ -5,48 +5,48 @@
 import linengauge.Moment;
 
 /**
- * The clock and the tasks of a simulation in virtual time: tasks run in the order of their moments,
- * and in that of their scheduling where these are the same. It holds what its simulation schedules,
- * and bounds nothing itself.
+ * Clock and event queue of a simulation in virtual time. Tasks run in the order of their times, and
+ * in the order of scheduling if these are equal. The queue is unbounded: its size is the
+ * simulation's responsibility.
  */
 public final class EventQueue {
-  private record Event(Moment at, long number, Runnable task) {}
+  private record Event(Moment at, long sequence, Runnable task) {}
 
-  private static final Comparator<Event> BY_TIME_THEN_ORDER =
-      Comparator.comparing(Event::at).thenComparingLong(Event::number);
+  private static final Comparator<Event> BY_TIME_THEN_SEQUENCE =
+      Comparator.comparing(Event::at).thenComparingLong(Event::sequence);
 
-  private final PriorityQueue<Event> events = new PriorityQueue<>(BY_TIME_THEN_ORDER);
+  private final PriorityQueue<Event> events = new PriorityQueue<>(BY_TIME_THEN_SEQUENCE);
   private Moment now;
-  private long scheduled;
+  private long nextSequence;
 
-  public EventQueue(Moment begin) {
-    this.now = begin;
+  public EventQueue(Moment start) {
+    this.now = start;
   }
 
   public Moment now() {
     return now;
   }
 
-  /** Runs the task then; now where that has passed. */
+  /** Schedules a task; one whose time has passed is due now. */
   public void schedule(Moment at, Runnable task) {
-    events.add(new Event(at.orLater(now), scheduled, task));
-    scheduled++;
+    events.add(new Event(at.orLater(now), nextSequence, task));
+    nextSequence++;
   }
 
-  /** The moment of the next task, or null where none is left. */
+  /** The time of the next task, or null if the queue is empty. */
   public Moment nextEventAt() {
     Event next = events.peek();
     return next == null ? null : next.at;
   }
 
-  /** Goes on to the next task's moment and runs it; there has to be one. */
+  /** Advances the clock to the next task and runs it; the queue must not be empty. */
   public void runNext() {
     Event next = events.remove();
     now = next.at;
     next.task.run();
   }
 
-  /** Goes on to that moment without running anything; stays where it has passed. */
+  /** Advances the clock without running tasks; does nothing if the time has passed. */
   public void advanceTo(Moment moment) {
     now = moment.orLater(now);
   }
--- a/src/test/java/linengauge/hls/PlaylistsTest.java
+++ b/src/test/java/linengauge/hls/PlaylistsTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PlaylistsTest {
-  private static final UnaryOperator<String> UNDER = uri -> Paths.under("7", "", uri);
-  private static final String MULTI =
+  private static final UnaryOperator<String> REWRITER = uri -> Paths.under("7", "", uri);
+  private static final String MULTIVARIANT =
       """
             #EXTM3U
             #EXT-X-VERSION:6
@@ -55,8 +55,8 @@
   }
 
   @Test
-  void oneVariantIsLeftWithItsOwnRenditions() throws Exception {
-    String low = Playlists.multivariant(bytes(MULTI), 0, "/v/7/media.m3u8", UNDER);
+  void keepsOneVariantWithItsRenditions() throws Exception {
+    String low = Playlists.multivariant(bytes(MULTIVARIANT), 0, "/v/7/media.m3u8", REWRITER);
     assertTrue(low.contains("BANDWIDTH=300000") && !low.contains("900000"), low);
     assertTrue(
         low.contains("URI=\"/v/7/m/audio/lo.m3u8\"")
@@ -64,7 +64,7 @@
             && !low.contains("trick"),
         low);
     assertTrue(low.contains("#EXT-X-OWN-TAG:kept=yes"), low);
-    String high = Playlists.multivariant(bytes(MULTI), 9, "/v/7/media.m3u8", UNDER);
+    String high = Playlists.multivariant(bytes(MULTIVARIANT), 9, "/v/7/media.m3u8", REWRITER);
     assertTrue(high.contains("BANDWIDTH=900000") && high.contains("NAME=\"es, alto\""), high);
     var parsed = new MasterPlaylistParser(ParsingMode.LENIENT).readPlaylist(high);
     assertEquals(1, parsed.variants().size());
@@ -72,22 +72,24 @@
   }
 
   @Test
-  void allOfAMediaPlaylistSurvivesButItsAddresses() throws Exception {
-    String out = Playlists.media(bytes(MEDIA), UNDER);
-    var parsed = new MediaPlaylistParser(ParsingMode.LENIENT).readPlaylist(out);
+  void rewritesOnlyTheUrisOfAMediaPlaylist() throws Exception {
+    String rewritten = Playlists.media(bytes(MEDIA), REWRITER);
+    var parsed = new MediaPlaylistParser(ParsingMode.LENIENT).readPlaylist(rewritten);
     assertEquals(42, parsed.mediaSequence());
     assertEquals(6, parsed.targetDuration());
     assertEquals("/v/7/m/segments/2.ts", parsed.mediaSegments().get(1).uri());
     assertTrue(parsed.mediaSegments().get(0).byteRange().isPresent());
-    assertTrue(out.contains("METHOD=AES-128,URI=\"/v/7/e/") && out.contains(",IV=0x1F"), out);
     assertTrue(
-        out.contains("URI=\"/v/7/m/init.mp4\",BYTERANGE=\"720@0\"")
-            && out.contains("#EXT-X-OWN-TAG:a=b"),
-        out);
-    String coded = parsed.mediaSegments().get(0).uri();
+        rewritten.contains("METHOD=AES-128,URI=\"/v/7/e/") && rewritten.contains(",IV=0x1F"),
+        rewritten);
+    assertTrue(
+        rewritten.contains("URI=\"/v/7/m/init.mp4\",BYTERANGE=\"720@0\"")
+            && rewritten.contains("#EXT-X-OWN-TAG:a=b"),
+        rewritten);
+    String encoded = parsed.mediaSegments().get(0).uri();
     assertEquals(
         "part%20one.mp4",
-        Paths.at(coded.substring("/v/7/".length())), "the address finds its way back");
+        Paths.at(encoded.substring("/v/7/".length())), "the address finds its way back");
   }
 
   @ParameterizedTest
@@ -102,9 +104,10 @@
         "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1,BANDWIDTH=2\nlow.m3u8\n",
         "#EXTM3U\n#EXT-X-STREAM-INF:BANDWIDTH=1,CODECS=\"a\nlow.m3u8\n"
       })
-  void aBrokenMultivariantPlaylistIsRefused(String text) {
+  void rejectsMalformedMultivariantPlaylists(String text) {
     assertThrows(
-        MalformedPlaylistException.class, () -> Playlists.multivariant(bytes(text), 0, "x", UNDER));
+        MalformedPlaylistException.class,
+        () -> Playlists.multivariant(bytes(text), 0, "x", REWRITER));
   }
 
   @ParameterizedTest
@@ -115,15 +118,15 @@
         "#EXTM3U\n#EXT-X-TARGETDURATION:x\n",
         "#EXTM3U\n#EXT-X-TARGETDURATION:1\n#EXT-X-KEY:METHOD=AES-128,URI=\"k\n#EXTINF:1,\na.ts\n"
       })
-  void aBrokenMediaPlaylistIsRefused(String text) {
-    assertThrows(MalformedPlaylistException.class, () -> Playlists.media(bytes(text), UNDER));
+  void rejectsMalformedMediaPlaylists(String text) {
+    assertThrows(MalformedPlaylistException.class, () -> Playlists.media(bytes(text), REWRITER));
     assertThrows(
         MalformedPlaylistException.class,
-        () -> Playlists.media(new byte[] {'#', 'E', (byte) 0xff}, UNDER));
+        () -> Playlists.media(new byte[] {'#', 'E', (byte) 0xff}, REWRITER));
   }
 
   @Test
-  void noAddressLeavesTheViewing() {
+  void noUriLeavesTheViewing() {
     for (String uri :
         new String[] {"http://else.where/x.ts", "//else/x", "/etc/x", "../x.ts", "a/../../x", ""}) {
       assertTrue(Paths.under("7", "", uri).endsWith("/refused"), uri);
--- a/src/test/java/linengauge/memory/SnapshotsTest.java
+++ b/src/test/java/linengauge/memory/SnapshotsTest.java
@@ -21,96 +21,93 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Generations of a table over a folder that loses power, runs full and lies, at every step and
- * every byte.
+ * Snapshots on a folder that loses power, fails its operations and returns corrupt bytes, at every
+ * step and every byte.
  */
 class SnapshotsTest {
-  private static final int MOST = 1000;
+  private static final int MAX_TABLE_BYTES = 1000;
 
-  /** Power was cut: nothing more happens. */
-  private static final class Cut extends IOException {
+  /** Power is lost: no further operation takes effect. */
+  private static final class PowerLossException extends IOException {
     private static final long serialVersionUID = 1L;
   }
 
   /**
-   * A folder as a file system may treat it: names change in the order given once synced, and in any
-   * part of it, or not at all, where power is cut before; a file that is being written is there up
-   * to any byte.
+   * A folder with the latitude that a file system has. Once synced, all changes of names are
+   * durable; if power is lost before, any subset of them may be. A file that is being written may
+   * be there up to any byte.
    */
-  private static final class Frail implements Folder {
-    private Map<String, byte[]> lasting = new TreeMap<>();
-    private Map<String, byte[]> seen = new TreeMap<>();
+  private static final class FaultyFolder implements Folder {
+    private Map<String, byte[]> durable = new TreeMap<>();
+    private Map<String, byte[]> visible = new TreeMap<>();
     private final List<Runnable> pending = new ArrayList<>();
     private int stepsLeft = Integer.MAX_VALUE;
-    private int tornAt;
-    private String fails = "";
+    private int tornAtByte;
+    private String failingOperation = "";
 
-    private void step(String what) throws IOException {
-      if (fails.equals(what)) {
-        throw new IOException("the disk says no: " + what);
+    private void step(String operation) throws IOException {
+      if (failingOperation.equals(operation)) {
+        throw new IOException("injected disk failure: " + operation);
       }
       if (stepsLeft-- <= 0) {
-        throw new Cut();
+        throw new PowerLossException();
       }
     }
 
-    /**
-     * Power comes back: of the changes of names that were not synced, those of the mask have come
-     * to last.
-     */
-    private void powerBack(int mask) {
+    /** Restores power. Of the changes that were not synced, those in the bit mask are durable. */
+    private void restorePower(int mask) {
       for (int i = 0; i < pending.size(); i++) {
         if ((mask >> i & 1) == 1) {
           pending.get(i).run();
         }
       }
       pending.clear();
-      seen = new TreeMap<>(lasting);
+      visible = new TreeMap<>(durable);
       stepsLeft = Integer.MAX_VALUE;
-      fails = "";
+      failingOperation = "";
     }
 
     @Override
     public List<String> names() {
-      return new ArrayList<>(seen.keySet());
+      return new ArrayList<>(visible.keySet());
     }
 
     @Override
-    public byte[] read(String name, int most) throws IOException {
-      byte[] b = seen.get(name);
-      if (b == null || b.length > most) {
+    public byte[] read(String name, int maxBytes) throws IOException {
+      byte[] bytes = visible.get(name);
+      if (bytes == null || bytes.length > maxBytes) {
         throw new IOException("cannot read " + name);
       }
-      return b.clone();
+      return bytes.clone();
     }
 
     @Override
     public void write(String name, byte[] bytes) throws IOException {
-      byte[] torn = Arrays.copyOf(bytes, Math.min(tornAt, bytes.length));
-      pending.add(() -> lasting.putIfAbsent(name, torn));
+      byte[] torn = Arrays.copyOf(bytes, Math.min(tornAtByte, bytes.length));
+      pending.add(() -> durable.putIfAbsent(name, torn));
       step("write");
-      seen.put(name, bytes.clone());
-      pending.add(() -> lasting.put(name, bytes.clone()));
+      visible.put(name, bytes.clone());
+      pending.add(() -> durable.put(name, bytes.clone()));
       step("force");
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
       step("rename");
-      byte[] b = seen.remove(from);
-      seen.put(to, b);
+      byte[] bytes = visible.remove(from);
+      visible.put(to, bytes);
       pending.add(
           () -> {
-            lasting.remove(from);
-            lasting.put(to, b);
+            durable.remove(from);
+            durable.put(to, bytes);
           });
     }
 
     @Override
     public void delete(String name) throws IOException {
       step("delete");
-      seen.remove(name);
-      pending.add(() -> lasting.remove(name));
+      visible.remove(name);
+      pending.add(() -> durable.remove(name));
     }
 
     @Override
@@ -121,41 +118,42 @@
     }
   }
 
-  private static byte[] table(int n) {
-    return ("table " + n + " ".repeat(n % 7)).getBytes(StandardCharsets.UTF_8);
+  private static byte[] table(int number) {
+    return ("table " + number + " ".repeat(number % 7)).getBytes(StandardCharsets.UTF_8);
   }
 
-  private static Snapshots over(Folder f) {
-    return new Snapshots(f, "boxes", 3, MOST);
+  private static Snapshots snapshotsIn(Folder folder) {
+    return new Snapshots(folder, "boxes", 3, MAX_TABLE_BYTES);
   }
 
   @Test
-  void wherePowerIsCutWhatIsReadIsTheOldOrTheNewAndNeverLessThanWasPromised() throws IOException {
+  void powerLossLeavesTheOldOrTheNewTable() throws IOException {
     int cuts = 0;
     for (int steps = 0; steps < 8; steps++) {
       for (int torn = 0; torn < 50; torn += steps == 0 ? 1 : 49) {
         for (int mask = 0; mask < 64; mask++) {
-          Frail f = new Frail();
-          Snapshots s = over(f);
-          s.read();
-          s.save(table(0));
-          s.save(table(1));
-          f.sync();
-          f.tornAt = torn;
-          f.stepsLeft = steps;
-          int promised = 1;
+          FaultyFolder folder = new FaultyFolder();
+          Snapshots snapshots = snapshotsIn(folder);
+          snapshots.read();
+          snapshots.save(table(0));
+          snapshots.save(table(1));
+          folder.sync();
+          folder.tornAtByte = torn;
+          folder.stepsLeft = steps;
+          int committed = 1;
           try {
-            s.save(table(2));
-            promised = 2;
-          } catch (Cut e) {
+            snapshots.save(table(2));
+            committed = 2;
+          } catch (PowerLossException e) {
             cuts++;
           }
-          f.powerBack(mask);
-          Snapshots.ReadResult r = over(f).read();
-          assertEquals(Snapshots.ReadOutcome.WHOLE, r.found(), "steps " + steps + " mask " + mask);
-          boolean old = Arrays.equals(table(1), r.table());
+          folder.restorePower(mask);
+          Snapshots.ReadResult result = snapshotsIn(folder).read();
+          assertEquals(
+              Snapshots.ReadOutcome.WHOLE, result.found(), "steps " + steps + " mask " + mask);
+          boolean old = Arrays.equals(table(1), result.table());
           assertTrue(
-              Arrays.equals(table(2), r.table()) || promised == 1 && old,
+              Arrays.equals(table(2), result.table()) || committed == 1 && old,
               "steps "
                   + steps
                   + " torn "
@@ -163,7 +161,7 @@
                   + " mask "
                   + mask
                   + ": "
-                  + new String(r.table(), StandardCharsets.UTF_8));
+                  + new String(result.table(), StandardCharsets.UTF_8));
         }
       }
     }
@@ -171,140 +169,147 @@
   }
 
   @Test
-  void fiveHundredCutsInARowNeverLoseMoreThanWhatWasNotPromised() throws IOException {
-    SplittableRandom chance = new SplittableRandom(11);
-    Frail f = new Frail();
-    int promised = -1;
-    int tried = -1;
+  void repeatedPowerLossNeverLosesACommittedTable() throws IOException {
+    SplittableRandom random = new SplittableRandom(11);
+    FaultyFolder folder = new FaultyFolder();
+    int committed = -1;
+    int attempted = -1;
     for (int round = 0; round < 500; round++) {
-      Snapshots s = over(f);
-      Snapshots.ReadResult r = s.read();
-      if (promised >= 0) {
-        int got =
-            Integer.parseInt(new String(r.table(), StandardCharsets.UTF_8).strip().substring(6));
+      Snapshots snapshots = snapshotsIn(folder);
+      Snapshots.ReadResult result = snapshots.read();
+      if (committed >= 0) {
+        int recovered =
+            Integer.parseInt(
+                new String(result.table(), StandardCharsets.UTF_8).strip().substring(6));
         assertTrue(
-            got >= promised && got <= tried, "round " + round + ": " + got + " of " + promised);
-        promised = got;
+            recovered >= committed && recovered <= attempted,
+            "round " + round + ": " + recovered + " of " + committed);
+        committed = recovered;
       }
-      f.tornAt = chance.nextInt(60);
-      f.stepsLeft = chance.nextInt(25);
+      folder.tornAtByte = random.nextInt(60);
+      folder.stepsLeft = random.nextInt(25);
       try {
         while (true) {
-          tried++;
-          s.save(table(tried));
-          promised = tried;
+          attempted++;
+          snapshots.save(table(attempted));
+          committed = attempted;
         }
-      } catch (Cut e) {
-        f.powerBack(chance.nextInt(1 << 10));
+      } catch (PowerLossException e) {
+        folder.restorePower(random.nextInt(1 << 10));
       }
-      assertTrue(f.names().size() <= 6, "files are left over: " + f.names());
+      assertTrue(folder.names().size() <= 6, "leftover files: " + folder.names());
     }
   }
 
   @Test
-  void aDiskThatSaysNoCostsTheNewTableAndNotTheOld() throws IOException {
+  void ioErrorLosesOnlyTheNewTable() throws IOException {
     for (String what : List.of("write", "force", "rename", "sync")) {
-      Frail f = new Frail();
-      Snapshots s = over(f);
-      s.read();
-      s.save(table(1));
-      f.sync();
-      f.fails = what;
-      assertThrows(IOException.class, () -> s.save(table(2)), what);
-      f.fails = "";
-      assertEquals(Snapshots.ReadOutcome.WHOLE, over(f).read().found());
-      s.save(table(3));
-      assertArrayEquals(table(3), over(f).read().table());
+      FaultyFolder folder = new FaultyFolder();
+      Snapshots snapshots = snapshotsIn(folder);
+      snapshots.read();
+      snapshots.save(table(1));
+      folder.sync();
+      folder.failingOperation = what;
+      assertThrows(IOException.class, () -> snapshots.save(table(2)), what);
+      folder.failingOperation = "";
+      assertEquals(Snapshots.ReadOutcome.WHOLE, snapshotsIn(folder).read().found());
+      snapshots.save(table(3));
+      assertArrayEquals(table(3), snapshotsIn(folder).read().table());
     }
-    Frail f = new Frail();
-    Snapshots s = over(f);
-    s.read();
-    s.save(table(1));
-    f.fails = "delete";
-    s.save(table(2));
-    s.save(table(3));
-    assertArrayEquals(table(3), over(f).read().table(), "what cannot be swept is no matter");
+    FaultyFolder folder = new FaultyFolder();
+    Snapshots snapshots = snapshotsIn(folder);
+    snapshots.read();
+    snapshots.save(table(1));
+    folder.failingOperation = "delete";
+    snapshots.save(table(2));
+    snapshots.save(table(3));
+    assertArrayEquals(
+        table(3), snapshotsIn(folder).read().table(), "a failed deletion does not prevent saving");
   }
 
   @Test
-  void anyByteChangedOrCutOffIsFoundAndTheGenerationBeforeIsRead() throws IOException {
-    Frail f = new Frail();
-    Snapshots s = over(f);
-    s.read();
-    s.save(table(1));
-    s.save(table(2));
-    String newest = f.names().get(1);
-    byte[] whole = f.seen.get(newest);
+  void corruptFileFallsBackToThePreviousGeneration() throws IOException {
+    FaultyFolder folder = new FaultyFolder();
+    Snapshots snapshots = snapshotsIn(folder);
+    snapshots.read();
+    snapshots.save(table(1));
+    snapshots.save(table(2));
+    String newest = folder.names().get(1);
+    byte[] whole = folder.visible.get(newest);
     for (int at = 0; at < whole.length; at++) {
       for (int bit = 0; bit < 8; bit++) {
         byte[] bad = whole.clone();
         bad[at] ^= (byte) (1 << bit);
-        f.seen.put(newest, bad);
-        Snapshots.ReadResult r = over(f).read();
-        assertArrayEquals(table(1), r.table(), "byte " + at);
-        assertEquals(List.of(newest), r.broken());
+        folder.visible.put(newest, bad);
+        Snapshots.ReadResult result = snapshotsIn(folder).read();
+        assertArrayEquals(table(1), result.table(), "byte " + at);
+        assertEquals(List.of(newest), result.broken());
       }
-      f.seen.put(newest, Arrays.copyOf(whole, at));
-      assertArrayEquals(table(1), over(f).read().table(), "cut at " + at);
+      folder.visible.put(newest, Arrays.copyOf(whole, at));
+      assertArrayEquals(table(1), snapshotsIn(folder).read().table(), "cut at " + at);
     }
-    Snapshots after = over(f);
+    Snapshots after = snapshotsIn(folder);
     after.read();
     after.save(table(9));
-    assertArrayEquals(table(9), over(f).read().table(), "a broken one's number is not used again");
+    assertArrayEquals(
+        table(9),
+        snapshotsIn(folder).read().table(),
+        "the number of a broken generation is not reused");
   }
 
   @Test
-  void aNewerProgramsFileIsLeftAndAnOlderOnesIsReadWithItsFormat() throws IOException {
-    Frail f = new Frail();
-    Snapshots old = new Snapshots(f, "boxes", 2, MOST);
+  void keepsNewerFormatsAndReadsOlderOnes() throws IOException {
+    FaultyFolder folder = new FaultyFolder();
+    Snapshots old = new Snapshots(folder, "boxes", 2, MAX_TABLE_BYTES);
     old.read();
     old.save(table(1));
-    assertEquals(2, over(f).read().format());
-    Snapshots newer = new Snapshots(f, "boxes", 9, MOST);
+    assertEquals(2, snapshotsIn(folder).read().format());
+    Snapshots newer = new Snapshots(folder, "boxes", 9, MAX_TABLE_BYTES);
     newer.read();
     newer.save(table(2));
-    Map<String, byte[]> before = new HashMap<>(f.seen);
-    Snapshots s = over(f);
-    assertEquals(Snapshots.ReadOutcome.NEWER, s.read().found());
-    assertThrows(IOException.class, () -> s.save(table(3)));
-    assertEquals(before.keySet(), f.seen.keySet());
+    Map<String, byte[]> before = new HashMap<>(folder.visible);
+    Snapshots snapshots = snapshotsIn(folder);
+    assertEquals(Snapshots.ReadOutcome.NEWER, snapshots.read().found());
+    assertThrows(IOException.class, () -> snapshots.save(table(3)));
+    assertEquals(before.keySet(), folder.visible.keySet());
   }
 
   @Test
-  void tablesOfOtherNamesAndStrangersFilesAreLetAlone() throws IOException {
-    Frail f = new Frail();
-    f.seen.put("boxes-x", new byte[3]);
-    f.seen.put("orders-1", new byte[3]);
-    Snapshots s = over(f);
-    assertEquals(Snapshots.ReadOutcome.NOTHING, s.read().found());
+  void leavesUnrelatedFilesAlone() throws IOException {
+    FaultyFolder folder = new FaultyFolder();
+    folder.visible.put("boxes-x", new byte[3]);
+    folder.visible.put("orders-1", new byte[3]);
+    Snapshots snapshots = snapshotsIn(folder);
+    assertEquals(Snapshots.ReadOutcome.NOTHING, snapshots.read().found());
     for (int i = 0; i < 5; i++) {
-      s.save(table(i));
+      snapshots.save(table(i));
     }
-    assertEquals(List.of("boxes-3", "boxes-4", "boxes-x", "orders-1"), f.names());
-    assertThrows(IOException.class, () -> s.save(new byte[MOST + 1]));
-    assertArrayEquals(table(4), over(f).read().table());
+    assertEquals(List.of("boxes-3", "boxes-4", "boxes-x", "orders-1"), folder.names());
+    assertThrows(IOException.class, () -> snapshots.save(new byte[MAX_TABLE_BYTES + 1]));
+    assertArrayEquals(table(4), snapshotsIn(folder).read().table());
   }
 
   @Test
-  void onADiskItLastsAndASecondProgramIsRefused(@TempDir Path folder) throws IOException {
-    Path at = folder.resolve("state");
-    try (DiskFolder f = new DiskFolder(at)) {
-      Snapshots s = over(f);
-      assertEquals(Snapshots.ReadOutcome.NOTHING, s.read().found());
-      s.save(table(1));
-      s.save(table(2));
-      s.save(table(3));
+  void persistsOnDiskAndRejectsASecondProcess(@TempDir Path temporaryFolder) throws IOException {
+    Path at = temporaryFolder.resolve("state");
+    try (DiskFolder folder = new DiskFolder(at)) {
+      Snapshots snapshots = snapshotsIn(folder);
+      assertEquals(Snapshots.ReadOutcome.NOTHING, snapshots.read().found());
+      snapshots.save(table(1));
+      snapshots.save(table(2));
+      snapshots.save(table(3));
       assertTrue(
           assertThrows(IOException.class, () -> new DiskFolder(at))
               .getMessage()
               .contains("is in use"));
     }
-    try (DiskFolder f = new DiskFolder(at)) {
-      Snapshots.ReadResult r = over(f).read();
-      assertArrayEquals(table(3), r.table());
-      assertEquals(List.of("boxes-1", "boxes-2"), f.names());
-      Files.write(at.resolve("boxes-2"), new byte[2 * MOST]);
-      assertArrayEquals(table(2), over(f).read().table(), "a file too long is not read");
+    try (DiskFolder folder = new DiskFolder(at)) {
+      Snapshots.ReadResult result = snapshotsIn(folder).read();
+      assertArrayEquals(table(3), result.table());
+      assertEquals(List.of("boxes-1", "boxes-2"), folder.names());
+      Files.write(at.resolve("boxes-2"), new byte[2 * MAX_TABLE_BYTES]);
+      assertArrayEquals(
+          table(2), snapshotsIn(folder).read().table(), "a file over the limit is skipped");
     }
   }
 }
--- a/src/test/java/linengauge/udp/DatagramLoopTest.java
+++ b/src/test/java/linengauge/udp/DatagramLoopTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** One thread, many parts: each is served, and one that fails takes nobody with it. */
+/** Many handlers on one thread: all are served, and one that fails does not affect the others. */
 @Timeout(value = 20, unit = TimeUnit.SECONDS)
 class DatagramLoopTest {
   private static final byte[] KEY = "a key of the whole fleet".getBytes();
@@ -22,14 +22,14 @@
       new SealedChannel.DatagramFormat(2, 1, 4, 100);
   private static final int STEPS = 5;
 
-  /** Steps every few milliseconds; may fail at its third step. */
-  private static final class Ticking implements DatagramLoop.Handler {
+  /** Steps every two milliseconds; optionally fails at its third step. */
+  private static final class PeriodicHandler implements DatagramLoop.Handler {
     private final SealedChannel channel;
     private final boolean fails;
     private final CountDownLatch steps = new CountDownLatch(STEPS);
-    private Moment next;
+    private Moment nextStep;
 
-    private Ticking(String address, boolean fails) throws Exception {
+    private PeriodicHandler(String address, boolean fails) throws Exception {
       this.channel = new SealedChannel(FORM, address, 1, KEY);
       this.fails = fails;
     }
@@ -41,69 +41,71 @@
 
     @Override
     public void start(Moment now) {
-      next = now;
+      nextStep = now;
     }
 
     @Override
     public void onDatagram(Moment now, String address, byte[] bytes, int length) {
-      // nobody sends
+      // no datagrams are sent in these tests
     }
 
     @Override
     public void step(Moment now) {
-      next = now.plus(Span.ofMillis(2));
+      nextStep = now.plus(Span.ofMillis(2));
       steps.countDown();
       if (fails && steps.getCount() == 2) {
-        throw new IllegalStateException("at its third step");
+        throw new IllegalStateException("third step");
       }
     }
 
     @Override
     public Moment nextStepAt() {
-      return next;
+      return nextStep;
     }
 
     @Override
     public void end(Moment now) {
-      // nothing to say
+      // holds nothing to release
     }
   }
 
   private static String freeAddress() throws Exception {
-    try (DatagramSocket free = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
-      return "127.0.0.1:" + free.getLocalPort();
+    try (DatagramSocket socket = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
+      return "127.0.0.1:" + socket.getLocalPort();
     }
   }
 
   @Test
-  void aPartThatFailsEndsAlone() throws Exception {
+  void failingHandlerDoesNotAffectTheOthers() throws Exception {
     try (DatagramLoop loop = new DatagramLoop("test")) {
       // given
-      List<Ticking> parts = new ArrayList<>();
+      List<PeriodicHandler> handlers = new ArrayList<>();
       for (int i = 0; i < 20; i++) {
-        parts.add(new Ticking(freeAddress(), i == 7));
+        handlers.add(new PeriodicHandler(freeAddress(), i == 7));
       }
       // when
-      parts.forEach(loop::add);
+      handlers.forEach(loop::add);
       // then
-      for (Ticking part : parts) {
-        assertEquals(part.fails, !part.steps.await(part.fails ? 100 : 5000, TimeUnit.MILLISECONDS));
+      for (PeriodicHandler handler : handlers) {
+        assertEquals(
+            handler.fails, !handler.steps.await(handler.fails ? 100 : 5000, TimeUnit.MILLISECONDS));
       }
-      assertEquals(2, parts.get(7).steps.getCount());
+      assertEquals(2, handlers.get(7).steps.getCount());
     }
   }
 
   /**
-   * Guards against a next life that cannot have its port: a closed channel keeps it for a while.
+   * Guards against a restarted handler that cannot bind its port: a closed channel holds the port
+   * until the selector has processed its cancelled key.
    */
   @Test
-  void thePortOfAPartThatWasRemovedCanBeHadAtOnce() throws Exception {
+  void portIsFreeAsSoonAsTheHandlerIsRemoved() throws Exception {
     try (DatagramLoop loop = new DatagramLoop("test")) {
       String address = freeAddress();
-      for (int life = 0; life < 50; life++) {
-        Ticking part = new Ticking(address, false);
-        assertTrue(loop.add(part));
-        assertTrue(loop.removeAndWait(part));
+      for (int round = 0; round < 50; round++) {
+        PeriodicHandler handler = new PeriodicHandler(address, false);
+        assertTrue(loop.add(handler));
+        assertTrue(loop.removeAndWait(handler));
       }
     }
   }
