--- a/src/main/java/linengauge/drill/DayScript.java
+++ b/src/main/java/linengauge/drill/DayScript.java
@@ -119,7 +119,8 @@
   }
 
   static DayScript parse(String name, byte[] bytes) throws InvalidSiteException, IOException {
-    JsonNode tree = SiteFile.checked(name, bytes, SiteFile.schema("/linengauge/day.schema.json"));
+    JsonNode tree =
+        SiteFile.parseWithSchema(name, bytes, SiteFile.schema("/linengauge/day.schema.json"));
     try {
       return SiteFile.json5().treeToValue(tree, DayScript.class);
     } catch (JacksonException e) {
--- a/src/main/java/linengauge/front/BoxCalls.java
+++ b/src/main/java/linengauge/front/BoxCalls.java
@@ -255,7 +255,7 @@
                     body.getBytes(),
                     rung,
                     o.base + "/v/" + vw.id() + "/media.m3u8",
-                    uri -> o.base + Paths.under(vw.id(), "", uri));
+                    uri -> o.base + Paths.viewingPath(vw.id(), "", uri));
             program.onDesk(() -> plays(vw, o, box, text));
           } catch (MalformedPlaylistException e) {
             broken(vw, o, box, e.getMessage());
--- a/src/main/java/linengauge/front/Door.java
+++ b/src/main/java/linengauge/front/Door.java
@@ -320,7 +320,7 @@
     } else if (r.method() != HttpMethod.GET) {
       refuse(r, 405, "only GET, and DELETE of a whole viewing");
     } else {
-      String at = rest.equals("media.m3u8") ? rest : Paths.at(rest);
+      String at = rest.equals("media.m3u8") ? rest : Paths.boxPath(rest);
       if (at == null) {
         refuse(r, 404, "no such thing");
       } else {
--- a/src/main/java/linengauge/front/Relay.java
+++ b/src/main/java/linengauge/front/Relay.java
@@ -304,7 +304,7 @@
       }
       try {
         String base = at.contains("/") ? at.substring(0, at.lastIndexOf('/') + 1) : "";
-        String text = Playlists.media(playlist.getBytes(), uri -> Paths.under(id, base, uri));
+        String text = Playlists.media(playlist.getBytes(), uri -> Paths.viewingPath(id, base, uri));
         caller.account().queued(text.length());
         finish();
         to.putHeader("Content-Type", "application/vnd.apple.mpegurl")
--- a/src/main/java/linengauge/hls/Attributes.java
+++ b/src/main/java/linengauge/hls/Attributes.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 import java.util.regex.Pattern;
 
-/** Attribute lists of tags (RFC 8216, section 4.2). */
+/** Parses and writes attribute lists of tags (RFC 8216, section 4.2). */
 final class Attributes {
   private static final Pattern NAME = Pattern.compile("[A-Z0-9-]+");
 
   private Attributes() {}
 
-  /** Names and raw values (quoted strings with their quotes), in order. */
+  /** Parses a list into names and raw values, in order; quoted strings keep their quotes. */
   static Map<String, String> read(int line, String list) throws MalformedPlaylistException {
     Map<String, String> attributes = new LinkedHashMap<>();
     int position = 0;
@@ -45,7 +45,7 @@
     return attributes;
   }
 
-  /** The text of a quoted string; null where the attribute is absent or not quoted. */
+  /** The content of a quoted string; null if the attribute is absent or not quoted. */
   static String quoted(Map<String, String> attributes, String name) {
     String value = attributes.get(name);
     return value != null && value.length() >= 2 && value.startsWith("\"")
--- a/src/main/java/linengauge/hls/MalformedPlaylistException.java
+++ b/src/main/java/linengauge/hls/MalformedPlaylistException.java
@@ -1,6 +1,6 @@
 package linengauge.hls;
 
-/** A playlist that cannot be passed on; its message names the line and what is wrong. */
+/** Thrown if a playlist is malformed; the message names the line and the fault. */
 public final class MalformedPlaylistException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/linengauge/hls/Paths.java
+++ b/src/main/java/linengauge/hls/Paths.java
@@ -7,10 +7,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Addresses in a box's playlist as paths under a viewing and back. A path of letters, digits, dots,
- * dashes and slashes stands as it is, so that people can read it; anything else is carried in
- * base64url. What leaves the box (another host, a path that climbs) is refused: a front relays its
- * boxes and nothing else.
+ * Maps URIs in a box's playlist to paths under a viewing and back. A path of letters, digits, dots,
+ * dashes, underscores and slashes is kept as it is, for readability; any other is encoded in
+ * base64url. References that leave the viewing (another host, a path that climbs out) are rejected,
+ * since a front relays its boxes only.
  */
 public final class Paths {
   private static final int MAX_PATH_CHARS = 1024;
@@ -19,10 +19,10 @@
   private Paths() {}
 
   /**
-   * The path under which a front serves what a playlist calls `uri`; `base` is where the playlist
-   * itself lies.
+   * The path under which the front serves the resource that a playlist calls `uri`; `base` is the
+   * folder of the playlist.
    */
-  public static String under(String viewing, String base, String uri) {
+  public static String viewingPath(String viewing, String base, String uri) {
     String path = resolve(base, uri);
     if (path == null) {
       return "/v/" + viewing + "/refused";
@@ -38,10 +38,10 @@
   }
 
   /**
-   * What a path's rest after /v/{id}/ names at the box, relative to the viewing there; null:
-   * nothing that it may.
+   * Decodes the part of a path after /v/{id}/ to a path at the box, relative to the viewing there;
+   * null if the path is invalid or leaves the viewing.
    */
-  public static String at(String encodedPath) {
+  public static String boxPath(String encodedPath) {
     if (encodedPath.length() > MAX_PATH_CHARS) {
       return null;
     }
@@ -62,12 +62,12 @@
   }
 
   /**
-   * A relative reference (RFC 3986, section 5.2) against a base, both within the viewing; null
-   * where it leaves it.
+   * Resolves a relative reference (RFC 3986, section 5.2) against a base, both within the viewing;
+   * null if the result leaves it.
    */
   private static String resolve(String base, String uri) {
     if (isPlain(uri) && base.length() + uri.length() < MAX_PATH_CHARS) {
-      return base + uri; // what nearly all are: nothing to resolve
+      return base + uri; // the common case, in which nothing has to be resolved
     }
     try {
       URI reference = new URI(uri);
--- a/src/main/java/linengauge/hls/Playlists.java
+++ b/src/main/java/linengauge/hls/Playlists.java
@@ -15,17 +15,17 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A box's playlists rewritten for one viewing (RFC 8216). The library reads them, and so refuses
- * what is broken; the rewriting goes line by line, since a parsed playlist has lost the tags that
- * the library does not know, and those must survive (section 6.3.1: clients ignore them, a front
- * has no say).
+ * Rewrites a box's playlists for one viewing (RFC 8216). The library parses them, so that malformed
+ * ones are rejected, but the rewriting goes line by line: a parsed playlist has lost the tags that
+ * the library does not know, and those have to be preserved for clients (section 6.3.1 leaves it to
+ * clients to ignore them).
  */
 public final class Playlists {
   private static final MasterPlaylistParser MULTIVARIANT =
       new MasterPlaylistParser(ParsingMode.LENIENT);
   private static final MediaPlaylistParser MEDIA = new MediaPlaylistParser(ParsingMode.LENIENT);
 
-  /** Tags of a media playlist that name further files (sections 4.3.2.4, 4.3.2.5). */
+  /** Tags of a media playlist with a URI attribute (sections 4.3.2.4, 4.3.2.5). */
   private static final Set<String> TAGS_WITH_URI =
       Set.of(
           "#EXT-X-KEY",
@@ -38,11 +38,12 @@
   private Playlists() {}
 
   /**
-   * The multivariant playlist of this viewing alone: the one variant of the rung (by rising
-   * BANDWIDTH, section 4.3.4.2; the highest there is where the box has fewer), at the address
-   * given, and the renditions of its groups.
+   * Reduces a multivariant playlist to the variant of one rung and the renditions of its groups.
+   * Rungs are counted by rising BANDWIDTH (section 4.3.4.2); if the box has fewer variants, the
+   * highest is used.
    *
-   * @param uri gives the address under this viewing of one that stands in the playlist
+   * @param variantUri the URI to write for the variant
+   * @param rewriter maps a URI of the playlist to its path under this viewing
    */
   public static String multivariant(
       byte[] playlist, int rung, String variantUri, UnaryOperator<String> rewriter)
@@ -64,7 +65,7 @@
     while (i < lines.size()) {
       String line = lines.get(i);
       String tag = tagOf(line);
-      int lastLine = i; // of what belongs to this tag
+      int lastLine = i; // last line that belongs to this tag
       if (tag.equals("#EXT-X-STREAM-INF")) {
         lastLine = uriLineAfter(lines, i);
         if (i == selected.line) {
@@ -79,16 +80,18 @@
       } else if (tag.equals("#EXT-X-SESSION-KEY") || tag.equals("#EXT-X-SESSION-DATA")) {
         rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
       } else if (!tag.equals("#EXT-X-I-FRAME-STREAM-INF")) {
-        rewritten.append(line).append('\n'); // trick play would name rungs past the front's say
+        rewritten
+            .append(line)
+            .append(
+                '\n'); // I-frame variants are left out, since they would bypass the front's choice
+        // of rung
       }
       i = lastLine + 1;
     }
     return rewritten.toString();
   }
 
-  /**
-   * A media playlist with every address under this viewing; all else stands as the box wrote it.
-   */
+  /** Rewrites every URI of a media playlist to a path under this viewing; all else is kept. */
   public static String media(byte[] playlist, UnaryOperator<String> rewriter)
       throws MalformedPlaylistException {
     String text = decode(playlist);
@@ -141,7 +144,7 @@
     if (variants.isEmpty()) {
       throw new MalformedPlaylistException(0, "no variant is named");
     }
-    variants.sort((attributes, b) -> Long.compare(attributes.bandwidth, b.bandwidth));
+    variants.sort((first, second) -> Long.compare(first.bandwidth, second.bandwidth));
     return variants.get(Math.max(0, Math.min(rung, variants.size() - 1)));
   }
 
@@ -181,7 +184,7 @@
     return (colon < 0 ? line : line.substring(0, colon)).strip();
   }
 
-  /** Playlists are UTF-8 without a byte order mark, and start with EXTM3U (section 4.1). */
+  /** Decodes a playlist: UTF-8 without a byte order mark, beginning with EXTM3U (section 4.1). */
   private static String decode(byte[] playlist) throws MalformedPlaylistException {
     String text;
     try {
--- a/src/main/java/linengauge/site/InvalidSiteException.java
+++ b/src/main/java/linengauge/site/InvalidSiteException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A site file that is refused, whole; its message has one line a fault. */
+/** Thrown if a site file is invalid; the message has one line per fault. */
 public final class InvalidSiteException extends Exception {
   private static final long serialVersionUID = 1L;
   private final transient List<SiteFault> faults;
--- a/src/main/java/linengauge/site/Site.java
+++ b/src/main/java/linengauge/site/Site.java
@@ -17,7 +17,8 @@
 import linengauge.work.WorkTerms;
 
 /**
- * What a site file says, each part as its reader needs it. Spans ending in Ms are in milliseconds.
+ * The settings of a site file, grouped by the component that uses them. Values whose names end in
+ * Ms are in milliseconds.
  */
 public record Site(
     String site,
@@ -44,7 +45,7 @@
 
   /** A host and a port. */
   public record Address(String host, int port) {
-    /** Reads "host:port". */
+    /** Parses "host:port". */
     public static Address parse(String text) {
       int colon = text.lastIndexOf(':');
       return new Address(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
@@ -56,18 +57,22 @@
     }
   }
 
-  /**
-   * This front: its number in the fleet, its building, and where it listens; words may be absent.
-   */
+  /** This front: its number in the fleet, its building and its listeners; words may be absent. */
   public record Front(int number, String building, String viewers, String control, String words) {}
 
-  /** All fronts: how many, where each hears datagrams, and how many a second of one are read. */
+  /**
+   * All fronts: their count, their datagram addresses, and the datagrams read per sender and
+   * second.
+   */
   public record Fronts(int count, Map<String, String> words, int wordsPerSecond) {}
 
-  /** One rung of the ladder: its rate, and what a second of it is worth. */
+  /** One rung of the ladder: its rate in kB/s and the value of one second of it. */
   public record Rung(double kb, double value) {}
 
-  /** rateFactor, rungs, seats and payment may be absent: 1, the whole ladder, 0, false. */
+  /**
+   * A package. Where absent, rateFactor is 1, the rungs are those of the whole ladder, seats is 0
+   * and paidAtSetUp is false.
+   */
   public record Package(
       String name,
       double value,
@@ -78,10 +83,10 @@
       Integer seats,
       Boolean paidAtSetUp) {}
 
-  /** A kind of box: how many streams it takes. */
+  /** A kind of box and the number of streams it can serve. */
   public record Kind(String name, int streams) {}
 
-  /** The boxes and the links that they share, in kB a second. */
+  /** The boxes and the links that they share; rates are in kB/s. */
   public record Fleet(
       int cells,
       int racks,
@@ -91,7 +96,7 @@
       double uplinkKb,
       int shareLatenessMs) {}
 
-  /** How boxes warm up, fall and drain, and how many further tune-ins are free. */
+  /** How boxes warm up, lose capacity and drain, and the budget for retries. */
   public record Rules(
       int coldMs,
       double startCapacity,
@@ -102,7 +107,7 @@
       double furtherShare,
       int furtherMs) {}
 
-  /** What the operators permit a front, and what it costs. */
+  /** What a front is permitted to do, and the prices of probes and building crossings. */
   public record Permits(
       int tuneIns,
       boolean messages,
@@ -112,17 +117,17 @@
       double crossingPrice,
       int longestAdviceMs) {}
 
-  /** A title that is held by so many cells in a row, from the first on. */
+  /** A title and the consecutive cells that hold it, beginning with the first. */
   public record TitleCells(String name, int first, int inRow) {}
 
-  /** Which cells hold which titles; anywhere: titles that are not named may be asked for too. */
+  /** Titles by cell. If anywhere is set, titles that are not listed may be requested too. */
   public record Titles(boolean anywhere, List<TitleCells> cells) {}
 
-  /** The service that tells of boxes, and how a front follows it. */
+  /** The discovery service for boxes, and the retry and time limits of its client. */
   public record Discovery(
       String address, int retryFirstMs, int retryMostMs, int silenceMs, int lineBytes) {}
 
-  /** The listeners for viewers: their bounds, each connection's and all of them together. */
+  /** The listeners for viewers: limits of each connection and of all together. */
   public record Viewers(
       int loops,
       int connections,
@@ -144,7 +149,7 @@
       int keyWindowMs,
       int keys) {}
 
-  /** Figures of the whole front; sums are parted among its loops. */
+  /** Flow control settings of the whole front; totals are divided among its event loops. */
   public record Flow(
       boolean guards,
       int beatMs,
@@ -161,10 +166,10 @@
       int letGoLeast,
       double letGoPerMover) {}
 
-  /** The listener for operators, with bounds of its own. */
+  /** The listener for operators, with its own limits. */
   public record Control(int connections, int idleMs, int requestLineBytes, int headerBytes) {}
 
-  /** Calls to boxes: connections, waits, tries, and how much is read. */
+  /** Calls to boxes: connections, time limits, attempts and read sizes. */
   public record Boxes(
       int connectMs,
       int connections,
@@ -187,7 +192,7 @@
       int notesLingerMs,
       int noteBytes) {}
 
-  /** What the desk holds and how long it waits, at the most. */
+  /** Limits of the session manager. */
   public record SessionLimits(
       int viewings,
       int idleMs,
@@ -198,8 +203,8 @@
       int waitingAsks) {}
 
   /**
-   * Background work: in any window so much of the desk's time and so many bytes, and a part of both
-   * while it is late.
+   * Background work: its share of the session loop's time and its bytes per window, and the part of
+   * both that remains while the loop is late.
    */
   public record Work(
       int windowMs,
@@ -227,10 +232,7 @@
     }
   }
 
-  /**
-   * One shared address: VRRP's settings for it, and where this front takes the viewers that come by
-   * it.
-   */
+  /** A virtual router: its VRRP settings and the listener for viewers at its shared addresses. */
   public record Router(
       int vrid,
       int priority,
@@ -241,8 +243,8 @@
       String viewers) {}
 
   /**
-   * Pairing with other fronts behind shared addresses; without routers there is none. listen, group
-   * and its interface, announce and keyFile may be absent.
+   * VRRP with other fronts; disabled if there are no routers. listen, group, groupInterface,
+   * announce and keyFile may be absent.
    */
   public record Vrrp(
       String listen,
@@ -266,35 +268,32 @@
       int overloadedMs,
       List<Router> routers) {}
 
-  /**
-   * Who of the fleet is there; without an address to listen at, this front asks nobody and tells
-   * nobody.
-   */
+  /** The membership protocol of the fleet; disabled if listen is absent. */
   public record Members(
       String listen, List<String> seeds, String keyFile, int region, int periodMs) {}
 
   /**
-   * Membership by lease; without control machines this front takes no part.
+   * Membership by lease; disabled if there are no control machines.
    *
-   * @param listen UDP, in numbers, where control machines answer this front
+   * @param listen numeric UDP address at which control machines reach this front
    * @param region of this front; its zone is its building
    */
   public record Lease(
       String listen, String keyFile, int region, int heartbeatMs, List<ControlMachine> control) {}
 
-  /** A machine that keeps leases. */
+  /** A control machine, which stores leases. */
   public record ControlMachine(int number, int region, String address) {}
 
-  /** How long what plays may go on once the front is told to stop. */
+  /** How long running viewings may continue after the front has been ordered to stop. */
   public record Stop(int playingMs) {}
 
-  /** What the module is told at its start. */
+  /** The settings with which the module is created. */
   public Headend deployment() {
     return new Headend(
         fronts.count,
         front.number,
         buildings.indexOf(front.building),
-        packageTerms(),
+        packageSettings(),
         ladder.stream().mapToDouble(Rung::kb).toArray(),
         ladder.stream().mapToDouble(Rung::value).toArray(),
         new Headend.Fleet(
@@ -324,24 +323,24 @@
             Span.ofMillis(permits.longestAdviceMs)));
   }
 
-  private List<PackageTerms> packageTerms() {
-    List<PackageTerms> terms = new ArrayList<>();
+  private List<PackageTerms> packageSettings() {
+    List<PackageTerms> settings = new ArrayList<>();
     int top = ladder.size() - 1;
-    for (Package p : packages) {
-      terms.add(
+    for (Package pack : packages) {
+      settings.add(
           new PackageTerms(
-              p.value,
-              Span.ofMillis(p.joinTargetMs),
-              or(p.rateFactor, 1.0),
-              or(p.lowestRung, 0),
-              Math.min(top, or(p.highestRung, top)),
-              or(p.seats, 0),
-              or(p.paidAtSetUp, false)));
+              pack.value,
+              Span.ofMillis(pack.joinTargetMs),
+              valueOr(pack.rateFactor, 1.0),
+              valueOr(pack.lowestRung, 0),
+              Math.min(top, valueOr(pack.highestRung, top)),
+              valueOr(pack.seats, 0),
+              valueOr(pack.paidAtSetUp, false)));
     }
-    return List.copyOf(terms);
+    return List.copyOf(settings);
   }
 
-  /** What the core is bounded by. */
+  /** The limits of the session manager. */
   public Desk.Bounds sessionManagerLimits() {
     return new Desk.Bounds(
         desk.viewings,
@@ -353,20 +352,20 @@
   }
 
   /**
-   * Transfers of one loop: connections are dealt out in turns, so a quarter over its even part
-   * covers what chance does.
+   * The transfer limit of one event loop. Connections are assigned to the loops in rotation, so a
+   * quarter above the even share covers random imbalance.
    */
-  private int transfersOfLoop() {
+  private int transfersPerLoop() {
     int even = (flow.transfers + viewers.loops - 1) / viewers.loops;
     return viewers.loops == 1 ? even : even + even / 4 + 8;
   }
 
-  /** Bytes that all floors of all loops take at most. */
+  /** The maximum number of bytes reserved by the floors of all transfers on all loops. */
   long floors() {
-    return (long) viewers.loops * transfersOfLoop() * (flow.floorBytes + boxes.readBytes);
+    return (long) viewers.loops * transfersPerLoop() * (flow.floorBytes + boxes.readBytes);
   }
 
-  /** What slow peers are held to on each loop of viewers' connections. */
+  /** The flow control settings of each event loop that serves viewers. */
   public FlowTerms flowSettingsPerLoop() {
     return new FlowTerms(
         flow.guards,
@@ -378,24 +377,25 @@
         flow.viewerShare,
         flow.boxShare,
         flow.waitingBytes / viewers.loops,
-        peerBytes(),
+        maxPendingBytesPerViewer(),
         flow.floorBytes,
         boxes.readBytes,
-        transfersOfLoop(),
+        transfersPerLoop(),
         Span.ofMillis(flow.letGoWindowMs),
         flow.letGoLeast == 0 ? 0 : Math.max(1, flow.letGoLeast / viewers.loops),
         flow.letGoPerMover);
   }
 
   /**
-   * What one viewer may have waiting. The connection's own bound comes first and is lifted the
-   * moment the viewer takes; the pool's is for want of room, and looked at by the beat.
+   * The maximum number of bytes pending for one viewer. The limit of the connection applies first
+   * and is lifted as soon as the viewer reads; the limit of the pool applies when memory is short,
+   * and is checked at each tick.
    */
-  private long peerBytes() {
+  private long maxPendingBytesPerViewer() {
     return viewers.writeBufferBytes + 2L * boxes.readBytes;
   }
 
-  /** What the door is held to. */
+  /** The settings of the listener for viewers. */
   public DoorTerms listenerSettings() {
     return new DoorTerms(
         flow.guards,
@@ -411,9 +411,9 @@
         viewers.keys);
   }
 
-  /** The virtual routers of this front. The file has been checked: its addresses are literals. */
+  /** The virtual routers of this front. The addresses are known to be literals from the checks. */
   public List<RouterTerms> routers() {
-    RouterTerms.Additions more =
+    RouterTerms.Additions additions =
         new RouterTerms.Additions(
             vrrp.advertsPerInterval,
             vrrp.frozen,
@@ -426,20 +426,20 @@
             Span.ofMillis(vrrp.unwellAfterMs));
     return vrrp.routers.stream()
         .map(
-            r ->
+            router ->
                 new RouterTerms(
-                    r.vrid,
-                    r.priority,
-                    Span.ofMillis(r.advertMs),
-                    r.preempt,
-                    r.accept,
-                    r.addresses.stream().map(Site::parseAddressLiteral).toList(),
+                    router.vrid,
+                    router.priority,
+                    Span.ofMillis(router.advertMs),
+                    router.preempt,
+                    router.accept,
+                    router.addresses.stream().map(Site::parseAddressLiteral).toList(),
                     parseAddressLiteral(Address.parse(vrrp.listen).host()),
-                    more))
+                    additions))
         .toList();
   }
 
-  /** An address from its text; null where it is none. */
+  /** Parses an address literal; returns null if the text is none. */
   static NodeAddress parseAddressLiteral(String text) {
     try {
       return text.matches("[0-9.]+|[0-9A-Fa-f:]+")
@@ -450,29 +450,31 @@
     }
   }
 
-  /** Bytes a second of the lowest rung of a package, or of a rung. */
+  /** The rate in bytes per second of a rung, but at least that of the package's lowest rung. */
   public double bytesOf(int pack, int rung) {
-    Package p = packages.get(pack);
-    return 1000 * ladder.get(Math.max(rung, or(p.lowestRung, 0))).kb * or(p.rateFactor, 1.0);
+    Package settings = packages.get(pack);
+    return 1000
+        * ladder.get(Math.max(rung, valueOr(settings.lowestRung, 0))).kb
+        * valueOr(settings.rateFactor, 1.0);
   }
 
-  /** The place of each package's name in the list. */
+  /** The index of each package by name. */
   public Map<String, Integer> packageNumbers() {
     Map<String, Integer> numbers = new HashMap<>();
-    for (Package p : packages) {
-      numbers.put(p.name, numbers.size());
+    for (Package pack : packages) {
+      numbers.put(pack.name, numbers.size());
     }
     return numbers;
   }
 
-  /** Where each named title is held. */
+  /** The cells of each listed title by name. */
   public Map<String, TitleCells> titleCells() {
-    Map<String, TitleCells> held = new HashMap<>();
-    titles.cells.forEach(t -> held.put(t.name, t));
-    return held;
+    Map<String, TitleCells> cellsByTitle = new HashMap<>();
+    titles.cells.forEach(title -> cellsByTitle.put(title.name, title));
+    return cellsByTitle;
   }
 
-  private static <T> T or(T value, T absent) {
-    return value == null ? absent : value;
+  private static <T> T valueOr(T value, T defaultValue) {
+    return value == null ? defaultValue : value;
   }
 }
--- a/src/main/java/linengauge/site/SiteChecks.java
+++ b/src/main/java/linengauge/site/SiteChecks.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import linengauge.vrrp.NodeAddress;
 
-/** What a schema cannot say: that the parts of a site file hold together. */
+/** Checks the consistency of a site file's settings, as far as the schema cannot express it. */
 final class SiteChecks {
   private final String file;
   private final List<SiteFault> faults = new ArrayList<>();
@@ -18,168 +18,174 @@
 
   static List<SiteFault> faults(String file, Site site) {
     SiteChecks checks = new SiteChecks(file);
-    checks.place(site);
-    checks.packages(site);
-    checks.bounds(site);
-    checks.work(site);
-    checks.members(site);
-    checks.lease(site);
-    checks.vrrp(site);
+    checks.checkFront(site);
+    checks.checkPackages(site);
+    checks.checkLimits(site);
+    checks.checkWork(site);
+    checks.checkMembers(site);
+    checks.checkLease(site);
+    checks.checkVrrp(site);
     return checks.faults;
   }
 
-  private void wants(boolean held, String path, String what) {
-    if (!held) {
+  private void require(boolean condition, String path, String what) {
+    if (!condition) {
       faults.add(new SiteFault(file, path, 0, what));
     }
   }
 
-  private void address(String text, String path) {
+  private void checkPort(String text, String path) {
     if (text != null) {
       int port = Site.Address.parse(text).port();
-      wants(port <= 65535, path, "port " + port + " is over 65535");
+      require(port <= 65535, path, "port " + port + " is over 65535");
     }
   }
 
-  private void place(Site s) {
-    wants(
-        s.front().number() < s.fronts().count(),
+  private void checkFront(Site site) {
+    require(
+        site.front().number() < site.fronts().count(),
         "front.number",
-        "must be under fronts.count, " + s.fronts().count());
-    wants(
-        s.buildings().contains(s.front().building()),
+        "must be under fronts.count, " + site.fronts().count());
+    require(
+        site.buildings().contains(site.front().building()),
         "front.building",
         "names no building of `buildings`");
-    address(s.front().viewers(), "front.viewers");
-    address(s.front().control(), "front.control");
-    address(s.front().words(), "front.words");
-    address(s.list().address(), "list.address");
-    frontAddresses(s);
-    titles(s);
+    checkPort(site.front().viewers(), "front.viewers");
+    checkPort(site.front().control(), "front.control");
+    checkPort(site.front().words(), "front.words");
+    checkPort(site.list().address(), "list.address");
+    checkFrontAddresses(site);
+    checkTitles(site);
   }
 
-  /** Where the fronts' datagrams are heard. */
-  private void frontAddresses(Site s) {
-    Map<String, String> addresses = s.fronts().words();
-    if (s.permits().messages() && s.fronts().count() > 1) {
-      wants(s.front().words() != null, "front.words", "needed where permits.messages is true");
-      for (int i = 0; i < s.fronts().count(); i++) {
-        boolean there =
-            i == s.front().number() || addresses != null && addresses.containsKey("" + i);
-        wants(
-            there, "fronts.words", "front " + i + " has no address, and permits.messages is true");
+  /** Checks the datagram addresses of the fronts. */
+  private void checkFrontAddresses(Site site) {
+    Map<String, String> addresses = site.fronts().words();
+    if (site.permits().messages() && site.fronts().count() > 1) {
+      require(site.front().words() != null, "front.words", "needed where permits.messages is true");
+      for (int i = 0; i < site.fronts().count(); i++) {
+        boolean hasAddress =
+            i == site.front().number() || addresses != null && addresses.containsKey("" + i);
+        require(
+            hasAddress,
+            "fronts.words",
+            "front " + i + " has no address, and permits.messages is true");
       }
     }
     if (addresses != null) {
       addresses.forEach(
-          (number, at) -> {
-            address(at, "fronts.words");
-            wants(
-                number.matches("[0-9]{1,5}") && Integer.parseInt(number) < s.fronts().count(),
+          (number, address) -> {
+            checkPort(address, "fronts.words");
+            require(
+                number.matches("[0-9]{1,5}") && Integer.parseInt(number) < site.fronts().count(),
                 "fronts.words",
                 "'" + number + "' is no front's number");
           });
     }
   }
 
-  private void titles(Site s) {
+  private void checkTitles(Site site) {
     Set<String> titles = new HashSet<>();
     int i = 0;
-    for (Site.TitleCells t : s.titles().cells()) {
+    for (Site.TitleCells title : site.titles().cells()) {
       String path = "titles.cells[" + i + "]";
       i++;
-      wants(titles.add(t.name()), path, "'" + t.name() + "' is named twice");
-      wants(
-          t.first() < s.fleet().cells() && t.inRow() <= s.fleet().cells(),
+      require(titles.add(title.name()), path, "'" + title.name() + "' is named twice");
+      require(
+          title.first() < site.fleet().cells() && title.inRow() <= site.fleet().cells(),
           path,
           "beyond fleet.cells");
     }
   }
 
-  private void packages(Site s) {
+  private void checkPackages(Site site) {
     double last = 0;
-    for (int i = 0; i < s.ladder().size(); i++) {
-      wants(s.ladder().get(i).kb() > last, "ladder[" + i + "].kb", "rates must rise");
-      last = s.ladder().get(i).kb();
+    for (int i = 0; i < site.ladder().size(); i++) {
+      require(site.ladder().get(i).kb() > last, "ladder[" + i + "].kb", "rates must rise");
+      last = site.ladder().get(i).kb();
     }
     Set<String> names = new HashSet<>();
-    int top = s.ladder().size() - 1;
-    for (int i = 0; i < s.packages().size(); i++) {
-      Site.Package p = s.packages().get(i);
+    int top = site.ladder().size() - 1;
+    for (int i = 0; i < site.packages().size(); i++) {
+      Site.Package pack = site.packages().get(i);
       String path = "packages[" + i + "]";
-      int low = p.lowestRung() == null ? 0 : p.lowestRung();
-      int high = p.highestRung() == null ? top : p.highestRung();
-      wants(names.add(p.name()), path + ".name", "'" + p.name() + "' is named twice");
-      wants(low <= top, path + ".lowestRung", "the ladder's highest rung is " + top);
-      wants(low <= high, path + ".lowestRung", "is over highestRung");
-      wants(
-          p.joinTargetMs() < s.viewers().longestPatienceMs(),
+      int low = pack.lowestRung() == null ? 0 : pack.lowestRung();
+      int high = pack.highestRung() == null ? top : pack.highestRung();
+      require(names.add(pack.name()), path + ".name", "'" + pack.name() + "' is named twice");
+      require(low <= top, path + ".lowestRung", "the ladder's highest rung is " + top);
+      require(low <= high, path + ".lowestRung", "is over highestRung");
+      require(
+          pack.joinTargetMs() < site.viewers().longestPatienceMs(),
           path + ".joinTargetMs",
           "must be under viewers.longestPatienceMs: nobody could wait for it");
     }
   }
 
-  private void bounds(Site s) {
-    wants(
-        s.list().retryFirstMs() <= s.list().retryMostMs(),
+  private void checkLimits(Site site) {
+    require(
+        site.list().retryFirstMs() <= site.list().retryMostMs(),
         "list.retryFirstMs",
         "is over list.retryMostMs");
-    wants(s.desk().beatMs() < s.desk().lateBeatMs(), "desk.lateBeatMs", "must be over desk.beatMs");
-    wants(
-        s.boxes().connectMs() <= s.boxes().firstByteMs(),
+    require(
+        site.desk().beatMs() < site.desk().lateBeatMs(),
+        "desk.lateBeatMs",
+        "must be over desk.beatMs");
+    require(
+        site.boxes().connectMs() <= site.boxes().firstByteMs(),
         "boxes.connectMs",
         "is over boxes.firstByteMs");
-    wants(
-        s.desk().viewings() <= s.boxes().waitingEnds(),
+    require(
+        site.desk().viewings() <= site.boxes().waitingEnds(),
         "boxes.waitingEnds",
         "must hold the ends of all desk.viewings at once");
-    int grace = s.rules().drainGraceMs();
-    wants(
-        s.boxes().connectMs() <= Math.max(grace, 1) || grace == 0,
+    int grace = site.rules().drainGraceMs();
+    require(
+        site.boxes().connectMs() <= Math.max(grace, 1) || grace == 0,
         "boxes.connectMs",
         "is over rules.drainGraceMs: a set-up could wait for its connection past a drain's grace");
-    wants(
-        s.rules().furtherMs() == 0 || s.rules().furtherFree() + s.rules().furtherShare() > 0,
+    require(
+        site.rules().furtherMs() == 0
+            || site.rules().furtherFree() + site.rules().furtherShare() > 0,
         "rules.furtherMs",
         "rationed to nothing: say permits.tuneIns 1 instead");
-    flow(s);
-    wants(
-        s.stop().playingMs() <= s.desk().idleMs() * 100L,
+    checkFlow(site);
+    require(
+        site.stop().playingMs() <= site.desk().idleMs() * 100L,
         "stop.playingMs",
         "is out of all measure");
   }
 
-  private void members(Site s) {
-    Site.Members m = s.members();
-    if (m.listen() == null) {
-      wants(m.seeds().isEmpty(), "members.listen", "needed where there are members.seeds");
+  private void checkMembers(Site site) {
+    Site.Members members = site.members();
+    if (members.listen() == null) {
+      require(members.seeds().isEmpty(), "members.listen", "needed where there are members.seeds");
       return;
     }
-    inNumbers(m.listen(), "members.listen");
-    wants(
-        m.keyFile() != null,
+    checkNumericAddress(members.listen(), "members.listen");
+    require(
+        members.keyFile() != null,
         "members.keyFile",
         "needed: whoever could speak for any front could give up all of them");
-    wants(
-        s.fronts().count() < 2 || !m.seeds().isEmpty(),
+    require(
+        site.fronts().count() < 2 || !members.seeds().isEmpty(),
         "members.seeds",
         "needed: somebody to begin with");
-    for (int i = 0; i < m.seeds().size(); i++) {
-      inNumbers(m.seeds().get(i), "members.seeds[" + i + "]");
+    for (int i = 0; i < members.seeds().size(); i++) {
+      checkNumericAddress(members.seeds().get(i), "members.seeds[" + i + "]");
     }
   }
 
-  private void lease(Site s) {
-    Site.Lease lease = s.lease();
+  private void checkLease(Site site) {
+    Site.Lease lease = site.lease();
     if (lease.control().isEmpty()) {
-      wants(lease.listen() == null, "lease.control", "needed where there is lease.listen");
+      require(lease.listen() == null, "lease.control", "needed where there is lease.listen");
       return;
     }
-    wants(lease.listen() != null, "lease.listen", "needed where there are control machines");
+    require(lease.listen() != null, "lease.listen", "needed where there are control machines");
     if (lease.listen() != null) {
-      inNumbers(lease.listen(), "lease.listen");
+      checkNumericAddress(lease.listen(), "lease.listen");
     }
-    wants(
+    require(
         lease.keyFile() != null,
         "lease.keyFile",
         "needed: whoever could speak for any front could end its lease");
@@ -187,174 +193,185 @@
     for (int i = 0; i < lease.control().size(); i++) {
       Site.ControlMachine machine = lease.control().get(i);
       String path = "lease.control[" + i + "]";
-      inNumbers(machine.address(), path + ".address");
-      wants(
-          machine.number() >= s.fronts().count(),
+      checkNumericAddress(machine.address(), path + ".address");
+      require(
+          machine.number() >= site.fronts().count(),
           path + ".number",
           "is a front's: must be fronts.count or more");
-      wants(numbers.add(machine.number()), path + ".number", "stands twice");
+      require(numbers.add(machine.number()), path + ".number", "stands twice");
     }
   }
 
-  /** The others are told it as it stands here, and nobody looks names up while others wait. */
-  private void inNumbers(String address, String path) {
-    address(address, path);
-    wants(
+  /**
+   * Requires a numeric address: other fronts receive it as written here, and a name lookup would
+   * block the thread.
+   */
+  private void checkNumericAddress(String address, String path) {
+    checkPort(address, path);
+    require(
         Site.parseAddressLiteral(Site.Address.parse(address).host()) != null,
         path,
         "must be an address in numbers");
   }
 
-  private void work(Site s) {
-    Site.Work w = s.work();
-    wants(
-        w.deskMs() < w.windowMs(),
+  private void checkWork(Site site) {
+    Site.Work work = site.work();
+    require(
+        work.deskMs() < work.windowMs(),
         "work.deskMs",
         "must be under work.windowMs: viewers come first");
-    wants(w.firstPauseMs() <= w.mostPauseMs(), "work.firstPauseMs", "is over work.mostPauseMs");
+    require(
+        work.firstPauseMs() <= work.mostPauseMs(), "work.firstPauseMs", "is over work.mostPauseMs");
   }
 
-  /** Shared addresses, where there are any. */
-  private void vrrp(Site s) {
-    Site.Vrrp v = s.vrrp();
-    if (v.routers().isEmpty()) {
+  /** Checks the shared addresses, if there are any. */
+  private void checkVrrp(Site site) {
+    Site.Vrrp vrrp = site.vrrp();
+    if (vrrp.routers().isEmpty()) {
       return;
     }
-    NodeAddress own =
-        v.listen() == null ? null : Site.parseAddressLiteral(Site.Address.parse(v.listen()).host());
-    wants(
-        own != null,
+    NodeAddress ownAddress =
+        vrrp.listen() == null
+            ? null
+            : Site.parseAddressLiteral(Site.Address.parse(vrrp.listen()).host());
+    require(
+        ownAddress != null,
         "vrrp.listen",
         "needed as an address where there are routers: ties are decided by it");
-    wants(!v.partners().isEmpty(), "vrrp.partners", "a shared address wants a partner");
-    address(v.listen(), "vrrp.listen");
-    address(v.announce(), "vrrp.announce");
-    partners(v, own);
-    group(v);
-    wants(
-        v.deafAfter() == 0 || v.keyFile() != null,
+    require(!vrrp.partners().isEmpty(), "vrrp.partners", "a shared address wants a partner");
+    checkPort(vrrp.listen(), "vrrp.listen");
+    checkPort(vrrp.announce(), "vrrp.announce");
+    checkPartners(vrrp, ownAddress);
+    checkGroup(vrrp);
+    require(
+        vrrp.deafAfter() == 0 || vrrp.keyFile() != null,
         "vrrp.deafAfter",
         "wants vrrp.keyFile: without it, old datagrams sent again could hold the address back");
     Set<Integer> vrids = new HashSet<>();
-    Set<String> listeners = new HashSet<>(Set.of(s.front().viewers(), s.front().control()));
-    for (int i = 0; i < v.routers().size(); i++) {
-      Site.Router r = v.routers().get(i);
+    Set<String> listeners = new HashSet<>(Set.of(site.front().viewers(), site.front().control()));
+    for (int i = 0; i < vrrp.routers().size(); i++) {
+      Site.Router router = vrrp.routers().get(i);
       String path = "vrrp.routers[" + i + "]";
-      wants(vrids.add(r.vrid()), path + ".vrid", "stands twice");
-      routerTerms(v, r, path);
-      sharedAddresses(r, own, path);
-      viewersOf(r, listeners, path);
+      require(vrids.add(router.vrid()), path + ".vrid", "stands twice");
+      checkRouter(vrrp, router, path);
+      checkSharedAddresses(router, ownAddress, path);
+      checkRouterListener(router, listeners, path);
     }
   }
 
-  private void partners(Site.Vrrp v, NodeAddress own) {
+  private void checkPartners(Site.Vrrp vrrp, NodeAddress ownAddress) {
     Set<NodeAddress> partners = new HashSet<>();
-    for (int i = 0; i < v.partners().size(); i++) {
+    for (int i = 0; i < vrrp.partners().size(); i++) {
       String path = "vrrp.partners[" + i + "]";
-      NodeAddress p = Site.parseAddressLiteral(Site.Address.parse(v.partners().get(i)).host());
-      address(v.partners().get(i), path);
-      wants(p != null, path, "must be an address: it is what a partner is known by");
-      wants(
-          p == null || partners.add(p) && !p.equals(own),
+      NodeAddress partner =
+          Site.parseAddressLiteral(Site.Address.parse(vrrp.partners().get(i)).host());
+      checkPort(vrrp.partners().get(i), path);
+      require(partner != null, path, "must be an address: it is what a partner is known by");
+      require(
+          partner == null || partners.add(partner) && !partner.equals(ownAddress),
           path,
           "each partner has an address of its own");
-      wants(
-          p == null || own == null || p.isIpv6() == own.isIpv6(),
+      require(
+          partner == null || ownAddress == null || partner.isIpv6() == ownAddress.isIpv6(),
           path,
           "of another family than vrrp.listen");
     }
   }
 
-  private void group(Site.Vrrp v) {
-    if (v.group() != null) {
-      NodeAddress group = Site.parseAddressLiteral(Site.Address.parse(v.group()).host());
-      wants(group != null && group.isMulticast(), "vrrp.group", "is no multicast address");
-      wants(
-          v.groupInterface() != null, "vrrp.groupInterface", "needed where there is a vrrp.group");
+  private void checkGroup(Site.Vrrp vrrp) {
+    if (vrrp.group() != null) {
+      NodeAddress group = Site.parseAddressLiteral(Site.Address.parse(vrrp.group()).host());
+      require(group != null && group.isMulticast(), "vrrp.group", "is no multicast address");
+      require(
+          vrrp.groupInterface() != null,
+          "vrrp.groupInterface",
+          "needed where there is a vrrp.group");
     }
   }
 
-  private void routerTerms(Site.Vrrp v, Site.Router r, String path) {
-    wants(r.advertMs() % 10 == 0, path + ".advertMs", "must be whole hundredths of a second");
-    wants(
-        r.priority() < 255 || v.unwellMinus() == 0,
+  private void checkRouter(Site.Vrrp vrrp, Site.Router router, String path) {
+    require(
+        router.advertMs() % 10 == 0, path + ".advertMs", "must be whole hundredths of a second");
+    require(
+        router.priority() < 255 || vrrp.unwellMinus() == 0,
         path + ".priority",
         "the owner of an address (255) cannot fall behind: vrrp.unwellMinus must be 0");
-    wants(
-        v.paceMs() <= 3 * r.advertMs(),
+    require(
+        vrrp.paceMs() <= 3 * router.advertMs(),
         "vrrp.paceMs",
         "is over three of " + path + ".advertMs: a loss would be taken over late");
   }
 
-  private void sharedAddresses(Site.Router r, NodeAddress own, String path) {
-    for (String a : r.addresses()) {
-      NodeAddress shared = Site.parseAddressLiteral(a);
-      wants(shared != null, path + ".addresses", "'" + a + "' is no address");
-      wants(
-          shared == null || own == null || shared.isIpv6() == own.isIpv6(),
+  private void checkSharedAddresses(Site.Router router, NodeAddress ownAddress, String path) {
+    for (String address : router.addresses()) {
+      NodeAddress shared = Site.parseAddressLiteral(address);
+      require(shared != null, path + ".addresses", "'" + address + "' is no address");
+      require(
+          shared == null || ownAddress == null || shared.isIpv6() == ownAddress.isIpv6(),
           path + ".addresses",
-          "'" + a + "' is of another family than vrrp.listen");
+          "'" + address + "' is of another family than vrrp.listen");
     }
   }
 
-  private void viewersOf(Site.Router r, Set<String> listeners, String path) {
-    boolean takes = r.accept() || r.priority() == 255;
-    wants(
-        !takes || r.viewers() != null,
+  private void checkRouterListener(Site.Router router, Set<String> listeners, String path) {
+    boolean accepts = router.accept() || router.priority() == 255;
+    require(
+        !accepts || router.viewers() != null,
         path + ".viewers",
         "needed where viewers are taken by the shared address");
-    address(r.viewers(), path + ".viewers");
-    wants(
-        r.viewers() == null || listeners.add(r.viewers()),
+    checkPort(router.viewers(), path + ".viewers");
+    require(
+        router.viewers() == null || listeners.add(router.viewers()),
         path + ".viewers",
         "has a listener already");
   }
 
-  /** Budgets that cannot hold together. */
-  private void flow(Site s) {
-    Site.Flow f = s.flow();
-    Site.Viewers v = s.viewers();
-    wants(
-        f.beatMs() * 2 <= f.evidenceMs(),
+  /** Checks that the budgets of memory and time are consistent. */
+  private void checkFlow(Site site) {
+    Site.Flow flow = site.flow();
+    Site.Viewers viewers = site.viewers();
+    require(
+        flow.beatMs() * 2 <= flow.evidenceMs(),
         "flow.evidenceMs",
         "must take two looks of flow.beatMs at least");
-    wants(
-        f.evidenceMs() <= f.windowMs(),
+    require(
+        flow.evidenceMs() <= flow.windowMs(),
         "flow.evidenceMs",
         "is over flow.windowMs: nobody could ever be found slow");
-    wants(
-        f.transfers() >= s.desk().viewings(),
+    require(
+        flow.transfers() >= site.desk().viewings(),
         "flow.transfers",
         "must be desk.viewings at least, or one viewing's transfer could be turned away for another's");
-    wants(
-        s.floors() <= f.waitingBytes() * 9 / 10,
+    require(
+        site.floors() <= flow.waitingBytes() * 9 / 10,
         "flow.waitingBytes",
         "the floors of flow.transfers transfers on "
-            + v.loops()
+            + viewers.loops()
             + " loops take "
-            + s.floors()
+            + site.floors()
             + " bytes, and a tenth must be left to share");
-    wants(
-        f.floorBytes() <= v.writeBufferBytes(),
+    require(
+        flow.floorBytes() <= viewers.writeBufferBytes(),
         "flow.floorBytes",
         "is over viewers.writeBufferBytes");
-    transfersOfOneBox(s);
-    wants(s.desk().idleMs() >= f.lateMs() * 2, "desk.idleMs", "must be over twice flow.lateMs");
-    for (int i = 0; i < s.packages().size(); i++) {
-      wants(
-          s.packages().get(i).joinTargetMs() > f.beatMs(),
+    checkMediaConnections(site);
+    require(
+        site.desk().idleMs() >= flow.lateMs() * 2, "desk.idleMs", "must be over twice flow.lateMs");
+    for (int i = 0; i < site.packages().size(); i++) {
+      require(
+          site.packages().get(i).joinTargetMs() > flow.beatMs(),
           "flow.beatMs",
           "is over the join target of packages[" + i + "]");
     }
   }
 
-  private void transfersOfOneBox(Site s) {
+  private void checkMediaConnections(Site site) {
     int streams =
         Math.min(
-            s.desk().viewings(),
-            s.fleet().kinds().stream().mapToInt(Site.Kind::streams).max().orElse(0));
-    wants(
-        s.boxes().mediaConnections() >= (long) s.viewers().atOnce() * streams,
+            site.desk().viewings(),
+            site.fleet().kinds().stream().mapToInt(Site.Kind::streams).max().orElse(0));
+    require(
+        site.boxes().mediaConnections() >= (long) site.viewers().atOnce() * streams,
         "boxes.mediaConnections",
         "must hold viewers.atOnce "
             + "transfers for each of "
--- a/src/main/java/linengauge/site/SiteFault.java
+++ b/src/main/java/linengauge/site/SiteFault.java
@@ -1,6 +1,6 @@
 package linengauge.site;
 
-/** One thing that is wrong with a site file; the line is 0 where the parser could not tell it. */
+/** A fault in a site file; the line is 0 if the parser does not know it. */
 public record SiteFault(String file, String path, int line, String what) {
   @Override
   public String toString() {
--- a/src/main/java/linengauge/site/SiteFile.java
+++ b/src/main/java/linengauge/site/SiteFile.java
@@ -30,12 +30,12 @@
 import java.util.Set;
 
 /**
- * Reads site files: JSON5 as far as Jackson's features go, checked against the schema in the jar,
- * refused whole.
+ * Reads site files: JSON5 as far as Jackson supports it, validated against the schema in the jar.
+ * An invalid file is rejected as a whole.
  */
 public final class SiteFile {
-  /** A site file larger than this is no site file. */
-  private static final long LARGEST = 64L << 20;
+  /** Maximum size of a site file. */
+  private static final long MAX_FILE_BYTES = 64L << 20;
 
   private static final ObjectMapper JSON5 =
       JsonMapper.builder()
@@ -54,103 +54,101 @@
 
   private SiteFile() {}
 
-  /**
-   * The mapper that reads JSON with comments and unquoted names, also for other files of the
-   * program.
-   */
+  /** The mapper for JSON with comments and unquoted names, also used for other files. */
   public static ObjectMapper json5() {
     return JSON5;
   }
 
-  /** Reads and checks a file. */
+  /** Reads and validates a file. */
   public static Site read(Path file) throws InvalidSiteException {
     String name = file.toString();
     try {
-      if (Files.size(file) > LARGEST) {
-        throw refused(name, "", 0, "larger than " + LARGEST + " bytes");
+      if (Files.size(file) > MAX_FILE_BYTES) {
+        throw invalid(name, "", 0, "larger than " + MAX_FILE_BYTES + " bytes");
       }
       return parse(name, Files.readAllBytes(file));
     } catch (NoSuchFileException e) {
-      throw refused(name, "", 0, "no such file");
+      throw invalid(name, "", 0, "no such file");
     } catch (IOException e) {
-      throw refused(name, "", 0, "cannot be read: " + e.getMessage());
+      throw invalid(name, "", 0, "cannot be read: " + e.getMessage());
     }
   }
 
-  /** Reads and checks the bytes of a file; the name is for its faults. */
+  /** Parses and validates the bytes of a file; the name is used in the faults. */
   public static Site parse(String name, byte[] bytes) throws InvalidSiteException {
-    JsonNode given = checked(name, bytes, schema("/linengauge/site.schema.json"));
-    ObjectNode whole = (ObjectNode) defaults();
-    fill(whole, given);
+    JsonNode tree = parseWithSchema(name, bytes, schema("/linengauge/site.schema.json"));
+    ObjectNode merged = (ObjectNode) defaults();
+    overlay(merged, tree);
     Site site;
     try {
-      site = JSON5.treeToValue(whole, Site.class);
+      site = JSON5.treeToValue(merged, Site.class);
     } catch (JacksonException e) {
-      throw refused(name, "", 0, e.getOriginalMessage());
+      throw invalid(name, "", 0, e.getOriginalMessage());
     }
     List<SiteFault> faults = SiteChecks.faults(name, site);
     if (!faults.isEmpty()) {
-      List<SiteFault> placed = new ArrayList<>();
-      for (SiteFault f : faults) {
-        placed.add(new SiteFault(f.file(), f.path(), lineOf(given, f.path()), f.what()));
+      List<SiteFault> located = new ArrayList<>();
+      for (SiteFault fault : faults) {
+        located.add(
+            new SiteFault(fault.file(), fault.path(), lineOf(tree, fault.path()), fault.what()));
       }
-      throw new InvalidSiteException(placed);
+      throw new InvalidSiteException(located);
     }
     return site;
   }
 
-  /** A JSON5 text as a tree that fits the schema; each fault with its path and line. */
-  public static JsonNode checked(String name, byte[] bytes, JsonSchema schema)
+  /** Parses JSON5 and validates it against the schema; each fault has its path and line. */
+  public static JsonNode parseWithSchema(String name, byte[] bytes, JsonSchema schema)
       throws InvalidSiteException {
-    JsonNode given = parsed(name, bytes);
-    if (given == null || !given.isObject()) {
-      throw refused(name, "", 1, "an object was expected");
+    JsonNode tree = parseTree(name, bytes);
+    if (tree == null || !tree.isObject()) {
+      throw invalid(name, "", 1, "an object was expected");
     }
-    List<SiteFault> faults = schemaFaults(name, given, schema);
+    List<SiteFault> faults = schemaFaults(name, tree, schema);
     if (!faults.isEmpty()) {
       throw new InvalidSiteException(faults);
     }
-    return given;
+    return tree;
   }
 
-  private static JsonNode parsed(String name, byte[] bytes) throws InvalidSiteException {
+  private static JsonNode parseTree(String name, byte[] bytes) throws InvalidSiteException {
     try {
-      JSON5.readTree(bytes); // tells where it breaks, and what stands after the end
+      JSON5.readTree(bytes); // reports syntax errors with their location, and content after the end
       return JsonNodes.readTree(
           JSON5, new ByteArrayInputStream(bytes), new LocationJsonNodeFactoryFactory());
     } catch (JacksonException e) {
-      throw refused(name, "", lineOf(e.getLocation()), e.getOriginalMessage());
+      throw invalid(name, "", lineOf(e.getLocation()), e.getOriginalMessage());
     } catch (UncheckedIOException e) {
-      JsonLocation at = e.getCause() instanceof JacksonException j ? j.getLocation() : null;
-      throw refused(name, "", lineOf(at), firstLine(e.getCause().getMessage()));
+      JsonLocation location = e.getCause() instanceof JacksonException j ? j.getLocation() : null;
+      throw invalid(name, "", lineOf(location), firstLine(e.getCause().getMessage()));
     } catch (IOException | RuntimeException e) {
-      throw refused(name, "", 0, "not JSON5: " + firstLine(e.getMessage()));
+      throw invalid(name, "", 0, "not JSON5: " + firstLine(e.getMessage()));
     }
   }
 
-  /** 0 where the place is not known. */
-  private static int lineOf(JsonLocation at) {
-    return at == null ? 0 : at.getLineNr();
+  /** The line number, or 0 if the location is unknown. */
+  private static int lineOf(JsonLocation location) {
+    return location == null ? 0 : location.getLineNr();
   }
 
-  /** What the schema refuses, each fault once. */
-  private static List<SiteFault> schemaFaults(String name, JsonNode given, JsonSchema schema) {
+  /** The violations of the schema, each reported once. */
+  private static List<SiteFault> schemaFaults(String name, JsonNode tree, JsonSchema schema) {
     List<SiteFault> faults = new ArrayList<>();
-    Set<String> said = new HashSet<>();
-    for (ValidationMessage m : schema.validate(given)) {
-      String path = m.getInstanceLocation().toString();
+    Set<String> reported = new HashSet<>();
+    for (ValidationMessage message : schema.validate(tree)) {
+      String path = message.getInstanceLocation().toString();
       path = path.startsWith("$.") ? path.substring(2) : path.equals("$") ? "" : path;
-      String what = m.getError();
-      if (said.add(path + what)) {
-        JsonNode node = m.getInstanceNode();
-        JsonLocation at = node == null ? null : JsonNodes.tokenLocationOf(node);
-        faults.add(new SiteFault(name, path, lineOf(at), what));
+      String what = message.getError();
+      if (reported.add(path + what)) {
+        JsonNode node = message.getInstanceNode();
+        JsonLocation location = node == null ? null : JsonNodes.tokenLocationOf(node);
+        faults.add(new SiteFault(name, path, lineOf(location), what));
       }
     }
     return faults;
   }
 
-  /** A schema kept in the jar. */
+  /** Loads a schema from the jar. */
   public static JsonSchema schema(String resource) {
     try (InputStream in = SiteFile.class.getResourceAsStream(resource)) {
       return JsonSchemaFactory.getInstance(SpecVersion.VersionFlag.V202012).getSchema(in);
@@ -167,32 +165,33 @@
     }
   }
 
-  /** Lays what is given over the defaults, object by object. */
-  private static void fill(ObjectNode whole, JsonNode given) {
-    given
-        .fields()
+  /** Overlays the defaults with the given values, recursing into objects. */
+  private static void overlay(ObjectNode merged, JsonNode tree) {
+    tree.fields()
         .forEachRemaining(
-            f -> {
-              if (f.getValue().isObject() && whole.get(f.getKey()) instanceof ObjectNode under) {
-                fill(under, f.getValue());
+            field -> {
+              if (field.getValue().isObject()
+                  && merged.get(field.getKey()) instanceof ObjectNode defaults) {
+                overlay(defaults, field.getValue());
               } else {
-                whole.set(f.getKey(), f.getValue());
+                merged.set(field.getKey(), field.getValue());
               }
             });
   }
 
-  private static int lineOf(JsonNode given, String path) {
-    JsonNode at = given;
+  private static int lineOf(JsonNode tree, String path) {
+    JsonNode node = tree;
     int line = 0;
     for (String part : path.split("[.\\[\\]]+")) {
-      at = at == null ? null : at.isArray() ? at.get(Integer.parseInt(part)) : at.get(part);
-      JsonLocation l = at == null ? null : JsonNodes.tokenLocationOf(at);
-      line = l == null ? line : l.getLineNr();
+      node =
+          node == null ? null : node.isArray() ? node.get(Integer.parseInt(part)) : node.get(part);
+      JsonLocation location = node == null ? null : JsonNodes.tokenLocationOf(node);
+      line = location == null ? line : location.getLineNr();
     }
     return line;
   }
 
-  private static InvalidSiteException refused(String file, String path, int line, String what) {
+  private static InvalidSiteException invalid(String file, String path, int line, String what) {
     return new InvalidSiteException(List.of(new SiteFault(file, path, line, what)));
   }
 
@@ -200,7 +199,7 @@
     return text == null ? "unreadable" : text.lines().findFirst().orElse("unreadable");
   }
 
-  /** The site as JSON text, with all defaults. */
+  /** Renders the site as JSON, including all defaults. */
   public static String show(Site site) {
     try {
       return JSON5.writerWithDefaultPrettyPrinter().writeValueAsString(JSON5.valueToTree(site));
@@ -209,7 +208,7 @@
     }
   }
 
-  /** Text in UTF-8, for callers that have a file as text. */
+  /** Like {@link #parse(String, byte[])}, for a file given as text. */
   public static Site parse(String name, String text) throws InvalidSiteException {
     return parse(name, text.getBytes(StandardCharsets.UTF_8));
   }
--- a/src/test/java/linengauge/hls/PlaylistsTest.java
+++ b/src/test/java/linengauge/hls/PlaylistsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class PlaylistsTest {
-  private static final UnaryOperator<String> REWRITER = uri -> Paths.under("7", "", uri);
+  private static final UnaryOperator<String> REWRITER = uri -> Paths.viewingPath("7", "", uri);
   private static final String MULTIVARIANT =
       """
             #EXTM3U
@@ -89,7 +89,8 @@
     String encoded = parsed.mediaSegments().get(0).uri();
     assertEquals(
         "part%20one.mp4",
-        Paths.at(encoded.substring("/v/7/".length())), "the address finds its way back");
+        Paths.boxPath(encoded.substring("/v/7/".length())),
+        "the encoded path decodes to the original");
   }
 
   @ParameterizedTest
@@ -129,13 +130,13 @@
   void noUriLeavesTheViewing() {
     for (String uri :
         new String[] {"http://else.where/x.ts", "//else/x", "/etc/x", "../x.ts", "a/../../x", ""}) {
-      assertTrue(Paths.under("7", "", uri).endsWith("/refused"), uri);
+      assertTrue(Paths.viewingPath("7", "", uri).endsWith("/refused"), uri);
     }
-    assertEquals("/v/7/m/up/x.ts", Paths.under("7", "up/down/", "../x.ts"));
-    assertNull(Paths.at("m/../../secret"));
-    assertNull(Paths.at("e/!!"));
-    assertNull(Paths.at("e/Li4vLi4vYQ"), "a coded ../../a");
-    assertNull(Paths.at("refused"));
-    assertFalse(Paths.under("7", "", "a b").contains(" "));
+    assertEquals("/v/7/m/up/x.ts", Paths.viewingPath("7", "up/down/", "../x.ts"));
+    assertNull(Paths.boxPath("m/../../secret"));
+    assertNull(Paths.boxPath("e/!!"));
+    assertNull(Paths.boxPath("e/Li4vLi4vYQ"), "an encoded ../../a");
+    assertNull(Paths.boxPath("refused"));
+    assertFalse(Paths.viewingPath("7", "", "a b").contains(" "));
   }
 }
--- a/src/test/java/linengauge/site/SiteFileTest.java
+++ b/src/test/java/linengauge/site/SiteFileTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class SiteFileTest {
-  /** A whole file on ten lines, with one part changed. */
-  private static String with(String part, String by) {
-    String good =
+  /** A valid file of ten lines with one part replaced. */
+  private static String siteWith(String part, String replacement) {
+    String valid =
         """
                 { // a comment
                   site: 'x', buildings: ["a", "b"],
@@ -26,22 +26,24 @@
                     shareLatenessMs: 500 },
                   list: { address: "127.0.0.1:5" }, permits: { messages: true },
                 }""";
-    assertTrue(part.isEmpty() || good.contains(part), part);
-    return good.replace(part.isEmpty() ? "\0" : part, by);
+    assertTrue(part.isEmpty() || valid.contains(part), part);
+    return valid.replace(part.isEmpty() ? "\0" : part, replacement);
   }
 
   @Test
-  void aGoodFileIsReadWithDefaults() throws InvalidSiteException {
-    Site site = SiteFile.parse("f", with("", ""));
-    Headend house = site.deployment();
-    assertEquals(1, house.ownNumber());
-    assertEquals(1, house.building());
-    assertEquals(Span.ofMillis(800), house.packages().get(0).joinTarget());
-    assertEquals(1, house.packages().get(0).highestRung());
-    assertTrue(house.packages().get(0).paidAtSetUp() && house.permits().messages());
-    assertEquals(4, house.permits().tuneIns(), "a default beside a value that is given");
+  void readsAValidFileWithDefaults() throws InvalidSiteException {
+    Site site = SiteFile.parse("f", siteWith("", ""));
+    Headend deployment = site.deployment();
+    assertEquals(1, deployment.ownNumber());
+    assertEquals(1, deployment.building());
+    assertEquals(Span.ofMillis(800), deployment.packages().get(0).joinTarget());
+    assertEquals(1, deployment.packages().get(0).highestRung());
+    assertTrue(deployment.packages().get(0).paidAtSetUp() && deployment.permits().messages());
+    assertEquals(4, deployment.permits().tuneIns(), "default next to a given value");
     assertEquals(
-        site, SiteFile.parse("again", SiteFile.show(site)), "what is shown reads as the same");
+        site,
+        SiteFile.parse("again", SiteFile.show(site)),
+        "the rendered site parses to an equal one");
   }
 
   @ParameterizedTest
@@ -90,22 +92,22 @@
         "seats: 3|seats: 3, seats: 4|f:6: Duplicate",
         "words: \"127.0.0.1:3\" }|}|front.words: needed"
       })
-  void aBadFileIsRefusedWithPathAndLine(String part, String by, String complaint) {
+  void rejectsAnInvalidFileWithPathAndLine(String part, String replacement, String expected) {
     InvalidSiteException e =
         assertThrows(
             InvalidSiteException.class,
-            () -> SiteFile.parse("f", with(part, by == null ? "" : by)));
-    assertTrue(e.getMessage().contains(complaint), e.getMessage());
+            () -> SiteFile.parse("f", siteWith(part, replacement == null ? "" : replacement)));
+    assertTrue(e.getMessage().contains(expected), e.getMessage());
   }
 
   @Test
-  void anUnreadableFileIsNamed() {
+  void namesAFileThatCannotBeRead() {
     assertTrue(
         assertThrows(InvalidSiteException.class, () -> SiteFile.read(Path.of("none.json5")))
             .getMessage()
             .equals("none.json5: no such file"));
     assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", ""));
     assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", "[1]"));
-    assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", with("", "") + "{}"));
+    assertThrows(InvalidSiteException.class, () -> SiteFile.parse("f", siteWith("", "") + "{}"));
   }
 }
