--- a/src/main/java/linengauge/hls/Playlists.java
+++ b/src/main/java/linengauge/hls/Playlists.java
@@ -80,11 +80,8 @@
       } else if (tag.equals("#EXT-X-SESSION-KEY") || tag.equals("#EXT-X-SESSION-DATA")) {
         rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
       } else if (!tag.equals("#EXT-X-I-FRAME-STREAM-INF")) {
-        rewritten
-            .append(line)
-            .append(
-                '\n'); // I-frame variants are left out, since they would bypass the front's choice
-        // of rung
+        // I-frame variants are left out, since they would bypass the front's choice of rung.
+        rewritten.append(line).append('\n');
       }
       i = lastLine + 1;
     }
--- a/src/main/java/linengauge/memory/Snapshots.java
+++ b/src/main/java/linengauge/memory/Snapshots.java
@@ -86,8 +86,8 @@
     generations.sort(Collections.reverseOrder());
     List<String> broken = new ArrayList<>();
     for (long generation : generations) {
-      lastGeneration =
-          Math.max(lastGeneration, generation); // the number of a broken file is not reused either
+      // The number of a broken file is not reused either.
+      lastGeneration = Math.max(lastGeneration, generation);
       byte[] bytes;
       try {
         bytes = folder.read(prefix + generation, maxTableBytes + HEADER_BYTES + CHECKSUM_BYTES);
@@ -164,8 +164,8 @@
     ByteBuffer file = ByteBuffer.allocate(HEADER_BYTES + table.length + CHECKSUM_BYTES);
     file.putLong(MAGIC | format).putLong(generation).putInt(table.length).put(table);
     file.putInt(checksum(file.array(), file.position()));
-    lastGeneration =
-        generation; // the number is not reused, since the file may exist even if a later step fails
+    // The number is not reused, since the file may exist even if a later step fails.
+    lastGeneration = generation;
     folder.write(prefix + generation + TEMPORARY_SUFFIX, file.array());
     folder.rename(prefix + generation + TEMPORARY_SUFFIX, prefix + generation);
     folder.sync();
