--- a/src/main/java/linengauge/scale/FitTable.java
+++ b/src/main/java/linengauge/scale/FitTable.java
@@ -39,7 +39,7 @@
             List.of("figure", "unit", "sizes", "fit", "largest residual", "at", "gives", "how"));
     int rows = 0;
     for (Series series : Series.of(results)) {
-      if (series.sizes() >= Extrapolation.FEWEST_SIZES && isShown(series)) {
+      if (series.sizes() >= Extrapolation.MIN_SIZES && isShown(series)) {
         table.row(row(series));
         rows++;
       }
@@ -62,7 +62,7 @@
     double target = target(series);
     List<Fit> fits = series.fits();
     Fit shown =
-        Extrapolation.plainestThatHolds(fits)
+        Extrapolation.simplestAcceptable(fits)
             .orElseGet(
                 () ->
                     fits.stream()
@@ -71,7 +71,7 @@
                                 Double.compare(
                                     a.largestRelativeResidual(), b.largestRelativeResidual()))
                         .orElseThrow());
-    Extrapolation at = Extrapolation.ofPlainest(fits, target);
+    Extrapolation at = Extrapolation.ofSimplest(fits, target);
     List<String> cells = new ArrayList<>();
     cells.add(title(series.name()));
     cells.add(series.name().unit());
@@ -165,7 +165,7 @@
   }
 
   private static String target(Series series, List<Fit> fits) {
-    Extrapolation at = Extrapolation.ofPlainest(fits, target(series));
+    Extrapolation at = Extrapolation.ofSimplest(fits, target(series));
     String given =
         at instanceof Extrapolation.Value value
             ? MarkdownTable.number(value.value()) + " by " + value.fit().model().label() + ", "
--- a/src/main/java/linengauge/scale/fit/Extrapolation.java
+++ b/src/main/java/linengauge/scale/fit/Extrapolation.java
@@ -11,26 +11,26 @@
  */
 public sealed interface Extrapolation {
   /** The fewest different sizes that a fit has to be made of. */
-  int FEWEST_SIZES = 4;
+  int MIN_SIZES = 4;
 
   /** The largest residual, as a fraction of the value measured, with which a fit still holds. */
-  double LARGEST_RELATIVE_RESIDUAL = 0.10;
+  double MAX_RELATIVE_RESIDUAL = 0.10;
 
   /**
    * Sizes that a fit wants beyond its coefficients before it says anything of sizes not measured: a
    * curve that nearly passes through its points because it has nearly as many coefficients does not
    * hold by that.
    */
-  int SPARE_SIZES = 2;
+  int MIN_SPARE_SIZES = 2;
 
   /** A residual below which no less plain model is looked for. */
-  double NEAR_ENOUGH = 0.02;
+  double GOOD_RELATIVE_RESIDUAL = 0.02;
 
   /** By how much a less plain model has to come nearer to be taken. */
-  double MUCH_NEARER = 2;
+  double MIN_IMPROVEMENT_FACTOR = 2;
 
   /** The farthest size, as a multiple of the largest size measured. */
-  double FARTHEST = 2.5;
+  double MAX_SIZE_MULTIPLE = 2.5;
 
   /**
    * The value at the size.
@@ -51,26 +51,24 @@
   /** What this fit gives at the size. */
   static Extrapolation of(Fit fit, double size) {
     long sizes = fit.points().stream().mapToDouble(SizedValue::size).distinct().count();
-    if (sizes < FEWEST_SIZES) {
-      return refused("%d sizes measured, %d are wanted", sizes, FEWEST_SIZES);
+    if (sizes < MIN_SIZES) {
+      return refused("%d sizes measured, %d are wanted", sizes, MIN_SIZES);
     }
-    if (fit.largestRelativeResidual() > LARGEST_RELATIVE_RESIDUAL) {
+    if (fit.largestRelativeResidual() > MAX_RELATIVE_RESIDUAL) {
       return refused(
           "%s misses a measured value by %.0f%%, over %.0f%%",
-          fit.model().label(),
-          fit.largestRelativeResidual() * 100,
-          LARGEST_RELATIVE_RESIDUAL * 100);
+          fit.model().label(), fit.largestRelativeResidual() * 100, MAX_RELATIVE_RESIDUAL * 100);
     }
     double times = size / fit.largestSize();
-    int wanted = fit.model().coefficients() + SPARE_SIZES;
+    int wanted = fit.model().coefficients() + MIN_SPARE_SIZES;
     if (times > 1 && sizes < wanted) {
       return refused("%s beyond %d sizes wants %d", fit.model().label(), sizes, wanted);
     }
     if (times > 1 && turns(fit, size)) {
       return refused("%s turns beyond the sizes measured", fit.model().label());
     }
-    if (times > FARTHEST) {
-      return refused("%.1f times the largest size measured, over %.1f", times, FARTHEST);
+    if (times > MAX_SIZE_MULTIPLE) {
+      return refused("%.1f times the largest size measured, over %.1f", times, MAX_SIZE_MULTIPLE);
     }
     if (size < fit.smallestSize()) {
       return refused("below the smallest size measured, %.0f", fit.smallestSize());
@@ -100,8 +98,8 @@
    * What the plainest model that holds gives at the size; of models with as many coefficients the
    * one with the smallest residual.
    */
-  static Extrapolation ofPlainest(List<Fit> fits, double size) {
-    Optional<Fit> plainest = plainestThatHolds(fits);
+  static Extrapolation ofSimplest(List<Fit> fits, double size) {
+    Optional<Fit> plainest = simplestAcceptable(fits);
     if (plainest.isPresent()) {
       return of(plainest.get(), size);
     }
@@ -115,10 +113,12 @@
    * The plainest model within the residual's bound, where there is one; not where a less plain one
    * comes more than twice as near: a constant would hide a slope on top of a high base.
    */
-  static Optional<Fit> plainestThatHolds(List<Fit> fits) {
+  static Optional<Fit> simplestAcceptable(List<Fit> fits) {
     double nearest = fits.stream().mapToDouble(Fit::largestRelativeResidual).min().orElse(0);
     double bound =
-        Math.min(LARGEST_RELATIVE_RESIDUAL, Math.max(NEAR_ENOUGH, MUCH_NEARER * nearest));
+        Math.min(
+            MAX_RELATIVE_RESIDUAL,
+            Math.max(GOOD_RELATIVE_RESIDUAL, MIN_IMPROVEMENT_FACTOR * nearest));
     return fits.stream()
         .filter(fit -> fit.largestRelativeResidual() <= bound)
         .min(
--- a/src/main/java/linengauge/scale/fronts/FrontStage.java
+++ b/src/main/java/linengauge/scale/fronts/FrontStage.java
@@ -34,7 +34,7 @@
         port,
         journal.port(),
         boxes.stream().map(PlatformBox::port).toList(),
-        plan.descriptors());
+        plan.maxDescriptors());
     try {
       start();
     } catch (IOException e) {
@@ -46,7 +46,7 @@
   private void start() throws IOException, InterruptedException {
     front =
         new ServeProcess(
-            plan.run(),
+            plan.runCommand(),
             plan.root(),
             folder.resolve("front.json"),
             folder.resolve("front.log"),
--- a/src/main/java/linengauge/scale/fronts/RealFronts.java
+++ b/src/main/java/linengauge/scale/fronts/RealFronts.java
@@ -14,7 +14,7 @@
 public final class RealFronts {
   /** Told what is measured next. */
   public interface Progress {
-    void at(String load, int size, int run);
+    void runStarting(String load, int size, int run);
   }
 
   private interface Load {
@@ -60,7 +60,7 @@
     for (int size : load.sizes()) {
       Map<String, List<Double>> figures = new LinkedHashMap<>();
       for (int run = 1; run <= plan.runs(); run++) {
-        progress.at(load.event(), size, run);
+        progress.runStarting(load.event(), size, run);
         load.load()
             .run(size)
             .forEach(
--- a/src/main/java/linengauge/scale/log/LogFollowing.java
+++ b/src/main/java/linengauge/scale/log/LogFollowing.java
@@ -43,7 +43,7 @@
   private static final int OTHER_CONNECTIONS = 2;
 
   /** What one measurement is of. */
-  public record Plan(int followers, int seconds, int changesAMinute) {}
+  public record Plan(int followers, int seconds, int changesPerMinute) {}
 
   /** Counts the decisions that were applied; holds nothing else. */
   private static final class Counter implements StateMachine {
@@ -130,7 +130,7 @@
 
   private Measurement figure(String quantity, String unit, Statistic statistic, double value) {
     String event =
-        plan.changesAMinute() == 0 ? "quiet" : plan.changesAMinute() + " changes a minute";
+        plan.changesPerMinute() == 0 ? "quiet" : plan.changesPerMinute() + " changes a minute";
     return new Measurement(
         "log", "front", event, plan.followers(), quantity, unit, statistic, List.of(value));
   }
@@ -172,11 +172,11 @@
 
   private void passTime(long begun) throws InterruptedException, TimeoutException {
     long end = begun + plan.seconds() * 1_000_000_000L;
-    if (plan.changesAMinute() == 0) {
+    if (plan.changesPerMinute() == 0) {
       Thread.sleep(plan.seconds() * 1000L);
       return;
     }
-    long pause = 60_000L / plan.changesAMinute();
+    long pause = 60_000L / plan.changesPerMinute();
     long wanted = counters.get(0).applied;
     while (System.nanoTime() < end) {
       wanted++;
--- a/src/test/java/linengauge/scale/fit/ExtrapolationTest.java
+++ b/src/test/java/linengauge/scale/fit/ExtrapolationTest.java
@@ -93,7 +93,7 @@
     // given: a curve that grows by the logarithm
     var points = LeastSquaresTest.points(SIZES, n -> 100 + 300 * Math.log(n));
     // when
-    Extrapolation at = Extrapolation.ofPlainest(LeastSquares.fitAll(points), 1800);
+    Extrapolation at = Extrapolation.ofSimplest(LeastSquares.fitAll(points), 1800);
     // then
     var value = assertInstanceOf(Extrapolation.Value.class, at);
     assertEquals(GrowthModel.LOGARITHMIC, value.fit().model());
@@ -106,13 +106,13 @@
     var points = LeastSquaresTest.points(SIZES, n -> 1000 + 0.2 * n);
     var value =
         assertInstanceOf(
-            Extrapolation.Value.class, Extrapolation.ofPlainest(LeastSquares.fitAll(points), 1800));
+            Extrapolation.Value.class, Extrapolation.ofSimplest(LeastSquares.fitAll(points), 1800));
     assertEquals(GrowthModel.LINEAR, value.fit().model());
     // but one within two in a hundred is a constant
     var flat = LeastSquaresTest.points(SIZES, n -> 1000 + 0.02 * n);
     var constant =
         assertInstanceOf(
-            Extrapolation.Value.class, Extrapolation.ofPlainest(LeastSquares.fitAll(flat), 1800));
+            Extrapolation.Value.class, Extrapolation.ofSimplest(LeastSquares.fitAll(flat), 1800));
     assertEquals(GrowthModel.CONSTANT, constant.fit().model());
   }
 
@@ -124,7 +124,7 @@
             new SizedValue(220, 900),
             new SizedValue(440, 20),
             new SizedValue(900, 5000));
-    assertRefused("misses", Extrapolation.ofPlainest(LeastSquares.fitAll(points), 1800));
-    assertRefused("too few", Extrapolation.ofPlainest(List.of(), 1800));
+    assertRefused("misses", Extrapolation.ofSimplest(LeastSquares.fitAll(points), 1800));
+    assertRefused("too few", Extrapolation.ofSimplest(List.of(), 1800));
   }
 }
--- a/src/test/java/linengauge/scale/fit/LeastSquaresTest.java
+++ b/src/test/java/linengauge/scale/fit/LeastSquaresTest.java
@@ -77,7 +77,7 @@
     Fit line = LeastSquares.fit(GrowthModel.LINEAR, points);
     // then
     assertEquals(3, line.coefficients().get(1), 0.1);
-    assertTrue(line.largestRelativeResidual() < Extrapolation.LARGEST_RELATIVE_RESIDUAL);
+    assertTrue(line.largestRelativeResidual() < Extrapolation.MAX_RELATIVE_RESIDUAL);
     double sum = line.residuals().stream().mapToDouble(Double::doubleValue).sum();
     assertEquals(0, sum, 1e-6, "residuals about an intercept add up to nothing");
   }
