--- a/src/main/java/linengauge/scale/fit/Extrapolation.java
+++ b/src/main/java/linengauge/scale/fit/Extrapolation.java
@@ -6,37 +6,36 @@
 import java.util.Optional;
 
 /**
- * What a fit gives at a size, or why it gives nothing there. A fit that misses the measured points
- * says nothing about sizes that were not measured.
+ * The value that a fit predicts at a size, or the reason why it predicts none. A fit that misses
+ * the measured points is not evidence for sizes that were not measured.
  */
 public sealed interface Extrapolation {
-  /** The fewest different sizes that a fit has to be made of. */
+  /** The minimum number of distinct measured sizes for a fit to be used. */
   int MIN_SIZES = 4;
 
-  /** The largest residual, as a fraction of the value measured, with which a fit still holds. */
+  /** The largest residual of an acceptable fit, as a fraction of the measured value. */
   double MAX_RELATIVE_RESIDUAL = 0.10;
 
   /**
-   * Sizes that a fit wants beyond its coefficients before it says anything of sizes not measured: a
-   * curve that nearly passes through its points because it has nearly as many coefficients does not
-   * hold by that.
+   * Distinct sizes required beyond the number of coefficients before a fit is extrapolated. A curve
+   * with nearly as many coefficients as points passes close to them whether or not it is right.
    */
   int MIN_SPARE_SIZES = 2;
 
-  /** A residual below which no less plain model is looked for. */
+  /** Relative residual below which no more complex model is preferred. */
   double GOOD_RELATIVE_RESIDUAL = 0.02;
 
-  /** By how much a less plain model has to come nearer to be taken. */
+  /** Factor by which a more complex model must reduce the residual to be preferred. */
   double MIN_IMPROVEMENT_FACTOR = 2;
 
-  /** The farthest size, as a multiple of the largest size measured. */
+  /** The largest size for extrapolation, as a multiple of the largest measured size. */
   double MAX_SIZE_MULTIPLE = 2.5;
 
   /**
-   * The value at the size.
+   * The predicted value at the size.
    *
-   * @param timesLargestMeasured the size over the largest measured one; at most 1 where the value
-   *     is interpolated
+   * @param timesLargestMeasured the size divided by the largest measured size; at most 1 when the
+   *     value is interpolated
    */
   record Value(Fit fit, double size, double value, double timesLargestMeasured)
       implements Extrapolation {
@@ -45,10 +44,10 @@
     }
   }
 
-  /** No value: the reason, for people. */
+  /** No value is predicted; the reason is text for display. */
   record Refused(String reason) implements Extrapolation {}
 
-  /** What this fit gives at the size. */
+  /** Evaluates the fit at the size, or gives the reason why it cannot be used there. */
   static Extrapolation of(Fit fit, double size) {
     long sizes = fit.points().stream().mapToDouble(SizedValue::size).distinct().count();
     if (sizes < MIN_SIZES) {
@@ -59,16 +58,17 @@
           "%s misses a measured value by %.0f%%, over %.0f%%",
           fit.model().label(), fit.largestRelativeResidual() * 100, MAX_RELATIVE_RESIDUAL * 100);
     }
-    double times = size / fit.largestSize();
-    int wanted = fit.model().coefficients() + MIN_SPARE_SIZES;
-    if (times > 1 && sizes < wanted) {
-      return refused("%s beyond %d sizes wants %d", fit.model().label(), sizes, wanted);
+    double sizeMultiple = size / fit.largestSize();
+    int requiredSizes = fit.model().coefficients() + MIN_SPARE_SIZES;
+    if (sizeMultiple > 1 && sizes < requiredSizes) {
+      return refused("%s beyond %d sizes wants %d", fit.model().label(), sizes, requiredSizes);
     }
-    if (times > 1 && turns(fit, size)) {
+    if (sizeMultiple > 1 && changesDirection(fit, size)) {
       return refused("%s turns beyond the sizes measured", fit.model().label());
     }
-    if (times > MAX_SIZE_MULTIPLE) {
-      return refused("%.1f times the largest size measured, over %.1f", times, MAX_SIZE_MULTIPLE);
+    if (sizeMultiple > MAX_SIZE_MULTIPLE) {
+      return refused(
+          "%.1f times the largest size measured, over %.1f", sizeMultiple, MAX_SIZE_MULTIPLE);
     }
     if (size < fit.smallestSize()) {
       return refused("below the smallest size measured, %.0f", fit.smallestSize());
@@ -77,17 +77,17 @@
     if (value < 0) {
       return refused("%s gives a value below nothing", fit.model().label());
     }
-    return new Value(fit, size, value, times);
+    return new Value(fit, size, value, sizeMultiple);
   }
 
-  /** Whether it rises within the sizes measured and falls beyond them, or the other way. */
-  private static boolean turns(Fit fit, double size) {
-    double within = fit.at(fit.largestSize()) - fit.at(fit.smallestSize());
+  /** Whether the fit rises over the measured sizes and falls beyond them, or the reverse. */
+  private static boolean changesDirection(Fit fit, double size) {
+    double measuredChange = fit.at(fit.largestSize()) - fit.at(fit.smallestSize());
     double step = (size - fit.largestSize()) / 100;
     for (int i = 1; i <= 100; i++) {
       double before = fit.at(fit.largestSize() + (i - 1) * step);
       double after = fit.at(fit.largestSize() + i * step);
-      if (within * (after - before) < 0) {
+      if (measuredChange * (after - before) < 0) {
         return true;
       }
     }
@@ -95,13 +95,13 @@
   }
 
   /**
-   * What the plainest model that holds gives at the size; of models with as many coefficients the
-   * one with the smallest residual.
+   * Evaluates the simplest acceptable model at the size; among models with equally many
+   * coefficients, the one with the smallest residual.
    */
   static Extrapolation ofSimplest(List<Fit> fits, double size) {
-    Optional<Fit> plainest = simplestAcceptable(fits);
-    if (plainest.isPresent()) {
-      return of(plainest.get(), size);
+    Optional<Fit> simplest = simplestAcceptable(fits);
+    if (simplest.isPresent()) {
+      return of(simplest.get(), size);
     }
     return fits.stream()
         .min(Comparator.comparingDouble(Fit::largestRelativeResidual))
@@ -110,15 +110,17 @@
   }
 
   /**
-   * The plainest model within the residual's bound, where there is one; not where a less plain one
-   * comes more than twice as near: a constant would hide a slope on top of a high base.
+   * The simplest model within the residual bound, if there is one. A simple model is passed over
+   * when a more complex one has less than half its residual, because a constant would otherwise
+   * hide a slope on top of a high base.
    */
   static Optional<Fit> simplestAcceptable(List<Fit> fits) {
-    double nearest = fits.stream().mapToDouble(Fit::largestRelativeResidual).min().orElse(0);
+    double smallestResidual =
+        fits.stream().mapToDouble(Fit::largestRelativeResidual).min().orElse(0);
     double bound =
         Math.min(
             MAX_RELATIVE_RESIDUAL,
-            Math.max(GOOD_RELATIVE_RESIDUAL, MIN_IMPROVEMENT_FACTOR * nearest));
+            Math.max(GOOD_RELATIVE_RESIDUAL, MIN_IMPROVEMENT_FACTOR * smallestResidual));
     return fits.stream()
         .filter(fit -> fit.largestRelativeResidual() <= bound)
         .min(
--- a/src/main/java/linengauge/scale/fit/Fit.java
+++ b/src/main/java/linengauge/scale/fit/Fit.java
@@ -7,7 +7,7 @@
  * A model fitted to measured points.
  *
  * @param coefficients the intercept first, then one for each regressor of the model
- * @param points the points that it was fitted to
+ * @param points the points to which the model was fitted
  */
 public record Fit(GrowthModel model, List<Double> coefficients, List<SizedValue> points) {
   public Fit {
@@ -15,9 +15,7 @@
     points = List.copyOf(points);
   }
 
-  /**
-   * What the fit gives at a size, measured or not; {@link Extrapolation} says whether to use it.
-   */
+  /** Evaluates the fit at any size; {@link Extrapolation} decides whether the value is usable. */
   public double at(double size) {
     double value = coefficients.get(0);
     double[] regressors = model.regressors(size);
@@ -27,12 +25,12 @@
     return value;
   }
 
-  /** Measured less fitted, one for each point in the order of the points. */
+  /** Measured value minus fitted value for each point, in the order of the points. */
   public List<Double> residuals() {
     return points.stream().map(point -> point.value() - at(point.size())).toList();
   }
 
-  /** The largest residual as a fraction of the value measured there. */
+  /** The largest residual as a fraction of the measured value at its point. */
   public double largestRelativeResidual() {
     return points.stream().mapToDouble(this::relativeResidual).max().orElse(0);
   }
@@ -53,7 +51,7 @@
     return points.stream().mapToDouble(SizedValue::size).max().orElseThrow();
   }
 
-  /** The fitted formula, with n for the size. */
+  /** The fitted formula as text, in which n is the size. */
   public String formula() {
     String[] terms =
         switch (model) {
--- a/src/main/java/linengauge/scale/fit/GrowthModel.java
+++ b/src/main/java/linengauge/scale/fit/GrowthModel.java
@@ -1,6 +1,6 @@
 package linengauge.scale.fit;
 
-/** A form in which a cost may grow with size, from the plainest to the steepest. */
+/** A function by which a cost may grow with size, ordered from simplest to steepest. */
 public enum GrowthModel {
   CONSTANT("constant"),
   LOGARITHMIC("logarithmic") {
@@ -28,17 +28,17 @@
     this.label = label;
   }
 
-  /** Its name in tables. */
+  /** The name of the model in tables. */
   public String label() {
     return label;
   }
 
-  /** What the model's coefficients after the intercept are multiplied with. */
+  /** The regressors at a size: the factors of the coefficients after the intercept. */
   double[] regressors(double size) {
     return new double[0];
   }
 
-  /** How many coefficients it has, the intercept included. */
+  /** The number of coefficients, including the intercept. */
   public int coefficients() {
     return 1 + regressors(1).length;
   }
--- a/src/main/java/linengauge/scale/fit/LeastSquares.java
+++ b/src/main/java/linengauge/scale/fit/LeastSquares.java
@@ -5,15 +5,15 @@
 import org.apache.commons.math3.linear.SingularMatrixException;
 import org.apache.commons.math3.stat.regression.OLSMultipleLinearRegression;
 
-/** Ordinary least squares of the growth models. */
+/** Fits growth models by ordinary least squares. */
 public final class LeastSquares {
   private LeastSquares() {}
 
   /**
-   * Fits one model.
+   * Fits one model to the points.
    *
-   * @throws IllegalArgumentException where there are not more points than coefficients, or fewer
-   *     different sizes than coefficients
+   * @throws IllegalArgumentException if there are not more points than coefficients, or fewer
+   *     distinct sizes than coefficients
    */
   public static Fit fit(GrowthModel model, List<SizedValue> points) {
     long sizes = points.stream().mapToDouble(SizedValue::size).distinct().count();
@@ -41,7 +41,7 @@
     }
   }
 
-  /** All models that the points determine, the plainest first. */
+  /** Fits every model that the points determine, simplest first. */
   public static List<Fit> fitAll(List<SizedValue> points) {
     List<Fit> fits = new ArrayList<>();
     for (GrowthModel model : GrowthModel.values()) {
--- a/src/main/java/linengauge/scale/fit/package-info.java
+++ b/src/main/java/linengauge/scale/fit/package-info.java
@@ -1,2 +1,2 @@
-/** Least squares over measured sizes, and how far a fit may be extrapolated. Free of I/O. */
+/** Least-squares fits over measured sizes and limits on their extrapolation; performs no I/O. */
 package linengauge.scale.fit;
--- a/src/main/java/linengauge/scale/fronts/ClientSocket.java
+++ b/src/main/java/linengauge/scale/fronts/ClientSocket.java
@@ -13,18 +13,18 @@
  * little; it reads only when asked to.
  */
 final class ClientSocket implements AutoCloseable {
-  static final int PLAYS = 9;
-  static final int OVER = 12;
-  static final int TEST_PASSED = 53;
-  private static final int PATIENCE_MS = 5000;
+  static final int PLAYING_TYPE = 9;
+  static final int ENDED_TYPE = 12;
+  static final int TEST_PASSED_TYPE = 53;
+  private static final int TIMEOUT_MS = 5000;
 
   private final Socket socket = new Socket();
   private final DataInputStream in;
 
   ClientSocket(int port) throws IOException {
-    socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), PATIENCE_MS);
+    socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), TIMEOUT_MS);
     socket.setTcpNoDelay(true);
-    socket.setSoTimeout(PATIENCE_MS);
+    socket.setSoTimeout(TIMEOUT_MS);
     in = new DataInputStream(socket.getInputStream());
   }
 
@@ -43,7 +43,7 @@
   boolean passesTest() {
     try {
       send(PlatformViewers.message(52, 1, 61, new byte[] {0}));
-      return readType() == TEST_PASSED;
+      return readType() == TEST_PASSED_TYPE;
     } catch (IOException e) {
       return false; // closed, or no answer in time
     }
--- a/src/main/java/linengauge/scale/fronts/FrontLoads.java
+++ b/src/main/java/linengauge/scale/fronts/FrontLoads.java
@@ -23,15 +23,15 @@
   static final String TAKEN_OVER_PROCESSOR = "processor time until all are taken over";
 
   private static final int SETTLE_MS = 3000;
-  private static final int LEFT_MS = 5000;
-  private static final int LINES = 20;
-  private static final int MOST_SILENT = 5;
-  private static final int WARM_UP = 1000;
-  private static final int FIRST_WARM_UP = 10_000_000;
-  private static final int ENDED_BY_VIEWER = 31;
-  private static final int ENDED_BY_BOX = 16;
-  private static final double MEGABYTE = 1 << 20;
-  private static final double NANOS = 1e9;
+  private static final int TUNE_IN_TIME_LIMIT_MS = 5000;
+  private static final int SHARED_CONNECTIONS = 20;
+  private static final int MAX_UNANSWERED = 5;
+  private static final int WARM_UP_VIEWINGS = 1000;
+  private static final int FIRST_WARM_UP_ID = 10_000_000;
+  private static final int VIEWER_END_CODE = 31;
+  private static final int BOX_END_CODE = 16;
+  private static final double BYTES_PER_MEGABYTE = 1 << 20;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final FrontPlan plan;
 
@@ -41,17 +41,17 @@
 
   /** Connections that have shown themselves to be viewers' and then say nothing. */
   Map<String, Double> idle(int connections) throws IOException, InterruptedException {
-    try (var stage = new FrontStage(plan)) {
+    try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = new ArrayList<>();
       try {
         boolean answers = true;
         for (int i = 0; i < connections && answers; i++) {
-          ClientSocket client = new ClientSocket(stage.port());
+          ClientSocket client = new ClientSocket(testbed.port());
           clients.add(client);
           answers = client.passesTest();
         }
-        Map<String, Double> figures = rest(stage);
-        figures.put(HELD, (double) held(clients));
+        Map<String, Double> figures = measureWhileQuiet(testbed);
+        figures.put(HELD, (double) countAnswering(clients));
         return figures;
       } finally {
         closeAll(clients);
@@ -63,13 +63,13 @@
    * How many connections still answer. Given up after a few that do not: each takes its patience,
    * and a front that is at its limit answers none of thousands.
    */
-  private static int held(List<ClientSocket> clients) {
+  private static int countAnswering(List<ClientSocket> clients) {
     int held = 0;
-    int silent = 0;
+    int unanswered = 0;
     for (ClientSocket client : clients) {
       if (client.passesTest()) {
         held++;
-      } else if (++silent == MOST_SILENT) {
+      } else if (++unanswered == MAX_UNANSWERED) {
         break;
       }
     }
@@ -78,13 +78,13 @@
 
   /** Connections with a viewing each, which plays. */
   Map<String, Double> playing(int connections) throws IOException, InterruptedException {
-    try (var stage = new FrontStage(plan)) {
+    try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = new ArrayList<>();
       try {
-        int playing = play(stage, clients, connections);
-        Map<String, Double> figures = rest(stage);
+        int playing = setUpViewings(testbed, clients, connections);
+        Map<String, Double> figures = measureWhileQuiet(testbed);
         figures.put(ANSWERED, (double) playing);
-        figures.put(HELD, (double) held(clients));
+        figures.put(HELD, (double) countAnswering(clients));
         return figures;
       } finally {
         closeAll(clients);
@@ -93,19 +93,19 @@
   }
 
   /** A set-up on each of so many new connections, one after another; how many play. */
-  private static int play(FrontStage stage, List<ClientSocket> clients, int connections)
-      throws IOException {
+  private static int setUpViewings(
+      FrontTestbed testbed, List<ClientSocket> clients, int connections) throws IOException {
     int playing = 0;
-    for (int id = 1; id <= connections && id - playing <= MOST_SILENT; id++) {
-      ClientSocket client = new ClientSocket(stage.port());
+    for (int id = 1; id <= connections && id - playing <= MAX_UNANSWERED; id++) {
+      ClientSocket client = new ClientSocket(testbed.port());
       clients.add(client);
-      client.send(PlatformViewers.setUp(id, "lesson", LEFT_MS, ""));
-      playing += answer(client) == ClientSocket.PLAYS ? 1 : 0;
+      client.send(PlatformViewers.setUp(id, "lesson", TUNE_IN_TIME_LIMIT_MS, ""));
+      playing += readAnswer(client) == ClientSocket.PLAYING_TYPE ? 1 : 0;
     }
     return playing;
   }
 
-  private static int answer(ClientSocket client) throws IOException {
+  private static int readAnswer(ClientSocket client) throws IOException {
     try {
       return client.readType();
     } catch (EOFException | SocketException | SocketTimeoutException e) {
@@ -114,21 +114,22 @@
   }
 
   /** Memory and processor time while nothing is asked for. */
-  private Map<String, Double> rest(FrontStage stage) throws IOException, InterruptedException {
+  private Map<String, Double> measureWhileQuiet(FrontTestbed testbed)
+      throws IOException, InterruptedException {
     Thread.sleep(SETTLE_MS);
-    ProcessUsage before = stage.front().usage();
-    long began = System.nanoTime();
+    ProcessUsage before = testbed.front().usage();
+    long startNanos = System.nanoTime();
     Thread.sleep(plan.seconds() * 1000L);
-    return used(stage, before, began);
+    return usageSince(testbed, before, startNanos);
   }
 
-  private static Map<String, Double> used(FrontStage stage, ProcessUsage before, long began)
-      throws IOException {
-    ProcessUsage after = stage.front().usage();
-    double seconds = (System.nanoTime() - began) / NANOS;
+  private static Map<String, Double> usageSince(
+      FrontTestbed testbed, ProcessUsage before, long startNanos) throws IOException {
+    ProcessUsage after = testbed.front().usage();
+    double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
     double processor = after.processorSeconds() - before.processorSeconds();
     Map<String, Double> figures = new LinkedHashMap<>();
-    figures.put(MEMORY, after.residentBytes() / MEGABYTE);
+    figures.put(MEMORY, after.residentBytes() / BYTES_PER_MEGABYTE);
     figures.put(PROCESSOR, 100 * processor / seconds);
     figures.put(DESCRIPTORS, (double) after.descriptors());
     return figures;
@@ -136,21 +137,21 @@
 
   /** Viewings set up at a rate, each ended by its viewer as soon as it plays. */
   Map<String, Double> setUps(int rate) throws IOException, InterruptedException {
-    try (var stage = new FrontStage(plan)) {
-      List<ClientSocket> clients = lines(stage);
+    try (var testbed = new FrontTestbed(plan)) {
+      List<ClientSocket> clients = openWarmedConnections(testbed);
       try {
-        ProcessUsage before = stage.front().usage();
-        long began = System.nanoTime();
+        ProcessUsage before = testbed.front().usage();
+        long startNanos = System.nanoTime();
         int answered = 0;
         int setUps = rate * plan.seconds();
-        for (int id = 1; id <= setUps && id - answered <= MOST_SILENT; id++) {
-          awaitTurn(began, id, rate);
-          ClientSocket client = clients.get(id % LINES);
-          client.send(PlatformViewers.setUp(id, "lesson", LEFT_MS, ""));
-          answered += answer(client) == ClientSocket.PLAYS ? 1 : 0;
-          client.send(PlatformViewers.message(12, id, 61, new byte[] {(byte) ENDED_BY_VIEWER}));
+        for (int id = 1; id <= setUps && id - answered <= MAX_UNANSWERED; id++) {
+          awaitTurn(startNanos, id, rate);
+          ClientSocket client = clients.get(id % SHARED_CONNECTIONS);
+          client.send(PlatformViewers.setUp(id, "lesson", TUNE_IN_TIME_LIMIT_MS, ""));
+          answered += readAnswer(client) == ClientSocket.PLAYING_TYPE ? 1 : 0;
+          client.send(PlatformViewers.message(12, id, 61, new byte[] {(byte) VIEWER_END_CODE}));
         }
-        Map<String, Double> figures = used(stage, before, began);
+        Map<String, Double> figures = usageSince(testbed, before, startNanos);
         figures.put(ANSWERED, (double) answered);
         return figures;
       } finally {
@@ -161,24 +162,24 @@
 
   /** Ends of viewings that play, told by boxes at a rate: each is delivered to its viewer. */
   Map<String, Double> deliveries(int rate) throws IOException, InterruptedException {
-    try (var stage = new FrontStage(plan)) {
-      List<ClientSocket> clients = lines(stage);
+    try (var testbed = new FrontTestbed(plan)) {
+      List<ClientSocket> clients = openWarmedConnections(testbed);
       try {
         int viewings = rate * plan.seconds();
         for (int id = 1; id <= viewings; id++) {
-          ClientSocket client = clients.get(id % LINES);
-          client.send(PlatformViewers.setUp(id, "lesson", LEFT_MS, ""));
-          answer(client);
+          ClientSocket client = clients.get(id % SHARED_CONNECTIONS);
+          client.send(PlatformViewers.setUp(id, "lesson", TUNE_IN_TIME_LIMIT_MS, ""));
+          readAnswer(client);
         }
         Thread.sleep(SETTLE_MS);
-        ProcessUsage before = stage.front().usage();
-        long began = System.nanoTime();
+        ProcessUsage before = testbed.front().usage();
+        long startNanos = System.nanoTime();
         int delivered = 0;
-        for (int id = 1; id <= viewings && id - delivered <= MOST_SILENT; id++) {
-          awaitTurn(began, id, rate);
-          delivered += endByBox(stage, id, clients.get(id % LINES)) ? 1 : 0;
+        for (int id = 1; id <= viewings && id - delivered <= MAX_UNANSWERED; id++) {
+          awaitTurn(startNanos, id, rate);
+          delivered += endByBox(testbed, id, clients.get(id % SHARED_CONNECTIONS)) ? 1 : 0;
         }
-        Map<String, Double> figures = used(stage, before, began);
+        Map<String, Double> figures = usageSince(testbed, before, startNanos);
         figures.put(ANSWERED, (double) delivered);
         return figures;
       } finally {
@@ -191,30 +192,30 @@
    * The front is killed with viewings that play, and each viewer connects again to hand it over.
    */
   Map<String, Double> reconnects(int connections) throws IOException, InterruptedException {
-    try (var stage = new FrontStage(plan)) {
+    try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = new ArrayList<>();
       try {
-        play(stage, clients, connections);
-        stage.killAndStart();
+        setUpViewings(testbed, clients, connections);
+        testbed.restartAfterKill();
         closeAll(clients);
         clients.clear();
-        ProcessUsage before = stage.front().usage();
-        long began = System.nanoTime();
-        int taken = 0;
-        for (int id = 1; id <= connections && id - taken <= MOST_SILENT; id++) {
-          ClientSocket client = new ClientSocket(stage.port());
+        ProcessUsage before = testbed.front().usage();
+        long startNanos = System.nanoTime();
+        int takenOver = 0;
+        for (int id = 1; id <= connections && id - takenOver <= MAX_UNANSWERED; id++) {
+          ClientSocket client = new ClientSocket(testbed.port());
           clients.add(client);
-          String at = ";at:" + ServeConfiguration.boxName(Math.max(0, stage.boxOf(id)));
+          String at = ";at:" + ServeConfiguration.boxName(Math.max(0, testbed.boxOf(id)));
           client.send(PlatformViewers.setUp(id, "lesson", 0, at));
-          taken += client.passesTest() ? 1 : 0;
+          takenOver += client.passesTest() ? 1 : 0;
         }
-        double seconds = (System.nanoTime() - began) / NANOS;
-        ProcessUsage after = stage.front().usage();
+        double seconds = (System.nanoTime() - startNanos) / NANOS_PER_SECOND;
+        ProcessUsage after = testbed.front().usage();
         Map<String, Double> figures = new LinkedHashMap<>();
-        figures.put(MEMORY, after.residentBytes() / MEGABYTE);
+        figures.put(MEMORY, after.residentBytes() / BYTES_PER_MEGABYTE);
         figures.put(TAKEN_OVER, seconds);
         figures.put(TAKEN_OVER_PROCESSOR, after.processorSeconds() - before.processorSeconds());
-        figures.put(ANSWERED, (double) taken);
+        figures.put(ANSWERED, (double) takenOver);
         return figures;
       } finally {
         closeAll(clients);
@@ -223,33 +224,33 @@
   }
 
   /** Connections for many viewings each, to a front that has played some: its code is compiled. */
-  private static List<ClientSocket> lines(FrontStage stage) throws IOException {
+  private static List<ClientSocket> openWarmedConnections(FrontTestbed testbed) throws IOException {
     List<ClientSocket> clients = new ArrayList<>();
-    for (int i = 0; i < LINES; i++) {
-      clients.add(new ClientSocket(stage.port()));
+    for (int i = 0; i < SHARED_CONNECTIONS; i++) {
+      clients.add(new ClientSocket(testbed.port()));
     }
-    for (int id = FIRST_WARM_UP; id < FIRST_WARM_UP + WARM_UP; id++) {
-      ClientSocket client = clients.get(id % LINES);
-      client.send(PlatformViewers.setUp(id, "lesson", LEFT_MS, ""));
-      answer(client);
-      endByBox(stage, id, client);
+    for (int id = FIRST_WARM_UP_ID; id < FIRST_WARM_UP_ID + WARM_UP_VIEWINGS; id++) {
+      ClientSocket client = clients.get(id % SHARED_CONNECTIONS);
+      client.send(PlatformViewers.setUp(id, "lesson", TUNE_IN_TIME_LIMIT_MS, ""));
+      readAnswer(client);
+      endByBox(testbed, id, client);
     }
     return clients;
   }
 
   /** A box ends a viewing; whether its viewer is told. */
-  private static boolean endByBox(FrontStage stage, long id, ClientSocket client)
+  private static boolean endByBox(FrontTestbed testbed, long id, ClientSocket client)
       throws IOException {
-    int box = stage.boxOf(id);
+    int box = testbed.boxOf(id);
     if (box < 0) {
       return false;
     }
-    stage.boxes().get(box).end(FrontStage.tag(id), ENDED_BY_BOX);
-    return answer(client) == ClientSocket.OVER;
+    testbed.boxes().get(box).end(FrontTestbed.tag(id), BOX_END_CODE);
+    return readAnswer(client) == ClientSocket.ENDED_TYPE;
   }
 
-  private static void awaitTurn(long began, int turn, int rate) throws InterruptedException {
-    long at = began + (long) (turn * NANOS / rate);
+  private static void awaitTurn(long startNanos, int turn, int rate) throws InterruptedException {
+    long at = startNanos + (long) (turn * NANOS_PER_SECOND / rate);
     long wait = at - System.nanoTime();
     if (wait > 0) {
       Thread.sleep(wait / 1_000_000, (int) (wait % 1_000_000));
--- a/src/main/java/linengauge/scale/fronts/FrontStage.java
+++ b/src/main/java/linengauge/scale/fronts/FrontTestbed.java
@@ -10,7 +10,7 @@
 import linengauge.standin.PlatformTryOut;
 
 /** One front with its boxes and journal service, all stand-ins but the front. */
-final class FrontStage implements AutoCloseable {
+final class FrontTestbed implements AutoCloseable {
   private static final int BOXES = 20;
 
   private final FrontPlan plan;
@@ -20,7 +20,7 @@
   private final int port;
   private ServeProcess front;
 
-  FrontStage(FrontPlan plan) throws IOException, InterruptedException {
+  FrontTestbed(FrontPlan plan) throws IOException, InterruptedException {
     this.plan = plan;
     folder = Files.createTempDirectory("linengauge-scale");
     for (int i = 0; i < BOXES; i++) {
@@ -55,7 +55,7 @@
   }
 
   /** Kills the front and starts it anew at the same port. */
-  void killAndStart() throws IOException, InterruptedException {
+  void restartAfterKill() throws IOException, InterruptedException {
     front.close();
     start();
   }
--- a/src/main/java/linengauge/scale/fronts/ProcessUsage.java
+++ b/src/main/java/linengauge/scale/fronts/ProcessUsage.java
@@ -13,10 +13,10 @@
  */
 record ProcessUsage(double processorSeconds, long residentBytes, int descriptors) {
   /** Ticks of /proc/PID/stat in a second: the kernel's USER_HZ, 100 on every platform of ours. */
-  private static final double TICKS_A_SECOND = 100;
+  private static final double TICKS_PER_SECOND = 100;
 
-  private static final int USER_TICKS = 11;
-  private static final int SYSTEM_TICKS = 12;
+  private static final int USER_TICKS_FIELD = 11;
+  private static final int SYSTEM_TICKS_FIELD = 12;
 
   static ProcessUsage of(long pid) throws IOException {
     Path process = Path.of("/proc", Long.toString(pid));
@@ -31,8 +31,9 @@
   /** Of the line of /proc/PID/stat; a process's name may hold blanks and brackets. */
   static double processorSeconds(String stat) {
     String[] afterName = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-    long ticks = Long.parseLong(afterName[USER_TICKS]) + Long.parseLong(afterName[SYSTEM_TICKS]);
-    return ticks / TICKS_A_SECOND;
+    long ticks =
+        Long.parseLong(afterName[USER_TICKS_FIELD]) + Long.parseLong(afterName[SYSTEM_TICKS_FIELD]);
+    return ticks / TICKS_PER_SECOND;
   }
 
   /** Of the lines of /proc/PID/status. */
--- a/src/main/java/linengauge/scale/fronts/RealFronts.java
+++ b/src/main/java/linengauge/scale/fronts/RealFronts.java
@@ -21,7 +21,7 @@
     Map<String, Double> run(int size) throws IOException, InterruptedException;
   }
 
-  private record Named(String event, List<Integer> sizes, Load load) {}
+  private record NamedLoad(String event, List<Integer> sizes, Load load) {}
 
   private static final Map<String, String> UNITS =
       Map.of(
@@ -44,19 +44,20 @@
   /** Loads whose size is a number of connections. */
   public void connections(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
-    run(recorder, new Named("idle connections", plan.connections(), loads::idle));
-    run(recorder, new Named("playing connections", plan.connections(), loads::playing));
-    run(recorder, new Named("reconnects after a kill", plan.connections(), loads::reconnects));
+    run(recorder, new NamedLoad("idle connections", plan.connections(), loads::idle));
+    run(recorder, new NamedLoad("playing connections", plan.connections(), loads::playing));
+    run(recorder, new NamedLoad("reconnects after a kill", plan.connections(), loads::reconnects));
   }
 
   /** Loads whose size is a rate. */
   public void messages(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
-    run(recorder, new Named("set-ups", plan.rates(), loads::setUps));
-    run(recorder, new Named("deliveries", plan.rates(), loads::deliveries));
+    run(recorder, new NamedLoad("set-ups", plan.rates(), loads::setUps));
+    run(recorder, new NamedLoad("deliveries", plan.rates(), loads::deliveries));
   }
 
-  private void run(ScaleRecorder recorder, Named load) throws IOException, InterruptedException {
+  private void run(ScaleRecorder recorder, NamedLoad load)
+      throws IOException, InterruptedException {
     for (int size : load.sizes()) {
       Map<String, List<Double>> figures = new LinkedHashMap<>();
       for (int run = 1; run <= plan.runs(); run++) {
--- a/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
+++ b/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
@@ -14,7 +14,7 @@
  */
 final class ServeConfiguration {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final double AMPLE = 1e9;
+  private static final double AMPLE_CAPACITY_KB = 1e9;
   private static final String SETTINGS =
       """
       {"balancers":1,"charges":{"probe":0.01},
@@ -51,9 +51,9 @@
     targets(hosts.putArray("targets"), boxes);
     ObjectNode settings = (ObjectNode) JSON.readTree(SETTINGS);
     ((ObjectNode) settings.get("domain"))
-        .put("uplinkKb", AMPLE)
-        .put("weightKb", AMPLE)
-        .put("linksKb", AMPLE);
+        .put("uplinkKb", AMPLE_CAPACITY_KB)
+        .put("weightKb", AMPLE_CAPACITY_KB)
+        .put("linksKb", AMPLE_CAPACITY_KB);
     root.set("settings", settings);
     Files.writeString(file, JSON.writeValueAsString(root));
   }
--- a/src/main/java/linengauge/scale/fronts/ServeProcess.java
+++ b/src/main/java/linengauge/scale/fronts/ServeProcess.java
@@ -15,13 +15,13 @@
  * the input ends when this process does, however that comes about, so no front is left behind.
  */
 final class ServeProcess implements AutoCloseable {
-  private static final String GUARD =
+  private static final String GUARD_SCRIPT =
       "PROXY_CONFIG=\"$1\" sh -c \"$2\" </dev/null >>\"$3\" 2>&1 & echo $!; read -r end;"
           + " kill -KILL $!; wait $!";
 
-  private static final int READY_TRIES = 3000;
-  private static final int READY_EACH_MS = 10;
-  private static final int ANSWER_MS = 2000;
+  private static final int MAX_READY_CHECKS = 3000;
+  private static final int READY_CHECK_INTERVAL_MS = 10;
+  private static final int ANSWER_TIMEOUT_MS = 2000;
   private static final int TEST_PASSED = 53;
 
   private final Process guard;
@@ -38,7 +38,7 @@
     this.port = port;
     guard =
         new ProcessBuilder(
-                "sh", "-c", GUARD, "guard", configuration.toString(), run, log.toString())
+                "sh", "-c", GUARD_SCRIPT, "guard", configuration.toString(), run, log.toString())
             .directory(root.toFile())
             .redirectError(ProcessBuilder.Redirect.DISCARD)
             .start();
@@ -58,11 +58,11 @@
 
   /** Waits until it passes a test, as the platform's own viewers ask for one. */
   void awaitReady() throws IOException, InterruptedException {
-    for (int i = 0; i < READY_TRIES && isAlive(); i++) {
+    for (int i = 0; i < MAX_READY_CHECKS && isAlive(); i++) {
       if (passesTest()) {
         return;
       }
-      Thread.sleep(READY_EACH_MS);
+      Thread.sleep(READY_CHECK_INTERVAL_MS);
     }
     throw new IOException("the front did not come up on port " + port);
   }
@@ -70,7 +70,7 @@
   private boolean passesTest() throws InterruptedException {
     try (var viewers = new PlatformViewers(port)) {
       viewers.test();
-      PlatformViewers.Said said = viewers.next(ANSWER_MS);
+      PlatformViewers.Said said = viewers.next(ANSWER_TIMEOUT_MS);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
       return false; // not listening yet
--- a/src/main/java/linengauge/scale/log/LogFollowing.java
+++ b/src/main/java/linengauge/scale/log/LogFollowing.java
@@ -26,32 +26,32 @@
 import linengauge.scale.Measurement.Statistic;
 
 /**
- * One voter and many followers of its log in this process, each with its own connection. Followers
- * ask at the usual rate; changes are decided at a rate that is given.
+ * Measures one voter and many followers of its log in this process, each on its own connection.
+ * Followers poll at the default rate; changes are committed at a configured rate.
  */
 public final class LogFollowing {
   private static final byte[] KEY =
       "a key for a measurement on loopback".getBytes(StandardCharsets.UTF_8);
   private static final int VOTER = 0;
-  private static final long VOTERS_STORE = 7;
+  private static final long VOTER_STORE_ID = 7;
   private static final int PAYLOAD_BYTES = 200;
-  private static final int ANSWER_MS = 60_000;
-  private static final int LOOK_MS = 20;
-  private static final Span FRESH = Span.ofSeconds(2);
+  private static final int APPLY_TIMEOUT_MS = 60_000;
+  private static final int POLL_INTERVAL_MS = 20;
+  private static final Span MAX_VIEW_AGE = Span.ofSeconds(2);
 
-  /** The voter follows itself: both ends of that connection count. */
-  private static final int OTHER_CONNECTIONS = 2;
+  /** The voter follows its own log, and both ends of that connection count. */
+  private static final int VOTER_SELF_CONNECTIONS = 2;
 
-  /** What one measurement is of. */
+  /** The parameters of one measurement. */
   public record Plan(int followers, int seconds, int changesPerMinute) {}
 
-  /** Counts the decisions that were applied; holds nothing else. */
-  private static final class Counter implements StateMachine {
+  /** A state machine that only counts the decisions applied to it. */
+  private static final class DecisionCounter implements StateMachine {
     private volatile long applied;
 
     @Override
     public void apply(long index, long author, byte[] decision) {
-      applied = applied + 1; // on the node's thread alone
+      applied = applied + 1; // written by the node's thread only
     }
 
     @Override
@@ -61,20 +61,20 @@
 
     @Override
     public void restore(byte[] whole) {
-      // nothing is held
+      // there is no state to restore
     }
   }
 
   private final Plan plan;
   private final List<ConsensusNode> nodes = new ArrayList<>();
-  private final List<Counter> counters = new ArrayList<>();
-  private final List<Double> lags = new ArrayList<>();
+  private final List<DecisionCounter> counters = new ArrayList<>();
+  private final List<Double> propagationSeconds = new ArrayList<>();
 
   private LogFollowing(Plan plan) {
     this.plan = plan;
   }
 
-  /** Measures; all sockets and files are gone afterwards. */
+  /** Runs the measurement, then closes all sockets and deletes all files. */
   public static List<Measurement> measure(Plan plan)
       throws IOException, InterruptedException, SaveFailedException, TimeoutException {
     Path folder = Files.createTempDirectory("log-following");
@@ -83,13 +83,13 @@
       return run.run(folder);
     } finally {
       run.nodes.forEach(ConsensusNode::close);
-      remove(folder);
+      deleteRecursively(folder);
     }
   }
 
-  private static void remove(Path folder) throws IOException {
-    try (Stream<Path> all = Files.walk(folder)) {
-      for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+  private static void deleteRecursively(Path folder) throws IOException {
+    try (Stream<Path> paths = Files.walk(folder)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(path);
       }
     }
@@ -102,33 +102,41 @@
     for (int number = 1; number <= plan.followers(); number++) {
       start(settings(number, null, address), null);
     }
-    until(this::allFresh);
-    long sent = sentBytes();
-    long received = receivedBytes();
-    long processor = processorNanos();
-    long begun = System.nanoTime();
-    passTime(begun);
-    double seconds = (System.nanoTime() - begun) / 1e9;
-    double perFollower = seconds * plan.followers();
-    List<Measurement> measured = new ArrayList<>();
-    measured.add(figure("bytes sent", "B/s", Statistic.MEAN, (sentBytes() - sent) / perFollower));
-    measured.add(
-        figure(
-            "bytes received", "B/s", Statistic.MEAN, (receivedBytes() - received) / perFollower));
-    double percent = (processorNanos() - processor) / 1e9 / perFollower * 100;
-    measured.add(
-        figure(
+    awaitCondition(this::allFresh);
+    long sentBefore = sentBytes();
+    long receivedBefore = receivedBytes();
+    long processorNanosBefore = processorNanos();
+    long startNanos = System.nanoTime();
+    runLoad(startNanos);
+    double seconds = (System.nanoTime() - startNanos) / 1e9;
+    double followerSeconds = seconds * plan.followers();
+    List<Measurement> measurements = new ArrayList<>();
+    measurements.add(
+        measurement(
+            "bytes sent", "B/s", Statistic.MEAN, (sentBytes() - sentBefore) / followerSeconds));
+    measurements.add(
+        measurement(
+            "bytes received",
+            "B/s",
+            Statistic.MEAN,
+            (receivedBytes() - receivedBefore) / followerSeconds));
+    double percent = (processorNanos() - processorNanosBefore) / 1e9 / followerSeconds * 100;
+    measurements.add(
+        measurement(
             "processor time, the voter's part included", "% of a core", Statistic.MEAN, percent));
-    if (!lags.isEmpty()) {
-      double mean = lags.stream().mapToDouble(Double::doubleValue).average().orElseThrow();
-      double most = lags.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
-      measured.add(figure("change in force everywhere after", "s", Statistic.MEAN, mean));
-      measured.add(figure("change in force everywhere after", "s", Statistic.MAXIMUM, most));
+    if (!propagationSeconds.isEmpty()) {
+      double mean =
+          propagationSeconds.stream().mapToDouble(Double::doubleValue).average().orElseThrow();
+      double maximum =
+          propagationSeconds.stream().mapToDouble(Double::doubleValue).max().orElseThrow();
+      measurements.add(measurement("change in force everywhere after", "s", Statistic.MEAN, mean));
+      measurements.add(
+          measurement("change in force everywhere after", "s", Statistic.MAXIMUM, maximum));
     }
-    return measured;
+    return measurements;
   }
 
-  private Measurement figure(String quantity, String unit, Statistic statistic, double value) {
+  private Measurement measurement(String quantity, String unit, Statistic statistic, double value) {
     String event =
         plan.changesPerMinute() == 0 ? "quiet" : plan.changesPerMinute() + " changes a minute";
     return new Measurement(
@@ -137,9 +145,10 @@
 
   private void startVoter(String address, Path folder) throws IOException, SaveFailedException {
     TreeMap<Integer, Voters.Chair> chairs = new TreeMap<>();
-    chairs.put(VOTER, new Voters.Chair(VOTERS_STORE, address, true));
+    chairs.put(VOTER, new Voters.Chair(VOTER_STORE_ID, address, true));
     try (ConsensusStore store = new ConsensusStore(folder)) {
-      store.save(PersistentState.founding(VOTERS_STORE, new Voters(chairs), new Counter()));
+      store.save(
+          PersistentState.founding(VOTER_STORE_ID, new Voters(chairs), new DecisionCounter()));
     }
     start(settings(VOTER, address, address), new ConsensusStore(folder));
   }
@@ -154,52 +163,53 @@
         KEY,
         RaftSettings.USUAL,
         LogFollower.Terms.USUAL,
-        plan.followers() + OTHER_CONNECTIONS);
+        plan.followers() + VOTER_SELF_CONNECTIONS);
   }
 
   private void start(ConsensusNode.Settings settings, ConsensusStore store) throws IOException {
-    Counter counter = new Counter();
+    DecisionCounter counter = new DecisionCounter();
     ConsensusNode node =
-        new ConsensusNode(settings, store, new Counter(), counter, (how, view) -> {});
+        new ConsensusNode(settings, store, new DecisionCounter(), counter, (how, view) -> {});
     nodes.add(node);
     counters.add(counter);
     node.start();
   }
 
   private boolean allFresh() {
-    return nodes.stream().allMatch(node -> node.view() != null && node.view().age().under(FRESH));
+    return nodes.stream()
+        .allMatch(node -> node.view() != null && node.view().age().under(MAX_VIEW_AGE));
   }
 
-  private void passTime(long begun) throws InterruptedException, TimeoutException {
-    long end = begun + plan.seconds() * 1_000_000_000L;
+  private void runLoad(long startNanos) throws InterruptedException, TimeoutException {
+    long endNanos = startNanos + plan.seconds() * 1_000_000_000L;
     if (plan.changesPerMinute() == 0) {
       Thread.sleep(plan.seconds() * 1000L);
       return;
     }
-    long pause = 60_000L / plan.changesPerMinute();
-    long wanted = counters.get(0).applied;
-    while (System.nanoTime() < end) {
-      wanted++;
-      long asked = System.nanoTime();
+    long pauseMs = 60_000L / plan.changesPerMinute();
+    long expectedCount = counters.get(0).applied;
+    while (System.nanoTime() < endNanos) {
+      expectedCount++;
+      long proposedNanos = System.nanoTime();
       nodes.get(VOTER).wants(new byte[PAYLOAD_BYTES], decided -> {});
-      long all = wanted;
-      until(() -> counters.stream().allMatch(counter -> counter.applied >= all));
-      lags.add((System.nanoTime() - asked) / 1e9);
-      Thread.sleep(pause);
+      long target = expectedCount;
+      awaitCondition(() -> counters.stream().allMatch(counter -> counter.applied >= target));
+      propagationSeconds.add((System.nanoTime() - proposedNanos) / 1e9);
+      Thread.sleep(pauseMs);
     }
   }
 
-  private static void until(java.util.function.BooleanSupplier done)
+  private static void awaitCondition(java.util.function.BooleanSupplier condition)
       throws InterruptedException, TimeoutException {
-    for (int waited = 0; !done.getAsBoolean(); waited += LOOK_MS) {
-      if (waited > ANSWER_MS) {
-        throw new TimeoutException("followers did not get what was decided within a minute");
+    for (int waitedMs = 0; !condition.getAsBoolean(); waitedMs += POLL_INTERVAL_MS) {
+      if (waitedMs > APPLY_TIMEOUT_MS) {
+        throw new TimeoutException("condition not met by all followers within a minute");
       }
-      Thread.sleep(LOOK_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
-  /** Of the followers, the voter itself left out. */
+  /** Bytes sent by all followers, excluding the voter. */
   private long sentBytes() {
     return nodes.stream().skip(1).mapToLong(node -> node.traffic().sentBytes()).sum();
   }
@@ -214,8 +224,8 @@
   }
 
   private static int freePort() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
-      return free.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
+      return socket.getLocalPort();
     }
   }
 }
--- a/src/main/java/linengauge/scale/log/package-info.java
+++ b/src/main/java/linengauge/scale/log/package-info.java
@@ -1,2 +1,4 @@
-/** What following the decided log costs a front and a voter, over real sockets on loopback. */
+/**
+ * Measures the cost of log replication to fronts for a front and a voter, over loopback sockets.
+ */
 package linengauge.scale.log;
--- a/src/test/java/linengauge/scale/fit/ExtrapolationTest.java
+++ b/src/test/java/linengauge/scale/fit/ExtrapolationTest.java
@@ -8,11 +8,11 @@
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Guards against figures at sizes that nothing measured speaks for. */
+/** Guards against predictions at sizes that the measurements do not support. */
 class ExtrapolationTest {
   private static final double[] SIZES = {60, 220, 440, 900};
 
-  private static Fit line(double[] sizes, DoubleUnaryOperator curve) {
+  private static Fit fitLine(double[] sizes, DoubleUnaryOperator curve) {
     return LeastSquares.fit(GrowthModel.LINEAR, LeastSquaresTest.points(sizes, curve));
   }
 
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void aLineThatHoldsGivesAValueAndSaysHowFarItGoes() {
-    Extrapolation at = Extrapolation.of(line(SIZES, n -> 10 + 2 * n), 1800);
+  void acceptableLineGivesValueAndSizeMultiple() {
+    Extrapolation at = Extrapolation.of(fitLine(SIZES, n -> 10 + 2 * n), 1800);
     var value = assertInstanceOf(Extrapolation.Value.class, at);
     assertEquals(3610, value.value(), 1e-6);
     assertEquals(2.0, value.timesLargestMeasured(), 1e-12);
@@ -31,37 +31,37 @@
   }
 
   @Test
-  void whatLiesWithinTheSizesIsNoExtrapolation() {
-    Extrapolation at = Extrapolation.of(line(SIZES, n -> 10 + 2 * n), 500);
+  void sizeWithinMeasuredRangeIsInterpolated() {
+    Extrapolation at = Extrapolation.of(fitLine(SIZES, n -> 10 + 2 * n), 500);
     assertEquals(false, assertInstanceOf(Extrapolation.Value.class, at).extrapolated());
   }
 
   @Test
-  void aLineThroughASquareIsRefused() {
-    assertRefused("misses", Extrapolation.of(line(SIZES, n -> n * n), 1800));
+  void lineThroughQuadraticIsRefused() {
+    assertRefused("misses", Extrapolation.of(fitLine(SIZES, n -> n * n), 1800));
   }
 
   @Test
-  void aSizeTooFarIsRefused() {
-    assertRefused("times the largest", Extrapolation.of(line(SIZES, n -> 10 + 2 * n), 2251));
+  void sizeBeyondMaximumMultipleIsRefused() {
+    assertRefused("times the largest", Extrapolation.of(fitLine(SIZES, n -> 10 + 2 * n), 2251));
     assertInstanceOf(
-        Extrapolation.Value.class, Extrapolation.of(line(SIZES, n -> 10 + 2 * n), 2250));
+        Extrapolation.Value.class, Extrapolation.of(fitLine(SIZES, n -> 10 + 2 * n), 2250));
   }
 
   @Test
-  void aSizeBelowTheSmallestIsRefused() {
-    assertRefused("below", Extrapolation.of(line(SIZES, n -> 10 + 2 * n), 59));
+  void sizeBelowSmallestIsRefused() {
+    assertRefused("below", Extrapolation.of(fitLine(SIZES, n -> 10 + 2 * n), 59));
   }
 
   @Test
   void threeSizesAreTooFew() {
-    Fit fit = line(new double[] {60, 220, 440}, n -> 10 + 2 * n);
+    Fit fit = fitLine(new double[] {60, 220, 440}, n -> 10 + 2 * n);
     assertRefused("3 sizes", Extrapolation.of(fit, 500));
   }
 
   @Test
-  void aSquareThroughFourPointsSaysNothingOfFurtherSizes() {
-    // given: an exact square, which has only one point more than coefficients
+  void quadraticThroughFourSizesIsNotExtrapolated() {
+    // given: an exact quadratic with only one more point than coefficients
     var four = LeastSquaresTest.points(SIZES, n -> 5 + n + n * n);
     var five = LeastSquaresTest.points(new double[] {60, 220, 440, 650, 900}, n -> 5 + n + n * n);
     // then
@@ -73,8 +73,8 @@
   }
 
   @Test
-  void aCurveThatTurnsBeyondItsSizesIsRefused() {
-    // given: a cost that seems to fall again from 1,200 on
+  void curveThatChangesDirectionBeyondMeasuredSizesIsRefused() {
+    // given: a cost that appears to fall again above 1,200
     var points =
         LeastSquaresTest.points(
             new double[] {60, 220, 440, 650, 900}, n -> 1500 * 1500 - (n - 1200) * (n - 1200));
@@ -84,13 +84,13 @@
   }
 
   @Test
-  void aValueBelowNothingIsRefused() {
-    assertRefused("below nothing", Extrapolation.of(line(SIZES, n -> 1000 - n), 1800));
+  void negativeValueIsRefused() {
+    assertRefused("below nothing", Extrapolation.of(fitLine(SIZES, n -> 1000 - n), 1800));
   }
 
   @Test
-  void thePlainestModelThatHoldsIsTaken() {
-    // given: a curve that grows by the logarithm
+  void simplestAcceptableModelIsChosen() {
+    // given: a curve that grows logarithmically
     var points = LeastSquaresTest.points(SIZES, n -> 100 + 300 * Math.log(n));
     // when
     Extrapolation at = Extrapolation.ofSimplest(LeastSquares.fitAll(points), 1800);
@@ -101,14 +101,14 @@
   }
 
   @Test
-  void aSlopeOnTopOfAHighBaseIsNotTakenForAConstant() {
-    // given: a constant would miss by 9%, the line by nothing
+  void slopeOnHighBaseIsNotFittedAsConstant() {
+    // given: a constant misses by 9%, and the line fits exactly
     var points = LeastSquaresTest.points(SIZES, n -> 1000 + 0.2 * n);
     var value =
         assertInstanceOf(
             Extrapolation.Value.class, Extrapolation.ofSimplest(LeastSquares.fitAll(points), 1800));
     assertEquals(GrowthModel.LINEAR, value.fit().model());
-    // but one within two in a hundred is a constant
+    // a constant with a residual within 2% is preferred
     var flat = LeastSquaresTest.points(SIZES, n -> 1000 + 0.02 * n);
     var constant =
         assertInstanceOf(
@@ -117,7 +117,7 @@
   }
 
   @Test
-  void whereNoModelHoldsTheReasonOfTheClosestIsGiven() {
+  void withoutAcceptableModelClosestReasonIsGiven() {
     var points =
         List.of(
             new SizedValue(60, 10),
--- a/src/test/java/linengauge/scale/fit/LeastSquaresTest.java
+++ b/src/test/java/linengauge/scale/fit/LeastSquaresTest.java
@@ -10,7 +10,7 @@
 import java.util.function.DoubleUnaryOperator;
 import org.junit.jupiter.api.Test;
 
-/** Guards against coefficients and residuals that are not those of the points. */
+/** Guards against wrong coefficients and residuals. */
 class LeastSquaresTest {
   private static final double[] SIZES = {60, 220, 440, 900, 1800};
 
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void exactCurvesGiveTheirCoefficientsBack() {
+  void exactCurvesYieldTheirCoefficients() {
     assertCoefficients(LeastSquares.fit(GrowthModel.CONSTANT, points(SIZES, n -> 7)), 7);
     assertCoefficients(LeastSquares.fit(GrowthModel.LINEAR, points(SIZES, n -> 3 + 2 * n)), 3, 2);
     assertCoefficients(
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void aLineThroughFourPointsWorkedOutByHand() {
+  void lineThroughFourPointsMatchesHandCalculation() {
     // given: mean size 2.5, mean value 3; slope (1.5*1.5 + 0.5*0 + 0 + 1.5*1.5) / 5 = 0.8
     var points =
         List.of(
@@ -65,12 +65,12 @@
   }
 
   @Test
-  void aNoisyLineIsFoundFromASeed() {
-    // given: a hundred points with noise of up to 5 in 100 either way
-    var chance = new SplittableRandom(20261202);
+  void noisySeededLineIsRecovered() {
+    // given: a hundred points with noise of up to 5% in either direction
+    var random = new SplittableRandom(20261202);
     List<SizedValue> points = new ArrayList<>();
     for (int size = 10; size <= 1000; size += 10) {
-      double noise = 1 + (chance.nextDouble() - 0.5) / 10;
+      double noise = 1 + (random.nextDouble() - 0.5) / 10;
       points.add(new SizedValue(size, (50 + 3 * size) * noise));
     }
     // when
@@ -79,7 +79,7 @@
     assertEquals(3, line.coefficients().get(1), 0.1);
     assertTrue(line.largestRelativeResidual() < Extrapolation.MAX_RELATIVE_RESIDUAL);
     double sum = line.residuals().stream().mapToDouble(Double::doubleValue).sum();
-    assertEquals(0, sum, 1e-6, "residuals about an intercept add up to nothing");
+    assertEquals(0, sum, 1e-6, "residuals of a fit with an intercept sum to zero");
   }
 
   @Test
--- a/src/test/java/linengauge/scale/fronts/ProcessUsageTest.java
+++ b/src/test/java/linengauge/scale/fronts/ProcessUsageTest.java
@@ -16,14 +16,14 @@
   }
 
   @Test
-  void memoryIsWhatIsResident() {
+  void memoryIsResidentSetSize() {
     assertEquals(
         60_123L * 1024, ProcessUsage.residentBytes("VmHWM:\t70000 kB\nVmRSS:\t   60123 kB\n"));
     assertThrows(IllegalArgumentException.class, () -> ProcessUsage.residentBytes("State:\tZ\n"));
   }
 
   @Test
-  void thisProcessUsesSomething() throws Exception {
+  void currentProcessReportsUsage() throws Exception {
     ProcessUsage usage = ProcessUsage.of(ProcessHandle.current().pid());
     assertTrue(usage.processorSeconds() > 0, usage.toString());
     assertTrue(usage.residentBytes() > 1 << 20, usage.toString());
--- a/src/test/java/linengauge/scale/fronts/RealFrontsTest.java
+++ b/src/test/java/linengauge/scale/fronts/RealFrontsTest.java
@@ -47,7 +47,7 @@
   }
 
   @Test
-  void connectionsAreHeldAndViewingsPlayAndAreTakenOver() throws Exception {
+  void connectionsStayOpenAndViewingsPlayAndAreTakenOver() throws Exception {
     Map<String, Double> idle = loads().idle(SIZE);
     assertEquals(SIZE, idle.get(FrontLoads.HELD));
     assertUsed(idle);
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void aRigThatIsKilledLeavesNoFrontAndAPartialResult() throws Exception {
+  void killedRigLeavesNoFrontAndPartialResult() throws Exception {
     // given: a rig of its own that measures a front
     Path deploy = folder.resolve("deploy/balancer.toml");
     Files.createDirectories(deploy.getParent());
--- a/src/test/java/linengauge/scale/log/LogFollowingTest.java
+++ b/src/test/java/linengauge/scale/log/LogFollowingTest.java
@@ -11,13 +11,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A small voter with followers, judged by bytes and counts. */
+/** Checks byte counts and applied changes with one voter and a few followers. */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class LogFollowingTest {
-  /** Five questions a second; a frame is well over 50 and under 400 bytes. */
-  private static final double LEAST_BYTES = 50;
+  /** Followers poll five times a second; a frame has well over 50 and under 400 bytes. */
+  private static final double MIN_BYTES_PER_SECOND = 50;
 
-  private static final double MOST_BYTES = 3000;
+  private static final double MAX_BYTES_PER_SECOND = 3000;
 
   private static double value(List<Measurement> measured, String quantity, Statistic statistic) {
     List<Measurement> found =
@@ -30,19 +30,20 @@
 
   /** Guards against a measurement that counts the voter's own connection or nothing at all. */
   @Test
-  void aQuietMinuteCostsEachFollowerItsQuestionsAndTheirAnswers() throws Exception {
+  void quietLogCostsEachFollowerItsPollsAndReplies() throws Exception {
     List<Measurement> measured = LogFollowing.measure(new LogFollowing.Plan(5, 2, 0));
     for (String quantity : List.of("bytes sent", "bytes received")) {
       double bytes = value(measured, quantity, Statistic.MEAN);
-      assertTrue(bytes > LEAST_BYTES && bytes < MOST_BYTES, quantity + " " + bytes);
+      assertTrue(
+          bytes > MIN_BYTES_PER_SECOND && bytes < MAX_BYTES_PER_SECOND, quantity + " " + bytes);
     }
     assertFalse(measured.stream().anyMatch(m -> m.quantity().startsWith("change")));
     assertTrue(measured.stream().allMatch(m -> m.size() == 5 && m.event().equals("quiet")));
   }
 
-  /** Guards against a change that is counted as in force before every follower has applied it. */
+  /** Guards against counting a change as in force before every follower has applied it. */
   @Test
-  void changesAreInForceAtAllFollowers() throws Exception {
+  void changesAreAppliedByAllFollowers() throws Exception {
     List<Measurement> measured = LogFollowing.measure(new LogFollowing.Plan(5, 2, 120));
     double mean = value(measured, "change in force everywhere after", Statistic.MEAN);
     double most = value(measured, "change in force everywhere after", Statistic.MAXIMUM);
