--- a/src/main/java/linengauge/scale/fronts/ClientSocket.java
+++ b/src/main/java/linengauge/scale/fronts/ClientSocket.java
@@ -9,8 +9,8 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * One connection of a viewer without a thread of its own, so that thousands of them cost the rig
- * little; it reads only when asked to.
+ * One viewer connection without a thread of its own, so that thousands of them cost the test rig
+ * little. It reads only on request.
  */
 final class ClientSocket implements AutoCloseable {
   static final int PLAYING_TYPE = 9;
@@ -32,20 +32,20 @@
     socket.getOutputStream().write(message);
   }
 
-  /** Reads one message and returns its type; throws where none comes within the patience. */
+  /** Reads one message and returns its type; throws if none arrives within the time limit. */
   int readType() throws IOException {
     byte[] message = new byte[in.readUnsignedShort()];
     in.readFully(message);
     return ByteBuffer.wrap(message).get() & 0xff;
   }
 
-  /** Asks for a test, and whether it was passed. */
+  /** Requests a test and returns whether the front passes it. */
   boolean passesTest() {
     try {
       send(PlatformViewers.message(52, 1, 61, new byte[] {0}));
       return readType() == TEST_PASSED_TYPE;
     } catch (IOException e) {
-      return false; // closed, or no answer in time
+      return false; // the connection is closed or no answer arrived in time
     }
   }
 
--- a/src/main/java/linengauge/scale/fronts/FrontLoads.java
+++ b/src/main/java/linengauge/scale/fronts/FrontLoads.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import linengauge.standin.PlatformViewers;
 
-/** The loads under which a front is measured; each on a front of its own. */
+/** The loads under which a front is measured. Each run starts a front of its own. */
 final class FrontLoads {
-  /** What one run of a load gives, by quantity. */
+  /** The quantities that one run of a load yields, beginning with memory. */
   static final String MEMORY = "resident memory";
 
   static final String PROCESSOR = "processor time";
@@ -39,7 +39,10 @@
     this.plan = plan;
   }
 
-  /** Connections that have shown themselves to be viewers' and then say nothing. */
+  /**
+   * Opens connections that each pass one test, which identifies them as viewers, and then stay
+   * idle.
+   */
   Map<String, Double> idle(int connections) throws IOException, InterruptedException {
     try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = new ArrayList<>();
@@ -60,8 +63,8 @@
   }
 
   /**
-   * How many connections still answer. Given up after a few that do not: each takes its patience,
-   * and a front that is at its limit answers none of thousands.
+   * Counts the connections that still answer. Stops after a few that do not, because each of them
+   * costs a full timeout and a front at its limit may answer none of thousands.
    */
   private static int countAnswering(List<ClientSocket> clients) {
     int held = 0;
@@ -76,7 +79,7 @@
     return held;
   }
 
-  /** Connections with a viewing each, which plays. */
+  /** Opens connections with one playing viewing each. */
   Map<String, Double> playing(int connections) throws IOException, InterruptedException {
     try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = new ArrayList<>();
@@ -92,7 +95,7 @@
     }
   }
 
-  /** A set-up on each of so many new connections, one after another; how many play. */
+  /** Sets up one viewing on each new connection in turn and returns how many play. */
   private static int setUpViewings(
       FrontTestbed testbed, List<ClientSocket> clients, int connections) throws IOException {
     int playing = 0;
@@ -109,11 +112,11 @@
     try {
       return client.readType();
     } catch (EOFException | SocketException | SocketTimeoutException e) {
-      return -1; // the front has closed it, or does not answer
+      return -1; // the front closed the connection or does not answer
     }
   }
 
-  /** Memory and processor time while nothing is asked for. */
+  /** Measures memory and processor time while no requests are sent. */
   private Map<String, Double> measureWhileQuiet(FrontTestbed testbed)
       throws IOException, InterruptedException {
     Thread.sleep(SETTLE_MS);
@@ -135,7 +138,7 @@
     return figures;
   }
 
-  /** Viewings set up at a rate, each ended by its viewer as soon as it plays. */
+  /** Sets up viewings at a fixed rate; each viewer ends its viewing as soon as it plays. */
   Map<String, Double> setUps(int rate) throws IOException, InterruptedException {
     try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = openWarmedConnections(testbed);
@@ -160,7 +163,7 @@
     }
   }
 
-  /** Ends of viewings that play, told by boxes at a rate: each is delivered to its viewer. */
+  /** Boxes end playing viewings at a fixed rate; each end is delivered to the viewer. */
   Map<String, Double> deliveries(int rate) throws IOException, InterruptedException {
     try (var testbed = new FrontTestbed(plan)) {
       List<ClientSocket> clients = openWarmedConnections(testbed);
@@ -189,7 +192,8 @@
   }
 
   /**
-   * The front is killed with viewings that play, and each viewer connects again to hand it over.
+   * Kills the front while viewings play; each viewer then reconnects so that the restarted front
+   * takes its viewing over.
    */
   Map<String, Double> reconnects(int connections) throws IOException, InterruptedException {
     try (var testbed = new FrontTestbed(plan)) {
@@ -223,7 +227,10 @@
     }
   }
 
-  /** Connections for many viewings each, to a front that has played some: its code is compiled. */
+  /**
+   * Opens connections that are shared by many viewings, and plays enough viewings for the front's
+   * code to be compiled.
+   */
   private static List<ClientSocket> openWarmedConnections(FrontTestbed testbed) throws IOException {
     List<ClientSocket> clients = new ArrayList<>();
     for (int i = 0; i < SHARED_CONNECTIONS; i++) {
@@ -238,7 +245,7 @@
     return clients;
   }
 
-  /** A box ends a viewing; whether its viewer is told. */
+  /** Ends a viewing at its box and returns whether the viewer is notified. */
   private static boolean endByBox(FrontTestbed testbed, long id, ClientSocket client)
       throws IOException {
     int box = testbed.boxOf(id);
--- a/src/main/java/linengauge/scale/fronts/FrontPlan.java
+++ b/src/main/java/linengauge/scale/fronts/FrontPlan.java
@@ -4,15 +4,15 @@
 import java.util.List;
 
 /**
- * What is measured of one real front.
+ * The parameters for measuring one real front.
  *
- * @param runCommand the shell line that starts it
- * @param root the folder to start it in
- * @param connections sizes of the loads of connections
- * @param rates sizes of the loads of messages, a second
- * @param runs of each size
- * @param seconds for which each load is measured
- * @param maxDescriptors that the front is told it may hold
+ * @param runCommand the shell command that starts the front
+ * @param root the folder in which the front starts
+ * @param connections numbers of connections to measure with
+ * @param rates message rates to measure with, per second
+ * @param runs number of runs at each size
+ * @param seconds duration of each load
+ * @param maxDescriptors the descriptor limit that the front is configured with
  */
 public record FrontPlan(
     String runCommand,
--- a/src/main/java/linengauge/scale/fronts/FrontTestbed.java
+++ b/src/main/java/linengauge/scale/fronts/FrontTestbed.java
@@ -9,7 +9,7 @@
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 
-/** One front with its boxes and journal service, all stand-ins but the front. */
+/** One real front with stand-ins for its boxes and its journal service. */
 final class FrontTestbed implements AutoCloseable {
   private static final int BOXES = 20;
 
@@ -54,7 +54,7 @@
     front.awaitReady();
   }
 
-  /** Kills the front and starts it anew at the same port. */
+  /** Kills the front and restarts it on the same port. */
   void restartAfterKill() throws IOException, InterruptedException {
     front.close();
     start();
@@ -76,7 +76,7 @@
     return String.format("%016x", id);
   }
 
-  /** At which box a viewing plays; -1 where at none. */
+  /** The index of the box at which a viewing plays, or -1 if there is none. */
   int boxOf(long id) {
     for (int i = 0; i < boxes.size(); i++) {
       if (boxes.get(i).playing().containsKey(tag(id))) {
--- a/src/main/java/linengauge/scale/fronts/ProcessUsage.java
+++ b/src/main/java/linengauge/scale/fronts/ProcessUsage.java
@@ -5,14 +5,14 @@
 import java.nio.file.Path;
 
 /**
- * What a process uses, as Linux tells it.
+ * The resource usage of a process, as Linux reports it.
  *
  * @param processorSeconds user and system time since its start
- * @param residentBytes memory of it that is in the machine's
- * @param descriptors files and sockets that it holds open
+ * @param residentBytes resident memory of the process
+ * @param descriptors number of open files and sockets
  */
 record ProcessUsage(double processorSeconds, long residentBytes, int descriptors) {
-  /** Ticks of /proc/PID/stat in a second: the kernel's USER_HZ, 100 on every platform of ours. */
+  /** The unit of /proc/PID/stat is the kernel's USER_HZ, 100 on every supported platform. */
   private static final double TICKS_PER_SECOND = 100;
 
   private static final int USER_TICKS_FIELD = 11;
@@ -28,7 +28,7 @@
     }
   }
 
-  /** Of the line of /proc/PID/stat; a process's name may hold blanks and brackets. */
+  /** Parses the line of /proc/PID/stat; the process name may contain spaces and parentheses. */
   static double processorSeconds(String stat) {
     String[] afterName = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
     long ticks =
@@ -36,13 +36,13 @@
     return ticks / TICKS_PER_SECOND;
   }
 
-  /** Of the lines of /proc/PID/status. */
+  /** Parses the resident memory from the lines of /proc/PID/status. */
   static long residentBytes(String status) {
     for (String line : status.split("\n")) {
       if (line.startsWith("VmRSS:")) {
         return Long.parseLong(line.replaceAll("\\D", "")) * 1024;
       }
     }
-    throw new IllegalArgumentException("no VmRSS: the process has ended");
+    throw new IllegalArgumentException("status has no VmRSS line; the process has ended");
   }
 }
--- a/src/main/java/linengauge/scale/fronts/RealFronts.java
+++ b/src/main/java/linengauge/scale/fronts/RealFronts.java
@@ -12,7 +12,7 @@
 
 /** Measures a real front under each load at each size, one front at a time. */
 public final class RealFronts {
-  /** Told what is measured next. */
+  /** Notified before each run of a measurement. */
   public interface Progress {
     void runStarting(String load, int size, int run);
   }
@@ -41,7 +41,7 @@
     this.progress = progress;
   }
 
-  /** Loads whose size is a number of connections. */
+  /** Runs the loads whose size is a number of connections. */
   public void connections(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
     run(recorder, new NamedLoad("idle connections", plan.connections(), loads::idle));
@@ -49,7 +49,7 @@
     run(recorder, new NamedLoad("reconnects after a kill", plan.connections(), loads::reconnects));
   }
 
-  /** Loads whose size is a rate. */
+  /** Runs the loads whose size is a message rate. */
   public void messages(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
     run(recorder, new NamedLoad("set-ups", plan.rates(), loads::setUps));
--- a/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
+++ b/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Writes the file with which a front is started (docs/protocol/platform.md, "Configuration"): boxes
- * and links so large that they never are what limits it.
+ * Writes the configuration file of a front (docs/protocol/platform.md, "Configuration"). Boxes and
+ * links have ample capacity, so that they never limit the front.
  */
 final class ServeConfiguration {
   private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,7 +33,7 @@
 
   private ServeConfiguration() {}
 
-  /** What a box of this index is called on the wire. */
+  /** The name of the box with this index on the wire. */
   static String boxName(int index) {
     return String.format("s-%08x", index + 1);
   }
--- a/src/main/java/linengauge/scale/fronts/ServeProcess.java
+++ b/src/main/java/linengauge/scale/fronts/ServeProcess.java
@@ -9,10 +9,10 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * One front as a process, started by the operators' run line.
+ * One front as a separate process, started by the operators' run command.
  *
- * <p>It runs under a shell that waits for the end of its standard input and then kills the front:
- * the input ends when this process does, however that comes about, so no front is left behind.
+ * <p>The front runs under a shell that kills it at the end of the shell's standard input. That
+ * input ends whenever this process ends, for any reason, so that no front is left running.
  */
 final class ServeProcess implements AutoCloseable {
   private static final String GUARD_SCRIPT =
@@ -29,10 +29,10 @@
   private final int port;
 
   /**
-   * Starts it.
+   * Starts the front.
    *
-   * @param run the shell line that starts a front, ending in an exec
-   * @param root the folder to start it in
+   * @param run the shell command that starts a front, ending in an exec
+   * @param root the folder in which the front starts
    */
   ServeProcess(String run, Path root, Path configuration, Path log, int port) throws IOException {
     this.port = port;
@@ -56,7 +56,7 @@
     return port;
   }
 
-  /** Waits until it passes a test, as the platform's own viewers ask for one. */
+  /** Waits until the front passes the test that the platform's own viewers request. */
   void awaitReady() throws IOException, InterruptedException {
     for (int i = 0; i < MAX_READY_CHECKS && isAlive(); i++) {
       if (passesTest()) {
@@ -64,7 +64,7 @@
       }
       Thread.sleep(READY_CHECK_INTERVAL_MS);
     }
-    throw new IOException("the front did not come up on port " + port);
+    throw new IOException("the front did not become ready on port " + port);
   }
 
   private boolean passesTest() throws InterruptedException {
@@ -73,7 +73,7 @@
       PlatformViewers.Said said = viewers.next(ANSWER_TIMEOUT_MS);
       return said != null && said.type() == TEST_PASSED;
     } catch (IOException e) {
-      return false; // not listening yet
+      return false; // the front is not listening yet
     }
   }
 
@@ -85,7 +85,7 @@
     return ProcessUsage.of(pid);
   }
 
-  /** Kills it, and waits until it is gone. */
+  /** Kills the front and waits until its guard has ended. */
   @Override
   public void close() throws IOException {
     guard.getOutputStream().close();
--- a/src/test/java/linengauge/scale/fronts/ProcessUsageTest.java
+++ b/src/test/java/linengauge/scale/fronts/ProcessUsageTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Guards against figures taken from the wrong columns. */
+/** Guards against reading figures from the wrong columns. */
 class ProcessUsageTest {
   @Test
   void processorTimeIsUserAndSystemTicks() {
--- a/src/test/java/linengauge/scale/fronts/RealFrontsTest.java
+++ b/src/test/java/linengauge/scale/fronts/RealFrontsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against loads that do not reach the front, and fronts that are left behind. */
+/** Guards against loads that do not reach the front and front processes that are left running. */
 @Timeout(120)
 class RealFrontsTest {
   private static final int SIZE = 12;
@@ -69,7 +69,7 @@
 
   @Test
   void killedRigLeavesNoFrontAndPartialResult() throws Exception {
-    // given: a rig of its own that measures a front
+    // given: a rig in a process of its own that measures a front
     Path deploy = folder.resolve("deploy/balancer.toml");
     Files.createDirectories(deploy.getParent());
     Files.writeString(deploy, "run = \"" + runLine() + "\"\n");
@@ -112,7 +112,7 @@
         .start();
   }
 
-  /** The front that the rig has started; it is known by what it runs. */
+  /** Waits for the front started by the rig, which is recognized by its java command. */
   private ProcessHandle awaitFront(Process rig) throws Exception {
     for (int i = 0; i < 1000; i++) {
       Optional<ProcessHandle> front =
