--- a/src/main/java/linengauge/consensus/explore/ClusterJudge.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
@@ -17,11 +17,11 @@
  * leader a term; one entry an index; reads that are not stale; the same state after as many
  * decisions; each proposal decided once.
  */
-final class ClusterJudge {
-  private static final int ENOUGH_BROKEN = 8;
+final class ClusterInvariants {
+  private static final int MAX_VIOLATIONS = 8;
 
   private final EventQueue time;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private final Map<Long, Integer> leaderOfTerm = new HashMap<>();
   private final Map<Long, Entry> committed = new HashMap<>();
   private final Map<Long, Long> valueAt = new HashMap<>();
@@ -29,22 +29,22 @@
   private final Set<Long> acknowledged = new HashSet<>();
   private long lastCommitted;
 
-  ClusterJudge(EventQueue time) {
+  ClusterInvariants(EventQueue time) {
     this.time = time;
   }
 
   void report(String what) {
     double seconds = time.now().micros() / 1e6;
-    broken.add(String.format(Locale.ROOT, "%.3f s: ", seconds) + what);
+    violations.add(String.format(Locale.ROOT, "%.3f s: ", seconds) + what);
   }
 
-  List<String> broken() {
-    return List.copyOf(broken);
+  List<String> violations() {
+    return List.copyOf(violations);
   }
 
   /** Enough is broken: more would say nothing new. */
-  boolean isDone() {
-    return broken.size() >= ENOUGH_BROKEN;
+  boolean hasEnoughViolations() {
+    return violations.size() >= MAX_VIOLATIONS;
   }
 
   int elections() {
@@ -99,7 +99,7 @@
     }
   }
 
-  void checkNoStepBack(int number, long before, long index) {
+  void checkMonotonic(int number, long before, long index) {
     if (index < before) {
       report("front " + number + " goes back from " + before + " to " + index);
     }
@@ -108,40 +108,40 @@
   /**
    * @param committedThen what was committed when the front asked
    */
-  void checkRead(int number, long index, long committedThen) {
-    if (index < committedThen) {
+  void checkRead(int number, long index, long committedAtRequest) {
+    if (index < committedAtRequest) {
       report(
           number
               + " is sure at "
               + index
               + ", and "
-              + committedThen
+              + committedAtRequest
               + " had been decided when it asked");
     }
   }
 
   /* ---- long after the last fault ---- */
 
-  void checkOneLeads(long leaders) {
+  void checkSingleLeader(long leaders) {
     if (leaders != 1) {
       report(leaders + " lead at the end");
     }
   }
 
-  void checkStillDecides(int acknowledgedBefore) {
+  void checkProgress(int acknowledgedBefore) {
     if (acknowledged.size() <= acknowledgedBefore) {
       report("nothing is decided at the end");
     }
   }
 
-  void checkKnowsAll(int number, long index) {
+  void checkCaughtUp(int number, long index) {
     if (index < lastCommitted) {
       report(number + " knows " + index + " of " + lastCommitted);
     }
   }
 
   /** A proposal is decided once, and who is told so finds it decided. */
-  void checkDecidedOnce() {
+  void checkAppliedOnce() {
     Map<Long, Integer> times = new TreeMap<>();
     valueAt.values().forEach(value -> times.merge(value, 1, Integer::sum));
     times.forEach(
--- a/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
@@ -17,28 +17,29 @@
 /**
  * Voters and followers in virtual time, from a seed: each with a clock of its own that is off and
  * runs fast or slow, over ways that lose, hold up, reorder and double, with faults that meet them.
- * This class makes things happen; {@link ClusterJudge} judges them.
+ * This class makes things happen; {@link ClusterInvariants} judges them.
  */
 public final class ClusterSimulation {
   /**
    * What was broken, and the figures of the run.
    *
    * @param elections leaders there were
-   * @param decidedAfter of proposals that were decided, how long it took
-   * @param longestAlone for how long a voter that hears nobody took itself for the leader
+   * @param commitLatencies of proposals that were decided, how long it took
+   * @param longestIsolatedLeadership for how long a voter that hears nobody took itself for the
+   *     leader
    */
   public record Outcome(
-      List<String> broken,
+      List<String> violations,
       int elections,
-      long decided,
-      List<Span> decidedAfter,
+      long committed,
+      List<Span> commitLatencies,
       long messages,
       long bytes,
       int reads,
-      Span longestAlone) {}
+      Span longestIsolatedLeadership) {}
 
-  private static final int MOST_AT_ONCE = 10_000;
-  private static final int MOST_REPLACEMENT_TRIES = 40;
+  private static final int MAX_EVENTS_AT_ONE_MOMENT = 10_000;
+  private static final int MAX_REPLACEMENT_TRIES = 40;
   private static final Span REPLACEMENT_RETRY = Span.ofMillis(700);
   private static final Span QUIET_BEFORE_LAST_PROPOSAL = Span.ofSeconds(8);
   private static final Span QUIET_AFTER_LAST_PROPOSAL = Span.ofSeconds(4);
@@ -46,9 +47,9 @@
       new RaftSettings(Span.ofMillis(100), Span.ofMillis(600), Span.ofMillis(250), 24, 256, 16);
 
   private final EventQueue time = new EventQueue(new Moment(0));
-  private final ClusterJudge judge = new ClusterJudge(time);
+  private final ClusterInvariants invariants = new ClusterInvariants(time);
   private final FaultPlan faults;
-  private final Maker maker;
+  private final VoterFactory factory;
   private final Span end;
   private final SplittableRandom random;
   private final SimulatedNetwork network;
@@ -56,21 +57,21 @@
   private final int followerCount;
   private final List<SimulatedVoter> voters = new ArrayList<>();
   private final List<SimulatedFollower> followers = new ArrayList<>();
-  private final List<Span> decidedAfter = new ArrayList<>();
+  private final List<Span> commitLatencies = new ArrayList<>();
   private long lastProposed;
   private int reads;
-  private Span longestAlone = Span.NONE;
+  private Span longestIsolatedLeadership = Span.NONE;
   private int lastStore = 1000;
 
   public ClusterSimulation(
-      long seed, int voters, int followers, List<Fault> faults, Span end, Maker maker) {
+      long seed, int voters, int followers, List<Fault> faults, Span end, VoterFactory factory) {
     this.random = new SplittableRandom(seed ^ 0x9e3779b9L);
     this.voterCount = voters;
     this.followerCount = followers;
     this.faults = new FaultPlan(faults, voters);
     this.network = new SimulatedNetwork(time, this.faults, random);
     this.end = end;
-    this.maker = maker;
+    this.factory = factory;
   }
 
   Moment now() {
@@ -85,37 +86,37 @@
     return faults;
   }
 
-  ClusterJudge judge() {
-    return judge;
+  ClusterInvariants invariants() {
+    return invariants;
   }
 
   /** Plays all of it; once. */
-  public Outcome play() {
-    beginVoters();
-    beginFollowers();
+  public Outcome run() {
+    startVoters();
+    startFollowers();
     for (Fault fault : faults.all()) {
-      schedule(fault.from(), () -> beginFault(fault));
+      schedule(fault.from(), () -> startFault(fault));
       schedule(fault.to(), () -> endFault(fault));
     }
     followers.forEach(this::scheduleProposals);
     runUntil(new Moment(end.micros()).plus(QUIET_BEFORE_LAST_PROPOSAL));
-    int acknowledgedBefore = judge.acknowledgedCount();
+    int acknowledgedBefore = invariants.acknowledgedCount();
     SimulatedFollower last = followers.get(0);
     schedule(now(), () -> last.run(() -> propose(last)));
     runUntil(now().plus(QUIET_AFTER_LAST_PROPOSAL));
     checkConverged(acknowledgedBefore);
     return new Outcome(
-        judge.broken(),
-        judge.elections(),
-        judge.lastCommitted(),
-        List.copyOf(decidedAfter),
+        invariants.violations(),
+        invariants.elections(),
+        invariants.lastCommitted(),
+        List.copyOf(commitLatencies),
         network.messages(),
         network.bytes(),
         reads,
-        longestAlone);
+        longestIsolatedLeadership);
   }
 
-  private void beginVoters() {
+  private void startVoters() {
     SortedMap<Integer, Voters.Chair> chairs = new TreeMap<>();
     for (int i = 0; i < voterCount; i++) {
       chairs.put(i, new Voters.Chair(i, address(i), true));
@@ -126,18 +127,18 @@
           i < voterCount
               ? PersistentState.founding(i, founding, new NumberLog())
               : PersistentState.joining(i, new NumberLog());
-      voters.add(new SimulatedVoter(this, i, random, SETTINGS, maker, disk));
+      voters.add(new SimulatedVoter(this, i, random, SETTINGS, factory, disk));
     }
-    voters.forEach(SimulatedVoter::begin);
+    voters.forEach(SimulatedVoter::start);
   }
 
-  private void beginFollowers() {
+  private void startFollowers() {
     SortedMap<Integer, String> addresses = new TreeMap<>();
     voters.forEach(voter -> addresses.put(voter.number(), address(voter.number())));
     for (int i = 0; i < followerCount; i++) {
       followers.add(new SimulatedFollower(this, FaultPlan.FIRST_FOLLOWER + i, random));
     }
-    followers.forEach(follower -> follower.begin(addresses));
+    followers.forEach(follower -> follower.start(addresses));
   }
 
   private static String address(int number) {
@@ -146,10 +147,12 @@
 
   private void runUntil(Moment then) {
     int atOnce = 0;
-    while (time.nextAt() != null && time.nextAt().before(then) && !judge.isDone()) {
+    while (time.nextAt() != null
+        && time.nextAt().before(then)
+        && !invariants.hasEnoughViolations()) {
       atOnce = time.nextAt().equals(now()) ? atOnce + 1 : 0;
-      if (atOnce > MOST_AT_ONCE) {
-        judge.report("no end of things at one moment");
+      if (atOnce > MAX_EVENTS_AT_ONE_MOMENT) {
+        invariants.report("no end of things at one moment");
         return;
       }
       time.runNext();
@@ -178,8 +181,8 @@
   }
 
   /** That voter takes itself for the leader. */
-  void onLeads(int number) {
-    longestAlone = longestAlone.orMore(faults.deafFor(number, now()));
+  void onLeader(int number) {
+    longestIsolatedLeadership = longestIsolatedLeadership.orMore(faults.deafFor(number, now()));
   }
 
   /* ---- proposals and reads ---- */
@@ -201,8 +204,8 @@
         new MessageWriter().num(value).done(),
         done -> {
           if (done) {
-            judge.onAcknowledged(value);
-            decidedAfter.add(now().since(proposedAt));
+            invariants.onAcknowledged(value);
+            commitLatencies.add(now().since(proposedAt));
           }
         });
     if (random.nextInt(3) == 0) {
@@ -211,24 +214,24 @@
   }
 
   private void read(SimulatedFollower follower) {
-    long committed = judge.lastCommitted();
+    long committed = invariants.lastCommitted();
     follower.readThen(
         () -> {
           reads++;
-          judge.checkRead(follower.number(), follower.index(), committed);
+          invariants.checkRead(follower.number(), follower.index(), committed);
         });
   }
 
   /* ---- faults ---- */
 
-  private void beginFault(Fault fault) {
+  private void startFault(Fault fault) {
     switch (fault.kind()) {
-      case CRASH -> voters.get(fault.a()).crash();
+      case CRASH -> voters.get(fault.target()).crash();
       case EMPTIED -> {
         lastStore++;
-        voters.get(fault.a()).beginWith(PersistentState.joining(lastStore, new NumberLog()));
+        voters.get(fault.target()).startWith(PersistentState.joining(lastStore, new NumberLog()));
       }
-      case CHANGE -> removeVoter(fault.a(), followers.get(fault.b() % followers.size()));
+      case CHANGE -> removeVoter(fault.target(), followers.get(fault.peer() % followers.size()));
       default -> {
         // on while it lasts
       }
@@ -248,12 +251,12 @@
   private void endFault(Fault fault) {
     switch (fault.kind()) {
       case CRASH -> {
-        SimulatedVoter voter = voters.get(fault.a());
-        if (!voter.isUp() && !faults.isOn(Fault.Kind.CRASH, fault.a(), now())) {
-          voter.begin();
+        SimulatedVoter voter = voters.get(fault.target());
+        if (!voter.isUp() && !faults.isOn(Fault.Kind.CRASH, fault.target(), now())) {
+          voter.start();
         }
       }
-      case EMPTIED, CHANGE -> replace(fault.a(), 0);
+      case EMPTIED, CHANGE -> replace(fault.target(), 0);
       default -> {
         // over
       }
@@ -269,7 +272,7 @@
           Voters held = by.voters();
           Voters.Chair chair = held.chairs().get(number);
           boolean sameStore = chair != null && chair.store() == store;
-          if (sameStore && chair.votes() || tries > MOST_REPLACEMENT_TRIES) {
+          if (sameStore && chair.votes() || tries > MAX_REPLACEMENT_TRIES) {
             return;
           }
           if (chair == null) {
@@ -283,9 +286,9 @@
 
   /** Long after the last fault one leads, all know the same, and what is proposed is decided. */
   private void checkConverged(int acknowledgedBefore) {
-    judge.checkOneLeads(voters.stream().filter(SimulatedVoter::leads).count());
-    judge.checkStillDecides(acknowledgedBefore);
-    followers.forEach(f -> judge.checkKnowsAll(f.number(), f.index()));
-    judge.checkDecidedOnce();
+    invariants.checkSingleLeader(voters.stream().filter(SimulatedVoter::isLeader).count());
+    invariants.checkProgress(acknowledgedBefore);
+    followers.forEach(f -> invariants.checkCaughtUp(f.number(), f.index()));
+    invariants.checkAppliedOnce();
   }
 }
--- a/src/main/java/linengauge/consensus/explore/Explorer.java
+++ b/src/main/java/linengauge/consensus/explore/Explorer.java
@@ -17,73 +17,73 @@
  */
 public final class Explorer {
   /** A broken rule with the schedule that leads to it. */
-  public record Found(String what, List<String> schedule) {}
+  public record Violation(String description, List<String> schedule) {}
 
   /**
    * What an exploration came to.
    *
    * @param depth to which all schedules were played
    */
-  public record Outcome(long states, int depth, boolean whole, Found found) {
-    public boolean held() {
-      return found == null;
+  public record Outcome(long states, int depth, boolean complete, Violation violation) {
+    public boolean isCorrect() {
+      return violation == null;
     }
   }
 
-  private record Trail(Trail before, String choice, int length) {
+  private record Path(Path previous, String choice, int length) {
     List<String> all() {
       List<String> list = new ArrayList<>();
-      for (Trail t = this; t != null && t.choice != null; t = t.before) {
+      for (Path t = this; t != null && t.choice != null; t = t.previous) {
         list.add(0, t.choice);
       }
       return list;
     }
   }
 
-  private record Open(ModelState world, Trail trail) {}
+  private record Unexpanded(ModelState state, Path path) {}
 
   private Explorer() {}
 
-  public static Outcome explore(Schedule plan) {
-    Set<Mark> met = new HashSet<>();
-    ArrayDeque<Open> open = new ArrayDeque<>();
-    ModelState first = new ModelState(plan);
-    String wrong = first.prelude();
+  public static Outcome explore(Scenario scenario) {
+    Set<Fingerprint> visited = new HashSet<>();
+    ArrayDeque<Unexpanded> frontier = new ArrayDeque<>();
+    ModelState first = new ModelState(scenario);
+    String wrong = first.playSetup();
     if (wrong != null) {
-      return new Outcome(0, 0, true, new Found(wrong, plan.prelude()));
+      return new Outcome(0, 0, true, new Violation(wrong, scenario.setup()));
     }
-    open.add(new Open(first, new Trail(null, null, 0)));
+    frontier.add(new Unexpanded(first, new Path(null, null, 0)));
     int depth = 0;
-    while (!open.isEmpty()) {
-      Open o = open.poll();
-      depth = o.trail.length;
-      if (depth == plan.depth()) {
+    while (!frontier.isEmpty()) {
+      Unexpanded current = frontier.poll();
+      depth = current.path.length;
+      if (depth == scenario.maxDepth()) {
         break;
       }
-      if (met.size() > plan.states()) {
-        return new Outcome(met.size(), depth, false, null);
+      if (visited.size() > scenario.maxStates()) {
+        return new Outcome(visited.size(), depth, false, null);
       }
-      for (String choice : o.world.choices()) {
-        ModelState next = new ModelState(o.world);
-        String broken = next.go(choice);
-        Trail trail = new Trail(o.trail, choice, depth + 1);
-        if (broken != null) {
+      for (String choice : current.state.choices()) {
+        ModelState next = new ModelState(current.state);
+        String violation = next.apply(choice);
+        Path path = new Path(current.path, choice, depth + 1);
+        if (violation != null) {
           return new Outcome(
-              met.size(),
+              visited.size(),
               depth,
               true,
-              new Found(broken, trail.all().stream().map(Explorer::told).toList()));
+              new Violation(violation, path.all().stream().map(Explorer::describe).toList()));
         }
-        if (met.add(Mark.of(next.mark())) && depth + 1 < plan.depth()) {
-          open.add(new Open(next, trail));
+        if (visited.add(Fingerprint.of(next.fingerprint())) && depth + 1 < scenario.maxDepth()) {
+          frontier.add(new Unexpanded(next, path));
         }
       }
     }
-    return new Outcome(met.size(), plan.depth(), true, null);
+    return new Outcome(visited.size(), scenario.maxDepth(), true, null);
   }
 
   /** Which word, to whom: the first numbers of its bytes say it. */
-  static String told(String choice) {
+  static String describe(String choice) {
     if (!choice.startsWith("arrives ")) {
       return choice;
     }
@@ -97,14 +97,14 @@
   }
 
   /** A state's fingerprint, half of a SHA-256: that two states share one is as good as never. */
-  private record Mark(long a, long b) {
-    static Mark of(List<Object> all) {
+  private record Fingerprint(long a, long b) {
+    static Fingerprint of(List<Object> all) {
       try {
         byte[] sum =
             MessageDigest.getInstance("SHA-256")
                 .digest(all.toString().getBytes(StandardCharsets.UTF_8));
         java.nio.ByteBuffer b = java.nio.ByteBuffer.wrap(sum);
-        return new Mark(b.getLong(), b.getLong());
+        return new Fingerprint(b.getLong(), b.getLong());
       } catch (NoSuchAlgorithmException e) {
         throw new IllegalStateException(e);
       }
--- a/src/main/java/linengauge/consensus/explore/Fault.java
+++ b/src/main/java/linengauge/consensus/explore/Fault.java
@@ -9,10 +9,10 @@
 /**
  * One fault, from then to then.
  *
- * @param a the voter or follower that it meets, or the one that is not heard
- * @param b by whom, for what goes one way between two
+ * @param target the voter or follower that it meets, or the one that is not heard
+ * @param peer by whom, for what goes one way between two
  */
-public record Fault(Kind kind, int a, int b, Moment from, Moment to) {
+public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
   /** What can go wrong: with one, on the way from one to another, on all ways. */
   public enum Kind {
     CRASH,
@@ -31,21 +31,22 @@
   /**
    * @return so many, drawn from the seed, all of them over before the end
    */
-  public static List<Fault> drawn(long seed, int voters, int followers, int many, Span end) {
+  public static List<Fault> generate(long seed, int voters, int followers, int count, Span end) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Fault> all = new ArrayList<>();
     int emptied = 0;
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-      int a = random.nextInt(kind == Kind.FREEZE || kind == Kind.CUT ? voters + followers : voters);
-      int b = random.nextInt(voters);
+      int target =
+          random.nextInt(kind == Kind.FREEZE || kind == Kind.CUT ? voters + followers : voters);
+      int peer = random.nextInt(voters);
       Moment from = new Moment(random.nextLong(end.micros() * 3 / 4));
       long longest = kind == Kind.EMPTIED || kind == Kind.CHANGE ? 3_000_000 : end.micros() / 4;
       Moment to = from.plus(new Span(50_000 + random.nextLong(longest)));
       if ((kind == Kind.EMPTIED || kind == Kind.CHANGE) && emptied++ > 0) {
         kind = Kind.CRASH; // a voice lost while one is being replaced is beyond what three bear
       }
-      all.add(new Fault(kind, a, b, from, to));
+      all.add(new Fault(kind, target, peer, from, to));
     }
     return all;
   }
@@ -60,8 +61,8 @@
         java.util.Locale.ROOT,
         "%s %d %d %.2f-%.2f s",
         kind,
-        a,
-        b,
+        target,
+        peer,
         from.micros() / 1e6,
         to.micros() / 1e6);
   }
--- a/src/main/java/linengauge/consensus/explore/FaultPlan.java
+++ b/src/main/java/linengauge/consensus/explore/FaultPlan.java
@@ -22,7 +22,7 @@
   }
 
   boolean isOn(Fault.Kind kind, int number, Moment now) {
-    return faults.stream().anyMatch(f -> f.kind() == kind && f.a() == number && f.isOn(now));
+    return faults.stream().anyMatch(f -> f.kind() == kind && f.target() == number && f.isOn(now));
   }
 
   /** Nothing that one sends comes to the other. */
@@ -30,16 +30,16 @@
     return from != to
         && (isOn(Fault.Kind.MUTE, from, now)
             || isOn(Fault.Kind.DEAF, to, now)
-            || isWayCut(from, to, now));
+            || isLinkCut(from, to, now));
   }
 
-  private boolean isWayCut(int from, int to, Moment now) {
+  private boolean isLinkCut(int from, int to, Moment now) {
     return faults.stream()
         .anyMatch(
             f ->
                 f.kind() == Fault.Kind.CUT
-                    && processOf(f.a()) == from
-                    && f.b() == to
+                    && processOf(f.target()) == from
+                    && f.peer() == to
                     && f.isOn(now));
   }
 
@@ -47,7 +47,9 @@
   Moment frozenUntil(int number, Moment now) {
     Moment until = now;
     for (Fault fault : faults) {
-      if (fault.kind() == Fault.Kind.FREEZE && processOf(fault.a()) == number && fault.isOn(now)) {
+      if (fault.kind() == Fault.Kind.FREEZE
+          && processOf(fault.target()) == number
+          && fault.isOn(now)) {
         until = until.orLater(fault.to());
       }
     }
@@ -58,7 +60,7 @@
   Span deafFor(int number, Moment now) {
     Span longest = Span.NONE;
     for (Fault fault : faults) {
-      if (fault.kind() == Fault.Kind.DEAF && fault.a() == number && fault.isOn(now)) {
+      if (fault.kind() == Fault.Kind.DEAF && fault.target() == number && fault.isOn(now)) {
         longest = longest.orMore(now.since(fault.from()));
       }
     }
--- a/src/main/java/linengauge/consensus/explore/ModelJudge.java
+++ b/src/main/java/linengauge/consensus/explore/ModelInvariants.java
@@ -11,40 +11,40 @@
  * Judges explored voters by what they hold: one leader a term; one entry an index for ever; whoever
  * leads later holds all that was decided before; no read is stale.
  */
-final class ModelJudge {
+final class ModelInvariants {
   private final TreeMap<Long, Integer> leaderOfTerm = new TreeMap<>();
 
   /** What was decided, in order, and the term of the voter that first took it for decided. */
-  private final List<Entry> decided = new ArrayList<>();
+  private final List<Entry> committed = new ArrayList<>();
 
-  private final List<Long> decidedIn = new ArrayList<>();
+  private final List<Long> committedInTerm = new ArrayList<>();
 
   /** How far all was decided when each read was asked for. */
-  private final List<Long> decidedAtRead = new ArrayList<>();
+  private final List<Long> committedAtRead = new ArrayList<>();
 
-  ModelJudge() {}
+  ModelInvariants() {}
 
   /** The same in another state. */
-  ModelJudge(ModelJudge other) {
+  ModelInvariants(ModelInvariants other) {
     leaderOfTerm.putAll(other.leaderOfTerm);
-    decided.addAll(other.decided);
-    decidedIn.addAll(other.decidedIn);
-    decidedAtRead.addAll(other.decidedAtRead);
+    committed.addAll(other.committed);
+    committedInTerm.addAll(other.committedInTerm);
+    committedAtRead.addAll(other.committedAtRead);
   }
 
   int reads() {
-    return decidedAtRead.size();
+    return committedAtRead.size();
   }
 
   /** Somebody asks now how far all is decided; the read's number. */
   int onRead() {
-    decidedAtRead.add((long) decided.size());
-    return decidedAtRead.size() - 1;
+    committedAtRead.add((long) committed.size());
+    return committedAtRead.size() - 1;
   }
 
   /** That read was answered; the rule that this breaks, or null. */
   String checkRead(int number, int read, long index) {
-    long before = decidedAtRead.get(read);
+    long before = committedAtRead.get(read);
     return index >= before
         ? null
         : "stale: "
@@ -59,46 +59,47 @@
   /** The rule that what this voter holds breaks, or null. */
   String check(RaftNode voter) {
     String wrong = voter.role() == RaftNode.Role.LEADER ? checkLeader(voter) : null;
-    return wrong != null ? wrong : checkDecided(voter);
+    return wrong != null ? wrong : checkCommitted(voter);
   }
 
   private String checkLeader(RaftNode voter) {
     Integer other = leaderOfTerm.putIfAbsent(voter.term(), voter.number());
     if (other == null) {
-      return checkHoldsDecided(voter);
+      return checkLeaderCompleteness(voter);
     }
     return other == voter.number()
         ? null
         : "two led term " + voter.term() + ": " + other + " and " + voter.number();
   }
 
-  private String checkHoldsDecided(RaftNode voter) {
-    for (int i = 0; i < decided.size(); i++) {
+  private String checkLeaderCompleteness(RaftNode voter) {
+    for (int i = 0; i < committed.size(); i++) {
       long index = i + 1L;
-      if (decidedIn.get(i) < voter.term() && !Objects.equals(decided.get(i), voter.entry(index))) {
+      if (committedInTerm.get(i) < voter.term()
+          && !Objects.equals(committed.get(i), voter.entry(index))) {
         return voter.number()
             + " leads term "
             + voter.term()
             + " without entry "
             + index
             + ", which was decided in term "
-            + decidedIn.get(i);
+            + committedInTerm.get(i);
       }
     }
     return null;
   }
 
-  private String checkDecided(RaftNode voter) {
+  private String checkCommitted(RaftNode voter) {
     for (int i = 0; i < voter.commit(); i++) {
       Entry entry = voter.entry(i + 1L);
-      if (i == decided.size()) {
-        decided.add(entry);
-        decidedIn.add(voter.term());
-      } else if (!Objects.equals(decided.get(i), entry)) {
+      if (i == committed.size()) {
+        committed.add(entry);
+        committedInTerm.add(voter.term());
+      } else if (!Objects.equals(committed.get(i), entry)) {
         return "entry "
             + (i + 1)
             + " decided twice: term "
-            + decided.get(i).term()
+            + committed.get(i).term()
             + " and, at "
             + voter.number()
             + ", term "
@@ -109,11 +110,11 @@
   }
 
   /** All on which anything to come depends. */
-  List<Object> mark() {
+  List<Object> fingerprint() {
     return List.of(
         new TreeMap<>(leaderOfTerm),
-        new ArrayList<>(decided),
-        List.copyOf(decidedIn),
-        List.copyOf(decidedAtRead));
+        new ArrayList<>(committed),
+        List.copyOf(committedInTerm),
+        List.copyOf(committedAtRead));
   }
 }
--- a/src/main/java/linengauge/consensus/explore/ModelState.java
+++ b/src/main/java/linengauge/consensus/explore/ModelState.java
@@ -18,7 +18,7 @@
 /**
  * Some voters and what is on its way between them, copied before each choice. Each voter has a
  * clock of its own, which moves only as its timers are let come due: no order of things is left out
- * because clocks would forbid it. {@link ModelJudge} judges what they hold and say.
+ * because clocks would forbid it. {@link ModelInvariants} judges what they hold and say.
  */
 final class ModelState {
   /** On its way; whatever is never let arrive is lost. */
@@ -59,46 +59,46 @@
         // Said at some age or other: that bears on nothing here.
         RaftMessage ageless = message.withoutAge();
         Message m = new Message(to, ageless, ageless.bytes());
-        onTheWay.putIfAbsent(m.key(), m);
+        inFlight.putIfAbsent(m.key(), m);
       }
     }
 
     @Override
     public void answer(long asker, RaftMessage message) {
       if (message.kind() == RaftMessage.Kind.READABLE && message.yes()) {
-        String wrong = judge.checkRead(number, (int) message.round(), message.index());
-        broken = wrong != null ? wrong : broken;
+        String failure = invariants.checkRead(number, (int) message.round(), message.index());
+        violation = failure != null ? failure : violation;
       }
     }
   }
 
-  private final Schedule plan;
+  private final Scenario scenario;
   private final List<Node> nodes = new ArrayList<>();
-  private final SortedMap<String, Message> onTheWay = new TreeMap<>();
+  private final SortedMap<String, Message> inFlight = new TreeMap<>();
 
-  private final ModelJudge judge;
-  private int wakes;
+  private final ModelInvariants invariants;
+  private int timeouts;
   private int faults;
   private int proposals;
   private int changes;
-  private String broken;
+  private String violation;
 
-  ModelState(Schedule plan) {
-    this.plan = plan;
-    this.judge = new ModelJudge();
+  ModelState(Scenario scenario) {
+    this.scenario = scenario;
+    this.invariants = new ModelInvariants();
     SortedMap<Integer, Voters.Chair> chairs = new TreeMap<>();
-    for (int i = 0; i < plan.voters(); i++) {
+    for (int i = 0; i < scenario.voters(); i++) {
       chairs.put(i, chair(i));
     }
     Voters founding = new Voters(chairs);
-    for (int i = 0; i < plan.voters() + (plan.changes() > 0 ? 1 : 0); i++) {
-      Node n = new Node(i);
-      nodes.add(n);
-      n.disk =
-          i < plan.voters()
+    for (int i = 0; i < scenario.voters() + (scenario.changes() > 0 ? 1 : 0); i++) {
+      Node node = new Node(i);
+      nodes.add(node);
+      node.disk =
+          i < scenario.voters()
               ? PersistentState.founding(chair(i).store(), founding, new NumberLog())
               : PersistentState.joining(chair(i).store(), new NumberLog());
-      begin(n);
+      start(node);
     }
   }
 
@@ -106,20 +106,23 @@
     return new Voters.Chair(100 + number, "10.0.0." + number + ":7", true);
   }
 
-  private void begin(Node n) {
-    n.voter = plan.maker().make(SETTINGS, n.number, n.disk, new NumberLog(), n.number, n);
-    n.voter.start(n.clock);
+  private void start(Node node) {
+    node.voter =
+        scenario
+            .factory()
+            .create(SETTINGS, node.number, node.disk, new NumberLog(), node.number, node);
+    node.voter.start(node.clock);
   }
 
   /**
    * Plays what has happened before, which counts for no bound; the rule that it breaks, or null.
    */
-  String prelude() {
-    String wrong = play(plan.prelude(), true);
-    if (wrong != null) {
-      return wrong;
+  String playSetup() {
+    String failure = play(scenario.setup(), true);
+    if (failure != null) {
+      return failure;
     }
-    wakes = 0;
+    timeouts = 0;
     faults = 0;
     proposals = 0;
     return null;
@@ -131,59 +134,59 @@
    * @param all each step has to be there to be chosen; else what is not is left out, as where a
    *     guard has refused what led to it
    */
-  String play(List<String> schedule, boolean all) {
-    for (String said : schedule) {
+  String play(List<String> schedule, boolean strict) {
+    for (String step : schedule) {
       String choice =
           choices(false).stream()
-              .filter(c -> Explorer.told(c).equals(said))
+              .filter(c -> Explorer.describe(c).equals(step))
               .findFirst()
               .orElse(null);
-      if (choice == null && all) {
+      if (choice == null && strict) {
         throw new IllegalArgumentException(
             "cannot happen now: "
-                + said
+                + step
                 + "; what can: "
-                + choices(false).stream().map(Explorer::told).toList());
+                + choices(false).stream().map(Explorer::describe).toList());
       }
-      String wrong = choice == null ? null : go(choice);
-      if (wrong != null) {
-        return wrong;
+      String failure = choice == null ? null : apply(choice);
+      if (failure != null) {
+        return failure;
       }
     }
     return null;
   }
 
-  ModelState(ModelState o) {
-    this.plan = o.plan;
-    this.judge = new ModelJudge(o.judge);
-    for (Node n : o.nodes) {
-      Node copy = new Node(n.number);
-      copy.disk = n.disk;
-      copy.clock = n.clock;
-      copy.voter = plan.maker().copy(n.voter, new NumberLog(), copy);
+  ModelState(ModelState other) {
+    this.scenario = other.scenario;
+    this.invariants = new ModelInvariants(other.invariants);
+    for (Node node : other.nodes) {
+      Node copy = new Node(node.number);
+      copy.disk = node.disk;
+      copy.clock = node.clock;
+      copy.voter = scenario.factory().copy(node.voter, new NumberLog(), copy);
       nodes.add(copy);
     }
-    onTheWay.putAll(o.onTheWay);
-    wakes = o.wakes;
-    faults = o.faults;
-    proposals = o.proposals;
-    changes = o.changes;
+    inFlight.putAll(other.inFlight);
+    timeouts = other.timeouts;
+    faults = other.faults;
+    proposals = other.proposals;
+    changes = other.changes;
   }
 
-  /** All that can happen next, in words that {@link #go} takes. */
+  /** All that can happen next, in words that {@link #apply} takes. */
   List<String> choices() {
     return choices(true);
   }
 
   private List<String> choices(boolean bounded) {
     List<String> all = new ArrayList<>();
-    onTheWay.keySet().forEach(key -> all.add(ARRIVES + key));
+    inFlight.keySet().forEach(key -> all.add(ARRIVES + key));
     for (Node node : nodes) {
-      if (!bounded || wakes < plan.wakes()) {
+      if (!bounded || timeouts < scenario.timeouts()) {
         all.add("wakes " + node.number);
       }
-      if (!bounded || faults < plan.faults()) {
-        addFaults(node, !bounded || plan.emptied(), all);
+      if (!bounded || faults < scenario.faults()) {
+        addFaults(node, !bounded || scenario.allowsDiskLoss(), all);
       }
       if (node.leads()) {
         addRequests(node, bounded, all);
@@ -203,47 +206,47 @@
   }
 
   private void addRequests(Node leader, boolean bounded, List<String> to) {
-    if (!bounded || proposals < plan.proposals()) {
+    if (!bounded || proposals < scenario.proposals()) {
       to.add("propose " + leader.number);
     }
-    if (!bounded || judge.reads() < plan.reads()) {
+    if (!bounded || invariants.reads() < scenario.reads()) {
       to.add("read " + leader.number);
     }
-    if (!bounded || changes < plan.changes()) {
+    if (!bounded || changes < scenario.changes()) {
       to.add("without " + leader.number);
       to.add("with " + leader.number);
     }
   }
 
   /** Lets that happen; what it broke, or null. */
-  String go(String choice) {
+  String apply(String choice) {
     if (choice.startsWith(ARRIVES)) {
-      Message message = onTheWay.remove(choice.substring(ARRIVES.length()));
+      Message message = inFlight.remove(choice.substring(ARRIVES.length()));
       Node to = nodes.get(message.to);
       return act(to, () -> to.voter.heard(to.clock, message.message));
     }
     int space = choice.lastIndexOf(' ');
     Node node = nodes.get(Integer.parseInt(choice.substring(space + 1)));
     return switch (choice.substring(0, space)) {
-      case "wakes" -> wake(node);
-      case "stands still" -> standStill(node);
+      case "wakes" -> expireTimer(node);
+      case "stands still" -> pause(node);
       case "crashes" -> crash(node, node.disk);
       case "emptied" -> crash(node, PersistentState.joining(501 + faults, new NumberLog()));
       case "propose" -> propose(node);
       case "read" -> read(node);
-      case "without" -> change(node, withoutAnother(node));
-      case "with" -> change(node, withNewcomer(node));
+      case "without" -> change(node, withoutFollower(node));
+      case "with" -> change(node, withAdded(node));
       default -> throw new IllegalArgumentException("no such thing: " + choice);
     };
   }
 
-  private String wake(Node node) {
-    wakes++;
+  private String expireTimer(Node node) {
+    timeouts++;
     node.clock = node.clock.orLater(node.voter.next());
     return act(node, () -> node.voter.step(node.clock));
   }
 
-  private String standStill(Node node) {
+  private String pause(Node node) {
     faults++;
     node.clock = node.clock.plus(SETTINGS.election().times(4));
     return act(node, () -> node.voter.step(node.clock));
@@ -252,7 +255,7 @@
   private String crash(Node node, PersistentState diskAfter) {
     faults++;
     node.disk = diskAfter;
-    begin(node);
+    start(node);
     return null;
   }
 
@@ -272,7 +275,7 @@
             0,
             0,
             0,
-            judge.onRead(),
+            invariants.onRead(),
             0,
             false,
             List.of(),
@@ -285,16 +288,16 @@
     return act(node, () -> node.voter.change(node.clock, next));
   }
 
-  private static Voters withoutAnother(Node node) {
+  private static Voters withoutFollower(Node node) {
     Voters voters = node.voter.voters();
-    int goes =
+    int removed =
         voters.voting().stream().filter(v -> v != node.number).findFirst().orElse(node.number);
-    return voters.without(goes);
+    return voters.without(removed);
   }
 
-  private Voters withNewcomer(Node node) {
-    int comes = nodes.size() - 1;
-    return node.voter.voters().with(comes, chair(comes));
+  private Voters withAdded(Node node) {
+    int added = nodes.size() - 1;
+    return node.voter.voters().with(added, chair(added));
   }
 
   private String act(Node node, Runnable task) {
@@ -303,19 +306,19 @@
     } catch (IllegalStateException e) {
       return node.number + ": " + e.getMessage();
     }
-    return broken != null ? broken : judge.check(node.voter);
+    return violation != null ? violation : invariants.check(node.voter);
   }
 
   /** Tells two worlds apart as far as anything to come depends on it. */
-  List<Object> mark() {
+  List<Object> fingerprint() {
     List<Object> all = new ArrayList<>();
-    for (Node n : nodes) {
-      all.add(n.voter.mark());
-      all.add(List.of(n.disk.store(), n.disk.term(), n.disk.voted(), n.disk.entries()));
+    for (Node node : nodes) {
+      all.add(node.voter.mark());
+      all.add(List.of(node.disk.store(), node.disk.term(), node.disk.voted(), node.disk.entries()));
     }
-    all.add(new TreeSet<>(onTheWay.keySet()));
-    all.add(judge.mark());
-    all.add(List.of(wakes, faults, proposals, changes));
+    all.add(new TreeSet<>(inFlight.keySet()));
+    all.add(invariants.fingerprint());
+    all.add(List.of(timeouts, faults, proposals, changes));
     return all;
   }
 }
--- a/src/main/java/linengauge/consensus/explore/NumberLog.java
+++ b/src/main/java/linengauge/consensus/explore/NumberLog.java
@@ -8,13 +8,13 @@
 
 /** The plainest machine: all decisions in order, as numbers. */
 final class NumberLog implements StateMachine {
-  private final List<Long> all = new ArrayList<>();
+  private final List<Long> recent = new ArrayList<>();
   private final Listener listener;
-  private long before;
+  private long foldedOldest;
 
   /** Told of each decision as it is applied. */
   interface Listener {
-    void applied(long index, long value);
+    void onApplied(long index, long value);
   }
 
   NumberLog() {
@@ -28,31 +28,31 @@
   @Override
   public void apply(long index, long author, byte[] decision) {
     long value = new MessageReader(decision).num();
-    listener.applied(index, value);
-    all.add(value);
-    if (all.size() > 64) { // the oldest as one number, so that its state stays small
-      before = before * 31 + all.remove(0);
+    listener.onApplied(index, value);
+    recent.add(value);
+    if (recent.size() > 64) { // the oldest as one number, so that its state stays small
+      foldedOldest = foldedOldest * 31 + recent.remove(0);
     }
   }
 
   @Override
   public byte[] whole() {
-    MessageWriter to = new MessageWriter().num(before).num(all.size());
-    all.forEach(to::num);
+    MessageWriter to = new MessageWriter().num(foldedOldest).num(recent.size());
+    recent.forEach(to::num);
     return to.done();
   }
 
   @Override
   public void restore(byte[] whole) {
-    all.clear();
+    recent.clear();
     if (whole.length == 0) {
-      before = 0;
+      foldedOldest = 0;
       return;
     }
     MessageReader from = new MessageReader(whole);
-    before = from.num();
+    foldedOldest = from.num();
     for (int n = from.num(0, 64); n > 0; n--) {
-      all.add(from.num());
+      recent.add(from.num());
     }
     from.end();
   }
--- a/src/main/java/linengauge/consensus/explore/Schedule.java
+++ b/src/main/java/linengauge/consensus/explore/Scenario.java
@@ -6,29 +6,29 @@
  * What is explored.
  *
  * @param voters how many, 3 usually
- * @param depth things that happen, at the most
- * @param wakes how often a voter's own timer may be the next thing
+ * @param maxDepth things that happen, at the most
+ * @param timeouts how often a voter's own timer may be the next thing
  * @param faults crashes, stand-stills and emptied folders, at the most
  * @param proposals decisions that are wanted of whoever takes itself for the leader
  * @param reads questions of how far all is decided
  * @param changes of voters that are wanted: one goes, a fourth comes
- * @param prelude what has happened before, in the words of a schedule
- * @param states after which the exploration is given up as too large
+ * @param setup what has happened before, in the words of a schedule
+ * @param maxStates after which the exploration is given up as too large
  */
-public record Schedule(
+public record Scenario(
     int voters,
-    int depth,
-    int wakes,
+    int maxDepth,
+    int timeouts,
     int faults,
     int proposals,
     int reads,
     int changes,
-    boolean emptied,
-    List<String> prelude,
-    int states,
-    Maker maker) {
+    boolean allowsDiskLoss,
+    List<String> setup,
+    int maxStates,
+    VoterFactory factory) {
   /** 0 leads term 1, and all have heard so. */
-  public static final List<String> LED =
+  public static final List<String> LEADER_ELECTED =
       List.of(
           "wakes 0",
           "VOTE_FOR_ME 0 to 1",
@@ -41,8 +41,18 @@
           "APPEND 0 to 1",
           "APPEND 0 to 2");
 
-  public Schedule at(Maker other) {
-    return new Schedule(
-        voters, depth, wakes, faults, proposals, reads, changes, emptied, prelude, states, other);
+  public Scenario withFactory(VoterFactory other) {
+    return new Scenario(
+        voters,
+        maxDepth,
+        timeouts,
+        faults,
+        proposals,
+        reads,
+        changes,
+        allowsDiskLoss,
+        setup,
+        maxStates,
+        other);
   }
 }
--- a/src/main/java/linengauge/consensus/explore/SimulatedFollower.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedFollower.java
@@ -11,32 +11,32 @@
 
 /** A front of a simulated cluster that follows without a vote, and proposes. */
 final class SimulatedFollower extends SimulatedProcess implements LogFollower.Port {
-  private static final long NUMBERS_A_LIFE = 1_000_000L;
+  private static final long PROPOSAL_NUMBERS_PER_INCARNATION = 1_000_000L;
 
   private LogFollower follower;
   private NumberLog machine;
-  private long judgedIndex;
-  private int lives;
+  private long checkedIndex;
+  private int incarnations;
 
   SimulatedFollower(ClusterSimulation cluster, int number, SplittableRandom random) {
     super(cluster, number, random);
   }
 
   /** Begins with nothing but the addresses of voters. */
-  void begin(SortedMap<Integer, String> addresses) {
-    machine = new NumberLog(cluster().judge()::checkApplied);
-    judgedIndex = 0;
-    lives++;
+  void start(SortedMap<Integer, String> addresses) {
+    machine = new NumberLog(cluster().invariants()::checkApplied);
+    checkedIndex = 0;
+    incarnations++;
     follower =
         new LogFollower(
             LogFollower.Terms.USUAL,
             number(),
             new TreeMap<>(addresses),
-            lives * NUMBERS_A_LIFE,
+            incarnations * PROPOSAL_NUMBERS_PER_INCARNATION,
             machine,
             this);
     follower.start(clock());
-    wake();
+    updateTimer();
   }
 
   long index() {
@@ -79,10 +79,10 @@
   }
 
   @Override
-  void judge() {
-    ClusterJudge judge = cluster().judge();
-    judge.checkNoStepBack(number(), judgedIndex, follower.index());
-    judgedIndex = follower.index();
-    judge.checkSameState(number(), judgedIndex, machine);
+  void checkInvariants() {
+    ClusterInvariants invariants = cluster().invariants();
+    invariants.checkMonotonic(number(), checkedIndex, follower.index());
+    checkedIndex = follower.index();
+    invariants.checkSameState(number(), checkedIndex, machine);
   }
 }
--- a/src/main/java/linengauge/consensus/explore/SimulatedNetwork.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedNetwork.java
@@ -9,10 +9,10 @@
 
 /** Carries messages between simulated processes: loses, delays, reorders and doubles them. */
 final class SimulatedNetwork {
-  private static final int LEAST_MICROS = 200;
-  private static final int USUAL_MICROS = 3_000;
-  private static final int LATE_MICROS = 900_000;
-  private static final int SLOW_DISK_MICROS = 150_000;
+  private static final int MIN_DELAY_MICROS = 200;
+  private static final int USUAL_JITTER_MICROS = 3_000;
+  private static final int LATE_JITTER_MICROS = 900_000;
+  private static final int SLOW_DISK_DELAY_MICROS = 150_000;
 
   private final EventQueue time;
   private final FaultPlan faults;
@@ -51,8 +51,9 @@
     boolean slowDisk = faults.isOn(Fault.Kind.SLOW_DISK, from.number(), now);
     int copies = random.nextInt(50) == 0 ? 2 : 1;
     for (int i = 0; i < copies; i++) {
-      int way = LEAST_MICROS + random.nextInt(late ? LATE_MICROS : USUAL_MICROS);
-      Span delay = new Span(way + (slowDisk ? SLOW_DISK_MICROS : 0));
+      int delayMicros =
+          MIN_DELAY_MICROS + random.nextInt(late ? LATE_JITTER_MICROS : USUAL_JITTER_MICROS);
+      Span delay = new Span(delayMicros + (slowDisk ? SLOW_DISK_DELAY_MICROS : 0));
       time.schedule(now.plus(delay), () -> arrive(to, sent, receiver));
     }
   }
--- a/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
@@ -7,20 +7,20 @@
  * A process of a simulated cluster: its clock is off and runs fast or slow, and it may stand still.
  */
 abstract class SimulatedProcess {
-  private static final long MOST_OFF_MICROS = 60_000_000L;
+  private static final long MAX_CLOCK_OFFSET_MICROS = 60_000_000L;
 
   private final ClusterSimulation cluster;
   private final int number;
   private final long clockOffset;
   private final double clockRate;
   private boolean up = true;
-  private int life;
-  private Moment wakesAt;
+  private int incarnation;
+  private Moment timerAt;
 
   SimulatedProcess(ClusterSimulation cluster, int number, SplittableRandom random) {
     this.cluster = cluster;
     this.number = number;
-    this.clockOffset = random.nextLong(2 * MOST_OFF_MICROS) - MOST_OFF_MICROS;
+    this.clockOffset = random.nextLong(2 * MAX_CLOCK_OFFSET_MICROS) - MAX_CLOCK_OFFSET_MICROS;
     this.clockRate = 0.98 + random.nextInt(5) / 100.0;
   }
 
@@ -39,14 +39,14 @@
   /** The process ends: what it was about to do is not done. */
   void crash() {
     up = false;
-    life++;
+    incarnation++;
   }
 
   /** The process is there, in a life of its own. */
-  void beginLife() {
-    life++;
+  void startIncarnation() {
+    incarnation++;
     up = true;
-    wakesAt = null;
+    timerAt = null;
   }
 
   /** What its own clock shows. */
@@ -65,27 +65,27 @@
   abstract void step();
 
   /** Judges what it holds now. */
-  abstract void judge();
+  abstract void checkInvariants();
 
   /** Sets its timer anew where it is to be stepped sooner than that says. */
-  void wake() {
+  void updateTimer() {
     Moment at = trueTime(next());
-    if (wakesAt != null && !at.before(wakesAt)) {
+    if (timerAt != null && !at.before(timerAt)) {
       return;
     }
-    wakesAt = at;
-    int mine = life;
+    timerAt = at;
+    int scheduledIn = incarnation;
     cluster.schedule(
         at,
         () -> {
-          if (up && mine == life && at.equals(wakesAt)) {
+          if (up && scheduledIn == incarnation && at.equals(timerAt)) {
             run(this::onTimer);
           }
         });
   }
 
   private void onTimer() {
-    wakesAt = null;
+    timerAt = null;
     step();
   }
 
@@ -94,11 +94,11 @@
     Moment now = cluster.now();
     Moment until = cluster.faults().frozenUntil(number, now);
     if (now.before(until)) {
-      int mine = life;
+      int scheduledIn = incarnation;
       cluster.schedule(
           until,
           () -> {
-            if (mine == life) {
+            if (scheduledIn == incarnation) {
               run(task);
             }
           });
@@ -107,11 +107,11 @@
     try {
       task.run();
     } catch (IllegalStateException e) {
-      cluster.judge().report(number + ": " + e.getMessage());
+      cluster.invariants().report(number + ": " + e.getMessage());
     }
     if (up) {
-      judge();
-      wake();
+      checkInvariants();
+      updateTimer();
     }
   }
 }
--- a/src/main/java/linengauge/consensus/explore/SimulatedVoter.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedVoter.java
@@ -11,39 +11,39 @@
 /** A voter of a simulated cluster, with its disk. */
 final class SimulatedVoter extends SimulatedProcess implements RaftNode.Port {
   private final RaftSettings settings;
-  private final Maker maker;
+  private final VoterFactory factory;
   private RaftNode node;
   private PersistentState disk;
   private NumberLog machine;
-  private long judgedUpTo;
+  private long checkedIndex;
 
   SimulatedVoter(
       ClusterSimulation cluster,
       int number,
       SplittableRandom random,
       RaftSettings settings,
-      Maker maker,
+      VoterFactory factory,
       PersistentState disk) {
     super(cluster, number, random);
     this.settings = settings;
-    this.maker = maker;
+    this.factory = factory;
     this.disk = disk;
   }
 
   /** Begins with what is on its disk. */
-  void begin() {
-    beginLife();
-    machine = new NumberLog(cluster().judge()::checkApplied);
-    node = maker.make(settings, number(), disk, machine, number() + 1, this);
+  void start() {
+    startIncarnation();
+    machine = new NumberLog(cluster().invariants()::checkApplied);
+    node = factory.create(settings, number(), disk, machine, number() + 1, this);
     node.start(clock());
-    wake();
+    updateTimer();
   }
 
   /** Begins anew with another disk. */
-  void beginWith(PersistentState other) {
+  void startWith(PersistentState other) {
     disk = other;
-    judgedUpTo = 0;
-    begin();
+    checkedIndex = 0;
+    start();
   }
 
   /** The number of the store on its disk. */
@@ -51,7 +51,7 @@
     return disk.store();
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return node.role() == RaftNode.Role.LEADER;
   }
 
@@ -94,16 +94,16 @@
   }
 
   @Override
-  void judge() {
-    ClusterJudge judge = cluster().judge();
-    if (leads()) {
-      cluster().onLeads(number());
-      judge.checkLeader(node.term(), number());
+  void checkInvariants() {
+    ClusterInvariants invariants = cluster().invariants();
+    if (isLeader()) {
+      cluster().onLeader(number());
+      invariants.checkLeader(node.term(), number());
     }
-    for (long index = judgedUpTo + 1; index <= node.commit(); index++) {
-      judge.checkCommitted(index, node.entry(index), number());
+    for (long index = checkedIndex + 1; index <= node.commit(); index++) {
+      invariants.checkCommitted(index, node.entry(index), number());
     }
-    judgedUpTo = node.commit();
-    judge.checkSameState(number(), node.decided().index(), machine);
+    checkedIndex = node.commit();
+    invariants.checkSameState(number(), node.decided().index(), machine);
   }
 }
--- a/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
+++ b/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.consensus.explore.Lacking.Guard;
+import linengauge.consensus.explore.UnguardedVoter.Guard;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -18,47 +18,48 @@
 class ClusterSimulationTest {
   private static final Span END = Span.ofSeconds(20);
 
-  private static ClusterSimulation.Outcome play(
-      long seed, int voters, List<Fault> faults, Maker maker) {
-    return new ClusterSimulation(seed, voters, 4, faults, END, maker).play();
+  private static ClusterSimulation.Outcome run(
+      long seed, int voters, List<Fault> faults, VoterFactory factory) {
+    return new ClusterSimulation(seed, voters, 4, faults, END, factory).run();
   }
 
-  private static void holds(int first, int last, int voters, int many) {
+  private static void assertInvariantsHold(int first, int last, int voters, int faultCount) {
     for (int seed = first; seed <= last; seed++) {
-      List<Fault> faults = Fault.drawn(seed, voters, 4, many, END);
-      ClusterSimulation.Outcome o = play(seed, voters, faults, Maker.REAL);
+      List<Fault> faults = Fault.generate(seed, voters, 4, faultCount, END);
+      ClusterSimulation.Outcome outcome = run(seed, voters, faults, VoterFactory.REAL);
       assertEquals(
           List.of(),
-          o.broken(),
-          "seed " + seed + ", shortest: " + shortest(seed, voters, faults, Maker.REAL));
+          outcome.violations(),
+          "seed " + seed + ", shortest: " + minimize(seed, voters, faults, VoterFactory.REAL));
     }
   }
 
   /** With each fault left out that is not needed for a rule to break. */
-  private static List<Fault> shortest(long seed, int voters, List<Fault> faults, Maker maker) {
-    List<Fault> left = new ArrayList<>(faults);
-    for (Fault m : faults) {
-      List<Fault> less = new ArrayList<>(left);
-      less.remove(m);
-      if (!play(seed, voters, less, maker).broken().isEmpty()) {
-        left = less;
+  private static List<Fault> minimize(
+      long seed, int voters, List<Fault> faults, VoterFactory factory) {
+    List<Fault> remaining = new ArrayList<>(faults);
+    for (Fault fault : faults) {
+      List<Fault> candidate = new ArrayList<>(remaining);
+      candidate.remove(fault);
+      if (!run(seed, voters, candidate, factory).violations().isEmpty()) {
+        remaining = candidate;
       }
     }
-    return left;
+    return remaining;
   }
 
-  private static Fault fault(Fault.Kind kind, int a, int b, double from, double to) {
-    return new Fault(kind, a, b, new Moment((long) (from * 1e6)), new Moment((long) (to * 1e6)));
+  private static Fault fault(Fault.Kind kind, int target, int peer, double from, double to) {
+    return new Fault(kind, target, peer, new Moment((long) (from * 1e6)), new Moment((long) (to * 1e6)));
   }
 
   @Test
-  void threeVotersAndFourFollowersKeepEveryRule() {
-    holds(1, 300, 3, 6);
+  void threeVotersAndFourFollowersKeepAllInvariants() {
+    assertInvariantsHold(1, 300, 3, 6);
   }
 
   @Test
-  void fiveVotersKeepEveryRule() {
-    holds(1001, 1050, 5, 8);
+  void fiveVotersKeepAllInvariants() {
+    assertInvariantsHold(1001, 1050, 5, 8);
   }
 
   /**
@@ -66,45 +67,45 @@
    * one.
    */
   @Test
-  void aLeaderThatIsCutOffLeadsNobody() {
-    ClusterSimulation.Outcome o = play(3, 3, leaderCutOff(), Maker.REAL);
-    assertEquals(List.of(), o.broken());
-    assertTrue(o.longestAlone().under(Span.ofSeconds(2)), o.toString());
+  void isolatedLeaderStepsDown() {
+    ClusterSimulation.Outcome outcome = run(3, 3, eachVoterDeafInTurn(), VoterFactory.REAL);
+    assertEquals(List.of(), outcome.violations());
+    assertTrue(outcome.longestIsolatedLeadership().under(Span.ofSeconds(2)), outcome.toString());
     assertFalse(
-        play(3, 3, leaderCutOff(), Lacking.maker(Guard.MOST))
-            .longestAlone()
+        run(3, 3, eachVoterDeafInTurn(), UnguardedVoter.factory(Guard.CHECK_QUORUM))
+            .longestIsolatedLeadership()
             .under(Span.ofSeconds(3)));
   }
 
   /** Every voter mute in turn, so that whoever leads is too; it hears all the same. */
-  private static List<Fault> leaderCutOff() {
+  private static List<Fault> eachVoterDeafInTurn() {
     List<Fault> all = new ArrayList<>();
-    for (int v = 0; v < 3; v++) {
-      all.add(fault(Fault.Kind.DEAF, v, 0, 4 + 5 * v, 8 + 5 * v));
+    for (int voter = 0; voter < 3; voter++) {
+      all.add(fault(Fault.Kind.DEAF, voter, 0, 4 + 5 * voter, 8 + 5 * voter));
     }
     return all;
   }
 
   /** One that hears nobody for a while comes back without deposing whoever leads. */
   @Test
-  void whoAsksFirstDeposesNobody() {
-    int real = 0;
-    int without = 0;
+  void preVotePreventsNeedlessElections() {
+    int elections = 0;
+    int electionsWithoutPreVote = 0;
     for (int seed = 1; seed <= 10; seed++) {
-      for (int v = 0; v < 3; v++) {
+      for (int voter = 0; voter < 3; voter++) {
         List<Fault> deaf =
-            List.of(fault(Fault.Kind.DEAF, v, 0, 5, 9), fault(Fault.Kind.DEAF, v, 0, 12, 16));
-        real += play(seed, 3, deaf, Maker.REAL).elections();
-        without += play(seed, 3, deaf, Lacking.maker(Guard.ASKS_FIRST)).elections();
+            List.of(fault(Fault.Kind.DEAF, voter, 0, 5, 9), fault(Fault.Kind.DEAF, voter, 0, 12, 16));
+        elections += run(seed, 3, deaf, VoterFactory.REAL).elections();
+        electionsWithoutPreVote += run(seed, 3, deaf, UnguardedVoter.factory(Guard.PRE_VOTE)).elections();
       }
     }
-    assertTrue(without > real * 1.5, real + " elections, and " + without + " without asking first");
+    assertTrue(electionsWithoutPreVote > elections * 1.5, elections + " elections, and " + electionsWithoutPreVote + " without asking first");
   }
 
   /** The same seed plays the same. */
   @Test
-  void theSameSeedPlaysTheSame() {
-    List<Fault> faults = Fault.drawn(7, 3, 4, 6, END);
-    assertEquals(play(7, 3, faults, Maker.REAL), play(7, 3, faults, Maker.REAL));
+  void sameSeedGivesSameOutcome() {
+    List<Fault> faults = Fault.generate(7, 3, 4, 6, END);
+    assertEquals(run(7, 3, faults, VoterFactory.REAL), run(7, 3, faults, VoterFactory.REAL));
   }
 }
--- a/src/test/java/linengauge/consensus/explore/ExplorerTest.java
+++ b/src/test/java/linengauge/consensus/explore/ExplorerTest.java
@@ -7,7 +7,7 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import linengauge.consensus.explore.Lacking.Guard;
+import linengauge.consensus.explore.UnguardedVoter.Guard;
 import org.junit.jupiter.api.Test;
 
 /**
@@ -16,14 +16,14 @@
  * rests on their asking.
  */
 class ExplorerTest {
-  private static final Maker PLAIN = Lacking.maker(Guard.ASKS_FIRST);
+  private static final VoterFactory WITHOUT_PRE_VOTE = UnguardedVoter.factory(Guard.PRE_VOTE);
 
   /**
    * Entry 2 of term 1 at 0 alone, entry 2 of term 2 at 2 alone, 0 leads term 3 (Raft, figure 8, c).
    */
   private static final List<String> FIGURE_8 =
       plus(
-          Schedule.LED,
+          Scenario.LEADER_ELECTED,
           "propose 0",
           "wakes 2",
           "VOTE_FOR_ME 2 to 1",
@@ -40,75 +40,76 @@
     return all;
   }
 
-  private static void holds(Schedule plan) {
-    Explorer.Outcome o = Explorer.explore(plan);
-    assertNull(o.found(), () -> o.found().toString());
-    assertTrue(o.whole(), () -> "too many states: " + o);
-    assertTrue(o.states() > 1000, () -> o.toString());
+  private static void assertInvariantsHold(Scenario scenario) {
+    Explorer.Outcome outcome = Explorer.explore(scenario);
+    assertNull(outcome.violation(), () -> outcome.violation().toString());
+    assertTrue(outcome.complete(), () -> "too many states: " + outcome);
+    assertTrue(outcome.states() > 1000, () -> outcome.toString());
   }
 
   /** Broken without the guard; and by the very schedule that breaks it nothing is with it. */
-  private static void needs(Guard guard, Schedule plan, String rule) {
-    Explorer.Outcome o = Explorer.explore(plan.at(Lacking.maker(Guard.ASKS_FIRST, guard)));
-    assertNotNull(o.found(), o::toString);
+  private static void assertGuardIsNeeded(Guard guard, Scenario scenario, String rule) {
+    Explorer.Outcome outcome = Explorer.explore(scenario.withFactory(UnguardedVoter.factory(Guard.PRE_VOTE, guard)));
+    assertNotNull(outcome.violation(), outcome::toString);
     assertTrue(
-        o.found().what().startsWith(rule) || o.found().what().contains(rule), o.found()::toString);
-    Explorer.Outcome with = Explorer.explore(plan);
-    assertNull(with.found(), () -> with.found().toString());
+        outcome.violation().description().startsWith(rule) || outcome.violation().description().contains(rule),
+        outcome.violation()::toString);
+    Explorer.Outcome guarded = Explorer.explore(scenario);
+    assertNull(guarded.violation(), () -> guarded.violation().toString());
   }
 
   @Test
-  void fromTheBeginning() {
-    holds(new Schedule(3, 8, 3, 1, 1, 1, 0, false, List.of(), 2_000_000, PLAIN));
+  void invariantsHoldFromInitialState() {
+    assertInvariantsHold(new Scenario(3, 8, 3, 1, 1, 1, 0, false, List.of(), 2_000_000, WITHOUT_PRE_VOTE));
   }
 
   @Test
-  void withAskingFirst() {
-    holds(new Schedule(3, 8, 3, 1, 0, 0, 0, false, List.of(), 2_000_000, Maker.REAL));
+  void invariantsHoldWithPreVote() {
+    assertInvariantsHold(new Scenario(3, 8, 3, 1, 0, 0, 0, false, List.of(), 2_000_000, VoterFactory.REAL));
   }
 
   @Test
-  void whileOneLeads() {
-    holds(new Schedule(3, 5, 2, 1, 1, 1, 1, true, Schedule.LED, 2_000_000, PLAIN));
+  void invariantsHoldAfterLeaderElection() {
+    assertInvariantsHold(new Scenario(3, 5, 2, 1, 1, 1, 1, true, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE));
   }
 
   @Test
-  void aVoteLastsBeforeItIsGiven() {
-    needs(
+  void voteIsSavedBeforeItIsSent() {
+    assertGuardIsNeeded(
         Guard.SAVES,
-        new Schedule(3, 8, 2, 1, 0, 0, 0, false, List.of(), 2_000_000, PLAIN),
+        new Scenario(3, 8, 2, 1, 0, 0, 0, false, List.of(), 2_000_000, WITHOUT_PRE_VOTE),
         "two led term");
   }
 
   @Test
-  void whoHasLostItsFolderIsNotCounted() {
-    needs(
+  void voterWithLostDiskIsNotCounted() {
+    assertGuardIsNeeded(
         Guard.STORES,
-        new Schedule(3, 8, 2, 1, 0, 0, 0, true, List.of(), 2_000_000, PLAIN),
+        new Scenario(3, 8, 2, 1, 0, 0, 0, true, List.of(), 2_000_000, WITHOUT_PRE_VOTE),
         "two led term");
   }
 
   @Test
-  void onlyEntriesOfTheOwnTermAreCounted() {
-    needs(
+  void onlyEntriesOfCurrentTermAreCommittedByCounting() {
+    assertGuardIsNeeded(
         Guard.OWN_TERM,
-        new Schedule(3, 7, 1, 0, 0, 0, 0, false, FIGURE_8, 2_000_000, PLAIN),
+        new Scenario(3, 7, 1, 0, 0, 0, 0, false, FIGURE_8, 2_000_000, WITHOUT_PRE_VOTE),
         "without entry 3");
   }
 
   @Test
-  void aQuestionIsAnsweredAfterAMajorityWasAsked() {
-    needs(
+  void readIsAnsweredAfterMajorityConfirmsLeader() {
+    assertGuardIsNeeded(
         Guard.FRESH,
-        new Schedule(3, 7, 2, 0, 0, 1, 0, false, Schedule.LED, 2_000_000, PLAIN),
+        new Scenario(3, 7, 2, 0, 0, 1, 0, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
         "stale");
   }
 
   @Test
-  void votersChangeOneStepAfterAnother() {
-    needs(
+  void membershipChangesOneStepAtATime() {
+    assertGuardIsNeeded(
         Guard.ONE_CHANGE,
-        new Schedule(3, 6, 1, 0, 0, 0, 2, false, Schedule.LED, 2_000_000, PLAIN),
+        new Scenario(3, 6, 1, 0, 0, 0, 2, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
         "without entry");
   }
 
@@ -116,7 +117,7 @@
    * Four voters, and a fifth that comes (Ongaro 2015): 0's step is at 0 and 4, 1's at 1 and 2, and
    * their majorities have nobody in common.
    */
-  private static final List<String> TWO_STEPS_FROM_ONE_GROUND =
+  private static final List<String> CONCURRENT_MEMBERSHIP_CHANGES =
       List.of(
           "wakes 0",
           "VOTE_FOR_ME 0 to 1",
@@ -152,9 +153,9 @@
           "VOTED 3 to 0");
 
   @Test
-  void aStepWaitsForAnEntryOfTheOwnTerm() {
-    Schedule bounds =
-        new Schedule(
+  void membershipChangeWaitsForCommitInCurrentTerm() {
+    Scenario scenario =
+        new Scenario(
             4,
             0,
             9,
@@ -165,16 +166,16 @@
             false,
             List.of(),
             0,
-            Lacking.maker(Guard.ASKS_FIRST, Guard.OWN_DECIDED));
+            UnguardedVoter.factory(Guard.PRE_VOTE, Guard.COMMIT_IN_OWN_TERM));
     assertEquals(
         "0 leads term 3 without entry 2, which was decided in term 2",
-        new ModelState(bounds).play(TWO_STEPS_FROM_ONE_GROUND, true));
-    assertNull(new ModelState(bounds.at(PLAIN)).play(TWO_STEPS_FROM_ONE_GROUND, false));
+        new ModelState(scenario).play(CONCURRENT_MEMBERSHIP_CHANGES, true));
+    assertNull(new ModelState(scenario.withFactory(WITHOUT_PRE_VOTE)).play(CONCURRENT_MEMBERSHIP_CHANGES, false));
   }
 
   @Test
-  void theWholeOfFigure8IsHarmless() {
-    Schedule plan = new Schedule(3, 1, 1, 0, 0, 0, 0, false, FIGURE_8, 10, PLAIN);
-    assertNull(new ModelState(plan).prelude());
+  void figure8SetupIsHarmless() {
+    Scenario scenario = new Scenario(3, 1, 1, 0, 0, 0, 0, false, FIGURE_8, 10, WITHOUT_PRE_VOTE);
+    assertNull(new ModelState(scenario).playSetup());
   }
 }
--- /dev/null
+++ b/src/test/java/linengauge/consensus/explore/UnguardedVoter.java
@@ -0,0 +1,110 @@
+package linengauge.consensus.explore;
+
+import java.util.EnumSet;
+import java.util.Set;
+import linengauge.consensus.PersistentState;
+import linengauge.consensus.RaftMessage;
+import linengauge.consensus.RaftNode;
+import linengauge.consensus.RaftSettings;
+import linengauge.consensus.StateMachine;
+import linengauge.consensus.Voters;
+
+/** A voter with some of its guards taken out. */
+final class UnguardedVoter extends RaftNode {
+  /** What can be taken out. */
+  enum Guard {
+    PRE_VOTE,
+    SAVES,
+    STORES,
+    OWN_TERM,
+    FRESH,
+    ONE_CHANGE,
+    COMMIT_IN_OWN_TERM,
+    CHECK_QUORUM
+  }
+
+  private final Set<Guard> removedGuards;
+
+  private UnguardedVoter(
+      Set<Guard> removedGuards,
+      RaftSettings settings,
+      int own,
+      PersistentState saved,
+      StateMachine machine,
+      long seed,
+      Port port) {
+    super(settings, own, saved, machine, seed, port);
+    this.removedGuards = removedGuards;
+  }
+
+  private UnguardedVoter(Set<Guard> removedGuards, RaftNode original, StateMachine machine, Port port) {
+    super(original, machine, port);
+    this.removedGuards = removedGuards;
+  }
+
+  static VoterFactory factory(Guard... guards) {
+    Set<Guard> removedGuards = EnumSet.noneOf(Guard.class);
+    removedGuards.addAll(Set.of(guards));
+    return new VoterFactory() {
+      @Override
+      public RaftNode create(
+          RaftSettings settings,
+          int own,
+          PersistentState saved,
+          StateMachine machine,
+          long seed,
+          Port port) {
+        return new UnguardedVoter(removedGuards, settings, own, saved, machine, seed, port);
+      }
+
+      @Override
+      public RaftNode copy(RaftNode original, StateMachine machine, Port port) {
+        return new UnguardedVoter(removedGuards, original, machine, port);
+      }
+    };
+  }
+
+  @Override
+  protected boolean usesPreVote() {
+    return !removedGuards.contains(Guard.PRE_VOTE);
+  }
+
+  @Override
+  protected boolean save() {
+    if (removedGuards.contains(Guard.SAVES)) {
+      markSaved();
+      return true;
+    }
+    return super.save();
+  }
+
+  @Override
+  protected boolean isFromKnownStore(RaftMessage message) {
+    return removedGuards.contains(Guard.STORES) || super.isFromKnownStore(message);
+  }
+
+  @Override
+  protected boolean mayCommit(long ofTerm) {
+    return removedGuards.contains(Guard.OWN_TERM) || super.mayCommit(ofTerm);
+  }
+
+  @Override
+  protected boolean isFresh(long asked, long most) {
+    return removedGuards.contains(Guard.FRESH) || super.isFresh(asked, most);
+  }
+
+  @Override
+  protected boolean mayChange(Voters next) {
+    return removedGuards.contains(Guard.ONE_CHANGE) || super.mayChange(next);
+  }
+
+  @Override
+  protected boolean hasCommittedInOwnTerm() {
+    return removedGuards.contains(Guard.COMMIT_IN_OWN_TERM) || super.hasCommittedInOwnTerm();
+  }
+
+  @Override
+  protected boolean checksQuorum() {
+    return !removedGuards.contains(Guard.CHECK_QUORUM);
+  }
+}
