--- a/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
@@ -13,9 +13,9 @@
 import linengauge.virtualtime.EventQueue;
 
 /**
- * Judges a simulated cluster by what each process holds and was told, never by their reasons: one
- * leader a term; one entry an index; reads that are not stale; the same state after as many
- * decisions; each proposal decided once.
+ * Checks a simulated cluster by the state that each process holds and the answers that it receives,
+ * independently of how the protocol reached them: one leader per term, one committed entry per
+ * index, no stale reads, equal state at equal index, and each proposal applied at most once.
  */
 final class ClusterInvariants {
   private static final int MAX_VIOLATIONS = 8;
@@ -42,7 +42,7 @@
     return List.copyOf(violations);
   }
 
-  /** Enough is broken: more would say nothing new. */
+  /** Whether the run may stop: further violations add no information. */
   boolean hasEnoughViolations() {
     return violations.size() >= MAX_VIOLATIONS;
   }
@@ -51,7 +51,7 @@
     return leaderOfTerm.size();
   }
 
-  /** The highest index that any voter took for committed. */
+  /** The highest index that any voter considers committed. */
   long lastCommitted() {
     return lastCommitted;
   }
@@ -60,7 +60,7 @@
     return acknowledged.size();
   }
 
-  /** Whoever proposed the value was told that it is decided. */
+  /** The proposer of the value was notified that it is committed. */
   void onAcknowledged(long value) {
     acknowledged.add(value);
   }
@@ -68,17 +68,17 @@
   void checkLeader(long term, int number) {
     Integer other = leaderOfTerm.putIfAbsent(term, number);
     if (other != null && other != number) {
-      report("two led term " + term + ": " + other + " and " + number);
+      report("two leaders in term " + term + ": " + other + " and " + number);
     }
   }
 
   /**
-   * @param entry as that voter holds it; null where it has folded it into its snapshot
+   * @param entry as that voter holds it; null if it is compacted into the snapshot
    */
   void checkCommitted(long index, Entry entry, int number) {
     Entry before = entry == null ? null : committed.putIfAbsent(index, entry);
     if (before != null && !before.equals(entry)) {
-      report("entry " + index + " decided twice, at " + number + ": " + before + " and " + entry);
+      report("entry " + index + " committed twice, at " + number + ": " + before + " and " + entry);
     }
     lastCommitted = Math.max(lastCommitted, index);
   }
@@ -86,51 +86,51 @@
   void checkApplied(long index, long value) {
     Long before = valueAt.putIfAbsent(index, value);
     if (before != null && before != value) {
-      report("decision " + index + " is " + before + " and " + value);
+      report("entry " + index + " was applied as " + before + " and as " + value);
     }
   }
 
-  /** All that have decided as far hold the same. */
+  /** All processes that have applied the same index hold the same state. */
   void checkSameState(int number, long index, NumberLog machine) {
     int hash = Arrays.hashCode(machine.whole());
     Integer before = stateAfter.putIfAbsent(index, hash);
     if (before != null && before != hash) {
-      report(number + " holds another state after " + index + " decisions");
+      report(number + " holds a different state after " + index + " entries");
     }
   }
 
   void checkMonotonic(int number, long before, long index) {
     if (index < before) {
-      report("front " + number + " goes back from " + before + " to " + index);
+      report("follower " + number + " goes back from " + before + " to " + index);
     }
   }
 
   /**
-   * @param committedThen what was committed when the front asked
+   * @param committedThen the committed index when the follower requested the read
    */
   void checkRead(int number, long index, long committedAtRequest) {
     if (index < committedAtRequest) {
       report(
           number
-              + " is sure at "
+              + " confirmed a read at "
               + index
               + ", and "
               + committedAtRequest
-              + " had been decided when it asked");
+              + " was committed at the request");
     }
   }
 
-  /* ---- long after the last fault ---- */
+  /* ---- after recovery from the last fault ---- */
 
   void checkSingleLeader(long leaders) {
     if (leaders != 1) {
-      report(leaders + " lead at the end");
+      report(leaders + " leaders at the end");
     }
   }
 
   void checkProgress(int acknowledgedBefore) {
     if (acknowledged.size() <= acknowledgedBefore) {
-      report("nothing is decided at the end");
+      report("no proposal is committed at the end");
     }
   }
 
@@ -140,20 +140,20 @@
     }
   }
 
-  /** A proposal is decided once, and who is told so finds it decided. */
+  /** A proposal is applied at most once, and exactly once if it was acknowledged. */
   void checkAppliedOnce() {
     Map<Long, Integer> times = new TreeMap<>();
     valueAt.values().forEach(value -> times.merge(value, 1, Integer::sum));
     times.forEach(
         (value, count) -> {
           if (count > 1) {
-            report("proposal " + value + " is decided " + count + " times");
+            report("proposal " + value + " is applied " + count + " times");
           }
         });
     for (long value : acknowledged) {
       int count = times.getOrDefault(value, 0);
       if (count != 1) {
-        report("proposal " + value + " was told decided, and is so " + count + " times");
+        report("proposal " + value + " was acknowledged and is applied " + count + " times");
       }
     }
   }
--- a/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
@@ -15,18 +15,18 @@
 import linengauge.virtualtime.EventQueue;
 
 /**
- * Voters and followers in virtual time, from a seed: each with a clock of its own that is off and
- * runs fast or slow, over ways that lose, hold up, reorder and double, with faults that meet them.
- * This class makes things happen; {@link ClusterInvariants} judges them.
+ * Seeded simulation of voters and followers in virtual time. Each process has its own clock with an
+ * offset and a drift; the network loses, delays, reorders and duplicates messages; faults are
+ * injected. This class drives the run, {@link ClusterInvariants} checks it.
  */
 public final class ClusterSimulation {
   /**
-   * What was broken, and the figures of the run.
+   * The violations found and the measurements of the run.
    *
-   * @param elections leaders there were
-   * @param commitLatencies of proposals that were decided, how long it took
-   * @param longestIsolatedLeadership for how long a voter that hears nobody took itself for the
-   *     leader
+   * @param elections number of terms that had a leader
+   * @param commitLatencies time from proposal to acknowledgement, for each acknowledged proposal
+   * @param longestIsolatedLeadership the longest time that a voter that receives no messages
+   *     remained leader
    */
   public record Outcome(
       List<String> violations,
@@ -90,7 +90,7 @@
     return invariants;
   }
 
-  /** Plays all of it; once. */
+  /** Runs the whole simulation; may be called once. */
   public Outcome run() {
     startVoters();
     startFollowers();
@@ -122,7 +122,7 @@
       chairs.put(i, new Voters.Chair(i, address(i), true));
     }
     Voters founding = new Voters(chairs);
-    for (int i = 0; i <= voterCount; i++) { // one more that may come to vote
+    for (int i = 0; i <= voterCount; i++) { // one spare that may be added as a voter
       PersistentState disk =
           i < voterCount
               ? PersistentState.founding(i, founding, new NumberLog())
@@ -152,7 +152,7 @@
         && !invariants.hasEnoughViolations()) {
       atOnce = time.nextAt().equals(now()) ? atOnce + 1 : 0;
       if (atOnce > MAX_EVENTS_AT_ONE_MOMENT) {
-        invariants.report("no end of things at one moment");
+        invariants.report("too many events at one moment");
         return;
       }
       time.runNext();
@@ -180,7 +180,7 @@
     network.deliver(from, voter, message, m -> voter.receiveRequest(asker, m));
   }
 
-  /** That voter takes itself for the leader. */
+  /** The voter considers itself leader. */
   void onLeader(int number) {
     longestIsolatedLeadership = longestIsolatedLeadership.orMore(faults.deafFor(number, now()));
   }
@@ -233,7 +233,7 @@
       }
       case CHANGE -> removeVoter(fault.target(), followers.get(fault.peer() % followers.size()));
       default -> {
-        // on while it lasts
+        // the fault plan applies it while it lasts
       }
     }
   }
@@ -258,12 +258,12 @@
       }
       case EMPTIED, CHANGE -> replace(fault.target(), 0);
       default -> {
-        // over
+        // the fault plan ends it
       }
     }
   }
 
-  /** An operator brings the voter back: first without it, then with the store that is there now. */
+  /** Replaces the voter as an operator does: removes it, then adds it with its present store. */
   private void replace(int number, int tries) {
     SimulatedFollower by = followers.get(number % followers.size());
     by.run(
@@ -284,7 +284,7 @@
         });
   }
 
-  /** Long after the last fault one leads, all know the same, and what is proposed is decided. */
+  /** After the last fault there is one leader, all followers catch up, and proposals commit. */
   private void checkConverged(int acknowledgedBefore) {
     invariants.checkSingleLeader(voters.stream().filter(SimulatedVoter::isLeader).count());
     invariants.checkProgress(acknowledgedBefore);
--- a/src/main/java/linengauge/consensus/explore/Explorer.java
+++ b/src/main/java/linengauge/consensus/explore/Explorer.java
@@ -10,19 +10,19 @@
 import java.util.Set;
 
 /**
- * Plays every schedule up to a bound through real voters: which message arrives next, or never;
- * whose timer comes due; who crashes and begins again with what it had made to last, stands still,
- * or has its folder emptied; what is wanted of whoever takes itself for the leader. The shortest
- * schedules come first, so that the first one that breaks a rule is a shortest.
+ * Explores every schedule up to a bound with real voters: which message is delivered next or lost;
+ * whose timer expires; who crashes and restarts from its saved state, pauses, or loses its disk;
+ * what is requested of a voter that considers itself leader. The search is breadth-first, so the
+ * first schedule found to violate an invariant is a shortest one.
  */
 public final class Explorer {
-  /** A broken rule with the schedule that leads to it. */
+  /** A violated invariant with the schedule that leads to it. */
   public record Violation(String description, List<String> schedule) {}
 
   /**
-   * What an exploration came to.
+   * The result of an exploration.
    *
-   * @param depth to which all schedules were played
+   * @param depth the length up to which all schedules were explored
    */
   public record Outcome(long states, int depth, boolean complete, Violation violation) {
     public boolean isCorrect() {
@@ -82,7 +82,7 @@
     return new Outcome(visited.size(), scenario.maxDepth(), true, null);
   }
 
-  /** Which word, to whom: the first numbers of its bytes say it. */
+  /** Names the kind, sender and receiver of a message, which its first bytes hold. */
   static String describe(String choice) {
     if (!choice.startsWith("arrives ")) {
       return choice;
@@ -96,7 +96,7 @@
         + choice.substring("arrives ".length(), choice.indexOf('['));
   }
 
-  /** A state's fingerprint, half of a SHA-256: that two states share one is as good as never. */
+  /** Half of a SHA-256 hash of a state: the probability of a collision is negligible. */
   private record Fingerprint(long a, long b) {
     static Fingerprint of(List<Object> all) {
       try {
--- a/src/main/java/linengauge/consensus/explore/Fault.java
+++ b/src/main/java/linengauge/consensus/explore/Fault.java
@@ -7,13 +7,13 @@
 import linengauge.Span;
 
 /**
- * One fault, from then to then.
+ * One fault and the interval in which it is active.
  *
- * @param target the voter or follower that it meets, or the one that is not heard
- * @param peer by whom, for what goes one way between two
+ * @param target the affected voter or follower, or the sender whose messages are lost
+ * @param peer the receiver, for a fault of one direction between two processes
  */
 public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
-  /** What can go wrong: with one, on the way from one to another, on all ways. */
+  /** Faults of one process, of one direction between two, and of all messages of a process. */
   public enum Kind {
     CRASH,
     FREEZE,
@@ -29,7 +29,7 @@
   }
 
   /**
-   * @return so many, drawn from the seed, all of them over before the end
+   * @return that many faults, generated from the seed, all of which end by {@code end}
    */
   public static List<Fault> generate(long seed, int voters, int followers, int count, Span end) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -44,7 +44,7 @@
       long longest = kind == Kind.EMPTIED || kind == Kind.CHANGE ? 3_000_000 : end.micros() / 4;
       Moment to = from.plus(new Span(50_000 + random.nextLong(longest)));
       if ((kind == Kind.EMPTIED || kind == Kind.CHANGE) && emptied++ > 0) {
-        kind = Kind.CRASH; // a voice lost while one is being replaced is beyond what three bear
+        kind = Kind.CRASH; // three voters do not tolerate a second loss during a replacement
       }
       all.add(new Fault(kind, target, peer, from, to));
     }
--- a/src/main/java/linengauge/consensus/explore/FaultPlan.java
+++ b/src/main/java/linengauge/consensus/explore/FaultPlan.java
@@ -4,7 +4,7 @@
 import linengauge.Moment;
 import linengauge.Span;
 
-/** Which faults are on at a moment, and whom they meet. */
+/** Tells which faults are active at a moment, and which processes they affect. */
 final class FaultPlan {
   /** Simulated followers are numbered from here; voters are fewer. */
   static final int FIRST_FOLLOWER = 32;
@@ -25,7 +25,7 @@
     return faults.stream().anyMatch(f -> f.kind() == kind && f.target() == number && f.isOn(now));
   }
 
-  /** Nothing that one sends comes to the other. */
+  /** Whether all messages from one process to the other are lost. */
   boolean isCut(int from, int to, Moment now) {
     return from != to
         && (isOn(Fault.Kind.MUTE, from, now)
@@ -43,7 +43,7 @@
                     && f.isOn(now));
   }
 
-  /** Until when that process stands still; now where it does not. */
+  /** The end of the pause of that process; {@code now} if it is not paused. */
   Moment frozenUntil(int number, Moment now) {
     Moment until = now;
     for (Fault fault : faults) {
@@ -56,7 +56,7 @@
     return until;
   }
 
-  /** For how long that voter has heard nobody. */
+  /** How long that voter has received no messages. */
   Span deafFor(int number, Moment now) {
     Span longest = Span.NONE;
     for (Fault fault : faults) {
@@ -67,7 +67,7 @@
     return longest;
   }
 
-  /** Those after the voters are followers. */
+  /** Fault targets from the number of voters on are followers. */
   private int processOf(int number) {
     return number < voters ? number : FIRST_FOLLOWER + number - voters;
   }
--- a/src/main/java/linengauge/consensus/explore/ModelInvariants.java
+++ b/src/main/java/linengauge/consensus/explore/ModelInvariants.java
@@ -8,23 +8,26 @@
 import linengauge.consensus.RaftNode;
 
 /**
- * Judges explored voters by what they hold: one leader a term; one entry an index for ever; whoever
- * leads later holds all that was decided before; no read is stale.
+ * Checks explored voters by the state that they hold: one leader per term, one committed entry per
+ * index, leader completeness (a later leader holds every committed entry), and no stale read.
  */
 final class ModelInvariants {
   private final TreeMap<Long, Integer> leaderOfTerm = new TreeMap<>();
 
-  /** What was decided, in order, and the term of the voter that first took it for decided. */
+  /**
+   * The committed entries in order. {@link #committedInTerm} holds the term of the voter that first
+   * committed each.
+   */
   private final List<Entry> committed = new ArrayList<>();
 
   private final List<Long> committedInTerm = new ArrayList<>();
 
-  /** How far all was decided when each read was asked for. */
+  /** The committed index at the request of each read. */
   private final List<Long> committedAtRead = new ArrayList<>();
 
   ModelInvariants() {}
 
-  /** The same in another state. */
+  /** Copies the history for another state. */
   ModelInvariants(ModelInvariants other) {
     leaderOfTerm.putAll(other.leaderOfTerm);
     committed.addAll(other.committed);
@@ -36,27 +39,27 @@
     return committedAtRead.size();
   }
 
-  /** Somebody asks now how far all is decided; the read's number. */
+  /** Records a read request and returns its number. */
   int onRead() {
     committedAtRead.add((long) committed.size());
     return committedAtRead.size() - 1;
   }
 
-  /** That read was answered; the rule that this breaks, or null. */
+  /** Checks the answer to a read; returns the violation, or null. */
   String checkRead(int number, int read, long index) {
     long before = committedAtRead.get(read);
     return index >= before
         ? null
         : "stale: "
             + number
-            + " answers that all is known up to "
+            + " answers a read at index "
             + index
             + ", and "
             + before
-            + " had been decided when it was asked";
+            + " was committed at the request";
   }
 
-  /** The rule that what this voter holds breaks, or null. */
+  /** Checks the state of a voter; returns the violation, or null. */
   String check(RaftNode voter) {
     String wrong = voter.role() == RaftNode.Role.LEADER ? checkLeader(voter) : null;
     return wrong != null ? wrong : checkCommitted(voter);
@@ -69,7 +72,7 @@
     }
     return other == voter.number()
         ? null
-        : "two led term " + voter.term() + ": " + other + " and " + voter.number();
+        : "two leaders in term " + voter.term() + ": " + other + " and " + voter.number();
   }
 
   private String checkLeaderCompleteness(RaftNode voter) {
@@ -82,7 +85,7 @@
             + voter.term()
             + " without entry "
             + index
-            + ", which was decided in term "
+            + ", which was committed in term "
             + committedInTerm.get(i);
       }
     }
@@ -98,7 +101,7 @@
       } else if (!Objects.equals(committed.get(i), entry)) {
         return "entry "
             + (i + 1)
-            + " decided twice: term "
+            + " committed twice: term "
             + committed.get(i).term()
             + " and, at "
             + voter.number()
@@ -109,7 +112,7 @@
     return null;
   }
 
-  /** All on which anything to come depends. */
+  /** Everything on which later checks depend. */
   List<Object> fingerprint() {
     return List.of(
         new TreeMap<>(leaderOfTerm),
--- a/src/main/java/linengauge/consensus/explore/ModelState.java
+++ b/src/main/java/linengauge/consensus/explore/ModelState.java
@@ -16,12 +16,12 @@
 import linengauge.consensus.Voters;
 
 /**
- * Some voters and what is on its way between them, copied before each choice. Each voter has a
- * clock of its own, which moves only as its timers are let come due: no order of things is left out
- * because clocks would forbid it. {@link ModelInvariants} judges what they hold and say.
+ * Voters and the messages in flight between them, copied before each choice. Each voter has its own
+ * clock, which advances only when its timer expires or it pauses, so that no order of events is
+ * excluded by timing. {@link ModelInvariants} checks the state and the answers.
  */
 final class ModelState {
-  /** On its way; whatever is never let arrive is lost. */
+  /** A message in flight; one that is never delivered is lost. */
   private record Message(int to, RaftMessage message, byte[] bytes) {
     String key() {
       return to + Arrays.toString(bytes);
@@ -56,7 +56,7 @@
     @Override
     public void send(int to, RaftMessage message) {
       if (to < nodes.size()) {
-        // Said at some age or other: that bears on nothing here.
+        // The age does not matter here, and would keep equal states apart.
         RaftMessage ageless = message.withoutAge();
         Message m = new Message(to, ageless, ageless.bytes());
         inFlight.putIfAbsent(m.key(), m);
@@ -114,9 +114,7 @@
     node.voter.start(node.clock);
   }
 
-  /**
-   * Plays what has happened before, which counts for no bound; the rule that it breaks, or null.
-   */
+  /** Plays the setup, which does not count towards the bounds; returns the violation, or null. */
   String playSetup() {
     String failure = play(scenario.setup(), true);
     if (failure != null) {
@@ -129,10 +127,10 @@
   }
 
   /**
-   * Plays a schedule in the words that it is told in; the rule that it breaks, or null.
+   * Plays a schedule given as {@link Explorer#describe} writes it; returns the violation, or null.
    *
-   * @param all each step has to be there to be chosen; else what is not is left out, as where a
-   *     guard has refused what led to it
+   * @param all whether each step must be possible; otherwise impossible steps are skipped, as where
+   *     a guard has prevented what leads to them
    */
   String play(List<String> schedule, boolean strict) {
     for (String step : schedule) {
@@ -143,9 +141,9 @@
               .orElse(null);
       if (choice == null && strict) {
         throw new IllegalArgumentException(
-            "cannot happen now: "
+            "step is not possible: "
                 + step
-                + "; what can: "
+                + "; possible steps: "
                 + choices(false).stream().map(Explorer::describe).toList());
       }
       String failure = choice == null ? null : apply(choice);
@@ -173,7 +171,7 @@
     changes = other.changes;
   }
 
-  /** All that can happen next, in words that {@link #apply} takes. */
+  /** All possible next steps, as {@link #apply} takes them. */
   List<String> choices() {
     return choices(true);
   }
@@ -218,7 +216,7 @@
     }
   }
 
-  /** Lets that happen; what it broke, or null. */
+  /** Applies a step; returns the violation, or null. */
   String apply(String choice) {
     if (choice.startsWith(ARRIVES)) {
       Message message = inFlight.remove(choice.substring(ARRIVES.length()));
@@ -236,7 +234,7 @@
       case "read" -> read(node);
       case "without" -> change(node, withoutFollower(node));
       case "with" -> change(node, withAdded(node));
-      default -> throw new IllegalArgumentException("no such thing: " + choice);
+      default -> throw new IllegalArgumentException("unknown step: " + choice);
     };
   }
 
@@ -309,7 +307,7 @@
     return violation != null ? violation : invariants.check(node.voter);
   }
 
-  /** Tells two worlds apart as far as anything to come depends on it. */
+  /** Everything on which further steps depend; equal for equivalent states. */
   List<Object> fingerprint() {
     List<Object> all = new ArrayList<>();
     for (Node node : nodes) {
--- a/src/main/java/linengauge/consensus/explore/NumberLog.java
+++ b/src/main/java/linengauge/consensus/explore/NumberLog.java
@@ -6,13 +6,13 @@
 import linengauge.consensus.MessageWriter;
 import linengauge.consensus.StateMachine;
 
-/** The plainest machine: all decisions in order, as numbers. */
+/** A minimal state machine: all applied entries in order, as numbers. */
 final class NumberLog implements StateMachine {
   private final List<Long> recent = new ArrayList<>();
   private final Listener listener;
   private long foldedOldest;
 
-  /** Told of each decision as it is applied. */
+  /** Notified of each entry as it is applied. */
   interface Listener {
     void onApplied(long index, long value);
   }
@@ -30,7 +30,7 @@
     long value = new MessageReader(decision).num();
     listener.onApplied(index, value);
     recent.add(value);
-    if (recent.size() > 64) { // the oldest as one number, so that its state stays small
+    if (recent.size() > 64) { // the oldest are folded into one number to keep the state small
       foldedOldest = foldedOldest * 31 + recent.remove(0);
     }
   }
--- a/src/main/java/linengauge/consensus/explore/Scenario.java
+++ b/src/main/java/linengauge/consensus/explore/Scenario.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What is explored.
+ * The initial state and the bounds of an exploration.
  *
- * @param voters how many, 3 usually
- * @param maxDepth things that happen, at the most
- * @param timeouts how often a voter's own timer may be the next thing
- * @param faults crashes, stand-stills and emptied folders, at the most
- * @param proposals decisions that are wanted of whoever takes itself for the leader
- * @param reads questions of how far all is decided
- * @param changes of voters that are wanted: one goes, a fourth comes
- * @param setup what has happened before, in the words of a schedule
- * @param maxStates after which the exploration is given up as too large
+ * @param voters number of voters, usually 3
+ * @param maxDepth maximum number of steps
+ * @param timeouts maximum number of timer expirations
+ * @param faults maximum number of crashes, pauses and lost disks
+ * @param proposals maximum number of proposals to voters that consider themselves leader
+ * @param reads maximum number of read requests
+ * @param changes maximum number of membership changes: a voter is removed, or the spare one added
+ * @param setup steps played before the exploration, as a schedule
+ * @param maxStates number of states after which the exploration is abandoned as too large
  */
 public record Scenario(
     int voters,
@@ -27,7 +27,7 @@
     List<String> setup,
     int maxStates,
     VoterFactory factory) {
-  /** 0 leads term 1, and all have heard so. */
+  /** Voter 0 leads term 1, and all voters know it. */
   public static final List<String> LEADER_ELECTED =
       List.of(
           "wakes 0",
--- a/src/main/java/linengauge/consensus/explore/SimulatedFollower.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedFollower.java
@@ -9,7 +9,7 @@
 import linengauge.consensus.RaftMessage;
 import linengauge.consensus.Voters;
 
-/** A front of a simulated cluster that follows without a vote, and proposes. */
+/** A non-voting process of a simulated cluster that follows the log and proposes entries. */
 final class SimulatedFollower extends SimulatedProcess implements LogFollower.Port {
   private static final long PROPOSAL_NUMBERS_PER_INCARNATION = 1_000_000L;
 
@@ -22,7 +22,7 @@
     super(cluster, number, random);
   }
 
-  /** Begins with nothing but the addresses of voters. */
+  /** Starts with no state but the addresses of the voters. */
   void start(SortedMap<Integer, String> addresses) {
     machine = new NumberLog(cluster().invariants()::checkApplied);
     checkedIndex = 0;
--- a/src/main/java/linengauge/consensus/explore/SimulatedNetwork.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedNetwork.java
@@ -7,7 +7,7 @@
 import linengauge.consensus.RaftMessage;
 import linengauge.virtualtime.EventQueue;
 
-/** Carries messages between simulated processes: loses, delays, reorders and doubles them. */
+/** Network between simulated processes: loses, delays, reorders and duplicates messages. */
 final class SimulatedNetwork {
   private static final int MIN_DELAY_MICROS = 200;
   private static final int USUAL_JITTER_MICROS = 3_000;
--- a/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
@@ -3,9 +3,7 @@
 import java.util.SplittableRandom;
 import linengauge.Moment;
 
-/**
- * A process of a simulated cluster: its clock is off and runs fast or slow, and it may stand still.
- */
+/** A process of a simulated cluster, whose clock has an offset and a drift, and which may pause. */
 abstract class SimulatedProcess {
   private static final long MAX_CLOCK_OFFSET_MICROS = 60_000_000L;
 
@@ -36,20 +34,20 @@
     return up;
   }
 
-  /** The process ends: what it was about to do is not done. */
+  /** Ends the process; its scheduled tasks are dropped. */
   void crash() {
     up = false;
     incarnation++;
   }
 
-  /** The process is there, in a life of its own. */
+  /** Marks the process as running in a new incarnation, without its earlier tasks. */
   void startIncarnation() {
     incarnation++;
     up = true;
     timerAt = null;
   }
 
-  /** What its own clock shows. */
+  /** The time on the process's own clock. */
   Moment clock() {
     return new Moment((long) (cluster.now().micros() * clockRate) + clockOffset);
   }
@@ -59,15 +57,15 @@
     return new Moment((long) micros + 1).orLater(cluster.now());
   }
 
-  /** The moment, by its own clock, at which it wants to be stepped. */
+  /** The time on its own clock at which {@link #step} is due. */
   abstract Moment next();
 
   abstract void step();
 
-  /** Judges what it holds now. */
+  /** Checks its present state. */
   abstract void checkInvariants();
 
-  /** Sets its timer anew where it is to be stepped sooner than that says. */
+  /** Reschedules the timer if the next step is due earlier. */
   void updateTimer() {
     Moment at = trueTime(next());
     if (timerAt != null && !at.before(timerAt)) {
@@ -89,7 +87,7 @@
     step();
   }
 
-  /** One that stands still reads and steps when it goes on. */
+  /** Runs the task now, or when the process resumes if it is paused. */
   void run(Runnable task) {
     Moment now = cluster.now();
     Moment until = cluster.faults().frozenUntil(number, now);
--- a/src/main/java/linengauge/consensus/explore/SimulatedVoter.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedVoter.java
@@ -30,7 +30,7 @@
     this.disk = disk;
   }
 
-  /** Begins with what is on its disk. */
+  /** Starts from the state on its disk. */
   void start() {
     startIncarnation();
     machine = new NumberLog(cluster().invariants()::checkApplied);
@@ -39,14 +39,14 @@
     updateTimer();
   }
 
-  /** Begins anew with another disk. */
+  /** Restarts with another disk. */
   void startWith(PersistentState other) {
     disk = other;
     checkedIndex = 0;
     start();
   }
 
-  /** The number of the store on its disk. */
+  /** The identifier of the store on its disk. */
   long store() {
     return disk.store();
   }
@@ -55,12 +55,12 @@
     return node.role() == RaftNode.Role.LEADER;
   }
 
-  /** From another voter. */
+  /** Receives a message from another voter. */
   void receive(RaftMessage message) {
     node.heard(clock(), message);
   }
 
-  /** From a follower. */
+  /** Receives a request from a follower. */
   void receiveRequest(int follower, RaftMessage message) {
     node.ask(clock(), follower, message);
   }
@@ -78,7 +78,7 @@
   @Override
   public void save(PersistentState saved) throws SaveFailedException {
     if (cluster().faults().isOn(Fault.Kind.DISK_FULL, number(), cluster().now())) {
-      throw new SaveFailedException("no place", null);
+      throw new SaveFailedException("no space left on disk", null);
     }
     disk = PersistentState.read(saved.bytes());
   }
--- a/src/main/java/linengauge/consensus/explore/VoterFactory.java
+++ b/src/main/java/linengauge/consensus/explore/VoterFactory.java
@@ -5,7 +5,7 @@
 import linengauge.consensus.RaftSettings;
 import linengauge.consensus.StateMachine;
 
-/** Makes voters: the real ones, or ones that lack a guard, to see what it guards. */
+/** Creates voters: real ones, or ones without a safety guard, to show what it prevents. */
 public interface VoterFactory {
   VoterFactory REAL = new VoterFactory() {};
 
@@ -23,7 +23,7 @@
     return new CopiedVoter(original, machine, port);
   }
 
-  /** A voter that can be made again from another. */
+  /** A voter created as a copy of another. */
   class CopiedVoter extends RaftNode {
     public CopiedVoter(RaftNode original, StateMachine machine, Port port) {
       super(original, machine, port);
--- a/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
+++ b/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Voters and followers in virtual time, from seeds: crashed, frozen, cut off, late, with full and
- * emptied disks.
+ * Runs voters and followers in virtual time from seeds, with crashes, pauses, partitions, delays,
+ * and full and lost disks.
  */
 class ClusterSimulationTest {
   private static final Span END = Span.ofSeconds(20);
@@ -30,11 +30,14 @@
       assertEquals(
           List.of(),
           outcome.violations(),
-          "seed " + seed + ", shortest: " + minimize(seed, voters, faults, VoterFactory.REAL));
+          "seed "
+              + seed
+              + ", minimal faults: "
+              + minimize(seed, voters, faults, VoterFactory.REAL));
     }
   }
 
-  /** With each fault left out that is not needed for a rule to break. */
+  /** Removes each fault that is not needed for a violation. */
   private static List<Fault> minimize(
       long seed, int voters, List<Fault> faults, VoterFactory factory) {
     List<Fault> remaining = new ArrayList<>(faults);
@@ -49,7 +52,8 @@
   }
 
   private static Fault fault(Fault.Kind kind, int target, int peer, double from, double to) {
-    return new Fault(kind, target, peer, new Moment((long) (from * 1e6)), new Moment((long) (to * 1e6)));
+    return new Fault(
+        kind, target, peer, new Moment((long) (from * 1e6)), new Moment((long) (to * 1e6)));
   }
 
   @Test
@@ -63,8 +67,8 @@
   }
 
   /**
-   * Not shown by a rule of safety: without it a leader that nobody hears goes on taking itself for
-   * one.
+   * No safety invariant covers this: without the quorum check, a leader that receives no answers
+   * remains leader.
    */
   @Test
   void isolatedLeaderStepsDown() {
@@ -77,7 +81,9 @@
             .under(Span.ofSeconds(3)));
   }
 
-  /** Every voter mute in turn, so that whoever leads is too; it hears all the same. */
+  /**
+   * Every voter in turn receives no messages, so that the leader is affected too; it still sends.
+   */
   private static List<Fault> eachVoterDeafInTurn() {
     List<Fault> all = new ArrayList<>();
     for (int voter = 0; voter < 3; voter++) {
@@ -86,7 +92,7 @@
     return all;
   }
 
-  /** One that hears nobody for a while comes back without deposing whoever leads. */
+  /** A voter that received no messages for a while rejoins without deposing the leader. */
   @Test
   void preVotePreventsNeedlessElections() {
     int elections = 0;
@@ -94,15 +100,18 @@
     for (int seed = 1; seed <= 10; seed++) {
       for (int voter = 0; voter < 3; voter++) {
         List<Fault> deaf =
-            List.of(fault(Fault.Kind.DEAF, voter, 0, 5, 9), fault(Fault.Kind.DEAF, voter, 0, 12, 16));
+            List.of(
+                fault(Fault.Kind.DEAF, voter, 0, 5, 9), fault(Fault.Kind.DEAF, voter, 0, 12, 16));
         elections += run(seed, 3, deaf, VoterFactory.REAL).elections();
-        electionsWithoutPreVote += run(seed, 3, deaf, UnguardedVoter.factory(Guard.PRE_VOTE)).elections();
+        electionsWithoutPreVote +=
+            run(seed, 3, deaf, UnguardedVoter.factory(Guard.PRE_VOTE)).elections();
       }
     }
-    assertTrue(electionsWithoutPreVote > elections * 1.5, elections + " elections, and " + electionsWithoutPreVote + " without asking first");
+    assertTrue(
+        electionsWithoutPreVote > elections * 1.5,
+        elections + " elections, and " + electionsWithoutPreVote + " without pre-vote");
   }
 
-  /** The same seed plays the same. */
   @Test
   void sameSeedGivesSameOutcome() {
     List<Fault> faults = Fault.generate(7, 3, 4, 6, END);
--- a/src/test/java/linengauge/consensus/explore/ExplorerTest.java
+++ b/src/test/java/linengauge/consensus/explore/ExplorerTest.java
@@ -11,15 +11,16 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Three voters through every schedule to a depth; and guards taken out, each of which a schedule
- * must find. Voters that do not ask first whether they could win have shorter schedules; no rule
- * rests on their asking.
+ * Explores every schedule of three voters up to a depth. For each safety guard that is removed, the
+ * exploration must find a violation. Most tests run without pre-vote: it makes schedules longer,
+ * and no invariant depends on it.
  */
 class ExplorerTest {
   private static final VoterFactory WITHOUT_PRE_VOTE = UnguardedVoter.factory(Guard.PRE_VOTE);
 
   /**
-   * Entry 2 of term 1 at 0 alone, entry 2 of term 2 at 2 alone, 0 leads term 3 (Raft, figure 8, c).
+   * Entry 2 of term 1 is on voter 0 alone, entry 2 of term 2 on voter 2 alone, and voter 0 leads
+   * term 3 (Raft paper, figure 8, c).
    */
   private static final List<String> FIGURE_8 =
       plus(
@@ -47,12 +48,14 @@
     assertTrue(outcome.states() > 1000, () -> outcome.toString());
   }
 
-  /** Broken without the guard; and by the very schedule that breaks it nothing is with it. */
+  /** A violation is found without the guard, and none in the same scenario with it. */
   private static void assertGuardIsNeeded(Guard guard, Scenario scenario, String rule) {
-    Explorer.Outcome outcome = Explorer.explore(scenario.withFactory(UnguardedVoter.factory(Guard.PRE_VOTE, guard)));
+    Explorer.Outcome outcome =
+        Explorer.explore(scenario.withFactory(UnguardedVoter.factory(Guard.PRE_VOTE, guard)));
     assertNotNull(outcome.violation(), outcome::toString);
     assertTrue(
-        outcome.violation().description().startsWith(rule) || outcome.violation().description().contains(rule),
+        outcome.violation().description().startsWith(rule)
+            || outcome.violation().description().contains(rule),
         outcome.violation()::toString);
     Explorer.Outcome guarded = Explorer.explore(scenario);
     assertNull(guarded.violation(), () -> guarded.violation().toString());
@@ -60,17 +63,21 @@
 
   @Test
   void invariantsHoldFromInitialState() {
-    assertInvariantsHold(new Scenario(3, 8, 3, 1, 1, 1, 0, false, List.of(), 2_000_000, WITHOUT_PRE_VOTE));
+    assertInvariantsHold(
+        new Scenario(3, 8, 3, 1, 1, 1, 0, false, List.of(), 2_000_000, WITHOUT_PRE_VOTE));
   }
 
   @Test
   void invariantsHoldWithPreVote() {
-    assertInvariantsHold(new Scenario(3, 8, 3, 1, 0, 0, 0, false, List.of(), 2_000_000, VoterFactory.REAL));
+    assertInvariantsHold(
+        new Scenario(3, 8, 3, 1, 0, 0, 0, false, List.of(), 2_000_000, VoterFactory.REAL));
   }
 
   @Test
   void invariantsHoldAfterLeaderElection() {
-    assertInvariantsHold(new Scenario(3, 5, 2, 1, 1, 1, 1, true, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE));
+    assertInvariantsHold(
+        new Scenario(
+            3, 5, 2, 1, 1, 1, 1, true, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE));
   }
 
   @Test
@@ -78,7 +85,7 @@
     assertGuardIsNeeded(
         Guard.SAVES,
         new Scenario(3, 8, 2, 1, 0, 0, 0, false, List.of(), 2_000_000, WITHOUT_PRE_VOTE),
-        "two led term");
+        "two leaders in term");
   }
 
   @Test
@@ -86,7 +93,7 @@
     assertGuardIsNeeded(
         Guard.STORES,
         new Scenario(3, 8, 2, 1, 0, 0, 0, true, List.of(), 2_000_000, WITHOUT_PRE_VOTE),
-        "two led term");
+        "two leaders in term");
   }
 
   @Test
@@ -101,7 +108,8 @@
   void readIsAnsweredAfterMajorityConfirmsLeader() {
     assertGuardIsNeeded(
         Guard.FRESH,
-        new Scenario(3, 7, 2, 0, 0, 1, 0, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
+        new Scenario(
+            3, 7, 2, 0, 0, 1, 0, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
         "stale");
   }
 
@@ -109,13 +117,14 @@
   void membershipChangesOneStepAtATime() {
     assertGuardIsNeeded(
         Guard.ONE_CHANGE,
-        new Scenario(3, 6, 1, 0, 0, 0, 2, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
+        new Scenario(
+            3, 6, 1, 0, 0, 0, 2, false, Scenario.LEADER_ELECTED, 2_000_000, WITHOUT_PRE_VOTE),
         "without entry");
   }
 
   /**
-   * Four voters, and a fifth that comes (Ongaro 2015): 0's step is at 0 and 4, 1's at 1 and 2, and
-   * their majorities have nobody in common.
+   * Four voters and a fifth to be added (Ongaro 2015): the change of voter 0 is on 0 and 4, that of
+   * voter 1 on 1 and 2, and their majorities do not intersect.
    */
   private static final List<String> CONCURRENT_MEMBERSHIP_CHANGES =
       List.of(
@@ -168,9 +177,11 @@
             0,
             UnguardedVoter.factory(Guard.PRE_VOTE, Guard.COMMIT_IN_OWN_TERM));
     assertEquals(
-        "0 leads term 3 without entry 2, which was decided in term 2",
+        "0 leads term 3 without entry 2, which was committed in term 2",
         new ModelState(scenario).play(CONCURRENT_MEMBERSHIP_CHANGES, true));
-    assertNull(new ModelState(scenario.withFactory(WITHOUT_PRE_VOTE)).play(CONCURRENT_MEMBERSHIP_CHANGES, false));
+    assertNull(
+        new ModelState(scenario.withFactory(WITHOUT_PRE_VOTE))
+            .play(CONCURRENT_MEMBERSHIP_CHANGES, false));
   }
 
   @Test
--- a/src/test/java/linengauge/consensus/explore/UnguardedVoter.java
+++ b/src/test/java/linengauge/consensus/explore/UnguardedVoter.java
@@ -9,9 +9,9 @@
 import linengauge.consensus.StateMachine;
 import linengauge.consensus.Voters;
 
-/** A voter with some of its guards taken out. */
+/** A voter with some of its safety guards removed. */
 final class UnguardedVoter extends RaftNode {
-  /** What can be taken out. */
+  /** The guards that can be removed. */
   enum Guard {
     PRE_VOTE,
     SAVES,
@@ -37,7 +37,8 @@
     this.removedGuards = removedGuards;
   }
 
-  private UnguardedVoter(Set<Guard> removedGuards, RaftNode original, StateMachine machine, Port port) {
+  private UnguardedVoter(
+      Set<Guard> removedGuards, RaftNode original, StateMachine machine, Port port) {
     super(original, machine, port);
     this.removedGuards = removedGuards;
   }
