--- a/src/main/java/linengauge/cli/ControlCommand.java
+++ b/src/main/java/linengauge/cli/ControlCommand.java
@@ -143,7 +143,7 @@
       }
 
       @Override
-      public void stands(ConsensusNode.View view) {
+      public void logViewChanged(ConsensusNode.View view) {
         logger.info("{} in term {}, leader {}", view.role(), view.term(), view.leader());
       }
     };
--- a/src/main/java/linengauge/drill/ControlProcess.java
+++ b/src/main/java/linengauge/drill/ControlProcess.java
@@ -116,7 +116,7 @@
       }
 
       @Override
-      public void stands(ConsensusNode.View view) {
+      public void logViewChanged(ConsensusNode.View view) {
         record.line(
             "stands",
             "\"role\":\""
@@ -133,7 +133,7 @@
     try {
       while (true) {
         Thread.sleep(EACH_MS);
-        node.ask((directory, registrar) -> look(node, directory, registrar));
+        node.query((directory, registrar) -> look(node, directory, registrar));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -147,7 +147,7 @@
     if (lease == null) {
       record.line("combined", combined(List.of()));
     } else {
-      lease.ask(this::look);
+      lease.query(this::look);
     }
   }
 
--- a/src/main/java/linengauge/front/FleetLease.java
+++ b/src/main/java/linengauge/front/FleetLease.java
@@ -86,7 +86,7 @@
 
   /** Tells how it stands now, on whatever thread; at once where it takes no part. */
   void state(Consumer<JsonObject> then) {
-    if (node == null || !node.ask(agent -> then.accept(state(agent, DatagramLoop.now())))) {
+    if (node == null || !node.query(agent -> then.accept(state(agent, DatagramLoop.now())))) {
       then.accept(new JsonObject());
     }
   }
--- a/src/main/java/linengauge/lease/explore/Conditions.java
+++ b/src/main/java/linengauge/lease/explore/Conditions.java
@@ -104,19 +104,19 @@
     return regionCut[region] > 0;
   }
 
-  boolean regionCutSince(int region, Moment since) {
+  boolean wasRegionCutSince(int region, Moment since) {
     return regionCut[region] > 0 || !lastRegionCut[region].before(since);
   }
 
   /** Anything was wrong with the party itself since then. */
-  boolean ailedSince(int party, Moment since) {
+  boolean wasFaultySince(int party, Moment since) {
     return faults[party] > 0 || !lastFault[party].before(since);
   }
 
   /**
    * For how long, all faults of the party itself together, anything was wrong with it since then.
    */
-  Span ailedFor(int party, Moment since, Moment now) {
+  Span faultDuration(int party, Moment since, Moment now) {
     Span sum = Span.NONE;
     for (Fault fault : begun.getOrDefault(party, List.of())) {
       boolean ofParty = fault.kind() != Fault.Kind.CUT && fault.kind() != Fault.Kind.REGION_CUT;
@@ -128,7 +128,7 @@
   }
 
   /** A way between the two, in one direction at least, was cut on its own since then. */
-  boolean wayCutSince(int a, int b, Moment since) {
+  boolean wasLinkCutSince(int a, int b, Moment since) {
     return wayCut(way(a, b), since) || wayCut(way(b, a), since);
   }
 
--- a/src/main/java/linengauge/lease/explore/Deaths.java
+++ b/src/main/java/linengauge/lease/explore/DetectionTracker.java
@@ -13,7 +13,7 @@
  * Who has learned of each life that began, ended or left, and how long after. An end without a word
  * has to be known everywhere within a bound.
  */
-final class Deaths {
+final class DetectionTracker {
   /** After the control machines' last fault it may take so long until one leads again. */
   private static final Span ELECTION = Span.ofSeconds(6);
 
@@ -27,14 +27,14 @@
   private static final Span LONGEST_LOADING = Span.ofSeconds(20);
 
   /** A life that ended. */
-  private static final class Death {
+  private static final class EndedLife {
     private final int number;
     private final long incarnation;
     private final Moment at;
     private final boolean left;
     private final BitSet known = new BitSet();
 
-    private Death(int number, long incarnation, Moment at, boolean left) {
+    private EndedLife(int number, long incarnation, Moment at, boolean left) {
       this.number = number;
       this.incarnation = incarnation;
       this.at = at;
@@ -44,7 +44,7 @@
 
   private final LeaseSimulation simulation;
   private final Judge judge;
-  private final Map<Integer, Death> open = new HashMap<>();
+  private final Map<Integer, EndedLife> open = new HashMap<>();
   private final Moment[] beganAt;
   private final DelayHistogram ends = new DelayHistogram();
   private final DelayHistogram leavings = new DelayHistogram();
@@ -54,7 +54,7 @@
   private int expectedBeginnings;
   private int failures;
 
-  Deaths(LeaseSimulation simulation, Judge judge) {
+  DetectionTracker(LeaseSimulation simulation, Judge judge) {
     this.simulation = simulation;
     this.judge = judge;
     this.beganAt = new Moment[Topology.front(simulation.schedule().fronts())];
@@ -109,13 +109,13 @@
   }
 
   void ended(SimulatedFront front) {
-    Death before = open.get(front.number);
+    EndedLife before = open.get(front.number);
     boolean said = before != null && before.incarnation == front.agent().incarnation();
     if (!said) {
       open(front, false);
     }
     beganAt[front.number] = null;
-    for (Death death : open.values()) {
+    for (EndedLife death : open.values()) {
       if (!death.known.get(front.number)) {
         expected(death, -1); // it needs to learn no more
         death.known.set(front.number);
@@ -123,14 +123,14 @@
     }
   }
 
-  private void expected(Death death, int more) {
+  private void expected(EndedLife death, int more) {
     expectedEnds += death.left ? 0 : more;
     expectedLeavings += death.left ? more : 0;
   }
 
   private void open(SimulatedFront front, boolean left) {
     Moment now = simulation.events().now();
-    Death death = new Death(front.number, front.agent().incarnation(), now, left);
+    EndedLife death = new EndedLife(front.number, front.agent().incarnation(), now, left);
     failures += left ? 0 : 1;
     for (SimulatedFront other : simulation.fronts()) {
       boolean learns = other.isUp() && other != front;
@@ -149,11 +149,11 @@
   }
 
   /** The bound counts from the last fault of the control machines or of ways. */
-  private void later(Death death, Span after) {
+  private void later(EndedLife death, Span after) {
     simulation.events().at(simulation.events().now().plus(after), () -> due(death));
   }
 
-  private void due(Death death) {
+  private void due(EndedLife death) {
     if (open.get(death.number) != death) {
       return;
     }
@@ -179,7 +179,7 @@
     open.remove(death.number);
   }
 
-  private boolean mustKnow(SimulatedFront front, Death death) {
+  private boolean mustKnow(SimulatedFront front, EndedLife death) {
     boolean isCut = simulation.conditions().isRegionCut(Topology.region(front.number));
     return front.isUp()
         && !mayBeLoading(front)
@@ -197,7 +197,7 @@
         && simulation.events().now().since(began).under(LONGEST_LOADING);
   }
 
-  private static boolean holds(SimulatedFront front, Death death) {
+  private static boolean holds(SimulatedFront front, EndedLife death) {
     DirectoryEntry entry = front.agent().view().entry(death.number);
     return entry != null && entry.incarnation() == death.incarnation;
   }
@@ -206,7 +206,7 @@
     int number = entry.member().number();
     boolean present = entry.state() == DirectoryEntry.State.PRESENT;
     Moment now = simulation.events().now();
-    Death death = open.get(number);
+    EndedLife death = open.get(number);
     if (death != null
         && !death.known.get(front.number)
         && (entry.incarnation() > death.incarnation
--- a/src/main/java/linengauge/lease/explore/Judge.java
+++ b/src/main/java/linengauge/lease/explore/Judge.java
@@ -45,7 +45,7 @@
   private final Map<Long, Moment> reachedAt = new HashMap<>();
 
   private final DirectoryEntry[] listed;
-  private final Deaths deaths;
+  private final DetectionTracker deaths;
   private long version;
   private int expiries;
   private int supersessions;
@@ -55,7 +55,7 @@
     this.conditions = simulation.conditions();
     this.events = simulation.events();
     this.listed = new DirectoryEntry[parties];
-    this.deaths = new Deaths(simulation, this);
+    this.deaths = new DetectionTracker(simulation, this);
     digests.put(0L, new MemberDirectory(simulation.settings()).digest());
   }
 
@@ -63,7 +63,7 @@
     return List.copyOf(broken);
   }
 
-  Deaths deaths() {
+  DetectionTracker deaths() {
     return deaths;
   }
 
@@ -157,14 +157,14 @@
   /** Whether what befell the front is a cause for its expiry. */
   private boolean hasCause(SimulatedFront front) {
     Moment since = events.now().minus(simulation.settings().lease().plus(SLACK));
-    Span own = conditions.ailedFor(front.number, since, events.now());
+    Span own = conditions.faultDuration(front.number, since, events.now());
     return BLIP.under(own) || controlsOutOfReach(front, since) > CONTROLS_BORNE;
   }
 
   /** Whether anything that it need not bear befell the front within a lease and some slack. */
   boolean ailed(SimulatedFront front) {
     Moment since = events.now().minus(simulation.settings().lease().plus(SLACK));
-    return conditions.ailedSince(front.number, since)
+    return conditions.wasFaultySince(front.number, since)
         || controlsOutOfReach(front, since) > CONTROLS_BORNE;
   }
 
@@ -172,8 +172,8 @@
     long many = 0;
     for (int control = 0; control < Topology.CONTROLS; control++) {
       boolean ails =
-          conditions.ailedSince(control, since)
-              || conditions.wayCutSince(front.number, control, since)
+          conditions.wasFaultySince(control, since)
+              || conditions.wasLinkCutSince(front.number, control, since)
               || wayToControlsCut(control, since)
               || otherRegionCut(front, control, since);
       many += ails ? 1 : 0;
@@ -184,12 +184,12 @@
   /** A front of a region that is cut off stays listed: that its own is cut is no reason. */
   private boolean otherRegionCut(SimulatedFront front, int control, Moment since) {
     int region = Topology.region(control);
-    return region != Topology.region(front.number) && conditions.regionCutSince(region, since);
+    return region != Topology.region(front.number) && conditions.wasRegionCutSince(region, since);
   }
 
   private boolean wayToControlsCut(int control, Moment since) {
     for (int other = 0; other < Topology.CONTROLS; other++) {
-      if (other != control && conditions.wayCutSince(control, other, since)) {
+      if (other != control && conditions.wasLinkCutSince(control, other, since)) {
         return true;
       }
     }
--- a/src/main/java/linengauge/lease/explore/LeaseSimulation.java
+++ b/src/main/java/linengauge/lease/explore/LeaseSimulation.java
@@ -60,7 +60,7 @@
   private final SplittableRandom chance;
   private final EventQueue events = new EventQueue();
   private final Conditions conditions;
-  private final Ways ways;
+  private final SimulatedNetwork ways;
   private final Judge judge;
   private final List<SimulatedControl> controls = new ArrayList<>();
   private final List<SimulatedFront> fronts = new ArrayList<>();
@@ -80,7 +80,7 @@
     this.maker = maker;
     this.chance = new SplittableRandom(schedule.seed() ^ SALT);
     this.conditions = new Conditions(parties);
-    this.ways = new Ways(conditions, events, chance.split());
+    this.ways = new SimulatedNetwork(conditions, events, chance.split());
     this.judge = new Judge(this, parties);
     this.frontTraffic = new TrafficMeter(schedule.fronts());
     makeControls();
@@ -196,9 +196,9 @@
     received(to, bytes.length);
     LeaseMessage message = LeaseCodec.read(bytes, bytes.length);
     if (receiver instanceof SimulatedFront front) {
-      front.hears(sender, message);
+      front.receive(sender, message);
     } else if (receiver instanceof SimulatedControl control) {
-      control.hears(sender, message);
+      control.receive(sender, message);
     }
   }
 
--- a/src/main/java/linengauge/lease/explore/SimulatedControl.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedControl.java
@@ -100,7 +100,7 @@
     }
   }
 
-  void hears(String from, LeaseMessage message) {
+  void receive(String from, LeaseMessage message) {
     deliver(() -> registrar.heard(clock(), from, message));
   }
 
--- a/src/main/java/linengauge/lease/explore/SimulatedFront.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedFront.java
@@ -113,7 +113,7 @@
     start();
   }
 
-  void hears(String from, LeaseMessage message) {
+  void receive(String from, LeaseMessage message) {
     deliver(
         () -> {
           agent.heard(clock(), from, message);
--- a/src/main/java/linengauge/lease/explore/Ways.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedNetwork.java
@@ -8,7 +8,7 @@
  * The ways between parties: how long what is sent takes, whether it is lost, held up or doubled.
  * Since each datagram takes a time of its own, they overtake each other.
  */
-final class Ways {
+final class SimulatedNetwork {
   private static final int NEAR_LEAST = 200;
   private static final int NEAR_MOST = 5_000;
   private static final int FAR_LEAST = 10_000;
@@ -28,7 +28,7 @@
   private final EventQueue events;
   private final SplittableRandom chance;
 
-  Ways(Conditions conditions, EventQueue events, SplittableRandom chance) {
+  SimulatedNetwork(Conditions conditions, EventQueue events, SplittableRandom chance) {
     this.conditions = conditions;
     this.events = events;
     this.chance = chance;
--- a/src/main/java/linengauge/lease/udp/ControlNode.java
+++ b/src/main/java/linengauge/lease/udp/ControlNode.java
@@ -48,7 +48,7 @@
     void changed(DirectoryEntry entry);
 
     /** On the log's thread: role, term, leader or voters of the log have changed. */
-    void stands(ConsensusNode.View view);
+    void logViewChanged(ConsensusNode.View view);
   }
 
   private final Listener listener;
@@ -112,8 +112,8 @@
     directory = new MemberDirectory(settings.lease());
     channel =
         new SealedChannel(
-            LeaseForm.FORM, settings.listen(), settings.number(), settings.log().key());
-    BiConsumer<String, ConsensusNode.View> stands = (how, view) -> listener.stands(view);
+            LeaseDatagramFormat.FORM, settings.listen(), settings.number(), settings.log().key());
+    BiConsumer<String, ConsensusNode.View> stands = (how, view) -> listener.logViewChanged(view);
     try {
       log =
           new ConsensusNode(
@@ -199,7 +199,7 @@
   }
 
   /** Has it told on the registrar's thread; false where too much waits there. */
-  public boolean ask(BiConsumer<MemberDirectory, Registrar> question) {
+  public boolean query(BiConsumer<MemberDirectory, Registrar> question) {
     return loop.execute(() -> question.accept(directory, registrar));
   }
 
--- a/src/main/java/linengauge/lease/udp/LeaseNode.java
+++ b/src/main/java/linengauge/lease/udp/LeaseNode.java
@@ -19,7 +19,7 @@
 
 /**
  * A front's membership by lease over UDP, on a thread of its own or on a loop that it shares with
- * others. What it knows is asked on that thread ({@link #ask}), so that an answer is never older
+ * others. What it knows is asked on that thread ({@link #query}), so that an answer is never older
  * than the question: a lease that was read before a pause says nothing after it.
  */
 public final class LeaseNode implements AutoCloseable {
@@ -94,7 +94,7 @@
       DatagramLoop shared)
       throws IOException {
     this.own = own;
-    channel = new SealedChannel(LeaseForm.FORM, own.address(), own.number(), key);
+    channel = new SealedChannel(LeaseDatagramFormat.FORM, own.address(), own.number(), key);
     ownLoop = shared == null ? new DatagramLoop("lease") : null;
     loop = shared == null ? ownLoop : shared;
     long clock = System.currentTimeMillis();
@@ -129,7 +129,7 @@
   }
 
   /** Has it told on the node's thread; false where too much waits there. */
-  public boolean ask(Consumer<LeaseAgent> question) {
+  public boolean query(Consumer<LeaseAgent> question) {
     return loop.execute(() -> question.accept(agent));
   }
 
--- a/src/main/java/linengauge/scale/hollow/HollowControl.java
+++ b/src/main/java/linengauge/scale/hollow/HollowControl.java
@@ -82,7 +82,7 @@
       }
 
       @Override
-      public void stands(ConsensusNode.View view) {
+      public void logViewChanged(ConsensusNode.View view) {
         // the directory says who leads
       }
     };
@@ -105,7 +105,7 @@
 
   @Override
   public HollowSample sample(boolean watches, long heapKb) {
-    node.ask((directory, registrar) -> leader = directory.leader());
+    node.query((directory, registrar) -> leader = directory.leader());
     SealedChannel.Traffic udp = node.channel().traffic();
     ConsensusNode.Traffic log = node.logTraffic();
     SealedChannel.Drops drops = node.channel().drops();
--- a/src/main/java/linengauge/scale/hollow/HollowFronts.java
+++ b/src/main/java/linengauge/scale/hollow/HollowFronts.java
@@ -136,7 +136,7 @@
       boolean taken =
           front
               .lease()
-              .ask(
+              .query(
                   agent -> {
                     views.merge(sum(agent, sums), 1, Integer::sum);
                     ownSum[0] += MemberSum.of(front.number(), agent.incarnation());
