--- a/src/main/java/linengauge/lease/explore/Conditions.java
+++ b/src/main/java/linengauge/lease/explore/Conditions.java
@@ -9,8 +9,8 @@
 import linengauge.Span;
 
 /**
- * What is wrong at present with parties and ways, and until when anything was. Faults of one kind
- * may overlap: each is counted.
+ * The present faults of processes and links, and when the last of them ended. Faults of one kind
+ * may overlap, so each is counted.
  */
 final class Conditions {
   private final int[] mute;
@@ -70,7 +70,7 @@
       case LOSS -> lossy[party] += by;
       case DISK_FULL -> diskFull[party] += by;
       default -> {
-        // of the process, not of its ways
+        // a fault of the process, not of its links
       }
     }
   }
@@ -79,7 +79,7 @@
     return (long) from << 32 | to;
   }
 
-  /** Nothing passes from the one to the other. */
+  /** Whether nothing passes from the one process to the other. */
   boolean isCut(int from, int to) {
     if (from == to) {
       return false;
@@ -108,14 +108,12 @@
     return regionCut[region] > 0 || !lastRegionCut[region].before(since);
   }
 
-  /** Anything was wrong with the party itself since then. */
+  /** Whether the process itself has had any fault since then. */
   boolean wasFaultySince(int party, Moment since) {
     return faults[party] > 0 || !lastFault[party].before(since);
   }
 
-  /**
-   * For how long, all faults of the party itself together, anything was wrong with it since then.
-   */
+  /** The summed duration of all faults of the process itself since then. */
   Span faultDuration(int party, Moment since, Moment now) {
     Span sum = Span.NONE;
     for (Fault fault : begun.getOrDefault(party, List.of())) {
@@ -127,7 +125,7 @@
     return sum;
   }
 
-  /** A way between the two, in one direction at least, was cut on its own since then. */
+  /** Whether the link between the two was cut in at least one direction since then. */
   boolean wasLinkCutSince(int a, int b, Moment since) {
     return wayCut(way(a, b), since) || wayCut(way(b, a), since);
   }
@@ -137,7 +135,7 @@
     return last != null && (cuts.getOrDefault(way, 0) > 0 || !last.before(since));
   }
 
-  /** When a fault of a control machine, of a single way or of a region last began or ended. */
+  /** When a fault of a control machine, of a single link or of a region last began or ended. */
   Moment lastControlChange() {
     return lastControlChange;
   }
--- a/src/main/java/linengauge/lease/explore/DelayHistogram.java
+++ b/src/main/java/linengauge/lease/explore/DelayHistogram.java
@@ -4,47 +4,47 @@
 import linengauge.Span;
 import linengauge.membership.explore.DetectionFigures;
 
-/** Delays, counted in steps of ten milliseconds, so that millions of them take little room. */
+/** Counts delays in buckets of ten milliseconds, so that millions of them take little memory. */
 final class DelayHistogram {
-  private static final int STEP_MICROS = 10_000;
-  private static final int STEPS = 60_000;
-  private static final double HIGH = 0.99;
+  private static final int BUCKET_MICROS = 10_000;
+  private static final int BUCKETS = 60_000;
+  private static final double HIGH_QUANTILE = 0.99;
 
-  private final int[] counts = new int[STEPS];
-  private int all;
+  private final int[] counts = new int[BUCKETS];
+  private int total;
   private double sum;
   private Span longest = Span.NONE;
 
   void clear() {
     Arrays.fill(counts, 0);
-    all = 0;
+    total = 0;
     sum = 0;
     longest = Span.NONE;
   }
 
   void add(Span delay) {
-    int step = (int) Math.min(STEPS - 1, delay.micros() / STEP_MICROS);
-    counts[step]++;
-    all++;
+    int bucket = (int) Math.min(BUCKETS - 1, delay.micros() / BUCKET_MICROS);
+    counts[bucket]++;
+    total++;
     sum += delay.seconds();
     longest = longest.orMore(delay);
   }
 
   /**
-   * @param expected delays there had to be
+   * @param expected how many delays should have been recorded
    */
   DetectionFigures figures(int expected) {
-    Span mean = Span.ofSeconds(all == 0 ? 0 : sum / all);
-    return new DetectionFigures(expected, all, mean, high().orLess(longest), longest);
+    Span mean = Span.ofSeconds(total == 0 ? 0 : sum / total);
+    return new DetectionFigures(expected, total, mean, highQuantile().orLess(longest), longest);
   }
 
-  private Span high() {
-    int rank = (int) Math.ceil(HIGH * all);
+  private Span highQuantile() {
+    int rank = (int) Math.ceil(HIGH_QUANTILE * total);
     int seen = 0;
-    for (int step = 0; step < STEPS; step++) {
-      seen += counts[step];
+    for (int bucket = 0; bucket < BUCKETS; bucket++) {
+      seen += counts[bucket];
       if (seen >= rank) {
-        return new Span((step + 1L) * STEP_MICROS);
+        return new Span((bucket + 1L) * BUCKET_MICROS);
       }
     }
     return longest;
--- a/src/main/java/linengauge/lease/explore/DetectionTracker.java
+++ b/src/main/java/linengauge/lease/explore/DetectionTracker.java
@@ -10,20 +10,20 @@
 import linengauge.membership.explore.DetectionFigures;
 
 /**
- * Who has learned of each life that began, ended or left, and how long after. An end without a word
- * has to be known everywhere within a bound.
+ * Tracks which fronts have learned of each life that began, ended or left, and after what delay. An
+ * unannounced end must be known everywhere within a bound.
  */
 final class DetectionTracker {
-  /** After the control machines' last fault it may take so long until one leads again. */
+  /** Time until a control machine leads again after the last fault of the control machines. */
   private static final Span ELECTION = Span.ofSeconds(6);
 
   /**
-   * Beyond a lease: until the next exchange of evidence, the decision, its way to each control
-   * machine, and the next heartbeat of each front.
+   * Allowance beyond a lease: the next exchange of evidence, the decision, its replication to each
+   * control machine, and the next heartbeat of each front.
    */
   private static final Span SPREADING = Span.ofSeconds(4);
 
-  /** So long a front may take to load its first copy of the directory of 1,800 members. */
+  /** Time that a front may take to load its first copy of the directory of 1,800 members. */
   private static final Span LONGEST_LOADING = Span.ofSeconds(20);
 
   /** A life that ended. */
@@ -64,22 +64,22 @@
     return failures;
   }
 
-  /** How soon an end without a word was known. */
+  /** Delays until unannounced ends were known. */
   DetectionFigures ends() {
     return ends.figures(expectedEnds);
   }
 
-  /** How soon it was known that a front left. */
+  /** Delays until it was known that fronts had left. */
   DetectionFigures leavings() {
     return leavings.figures(expectedLeavings);
   }
 
-  /** How soon it was known that a life began. */
+  /** Delays until it was known that lives had begun. */
   DetectionFigures beginnings() {
     return beginnings.figures(expectedBeginnings);
   }
 
-  /** Forgets what was measured until now. */
+  /** Discards all measurements so far. */
   void measureFromNow() {
     ends.clear();
     leavings.clear();
@@ -91,9 +91,9 @@
   }
 
   /**
-   * A life of the front begins.
+   * Records that a life of the front begins.
    *
-   * @param fresh the front holds nothing, and has to learn of all others as well
+   * @param fresh whether the front has no copy of the directory and must learn of all others too
    */
   void begins(SimulatedFront front, boolean fresh) {
     for (SimulatedFront other : simulation.fronts()) {
@@ -117,7 +117,7 @@
     beganAt[front.number] = null;
     for (EndedLife death : open.values()) {
       if (!death.known.get(front.number)) {
-        expected(death, -1); // it needs to learn no more
+        expected(death, -1); // an ended front need not learn of it any more
         death.known.set(front.number);
       }
     }
@@ -148,7 +148,7 @@
     return simulation.settings().lease().plus(SPREADING);
   }
 
-  /** The bound counts from the last fault of the control machines or of ways. */
+  /** Schedules the check of the bound, which counts from the last control or link fault. */
   private void later(EndedLife death, Span after) {
     simulation.events().at(simulation.events().now().plus(after), () -> due(death));
   }
@@ -158,7 +158,7 @@
       return;
     }
     if (simulation.conditions().isRegionCut(Topology.region(death.number))) {
-      later(death, bound()); // the others cannot tell it from the whole region's silence
+      later(death, bound()); // the others cannot distinguish it from the loss of the whole region
       return;
     }
     Moment now = simulation.events().now();
@@ -188,7 +188,7 @@
         && !judge.ailed(front);
   }
 
-  /** A front that has not its first whole copy yet says so, and need not know for a while. */
+  /** Whether the front still loads its first copy, as it reports; it need not know until then. */
   private boolean mayBeLoading(SimulatedFront front) {
     boolean starting = front.agent().mode(front.clock()) == LeaseAgent.Mode.STARTING;
     Moment began = beganAt[front.number];
--- a/src/main/java/linengauge/lease/explore/DriftingClock.java
+++ b/src/main/java/linengauge/lease/explore/DriftingClock.java
@@ -3,28 +3,29 @@
 import java.util.SplittableRandom;
 import linengauge.Moment;
 
-/** A process's own clock: it shows another time than the true one, and runs fast or slow. */
+/** A process's own clock, which is offset from the true time and runs fast or slow. */
 final class DriftingClock {
-  private static final long MOST_OFF_MICROS = 60_000_000;
+  private static final long MAX_OFFSET_MICROS = 60_000_000;
 
-  private final long off;
+  private final long offsetMicros;
   private final double rate;
 
   /**
-   * @param drift by which the rates of two clocks may differ: each is off by half of it at the most
+   * @param drift greatest difference between the rates of two clocks; each deviates by half of it
+   *     at most
    */
   DriftingClock(double drift, SplittableRandom chance) {
-    this.off = chance.nextLong(2 * MOST_OFF_MICROS) - MOST_OFF_MICROS;
+    this.offsetMicros = chance.nextLong(2 * MAX_OFFSET_MICROS) - MAX_OFFSET_MICROS;
     this.rate = 1 + (chance.nextDouble() - 0.5) * drift;
   }
 
-  /** What it shows at that true moment. */
+  /** The clock's reading at the given true time. */
   Moment shown(Moment trueTime) {
-    return new Moment((long) (trueTime.micros() * rate) + off);
+    return new Moment((long) (trueTime.micros() * rate) + offsetMicros);
   }
 
-  /** The true moment from which on it shows that or later. */
+  /** The true time from which on the clock reads the given value or later. */
   Moment trueTime(Moment shown) {
-    return new Moment((long) Math.ceil((shown.micros() - off) / rate) + 1);
+    return new Moment((long) Math.ceil((shown.micros() - offsetMicros) / rate) + 1);
   }
 }
--- a/src/main/java/linengauge/lease/explore/EventQueue.java
+++ b/src/main/java/linengauge/lease/explore/EventQueue.java
@@ -3,44 +3,42 @@
 import java.util.PriorityQueue;
 import linengauge.Moment;
 
-/**
- * What is to happen in virtual time, in order; of one moment, in the order in which it was added.
- */
+/** Events in virtual time, run in order; events of one moment run in the order of insertion. */
 final class EventQueue {
-  private record Event(Moment at, long number, Runnable deed) implements Comparable<Event> {
+  private record Event(Moment at, long sequence, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
       int byTime = at.compareTo(other.at);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
-  /** So many events at one moment are a loop without end. */
-  private static final int MOST_AT_ONCE = 1_000_000;
+  /** More events than this at one moment are taken for an endless loop. */
+  private static final int MAX_EVENTS_AT_ONE_MOMENT = 1_000_000;
 
   private final PriorityQueue<Event> events = new PriorityQueue<>();
   private Moment now = new Moment(0);
-  private long number;
-  private int atOnce;
+  private long nextSequence;
+  private int eventsAtNow;
 
   Moment now() {
     return now;
   }
 
-  void at(Moment when, Runnable deed) {
-    events.add(new Event(when.orLater(now), number++, deed));
+  void at(Moment when, Runnable action) {
+    events.add(new Event(when.orLater(now), nextSequence++, action));
   }
 
-  /** Runs all that is due before that moment, and comes to it. */
+  /** Runs all events due before the given moment and advances the time to it. */
   void runUntil(Moment end) {
     while (!events.isEmpty() && events.peek().at.before(end)) {
       Event event = events.poll();
-      atOnce = event.at.equals(now) ? atOnce + 1 : 0;
-      if (atOnce > MOST_AT_ONCE) {
-        throw new IllegalStateException("no end of events at " + now);
+      eventsAtNow = event.at.equals(now) ? eventsAtNow + 1 : 0;
+      if (eventsAtNow > MAX_EVENTS_AT_ONE_MOMENT) {
+        throw new IllegalStateException("endless loop of events at " + now);
       }
       now = event.at;
-      event.deed.run();
+      event.action.run();
     }
     now = end;
   }
--- a/src/main/java/linengauge/lease/explore/SimulatedNetwork.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedNetwork.java
@@ -5,23 +5,23 @@
 import linengauge.Span;
 
 /**
- * The ways between parties: how long what is sent takes, whether it is lost, held up or doubled.
- * Since each datagram takes a time of its own, they overtake each other.
+ * The network between processes: delays, loses and duplicates what is sent. Each datagram's delay
+ * is drawn independently, so datagrams may be reordered.
  */
 final class SimulatedNetwork {
-  private static final int NEAR_LEAST = 200;
-  private static final int NEAR_MOST = 5_000;
-  private static final int FAR_LEAST = 10_000;
-  private static final int FAR_MOST = 40_000;
+  private static final int MIN_LOCAL_DELAY_MICROS = 200;
+  private static final int MAX_LOCAL_DELAY_MICROS = 5_000;
+  private static final int MIN_REMOTE_DELAY_MICROS = 10_000;
+  private static final int MAX_REMOTE_DELAY_MICROS = 40_000;
 
-  /** One datagram in so many is lost, is doubled, or comes late, where nothing is wrong. */
+  /** Without a fault, one datagram in this many is lost; duplicates and late ones likewise. */
   private static final int LOST_ONE_IN = 1000;
 
-  private static final int DOUBLED_ONE_IN = 50;
+  private static final int DUPLICATED_ONE_IN = 50;
   private static final int LATE_ONE_IN = 200;
-  private static final int LATE_MOST = 150_000;
+  private static final int MAX_EXTRA_DELAY_MICROS = 150_000;
 
-  /** Of a lossy party: so many in a hundred are lost. */
+  /** Loss rate of traffic from and to a lossy process. */
   private static final int LOSSY_PERCENT = 30;
 
   private final Conditions conditions;
@@ -34,21 +34,21 @@
     this.chance = chance;
   }
 
-  /** A datagram; it arrives once, twice or never. */
-  void datagram(int from, int to, Runnable arrives) {
+  /** Sends a datagram, which arrives once, twice or never. */
+  void datagram(int from, int to, Runnable onArrival) {
     if (isLost(from, to) || chance.nextInt(LOST_ONE_IN) == 0) {
       return;
     }
-    events.at(arrival(from, to), arrives);
-    if (chance.nextInt(DOUBLED_ONE_IN) == 0) {
-      events.at(arrival(from, to), arrives);
+    events.at(arrival(from, to), onArrival);
+    if (chance.nextInt(DUPLICATED_ONE_IN) == 0) {
+      events.at(arrival(from, to), onArrival);
     }
   }
 
-  /** A message on a connection: lost only where the way is cut or lossy. */
-  void message(int from, int to, Runnable arrives) {
+  /** Sends a message on a connection; it is lost only if the link is cut or lossy. */
+  void message(int from, int to, Runnable onArrival) {
     if (!isLost(from, to)) {
-      events.at(arrival(from, to), arrives);
+      events.at(arrival(from, to), onArrival);
     }
   }
 
@@ -59,12 +59,15 @@
 
   private Moment arrival(int from, int to) {
     if (from == to) {
-      return events.now().plus(new Span(chance.nextInt(NEAR_LEAST)));
+      return events.now().plus(new Span(chance.nextInt(MIN_LOCAL_DELAY_MICROS)));
     }
     boolean near = Topology.region(from) == Topology.region(to);
-    int delay = near ? between(NEAR_LEAST, NEAR_MOST) : between(FAR_LEAST, FAR_MOST);
+    int delay =
+        near
+            ? between(MIN_LOCAL_DELAY_MICROS, MAX_LOCAL_DELAY_MICROS)
+            : between(MIN_REMOTE_DELAY_MICROS, MAX_REMOTE_DELAY_MICROS);
     boolean late = conditions.isLossy(from, to) || chance.nextInt(LATE_ONE_IN) == 0;
-    return events.now().plus(new Span(delay + (late ? chance.nextInt(LATE_MOST) : 0)));
+    return events.now().plus(new Span(delay + (late ? chance.nextInt(MAX_EXTRA_DELAY_MICROS) : 0)));
   }
 
   private int between(int least, int most) {
--- a/src/main/java/linengauge/lease/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedProcess.java
@@ -6,15 +6,15 @@
 import linengauge.Span;
 
 /**
- * One process of the simulation, with a clock of its own. It may be down, or stand still: then what
- * comes to it waits until it goes on, as far as there is room.
+ * One process of the simulation, with its own clock. It may be down or paused; while it is paused,
+ * incoming messages wait in a bounded buffer.
  */
 abstract class SimulatedProcess {
-  /** Datagrams that wait for a process that stands still; the system drops further ones. */
-  private static final int MOST_UNREAD = 512;
+  /** Datagrams buffered for a paused process; the operating system drops further ones. */
+  private static final int MAX_UNREAD = 512;
 
-  /** A timer is served so much late at the most. */
-  private static final int MOST_LATE_MICROS = 1000;
+  /** Greatest delay with which a timer fires. */
+  private static final int MAX_TIMER_DELAY_MICROS = 1000;
 
   final int number;
   final EventQueue events;
@@ -33,12 +33,12 @@
     this.clock = new DriftingClock(drift, chance);
   }
 
-  /** When it wants to be stepped, by its own clock. */
+  /** When the next step is due, by the process's own clock. */
   abstract Moment next();
 
   abstract void step();
 
-  /** Looks at it after it has done anything. */
+  /** Checks the process's state after each of its actions. */
   abstract void inspect();
 
   final Moment clock() {
@@ -53,7 +53,7 @@
     return events.now().before(frozenUntil);
   }
 
-  /** A new life begins; the caller starts what runs in it. */
+  /** Begins a new life; the caller starts what runs in it. */
   final void goUp() {
     life++;
     up = true;
@@ -80,45 +80,45 @@
   }
 
   private void thawAt(Moment then) {
-    int mine = life;
+    int scheduledLife = life;
     events.at(
         then,
         () -> {
-          if (mine != life) {
+          if (scheduledLife != life) {
             return;
           }
           if (isFrozen()) {
             thawAt(frozenUntil);
             return;
           }
-          while (!unread.isEmpty() && mine == life) {
+          while (!unread.isEmpty() && scheduledLife == life) {
             perform(unread.poll());
           }
           wake();
         });
   }
 
-  /** Something has come that it reads now, or when it goes on. */
-  final void deliver(Runnable deed) {
+  /** Performs the action now, or when the process resumes if it is paused. */
+  final void deliver(Runnable action) {
     if (!up) {
       return;
     }
     if (!isFrozen()) {
-      perform(deed);
-    } else if (unread.size() < MOST_UNREAD) {
-      unread.add(deed);
+      perform(action);
+    } else if (unread.size() < MAX_UNREAD) {
+      unread.add(action);
     }
   }
 
-  private void perform(Runnable deed) {
-    deed.run();
+  private void perform(Runnable action) {
+    action.run();
     if (up) {
       inspect();
       wake();
     }
   }
 
-  /** Sets its timer, unless it is set as early. */
+  /** Sets the timer, unless it is already set for the same moment or an earlier one. */
   final void wake() {
     if (!up) {
       return;
@@ -128,18 +128,18 @@
       return;
     }
     wakesAt = due;
-    int mine = life;
-    Moment served = due.plus(new Span(chance.nextInt(MOST_LATE_MICROS)));
-    events.at(served, () -> timer(mine, due));
+    int scheduledLife = life;
+    Moment served = due.plus(new Span(chance.nextInt(MAX_TIMER_DELAY_MICROS)));
+    events.at(served, () -> timer(scheduledLife, due));
   }
 
-  private void timer(int ofLife, Moment due) {
-    if (ofLife != life || !due.equals(wakesAt)) {
+  private void timer(int scheduledLife, Moment due) {
+    if (scheduledLife != life || !due.equals(wakesAt)) {
       return;
     }
     wakesAt = null;
     if (isFrozen()) {
-      return; // it is stepped by itself when it goes on
+      return; // resuming sets the timer again
     }
     if (!clock().before(next())) {
       perform(this::step);
--- a/src/main/java/linengauge/lease/explore/Topology.java
+++ b/src/main/java/linengauge/lease/explore/Topology.java
@@ -6,8 +6,8 @@
 import linengauge.membership.Member;
 
 /**
- * Where everybody stands: six zones in three regions, one control machine in each zone, and the
- * fronts dealt out to the zones in turn. Control machines have the lowest numbers; the last of them
+ * Placement of the processes: six zones in three regions, one control machine in each zone, and the
+ * fronts assigned to the zones in turn. Control machines have the lowest numbers; the last of them
  * has no vote.
  */
 final class Topology {
@@ -16,7 +16,7 @@
   static final int CONTROLS = ZONES;
   static final int VOTERS = 5;
 
-  /** The fronts' numbers begin here. */
+  /** The lowest number of a front. */
   static final int FIRST_FRONT = 16;
 
   private Topology() {}
--- a/src/main/java/linengauge/lease/udp/ControlNode.java
+++ b/src/main/java/linengauge/lease/udp/ControlNode.java
@@ -21,19 +21,19 @@
 import linengauge.udp.SealedChannel;
 
 /**
- * A control machine: the registrar over UDP on one thread, beside its part in the log on another
- * ({@link ConsensusNode}). Decisions, and the ends of proposals, hop from the log's thread to the
- * registrar's through bounded queues.
+ * A control machine: runs the registrar over UDP on one thread and its share of the replicated log
+ * ({@link ConsensusNode}) on another. Decisions and the outcomes of proposals are passed from the
+ * log's thread to the registrar's through bounded queues.
  */
 public final class ControlNode implements AutoCloseable {
-  /** More than the log lets wait at once. */
-  private static final int MOST_ENDS = 1024;
+  /** Exceeds the number of proposals that the log allows to be pending at once. */
+  private static final int MAX_PENDING_OUTCOMES = 1024;
 
   /**
-   * @param number among all control machines
-   * @param listen where it takes lease datagrams, as host:port in numbers
-   * @param all as this machine reaches them
-   * @param log its part in the log; the number and key are the same
+   * @param number unique among all control machines
+   * @param listen address for lease datagrams, as host:port with a numeric host
+   * @param all the control machines, with the addresses at which this one reaches them
+   * @param log settings of its log node, with the same number and key
    */
   public record Settings(
       LeaseSettings lease,
@@ -42,12 +42,12 @@
       List<ControlMachine> all,
       ConsensusNode.Settings log) {}
 
-  /** What its owner is told, to be over at once. */
+  /** Notifications to the owner; implementations must return at once. */
   public interface Listener {
-    /** On the registrar's thread: an entry of the directory has changed. */
+    /** An entry of the directory has changed; called on the registrar's thread. */
     void changed(DirectoryEntry entry);
 
-    /** On the log's thread: role, term, leader or voters of the log have changed. */
+    /** Role, term, leader or voters of the log have changed; called on the log's thread. */
     void logViewChanged(ConsensusNode.View view);
   }
 
@@ -58,13 +58,14 @@
   private final Registrar registrar;
   private final ConsensusNode log;
   private final DecisionQueue decisions = new DecisionQueue(this::wake);
-  private final ArrayBlockingQueue<Runnable> ends = new ArrayBlockingQueue<>(MOST_ENDS);
-  private final AtomicBoolean woken = new AtomicBoolean();
-  private final Served part = new Served();
-  private long toldVersion;
-
-  /** The registrar as the loop serves it. */
-  private final class Served implements DatagramLoop.Part {
+  private final ArrayBlockingQueue<Runnable> proposalOutcomes =
+      new ArrayBlockingQueue<>(MAX_PENDING_OUTCOMES);
+  private final AtomicBoolean wakePending = new AtomicBoolean();
+  private final RegistrarPart loopPart = new RegistrarPart();
+  private long notifiedVersion;
+
+  /** Adapts the registrar to the datagram loop. */
+  private final class RegistrarPart implements DatagramLoop.Part {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -84,7 +85,7 @@
 
     @Override
     public void step(Moment now) {
-      woken.set(false);
+      wakePending.set(false);
       catchUp(now);
       registrar.step(now);
     }
@@ -101,10 +102,10 @@
   }
 
   /**
-   * Binds at once and starts with {@link #start}.
+   * Binds the sockets; {@link #start} begins the work.
    *
-   * @param store of a voter; null: this control machine follows the log only
-   * @throws IOException where it cannot listen
+   * @param store a voter's persistent state; null if this machine only follows the log
+   * @throws IOException if an address cannot be bound
    */
   public ControlNode(Settings settings, ConsensusStore store, Listener listener)
       throws IOException {
@@ -113,11 +114,16 @@
     channel =
         new SealedChannel(
             LeaseDatagramFormat.FORM, settings.listen(), settings.number(), settings.log().key());
-    BiConsumer<String, ConsensusNode.View> stands = (how, view) -> listener.logViewChanged(view);
+    BiConsumer<String, ConsensusNode.View> viewListener =
+        (reason, view) -> listener.logViewChanged(view);
     try {
       log =
           new ConsensusNode(
-              settings.log(), store, new MemberDirectory(settings.lease()), decisions, stands);
+              settings.log(),
+              store,
+              new MemberDirectory(settings.lease()),
+              decisions,
+              viewListener);
     } catch (IOException e) {
       channel.close();
       throw e;
@@ -142,78 +148,81 @@
       }
 
       @Override
-      public void propose(byte[] decision, Consumer<Boolean> ended) {
-        if (!log.wants(decision, decided -> endsLater(ended, decided))) {
-          endsLater(ended, false);
+      public void propose(byte[] decision, Consumer<Boolean> onOutcome) {
+        if (!log.wants(decision, decided -> queueOutcome(onOutcome, decided))) {
+          queueOutcome(onOutcome, false);
         }
       }
     };
   }
 
   /**
-   * Never from within the registrar's own call. One that finds no room is given up on by the
-   * registrar itself, in its time.
+   * Queues the outcome, so that the registrar is never called back from within its own call. An
+   * outcome that finds the queue full is dropped: the registrar's own time limit ends the proposal.
    */
-  private void endsLater(Consumer<Boolean> ended, boolean decided) {
-    ends.offer(() -> ended.accept(decided));
+  private void queueOutcome(Consumer<Boolean> onOutcome, boolean decided) {
+    proposalOutcomes.offer(() -> onOutcome.accept(decided));
     wake();
   }
 
-  /** Once, until the registrar has looked. */
+  /** Wakes the registrar's thread, once until it has processed the queues. */
   private void wake() {
-    if (woken.compareAndSet(false, true) && !loop.wake(part)) {
-      woken.set(false); // too much waits on the loop: the next datagram or timer has it looked at
+    if (wakePending.compareAndSet(false, true) && !loop.wake(loopPart)) {
+      wakePending.set(
+          false); // the loop's queue is full: the next datagram or timer processes the queues
     }
   }
 
   /**
-   * The log's view is read before the decisions are taken: what it says to be known has been queued
-   * by then.
+   * Reads the log's view before taking the decisions: whatever the view reports as known has then
+   * been queued already.
    */
   private void catchUp(Moment now) {
     ConsensusNode.View view = log.view();
     if (decisions.drainTo(directory)) {
-      tell();
+      notifyChanges();
       registrar.decided(now);
     }
-    for (Runnable end = ends.poll(); end != null; end = ends.poll()) {
-      end.run();
+    for (Runnable outcome = proposalOutcomes.poll();
+        outcome != null;
+        outcome = proposalOutcomes.poll()) {
+      outcome.run();
     }
     if (view != null) {
       registrar.control(now, view.leader(), view.age().plus(now.since(view.at())));
     }
   }
 
-  private void tell() {
+  private void notifyChanges() {
     directory.entries().stream()
-        .filter(entry -> entry.version() > toldVersion)
+        .filter(entry -> entry.version() > notifiedVersion)
         .sorted((a, b) -> Long.compare(a.version(), b.version()))
         .forEach(listener::changed);
-    toldVersion = directory.version();
+    notifiedVersion = directory.version();
   }
 
-  /** Begins. */
+  /** Starts the log and the registrar. */
   public void start() {
     log.start();
-    loop.add(part);
+    loop.add(loopPart);
   }
 
-  /** Has it told on the registrar's thread; false where too much waits there. */
-  public boolean query(BiConsumer<MemberDirectory, Registrar> question) {
-    return loop.execute(() -> question.accept(directory, registrar));
+  /** Runs the query on the registrar's thread; returns false if that thread's queue is full. */
+  public boolean query(BiConsumer<MemberDirectory, Registrar> query) {
+    return loop.execute(() -> query.accept(directory, registrar));
   }
 
-  /** Its part in the log, as of its last turn; null before the first. */
+  /** The log node's view as of its last step; null before the first. */
   public ConsensusNode.View view() {
     return log.view();
   }
 
-  /** What the log's connections carried so far. */
+  /** Traffic on the log's connections so far. */
   public ConsensusNode.Traffic logTraffic() {
     return log.traffic();
   }
 
-  /** What goes over its lease socket, and for trials what is lost there on purpose. */
+  /** The channel on the lease socket, with its counters and, for tests, its injected loss. */
   public SealedChannel channel() {
     return channel;
   }
--- a/src/main/java/linengauge/lease/udp/DecisionQueue.java
+++ b/src/main/java/linengauge/lease/udp/DecisionQueue.java
@@ -5,28 +5,28 @@
 import linengauge.consensus.StateMachine;
 
 /**
- * Hands what the log decides from the consensus thread to the registrar's, in order and without a
- * loss. The consensus thread waits where the registrar is behind, and fails where it is far behind:
- * a control machine whose directory cannot follow is better gone than wrong. The registrar never
- * waits for the consensus thread.
+ * Passes the log's decisions from the consensus thread to the registrar's, in order and without
+ * loss. The consensus thread blocks while the queue is full and fails after a time limit: a control
+ * machine that stops is better than one whose directory is wrong. The registrar never waits for the
+ * consensus thread.
  */
 final class DecisionQueue implements StateMachine {
-  private static final int MOST = 1024;
-  private static final long LONGEST_WAIT_MS = 5000;
+  private static final int MAX_PENDING_CHANGES = 1024;
+  private static final long MAX_WAIT_MS = 5000;
 
   private interface Change {
-    void on(StateMachine machine);
+    void applyTo(StateMachine machine);
   }
 
-  private final ArrayBlockingQueue<Change> changes = new ArrayBlockingQueue<>(MOST);
-  private final Runnable came;
+  private final ArrayBlockingQueue<Change> changes = new ArrayBlockingQueue<>(MAX_PENDING_CHANGES);
+  private final Runnable onChange;
   private volatile boolean closed;
 
   /**
-   * @param came told on the consensus thread that something waits
+   * @param onChange called on the consensus thread after a change has been queued
    */
-  DecisionQueue(Runnable came) {
-    this.came = came;
+  DecisionQueue(Runnable onChange) {
+    this.onChange = onChange;
   }
 
   @Override
@@ -41,32 +41,33 @@
 
   @Override
   public byte[] whole() {
-    throw new UnsupportedOperationException("the log's follower is asked for no state");
+    throw new UnsupportedOperationException("a decision queue has no state to snapshot");
   }
 
   private void put(Change change) {
     try {
-      if (!closed && !changes.offer(change, LONGEST_WAIT_MS, TimeUnit.MILLISECONDS)) {
-        throw new IllegalStateException("the registrar takes no decisions");
+      if (!closed && !changes.offer(change, MAX_WAIT_MS, TimeUnit.MILLISECONDS)) {
+        throw new IllegalStateException(
+            "the registrar did not take a decision within the time limit");
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-      throw new IllegalStateException("interrupted while the registrar was behind", e);
+      throw new IllegalStateException("interrupted while waiting for the registrar", e);
     }
-    came.run();
+    onChange.run();
   }
 
-  /** On the registrar's thread: all that waits; whether there was anything. */
+  /** Applies all queued changes, on the registrar's thread; returns whether there were any. */
   boolean drainTo(StateMachine machine) {
     boolean any = false;
     for (Change change = changes.poll(); change != null; change = changes.poll()) {
-      change.on(machine);
+      change.applyTo(machine);
       any = true;
     }
     return any;
   }
 
-  /** What comes from now on is passed over. */
+  /** Discards the queued changes and all later ones. */
   void close() {
     closed = true;
     changes.clear();
--- a/src/main/java/linengauge/lease/udp/LeaseDatagramFormat.java
+++ b/src/main/java/linengauge/lease/udp/LeaseDatagramFormat.java
@@ -3,7 +3,7 @@
 import linengauge.lease.LeaseCodec;
 import linengauge.udp.SealedChannel;
 
-/** How lease datagrams begin: version 2, a kind, the sender's number in two bytes. */
+/** Header of lease datagrams: version 2, a kind, the sender's number in two bytes. */
 final class LeaseDatagramFormat {
   static final SealedChannel.Form FORM = new SealedChannel.Form(2, 2, 2, LeaseCodec.MOST);
 
--- a/src/main/java/linengauge/lease/udp/LeaseNode.java
+++ b/src/main/java/linengauge/lease/udp/LeaseNode.java
@@ -18,20 +18,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A front's membership by lease over UDP, on a thread of its own or on a loop that it shares with
- * others. What it knows is asked on that thread ({@link #query}), so that an answer is never older
- * than the question: a lease that was read before a pause says nothing after it.
+ * A front's membership by lease over UDP, on its own thread or on a loop shared with others. State
+ * is read on that thread ({@link #query}), so that an answer is never older than the query: a lease
+ * read before a process pause proves nothing after it.
  */
 public final class LeaseNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseNode.class);
-  private static final long LONGEST_LEAVE_MS = 1000;
-  private static final long LOOK_MS = 10;
+  private static final long MAX_LEAVE_MS = 1000;
+  private static final long POLL_INTERVAL_MS = 10;
 
-  /** What its owner is told, on the node's thread, to be over at once. */
+  /** Notifications to the owner on the node's thread; implementations must return at once. */
   public interface Listener {
     void changed(DirectoryEntry entry);
 
-    /** This life is over, and another begins. */
+    /** The previous incarnation has ended and the given one begins. */
     void superseded(long incarnation);
   }
 
@@ -40,11 +40,11 @@
   private final DatagramLoop loop;
   private final SealedChannel channel;
   private final LeaseAgent agent;
-  private final Served part = new Served();
+  private final AgentPart loopPart = new AgentPart();
   private volatile boolean silent;
 
-  /** The agent as the loop serves it. */
-  private final class Served implements DatagramLoop.Part {
+  /** Adapts the agent to the datagram loop. */
+  private final class AgentPart implements DatagramLoop.Part {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -78,12 +78,12 @@
   }
 
   /**
-   * Binds at once and starts with {@link #start}.
+   * Binds the socket; {@link #start} begins the work.
    *
-   * @param own its address is where it listens, as host:port with the host in numbers
-   * @param key the fleet's, of 16 bytes at least
-   * @param shared null: a thread of its own
-   * @throws IOException where it cannot listen there
+   * @param own this front; it listens at the member's address, host:port with a numeric host
+   * @param key the fleet's key, of at least 16 bytes
+   * @param shared the loop to run on; null for a thread of its own
+   * @throws IOException if the address cannot be bound
    */
   public LeaseNode(
       LeaseSettings settings,
@@ -97,10 +97,15 @@
     channel = new SealedChannel(LeaseDatagramFormat.FORM, own.address(), own.number(), key);
     ownLoop = shared == null ? new DatagramLoop("lease") : null;
     loop = shared == null ? ownLoop : shared;
-    long clock = System.currentTimeMillis();
+    long startMillis = System.currentTimeMillis();
     agent =
         new LeaseAgent(
-            settings, own, clock, all, port(listener), new SplittableRandom(clock ^ own.number()));
+            settings,
+            own,
+            startMillis,
+            all,
+            port(listener),
+            new SplittableRandom(startMillis ^ own.number()));
   }
 
   private LeaseAgent.Port port(Listener listener) {
@@ -117,56 +122,56 @@
 
       @Override
       public void superseded(Moment now) {
-        LOG.info("lease: front {} begins life {}", own.number(), agent.incarnation());
+        LOG.info("lease: front {} begins incarnation {}", own.number(), agent.incarnation());
         listener.superseded(agent.incarnation());
       }
     };
   }
 
-  /** Begins; false where too much waits on the loop. */
+  /** Starts the agent; returns false if the loop's queue is full. */
   public boolean start() {
-    return loop.add(part);
+    return loop.add(loopPart);
   }
 
-  /** Has it told on the node's thread; false where too much waits there. */
-  public boolean query(Consumer<LeaseAgent> question) {
-    return loop.execute(() -> question.accept(agent));
+  /** Runs the query on the node's thread; returns false if that thread's queue is full. */
+  public boolean query(Consumer<LeaseAgent> query) {
+    return loop.execute(() -> query.accept(agent));
   }
 
-  /** What goes over its socket, and for trials what is lost there on purpose. */
+  /** The channel on the socket, with its counters and, for tests, its injected loss. */
   public SealedChannel channel() {
     return channel;
   }
 
-  /** Says that it leaves; goes on until that is known, or was said often enough. */
+  /** Announces that the front leaves, until acknowledged or repeated often enough. */
   public void leave() {
     loop.execute(() -> agent.leave(DatagramLoop.now()));
-    loop.wake(part);
+    loop.wake(loopPart);
   }
 
-  /** It left, was ended, or another process has its number. */
+  /** Whether it has left, was stopped, or another process has its number. */
   public boolean isSilent() {
     return silent;
   }
 
-  /** Ends without a word, as a front that is killed; waited for, a second at most. */
+  /** Stops without an announcement, as a killed front does; waits at most one second. */
   public void stop() {
-    loop.removeAndWait(part);
+    loop.removeAndWait(loopPart);
     closeOwnLoop();
   }
 
-  /** {@link #leave}, waited for, a second at most; then the socket is closed. */
+  /** Leaves ({@link #leave}), waits for that at most one second, then closes the socket. */
   @Override
   public void close() {
     leave();
     try {
-      for (long waited = 0; waited < LONGEST_LEAVE_MS && !silent; waited += LOOK_MS) {
-        Thread.sleep(LOOK_MS);
+      for (long waited = 0; waited < MAX_LEAVE_MS && !silent; waited += POLL_INTERVAL_MS) {
+        Thread.sleep(POLL_INTERVAL_MS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    loop.removeAndWait(part);
+    loop.removeAndWait(loopPart);
     closeOwnLoop();
   }
 
--- a/src/main/java/linengauge/lease/udp/package-info.java
+++ b/src/main/java/linengauge/lease/udp/package-info.java
@@ -1,2 +1,2 @@
-/** Membership by lease over UDP: the carrier of fronts and of control machines. */
+/** Membership by lease over UDP: the nodes that run on fronts and on control machines. */
 package linengauge.lease.udp;
