--- a/src/main/java/linengauge/lease/explore/Fault.java
+++ b/src/main/java/linengauge/lease/explore/Fault.java
@@ -4,30 +4,30 @@
 import linengauge.Moment;
 
 /**
- * One fault, from a moment to another. Parties are numbered as in {@link Topology}: control
- * machines first, then fronts.
+ * One fault that lasts from one moment to another. Processes are numbered as in {@link Topology}:
+ * control machines first, then fronts.
  *
- * @param party whom it befalls; of REGION_CUT, the region
- * @param other of CUT, the party that does not hear it; else 0
+ * @param party the affected process; for REGION_CUT, the region
+ * @param other for CUT, the process that receives nothing from it; otherwise 0
  */
 record Fault(Kind kind, int party, int other, Moment from, Moment to) {
-  /** What can go wrong with one party, on one way, or between a region and the others. */
+  /** Faults of one process, of one link, or between a region and the others. */
   enum Kind {
-    /** Ends without a word, and starts again at the end of the fault. */
+    /** The process ends unannounced and starts again at the end of the fault. */
     KILL,
-    /** A front that says it leaves, ends, and starts again as another life at the end. */
+    /** A front announces that it leaves, ends, and starts a new life at the end of the fault. */
     RESTART,
-    /** Stands still; what comes meanwhile waits, as far as there is room. */
+    /** The process is paused; incoming messages wait in a bounded buffer. */
     FREEZE,
-    /** Three in ten datagrams to and from it are lost, the others late. */
+    /** Three in ten datagrams to and from the process are lost, the others are late. */
     LOSS,
-    /** Nothing that it sends arrives. */
+    /** Nothing that the process sends arrives. */
     MUTE,
-    /** Nothing arrives that is sent to it. */
+    /** Nothing that is sent to the process arrives. */
     DEAF,
-    /** Nothing that it sends arrives at the other. */
+    /** Nothing that the process sends to the other one arrives. */
     CUT,
-    /** A control machine that can save nothing. */
+    /** A control machine cannot save its state. */
     DISK_FULL,
     /** Nothing passes between the region and the others. */
     REGION_CUT
@@ -35,8 +35,8 @@
 
   @Override
   public String toString() {
-    String whom = kind == Kind.CUT ? party + "-" + other : Integer.toString(party);
+    String target = kind == Kind.CUT ? party + "-" + other : Integer.toString(party);
     return String.format(
-        Locale.ROOT, "%s %s %.3f-%.3f", kind, whom, from.micros() / 1e6, to.micros() / 1e6);
+        Locale.ROOT, "%s %s %.3f-%.3f", kind, target, from.micros() / 1e6, to.micros() / 1e6);
   }
 }
--- a/src/main/java/linengauge/lease/explore/Incident.java
+++ b/src/main/java/linengauge/lease/explore/Incident.java
@@ -7,7 +7,7 @@
 import linengauge.Moment;
 import linengauge.lease.explore.Fault.Kind;
 
-/** What happens to a fleet at once; each is one fault or several. */
+/** Incidents that affect a fleet; each consists of one or more simultaneous faults. */
 enum Incident {
   FRONT_KILLED(Kind.KILL, false),
   FRONT_RESTARTED(Kind.RESTART, false),
@@ -21,11 +21,11 @@
   CONTROL_DEAF(Kind.DEAF, true),
   CONTROL_LOSSY(Kind.LOSS, true),
   CONTROL_DISK_FULL(Kind.DISK_FULL, true),
-  /** One way between a front and a control machine, or between two control machines. */
+  /** One direction between a front and a control machine, or between two control machines. */
   WAY_CUT(Kind.CUT, true),
-  /** Neighbours in number of one zone lose their power together. */
+  /** Fronts of one zone with successive numbers lose power together. */
   RACK_KILLED(Kind.KILL, false),
-  /** A zone's fronts and its control machine lose their power together. */
+  /** A zone's fronts and its control machine lose power together. */
   ZONE_LOST(Kind.KILL, false),
   REGION_CUT(Kind.REGION_CUT, false),
   TENTH_RESTARTED(Kind.RESTART, false),
@@ -44,17 +44,17 @@
     this.ofControl = ofControl;
   }
 
-  /** Its faults, with whom they befall drawn. */
+  /** The incident's faults, with the affected processes drawn at random. */
   List<Fault> faults(int fronts, Moment from, Moment to, SplittableRandom chance) {
-    int whom = ofControl ? chance.nextInt(Topology.CONTROLS) : chance.nextInt(fronts);
+    int target = ofControl ? chance.nextInt(Topology.CONTROLS) : chance.nextInt(fronts);
     return switch (this) {
       case WAY_CUT -> List.of(wayCut(fronts, from, to, chance));
-      case RACK_KILLED -> ofParties(rack(fronts, whom), from, to);
-      case ZONE_LOST -> ofParties(zone(fronts, whom % Topology.ZONES), from, to);
-      case TENTH_RESTARTED -> ofParties(tenth(fronts, whom % TENTH), from, to);
+      case RACK_KILLED -> ofParties(rack(fronts, target), from, to);
+      case ZONE_LOST -> ofParties(zone(fronts, target % Topology.ZONES), from, to);
+      case TENTH_RESTARTED -> ofParties(tenth(fronts, target % TENTH), from, to);
       case CONTROLS_GONE -> ofParties(range(0, Topology.CONTROLS), from, to);
-      case REGION_CUT -> ofParties(List.of(whom % Topology.REGIONS), from, to);
-      default -> ofParties(List.of(ofControl ? whom : Topology.front(whom)), from, to);
+      case REGION_CUT -> ofParties(List.of(target % Topology.REGIONS), from, to);
+      default -> ofParties(List.of(ofControl ? target : Topology.front(target)), from, to);
     };
   }
 
@@ -73,11 +73,11 @@
     return new Fault(kind, reverse ? other : control, reverse ? control : other, from, to);
   }
 
-  /** Fronts of one zone, of a small fleet fewer. */
+  /** Fronts of one zone that share a rack; fewer than {@link #RACK} in a small fleet. */
   static List<Integer> rack(int fronts, int first) {
-    int many = Math.min(RACK, Math.max(1, fronts / Topology.ZONES / 2));
+    int size = Math.min(RACK, Math.max(1, fronts / Topology.ZONES / 2));
     List<Integer> all = new ArrayList<>();
-    for (int i = first % Topology.ZONES; i < fronts && all.size() < many; i += Topology.ZONES) {
+    for (int i = first % Topology.ZONES; i < fronts && all.size() < size; i += Topology.ZONES) {
       all.add(Topology.front(i));
     }
     return all;
--- a/src/main/java/linengauge/lease/explore/LeaseExplorer.java
+++ b/src/main/java/linengauge/lease/explore/LeaseExplorer.java
@@ -4,16 +4,16 @@
 import java.util.function.Consumer;
 import linengauge.lease.LeaseSettings;
 
-/** Plays drawn schedules of one seed after another, and shortens those that break a rule. */
+/** Simulates schedules drawn from successive seeds and minimizes those that break a rule. */
 public final class LeaseExplorer {
   /**
    * A schedule that breaks a rule.
    *
-   * @param seed it was drawn from
-   * @param faults the fewest found with which it still breaks one
+   * @param seed the seed from which it was drawn
+   * @param shortest the smallest schedule found that still breaks a rule
    */
   public record Finding(long seed, List<String> broken, LeaseSchedule shortest) {
-    /** The faults in words. */
+    /** The faults as text. */
     public List<String> faults() {
       return shortest.faults().stream().map(Fault::toString).toList();
     }
@@ -28,19 +28,19 @@
   }
 
   /**
-   * Plays all seeds from the one to before the other.
+   * Simulates all seeds from the first, inclusive, to the last, exclusive.
    *
-   * @param found told of each that breaks a rule
-   * @return how many broke one
+   * @param onFinding called for each schedule that breaks a rule
+   * @return the number of schedules that broke a rule
    */
   public int explore(
-      long fromSeed, long toSeed, int fronts, int incidents, Consumer<Finding> found) {
+      long fromSeed, long toSeed, int fronts, int incidents, Consumer<Finding> onFinding) {
     int findings = 0;
     for (long seed = fromSeed; seed < toSeed; seed++) {
       LeaseSchedule schedule = LeaseSchedule.drawn(seed, fronts, incidents);
       if (!broken(schedule).isEmpty()) {
         findings++;
-        found.accept(shortened(schedule));
+        onFinding.accept(shortened(schedule));
       }
     }
     return findings;
--- a/src/main/java/linengauge/lease/explore/Maker.java
+++ b/src/main/java/linengauge/lease/explore/Maker.java
@@ -10,13 +10,14 @@
 import linengauge.membership.Member;
 
 /**
- * Makes the cores that a simulation plays; another one leaves a guard out, to see what it guards.
+ * Creates the agents and registrars that a simulation runs. Tests use implementations that leave
+ * out one safeguard, to show which rule then breaks.
  */
 public interface Maker {
-  /** The cores as they are. */
+  /** Creates the agents and registrars unchanged. */
   Maker USUAL = new Maker() {};
 
-  /** One life of a front. */
+  /** Creates the agent for one life of a front. */
   default LeaseAgent agent(
       LeaseSettings settings,
       Member own,
@@ -27,7 +28,7 @@
     return new LeaseAgent(settings, own, incarnation, controls, port, chance);
   }
 
-  /** One life of a control machine. */
+  /** Creates the registrar for one life of a control machine. */
   default Registrar registrar(
       LeaseSettings settings,
       int own,
--- a/src/main/java/linengauge/lease/explore/MeasuredEvent.java
+++ b/src/main/java/linengauge/lease/explore/MeasuredEvent.java
@@ -2,49 +2,49 @@
 
 import java.util.List;
 
-/** What a fleet is measured under, once it has been up for a minute. */
+/** Events under which a fleet is measured, once it has been up for a minute. */
 public enum MeasuredEvent {
   /** The whole fleet starts within a second; measured from then on. */
   START(60, scene -> List.of()),
   /** Nothing happens. */
   QUIET(60, scene -> List.of()),
-  /** Three fronts end without a word, one after the other. */
+  /** Three fronts end unannounced, one after the other. */
   FRONT_KILLED(60, EventScene::frontsKilled),
   FRONT_RESTARTED(60, EventScene::frontRestarted),
-  /** Stands still for 20 seconds, and goes on. */
+  /** A front is paused for 20 seconds and resumes. */
   FRONT_FROZEN(60, EventScene::frontFrozen),
   FRONT_LOSSY(60, EventScene::frontLossy),
-  /** What a front sends does not arrive at any control machine of its region. */
+  /** Nothing that a front sends arrives at any control machine of its region. */
   WAY_CUT(60, EventScene::waysCut),
   LEADER_KILLED(60, EventScene::leaderKilled),
   LEADER_FROZEN(60, EventScene::leaderFrozen),
   LEADER_MUTE(60, EventScene::leaderMute),
-  /** The leader can save nothing for 30 seconds, and a front ends meanwhile. */
+  /** The leader cannot save its state for 30 seconds, and a front ends meanwhile. */
   LEADER_DISK_FULL(60, EventScene::leadersDiskFull),
   /** A control machine that does not lead is killed. */
   FOLLOWER_KILLED(60, EventScene::followerKilled),
-  /** Twenty fronts of one zone lose their power. */
+  /** Twenty fronts of one zone lose power. */
   RACK_KILLED(60, EventScene::rackKilled),
-  /** A zone's fronts and control machine lose their power, and are back 40 seconds later. */
+  /** A zone's fronts and control machine lose power and are back 40 seconds later. */
   ZONE_LOST(90, EventScene::zoneLost),
-  /** The leader's zone is the one that is lost. */
+  /** The leader's zone loses power. */
   LEADERS_ZONE_LOST(90, EventScene::leadersZoneLost),
   /** A region that has two voters is cut off for three minutes. */
   REGION_CUT(240, EventScene::regionCut),
-  /** The same of the leader's region. */
+  /** The leader's region is cut off for three minutes. */
   LEADERS_REGION_CUT(240, EventScene::leadersRegionCut),
   /** A tenth of the fronts restarts at once. */
   TENTH_RESTARTED(60, EventScene::tenthRestarted),
-  /** All control machines are gone for 30 seconds. */
+  /** All control machines are down for 30 seconds. */
   CONTROLS_GONE(90, EventScene::controlsGone),
-  /** The whole fleet restarts, a tenth at once, every 20 seconds. */
+  /** The whole fleet restarts, one tenth every 20 seconds. */
   RELEASE(240, EventScene::release),
   /** The failures and restarts of an ordinary day of 1,800 fronts, at their rate. */
   ORDINARY_DAY(600, scene -> scene.day(600, 1)),
-  /** The same at ten times the rate. */
+  /** The failures and restarts of an ordinary day at ten times their rate. */
   TENFOLD_DAY(600, scene -> scene.day(600, 10));
 
-  /** What befalls the fleet, given where it stands as the event begins. */
+  /** The event's faults, given the state of the fleet as the event begins. */
   private interface Faults {
     List<Fault> of(EventScene scene);
   }
@@ -57,7 +57,7 @@
     this.faults = faults;
   }
 
-  /** For how many seconds it is measured. */
+  /** Duration of the measurement in seconds. */
   int seconds() {
     return seconds;
   }
--- a/src/main/java/linengauge/lease/explore/SimulatedControl.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedControl.java
@@ -14,13 +14,13 @@
 import linengauge.lease.Registrar;
 
 /**
- * A control machine of the simulation: a voter where it votes, a follower of the log, and the
- * registrar that reads the follower's directory. Its disk outlasts its lives.
+ * A control machine of the simulation: a voter if it has a vote, a follower of the log, and the
+ * registrar that reads the follower's directory. Its disk survives its restarts.
  */
 final class SimulatedControl extends SimulatedProcess
     implements RaftNode.Port, LogFollower.Port, Registrar.Port {
-  /** Numbers of proposals that one life may use up. */
-  private static final long PROPOSALS_A_LIFE = 1_000_000_000L;
+  /** Size of the range of proposal numbers reserved for one life. */
+  private static final long MAX_PROPOSALS_PER_LIFE = 1_000_000_000L;
 
   private final LeaseSimulation simulation;
   private PersistentState disk;
@@ -32,10 +32,10 @@
   private long highestVersion;
   private long votersVersion;
   private int lives;
-  private int keptDown;
+  private int downFaults;
 
   /**
-   * @param disk of a voter, with the founding state; null: it has no vote
+   * @param disk a voter's disk with the initial state; null if the machine has no vote
    */
   SimulatedControl(int number, PersistentState disk, LeaseSimulation simulation) {
     super(number, simulation.settings().drift(), simulation.events(), simulation.chance());
@@ -68,7 +68,12 @@
     }
     follower =
         new LogFollower(
-            LogFollower.Terms.USUAL, number, voters, lives * PROPOSALS_A_LIFE, directory, this);
+            LogFollower.Terms.USUAL,
+            number,
+            voters,
+            lives * MAX_PROPOSALS_PER_LIFE,
+            directory,
+            this);
     follower.start(clock());
     registrar =
         simulation
@@ -86,16 +91,16 @@
   }
 
   void kill() {
-    keptDown++;
+    downFaults++;
     if (isUp()) {
       goDown();
     }
   }
 
-  /** One of the faults that keep it down is over. */
+  /** Ends one of the faults that keep it down; it starts when none is left. */
   void mayStart() {
-    keptDown--;
-    if (keptDown == 0 && !isUp()) {
+    downFaults--;
+    if (downFaults == 0 && !isUp()) {
       start();
     }
   }
@@ -123,7 +128,7 @@
     if (!now.before(follower.next())) {
       follower.step(now);
     }
-    tellRegistrar();
+    updateRegistrar();
     if (!now.before(registrar.next())) {
       registrar.step(now);
     }
@@ -131,14 +136,14 @@
 
   @Override
   void inspect() {
-    tellRegistrar();
+    updateRegistrar();
     if (voter != null) {
       votersVersion = simulation.judge().directory(number, votersDirectory, votersVersion);
     }
   }
 
-  /** What is decided and who leads, as the process's own thread tells its registrar. */
-  private void tellRegistrar() {
+  /** Passes decisions and the current leader to the registrar, as the process's thread does. */
+  private void updateRegistrar() {
     long known = highestVersion;
     highestVersion = simulation.judge().directory(number, directory, highestVersion);
     if (highestVersion != known) {
@@ -180,10 +185,10 @@
   }
 
   @Override
-  public void propose(byte[] decision, Consumer<Boolean> ended) {
-    boolean taken = follower.wants(clock(), decision, ended::accept);
-    if (!taken) {
-      ended.accept(false);
+  public void propose(byte[] decision, Consumer<Boolean> onOutcome) {
+    boolean accepted = follower.wants(clock(), decision, onOutcome::accept);
+    if (!accepted) {
+      onOutcome.accept(false);
     }
   }
 }
--- a/src/main/java/linengauge/lease/explore/SimulatedFront.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedFront.java
@@ -6,24 +6,24 @@
 import linengauge.lease.LeaseAgent;
 import linengauge.lease.LeaseMessage;
 
-/** A front of the simulation: a lease agent's lives, one after the other. */
+/** A front of the simulation, which runs a lease agent in each of its successive lives. */
 final class SimulatedFront extends SimulatedProcess implements LeaseAgent.Port {
-  /** Between its word that it leaves and its end. */
-  private static final Span LEAVING = Span.ofMillis(500);
+  /** Time between the announcement that the front leaves and its end. */
+  private static final Span LEAVE_TIME = Span.ofMillis(500);
 
-  /** The wall's clock shows so many milliseconds at the start of the run. */
-  private static final long EPOCH_MILLIS = 1_700_000_000_000L;
+  /** Wall clock at the start of the run, in milliseconds since the epoch. */
+  private static final long START_EPOCH_MILLIS = 1_700_000_000_000L;
 
   private final LeaseSimulation simulation;
   private LeaseAgent agent;
   private long lifeIncarnation;
   private long highestVersion;
-  private long emptied;
+  private long copiesEmptied;
   private long completeVersion;
   private boolean leaving;
 
-  /** Faults that keep it from being up. */
-  private int keptDown;
+  /** Number of present faults that keep the front down. */
+  private int downFaults;
 
   SimulatedFront(int number, LeaseSimulation simulation) {
     super(number, simulation.settings().drift(), simulation.events(), simulation.chance());
@@ -38,27 +38,27 @@
     return leaving;
   }
 
-  /** The version at which its view was last a whole copy, as it was told; 0: none. */
+  /** The version at which its view was last acknowledged as a complete copy; 0 if none. */
   long completeVersion() {
     return completeVersion;
   }
 
   void start() {
-    if (isUp() || keptDown > 0) {
+    if (isUp() || downFaults > 0) {
       return;
     }
     goUp();
     leaving = false;
     highestVersion = 0;
     completeVersion = 0;
-    emptied = 0;
+    copiesEmptied = 0;
     agent =
         simulation
             .maker()
             .agent(
                 simulation.settings(),
                 Topology.member(number),
-                EPOCH_MILLIS + clock().micros() / 1000,
+                START_EPOCH_MILLIS + clock().micros() / 1000,
                 Topology.controls(),
                 this,
                 chance.split());
@@ -68,9 +68,9 @@
     wake();
   }
 
-  /** Ends without a word. */
+  /** Ends unannounced. */
   void kill() {
-    keptDown++;
+    downFaults++;
     end();
   }
 
@@ -81,16 +81,16 @@
     }
   }
 
-  /** Says that it leaves, and ends a little later, whether or not it was heard. */
+  /** Announces that it leaves and ends a little later, whether or not that was received. */
   void leave() {
-    keptDown++;
+    downFaults++;
     if (!isUp()) {
       return;
     }
-    deliver(this::sayGoodbye);
+    deliver(this::announceLeave);
     long incarnation = agent.incarnation();
     events.at(
-        events.now().plus(LEAVING),
+        events.now().plus(LEAVE_TIME),
         () -> {
           if (isUp() && agent.incarnation() == incarnation) {
             end();
@@ -98,17 +98,18 @@
         });
   }
 
-  private void sayGoodbye() {
+  private void announceLeave() {
     leaving = true;
     simulation.judge().leaves(this);
     agent.leave(clock());
   }
 
-  /** One of the faults that keep it down is over. */
+  /** Ends one of the faults that keep it down; it starts when none is left. */
   void mayStart() {
-    keptDown--;
-    if (keptDown == 0 && isUp()) {
-      events.at(events.now().plus(LEAVING), this::start); // its last life is about to end
+    downFaults--;
+    if (downFaults == 0 && isUp()) {
+      events.at(
+          events.now().plus(LEAVE_TIME), this::start); // its previous life is still about to end
     }
     start();
   }
@@ -117,11 +118,11 @@
     deliver(
         () -> {
           agent.heard(clock(), from, message);
-          if (message instanceof LeaseMessage.Acknowledgement told
-              && told.upTo() == told.latest()
-              && agent.view().version() == told.latest()) {
-            completeVersion = told.latest();
-            simulation.judge().complete(this, told);
+          if (message instanceof LeaseMessage.Acknowledgement acknowledgement
+              && acknowledgement.upTo() == acknowledgement.latest()
+              && agent.view().version() == acknowledgement.latest()) {
+            completeVersion = acknowledgement.latest();
+            simulation.judge().complete(this, acknowledgement);
           }
         });
   }
@@ -143,8 +144,8 @@
     if (figures.mismatches() > 0) {
       simulation.judge().broken(number + " held a wrong copy, and emptied it");
     }
-    boolean wasEmptied = figures.resets() + figures.mismatches() > emptied;
-    emptied = figures.resets() + figures.mismatches();
+    boolean wasEmptied = figures.resets() + figures.mismatches() > copiesEmptied;
+    copiesEmptied = figures.resets() + figures.mismatches();
     if (version < highestVersion && !wasEmptied) {
       simulation.judge().broken(number + " goes back from " + highestVersion + " to " + version);
     }
@@ -161,7 +162,7 @@
     simulation.judge().learned(this, entry);
   }
 
-  /** Its life was over without its doing; the agent has begun another. */
+  /** The life was ended by the control machines; the agent has begun another one. */
   @Override
   public void superseded(Moment now) {
     simulation.judge().superseded(this, lifeIncarnation);
--- a/src/test/java/linengauge/lease/explore/Guard.java
+++ b/src/test/java/linengauge/lease/explore/Guard.java
@@ -10,7 +10,7 @@
 import linengauge.lease.Registrar;
 import linengauge.membership.Member;
 
-/** A guard of the cores that a simulation can leave out. */
+/** Safeguards of the agent and the registrar that a simulation can leave out. */
 enum Guard implements Maker {
   AGENT_FAILS_OVER,
   REGISTRAR_TRUSTS_CONFIRMED,
