--- a/src/main/java/linengauge/lease/explore/EventScene.java
+++ b/src/main/java/linengauge/lease/explore/EventScene.java
@@ -9,28 +9,28 @@
 import linengauge.lease.explore.Fault.Kind;
 
 /**
- * Where a fleet stands as a measured event begins, and the faults that each event then is.
+ * The state of a fleet as a measured event begins, and the faults of which each event consists.
  *
  * @param leader the control machine that leads
- * @param front the one that an event of one front befalls
+ * @param front the front that an event of a single front affects
  */
 record EventScene(int fronts, int leader, int front, Moment begin, SplittableRandom chance) {
-  /** Of 1,800 fronts in a day. */
-  private static final int FAILURES_A_DAY = 6;
+  /** Failures per day in a fleet of 1,800 fronts. */
+  private static final int FAILURES_PER_DAY = 6;
 
-  private static final int RESTARTS_A_DAY = 980;
-  private static final int FLEET_OF_THE_DAY = 1800;
-  private static final double SECONDS_A_DAY = 86_400;
+  private static final int RESTARTS_PER_DAY = 980;
+  private static final int ORDINARY_DAY_FRONTS = 1800;
+  private static final double SECONDS_PER_DAY = 86_400;
 
   private static final int TENTHS = 10;
   private static final double RESTART_SECONDS = 2;
   private static final double RELEASE_STEP_SECONDS = 20;
   private static final double REPAIR_SECONDS = 30;
-  private static final double ZONE_SECONDS = 40;
-  private static final double REGION_SECONDS = 180;
-  private static final double STILL_SECONDS = 20;
+  private static final double POWER_LOSS_SECONDS = 40;
+  private static final double REGION_CUT_SECONDS = 180;
+  private static final double PAUSE_SECONDS = 20;
 
-  /** The last seconds of a day's stretch are kept free of faults, so that all become known. */
+  /** The end of a simulated part of a day has no faults, so that all earlier ones become known. */
   private static final int DAY_END_SECONDS = 40;
 
   List<Fault> frontsKilled() {
@@ -48,7 +48,7 @@
   }
 
   List<Fault> frontFrozen() {
-    return one(Kind.FREEZE, front, STILL_SECONDS);
+    return one(Kind.FREEZE, front, PAUSE_SECONDS);
   }
 
   List<Fault> frontLossy() {
@@ -67,7 +67,7 @@
   }
 
   List<Fault> leaderFrozen() {
-    return one(Kind.FREEZE, leader, STILL_SECONDS);
+    return one(Kind.FREEZE, leader, PAUSE_SECONDS);
   }
 
   List<Fault> leaderMute() {
@@ -75,10 +75,10 @@
   }
 
   List<Fault> leadersDiskFull() {
-    Moment death = begin.plus(Span.ofSeconds(2));
+    Moment frontEnd = begin.plus(Span.ofSeconds(2));
     return List.of(
         fault(Kind.DISK_FULL, leader, 0, begin, REPAIR_SECONDS),
-        fault(Kind.KILL, front, 0, death, REPAIR_SECONDS));
+        fault(Kind.KILL, front, 0, frontEnd, REPAIR_SECONDS));
   }
 
   List<Fault> followerKilled() {
@@ -86,24 +86,24 @@
   }
 
   List<Fault> rackKilled() {
-    return all(Kind.KILL, Incident.rack(fronts, front), begin, ZONE_SECONDS);
+    return all(Kind.KILL, Incident.rack(fronts, front), begin, POWER_LOSS_SECONDS);
   }
 
   List<Fault> zoneLost() {
-    return all(Kind.KILL, Incident.zone(fronts, follower()), begin, ZONE_SECONDS);
+    return all(Kind.KILL, Incident.zone(fronts, follower()), begin, POWER_LOSS_SECONDS);
   }
 
   List<Fault> leadersZoneLost() {
-    return all(Kind.KILL, Incident.zone(fronts, leader), begin, ZONE_SECONDS);
+    return all(Kind.KILL, Incident.zone(fronts, leader), begin, POWER_LOSS_SECONDS);
   }
 
   List<Fault> regionCut() {
     int other = Topology.region(leader) == 0 ? 1 : 0;
-    return one(Kind.REGION_CUT, other, REGION_SECONDS);
+    return one(Kind.REGION_CUT, other, REGION_CUT_SECONDS);
   }
 
   List<Fault> leadersRegionCut() {
-    return one(Kind.REGION_CUT, Topology.region(leader), REGION_SECONDS);
+    return one(Kind.REGION_CUT, Topology.region(leader), REGION_CUT_SECONDS);
   }
 
   List<Fault> tenthRestarted() {
@@ -124,23 +124,25 @@
     return all;
   }
 
-  /** So many seconds of a day, at so many times its rate. */
-  List<Fault> day(int seconds, int times) {
-    int within = seconds - DAY_END_SECONDS;
-    double share = (double) times * fronts / FLEET_OF_THE_DAY / SECONDS_A_DAY * within;
+  /** The faults of part of an ordinary day, at a multiple of the day's rate. */
+  List<Fault> day(int seconds, int rateFactor) {
+    int windowSeconds = seconds - DAY_END_SECONDS;
+    double share =
+        (double) rateFactor * fronts / ORDINARY_DAY_FRONTS / SECONDS_PER_DAY * windowSeconds;
     List<Fault> all = new ArrayList<>();
-    all.addAll(spread(Kind.KILL, FAILURES_A_DAY * share, REPAIR_SECONDS, within));
-    all.addAll(spread(Kind.RESTART, RESTARTS_A_DAY * share, RESTART_SECONDS, within));
+    all.addAll(spread(Kind.KILL, FAILURES_PER_DAY * share, REPAIR_SECONDS, windowSeconds));
+    all.addAll(spread(Kind.RESTART, RESTARTS_PER_DAY * share, RESTART_SECONDS, windowSeconds));
     return all;
   }
 
-  /** So many, rounded, at any time within and of any front; one at the least. */
-  private List<Fault> spread(Kind kind, double many, double lasts, int within) {
+  /** Faults of random fronts at random times of the window: the count is rounded, at least one. */
+  private List<Fault> spread(
+      Kind kind, double expectedCount, double faultSeconds, int windowSeconds) {
     List<Fault> all = new ArrayList<>();
-    long count = Math.max(1, Math.round(many));
+    long count = Math.max(1, Math.round(expectedCount));
     for (int i = 0; i < count; i++) {
-      Moment at = begin.plus(Span.ofSeconds(chance.nextDouble() * within));
-      all.add(fault(kind, Topology.front(chance.nextInt(fronts)), 0, at, lasts));
+      Moment at = begin.plus(Span.ofSeconds(chance.nextDouble() * windowSeconds));
+      all.add(fault(kind, Topology.front(chance.nextInt(fronts)), 0, at, faultSeconds));
     }
     return all;
   }
--- a/src/main/java/linengauge/lease/explore/LeaseMeasurement.java
+++ b/src/main/java/linengauge/lease/explore/LeaseMeasurement.java
@@ -11,14 +11,14 @@
 import linengauge.membership.explore.TrafficFigures;
 
 /**
- * Measures membership by lease under one event: a whole fleet starts within a second, and a minute
- * later the event befalls it.
+ * Measures membership by lease under one event: a whole fleet starts within a second, and the event
+ * begins a minute later.
  */
 public final class LeaseMeasurement {
-  /** The event begins then; a second's fraction later where it has faults. */
+  /** Start of the measurement; the event's faults begin a fraction of a second later. */
   private static final int EVENT_SECOND = 60;
 
-  /** A salt, so that the event's draws are not those of the schedule. */
+  /** Makes the event's random draws differ from those of the schedule. */
   private static final long SALT = 0x6576656e74L;
 
   private final MeasuredEvent event;
@@ -34,7 +34,7 @@
     this.simulation = new LeaseSimulation(settings, schedule);
   }
 
-  /** Plays the run. */
+  /** Runs the simulation and returns its figures. */
   public SimulationFigures play() {
     int from = event == MeasuredEvent.START ? 0 : EVENT_SECOND;
     int to = from + event.seconds();
@@ -44,13 +44,13 @@
     int expiriesBefore = simulation.judge().expiries();
     simulation.judge().deaths().measureFromNow();
     if (event != MeasuredEvent.START) {
-      befall();
+      addFaults();
     }
     simulation.events().runUntil(second(to));
     return figures(from, to, versionBefore, expiriesBefore);
   }
 
-  private void befall() {
+  private void addFaults() {
     SplittableRandom chance = new SplittableRandom(seed ^ SALT);
     Moment begin = second(EVENT_SECOND).plus(Span.ofSeconds(chance.nextDouble()));
     int front = Topology.front(chance.nextInt(fronts));
@@ -82,7 +82,7 @@
         judge.brokenRules().size());
   }
 
-  /** Rules that the run broke, in words. */
+  /** Descriptions of the rules that the run broke. */
   public List<String> broken() {
     return simulation.judge().brokenRules();
   }
