--- a/src/bench/java/linengauge/flow/WatchBench.java
+++ b/src/bench/java/linengauge/flow/SlowPeerDetectorBench.java
@@ -18,8 +18,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * The cost of accounting: for one chunk relayed, for one transfer, and for one look at so many
- * peers that stir.
+ * The cost of traffic accounting: per relayed chunk, per transfer, and per tick with a number of
+ * active peers.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -27,37 +27,37 @@
 @Warmup(iterations = 3, time = 1)
 @Measurement(iterations = 5, time = 1)
 @Fork(1)
-public class WatchBench {
+public class SlowPeerDetectorBench {
   @Param({"10", "1000"})
-  public int stirring;
+  public int activePeers;
 
-  private OwnTime time;
-  private Watch watch;
-  private Account viewer;
-  private Account box;
+  private LoopClock clock;
+  private SlowPeerDetector detector;
+  private PeerTraffic viewer;
+  private PeerTraffic box;
   private Moment now = new Moment(0);
 
-  /** Takes all at once. */
-  private static final class Taker implements Account.Peer {
+  /** Reads everything at once. */
+  private static final class InstantPeer implements PeerTraffic.Peer {
     @Override
-    public long waiting() {
+    public long queuedBytes() {
       return 0;
     }
 
     @Override
-    public void letGo(Account account) {}
+    public void disconnect(PeerTraffic traffic) {}
 
     @Override
-    public void moved() {}
+    public void progressed() {}
 
     @Override
-    public void goOn() {}
+    public void resume() {}
   }
 
   @Setup
   public void open() {
-    FlowTerms terms =
-        new FlowTerms(
+    FlowSettings settings =
+        new FlowSettings(
             true,
             Span.ofMillis(100),
             Span.ofMillis(200),
@@ -74,38 +74,38 @@
             Span.ofSeconds(5),
             10,
             4);
-    time = new OwnTime(terms.beat(), terms.late());
-    watch = new Watch(terms, time);
-    List<Account> all = new ArrayList<>();
-    for (int i = 0; i < stirring; i++) {
-      all.add(watch.open(Account.Side.VIEWER, new Taker()));
-      all.get(i).begins(22_500);
+    clock = new LoopClock(settings.tickInterval(), settings.lateTolerance());
+    detector = new SlowPeerDetector(settings, clock);
+    List<PeerTraffic> viewers = new ArrayList<>();
+    for (int i = 0; i < activePeers; i++) {
+      viewers.add(detector.open(PeerTraffic.Side.VIEWER, new InstantPeer()));
+      viewers.get(i).transferStarted(22_500);
     }
-    viewer = all.get(0);
-    box = watch.open(Account.Side.BOX, new Taker());
-    box.begins(10_000);
-    box.wanted(true);
+    viewer = viewers.get(0);
+    box = detector.open(PeerTraffic.Side.BOX, new InstantPeer());
+    box.transferStarted(10_000);
+    box.setBytesWanted(true);
   }
 
   @Benchmark
   public boolean chunk() {
-    box.came(8192);
-    return viewer.queued(8192);
+    box.bytesReceived(8192);
+    return viewer.bytesQueued(8192);
   }
 
   @Benchmark
   public void transfer() {
-    Account b = watch.open(Account.Side.BOX, new Taker());
-    b.begins(10_000);
-    b.wanted(true);
-    viewer.begins(22_500);
-    viewer.ends();
-    b.close();
+    PeerTraffic transferred = detector.open(PeerTraffic.Side.BOX, new InstantPeer());
+    transferred.transferStarted(10_000);
+    transferred.setBytesWanted(true);
+    viewer.transferStarted(22_500);
+    viewer.transferEnded();
+    transferred.close();
   }
 
   @Benchmark
-  public void look() {
+  public void tick() {
     now = now.plus(Span.ofMillis(100));
-    watch.look(time.beat(now));
+    detector.tick(clock.tick(now));
   }
 }
--- a/src/bench/java/linengauge/platform/RequestTrailBench.java
+++ b/src/bench/java/linengauge/platform/RequestTrailBench.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.TimeUnit;
 import linengauge.Moment;
-import linengauge.carry.EventWriter;
+import linengauge.net.EventWriter;
 import linengauge.platform.LogEvent.Kind;
 import org.openjdk.jmh.annotations.Benchmark;
 import org.openjdk.jmh.annotations.BenchmarkMode;
@@ -15,7 +15,7 @@
 import org.openjdk.jmh.annotations.Warmup;
 import org.slf4j.helpers.NOPLogger;
 
-/** What the log costs the loop for one request, and its own thread for one line. */
+/** The cost of logging: of one request on the event loop, and of one line on the writer thread. */
 @State(Scope.Benchmark)
 @BenchmarkMode(Mode.AverageTime)
 @OutputTimeUnit(TimeUnit.NANOSECONDS)
@@ -28,21 +28,21 @@
       new EventWriter<>(NOPLogger.NOP_LOGGER, LogEvent::line);
   private final EventLog events = new EventLog(() -> now, full::accept);
 
-  /** Answered by its first attempt: nothing is logged. */
+  /** Answered by its first attempt, so that nothing is logged. */
   @Benchmark
   public RequestTrail ordinary() {
-    RequestTrail trail = events.trail();
+    RequestTrail trail = events.newTrail();
     trail.add(event(Kind.REQUEST_TAKEN, LogEvent.NONE), false);
     trail.add(event(Kind.ATTEMPT_SENT, 0), false);
     trail.add(event(Kind.ATTEMPT_ANSWERED, 0), false);
-    trail.settled();
+    trail.discard();
     return trail;
   }
 
-  /** Refused after two attempts; the queue is full, which costs the loop the most. */
+  /** Refused after two attempts with a full queue, the most expensive case for the event loop. */
   @Benchmark
   public RequestTrail refused() {
-    RequestTrail trail = events.trail();
+    RequestTrail trail = events.newTrail();
     trail.add(event(Kind.REQUEST_TAKEN, LogEvent.NONE), false);
     for (int attempt = 0; attempt < 2; attempt++) {
       trail.add(event(Kind.ATTEMPT_SENT, attempt), attempt > 0);
@@ -53,13 +53,13 @@
     return trail;
   }
 
-  /** One line, on the writer's thread. */
+  /** Formats one line, as the writer thread does. */
   @Benchmark
   public String line() {
     return event(Kind.ATTEMPT_SENT, 1).line();
   }
 
   private LogEvent event(Kind kind, int attempt) {
-    return events.ofRequest(kind, 0x3faee594d679918cL, 0xa56d2d9aL, attempt, 12, "waits 250 ms");
+    return events.requestEvent(kind, 0x3faee594d679918cL, 0xa56d2d9aL, attempt, 12, "waits 250 ms");
   }
 }
--- a/src/main/java/linengauge/Span.java
+++ b/src/main/java/linengauge/Span.java
@@ -1,6 +1,6 @@
 package linengauge;
 
-/** A length of time. */
+/** A length of time, in microseconds. */
 public record Span(long micros) implements Comparable<Span> {
   public static final Span NONE = new Span(0);
 
@@ -28,16 +28,16 @@
     return new Span(Math.round(micros * factor));
   }
 
-  public boolean under(Span other) {
+  public boolean isShorterThan(Span other) {
     return micros < other.micros;
   }
 
-  public Span orLess(Span other) {
-    return under(other) ? this : other;
+  public Span min(Span other) {
+    return isShorterThan(other) ? this : other;
   }
 
-  public Span orMore(Span other) {
-    return under(other) ? other : this;
+  public Span max(Span other) {
+    return isShorterThan(other) ? other : this;
   }
 
   @Override
--- a/src/main/java/linengauge/cli/Commands.java
+++ b/src/main/java/linengauge/cli/Commands.java
@@ -2,8 +2,8 @@
 
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
-import linengauge.front.FrontProgram;
-import linengauge.site.BadSite;
+import linengauge.front.FrontServer;
+import linengauge.site.InvalidSiteException;
 import linengauge.site.Site;
 import linengauge.site.SiteFile;
 import picocli.CommandLine;
@@ -11,22 +11,25 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The command line: one subcommand a job. Exit codes: 0 done or held, 1 failed, 2 wrong use. */
+/**
+ * The command line, with one subcommand for each task. Exit codes: 0 success, 1 failure, 2 wrong
+ * usage.
+ */
 @Command(
     name = "linengauge",
     mixinStandardHelpOptions = true,
-    versionProvider = Commands.Version.class,
+    versionProvider = Commands.VersionProvider.class,
     description = "A session front for media boxes with shared links.",
     exitCodeListHeading = "Exit codes:%n",
-    exitCodeList = {"0:done; what was to hold held", "1:failed", "2:wrong use"},
+    exitCodeList = {"0:success; all checks passed", "1:failure", "2:wrong usage"},
     subcommands = {
-      Commands.Front.class,
+      Commands.FrontCommand.class,
       Commands.SiteCommand.class,
-      Drills.class,
+      DrillCommands.class,
       ControlCommand.class,
       ScaleCommands.class,
-      Commands.Serve.class,
-      Commands.Wire.class
+      Commands.ServeCommand.class,
+      Commands.WireHostCommand.class
     })
 final class Commands implements Callable<Integer> {
   @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
@@ -35,7 +38,7 @@
     CommandLine line = new CommandLine(new Commands());
     line.setCaseInsensitiveEnumValuesAllowed(true);
     line.setExecutionExceptionHandler(
-        (e, l, r) -> {
+        (e, commandLine, parseResult) -> {
           System.err.println("linengauge: " + (e.getMessage() == null ? e : e.getMessage()));
           return 1;
         });
@@ -48,7 +51,7 @@
     return 2;
   }
 
-  static final class Version implements CommandLine.IVersionProvider {
+  static final class VersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
       String version = Commands.class.getPackage().getImplementationVersion();
@@ -56,20 +59,20 @@
     }
   }
 
-  /** How the log is written; to be called before the first logger is made. */
-  static final class LogForm {
+  /** The log format; has to be applied before the first logger is created. */
+  static final class LogOptions {
     @Option(
         names = "--log",
         paramLabel = "FORM",
         defaultValue = "json",
         description = "log on standard error as 'json' lines or as 'text' (default: json)")
-    private String form;
+    private String format;
 
     void apply() {
-      if (!form.equals("json") && !form.equals("text")) {
-        throw new IllegalArgumentException("--log is 'json' or 'text', not '" + form + "'");
+      if (!format.equals("json") && !format.equals("text")) {
+        throw new IllegalArgumentException("--log is 'json' or 'text', not '" + format + "'");
       }
-      System.setProperty("logback.configurationFile", "linengauge/log-" + form + ".xml");
+      System.setProperty("logback.configurationFile", "linengauge/log-" + format + ".xml");
       System.setProperty("vertx.disableDnsResolver", "true");
     }
   }
@@ -77,18 +80,18 @@
   @Command(
       name = "front",
       mixinStandardHelpOptions = true,
-      description = "Run a front until it is told to stop.")
-  static final class Front implements Callable<Integer> {
+      description = "Run a front until it is stopped.")
+  static final class FrontCommand implements Callable<Integer> {
     @Option(names = "--site", required = true, paramLabel = "FILE", description = "the site file")
     private Path file;
 
     @Option(
         names = "--seed",
         paramLabel = "N",
-        description = "seed of its chances (default: the clock)")
+        description = "seed of its random choices (default: the clock)")
     private Long seed;
 
-    @CommandLine.Mixin private LogForm log;
+    @CommandLine.Mixin private LogOptions log;
 
     @Override
     public Integer call() throws InterruptedException {
@@ -96,11 +99,11 @@
       Site site;
       try {
         site = SiteFile.read(file);
-      } catch (BadSite e) {
+      } catch (InvalidSiteException e) {
         System.err.println(e.getMessage());
         return 1;
       }
-      FrontProgram front = new FrontProgram(site);
+      FrontServer front = new FrontServer(site);
       Runtime.getRuntime()
           .addShutdownHook(
               new Thread(
@@ -118,17 +121,17 @@
         started.toCompletionStage().toCompletableFuture().join();
       } catch (java.util.concurrent.CompletionException e) {
         System.err.println("linengauge: cannot start: " + e.getCause().getMessage());
-        Runtime.getRuntime().halt(1); // nothing is held yet that a stop in order would have to end
+        Runtime.getRuntime().halt(1); // there is nothing yet that an orderly stop would have to end
       }
-      String failed = front.await();
-      if (!failed.isEmpty()) {
-        System.err.println("linengauge: " + failed);
+      String failure = front.await();
+      if (!failure.isEmpty()) {
+        System.err.println("linengauge: " + failure);
       }
-      return failed.isEmpty() ? 0 : 1;
+      return failure.isEmpty() ? 0 : 1;
     }
   }
 
-  @Command(name = "site", mixinStandardHelpOptions = true, description = "Site files.")
+  @Command(name = "site", mixinStandardHelpOptions = true, description = "Work with site files.")
   static final class SiteCommand implements Callable<Integer> {
     @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
@@ -141,16 +144,17 @@
     @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Check a site file: one line a fault, exit 1 where there is one.")
+        description =
+            "Check a site file: print one line for each fault and exit 1 if there is any.")
     int check(
         @Parameters(paramLabel = "FILE") Path file,
-        @Option(names = "--show", description = "print it with all defaults filled in")
+        @Option(names = "--show", description = "print the site file with all defaults filled in")
             boolean show) {
       try {
         Site site = SiteFile.read(file);
         System.out.println(show ? SiteFile.show(site) : file + ": good");
         return 0;
-      } catch (BadSite e) {
+      } catch (InvalidSiteException e) {
         System.err.println(e.getMessage());
         return 1;
       }
@@ -161,11 +165,11 @@
       name = "serve",
       mixinStandardHelpOptions = true,
       description =
-          "Run a front in the operators' platform, as the environment posts it (docs/operators/platform.md).")
-  static final class Serve implements Callable<Integer> {
+          "Run a front in the operators' platform, configured by environment variables (docs/operators/platform.md).")
+  static final class ServeCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-      System.err.println("linengauge: serve stands alone on the command line");
+      System.err.println("linengauge: serve takes no arguments");
       return 2;
     }
   }
@@ -173,11 +177,12 @@
   @Command(
       name = "wirehost",
       mixinStandardHelpOptions = true,
-      description = "Decide for the fronts of a simulator, on standard input and output.")
-  static final class Wire implements Callable<Integer> {
+      description =
+          "Make the decisions for the fronts of a simulator, over standard input and output.")
+  static final class WireHostCommand implements Callable<Integer> {
     @Override
     public Integer call() {
-      System.err.println("linengauge: wirehost stands alone on the command line");
+      System.err.println("linengauge: wirehost takes no arguments");
       return 2;
     }
   }
--- a/src/main/java/linengauge/cli/ControlCommand.java
+++ b/src/main/java/linengauge/cli/ControlCommand.java
@@ -13,7 +13,7 @@
 import linengauge.consensus.RaftSettings;
 import linengauge.consensus.tcp.ConsensusNode;
 import linengauge.consensus.tcp.ConsensusStore;
-import linengauge.drill.FoundingStore;
+import linengauge.drill.VoterStores;
 import linengauge.lease.ControlMachine;
 import linengauge.lease.DirectoryEntry;
 import linengauge.lease.LeaseSettings;
@@ -25,27 +25,34 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs a control machine of membership by lease until SIGTERM or SIGINT. */
+/** Runs a control machine of lease-based membership until SIGTERM or SIGINT. */
 @Command(
     name = "control",
     mixinStandardHelpOptions = true,
-    description = "Run a control machine: it keeps the fronts' leases beside its part in the log.")
+    description =
+        "Run a control machine, which manages the fronts' leases and takes part in the log.")
 final class ControlCommand implements Callable<Integer> {
-  private static final int SHORTEST_KEY = 16;
+  private static final int MIN_KEY_BYTES = 16;
 
-  @Option(names = "--number", required = true, description = "Its number: above all fronts'.")
+  @Option(
+      names = "--number",
+      required = true,
+      description = "Number of this machine, above those of all fronts.")
   private int number;
 
-  @Option(names = "--listen", required = true, description = "UDP, host:port in numbers.")
+  @Option(names = "--listen", required = true, description = "UDP address as numeric host:port.")
   private String listen;
 
   @Option(
       names = "--machine",
       required = true,
-      description = "Each control machine, this one too: NUMBER=REGION@HOST:PORT (UDP).")
+      description = "Each control machine, including this one: NUMBER=REGION@HOST:PORT (UDP).")
   private Map<Integer, String> machines;
 
-  @Option(names = "--log-listen", required = true, description = "TCP, host:port in numbers.")
+  @Option(
+      names = "--log-listen",
+      required = true,
+      description = "TCP address of the log as numeric host:port.")
   private String logListen;
 
   @Option(
@@ -54,49 +61,55 @@
       description = "Each founding voter of the log: NUMBER=HOST:PORT (TCP).")
   private Map<Integer, String> voters;
 
-  @Option(names = "--store", description = "A voter's folder; without it the log is followed only.")
+  @Option(
+      names = "--store",
+      description = "Folder of a voter's store; without it the log is only followed.")
   private Path store;
 
-  @Option(names = "--found", description = "Make the folder that of a founding voter.")
-  private boolean founds;
+  @Option(names = "--found", description = "Create the store as that of a founding voter.")
+  private boolean founding;
 
-  @Option(names = "--key-file", required = true, description = "The fleet's, of 16 bytes or more.")
+  @Option(names = "--key-file", required = true, description = "The fleet's key, 16 bytes or more.")
   private Path keyFile;
 
-  @Option(names = "--heartbeat-ms", defaultValue = "1000", description = "As the fronts have it.")
+  @Option(
+      names = "--heartbeat-ms",
+      defaultValue = "1000",
+      description = "Heartbeat interval, the same as the fronts'.")
   private long heartbeatMs;
 
-  @CommandLine.Mixin private Commands.LogForm log;
+  @CommandLine.Mixin private Commands.LogOptions log;
 
   @Override
   public Integer call() throws Exception {
     log.apply();
     byte[] key =
         Files.readString(keyFile).strip().getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    if (key.length < SHORTEST_KEY) {
+    if (key.length < MIN_KEY_BYTES) {
       throw new IllegalArgumentException(keyFile + " holds a key of fewer than 16 bytes");
     }
     LeaseSettings lease = LeaseSettings.USUAL.withHeartbeat(Span.ofMillis(heartbeatMs));
-    ConsensusStore opened =
+    ConsensusStore consensusStore =
         store == null
             ? null
-            : FoundingStore.open(store, key, number, voters, founds, new MemberDirectory(lease));
-    CountDownLatch ends = new CountDownLatch(1);
-    CountDownLatch ended = new CountDownLatch(1);
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> endInOrder(ends, ended), "end"));
-    try (ControlNode node = new ControlNode(settings(lease, key), opened, listener())) {
+            : VoterStores.open(store, key, number, voters, founding, new MemberDirectory(lease));
+    CountDownLatch shutdownRequested = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
+    Runtime.getRuntime()
+        .addShutdownHook(new Thread(() -> shutDown(shutdownRequested, finished), "end"));
+    try (ControlNode node = new ControlNode(settings(lease, key), consensusStore, listener())) {
       node.start();
-      ends.await();
+      shutdownRequested.await();
     } finally {
-      ended.countDown();
+      finished.countDown();
     }
     return 0;
   }
 
-  private static void endInOrder(CountDownLatch ends, CountDownLatch ended) {
-    ends.countDown();
+  private static void shutDown(CountDownLatch shutdownRequested, CountDownLatch finished) {
+    shutdownRequested.countDown();
     try {
-      ended.await(2, java.util.concurrent.TimeUnit.SECONDS);
+      finished.await(2, java.util.concurrent.TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -111,21 +124,21 @@
             key,
             RaftSettings.USUAL,
             LogFollower.Terms.USUAL);
-    return new ControlNode.Settings(lease, number, listen, all(), logSettings);
+    return new ControlNode.Settings(lease, number, listen, controlMachines(), logSettings);
   }
 
-  private List<ControlMachine> all() {
+  private List<ControlMachine> controlMachines() {
     return machines.entrySet().stream()
-        .map(told -> machine(told.getKey(), told.getValue()))
+        .map(entry -> machine(entry.getKey(), entry.getValue()))
         .sorted(Comparator.comparingInt(ControlMachine::number))
         .toList();
   }
 
-  private static ControlMachine machine(int number, String told) {
-    String[] parts = told.split("@", 2);
+  private static ControlMachine machine(int number, String value) {
+    String[] parts = value.split("@", 2);
     if (parts.length != 2 || !parts[0].matches("[0-9]{1,2}")) {
       throw new IllegalArgumentException(
-          "--machine " + number + "=" + told + ": no REGION@HOST:PORT");
+          "--machine " + number + "=" + value + ": expected REGION@HOST:PORT");
     }
     return new ControlMachine(number, Integer.parseInt(parts[0]), parts[1]);
   }
@@ -136,15 +149,15 @@
       @Override
       public void changed(DirectoryEntry entry) {
         logger.info(
-            "front {} is {} in life {}",
+            "front {} is {}, incarnation {}",
             entry.member().number(),
             entry.state(),
             entry.incarnation());
       }
 
       @Override
-      public void stands(ConsensusNode.View view) {
-        logger.info("{} in term {}, leader {}", view.role(), view.term(), view.leader());
+      public void logViewChanged(ConsensusNode.View view) {
+        logger.info("log role {} in term {}, leader {}", view.role(), view.term(), view.leader());
       }
     };
   }
--- a/src/main/java/linengauge/cli/Drills.java
+++ b/src/main/java/linengauge/cli/DrillCommands.java
@@ -10,34 +10,35 @@
 import linengauge.drill.ConsensusProcess;
 import linengauge.drill.ControlProcess;
 import linengauge.drill.DayDrill;
+import linengauge.drill.DayImporter;
 import linengauge.drill.DayScript;
 import linengauge.drill.ExploreDrill;
 import linengauge.drill.FailoverDrill;
-import linengauge.drill.Importer;
 import linengauge.drill.LeaseProcess;
 import linengauge.drill.MemberProcess;
 import linengauge.drill.RelayDrill;
 import linengauge.drill.Report;
-import linengauge.drill.SlowDrill;
+import linengauge.drill.SlowPeersDrill;
 import linengauge.drill.TryOut;
 import linengauge.lease.ControlMachine;
 import linengauge.membership.Member;
-import linengauge.rules.BadRecord;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
 import linengauge.rules.Verdict;
 import linengauge.scale.hollow.HollowChild;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Proofs on loopback, each a subcommand. */
+/** Drills on loopback, each a subcommand. */
 @Command(
     name = "drill",
     mixinStandardHelpOptions = true,
-    description = "Proofs on loopback: troubles acted out, rules judged from the traffic.")
-final class Drills implements Callable<Integer> {
+    description =
+        "Drills on loopback: faults are injected and rules judged from the recorded traffic.")
+final class DrillCommands implements Callable<Integer> {
   @picocli.CommandLine.Spec private CommandLine.Model.CommandSpec spec;
 
   @Override
@@ -46,81 +47,83 @@
     return 2;
   }
 
-  /** What all drills take. */
-  static final class Ways {
+  /** Options common to the drills. */
+  static final class DrillOptions {
     @Option(
         names = "--seed",
         paramLabel = "N",
         defaultValue = "1",
-        description = "the seed (default: 1)")
+        description = "seed of the random choices (default: 1)")
     long seed;
 
     @Option(
         names = "--report",
         paramLabel = "FILE.json",
-        description = "write the report there too")
+        description = "also write the report to this file")
     Path report;
 
     @Option(
         names = "--traffic",
         paramLabel = "FILE.jsonl",
-        description = "write what was seen on the sockets")
+        description = "write the recorded traffic to this file")
     Path traffic;
 
-    @CommandLine.Mixin Commands.LogForm log;
+    @CommandLine.Mixin Commands.LogOptions log;
 
-    int done(Report r) throws IOException {
-      r.print(System.out);
+    int finish(Report result) throws IOException {
+      result.print(System.out);
       if (report != null) {
-        r.write(report);
+        result.write(report);
       }
-      return r.held() ? 0 : 1;
+      return result.hasPassed() ? 0 : 1;
     }
   }
 
   @Command(
       name = "bad-day",
       mixinStandardHelpOptions = true,
-      description = "Three fronts and twelve boxes through a day of most troubles; the six rules.")
+      description =
+          "Run three fronts and twelve boxes through a day with most kinds of faults and check the six rules.")
   int badDay(
-      @CommandLine.Mixin Ways ways,
-      @Option(names = "--short", description = "25 s or less") boolean brief)
+      @CommandLine.Mixin DrillOptions options,
+      @Option(names = "--short", description = "a version of at most 25 s") boolean brief)
       throws IOException, InterruptedException {
-    return play("builtin:bad-day" + (brief ? "-short" : ""), ways);
+    return playScript("builtin:bad-day" + (brief ? "-short" : ""), options);
   }
 
   @Command(name = "day", mixinStandardHelpOptions = true, description = "Play a day script.")
-  int day(@Parameters(paramLabel = "DAY.json5") Path script, @CommandLine.Mixin Ways ways)
+  int day(
+      @Parameters(paramLabel = "DAY.json5") Path script, @CommandLine.Mixin DrillOptions options)
       throws IOException, InterruptedException {
-    return play(script.toString(), ways);
+    return playScript(script.toString(), options);
   }
 
-  private static int play(String script, Ways ways) throws IOException, InterruptedException {
-    ways.log.apply();
+  private static int playScript(String script, DrillOptions options)
+      throws IOException, InterruptedException {
+    options.log.apply();
     DayScript day;
     try {
       day = DayScript.read(script);
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       System.err.println(e.getMessage());
       return 1;
     }
-    return ways.done(
-        new DayDrill(day, ways.seed, ways.traffic, script.startsWith("builtin:")).run());
+    return options.finish(
+        new DayDrill(day, options.seed, options.traffic, script.startsWith("builtin:")).run());
   }
 
   @Command(
       name = "try",
       mixinStandardHelpOptions = true,
-      description =
-          "Start the bad day's fleet with no trouble and keep it running, to try by hand.")
+      description = "Start the bad day's fleet without faults and keep it running, to try by hand.")
   int tryByHand(
-      @CommandLine.Mixin Commands.LogForm log,
+      @CommandLine.Mixin Commands.LogOptions log,
       @Option(
               names = "--seconds",
               defaultValue = "600",
               description = "how long it runs (default: 600)")
           int seconds)
-      throws IOException, InterruptedException, BadSite {
+      throws IOException, InterruptedException, InvalidSiteException {
     log.apply();
     TryOut.run(DayScript.read("builtin:bad-day"), seconds, System.out);
     return 0;
@@ -130,74 +133,74 @@
       name = "relay",
       mixinStandardHelpOptions = true,
       description =
-          "What the front costs over a bare relay, in one run: joins, bytes, join time, loops, heap.")
+          "Measure the overhead of a front over a bare relay in one run: joins, bytes, join time, event loops, heap.")
   int relay(
-      @CommandLine.Mixin Ways ways,
-      @Option(names = "--short", description = "a quick look, no measurement") boolean brief)
+      @CommandLine.Mixin DrillOptions options,
+      @Option(names = "--short", description = "a quick check, not a measurement") boolean brief)
       throws IOException, InterruptedException {
-    ways.log.apply();
-    return ways.done(new RelayDrill(ways.seed, brief).run());
+    options.log.apply();
+    return options.finish(new RelayDrill(options.seed, brief).run());
   }
 
   @Command(
       name = "slow-peers",
       mixinStandardHelpOptions = true,
       description =
-          "Healthy viewers beside a thousand slow ones;"
-              + " a front that stands still; who is let go, and who must not be.")
+          "Measure healthy viewers beside a thousand slow ones and after a pause of the front;"
+              + " check which viewers are disconnected and which must not be.")
   int slowPeers(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(names = "--short", description = "about half a minute") boolean brief,
       @Option(
               names = "--guards",
               paramLabel = "on|off",
               defaultValue = "on",
-              description = "off: nobody is bounded, and the drill must fail")
+              description = "off: viewers have no limits, and the drill has to fail")
           String guards,
       @Option(
               names = "--only",
               paramLabel = "WAY",
-              description = "all slow ones in one way: ${COMPLETION-CANDIDATES}")
-          linengauge.standin.SlowCrowd.Way only)
+              description = "use a single kind of slow viewer: ${COMPLETION-CANDIDATES}")
+          linengauge.standin.SlowPlayerSimulator.SlowMode only)
       throws IOException, InterruptedException {
     if (!guards.equals("on") && !guards.equals("off")) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "--guards is on or off, not '" + guards + "'");
+          spec.commandLine(), "--guards must be on or off, not '" + guards + "'");
     }
-    ways.log.apply();
-    return ways.done(
-        new SlowDrill(ways.seed, brief, guards.equals("on"), only, ways.traffic).run());
+    options.log.apply();
+    return options.finish(
+        new SlowPeersDrill(options.seed, brief, guards.equals("on"), only, options.traffic).run());
   }
 
   @Command(
       name = "failover",
       mixinStandardHelpOptions = true,
       description =
-          "Two fronts behind shared addresses on a stand-in"
-              + " LAN: killed, stopped, told to end, cut off, flapping; what viewers see, and who claimed what.")
+          "Run two fronts behind shared addresses on a stand-in LAN; kill, suspend, stop, cut off"
+              + " and flap them; measure the outage viewers see and check address ownership.")
   int failover(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--rounds",
               paramLabel = "N",
               defaultValue = "50",
-              description = "troubles, one at a time (default: 50)")
+              description = "number of faults, one at a time (default: 50)")
           int rounds,
-      @Option(names = "--short", description = "five rounds and no baseline, about a minute")
+      @Option(names = "--short", description = "five rounds without the baseline, about a minute")
           boolean brief,
       @Option(
               names = "--advert-ms",
               paramLabel = "MS",
               defaultValue = "100",
-              description = "between advertisements (default: 100)")
+              description = "advertisement interval (default: 100)")
           int advertMs,
-      @Option(names = "--no-baseline", description = "without the standard at 1 s beside it")
-          boolean alone,
+      @Option(names = "--no-baseline", description = "skip the baseline, the standard at 1 s")
+          boolean withoutBaseline,
       @Option(
               names = "--additions",
               paramLabel = "on|off",
               defaultValue = "on",
-              description = "off: the standard alone")
+              description = "off: only what the standard defines")
           String additions)
       throws IOException, InterruptedException {
     if (rounds < 1
@@ -208,63 +211,63 @@
         || !additions.equals("on") && !additions.equals("off")) {
       throw new CommandLine.ParameterException(
           spec.commandLine(),
-          "--rounds is 1 to 1000, --advert-ms 10 to 10000 in whole"
-              + " tens, --additions on or off");
+          "--rounds must be 1 to 1000, --advert-ms a multiple of 10 from 10 to 10000,"
+              + " --additions on or off");
     }
-    ways.log.apply();
-    boolean more = additions.equals("on");
-    Report r = new Report("failover" + (more ? "" : ", additions off"), ways.seed);
+    options.log.apply();
+    boolean withAdditions = additions.equals("on");
+    Report result = new Report("failover" + (withAdditions ? "" : ", additions off"), options.seed);
     new FailoverDrill(
-            ways.seed,
+            options.seed,
             brief ? 5 : rounds,
-            brief ? 0 : more ? 120 : 30,
+            brief ? 0 : withAdditions ? 120 : 30,
             advertMs,
-            more,
-            ways.traffic)
-        .run(r, "pair");
-    if (!brief && !alone && more && advertMs == 100) {
-      new FailoverDrill(ways.seed + 1, Math.max(5, rounds / 10), 30, 1000, false, null)
-          .run(r, "baseline, 1 s adverts");
+            withAdditions,
+            options.traffic)
+        .run(result, "pair");
+    if (!brief && !withoutBaseline && withAdditions && advertMs == 100) {
+      new FailoverDrill(options.seed + 1, Math.max(5, rounds / 10), 30, 1000, false, null)
+          .run(result, "baseline, 1 s adverts");
     }
     if (!brief) {
-      FailoverDrill.cost(r, advertMs);
+      FailoverDrill.cost(result, advertMs);
     }
-    return ways.done(r);
+    return options.finish(result);
   }
 
   @Command(
       name = "explore",
       mixinStandardHelpOptions = true,
       description =
-          "Every schedule of troubles up to a bound, through"
-              + " VRRP's state machine as it runs: one node must come to be Active, and stay.")
+          "Run every schedule of faults up to a bound through the VRRP state machine:"
+              + " one node has to become Active and remain so.")
   int explore(
-      @CommandLine.Mixin Ways ways,
+      @CommandLine.Mixin DrillOptions options,
       @Option(
               names = "--depth",
               paramLabel = "N",
               defaultValue = "14",
-              description = "happenings among which troubles" + " may come (default: 14)")
+              description = "number of events among which faults may occur (default: 14)")
           int depth,
       @Option(
               names = "--faults",
               paramLabel = "N",
               defaultValue = "2",
-              description = "troubles at the most (default: 2)")
+              description = "maximum number of faults (default: 2)")
           int faults)
       throws IOException {
     if (depth < 1 || depth > 40 || faults < 0 || faults > 5) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "--depth is 1 to 40, --faults 0 to 5");
+          spec.commandLine(), "--depth must be 1 to 40, --faults 0 to 5");
     }
-    ways.log.apply();
-    return ways.done(ExploreDrill.run(depth, faults));
+    options.log.apply();
+    return options.finish(ExploreDrill.run(depth, faults));
   }
 
   @Command(
       name = "bare-relay",
       hidden = true,
-      description = "The baseline of `drill relay`, as a process of its own.")
+      description = "Run the baseline of `drill relay` as a separate process.")
   int bareRelay(
       @Parameters String host, @Parameters int port, @Parameters int box, @Parameters int loops)
       throws InterruptedException {
@@ -277,8 +280,8 @@
       name = "import",
       mixinStandardHelpOptions = true,
       description =
-          "Turn a day drawn by the operators' simulator into a day script, scaled to loopback.")
-  int bring(
+          "Convert a day drawn by the operators' simulator into a day script, scaled to loopback.")
+  int convertDay(
       @Parameters(paramLabel = "DAY.json") Path drawn,
       @Option(
               names = {"-o", "--output"},
@@ -286,12 +289,12 @@
               paramLabel = "DAY.json5")
           Path script)
       throws IOException {
-    Importer.Imported got = Importer.read(Files.readAllBytes(drawn));
-    Files.writeString(script, "// From " + drawn.getFileName() + ".\n" + got.script());
-    got.changes().forEach(c -> System.out.println("changed: " + c));
+    DayImporter.Imported imported = DayImporter.read(Files.readAllBytes(drawn));
+    Files.writeString(script, "// From " + drawn.getFileName() + ".\n" + imported.script());
+    imported.changes().forEach(change -> System.out.println("changed: " + change));
     try {
       DayScript.read(script.toString());
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       System.err.println(e.getMessage());
       return 1;
     }
@@ -301,7 +304,7 @@
   @Command(
       name = "member",
       hidden = true,
-      description = "One front's members alone, until the input says something.")
+      description = "Run a single front's gossip membership until there is input.")
   int member(
       @Option(names = "--number", required = true) int number,
       @Option(names = "--at", required = true) String at,
@@ -311,7 +314,7 @@
       @Option(names = "--key-file", required = true) Path key,
       @Option(names = "--record", required = true) Path record,
       @Option(names = "--period-ms", defaultValue = "1000") long period,
-      @CommandLine.Mixin Commands.LogForm log)
+      @CommandLine.Mixin Commands.LogOptions log)
       throws IOException, InterruptedException {
     log.apply();
     MemberProcess.run(
@@ -322,40 +325,43 @@
   @Command(
       name = "council-member",
       hidden = true,
-      description = "One front's part in a council alone; its input says what is wanted.")
+      description = "Run a single member of a consensus group, with commands from standard input.")
   int councilMember(
       @Option(names = "--number", required = true) int number,
       @Option(names = "--listen", required = true) String listen,
       @Option(names = "--voter", required = true) Map<Integer, String> voters,
       @Option(names = "--way") Map<Integer, String> ways,
       @Option(names = "--store") Path store,
-      @Option(names = "--found") boolean founds,
+      @Option(names = "--found") boolean founding,
       @Option(names = "--key-file", required = true) Path key,
       @Option(names = "--record", required = true) Path record,
       @Option(names = "--beat-ms", defaultValue = "100") long beat,
-      @CommandLine.Mixin Commands.LogForm log)
+      @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return ConsensusProcess.run(
-        new ConsensusProcess.Start(
+        new ConsensusProcess.Options(
             number,
             listen,
             voters,
             ways == null ? Map.of() : ways,
             store,
-            founds,
+            founding,
             key,
             record,
             Span.ofMillis(beat)));
   }
 
-  /** One control machine as a front or another control machine reaches it: REGION@HOST:PORT. */
-  private static List<ControlMachine> machines(Map<Integer, String> told) {
-    return told.entrySet().stream()
+  /**
+   * Parses control machine addresses as seen by a front or another control machine:
+   * REGION@HOST:PORT.
+   */
+  private static List<ControlMachine> machines(Map<Integer, String> addresses) {
+    return addresses.entrySet().stream()
         .map(
-            e -> {
-              String[] at = e.getValue().split("@", 2);
-              return new ControlMachine(e.getKey(), Integer.parseInt(at[0]), at[1]);
+            entry -> {
+              String[] parts = entry.getValue().split("@", 2);
+              return new ControlMachine(entry.getKey(), Integer.parseInt(parts[0]), parts[1]);
             })
         .sorted(java.util.Comparator.comparingInt(ControlMachine::number))
         .toList();
@@ -364,14 +370,16 @@
   @Command(
       name = "lease-member",
       hidden = true,
-      description = "One front's membership alone, by lease, gossip or both; ends with its input.")
-  int leaseMember(@CommandLine.Mixin LeaseOptions options, @CommandLine.Mixin Commands.LogForm log)
+      description =
+          "Run a single front's membership by lease, gossip or both until its input ends.")
+  int leaseMember(
+      @CommandLine.Mixin LeaseOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException, InterruptedException {
     log.apply();
-    String at = options.at == null ? options.gossipAt : options.at;
+    String address = options.at == null ? options.gossipAt : options.at;
     LeaseProcess.run(
-        new LeaseProcess.Start(
-            new Member(options.number, at, options.zone, options.region),
+        new LeaseProcess.Options(
+            new Member(options.number, address, options.zone, options.region),
             options.at,
             machines(options.machines == null ? Map.of() : options.machines),
             options.gossipAt,
@@ -382,7 +390,7 @@
     return 0;
   }
 
-  /** What a front's membership is started with. */
+  /** Options of a front's membership process. */
   static final class LeaseOptions {
     @Option(names = "--number", required = true)
     int number;
@@ -418,12 +426,12 @@
   @Command(
       name = "control",
       hidden = true,
-      description = "One control machine alone; ends with its input.")
-  int control(@CommandLine.Mixin ControlOptions options, @CommandLine.Mixin Commands.LogForm log)
+      description = "Run a single control machine until its input ends.")
+  int control(@CommandLine.Mixin ControlOptions options, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return ControlProcess.run(
-        new ControlProcess.Start(
+        new ControlProcess.Options(
             options.number,
             options.listen,
             machines(options.machines),
@@ -437,21 +445,24 @@
         Span.ofMillis(options.beatMs));
   }
 
-  @Command(name = "hollow-fronts", hidden = true, description = "A process of hollow fronts.")
-  int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogForm log)
+  @Command(name = "hollow-fronts", hidden = true, description = "Run a process of hollow fronts.")
+  int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, false);
   }
 
-  @Command(name = "hollow-control", hidden = true, description = "Their control machine.")
-  int hollowControl(@Parameters Path spec, @CommandLine.Mixin Commands.LogForm log)
+  @Command(
+      name = "hollow-control",
+      hidden = true,
+      description = "Run a control machine of hollow fronts.")
+  int hollowControl(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
     log.apply();
     return HollowChild.run(spec, true);
   }
 
-  /** What a control machine is started with. */
+  /** Options of a control machine process. */
   static final class ControlOptions {
     @Option(names = "--number", required = true)
     int number;
@@ -490,24 +501,24 @@
   @Command(
       name = "judge",
       mixinStandardHelpOptions = true,
-      description = "Judge a record of traffic again, alone.")
+      description = "Judge a recorded traffic file again.")
   int judge(
       @Parameters(paramLabel = "FILE.jsonl") Path record,
       @Option(names = "--report", paramLabel = "FILE.json") Path file)
       throws IOException {
-    Verdict v;
+    Verdict verdict;
     try {
-      v = Judge.judge(Files.readAllLines(record));
-    } catch (BadRecord e) {
+      verdict = Judge.judge(Files.readAllLines(record));
+    } catch (InvalidRecordException e) {
       System.err.println(record + ": " + e.getMessage());
       return 1;
     }
-    Report r = new Report("judge", 0);
-    r.judged(record.getFileName().toString(), v);
-    r.print(System.out);
+    Report result = new Report("judge", 0);
+    result.addVerdict(record.getFileName().toString(), verdict);
+    result.print(System.out);
     if (file != null) {
-      r.write(file);
+      result.write(file);
     }
-    return r.held() ? 0 : 1;
+    return result.hasPassed() ? 0 : 1;
   }
 }
--- a/src/main/java/linengauge/consensus/explore/ClusterJudge.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
@@ -13,15 +13,15 @@
 import linengauge.virtualtime.EventQueue;
 
 /**
- * Judges a simulated cluster by what each process holds and was told, never by their reasons: one
- * leader a term; one entry an index; reads that are not stale; the same state after as many
- * decisions; each proposal decided once.
+ * Checks a simulated cluster by the state that each process holds and the answers that it receives,
+ * independently of how the protocol reached them: one leader per term, one committed entry per
+ * index, no stale reads, equal state at equal index, and each proposal applied at most once.
  */
-final class ClusterJudge {
-  private static final int ENOUGH_BROKEN = 8;
+final class ClusterInvariants {
+  private static final int MAX_VIOLATIONS = 8;
 
   private final EventQueue time;
-  private final List<String> broken = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private final Map<Long, Integer> leaderOfTerm = new HashMap<>();
   private final Map<Long, Entry> committed = new HashMap<>();
   private final Map<Long, Long> valueAt = new HashMap<>();
@@ -29,29 +29,29 @@
   private final Set<Long> acknowledged = new HashSet<>();
   private long lastCommitted;
 
-  ClusterJudge(EventQueue time) {
+  ClusterInvariants(EventQueue time) {
     this.time = time;
   }
 
   void report(String what) {
     double seconds = time.now().micros() / 1e6;
-    broken.add(String.format(Locale.ROOT, "%.3f s: ", seconds) + what);
+    violations.add(String.format(Locale.ROOT, "%.3f s: ", seconds) + what);
   }
 
-  List<String> broken() {
-    return List.copyOf(broken);
+  List<String> violations() {
+    return List.copyOf(violations);
   }
 
-  /** Enough is broken: more would say nothing new. */
-  boolean isDone() {
-    return broken.size() >= ENOUGH_BROKEN;
+  /** Whether the run may stop: further violations add no information. */
+  boolean hasEnoughViolations() {
+    return violations.size() >= MAX_VIOLATIONS;
   }
 
   int elections() {
     return leaderOfTerm.size();
   }
 
-  /** The highest index that any voter took for committed. */
+  /** The highest index that any voter considers committed. */
   long lastCommitted() {
     return lastCommitted;
   }
@@ -60,7 +60,7 @@
     return acknowledged.size();
   }
 
-  /** Whoever proposed the value was told that it is decided. */
+  /** The proposer of the value was notified that it is committed. */
   void onAcknowledged(long value) {
     acknowledged.add(value);
   }
@@ -68,17 +68,17 @@
   void checkLeader(long term, int number) {
     Integer other = leaderOfTerm.putIfAbsent(term, number);
     if (other != null && other != number) {
-      report("two led term " + term + ": " + other + " and " + number);
+      report("two leaders in term " + term + ": " + other + " and " + number);
     }
   }
 
   /**
-   * @param entry as that voter holds it; null where it has folded it into its snapshot
+   * @param entry as that voter holds it; null if it is compacted into the snapshot
    */
   void checkCommitted(long index, Entry entry, int number) {
     Entry before = entry == null ? null : committed.putIfAbsent(index, entry);
     if (before != null && !before.equals(entry)) {
-      report("entry " + index + " decided twice, at " + number + ": " + before + " and " + entry);
+      report("entry " + index + " committed twice, at " + number + ": " + before + " and " + entry);
     }
     lastCommitted = Math.max(lastCommitted, index);
   }
@@ -86,74 +86,74 @@
   void checkApplied(long index, long value) {
     Long before = valueAt.putIfAbsent(index, value);
     if (before != null && before != value) {
-      report("decision " + index + " is " + before + " and " + value);
+      report("entry " + index + " was applied as " + before + " and as " + value);
     }
   }
 
-  /** All that have decided as far hold the same. */
+  /** All processes that have applied the same index hold the same state. */
   void checkSameState(int number, long index, NumberLog machine) {
     int hash = Arrays.hashCode(machine.whole());
     Integer before = stateAfter.putIfAbsent(index, hash);
     if (before != null && before != hash) {
-      report(number + " holds another state after " + index + " decisions");
+      report(number + " holds a different state after " + index + " entries");
     }
   }
 
-  void checkNoStepBack(int number, long before, long index) {
+  void checkMonotonic(int number, long before, long index) {
     if (index < before) {
-      report("front " + number + " goes back from " + before + " to " + index);
+      report("follower " + number + " goes back from " + before + " to " + index);
     }
   }
 
   /**
-   * @param committedThen what was committed when the front asked
+   * @param committedThen the committed index when the follower requested the read
    */
-  void checkRead(int number, long index, long committedThen) {
-    if (index < committedThen) {
+  void checkRead(int number, long index, long committedAtRequest) {
+    if (index < committedAtRequest) {
       report(
           number
-              + " is sure at "
+              + " confirmed a read at "
               + index
               + ", and "
-              + committedThen
-              + " had been decided when it asked");
+              + committedAtRequest
+              + " was committed at the request");
     }
   }
 
-  /* ---- long after the last fault ---- */
+  /* ---- after recovery from the last fault ---- */
 
-  void checkOneLeads(long leaders) {
+  void checkSingleLeader(long leaders) {
     if (leaders != 1) {
-      report(leaders + " lead at the end");
+      report(leaders + " leaders at the end");
     }
   }
 
-  void checkStillDecides(int acknowledgedBefore) {
+  void checkProgress(int acknowledgedBefore) {
     if (acknowledged.size() <= acknowledgedBefore) {
-      report("nothing is decided at the end");
+      report("no proposal is committed at the end");
     }
   }
 
-  void checkKnowsAll(int number, long index) {
+  void checkCaughtUp(int number, long index) {
     if (index < lastCommitted) {
       report(number + " knows " + index + " of " + lastCommitted);
     }
   }
 
-  /** A proposal is decided once, and who is told so finds it decided. */
-  void checkDecidedOnce() {
+  /** A proposal is applied at most once, and exactly once if it was acknowledged. */
+  void checkAppliedOnce() {
     Map<Long, Integer> times = new TreeMap<>();
     valueAt.values().forEach(value -> times.merge(value, 1, Integer::sum));
     times.forEach(
         (value, count) -> {
           if (count > 1) {
-            report("proposal " + value + " is decided " + count + " times");
+            report("proposal " + value + " is applied " + count + " times");
           }
         });
     for (long value : acknowledged) {
       int count = times.getOrDefault(value, 0);
       if (count != 1) {
-        report("proposal " + value + " was told decided, and is so " + count + " times");
+        report("proposal " + value + " was acknowledged and is applied " + count + " times");
       }
     }
   }
--- a/src/main/java/linengauge/consensus/explore/FaultPlan.java
+++ b/src/main/java/linengauge/consensus/explore/FaultPlan.java
@@ -4,7 +4,7 @@
 import linengauge.Moment;
 import linengauge.Span;
 
-/** Which faults are on at a moment, and whom they meet. */
+/** Tells which faults are active at a moment, and which processes they affect. */
 final class FaultPlan {
   /** Simulated followers are numbered from here; voters are fewer. */
   static final int FIRST_FOLLOWER = 32;
@@ -22,50 +22,52 @@
   }
 
   boolean isOn(Fault.Kind kind, int number, Moment now) {
-    return faults.stream().anyMatch(f -> f.kind() == kind && f.a() == number && f.isOn(now));
+    return faults.stream().anyMatch(f -> f.kind() == kind && f.target() == number && f.isOn(now));
   }
 
-  /** Nothing that one sends comes to the other. */
+  /** Whether all messages from one process to the other are lost. */
   boolean isCut(int from, int to, Moment now) {
     return from != to
         && (isOn(Fault.Kind.MUTE, from, now)
             || isOn(Fault.Kind.DEAF, to, now)
-            || isWayCut(from, to, now));
+            || isLinkCut(from, to, now));
   }
 
-  private boolean isWayCut(int from, int to, Moment now) {
+  private boolean isLinkCut(int from, int to, Moment now) {
     return faults.stream()
         .anyMatch(
             f ->
                 f.kind() == Fault.Kind.CUT
-                    && processOf(f.a()) == from
-                    && f.b() == to
+                    && processOf(f.target()) == from
+                    && f.peer() == to
                     && f.isOn(now));
   }
 
-  /** Until when that process stands still; now where it does not. */
+  /** The end of the pause of that process; {@code now} if it is not paused. */
   Moment frozenUntil(int number, Moment now) {
     Moment until = now;
     for (Fault fault : faults) {
-      if (fault.kind() == Fault.Kind.FREEZE && processOf(fault.a()) == number && fault.isOn(now)) {
-        until = until.orLater(fault.to());
+      if (fault.kind() == Fault.Kind.FREEZE
+          && processOf(fault.target()) == number
+          && fault.isOn(now)) {
+        until = until.max(fault.to());
       }
     }
     return until;
   }
 
-  /** For how long that voter has heard nobody. */
+  /** How long that voter has received no messages. */
   Span deafFor(int number, Moment now) {
     Span longest = Span.NONE;
     for (Fault fault : faults) {
-      if (fault.kind() == Fault.Kind.DEAF && fault.a() == number && fault.isOn(now)) {
-        longest = longest.orMore(now.since(fault.from()));
+      if (fault.kind() == Fault.Kind.DEAF && fault.target() == number && fault.isOn(now)) {
+        longest = longest.max(now.since(fault.from()));
       }
     }
     return longest;
   }
 
-  /** Those after the voters are followers. */
+  /** Fault targets from the number of voters on are followers. */
   private int processOf(int number) {
     return number < voters ? number : FIRST_FOLLOWER + number - voters;
   }
--- a/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
+++ b/src/main/java/linengauge/consensus/explore/SimulatedProcess.java
@@ -3,24 +3,22 @@
 import java.util.SplittableRandom;
 import linengauge.Moment;
 
-/**
- * A process of a simulated cluster: its clock is off and runs fast or slow, and it may stand still.
- */
+/** A process of a simulated cluster, whose clock has an offset and a drift, and which may pause. */
 abstract class SimulatedProcess {
-  private static final long MOST_OFF_MICROS = 60_000_000L;
+  private static final long MAX_CLOCK_OFFSET_MICROS = 60_000_000L;
 
   private final ClusterSimulation cluster;
   private final int number;
   private final long clockOffset;
   private final double clockRate;
   private boolean up = true;
-  private int life;
-  private Moment wakesAt;
+  private int incarnation;
+  private Moment timerAt;
 
   SimulatedProcess(ClusterSimulation cluster, int number, SplittableRandom random) {
     this.cluster = cluster;
     this.number = number;
-    this.clockOffset = random.nextLong(2 * MOST_OFF_MICROS) - MOST_OFF_MICROS;
+    this.clockOffset = random.nextLong(2 * MAX_CLOCK_OFFSET_MICROS) - MAX_CLOCK_OFFSET_MICROS;
     this.clockRate = 0.98 + random.nextInt(5) / 100.0;
   }
 
@@ -36,69 +34,69 @@
     return up;
   }
 
-  /** The process ends: what it was about to do is not done. */
+  /** Ends the process; its scheduled tasks are dropped. */
   void crash() {
     up = false;
-    life++;
+    incarnation++;
   }
 
-  /** The process is there, in a life of its own. */
-  void beginLife() {
-    life++;
+  /** Marks the process as running in a new incarnation, without its earlier tasks. */
+  void startIncarnation() {
+    incarnation++;
     up = true;
-    wakesAt = null;
+    timerAt = null;
   }
 
-  /** What its own clock shows. */
+  /** The time on the process's own clock. */
   Moment clock() {
     return new Moment((long) (cluster.now().micros() * clockRate) + clockOffset);
   }
 
   private Moment trueTime(Moment ofClock) {
     double micros = Math.ceil((ofClock.micros() - clockOffset) / clockRate);
-    return new Moment((long) micros + 1).orLater(cluster.now());
+    return new Moment((long) micros + 1).max(cluster.now());
   }
 
-  /** The moment, by its own clock, at which it wants to be stepped. */
+  /** The time on its own clock at which {@link #step} is due. */
   abstract Moment next();
 
   abstract void step();
 
-  /** Judges what it holds now. */
-  abstract void judge();
+  /** Checks its present state. */
+  abstract void checkInvariants();
 
-  /** Sets its timer anew where it is to be stepped sooner than that says. */
-  void wake() {
+  /** Reschedules the timer if the next step is due earlier. */
+  void updateTimer() {
     Moment at = trueTime(next());
-    if (wakesAt != null && !at.before(wakesAt)) {
+    if (timerAt != null && !at.isBefore(timerAt)) {
       return;
     }
-    wakesAt = at;
-    int mine = life;
+    timerAt = at;
+    int scheduledIn = incarnation;
     cluster.schedule(
         at,
         () -> {
-          if (up && mine == life && at.equals(wakesAt)) {
+          if (up && scheduledIn == incarnation && at.equals(timerAt)) {
             run(this::onTimer);
           }
         });
   }
 
   private void onTimer() {
-    wakesAt = null;
+    timerAt = null;
     step();
   }
 
-  /** One that stands still reads and steps when it goes on. */
+  /** Runs the task now, or when the process resumes if it is paused. */
   void run(Runnable task) {
     Moment now = cluster.now();
     Moment until = cluster.faults().frozenUntil(number, now);
-    if (now.before(until)) {
-      int mine = life;
+    if (now.isBefore(until)) {
+      int scheduledIn = incarnation;
       cluster.schedule(
           until,
           () -> {
-            if (mine == life) {
+            if (scheduledIn == incarnation) {
               run(task);
             }
           });
@@ -107,11 +105,11 @@
     try {
       task.run();
     } catch (IllegalStateException e) {
-      cluster.judge().report(number + ": " + e.getMessage());
+      cluster.invariants().report(number + ": " + e.getMessage());
     }
     if (up) {
-      judge();
-      wake();
+      checkInvariants();
+      updateTimer();
     }
   }
 }
--- a/src/main/java/linengauge/drill/DayScript.java
+++ b/src/main/java/linengauge/drill/DayScript.java
@@ -8,29 +8,29 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.util.List;
-import linengauge.site.BadSite;
+import linengauge.site.InvalidSiteException;
 import linengauge.site.Site;
 import linengauge.site.SiteFile;
 
 /**
- * A scripted day (docs/protocol/day.md): the fleet, who comes, and what goes wrong when. Spans in
- * ms unless they end in S.
+ * A scripted day (docs/protocol/day.md): the fleet, the traffic, and the faults with their times.
+ * Durations are in milliseconds unless the name ends in S (seconds).
  */
 public record DayScript(
     String name,
     double lengthS,
     List<String> paidPasses,
     FleetPlan fleet,
-    Fronts fronts,
+    FrontPlan fronts,
     List<Site.Rung> ladder,
-    List<Wanted> packages,
+    List<PackagePlan> packages,
     Site.Rules rules,
     Site.Permits permits,
-    Traffic traffic,
+    TrafficPlan traffic,
     ListPlan list,
-    List<Trouble> troubles) {
+    List<Fault> troubles) {
 
-  /** Boxes and the links that they share, in kB a second. */
+  /** The boxes and the links that they share, in kB/s. */
   public record FleetPlan(
       int boxes,
       int racks,
@@ -45,13 +45,16 @@
       boolean loadInAnswers) {}
 
   /**
-   * The fronts under test: how many, their loops, the viewings of each, and how long they may stop
-   * for.
+   * The fronts under test: their number, event loops and viewings for each, and the time limit for
+   * an orderly stop.
    */
-  public record Fronts(int count, int loops, int viewings, int stopMs) {}
+  public record FrontPlan(int count, int loops, int viewings, int stopMs) {}
 
-  /** A package that viewers ask for: its share of them, what it is worth, and their patience. */
-  public record Wanted(
+  /**
+   * A package that viewers ask for: its share of requests, its value, and the time limits of its
+   * viewers.
+   */
+  public record PackagePlan(
       String name,
       double share,
       double value,
@@ -63,45 +66,47 @@
       int seats) {}
 
   /**
-   * New viewers a second, titles, copies of each (cells in a row), how long viewings last, and how
-   * the rate goes over the day: points of second and multiple, straight lines between; absent:
-   * evenly.
+   * Arrival rate of viewers, number of titles, copies of each title (cells in a row), duration of
+   * viewings, and the shape of the arrival rate over the day: points of second and multiple with
+   * linear interpolation between them; null means a constant rate.
    */
-  public record Traffic(
+  public record TrafficPlan(
       double perSecond,
       int titles,
       int copies,
       double shortestS,
       double longestS,
       List<double[]> shape) {
-    /** How many times the usual number of viewers come at a second of the day. */
-    double times(double second) {
+    /** Returns the multiple of the base arrival rate at a second of the day. */
+    double arrivalMultiple(double second) {
       if (shape == null || shape.isEmpty()) {
         return 1;
       }
-      double[] before = shape.get(0);
-      for (double[] p : shape) {
-        if (second < p[0]) {
-          double along = p[0] > before[0] ? (second - before[0]) / (p[0] - before[0]) : 1;
-          return before[1] + Math.max(0, along) * (p[1] - before[1]);
+      double[] previous = shape.get(0);
+      for (double[] point : shape) {
+        if (second < point[0]) {
+          double fraction =
+              point[0] > previous[0] ? (second - previous[0]) / (point[0] - previous[0]) : 1;
+          return previous[1] + Math.max(0, fraction) * (point[1] - previous[1]);
         }
-        before = p;
+        previous = point;
       }
-      return before[1];
+      return previous[1];
     }
   }
 
-  /** The box list: how late it tells. */
+  /** The discovery service: the delay of its updates. */
   public record ListPlan(int lateMs) {}
 
   /**
-   * One trouble: when, for how long, on what part of the fleet, how hard; extra as the kind says.
+   * One fault: its start, duration, affected share of the fleet and severity; the meaning of
+   * `extra` depends on the kind.
    */
-  public record Trouble(
+  public record Fault(
       double atS, double forS, String kind, double part, double size, double extra, String how) {}
 
-  /** Reads a file, or a script in the jar where the name is "builtin:NAME". */
-  public static DayScript read(String name) throws BadSite, IOException {
+  /** Reads a script from a file, or from the jar if the name has the form "builtin:NAME". */
+  public static DayScript read(String name) throws InvalidSiteException, IOException {
     byte[] bytes;
     if (name.startsWith("builtin:")) {
       try (InputStream in =
@@ -118,8 +123,9 @@
     return parse(name, bytes);
   }
 
-  static DayScript parse(String name, byte[] bytes) throws BadSite, IOException {
-    JsonNode tree = SiteFile.checked(name, bytes, SiteFile.schema("/linengauge/day.schema.json"));
+  static DayScript parse(String name, byte[] bytes) throws InvalidSiteException, IOException {
+    JsonNode tree =
+        SiteFile.parseWithSchema(name, bytes, SiteFile.schema("/linengauge/day.schema.json"));
     try {
       return SiteFile.json5().treeToValue(tree, DayScript.class);
     } catch (JacksonException e) {
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -21,34 +21,35 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import linengauge.rules.BadRecord;
-import linengauge.rules.Holders;
+import linengauge.rules.AddressOwnershipJudge;
+import linengauge.rules.InvalidRecordException;
 import linengauge.rules.Judge;
-import linengauge.site.BadSite;
-import linengauge.standin.PlayerCrowd;
+import linengauge.site.InvalidSiteException;
+import linengauge.standin.PlayerSimulator;
 import linengauge.standin.SharedLan;
 
 /**
- * Two fronts, each Active for one of two shared addresses and Backup for the other, on a stand-in
- * LAN with viewers joining at both addresses throughout. In seeded turns the holder is killed,
- * stopped for a while, told to end, cut off, not heard; what viewers see is measured, and who
- * claimed what is judged from the LAN, beside the six rules.
+ * Measures failover between two fronts, each Active for one of two shared addresses and Backup for
+ * the other, on a stand-in LAN with viewers joining at both addresses throughout. In a seeded order
+ * the holder of an address is killed, suspended, stopped in order, cut off, or cut off in one
+ * direction. The outage that viewers see is measured; address ownership is checked from the LAN's
+ * record, together with the six rules.
  */
 public final class FailoverDrill {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final int FRONTS = 2;
 
-  /** Between two viewers of one address; no silence can be seen that is shorter. */
-  private static final int EVERY_MS = 20;
+  /** Interval between viewers of one address; a shorter outage cannot be observed. */
+  private static final int ARRIVAL_INTERVAL_MS = 20;
 
-  /** In each hundredth of a second, beside the usual. */
-  private static final int SURGE_EACH = 4;
+  /** Additional arrivals in each 10 ms of the surge. */
+  private static final int SURGE_ARRIVALS_PER_10_MS = 4;
 
   private static final int SURGE_MS = 5000;
   private static final String KEY = "a key for this drill alone";
 
-  /** What befalls a node, or the LAN between the two. */
-  enum Trouble {
+  /** Faults of a node or of the LAN between the two. */
+  enum Fault {
     KILL,
     FREEZE,
     STOP,
@@ -62,14 +63,17 @@
   private final int advertMs;
   private final boolean additions;
   private final Path traffic;
-  private final Vertx players = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-  private final Map<Trouble, List<Long>> silences = new TreeMap<>();
+  private final Vertx playerVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+  private final Map<Fault, List<Long>> silences = new TreeMap<>();
 
   /**
-   * @param rounds of troubles, one at a time
-   * @param flapSeconds for how long afterwards the better front dies and comes back; 0: not
-   * @param advertMs between advertisements
-   * @param additions whether what is added to the standard acts
+   * Creates a drill.
+   *
+   * @param rounds number of faults, injected one at a time
+   * @param flapSeconds duration of the final phase in which the front of higher priority is killed
+   *     and restarted repeatedly; 0 skips it
+   * @param advertMs advertisement interval
+   * @param additions whether the additions to the standard are enabled
    */
   public FailoverDrill(
       long seed, int rounds, int flapSeconds, int advertMs, boolean additions, Path traffic) {
@@ -81,9 +85,12 @@
     this.traffic = traffic;
   }
 
-  /** What a virtual router costs a node, with and without the trailer. */
+  /**
+   * Reports the processor time of a virtual router on a node, without and with the authentication
+   * trailer.
+   */
   public static void cost(Report report, int advertMs) throws IOException, InterruptedException {
-    report.figure(
+    report.addFigure(
         "processor time of a node for each of 100 virtual routers, us a second, without and with a key",
         VrrpCost.measure(100, advertMs, null)
             + " "
@@ -91,39 +98,43 @@
                 100, advertMs, KEY.getBytes(java.nio.charset.StandardCharsets.UTF_8)));
   }
 
-  private long down() {
+  private long activeDownMs() {
     return 4L * advertMs;
   }
 
-  /** Runs it; what it finds is added to the report under a name. */
+  /** Runs the drill and adds its results to the report under the given name. */
   public void run(Report report, String name) throws IOException, InterruptedException {
     SplittableRandom seeds = new SplittableRandom(seed);
     DayScript day;
     try {
       day = DayScript.read("builtin:failover");
-    } catch (BadSite e) {
+    } catch (InvalidSiteException e) {
       throw new IOException(e);
     }
     List<Integer> ports = Ports.free(2 * FRONTS + 2 * FRONTS + FRONTS + 1);
     Path keyFile = Files.createTempFile("linengauge-drill", ".key");
     Files.writeString(keyFile, KEY);
     List<SharedLan.Node> nodes = new ArrayList<>();
-    List<SharedLan.Shared> shared = new ArrayList<>();
+    List<SharedLan.SharedAddress> shared = new ArrayList<>();
     for (int i = 0; i < FRONTS; i++) {
-      Map<Integer, String> doors = new TreeMap<>();
-      for (int v = 0; v < FRONTS; v++) {
-        doors.put(v + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + v));
+      Map<Integer, String> viewerAddresses = new TreeMap<>();
+      for (int router = 0; router < FRONTS; router++) {
+        viewerAddresses.put(
+            router + 1, Ports.HOST + ":" + ports.get(2 * FRONTS + FRONTS * i + router));
       }
-      nodes.add(new SharedLan.Node(i, Ports.node(i), ports.get(i), ports.get(FRONTS + i), doors));
-      shared.add(new SharedLan.Shared(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
+      nodes.add(
+          new SharedLan.Node(
+              i, Ports.nodeAddress(i), ports.get(i), ports.get(FRONTS + i), viewerAddresses));
+      shared.add(new SharedLan.SharedAddress(i + 1, Ports.HOST, ports.get(4 * FRONTS + i)));
     }
     int announcePort = ports.get(5 * FRONTS);
     List<String> record;
-    try (Grounds g =
-        new Grounds(day, "", seeds.nextLong(), ports, i -> site(i, nodes, announcePort, keyFile))) {
-      record = play(report, name, g, nodes, shared, announcePort, seeds);
+    try (TestFleet fleet =
+        new TestFleet(
+            day, "", seeds.nextLong(), ports, i -> siteSettings(i, nodes, announcePort, keyFile))) {
+      record = play(report, name, fleet, nodes, shared, announcePort, seeds);
     } finally {
-      players.close();
+      playerVertx.close();
       Files.deleteIfExists(keyFile);
     }
     if (traffic != null) {
@@ -132,66 +143,72 @@
     judge(report, name, record);
   }
 
-  /** Plays all of it; the record. */
+  /** Runs all phases and returns the traffic record. */
   private List<String> play(
       Report report,
       String name,
-      Grounds g,
+      TestFleet fleet,
       List<SharedLan.Node> nodes,
-      List<SharedLan.Shared> shared,
+      List<SharedLan.SharedAddress> shared,
       int announcePort,
       SplittableRandom seeds)
       throws IOException, InterruptedException {
     SharedLan lan =
-        new SharedLan(g.vertx, nodes, shared, Ports.HOST, announcePort, seeds.nextLong(), g.tap);
-    g.await(lan::open);
-    g.onBoxes(() -> lan.trouble(0, 0.02, 5));
-    g.open(
+        new SharedLan(
+            fleet.vertx, nodes, shared, Ports.HOST, announcePort, seeds.nextLong(), fleet.tap);
+    fleet.await(lan::open);
+    fleet.runOnBoxLoop(() -> lan.setImpairments(0, 0.02, 5));
+    fleet.open(
         "-Xmx384m",
         "-Xms384m",
         "-XX:MaxDirectMemorySize=512m",
         "-XX:+UseG1GC",
         "-XX:MaxGCPauseMillis=20");
-    List<PlayerCrowd> crowds = new ArrayList<>();
-    for (SharedLan.Shared s : shared) {
-      crowds.add(crowd(g, lan, s, seeds.nextLong()));
+    List<PlayerSimulator> crowds = new ArrayList<>();
+    for (SharedLan.SharedAddress sharedAddress : shared) {
+      crowds.add(startCrowd(fleet, lan, sharedAddress, seeds.nextLong()));
     }
-    Thread.sleep(4000 + 4 * down());
-    g.tap.saw("pair-quiet");
+    Thread.sleep(4000 + 4 * activeDownMs());
+    fleet.tap.recordEvent("pair-quiet");
     Thread.sleep(1000);
     for (int i = 0; i < rounds; i++) {
-      Trouble t = Trouble.values()[i % Trouble.values().length];
-      round(g, lan, crowds, t, seeds);
+      Fault fault = Fault.values()[i % Fault.values().length];
+      runRound(fleet, lan, crowds, fault, seeds);
     }
     if (flapSeconds > 0) {
-      flap(report, name, g, crowds);
+      flap(report, name, fleet, crowds);
     }
-    played(report, name, crowds);
-    surge(report, name, g, nodes, crowds);
-    lateness(report, name, g);
-    crowds.forEach(c -> players.getOrCreateContext().runOnContext(v -> c.close()));
+    checkPlayed(report, name, crowds);
+    surge(report, name, fleet, nodes, crowds);
+    reportLateness(report, name, fleet);
+    crowds.forEach(crowd -> playerVertx.getOrCreateContext().runOnContext(v -> crowd.close()));
     Thread.sleep(3500);
-    boolean ended = g.endFronts().values().stream().allMatch(e -> e);
-    report.claim(
-        name + ": the fronts ended in order when told", "yes", ended ? "yes" : "no", ended);
-    List<String> record = g.tap.lines();
-    figures(report, name, crowds, lan);
-    report.claim(
-        name + ": the record is whole", "not cut short", record.size() + " lines", !g.tap.full());
+    boolean allEnded = fleet.stopFronts().values().stream().allMatch(ended -> ended);
+    report.addClaim(
+        name + ": the fronts ended in order when told", "yes", allEnded ? "yes" : "no", allEnded);
+    List<String> record = fleet.tap.lines();
+    reportFigures(report, name, crowds, lan);
+    report.addClaim(
+        name + ": the record is whole",
+        "not cut short",
+        record.size() + " lines",
+        !fleet.tap.isFull());
     return record;
   }
 
-  private ObjectNode site(int number, List<SharedLan.Node> nodes, int announcePort, Path keyFile) {
-    ObjectNode s = JSON.createObjectNode();
-    s.putObject("viewers").put("perAddress", 20_000); // all viewers here come from one
-    ObjectNode v =
-        s.putObject("vrrp")
+  private ObjectNode siteSettings(
+      int number, List<SharedLan.Node> nodes, int announcePort, Path keyFile) {
+    ObjectNode site = JSON.createObjectNode();
+    site.putObject("viewers")
+        .put("perAddress", 20_000); // all viewers of the drill connect from one address
+    ObjectNode vrrp =
+        site.putObject("vrrp")
             .put("listen", nodes.get(number).host() + ":" + nodes.get(number).port())
             .put("announce", Ports.HOST + ":" + announcePort);
-    v.putArray("partners")
+    vrrp.putArray("partners")
         .add(nodes.get(1 - number).host() + ":" + nodes.get(1 - number).lanPort());
     if (additions) {
-      v.put("frozen", true)
+      vrrp.put("frozen", true)
           .put("advertsPerInterval", 2)
           .put("keyFile", keyFile.toString())
           .put("preemptDelayMs", 500)
@@ -203,9 +220,9 @@
           .put("unwellAfterMs", 500)
           .put("overloadedMs", 400);
     } else {
-      v.put("frozen", false);
+      vrrp.put("frozen", false);
     }
-    ArrayNode routers = v.putArray("routers");
+    ArrayNode routers = vrrp.putArray("routers");
     for (int i = 0; i < FRONTS; i++) {
       routers
           .addObject()
@@ -218,28 +235,29 @@
           .putArray("addresses")
           .add("192.0.2." + (100 + i));
     }
-    return s;
+    return site;
   }
 
-  private PlayerCrowd crowd(Grounds g, SharedLan lan, SharedLan.Shared at, long chance) {
-    PlayerCrowd crowd =
-        new PlayerCrowd(
-            players,
-            List.of(new PlayerCrowd.Door(-1, at.host(), at.port(), "east-hall")),
-            g.wants(),
-            g.titles(),
-            g.day.ladder().size(),
-            (int) (1000 * g.day.traffic().shortestS()),
-            (int) (1000 * g.day.traffic().longestS()),
-            chance,
-            g.tap,
-            "a" + at.vrid() + "-");
-    crowd.by(lan);
-    Context loop = players.getOrCreateContext();
-    loop.runOnContext(
+  private PlayerSimulator startCrowd(
+      TestFleet fleet, SharedLan lan, SharedLan.SharedAddress address, long crowdSeed) {
+    PlayerSimulator crowd =
+        new PlayerSimulator(
+            playerVertx,
+            List.of(new PlayerSimulator.Front(-1, address.host(), address.port(), "east-hall")),
+            fleet.packageMix(),
+            fleet.titles(),
+            fleet.day.ladder().size(),
+            (int) (1000 * fleet.day.traffic().shortestS()),
+            (int) (1000 * fleet.day.traffic().longestS()),
+            crowdSeed,
+            fleet.tap,
+            "a" + address.vrid() + "-");
+    crowd.setLan(lan);
+    Context context = playerVertx.getOrCreateContext();
+    context.runOnContext(
         v ->
-            players.setPeriodic(
-                EVERY_MS,
+            playerVertx.setPeriodic(
+                ARRIVAL_INTERVAL_MS,
                 t -> {
                   if (!crowd.isClosing()) {
                     crowd.arrive();
@@ -248,179 +266,198 @@
     return crowd;
   }
 
-  /** One trouble to the holder of one address, what its viewers saw of it, and quiet again. */
-  private void round(
-      Grounds g, SharedLan lan, List<PlayerCrowd> crowds, Trouble t, SplittableRandom seeds)
+  /**
+   * Injects one fault at the holder of one address, measures the outage its viewers see, and waits
+   * until the pair has settled.
+   */
+  private void runRound(
+      TestFleet fleet,
+      SharedLan lan,
+      List<PlayerSimulator> crowds,
+      Fault fault,
+      SplittableRandom seeds)
       throws IOException, InterruptedException {
     int vrid = 1 + seeds.nextInt(FRONTS);
-    Integer holder = g.await(() -> io.vertx.core.Future.succeededFuture(lan.holder(vrid)));
+    Integer holder = fleet.await(() -> io.vertx.core.Future.succeededFuture(lan.owner(vrid)));
     int node = holder == null ? vrid - 1 : holder;
-    long freeze = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
-    FrontProcess front = g.fronts.get(node);
-    long from = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", t.name(), "node", node, "vrid", vrid);
-    act(g, lan, t, node, freeze);
-    if (t == Trouble.SPLIT) {
-      g.tap.saw(
-          "pair-quiet"); // at once: two that claim one address are judged from the moment they hear
-      // each other
+    long freezeMs = new long[] {500, 2000, 10_000}[seeds.nextInt(3)];
+    FrontProcess front = fleet.fronts.get(node);
+    long fromMicros = fleet.tap.elapsedMicros() - 100_000;
+    fleet.tap.recordEvent("pair-trouble", "kind", fault.name(), "node", node, "vrid", vrid);
+    inject(fleet, lan, fault, node, freezeMs);
+    if (fault == Fault.SPLIT) {
+      // At once: two nodes that claim one address are judged from the moment they receive each
+      // other's advertisements.
+      fleet.tap.recordEvent("pair-quiet");
     }
-    long to = g.tap.micros();
+    long toMicros = fleet.tap.elapsedMicros();
     silences
-        .computeIfAbsent(t, k -> new ArrayList<>())
-        .add(crowds.get(vrid - 1).longestSilence(from, to));
-    if (t == Trouble.KILL || t == Trouble.STOP) {
-      g.startAgain(front);
-      g.awaitReady(front, 20_000);
+        .computeIfAbsent(fault, key -> new ArrayList<>())
+        .add(crowds.get(vrid - 1).longestGapMicros(fromMicros, toMicros));
+    if (fault == Fault.KILL || fault == Fault.STOP) {
+      fleet.restart(front);
+      fleet.awaitReady(front, 20_000);
     }
-    // A deaf node's address is held by the other for some time, and a better one waits before it
-    // takes over again.
-    Thread.sleep(1500 + 6 * down());
-    if (t != Trouble.SPLIT) {
-      g.tap.saw("pair-quiet");
+    // The other node holds a deaf node's address for some time, and a node of higher priority waits
+    // before it takes over again.
+    Thread.sleep(1500 + 6 * activeDownMs());
+    if (fault != Fault.SPLIT) {
+      fleet.tap.recordEvent("pair-quiet");
     }
-    Thread.sleep(1000 + 2 * down());
+    Thread.sleep(1000 + 2 * activeDownMs());
   }
 
-  /** Does that to a front for as long as it takes others to see it. */
-  private void act(Grounds g, SharedLan lan, Trouble t, int node, long freeze)
+  /** Applies the fault to a front for as long as others need to detect it. */
+  private void inject(TestFleet fleet, SharedLan lan, Fault fault, int node, long freezeMs)
       throws IOException, InterruptedException {
-    FrontProcess front = g.fronts.get(node);
-    long lasts = 2000 + 5 * down();
-    switch (t) {
+    FrontProcess front = fleet.fronts.get(node);
+    long durationMs = 2000 + 5 * activeDownMs();
+    switch (fault) {
       case KILL -> {
         front.kill();
-        Thread.sleep(lasts);
+        Thread.sleep(durationMs);
       }
       case STOP -> {
-        if (!front.end(8000)) {
+        if (!front.terminate(8000)) {
           throw new IOException("front " + node + " did not end");
         }
-        g.tap.saw("front-killed", "front", node); // it runs no more, and had time to answer all
-        Thread.sleep(lasts);
+        fleet.tap.recordEvent(
+            "front-killed",
+            "front",
+            node); // it no longer runs, and had time to answer all requests
+        Thread.sleep(durationMs);
       }
       case FREEZE -> {
-        front.stopFor(freeze);
+        front.pauseFor(freezeMs);
         Thread.sleep(1000);
       }
       case SPLIT -> {
-        g.onBoxes(() -> both(lan, true));
-        Thread.sleep(lasts);
-        g.onBoxes(() -> both(lan, false));
+        fleet.runOnBoxLoop(() -> setBothLinksCut(lan, true));
+        Thread.sleep(durationMs);
+        fleet.runOnBoxLoop(() -> setBothLinksCut(lan, false));
       }
       case ONE_WAY -> {
-        g.onBoxes(() -> lan.cut(node, 1 - node, true));
-        Thread.sleep(lasts);
-        g.onBoxes(() -> lan.cut(node, 1 - node, false));
+        fleet.runOnBoxLoop(() -> lan.setCut(node, 1 - node, true));
+        Thread.sleep(durationMs);
+        fleet.runOnBoxLoop(() -> lan.setCut(node, 1 - node, false));
       }
     }
   }
 
-  private static void both(SharedLan lan, boolean cut) {
-    lan.cut(0, 1, cut);
-    lan.cut(1, 0, cut);
+  private static void setBothLinksCut(SharedLan lan, boolean cut) {
+    lan.setCut(0, 1, cut);
+    lan.setCut(1, 0, cut);
   }
 
-  /** The better front for the first address dies and comes back, again and again. */
-  private void flap(Report report, String name, Grounds g, List<PlayerCrowd> crowds)
+  /** Kills and restarts the front of higher priority for the first address repeatedly. */
+  private void flap(Report report, String name, TestFleet fleet, List<PlayerSimulator> crowds)
       throws IOException, InterruptedException {
-    FrontProcess front = g.fronts.get(0);
-    long from = g.tap.micros();
-    g.tap.saw("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
-    int times = 0;
-    while (g.tap.micros() - from < flapSeconds * 1_000_000L) {
+    FrontProcess front = fleet.fronts.get(0);
+    long fromMicros = fleet.tap.elapsedMicros();
+    fleet.tap.recordEvent("pair-trouble", "kind", "FLAP", "node", 0, "vrid", 1);
+    int kills = 0;
+    while (fleet.tap.elapsedMicros() - fromMicros < flapSeconds * 1_000_000L) {
       front.kill();
-      Thread.sleep(600 + 2 * down());
-      g.startAgain(front);
-      g.awaitReady(front, 20_000);
-      Thread.sleep(700 + 4 * down());
-      times++;
+      Thread.sleep(600 + 2 * activeDownMs());
+      fleet.restart(front);
+      fleet.awaitReady(front, 20_000);
+      Thread.sleep(700 + 4 * activeDownMs());
+      kills++;
     }
-    long to = g.tap.micros();
-    Holders.Outcome o;
+    long toMicros = fleet.tap.elapsedMicros();
+    AddressOwnershipJudge.Outcome outcome;
     try {
-      o = Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000);
-    } catch (BadRecord e) {
+      outcome = AddressOwnershipJudge.judge(fleet.tap.lines(), advertMs, 10_000, 100_000);
+    } catch (InvalidRecordException e) {
       throw new IOException(e);
     }
-    long handovers =
-        o.handoversAt.getOrDefault(1L, List.of()).stream()
-            .filter(at -> at >= from && at <= to)
+    long changes =
+        outcome.handoversAt.getOrDefault(1L, List.of()).stream()
+            .filter(at -> at >= fromMicros && at <= toMicros)
             .count();
-    double aMinute = handovers * 60e6 / (to - from);
+    double handoversPerMinute = changes * 60e6 / (toMicros - fromMicros);
     String seen =
-        String.format(Locale.ROOT, "%d in %.0f s, %d deaths", handovers, (to - from) / 1e6, times);
+        String.format(
+            Locale.ROOT, "%d in %.0f s, %d deaths", changes, (toMicros - fromMicros) / 1e6, kills);
     if (additions) {
-      report.claim(
+      report.addClaim(
           name + ": handovers while a partner dies every few seconds",
           "at most 10 a minute",
           seen,
-          aMinute <= 10);
+          handoversPerMinute <= 10);
     } else {
-      report.figure(name + ": handovers while a partner dies every few seconds", seen);
+      report.addFigure(name + ": handovers while a partner dies every few seconds", seen);
     }
-    report.figure(
+    report.addFigure(
         name + ": longest silence while it does, ms",
-        crowds.get(0).longestSilence(from, to) / 1000);
-    Thread.sleep(1000 + 4 * down());
+        crowds.get(0).longestGapMicros(fromMicros, toMicros) / 1000);
+    Thread.sleep(1000 + 4 * activeDownMs());
   }
 
   /**
-   * Many join at once while garbage comes in a partner's name; then the front that has most to do
-   * is killed.
+   * Adds a burst of joins and sends garbage from a partner's address, then kills the front with the
+   * highest load.
    */
   private void surge(
-      Report report, String name, Grounds g, List<SharedLan.Node> nodes, List<PlayerCrowd> crowds)
+      Report report,
+      String name,
+      TestFleet fleet,
+      List<SharedLan.Node> nodes,
+      List<PlayerSimulator> crowds)
       throws IOException, InterruptedException {
-    Context loop = players.getOrCreateContext();
+    Context context = playerVertx.getOrCreateContext();
     long[] timers = {-1};
-    loop.runOnContext(
+    context.runOnContext(
         v ->
             timers[0] =
-                players.setPeriodic(
+                playerVertx.setPeriodic(
                     10,
                     t -> {
-                      for (int i = 0; i < SURGE_EACH; i++) {
+                      for (int i = 0; i < SURGE_ARRIVALS_PER_10_MS; i++) {
                         crowds.get(0).arrive();
                       }
                     }));
-    long before = handovers(g);
+    long handoversBefore = countHandovers(fleet);
     long sent = sendGarbage(nodes);
-    long moved = handovers(g) - before;
-    report.claim(
+    long handovers = countHandovers(fleet) - handoversBefore;
+    report.addClaim(
         name + ": handovers in a surge with garbage in a partner's name",
         "none",
-        moved + " in " + SURGE_MS + " ms, " + 1000 * sent / SURGE_MS + " datagrams a second",
-        moved == 0);
-    lateness(report, name + ", to the end of the surge", g);
+        handovers + " in " + SURGE_MS + " ms, " + 1000 * sent / SURGE_MS + " datagrams a second",
+        handovers == 0);
+    reportLateness(report, name + ", to the end of the surge", fleet);
     int vrid = 1;
-    long at = g.tap.micros() - 100_000;
-    g.tap.saw("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
-    g.fronts.get(0).kill();
-    Thread.sleep(2000 + 5 * down());
-    loop.runOnContext(v -> players.cancelTimer(timers[0]));
-    report.figure(
+    long fromMicros = fleet.tap.elapsedMicros() - 100_000;
+    fleet.tap.recordEvent("pair-trouble", "kind", "KILL", "node", 0, "vrid", vrid);
+    fleet.fronts.get(0).kill();
+    Thread.sleep(2000 + 5 * activeDownMs());
+    context.runOnContext(v -> playerVertx.cancelTimer(timers[0]));
+    report.addFigure(
         name + ": silence as the holder is killed in the surge, ms",
-        crowds.get(0).longestSilence(at, g.tap.micros()) / 1000);
-    g.startAgain(g.fronts.get(0));
-    g.awaitReady(g.fronts.get(0), 20_000);
-    Thread.sleep(1500 + 6 * down());
-    g.tap.saw("pair-quiet");
-    Thread.sleep(1000 + 2 * down());
+        crowds.get(0).longestGapMicros(fromMicros, fleet.tap.elapsedMicros()) / 1000);
+    fleet.restart(fleet.fronts.get(0));
+    fleet.awaitReady(fleet.fronts.get(0), 20_000);
+    Thread.sleep(1500 + 6 * activeDownMs());
+    fleet.tap.recordEvent("pair-quiet");
+    Thread.sleep(1000 + 2 * activeDownMs());
   }
 
-  /** Garbage in a partner's name, for the length of the surge; how many datagrams went out. */
+  /**
+   * Sends garbage from a partner's address for the length of the surge; returns the number of
+   * datagrams sent.
+   */
   private long sendGarbage(List<SharedLan.Node> nodes) throws IOException, InterruptedException {
     long sent = 0;
-    SplittableRandom chance = new SplittableRandom(seed);
-    long from = System.nanoTime();
-    try (DatagramSocket as = new DatagramSocket(0, InetAddress.getByName(nodes.get(1).host()))) {
-      while (System.nanoTime() - from < SURGE_MS * 1_000_000L) {
-        // Evenly, a hundred in each millisecond, or as many as this machine gets out.
-        while (sent < (System.nanoTime() - from) / 10_000) {
-          byte[] garbage = new byte[8 + chance.nextInt(60)];
-          chance.nextBytes(garbage);
-          as.send(
+    SplittableRandom random = new SplittableRandom(seed);
+    long startedAtNanos = System.nanoTime();
+    try (DatagramSocket socket =
+        new DatagramSocket(0, InetAddress.getByName(nodes.get(1).host()))) {
+      while (System.nanoTime() - startedAtNanos < SURGE_MS * 1_000_000L) {
+        // Spread evenly: a hundred in each millisecond, or as many as this machine can send.
+        while (sent < (System.nanoTime() - startedAtNanos) / 10_000) {
+          byte[] garbage = new byte[8 + random.nextInt(60)];
+          random.nextBytes(garbage);
+          socket.send(
               new DatagramPacket(
                   garbage,
                   garbage.length,
@@ -434,70 +471,72 @@
     return sent;
   }
 
-  private long handovers(Grounds g) throws IOException {
+  private long countHandovers(TestFleet fleet) throws IOException {
     try {
-      return Holders.judge(g.tap.lines(), advertMs, 10_000, 100_000).handovers;
-    } catch (BadRecord e) {
+      return AddressOwnershipJudge.judge(fleet.tap.lines(), advertMs, 10_000, 100_000).handovers;
+    } catch (InvalidRecordException e) {
       throw new IOException(e);
     }
   }
 
-  private void lateness(Report report, String name, Grounds g) throws IOException {
-    for (FrontProcess p : g.fronts) {
-      JsonNode v = p.state().path("vrrp");
-      report.figure(
-          name + ": front " + p.number() + " adverts late, ms p99.9 and most",
+  private void reportLateness(Report report, String name, TestFleet fleet) throws IOException {
+    for (FrontProcess front : fleet.fronts) {
+      JsonNode vrrp = front.state().path("vrrp");
+      report.addFigure(
+          name + ": front " + front.number() + " adverts late, ms p99.9 and most",
           String.format(
               Locale.ROOT,
               "%.1f %.1f",
-              v.path("lateMicrosP999").asLong() / 1e3,
-              v.path("lateMicrosMost").asLong() / 1e3));
-      report.figure(name + ": front " + p.number() + " dropped", v.path("dropped").toString());
+              vrrp.path("lateMicrosP999").asLong() / 1e3,
+              vrrp.path("lateMicrosMost").asLong() / 1e3));
+      report.addFigure(
+          name + ": front " + front.number() + " dropped", vrrp.path("dropped").toString());
     }
   }
 
-  private void figures(Report report, String name, List<PlayerCrowd> crowds, SharedLan lan) {
-    List<Long> all = new ArrayList<>();
+  private void reportFigures(
+      Report report, String name, List<PlayerSimulator> crowds, SharedLan lan) {
+    List<Long> allSilences = new ArrayList<>();
     silences.forEach(
-        (t, list) -> {
-          long[] ms = list.stream().mapToLong(s -> s / 1000).sorted().toArray();
-          report.figure(name + ": silence after " + t + ", ms", Arrays.toString(ms));
-          all.addAll(list);
+        (fault, list) -> {
+          long[] ms = list.stream().mapToLong(micros -> micros / 1000).sorted().toArray();
+          report.addFigure(name + ": silence after " + fault + ", ms", Arrays.toString(ms));
+          allSilences.addAll(list);
         });
-    long[] sorted = all.stream().mapToLong(s -> s / 1000).sorted().toArray();
+    long[] sorted = allSilences.stream().mapToLong(micros -> micros / 1000).sorted().toArray();
     if (sorted.length > 0) {
       long p99 = sorted[(int) Math.min(sorted.length - 1, Math.ceil(0.99 * sorted.length) - 1)];
       long p50 = sorted[sorted.length / 2];
       String seen = p50 + " and " + p99 + " over " + sorted.length + " rounds";
       if (additions && advertMs <= 100) {
-        report.claim(
+        report.addClaim(
             name + ": silence as viewers see it, ms p50 and p99",
             "p99 at most 1000",
             seen,
             p99 <= 1000);
       } else {
-        report.figure(name + ": silence as viewers see it, ms p50 and p99", seen);
+        report.addFigure(name + ": silence as viewers see it, ms p50 and p99", seen);
       }
     }
     Map<String, Integer> sums = new HashMap<>();
-    for (PlayerCrowd c : crowds) {
-      PlayerCrowd.Figures f = c.figures();
-      sums.merge("asked", f.asked, Integer::sum);
-      sums.merge("played", f.played, Integer::sum);
-      sums.merge("blocked", f.blocked, Integer::sum);
-      sums.merge("aborted", f.aborted, Integer::sum);
-      sums.merge("broken off", f.brokenOff, Integer::sum);
-      sums.merge("not reached", f.refused, Integer::sum);
-      sums.merge("unanswered", f.unanswered, Integer::sum);
+    for (PlayerSimulator crowd : crowds) {
+      PlayerSimulator.Figures figures = crowd.figures();
+      sums.merge("asked", figures.asked, Integer::sum);
+      sums.merge("played", figures.played, Integer::sum);
+      sums.merge("blocked", figures.rejected, Integer::sum);
+      sums.merge("aborted", figures.failed, Integer::sum);
+      sums.merge("broken off", figures.disconnected, Integer::sum);
+      sums.merge("not reached", figures.notReached, Integer::sum);
+      sums.merge("unanswered", figures.unanswered, Integer::sum);
     }
-    report.figure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
-    report.figure(name + ": datagrams carried", lan.carried());
+    report.addFigure(name + ": requests, surge and all", new TreeMap<>(sums).toString());
+    report.addFigure(name + ": datagrams carried", lan.relayed());
   }
 
-  private static void played(Report report, String name, List<PlayerCrowd> crowds) {
-    int asked = crowds.stream().mapToInt(c -> c.figures().asked).sum();
-    int played = crowds.stream().mapToInt(c -> c.figures().played).sum();
-    report.claim(
+  private static void checkPlayed(Report report, String name, List<PlayerSimulator> crowds) {
+    int asked = crowds.stream().mapToInt(crowd -> crowd.figures().asked).sum();
+    int played = crowds.stream().mapToInt(crowd -> crowd.figures().played).sum();
+    report.addClaim(
         name + ": viewings played, before the surge",
         "over nine tenths of the requests",
         played + " of " + asked,
@@ -506,26 +545,31 @@
 
   private void judge(Report report, String name, List<String> record) {
     try {
-      report.judged(name, Judge.judge(record));
-      // An interval, the LAN's delay, and what two processes on a busy machine are late.
-      Holders.Outcome o =
-          Holders.judge(record, advertMs, advertMs + 60, down() + 4L * advertMs + 1000);
-      report.claim(
+      report.addVerdict(name, Judge.judge(record));
+      // Allows for an advertisement interval, the LAN's delay, and the scheduling delay of two
+      // processes on a busy machine.
+      AddressOwnershipJudge.Outcome outcome =
+          AddressOwnershipJudge.judge(
+              record, advertMs, advertMs + 60, activeDownMs() + 4L * advertMs + 1000);
+      report.addClaim(
           name + ": two claimed one address in quiet times",
           "at most an interval and 60 ms",
-          o.bothMost / 1000 + " ms over " + o.claims + " claims",
-          o.breaches.isEmpty() && o.claims > 0);
-      report.figure(name + ": longest span in which none did, ms", o.noneMost / 1000);
-      report.figure(name + ": nodes that woke and kept silent", o.woken);
-      report.figure(name + ": handovers in all", o.handovers);
-      o.breaches.stream().limit(10).forEach(b -> report.figure(name + ": " + b, "broken"));
-      report.claim(
+          outcome.longestOverlapMicros / 1000 + " ms over " + outcome.claims + " claims",
+          outcome.breaches.isEmpty() && outcome.claims > 0);
+      report.addFigure(
+          name + ": longest span in which none did, ms", outcome.longestGapMicros / 1000);
+      report.addFigure(name + ": nodes that woke and kept silent", outcome.resumedNodes);
+      report.addFigure(name + ": handovers in all", outcome.handovers);
+      outcome.breaches.stream()
+          .limit(10)
+          .forEach(breach -> report.addFigure(name + ": " + breach, "broken"));
+      report.addClaim(
           name + ": requests answered twice, or by a front they were not handed to",
-          "0 and 0 of " + o.answered,
-          o.answeredTwice + " and " + o.answeredByOther,
-          o.answeredTwice + o.answeredByOther == 0 && o.answered > 0);
-    } catch (BadRecord e) {
-      report.claim(name + ": the record can be judged", "yes", e.getMessage(), false);
+          "0 and 0 of " + outcome.answered,
+          outcome.answeredTwice + " and " + outcome.answeredByOther,
+          outcome.answeredTwice + outcome.answeredByOther == 0 && outcome.answered > 0);
+    } catch (InvalidRecordException e) {
+      report.addClaim(name + ": the record can be judged", "yes", e.getMessage(), false);
     }
   }
 }
--- a/src/main/java/linengauge/drill/ProcessRecord.java
+++ b/src/main/java/linengauge/drill/ProcessRecord.java
@@ -6,7 +6,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** What a process of a trial writes down: one JSON object a line, with the wall's clock. */
+/** The event record of a test process: one JSON object a line, with the wall clock time. */
 final class ProcessRecord implements AutoCloseable {
   private final BufferedWriter out;
   private boolean closed;
@@ -15,18 +15,22 @@
     out = Files.newBufferedWriter(file);
   }
 
-  /** One line now; fields are the rest of the object as JSON, not empty. */
-  void line(String what, String fields) {
-    line(System.currentTimeMillis(), what, fields);
+  /**
+   * Writes one line with the current time.
+   *
+   * @param fields the remaining fields of the JSON object, without braces and not empty
+   */
+  void write(String event, String fields) {
+    write(System.currentTimeMillis(), event, fields);
   }
 
-  /** One line of that time. */
-  synchronized void line(long at, String what, String fields) {
+  /** Writes one line with the given time. */
+  synchronized void write(long atMs, String event, String fields) {
     if (closed) {
       return;
     }
     try {
-      out.write("{\"at\":" + at + ",\"what\":\"" + what + "\"," + fields + "}\n");
+      out.write("{\"at\":" + atMs + ",\"what\":\"" + event + "\"," + fields + "}\n");
       out.flush();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
--- a/src/main/java/linengauge/drill/TryOut.java
+++ b/src/main/java/linengauge/drill/TryOut.java
@@ -2,26 +2,26 @@
 
 import java.io.IOException;
 import java.io.PrintStream;
-import linengauge.standin.PlayerCrowd;
+import linengauge.standin.PlayerSimulator;
 
 /**
- * The fleet of a day with nobody coming and nothing going wrong, for people to try with a player or
- * curl.
+ * Runs the fleet of a day without traffic or faults, for trying it by hand with a player or curl.
  */
 public final class TryOut {
   private TryOut() {}
 
-  /** Runs for so many seconds, or until the process is ended; the fronts go with it. */
+  /** Runs for the given number of seconds or until the process is ended; the fronts end with it. */
   public static void run(DayScript day, int seconds, PrintStream out)
       throws IOException, InterruptedException {
-    try (Grounds g = new Grounds(day, "", 1)) {
-      g.open();
-      for (PlayerCrowd.Door d : g.doors) {
+    try (TestFleet testFleet = new TestFleet(day, "", 1)) {
+      testFleet.open();
+      for (PlayerSimulator.Front endpoint : testFleet.frontEndpoints) {
         out.printf(
             "front %d: http://%s:%d/titles/title-0/main.m3u8?package=%s%n",
-            d.front(), d.host(), d.port(), day.packages().get(0).name());
+            endpoint.front(), endpoint.host(), endpoint.port(), day.packages().get(0).name());
       }
-      out.printf("site files and logs: %s%nends by itself after %d s%n", g.folder(), seconds);
+      out.printf(
+          "site files and logs: %s%nends by itself after %d s%n", testFleet.folder(), seconds);
       out.flush();
       Thread.sleep(1000L * seconds);
     }
--- a/src/main/java/linengauge/drill/FoundingStore.java
+++ b/src/main/java/linengauge/drill/VoterStores.java
@@ -15,23 +15,23 @@
 import linengauge.consensus.Voters;
 import linengauge.consensus.tcp.ConsensusStore;
 
-/** A voter's store for trials: opened, or made where there is none yet. */
-public final class FoundingStore {
-  private FoundingStore() {}
+/** Opens the store of a voter for tests and drills, creating it if there is none. */
+public final class VoterStores {
+  private VoterStores() {}
 
   /**
-   * Opens it.
+   * Opens the store, creating it if needed.
    *
-   * @param voters the founding ones, by number
-   * @param founds where there is no store yet, it is a founding voter's; else one of a voter that
-   *     has yet to be taken in
+   * @param voters addresses of the founding voters, by number
+   * @param founding whether a new store is that of a founding voter; otherwise it is that of a
+   *     voter that has yet to be added
    */
   public static ConsensusStore open(
       Path folder,
       byte[] key,
       int number,
       Map<Integer, String> voters,
-      boolean founds,
+      boolean founding,
       StateMachine machine)
       throws IOException, SaveFailedException {
     ConsensusStore store = new ConsensusStore(folder);
@@ -39,25 +39,27 @@
       return store;
     }
     TreeMap<Integer, Voters.Chair> chairs = new TreeMap<>();
-    voters.forEach((n, a) -> chairs.put(n, new Voters.Chair(founding(key, n), a, true)));
+    voters.forEach(
+        (voter, address) ->
+            chairs.put(voter, new Voters.Chair(foundingNumber(key, voter), address, true)));
     store.save(
-        founds
-            ? PersistentState.founding(founding(key, number), new Voters(chairs), machine)
+        founding
+            ? PersistentState.founding(foundingNumber(key, number), new Voters(chairs), machine)
             : PersistentState.joining(new SecureRandom().nextLong() >>> 1, machine));
     store.close();
     return new ConsensusStore(folder);
   }
 
   /**
-   * The founding voters' stores have numbers that all of them know; whoever comes later has one at
-   * random.
+   * Derives the store number of a founding voter, so that all founding voters know it. Voters that
+   * are added later have a random number.
    */
-  private static long founding(byte[] key, int number) {
+  private static long foundingNumber(byte[] key, int number) {
     try {
-      MessageDigest sum = MessageDigest.getInstance("SHA-256");
-      sum.update(key);
-      sum.update(("founding " + number).getBytes(StandardCharsets.UTF_8));
-      return ByteBuffer.wrap(sum.digest()).getLong() >>> 1;
+      MessageDigest digest = MessageDigest.getInstance("SHA-256");
+      digest.update(key);
+      digest.update(("founding " + number).getBytes(StandardCharsets.UTF_8));
+      return ByteBuffer.wrap(digest.digest()).getLong() >>> 1;
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException(e);
     }
--- a/src/main/java/linengauge/front/ControlListener.java
+++ b/src/main/java/linengauge/front/ControlListener.java
@@ -11,15 +11,18 @@
 import java.util.function.Consumer;
 import linengauge.site.Site;
 
-/** The listener for operators: what the front holds, and whether it is ready. */
+/** HTTP listener for operators: serves the front's state and its readiness. */
 final class ControlListener {
   private final Vertx vertx;
   private final Site site;
   private final Consumer<HttpServerRequest> stateHandler;
   private final BooleanSupplier ready;
 
-  /** Connections that it may still take; of its own, so that viewers cannot take them. */
-  private int places;
+  /**
+   * Connections that may still be accepted. They are counted apart from viewers' connections, so
+   * that viewers cannot use them up.
+   */
+  private int freeConnections;
 
   /**
    * @param stateHandler answers a request for the front's state
@@ -30,11 +33,11 @@
     this.site = site;
     this.stateHandler = stateHandler;
     this.ready = ready;
-    this.places = site.control().connections();
+    this.freeConnections = site.control().connections();
   }
 
   Future<?> open() {
-    Site.Address at = Site.Address.of(site.front().control());
+    Site.Address address = Site.Address.parse(site.front().control());
     Site.Control control = site.control();
     HttpServer server =
         vertx.createHttpServer(
@@ -47,7 +50,7 @@
     server.connectionHandler(this::accept);
     server.requestHandler(this::handle);
     return server
-        .listen(at.port(), at.host())
+        .listen(address.port(), address.host())
         .recover(
             e ->
                 Future.failedFuture(
@@ -55,12 +58,12 @@
   }
 
   private void accept(HttpConnection connection) {
-    if (places == 0) {
+    if (freeConnections == 0) {
       connection.close();
       return;
     }
-    places--;
-    connection.closeHandler(v -> places++);
+    freeConnections--;
+    connection.closeHandler(v -> freeConnections++);
   }
 
   private void handle(HttpServerRequest request) {
--- a/src/main/java/linengauge/front/FleetMembers.java
+++ b/src/main/java/linengauge/front/FleetMembership.java
@@ -13,15 +13,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Who of the fleet is there; where the site file does not ask for it, idle. */
-final class FleetMembers {
-  private static final Logger LOG = LoggerFactory.getLogger(FleetMembers.class);
+/**
+ * Membership of this front among the members of the fleet; inactive where the site file does not
+ * configure it.
+ */
+final class FleetMembership {
+  private static final Logger LOG = LoggerFactory.getLogger(FleetMembership.class);
 
-  /** Null where the site file does not ask for it. */
+  /** Null where the site file does not configure it. */
   private final MembershipNode node;
 
-  /** Binds where other members are heard; the front tells of itself from {@link #start} on. */
-  FleetMembers(Site site) throws IOException {
+  /**
+   * Binds the socket on which other members send. The front announces itself from {@link #start}
+   * on.
+   */
+  FleetMembership(Site site) throws IOException {
     Site.Members members = site.members();
     if (members.listen() == null) {
       this.node = null;
@@ -29,23 +35,26 @@
     }
     Member own =
         new Member(
-            site.front().number(), members.listen(), site.headend().building(), members.region());
+            site.front().number(),
+            members.listen(),
+            site.deployment().building(),
+            members.region());
     this.node =
         new MembershipNode(
-            MembershipSettings.USUAL.inPeriods(Span.ofMillis(members.periodMs())),
+            MembershipSettings.DEFAULT.withPeriod(Span.ofMillis(members.periodMs())),
             own,
             members.seeds(),
             KeyFile.read(members.keyFile(), "members.keyFile"),
-            FleetMembers::log);
+            FleetMembership::log);
   }
 
   private static void log(MemberUpdate update) {
     LOG.info(
-        "member {} {} {} {}",
+        "member updated {} {} {} {}",
         StructuredArguments.kv("number", update.member().number()),
-        StructuredArguments.kv("standing", update.standing()),
+        StructuredArguments.kv("standing", update.state()),
         StructuredArguments.kv("incarnation", update.incarnation()),
-        StructuredArguments.kv("by", update.by()));
+        StructuredArguments.kv("by", update.source()));
   }
 
   void start() {
@@ -54,7 +63,7 @@
     }
   }
 
-  /** Says that it leaves: nobody has to find out that it is gone. */
+  /** Announces the departure, so that nobody has to detect it. */
   void close() {
     if (node != null) {
       node.close();
@@ -72,7 +81,7 @@
       return new JsonObject();
     }
     JsonArray others = new JsonArray();
-    node.held().forEach(update -> others.add(state(update)));
+    node.members().forEach(update -> others.add(state(update)));
     MembershipNode.Drops drops = node.drops();
     return new JsonObject()
         .put("others", others)
@@ -87,8 +96,8 @@
         .put("zone", update.member().zone())
         .put("region", update.member().region())
         .put("address", update.member().address())
-        .put("standing", update.standing().name())
+        .put("standing", update.state().name())
         .put("incarnation", update.incarnation())
-        .put("by", update.by());
+        .put("by", update.source());
   }
 }
--- a/src/main/java/linengauge/hls/Paths.java
+++ b/src/main/java/linengauge/hls/Paths.java
@@ -7,22 +7,22 @@
 import java.util.regex.Pattern;
 
 /**
- * Addresses in a box's playlist as paths under a viewing and back. A path of letters, digits, dots,
- * dashes and slashes stands as it is, so that people can read it; anything else is carried in
- * base64url. What leaves the box (another host, a path that climbs) is refused: a front relays its
- * boxes and nothing else.
+ * Maps URIs in a box's playlist to paths under a viewing and back. A path of letters, digits, dots,
+ * dashes, underscores and slashes is kept as it is, for readability; any other is encoded in
+ * base64url. References that leave the viewing (another host, a path that climbs out) are rejected,
+ * since a front relays its boxes only.
  */
 public final class Paths {
-  private static final int LONGEST = 1024;
+  private static final int MAX_PATH_CHARS = 1024;
   private static final Pattern PLAIN = Pattern.compile("[A-Za-z0-9._/-]+");
 
   private Paths() {}
 
   /**
-   * The path under which a front serves what a playlist calls `uri`; `base` is where the playlist
-   * itself lies.
+   * The path under which the front serves the resource that a playlist calls `uri`; `base` is the
+   * folder of the playlist.
    */
-  public static String under(String viewing, String base, String uri) {
+  public static String viewingPath(String viewing, String base, String uri) {
     String path = resolve(base, uri);
     if (path == null) {
       return "/v/" + viewing + "/refused";
@@ -38,21 +38,22 @@
   }
 
   /**
-   * What a path's rest after /v/{id}/ names at the box, relative to the viewing there; null:
-   * nothing that it may.
+   * Decodes the part of a path after /v/{id}/ to a path at the box, relative to the viewing there;
+   * null if the path is invalid or leaves the viewing.
    */
-  public static String at(String rest) {
-    if (rest.length() > LONGEST) {
+  public static String boxPath(String encodedPath) {
+    if (encodedPath.length() > MAX_PATH_CHARS) {
       return null;
     }
-    if (rest.startsWith("m/")) {
-      return resolve("", rest.substring(2));
+    if (encodedPath.startsWith("m/")) {
+      return resolve("", encodedPath.substring(2));
     }
-    if (rest.startsWith("e/")) {
+    if (encodedPath.startsWith("e/")) {
       try {
         return resolve(
             "",
-            new String(Base64.getUrlDecoder().decode(rest.substring(2)), StandardCharsets.UTF_8));
+            new String(
+                Base64.getUrlDecoder().decode(encodedPath.substring(2)), StandardCharsets.UTF_8));
       } catch (IllegalArgumentException e) {
         return null;
       }
@@ -61,23 +62,23 @@
   }
 
   /**
-   * A relative reference (RFC 3986, section 5.2) against a base, both within the viewing; null
-   * where it leaves it.
+   * Resolves a relative reference (RFC 3986, section 5.2) against a base, both within the viewing;
+   * null if the result leaves it.
    */
   private static String resolve(String base, String uri) {
-    if (isPlain(uri) && base.length() + uri.length() < LONGEST) {
-      return base + uri; // what nearly all are: nothing to resolve
+    if (isPlain(uri) && base.length() + uri.length() < MAX_PATH_CHARS) {
+      return base + uri; // the common case, in which nothing has to be resolved
     }
     try {
-      URI given = new URI(uri);
-      if (given.isAbsolute()
-          || given.getRawAuthority() != null
+      URI reference = new URI(uri);
+      if (reference.isAbsolute()
+          || reference.getRawAuthority() != null
           || uri.startsWith("/")
           || uri.isEmpty()) {
         return null;
       }
-      String path = new URI("/" + base).resolve(given).normalize().toString();
-      return path.startsWith("/..") || path.length() > LONGEST || path.length() < 2
+      String path = new URI("/" + base).resolve(reference).normalize().toString();
+      return path.startsWith("/..") || path.length() > MAX_PATH_CHARS || path.length() < 2
           ? null
           : path.substring(1);
     } catch (URISyntaxException e) {
--- a/src/main/java/linengauge/hls/Playlists.java
+++ b/src/main/java/linengauge/hls/Playlists.java
@@ -15,18 +15,18 @@
 import java.util.function.UnaryOperator;
 
 /**
- * A box's playlists rewritten for one viewing (RFC 8216). The library reads them, and so refuses
- * what is broken; the rewriting goes line by line, since a parsed playlist has lost the tags that
- * the library does not know, and those must survive (section 6.3.1: clients ignore them, a front
- * has no say).
+ * Rewrites a box's playlists for one viewing (RFC 8216). The library parses them, so that malformed
+ * ones are rejected, but the rewriting goes line by line: a parsed playlist has lost the tags that
+ * the library does not know, and those have to be preserved for clients (section 6.3.1 leaves it to
+ * clients to ignore them).
  */
 public final class Playlists {
   private static final MasterPlaylistParser MULTIVARIANT =
       new MasterPlaylistParser(ParsingMode.LENIENT);
   private static final MediaPlaylistParser MEDIA = new MediaPlaylistParser(ParsingMode.LENIENT);
 
-  /** Tags of a media playlist that name further files (sections 4.3.2.4, 4.3.2.5). */
-  private static final Set<String> WITH_URI =
+  /** Tags of a media playlist with a URI attribute (sections 4.3.2.4, 4.3.2.5). */
+  private static final Set<String> TAGS_WITH_URI =
       Set.of(
           "#EXT-X-KEY",
           "#EXT-X-MAP",
@@ -38,109 +38,115 @@
   private Playlists() {}
 
   /**
-   * The multivariant playlist of this viewing alone: the one variant of the rung (by rising
-   * BANDWIDTH, section 4.3.4.2; the highest there is where the box has fewer), at the address
-   * given, and the renditions of its groups.
+   * Reduces a multivariant playlist to the variant of one rung and the renditions of its groups.
+   * Rungs are counted by rising BANDWIDTH (section 4.3.4.2); if the box has fewer variants, the
+   * highest is used.
    *
-   * @param uri gives the address under this viewing of one that stands in the playlist
+   * @param variantUri the URI to write for the variant
+   * @param rewriter maps a URI of the playlist to its path under this viewing
    */
   public static String multivariant(
-      byte[] playlist, int rung, String variantUri, UnaryOperator<String> uri) throws BadPlaylist {
-    String text = text(playlist);
+      byte[] playlist, int rung, String variantUri, UnaryOperator<String> rewriter)
+      throws MalformedPlaylistException {
+    String text = decode(playlist);
     try {
       MULTIVARIANT.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
-      throw new BadPlaylist(0, "not a multivariant playlist: " + e.getMessage());
+      throw new MalformedPlaylistException(0, "not a multivariant playlist: " + e.getMessage());
     }
     List<String> lines = text.lines().toList();
-    Variant chosen = variant(lines, rung);
+    Variant selected = selectVariant(lines, rung);
     Set<String> groups = new HashSet<>();
-    for (String kind : List.of("AUDIO", "VIDEO", "SUBTITLES", "CLOSED-CAPTIONS")) {
-      groups.add(kind + "/" + Attributes.quoted(chosen.attributes, kind));
+    for (String type : List.of("AUDIO", "VIDEO", "SUBTITLES", "CLOSED-CAPTIONS")) {
+      groups.add(type + "/" + Attributes.quoted(selected.attributes, type));
     }
-    StringBuilder out = new StringBuilder();
+    StringBuilder rewritten = new StringBuilder();
     int i = 0;
     while (i < lines.size()) {
       String line = lines.get(i);
-      String tag = tag(line);
-      int last = i; // of what belongs to this tag
+      String tag = tagOf(line);
+      int lastLine = i; // last line that belongs to this tag
       if (tag.equals("#EXT-X-STREAM-INF")) {
-        last = uriAfter(lines, i);
-        if (i == chosen.line) {
-          out.append(line).append('\n').append(variantUri).append('\n');
+        lastLine = uriLineAfter(lines, i);
+        if (i == selected.line) {
+          rewritten.append(line).append('\n').append(variantUri).append('\n');
         }
       } else if (tag.equals("#EXT-X-MEDIA")) {
-        Map<String, String> a = Attributes.read(i + 1, line.substring(tag.length() + 1));
-        if (groups.contains(a.get("TYPE") + "/" + Attributes.quoted(a, "GROUP-ID"))) {
-          out.append(withUri(i + 1, line, tag, uri)).append('\n');
+        Map<String, String> attributes = Attributes.read(i + 1, line.substring(tag.length() + 1));
+        if (groups.contains(
+            attributes.get("TYPE") + "/" + Attributes.quoted(attributes, "GROUP-ID"))) {
+          rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
         }
       } else if (tag.equals("#EXT-X-SESSION-KEY") || tag.equals("#EXT-X-SESSION-DATA")) {
-        out.append(withUri(i + 1, line, tag, uri)).append('\n');
+        rewritten.append(rewriteUri(i + 1, line, tag, rewriter)).append('\n');
       } else if (!tag.equals("#EXT-X-I-FRAME-STREAM-INF")) {
-        out.append(line).append('\n'); // trick play would name rungs past the front's say
+        // I-frame variants are left out, since they would bypass the front's choice of rung.
+        rewritten.append(line).append('\n');
       }
-      i = last + 1;
+      i = lastLine + 1;
     }
-    return out.toString();
+    return rewritten.toString();
   }
 
-  /**
-   * A media playlist with every address under this viewing; all else stands as the box wrote it.
-   */
-  public static String media(byte[] playlist, UnaryOperator<String> uri) throws BadPlaylist {
-    String text = text(playlist);
+  /** Rewrites every URI of a media playlist to a path under this viewing; all else is kept. */
+  public static String media(byte[] playlist, UnaryOperator<String> rewriter)
+      throws MalformedPlaylistException {
+    String text = decode(playlist);
     try {
       MEDIA.readPlaylist(text);
     } catch (PlaylistParserException | RuntimeException e) {
-      throw new BadPlaylist(0, "not a media playlist: " + e.getMessage());
+      throw new MalformedPlaylistException(0, "not a media playlist: " + e.getMessage());
     }
-    StringBuilder out = new StringBuilder();
-    boolean target = false;
-    int number = 0;
+    StringBuilder rewritten = new StringBuilder();
+    boolean hasTargetDuration = false;
+    int lineNumber = 0;
     for (String line : text.lines().toList()) {
-      number++;
-      String tag = tag(line);
-      target |= tag.equals("#EXT-X-TARGETDURATION");
-      if (WITH_URI.contains(tag)) {
-        out.append(withUri(number, line, tag, uri));
+      lineNumber++;
+      String tag = tagOf(line);
+      hasTargetDuration |= tag.equals("#EXT-X-TARGETDURATION");
+      if (TAGS_WITH_URI.contains(tag)) {
+        rewritten.append(rewriteUri(lineNumber, line, tag, rewriter));
       } else if (line.isBlank() || line.startsWith("#")) {
-        out.append(line);
+        rewritten.append(line);
       } else {
-        out.append(uri.apply(line.strip()));
+        rewritten.append(rewriter.apply(line.strip()));
       }
-      out.append('\n');
+      rewritten.append('\n');
     }
-    if (!target) {
-      throw new BadPlaylist(0, "not a media playlist: no EXT-X-TARGETDURATION");
+    if (!hasTargetDuration) {
+      throw new MalformedPlaylistException(0, "not a media playlist: no EXT-X-TARGETDURATION");
     }
-    return out.toString();
+    return rewritten.toString();
   }
 
   private record Variant(int line, long bandwidth, Map<String, String> attributes) {}
 
-  private static Variant variant(List<String> lines, int rung) throws BadPlaylist {
+  private static Variant selectVariant(List<String> lines, int rung)
+      throws MalformedPlaylistException {
     List<Variant> variants = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i);
-      if (tag(line).equals("#EXT-X-STREAM-INF")) {
-        Map<String, String> a =
+      if (tagOf(line).equals("#EXT-X-STREAM-INF")) {
+        Map<String, String> attributes =
             Attributes.read(i + 1, line.substring("#EXT-X-STREAM-INF:".length()));
         try {
-          variants.add(new Variant(i, Long.parseLong(a.getOrDefault("BANDWIDTH", "")), a));
+          variants.add(
+              new Variant(i, Long.parseLong(attributes.getOrDefault("BANDWIDTH", "")), attributes));
         } catch (NumberFormatException e) {
-          throw new BadPlaylist(i + 1, "a variant has no BANDWIDTH");
+          throw new MalformedPlaylistException(i + 1, "a variant has no BANDWIDTH");
         }
-        uriAfter(lines, i);
+        uriLineAfter(lines, i);
       }
     }
     if (variants.isEmpty()) {
-      throw new BadPlaylist(0, "no variant is named");
+      throw new MalformedPlaylistException(0, "no variant is named");
     }
-    variants.sort((a, b) -> Long.compare(a.bandwidth, b.bandwidth));
+    variants.sort((first, second) -> Long.compare(first.bandwidth, second.bandwidth));
     return variants.get(Math.max(0, Math.min(rung, variants.size() - 1)));
   }
 
-  private static int uriAfter(List<String> lines, int tagLine) throws BadPlaylist {
+  private static int uriLineAfter(List<String> lines, int tagLine)
+      throws MalformedPlaylistException {
     for (int i = tagLine + 1; i < lines.size(); i++) {
       if (!lines.get(i).isBlank() && !lines.get(i).startsWith("#")) {
         return i;
@@ -149,24 +155,25 @@
         break;
       }
     }
-    throw new BadPlaylist(tagLine + 1, "a variant has no address");
+    throw new MalformedPlaylistException(tagLine + 1, "a variant has no address");
   }
 
-  private static String withUri(int number, String line, String tag, UnaryOperator<String> uri)
-      throws BadPlaylist {
+  private static String rewriteUri(
+      int lineNumber, String line, String tag, UnaryOperator<String> rewriter)
+      throws MalformedPlaylistException {
     if (line.length() <= tag.length()) {
       return line;
     }
-    Map<String, String> a = Attributes.read(number, line.substring(tag.length() + 1));
-    String named = Attributes.quoted(a, "URI");
-    if (named == null) {
+    Map<String, String> attributes = Attributes.read(lineNumber, line.substring(tag.length() + 1));
+    String uri = Attributes.quoted(attributes, "URI");
+    if (uri == null) {
       return line;
     }
-    a.put("URI", "\"" + uri.apply(named) + "\"");
-    return tag + ":" + Attributes.write(a);
+    attributes.put("URI", "\"" + rewriter.apply(uri) + "\"");
+    return tag + ":" + Attributes.write(attributes);
   }
 
-  private static String tag(String line) {
+  private static String tagOf(String line) {
     if (!line.startsWith("#EXT")) {
       return "";
     }
@@ -174,16 +181,16 @@
     return (colon < 0 ? line : line.substring(0, colon)).strip();
   }
 
-  /** Playlists are UTF-8 without a byte order mark, and start with EXTM3U (section 4.1). */
-  private static String text(byte[] playlist) throws BadPlaylist {
+  /** Decodes a playlist: UTF-8 without a byte order mark, beginning with EXTM3U (section 4.1). */
+  private static String decode(byte[] playlist) throws MalformedPlaylistException {
     String text;
     try {
       text = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(playlist)).toString();
     } catch (CharacterCodingException e) {
-      throw new BadPlaylist(0, "not UTF-8");
+      throw new MalformedPlaylistException(0, "not UTF-8");
     }
     if (!text.startsWith("#EXTM3U") || text.length() > 7 && " \r\n\t".indexOf(text.charAt(7)) < 0) {
-      throw new BadPlaylist(1, "does not start with #EXTM3U");
+      throw new MalformedPlaylistException(1, "does not start with #EXTM3U");
     }
     return text;
   }
--- a/src/main/java/linengauge/lease/explore/Deaths.java
+++ b/src/main/java/linengauge/lease/explore/DetectionTracker.java
@@ -10,31 +10,31 @@
 import linengauge.membership.explore.DetectionFigures;
 
 /**
- * Who has learned of each life that began, ended or left, and how long after. An end without a word
- * has to be known everywhere within a bound.
+ * Tracks which fronts have learned of each life that began, ended or left, and after what delay. An
+ * unannounced end must be known everywhere within a bound.
  */
-final class Deaths {
-  /** After the control machines' last fault it may take so long until one leads again. */
+final class DetectionTracker {
+  /** Time until a control machine leads again after the last fault of the control machines. */
   private static final Span ELECTION = Span.ofSeconds(6);
 
   /**
-   * Beyond a lease: until the next exchange of evidence, the decision, its way to each control
-   * machine, and the next heartbeat of each front.
+   * Allowance beyond a lease: the next exchange of evidence, the decision, its replication to each
+   * control machine, and the next heartbeat of each front.
    */
   private static final Span SPREADING = Span.ofSeconds(4);
 
-  /** So long a front may take to load its first copy of the directory of 1,800 members. */
+  /** Time that a front may take to load its first copy of the directory of 1,800 members. */
   private static final Span LONGEST_LOADING = Span.ofSeconds(20);
 
   /** A life that ended. */
-  private static final class Death {
+  private static final class EndedLife {
     private final int number;
     private final long incarnation;
     private final Moment at;
     private final boolean left;
     private final BitSet known = new BitSet();
 
-    private Death(int number, long incarnation, Moment at, boolean left) {
+    private EndedLife(int number, long incarnation, Moment at, boolean left) {
       this.number = number;
       this.incarnation = incarnation;
       this.at = at;
@@ -44,7 +44,7 @@
 
   private final LeaseSimulation simulation;
   private final Judge judge;
-  private final Map<Integer, Death> open = new HashMap<>();
+  private final Map<Integer, EndedLife> open = new HashMap<>();
   private final Moment[] beganAt;
   private final DelayHistogram ends = new DelayHistogram();
   private final DelayHistogram leavings = new DelayHistogram();
@@ -54,7 +54,7 @@
   private int expectedBeginnings;
   private int failures;
 
-  Deaths(LeaseSimulation simulation, Judge judge) {
+  DetectionTracker(LeaseSimulation simulation, Judge judge) {
     this.simulation = simulation;
     this.judge = judge;
     this.beganAt = new Moment[Topology.front(simulation.schedule().fronts())];
@@ -64,22 +64,22 @@
     return failures;
   }
 
-  /** How soon an end without a word was known. */
+  /** Delays until unannounced ends were known. */
   DetectionFigures ends() {
     return ends.figures(expectedEnds);
   }
 
-  /** How soon it was known that a front left. */
+  /** Delays until it was known that fronts had left. */
   DetectionFigures leavings() {
     return leavings.figures(expectedLeavings);
   }
 
-  /** How soon it was known that a life began. */
+  /** Delays until it was known that lives had begun. */
   DetectionFigures beginnings() {
     return beginnings.figures(expectedBeginnings);
   }
 
-  /** Forgets what was measured until now. */
+  /** Discards all measurements so far. */
   void measureFromNow() {
     ends.clear();
     leavings.clear();
@@ -91,9 +91,9 @@
   }
 
   /**
-   * A life of the front begins.
+   * Records that a life of the front begins.
    *
-   * @param fresh the front holds nothing, and has to learn of all others as well
+   * @param fresh whether the front has no copy of the directory and must learn of all others too
    */
   void begins(SimulatedFront front, boolean fresh) {
     for (SimulatedFront other : simulation.fronts()) {
@@ -109,28 +109,28 @@
   }
 
   void ended(SimulatedFront front) {
-    Death before = open.get(front.number);
+    EndedLife before = open.get(front.number);
     boolean said = before != null && before.incarnation == front.agent().incarnation();
     if (!said) {
       open(front, false);
     }
     beganAt[front.number] = null;
-    for (Death death : open.values()) {
+    for (EndedLife death : open.values()) {
       if (!death.known.get(front.number)) {
-        expected(death, -1); // it needs to learn no more
+        expected(death, -1); // an ended front need not learn of it any more
         death.known.set(front.number);
       }
     }
   }
 
-  private void expected(Death death, int more) {
+  private void expected(EndedLife death, int more) {
     expectedEnds += death.left ? 0 : more;
     expectedLeavings += death.left ? more : 0;
   }
 
   private void open(SimulatedFront front, boolean left) {
     Moment now = simulation.events().now();
-    Death death = new Death(front.number, front.agent().incarnation(), now, left);
+    EndedLife death = new EndedLife(front.number, front.agent().incarnation(), now, left);
     failures += left ? 0 : 1;
     for (SimulatedFront other : simulation.fronts()) {
       boolean learns = other.isUp() && other != front;
@@ -148,25 +148,25 @@
     return simulation.settings().lease().plus(SPREADING);
   }
 
-  /** The bound counts from the last fault of the control machines or of ways. */
-  private void later(Death death, Span after) {
+  /** Schedules the check of the bound, which counts from the last control or link fault. */
+  private void later(EndedLife death, Span after) {
     simulation.events().at(simulation.events().now().plus(after), () -> due(death));
   }
 
-  private void due(Death death) {
+  private void due(EndedLife death) {
     if (open.get(death.number) != death) {
       return;
     }
     if (simulation.conditions().isRegionCut(Topology.region(death.number))) {
-      later(death, bound()); // the others cannot tell it from the whole region's silence
+      later(death, bound()); // the others cannot distinguish it from the loss of the whole region
       return;
     }
     Moment now = simulation.events().now();
     Moment disturbed = simulation.conditions().lastControlChange();
-    boolean quiet = disturbed.before(death.at.minus(bound()));
+    boolean quiet = disturbed.isBefore(death.at.minus(bound()));
     Span longest = quiet ? bound() : simulation.settings().takeover().plus(ELECTION).plus(bound());
-    Moment latest = (quiet ? death.at : disturbed.orLater(death.at)).plus(longest);
-    if (now.before(latest)) {
+    Moment latest = (quiet ? death.at : disturbed.max(death.at)).plus(longest);
+    if (now.isBefore(latest)) {
       later(death, latest.since(now));
       return;
     }
@@ -179,7 +179,7 @@
     open.remove(death.number);
   }
 
-  private boolean mustKnow(SimulatedFront front, Death death) {
+  private boolean mustKnow(SimulatedFront front, EndedLife death) {
     boolean isCut = simulation.conditions().isRegionCut(Topology.region(front.number));
     return front.isUp()
         && !mayBeLoading(front)
@@ -188,16 +188,16 @@
         && !judge.ailed(front);
   }
 
-  /** A front that has not its first whole copy yet says so, and need not know for a while. */
+  /** Whether the front still loads its first copy, as it reports; it need not know until then. */
   private boolean mayBeLoading(SimulatedFront front) {
     boolean starting = front.agent().mode(front.clock()) == LeaseAgent.Mode.STARTING;
     Moment began = beganAt[front.number];
     return starting
         && began != null
-        && simulation.events().now().since(began).under(LONGEST_LOADING);
+        && simulation.events().now().since(began).isShorterThan(LONGEST_LOADING);
   }
 
-  private static boolean holds(SimulatedFront front, Death death) {
+  private static boolean holds(SimulatedFront front, EndedLife death) {
     DirectoryEntry entry = front.agent().view().entry(death.number);
     return entry != null && entry.incarnation() == death.incarnation;
   }
@@ -206,7 +206,7 @@
     int number = entry.member().number();
     boolean present = entry.state() == DirectoryEntry.State.PRESENT;
     Moment now = simulation.events().now();
-    Death death = open.get(number);
+    EndedLife death = open.get(number);
     if (death != null
         && !death.known.get(front.number)
         && (entry.incarnation() > death.incarnation
@@ -222,7 +222,7 @@
             && subject.agent().incarnation() == entry.incarnation()
             && beganAt[front.number] != null;
     if (begun) {
-      beginnings.add(now.since(beganAt[number].orLater(beganAt[front.number])));
+      beginnings.add(now.since(beganAt[number].max(beganAt[front.number])));
     }
   }
 }
--- a/src/main/java/linengauge/lease/explore/LeaseSimulation.java
+++ b/src/main/java/linengauge/lease/explore/LeaseSimulation.java
@@ -60,7 +60,7 @@
   private final SplittableRandom chance;
   private final EventQueue events = new EventQueue();
   private final Conditions conditions;
-  private final Ways ways;
+  private final SimulatedNetwork ways;
   private final Judge judge;
   private final List<SimulatedControl> controls = new ArrayList<>();
   private final List<SimulatedFront> fronts = new ArrayList<>();
@@ -80,7 +80,7 @@
     this.maker = maker;
     this.chance = new SplittableRandom(schedule.seed() ^ SALT);
     this.conditions = new Conditions(parties);
-    this.ways = new Ways(conditions, events, chance.split());
+    this.ways = new SimulatedNetwork(conditions, events, chance.split());
     this.judge = new Judge(this, parties);
     this.frontTraffic = new TrafficMeter(schedule.fronts());
     makeControls();
@@ -196,25 +196,25 @@
     received(to, bytes.length);
     LeaseMessage message = LeaseCodec.read(bytes, bytes.length);
     if (receiver instanceof SimulatedFront front) {
-      front.hears(sender, message);
+      front.receive(sender, message);
     } else if (receiver instanceof SimulatedControl control) {
-      control.hears(sender, message);
+      control.receive(sender, message);
     }
   }
 
   private void sent(int party, int bytes) {
     if (Topology.isControl(party)) {
-      controlTraffic.sent(events.now(), party, bytes);
+      controlTraffic.recordSent(events.now(), party, bytes);
     } else {
-      frontTraffic.sent(events.now(), Topology.index(party), bytes);
+      frontTraffic.recordSent(events.now(), Topology.index(party), bytes);
     }
   }
 
   private void received(int party, int bytes) {
     if (Topology.isControl(party)) {
-      controlTraffic.received(events.now(), party, bytes);
+      controlTraffic.recordReceived(events.now(), party, bytes);
     } else {
-      frontTraffic.received(events.now(), Topology.index(party), bytes);
+      frontTraffic.recordReceived(events.now(), Topology.index(party), bytes);
     }
   }
 
@@ -227,16 +227,16 @@
     boolean travels = from != to;
     int bytes = travels ? message.bytes().length : 0;
     if (travels) {
-      controlTraffic.sent(events.now(), from.number, bytes);
-      consensusTraffic.sent(events.now(), from.number, bytes);
+      controlTraffic.recordSent(events.now(), from.number, bytes);
+      consensusTraffic.recordSent(events.now(), from.number, bytes);
     }
     ways.message(
         from.number,
         to.number,
         () -> {
           if (travels && to.isUp()) {
-            controlTraffic.received(events.now(), to.number, bytes);
-            consensusTraffic.received(events.now(), to.number, bytes);
+            controlTraffic.recordReceived(events.now(), to.number, bytes);
+            consensusTraffic.recordReceived(events.now(), to.number, bytes);
           }
           to.deliver(() -> hears.accept(message));
         });
--- a/src/main/java/linengauge/membership/Datagram.java
+++ b/src/main/java/linengauge/membership/Datagram.java
@@ -7,25 +7,29 @@
 import java.util.List;
 
 /**
- * One datagram between fronts (docs/protocol/members.md). PING asks for ACK; ASK asks the receiver
- * to ping another front and to pass its ACK on, or to say NAK (Lifeguard, IV.A); PULL asks for
- * members from a number on, PAGE brings them.
+ * A datagram of the membership protocol (docs/protocol/members.md). PING requests an ACK. ASK
+ * requests that the receiver ping another member and relay its ACK, or send a NAK if none arrives
+ * in time (Lifeguard, IV.A). PULL requests a page of the member table starting at a given member
+ * number; PAGE carries it.
  *
- * @param about of ASK, whom to ping; of PULL and PAGE, the number from which on; of PAGE -1 where
- *     the whole has been told
+ * @param from member number of the sender
+ * @param sequence matches a response to its request
+ * @param argument for ASK, the number of the member to ping; for PULL, the member number the page
+ *     starts at; for PAGE, the member number the next page starts at, or -1 after the last page
  */
-public record Datagram(Kind kind, int from, int sequence, int about, List<MemberUpdate> updates) {
-  /** Bytes of a datagram at the most, without the carrier's trailer. */
-  public static final int MOST = 1200;
+public record Datagram(
+    Kind kind, int from, int sequence, int argument, List<MemberUpdate> updates) {
+  /** Maximum size of a datagram, without the trailer that the transport adds. */
+  public static final int MAX_BYTES = 1200;
 
-  /** Bytes of an address at the most. */
-  public static final int MOST_TEXT = 64;
+  /** Maximum length of an address in UTF-8 bytes. */
+  public static final int MAX_ADDRESS_BYTES = 64;
 
   private static final byte VERSION = 1;
-  private static final int HEAD = 16;
-  private static final int MOST_NUMBER = 0xffff;
+  private static final int HEADER_BYTES = 16;
+  private static final int MAX_MEMBER_NUMBER = 0xffff;
 
-  /** What it is for. */
+  /** Message type. Its ordinal is the wire code. */
   public enum Kind {
     PING,
     ACK,
@@ -35,97 +39,108 @@
     PAGE
   }
 
-  /** Bytes that one piece of news takes. */
-  static int size(MemberUpdate n) {
-    return 2 + 2 + 2 + 1 + 8 + 2 + 1 + n.member().address().getBytes(StandardCharsets.UTF_8).length;
+  /** Encoded size of an update in bytes. */
+  static int encodedSize(MemberUpdate update) {
+    return 2
+        + 2
+        + 2
+        + 1
+        + 8
+        + 2
+        + 1
+        + update.member().address().getBytes(StandardCharsets.UTF_8).length;
   }
 
-  /** Room for news in one datagram. */
-  static int room() {
-    return MOST - HEAD;
+  /** Number of bytes available for updates in one datagram. */
+  static int maxUpdateBytes() {
+    return MAX_BYTES - HEADER_BYTES;
   }
 
-  public byte[] bytes() {
-    ByteBuffer b = ByteBuffer.allocate(HEAD + updates.stream().mapToInt(Datagram::size).sum());
-    b.put(VERSION)
+  public byte[] encode() {
+    ByteBuffer buffer =
+        ByteBuffer.allocate(HEADER_BYTES + updates.stream().mapToInt(Datagram::encodedSize).sum());
+    buffer
+        .put(VERSION)
         .put((byte) kind.ordinal())
         .putInt(from)
         .putInt(sequence)
-        .putInt(about)
+        .putInt(argument)
         .putShort((short) updates.size());
-    for (MemberUpdate n : updates) {
-      byte[] address = n.member().address().getBytes(StandardCharsets.UTF_8);
-      b.putShort((short) n.member().number())
-          .putShort((short) n.member().zone())
-          .putShort((short) n.member().region())
-          .put((byte) n.standing().ordinal())
-          .putLong(n.incarnation())
-          .putShort((short) n.by())
+    for (MemberUpdate update : updates) {
+      byte[] address = update.member().address().getBytes(StandardCharsets.UTF_8);
+      buffer
+          .putShort((short) update.member().number())
+          .putShort((short) update.member().zone())
+          .putShort((short) update.member().region())
+          .put((byte) update.state().ordinal())
+          .putLong(update.incarnation())
+          .putShort((short) update.source())
           .put((byte) address.length)
           .put(address);
     }
-    return b.array();
+    return buffer.array();
   }
 
   /**
-   * Reads one datagram.
+   * Decodes a datagram.
    *
-   * @throws IllegalArgumentException where it is none of this version's, with why in a few words
+   * @throws IllegalArgumentException if it is malformed or of another protocol version; the message
+   *     gives the reason
    */
-  public static Datagram read(byte[] bytes, int length) {
+  public static Datagram decode(byte[] bytes, int length) {
     try {
-      if (length > MOST) {
-        throw new IllegalArgumentException("longer than " + MOST + " bytes");
+      if (length > MAX_BYTES) {
+        throw new IllegalArgumentException("datagram exceeds " + MAX_BYTES + " bytes");
       }
-      ByteBuffer b = ByteBuffer.wrap(bytes, 0, length);
-      if (b.get() != VERSION) {
-        throw new IllegalArgumentException("another version");
+      ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, length);
+      if (buffer.get() != VERSION) {
+        throw new IllegalArgumentException("unsupported protocol version");
       }
-      Kind kind = of(Kind.values(), b.get());
-      int from = number(b.getInt());
-      int sequence = b.getInt();
-      int about = b.getInt();
-      int count = b.getShort() & 0xffff;
+      Kind kind = constantAt(Kind.values(), buffer.get());
+      int from = requireMemberNumber(buffer.getInt());
+      int sequence = buffer.getInt();
+      int argument = buffer.getInt();
+      int count = buffer.getShort() & 0xffff;
       List<MemberUpdate> updates = new ArrayList<>();
       for (int i = 0; i < count; i++) {
-        int number = b.getShort() & 0xffff;
-        int zone = b.getShort() & 0xffff;
-        int region = b.getShort() & 0xffff;
-        MemberState standing = of(MemberState.values(), b.get());
-        long incarnation = b.getLong();
-        int by = b.getShort() & 0xffff;
-        byte[] address = new byte[b.get() & 0xff];
-        b.get(address);
-        if (address.length > MOST_TEXT || incarnation < 0) {
-          throw new IllegalArgumentException("a member that cannot be");
+        int number = buffer.getShort() & 0xffff;
+        int zone = buffer.getShort() & 0xffff;
+        int region = buffer.getShort() & 0xffff;
+        MemberState state = constantAt(MemberState.values(), buffer.get());
+        long incarnation = buffer.getLong();
+        int source = buffer.getShort() & 0xffff;
+        byte[] address = new byte[buffer.get() & 0xff];
+        buffer.get(address);
+        if (address.length > MAX_ADDRESS_BYTES || incarnation < 0) {
+          throw new IllegalArgumentException("member address too long or incarnation negative");
         }
         updates.add(
             new MemberUpdate(
                 new Member(number, new String(address, StandardCharsets.UTF_8), zone, region),
                 incarnation,
-                standing,
-                by));
+                state,
+                source));
       }
-      if (b.hasRemaining()) {
-        throw new IllegalArgumentException("more than it says");
+      if (buffer.hasRemaining()) {
+        throw new IllegalArgumentException("trailing bytes after the last update");
       }
-      return new Datagram(kind, from, sequence, about, List.copyOf(updates));
+      return new Datagram(kind, from, sequence, argument, List.copyOf(updates));
     } catch (BufferUnderflowException e) {
-      throw new IllegalArgumentException("cut short", e);
+      throw new IllegalArgumentException("datagram is truncated", e);
     }
   }
 
-  private static int number(int n) {
-    if (n < 0 || n > MOST_NUMBER) {
-      throw new IllegalArgumentException("a number out of bounds");
+  private static int requireMemberNumber(int value) {
+    if (value < 0 || value > MAX_MEMBER_NUMBER) {
+      throw new IllegalArgumentException("member number out of range");
     }
-    return n;
+    return value;
   }
 
-  private static <T> T of(T[] all, byte at) {
-    if (at < 0 || at >= all.length) {
-      throw new IllegalArgumentException("a kind that is not known");
+  private static <T> T constantAt(T[] constants, byte ordinal) {
+    if (ordinal < 0 || ordinal >= constants.length) {
+      throw new IllegalArgumentException("unknown message type or member state");
     }
-    return all[at];
+    return constants[ordinal];
   }
 }
--- a/src/main/java/linengauge/membership/FailureDetector.java
+++ b/src/main/java/linengauge/membership/FailureDetector.java
@@ -12,42 +12,46 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * SWIM's failure detector (4.1 and 4.3): one member pinged in each period, first by this front,
- * then by helpers in its place; periods and waits are lengthened while this front itself is slow
- * (Lifeguard, IV.A).
+ * Failure detector of SWIM (4.1 and 4.3). In each period it pings one member, first directly and
+ * then through helpers. Periods and timeouts grow while this front itself is slow (Lifeguard,
+ * IV.A).
  */
 final class FailureDetector {
-  private static final int MOST_RELAYS = 64;
+  private static final int MAX_RELAYED_PINGS = 64;
 
-  /** This front's own ping of one period. */
+  /** The probe that this front runs in the current period. */
   private static final class Probe {
     private final int target;
     private final int sequence;
-    private final Moment askHelpersAt;
-    private boolean helpersAsked;
-    private boolean answered;
-    private int owedNaks;
+    private final Moment indirectProbesAt;
+    private boolean indirectProbesSent;
+    private boolean acknowledged;
+    private int missingNaks;
 
-    private Probe(int target, int sequence, Moment askHelpersAt) {
+    private Probe(int target, int sequence, Moment indirectProbesAt) {
       this.target = target;
       this.sequence = sequence;
-      this.askHelpersAt = askHelpersAt;
+      this.indirectProbesAt = indirectProbesAt;
     }
 
-    private boolean waitsForDirectAnswer() {
-      return !helpersAsked && !answered;
+    private boolean isAwaitingDirectAck() {
+      return !indirectProbesSent && !acknowledged;
     }
   }
 
-  /** A ping made in another's place. */
-  private record Relay(
-      String asker, int askerSequence, Moment nakAt, Moment goneAt, boolean nakSent) {
-    private Moment next() {
-      return nakSent ? goneAt : nakAt;
+  /** A ping sent on behalf of another front. */
+  private record RelayedPing(
+      String requesterAddress,
+      int requesterSequence,
+      Moment nakAt,
+      Moment expiresAt,
+      boolean nakSent) {
+    private Moment nextStep() {
+      return nakSent ? expiresAt : nakAt;
     }
 
-    private Relay withNakSent() {
-      return new Relay(asker, askerSequence, nakAt, goneAt, true);
+    private RelayedPing withNakSent() {
+      return new RelayedPing(requesterAddress, requesterSequence, nakAt, expiresAt, true);
     }
   }
 
@@ -56,10 +60,10 @@
   private final Dissemination dissemination;
   private final LocalHealth health;
   private final SplittableRandom random;
-  private final Map<Integer, Relay> relays = new TreeMap<>();
-  private final List<Integer> round = new ArrayList<>();
+  private final Map<Integer, RelayedPing> relayedPings = new TreeMap<>();
+  private final List<Integer> remainingInRound = new ArrayList<>();
   private Probe probe;
-  private Moment periodAt;
+  private Moment periodEndsAt;
 
   FailureDetector(
       MembershipSettings settings,
@@ -74,80 +78,83 @@
     this.random = random;
   }
 
-  /** The moment at which it wants to be stepped, at the latest. */
-  Moment next() {
-    Moment next = periodAt;
-    if (probe != null && probe.waitsForDirectAnswer()) {
-      next = earlier(next, probe.askHelpersAt);
+  /** Returns the time by which {@link Membership#step} has to be called. */
+  Moment nextStep() {
+    Moment next = periodEndsAt;
+    if (probe != null && probe.isAwaitingDirectAck()) {
+      next = earliest(next, probe.indirectProbesAt);
     }
-    for (Relay relay : relays.values()) {
-      next = earlier(next, relay.next());
+    for (RelayedPing relay : relayedPings.values()) {
+      next = earliest(next, relay.nextStep());
     }
     return next;
   }
 
-  static Moment earlier(Moment a, Moment b) {
-    return b.before(a) ? b : a;
+  static Moment earliest(Moment first, Moment second) {
+    return second.isBefore(first) ? second : first;
   }
 
   boolean isPeriodOver(Moment now) {
-    return !now.before(periodAt);
+    return !now.isBefore(periodEndsAt);
   }
 
-  void setPeriodEnd(Moment at) {
-    periodAt = at;
+  void setPeriodEnd(Moment endsAt) {
+    periodEndsAt = endsAt;
   }
 
-  /** Gives up all waits and begins a new period. */
+  /** Discards all pending probes and starts a new period. */
   void restart(Moment now) {
     probe = null;
-    relays.clear();
-    periodAt = now;
+    relayedPings.clear();
+    periodEndsAt = now;
   }
 
-  /* ---- this front's own pings ---- */
+  /* ---- own probes ---- */
 
-  /** Ends the period's probe; the member that did not answer it and is held for there, or null. */
+  /**
+   * Ends the current probe. Returns its target if that is present and did not respond, else null.
+   */
   MemberEntry endProbe() {
-    if (probe == null || probe.answered) {
+    if (probe == null || probe.acknowledged) {
       return null;
     }
-    health.worse(probe.owedNaks > 0 ? probe.owedNaks : 1);
+    health.degrade(probe.missingNaks > 0 ? probe.missingNaks : 1);
     MemberEntry target = table.get(probe.target);
-    return target != null && target.isThere() ? target : null;
+    return target != null && target.isPresent() ? target : null;
   }
 
-  /** Begins a period with a ping to the next member in turn. */
+  /** Starts a period by pinging the next member in the round. */
   void startPeriod(Moment now) {
-    periodAt = now.plus(health.lengthened(settings.period()));
+    periodEndsAt = now.plus(health.scale(settings.period()));
     probe = null;
     MemberEntry target = nextTarget();
     if (target == null) {
       return;
     }
-    Moment askHelpersAt = now.plus(health.lengthened(settings.answer()));
-    probe = new Probe(target.number(), dissemination.nextSequence(), askHelpersAt);
-    // Whom somebody suspects hears of it with the ping, and can deny it (Lifeguard, IV.C).
+    Moment indirectProbesAt = now.plus(health.scale(settings.answer()));
+    probe = new Probe(target.number(), dissemination.nextSequence(), indirectProbesAt);
+    // The ping tells a suspected member of the suspicion so that it can refute it (Lifeguard,
+    // IV.C).
     dissemination.send(Kind.PING, target.address(), probe.sequence, 0, updateIfSuspected(target));
   }
 
   /**
-   * All there are, each once in a round, the rounds shuffled (SWIM, 4.3): whoever dies is pinged
-   * within two rounds.
+   * Visits each present member once per round, in shuffled order (SWIM, 4.3), so that a dead member
+   * is pinged within two rounds.
    */
   private MemberEntry nextTarget() {
-    MemberEntry target = nextOfRound();
+    MemberEntry target = nextInRound();
     if (target == null) {
       startRound();
-      target = nextOfRound();
+      target = nextInRound();
     }
     return target;
   }
 
-  private MemberEntry nextOfRound() {
-    while (!round.isEmpty()) {
-      MemberEntry entry = table.get(round.remove(round.size() - 1));
-      if (entry != null && entry.isThere()) {
+  private MemberEntry nextInRound() {
+    while (!remainingInRound.isEmpty()) {
+      MemberEntry entry = table.get(remainingInRound.remove(remainingInRound.size() - 1));
+      if (entry != null && entry.isPresent()) {
         return entry;
       }
     }
@@ -155,20 +162,22 @@
   }
 
   private void startRound() {
-    table.all().stream().filter(MemberEntry::isThere).forEach(e -> round.add(e.number()));
-    Collections.shuffle(round, new Random(random.nextLong()));
+    table.all().stream()
+        .filter(MemberEntry::isPresent)
+        .forEach(entry -> remainingInRound.add(entry.number()));
+    Collections.shuffle(remainingInRound, new Random(random.nextLong()));
   }
 
   private static List<MemberUpdate> updateIfSuspected(MemberEntry entry) {
     return entry.suspicion() == null ? List.of() : List.of(entry.update());
   }
 
-  /** Asks helpers to ping the member once it has not answered in time (SWIM, 4.1). */
+  /** Requests indirect probes if the direct ping has timed out (SWIM, 4.1). */
   void probeIndirectly(Moment now) {
-    if (probe == null || !probe.waitsForDirectAnswer() || now.before(probe.askHelpersAt)) {
+    if (probe == null || !probe.isAwaitingDirectAck() || now.isBefore(probe.indirectProbesAt)) {
       return;
     }
-    probe.helpersAsked = true;
+    probe.indirectProbesSent = true;
     MemberEntry target = table.get(probe.target);
     if (target == null) {
       return;
@@ -176,58 +185,65 @@
     for (MemberEntry helper : table.sampleAlive(settings.helpers(), probe.target)) {
       dissemination.send(
           Kind.ASK, helper.address(), probe.sequence, probe.target, List.of(target.update()));
-      probe.owedNaks++;
+      probe.missingNaks++;
     }
   }
 
-  /** Of a ping of this front's own, or of one made in another's place. */
+  /**
+   * Handles the ACK of an own probe, or relays the ACK of a ping sent on behalf of another front.
+   */
   void onAck(int sequence) {
     if (probe != null && probe.sequence == sequence) {
-      if (!probe.answered) {
-        health.better();
+      if (!probe.acknowledged) {
+        health.improve();
       }
-      probe.answered = true;
+      probe.acknowledged = true;
       return;
     }
-    Relay relay = relays.remove(sequence);
+    RelayedPing relay = relayedPings.remove(sequence);
     if (relay != null) {
-      dissemination.answer(Kind.ACK, relay.asker, relay.askerSequence, 0, List.of());
+      dissemination.respond(
+          Kind.ACK, relay.requesterAddress, relay.requesterSequence, 0, List.of());
     }
   }
 
-  /** A helper is there and could not reach the member: this front is not what is slow. */
+  /**
+   * Handles a NAK: the helper is reachable but the target did not respond to it, so this front's
+   * own slowness is not the cause.
+   */
   void onNak(int sequence) {
-    if (probe != null && probe.sequence == sequence && probe.owedNaks > 0) {
-      probe.owedNaks--;
+    if (probe != null && probe.sequence == sequence && probe.missingNaks > 0) {
+      probe.missingNaks--;
     }
   }
 
-  /* ---- pings made in another's place ---- */
+  /* ---- pings on behalf of other fronts ---- */
 
-  /** Another asks this front to ping a member in its place. */
-  void onAsk(String asker, Datagram datagram, Moment now) {
-    MemberEntry target = table.get(datagram.about());
-    if (target == null || relays.size() >= MOST_RELAYS) {
+  /** Pings a member on behalf of another front. */
+  void onPingRequest(String requesterAddress, Datagram datagram, Moment now) {
+    MemberEntry target = table.get(datagram.argument());
+    if (target == null || relayedPings.size() >= MAX_RELAYED_PINGS) {
       return;
     }
     int sequence = dissemination.nextSequence();
     Moment nakAt = now.plus(settings.answer());
-    Moment goneAt = now.plus(settings.period());
-    relays.put(sequence, new Relay(asker, datagram.sequence(), nakAt, goneAt, false));
-    dissemination.answer(Kind.PING, target.address(), sequence, 0, updateIfSuspected(target));
+    Moment expiresAt = now.plus(settings.period());
+    relayedPings.put(
+        sequence, new RelayedPing(requesterAddress, datagram.sequence(), nakAt, expiresAt, false));
+    dissemination.respond(Kind.PING, target.address(), sequence, 0, updateIfSuspected(target));
   }
 
-  /** Says of pings made in another's place that they were not answered in time. */
+  /** Sends a NAK for each ping on behalf of another front that has timed out. */
   void sendNaks(Moment now) {
-    Iterator<Map.Entry<Integer, Relay>> entries = relays.entrySet().iterator();
+    Iterator<Map.Entry<Integer, RelayedPing>> entries = relayedPings.entrySet().iterator();
     while (entries.hasNext()) {
-      Map.Entry<Integer, Relay> entry = entries.next();
-      Relay relay = entry.getValue();
-      if (!now.before(relay.goneAt)) {
+      Map.Entry<Integer, RelayedPing> entry = entries.next();
+      RelayedPing relay = entry.getValue();
+      if (!now.isBefore(relay.expiresAt)) {
         entries.remove();
-      } else if (!relay.nakSent && !now.before(relay.nakAt)) {
+      } else if (!relay.nakSent && !now.isBefore(relay.nakAt)) {
         entry.setValue(relay.withNakSent());
-        dissemination.send(Kind.NAK, relay.asker, relay.askerSequence, 0, List.of());
+        dissemination.send(Kind.NAK, relay.requesterAddress, relay.requesterSequence, 0, List.of());
       }
     }
   }
--- a/src/main/java/linengauge/membership/MemberTable.java
+++ b/src/main/java/linengauge/membership/MemberTable.java
@@ -11,30 +11,32 @@
 import linengauge.Moment;
 import linengauge.Span;
 
-/** All other members that this front knows of, by number. Bounded; those long gone leave. */
+/**
+ * Table of all other known members by number. Its size is bounded and old absent entries expire.
+ */
 final class MemberTable {
-  /** In {@link #sampleAlive}: no member is left out. */
-  static final int NOBODY = -1;
+  /** Argument of {@link #sampleAlive} that excludes no member. */
+  static final int NO_EXCLUSION = -1;
 
   private final Map<Integer, MemberEntry> entries = new TreeMap<>();
-  private final int most;
+  private final int maxMembers;
   private final SplittableRandom random;
-  private int refused;
+  private int rejected;
 
-  MemberTable(int most, SplittableRandom random) {
-    this.most = most;
+  MemberTable(int maxMembers, SplittableRandom random) {
+    this.maxMembers = maxMembers;
     this.random = random;
   }
 
-  /** Null where the member is not known. */
+  /** Returns the member's entry, or null if it is unknown. */
   MemberEntry get(int number) {
     return entries.get(number);
   }
 
-  /** A new entry for that member, or null where there are too many. */
+  /** Adds an entry for the member, or returns null if the table is full. */
   MemberEntry add(int number, Moment now) {
-    if (entries.size() >= most) {
-      refused++;
+    if (entries.size() >= maxMembers) {
+      rejected++;
       return null;
     }
     MemberEntry entry = new MemberEntry(now);
@@ -46,7 +48,7 @@
     return entries.values();
   }
 
-  /** All that is held, by number. */
+  /** Returns the current update of every member, ordered by number. */
   List<MemberUpdate> updates() {
     return entries.values().stream().map(MemberEntry::update).toList();
   }
@@ -55,39 +57,41 @@
     return entries.size();
   }
 
-  /** Members that were not taken in since there were too many. */
-  int refused() {
-    return refused;
+  /** Number of members rejected because the table was full. */
+  int rejected() {
+    return rejected;
   }
 
-  /** How many of the others are there, suspected ones among them. */
-  long countThere() {
-    return entries.values().stream().filter(MemberEntry::isThere).count();
+  /** Number of other members present, including suspected ones. */
+  long countPresent() {
+    return entries.values().stream().filter(MemberEntry::isPresent).count();
   }
 
-  /** So many at the most that are there and not suspected, drawn at random. */
-  List<MemberEntry> sampleAlive(int atMost, int except) {
+  /** Returns a random sample of members that are alive and not suspected. */
+  List<MemberEntry> sampleAlive(int maxCount, int excluded) {
     List<MemberEntry> alive = new ArrayList<>();
     entries.forEach(
         (number, entry) -> {
-          if (number != except && entry.is(MemberState.ALIVE)) {
+          if (number != excluded && entry.is(MemberState.ALIVE)) {
             alive.add(entry);
           }
         });
     Collections.shuffle(alive, new Random(random.nextLong()));
-    return alive.subList(0, Math.min(atMost, alive.size()));
+    return alive.subList(0, Math.min(maxCount, alive.size()));
   }
 
-  /** Forgets those that have been gone for longer than that. */
-  void forgetGone(Moment now, Span kept) {
-    entries.values().removeIf(e -> !e.isThere() && kept.under(now.since(e.since())));
+  /** Removes members that have been absent for longer than {@code retention}. */
+  void removeExpired(Moment now, Span retention) {
+    entries
+        .values()
+        .removeIf(entry -> !entry.isPresent() && retention.isShorterThan(now.since(entry.since())));
   }
 
-  /** This front was not there to hear anybody for so long: suspicions last so much longer. */
-  void holdUpSuspicions(Span span) {
+  /** Extends all suspicions by a time in which this front could not receive refutations. */
+  void extendSuspicions(Span span) {
     for (MemberEntry entry : entries.values()) {
       if (entry.suspicion() != null) {
-        entry.suspicion().heldUp(span);
+        entry.suspicion().extend(span);
       }
     }
   }
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -9,11 +9,11 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * Calls on members that are gone or were never heard, and evens out what two members hold, page by
- * page (anti-entropy). Not in the papers.
+ * Contacts absent members and unreached seeds, and synchronizes member tables page by page
+ * (anti-entropy). Neither is part of the papers.
  */
 final class Reconnection {
-  private static final int MOST_PAGES = 32;
+  private static final int MAX_PAGES_PER_PERIOD = 32;
 
   private final MembershipSettings settings;
   private final OwnMember own;
@@ -21,13 +21,13 @@
   private final MemberTable table;
   private final Dissemination dissemination;
   private final SplittableRandom random;
-  private Moment nextAt;
+  private Moment nextStepAt;
   private int pagesSent;
   private int pageFrom;
-  private int requested;
+  private int requestedSequence;
 
   /**
-   * @param seeds addresses to begin with, and to turn to when nobody is there
+   * @param seeds addresses contacted at startup and whenever no other member is reachable
    */
   Reconnection(
       MembershipSettings settings,
@@ -38,107 +38,111 @@
       SplittableRandom random) {
     this.settings = settings;
     this.own = own;
-    this.seeds = seeds.stream().filter(s -> !s.equals(own.address())).toList();
+    this.seeds = seeds.stream().filter(seed -> !seed.equals(own.address())).toList();
     this.table = table;
     this.dissemination = dissemination;
     this.random = random;
   }
 
-  /** The moment at which it wants to be stepped, at the latest. */
-  Moment next() {
-    return nextAt;
+  /** Returns the time by which {@link #step} has to be called. */
+  Moment nextStep() {
+    return nextStepAt;
   }
 
-  void setNext(Moment at) {
-    nextAt = at;
+  void setNextStep(Moment at) {
+    nextStepAt = at;
   }
 
-  /** A new period's pages may be sent. */
+  /** Resets the limit on pages for a new period. */
   void startPeriod() {
     pagesSent = 0;
   }
 
   /**
-   * Calls on one that is gone or has never been heard, and asks one that is there for a page of
-   * what it holds. Guards against two halves of the fleet that were cut apart and have each given
-   * the other up: without it nobody would call across again. It could hurt where many are gone for
-   * good: one datagram each such time, until they are forgotten.
+   * Pings one absent member or unreached seed and requests a page from one that is alive. Without
+   * this, two halves of a partitioned fleet that have declared each other dead would never contact
+   * each other again. The cost: if many members are gone for good, one datagram per interval until
+   * they expire.
    */
   void step(Moment now) {
-    if (!Span.NONE.under(settings.regather())) {
-      nextAt = now.plus(settings.deadKept());
+    if (!Span.NONE.isShorterThan(settings.regather())) {
+      nextStepAt = now.plus(settings.deadKept());
       return;
     }
-    List<MemberEntry> there = table.sampleAlive(1, MemberTable.NOBODY);
-    nextAt = now.plus(there.isEmpty() ? settings.period() : settings.regather());
-    List<String> away = addressesAway();
-    if (!away.isEmpty()) {
-      String to = away.get(random.nextInt(away.size()));
-      call(to);
-      if (there.isEmpty()) {
-        requestPage(to);
+    List<MemberEntry> alive = table.sampleAlive(1, MemberTable.NO_EXCLUSION);
+    nextStepAt = now.plus(alive.isEmpty() ? settings.period() : settings.regather());
+    List<String> unreachable = unreachableAddresses();
+    if (!unreachable.isEmpty()) {
+      String address = unreachable.get(random.nextInt(unreachable.size()));
+      ping(address);
+      if (alive.isEmpty()) {
+        requestPage(address);
       }
     }
-    if (!there.isEmpty()) {
-      requestPage(there.get(0).address());
+    if (!alive.isEmpty()) {
+      requestPage(alive.get(0).address());
     }
   }
 
-  /** Of members held for dead, and of seeds that no known member has. */
-  private List<String> addressesAway() {
-    List<String> away = new ArrayList<>();
-    table.all().stream().filter(e -> e.is(MemberState.DEAD)).forEach(e -> away.add(e.address()));
+  /** Addresses of dead members and of seeds that are not the address of a known member. */
+  private List<String> unreachableAddresses() {
+    List<String> unreachable = new ArrayList<>();
+    table.all().stream()
+        .filter(entry -> entry.is(MemberState.DEAD))
+        .forEach(entry -> unreachable.add(entry.address()));
     seeds.stream()
-        .filter(seed -> table.all().stream().noneMatch(e -> e.address().equals(seed)))
-        .forEach(away::add);
-    return away;
+        .filter(seed -> table.all().stream().noneMatch(entry -> entry.address().equals(seed)))
+        .forEach(unreachable::add);
+    return unreachable;
   }
 
-  /** A ping that says what is held of whoever is there, so that it can deny it. */
-  private void call(String to) {
+  /** Sends a ping with the state recorded for that address, so that the receiver can refute it. */
+  private void ping(String address) {
     List<MemberUpdate> first = new ArrayList<>(List.of(own.update()));
-    table.all().stream().filter(e -> e.address().equals(to)).forEach(e -> first.add(e.update()));
-    dissemination.send(Kind.PING, to, dissemination.nextSequence(), 0, first);
+    table.all().stream()
+        .filter(entry -> entry.address().equals(address))
+        .forEach(entry -> first.add(entry.update()));
+    dissemination.send(Kind.PING, address, dissemination.nextSequence(), 0, first);
   }
 
-  private void requestPage(String from) {
-    requested = dissemination.nextSequence();
-    dissemination.send(Kind.PULL, from, requested, pageFrom, List.of(own.update()));
+  private void requestPage(String address) {
+    requestedSequence = dissemination.nextSequence();
+    dissemination.send(Kind.PULL, address, requestedSequence, pageFrom, List.of(own.update()));
   }
 
-  /** A page that was asked for: the next one follows until there are no more. */
+  /** Handles a requested page and requests the next one until the last. */
   void onPage(String address, Datagram datagram) {
-    if (datagram.sequence() != requested) {
+    if (datagram.sequence() != requestedSequence) {
       return;
     }
-    pageFrom = Math.max(0, datagram.about());
-    if (datagram.about() > 0) {
+    pageFrom = Math.max(0, datagram.argument());
+    if (datagram.argument() > 0) {
       requestPage(address);
     }
   }
 
-  /** Another asks for what is held here, from a member's number on. */
-  void onPageRequest(String asker, Datagram datagram) {
+  /** Sends a page of the member table that starts at the requested member number. */
+  void onPageRequest(String requesterAddress, Datagram datagram) {
     List<MemberUpdate> all = new ArrayList<>(table.updates());
     all.add(own.update());
-    all.sort(Comparator.comparingInt(u -> u.member().number()));
+    all.sort(Comparator.comparingInt(update -> update.member().number()));
     List<MemberUpdate> page = new ArrayList<>();
-    int room = Datagram.room();
+    int remainingBytes = Datagram.maxUpdateBytes();
     int next = -1;
     for (MemberUpdate update : all) {
-      if (update.member().number() < datagram.about()) {
+      if (update.member().number() < datagram.argument()) {
         continue;
       }
-      room -= Datagram.size(update);
-      if (room < 0) {
+      remainingBytes -= Datagram.encodedSize(update);
+      if (remainingBytes < 0) {
         next = update.member().number();
         break;
       }
       page.add(update);
     }
     pagesSent++;
-    if (pagesSent <= MOST_PAGES) {
-      dissemination.sendBare(Kind.PAGE, asker, datagram.sequence(), next, page);
+    if (pagesSent <= MAX_PAGES_PER_PERIOD) {
+      dissemination.sendWithoutGossip(Kind.PAGE, requesterAddress, datagram.sequence(), next, page);
     }
   }
 }
--- a/src/main/java/linengauge/membership/Suspicion.java
+++ b/src/main/java/linengauge/membership/Suspicion.java
@@ -6,48 +6,60 @@
 import linengauge.Span;
 
 /**
- * One member suspected: until when it may speak against that (Lifeguard, IV.B). The wait shrinks
- * with each further front that suspects it. Who confirms is remembered up to the number that
- * matters.
+ * Suspicion of a member, which the member can refute until the timeout (Lifeguard, IV.B). The
+ * timeout shrinks with each further front that confirms the suspicion. Only as many confirmations
+ * as affect the timeout are recorded.
  */
 final class Suspicion {
-  private final Span least;
-  private final Span most;
-  private final int enough;
-  private final int by;
-  private final boolean own;
+  private final Span minDuration;
+  private final Span maxDuration;
+  private final int maxConfirmations;
+  private final int source;
+  private final boolean raisedLocally;
   private Moment since;
-  private final Set<Integer> others = new TreeSet<>();
+  private final Set<Integer> confirmedBy = new TreeSet<>();
 
   /**
-   * @param by who suspected it first; where that is not this front and nobody could confirm it, it
-   *     waits the longest
+   * @param maxConfirmations number of confirmations at which the timeout reaches its minimum; with
+   *     0, the timeout is the minimum if raised locally and the maximum otherwise
+   * @param source front that first raised the suspicion
    */
-  Suspicion(Moment since, Span least, Span most, int enough, int by, boolean own) {
-    this.by = by;
-    this.own = own;
+  Suspicion(
+      Moment since,
+      Span minDuration,
+      Span maxDuration,
+      int maxConfirmations,
+      int source,
+      boolean raisedLocally) {
+    this.source = source;
+    this.raisedLocally = raisedLocally;
     this.since = since;
-    this.least = least;
-    this.most = most;
-    this.enough = enough;
+    this.minDuration = minDuration;
+    this.maxDuration = maxDuration;
+    this.maxConfirmations = maxConfirmations;
   }
 
   /**
-   * A front suspects it as well; true where that is news. Who said so first confirms nothing by
-   * saying it again.
+   * Records a confirmation by another front. Returns false if it adds nothing, as when the first
+   * source repeats its suspicion.
    */
-  boolean confirmed(int by) {
-    return by != this.by && others.size() < enough && others.add(by);
+  boolean confirm(int source) {
+    return source != this.source
+        && confirmedBy.size() < maxConfirmations
+        && confirmedBy.add(source);
   }
 
-  /** This front was not there to hear it speak for so long. */
-  void heldUp(Span span) {
+  /** Extends the timeout by a time in which this front could not receive a refutation. */
+  void extend(Span span) {
     since = since.plus(span);
   }
 
   Moment endsAt() {
     double share =
-        enough == 0 ? own ? 1 : 0 : Math.log(others.size() + 1.0) / Math.log(enough + 1.0);
-    return since.plus(most.minus(most.minus(least).times(share)).orMore(least));
+        maxConfirmations == 0
+            ? raisedLocally ? 1 : 0
+            : Math.log(confirmedBy.size() + 1.0) / Math.log(maxConfirmations + 1.0);
+    return since.plus(
+        maxDuration.minus(maxDuration.minus(minDuration).times(share)).max(minDuration));
   }
 }
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -5,8 +5,8 @@
 import linengauge.Span;
 
 /**
- * What an update about a member changes in what is held of it: by incarnation and state (SWIM,
- * 4.2), with suspicions that others confirm (Lifeguard, IV.B).
+ * Applies updates to the member table by incarnation and state (SWIM, 4.2), and counts
+ * confirmations of suspicions (Lifeguard, IV.B).
  */
 final class UpdateHandler {
   private final Membership membership;
@@ -35,9 +35,9 @@
   }
 
   /**
-   * @param sendOn whether it goes on to others by gossip; what came in a page does not
+   * @param disseminate whether the update is sent on to others; updates from a page are not
    */
-  void onUpdate(MemberUpdate update, Moment now, boolean sendOn) {
+  void onUpdate(MemberUpdate update, Moment now, boolean disseminate) {
     if (!own.isPlausible(update)) {
       return;
     }
@@ -47,121 +47,123 @@
     }
     MemberEntry entry = table.get(update.member().number());
     if (entry == null) {
-      onNewMember(update, now, sendOn);
-    } else if (update.overrules(entry.update())) {
-      if (update.standing() == MemberState.DEAD && entry.isThere()) {
-        onDeath(entry, update, now);
+      onNewMember(update, now, disseminate);
+    } else if (update.supersedes(entry.update())) {
+      if (update.state() == MemberState.DEAD && entry.isPresent()) {
+        onReportedDeath(entry, update, now);
       } else {
-        accept(entry, update, now, sendOn);
+        accept(entry, update, now, disseminate);
       }
     } else if (confirmsSuspicion(entry, update)) {
       dissemination.add(update);
     }
   }
 
-  private void onNewMember(MemberUpdate update, Moment now, boolean sendOn) {
-    if (!update.standing().isThere()) {
-      return; // forgotten, or never known: nothing to give up
+  private void onNewMember(MemberUpdate update, Moment now, boolean disseminate) {
+    if (!update.state().isPresent()) {
+      return; // The member has expired or was never known, so there is nothing to remove.
     }
     MemberEntry entry = table.add(update.member().number(), now);
     if (entry != null) {
-      accept(entry, update, now, sendOn);
+      accept(entry, update, now, disseminate);
     }
   }
 
   private boolean confirmsSuspicion(MemberEntry entry, MemberUpdate update) {
-    return update.standing() == MemberState.SUSPECT
+    return update.state() == MemberState.SUSPECT
         && update.incarnation() == entry.update().incarnation()
         && entry.suspicion() != null
-        && update.by() != own.number()
-        && entry.suspicion().confirmed(update.by());
+        && update.source() != own.number()
+        && entry.suspicion().confirm(update.source());
   }
 
   /**
-   * Word of a death. Guards against one sick front that gives up all others: whoever has not
-   * suspected the member yet only does so now, and the member can deny it. It could hurt where the
-   * suspicion was never heard here: a death is found later by one more wait, shortened by whoever
-   * confirms it.
+   * Handles a reported death. A front that has not suspected the member yet only starts to suspect
+   * it, so that the member can refute the report; otherwise one faulty front could remove all
+   * others. The cost: where the suspicion was not received, the death is detected one suspicion
+   * timeout later, shortened by confirmations.
    */
-  private void onDeath(MemberEntry entry, MemberUpdate update, Moment now) {
+  private void onReportedDeath(MemberEntry entry, MemberUpdate update, Moment now) {
     boolean suspected =
         entry.suspicion() != null && entry.update().incarnation() == update.incarnation();
-    if (!membership.doubts()) {
+    if (!membership.verifiesReportedDeaths()) {
       accept(entry, update, now, true);
     } else if (suspected) {
-      entry.suspicion().confirmed(update.by());
-      if (!now.before(entry.suspicion().endsAt())) {
+      entry.suspicion().confirm(update.source());
+      if (!now.isBefore(entry.suspicion().endsAt())) {
         accept(entry, update, now, true);
       }
     } else {
-      suspect(entry, update.by(), update.incarnation(), now);
+      suspect(entry, update.source(), update.incarnation(), now);
     }
   }
 
-  /** A front could not reach the member in that incarnation: it is suspected. */
-  void suspect(MemberEntry entry, int by, long incarnation, Moment now) {
+  /** Records that a front could not reach the member at that incarnation. */
+  void suspect(MemberEntry entry, int source, long incarnation, Moment now) {
     MemberUpdate update =
-        new MemberUpdate(entry.update().member(), incarnation, MemberState.SUSPECT, by);
+        new MemberUpdate(entry.update().member(), incarnation, MemberState.SUSPECT, source);
     if (entry.suspicion() == null || entry.update().incarnation() != incarnation) {
       accept(entry, update, now, true);
-    } else if (entry.suspicion().confirmed(by)) {
+    } else if (entry.suspicion().confirm(source)) {
       dissemination.add(update);
     }
   }
 
-  /** Gives up those whose suspicion has run out. */
-  void endSuspicions(Moment now) {
+  /** Declares members dead whose suspicion has timed out. */
+  void expireSuspicions(Moment now) {
     for (MemberEntry entry : List.copyOf(table.all())) {
-      if (entry.suspicion() != null && !now.before(entry.suspicion().endsAt())) {
-        MemberUpdate held = entry.update();
+      if (entry.suspicion() != null && !now.isBefore(entry.suspicion().endsAt())) {
+        MemberUpdate current = entry.update();
         MemberUpdate dead =
-            new MemberUpdate(held.member(), held.incarnation(), MemberState.DEAD, own.number());
+            new MemberUpdate(
+                current.member(), current.incarnation(), MemberState.DEAD, own.number());
         accept(entry, dead, now, true);
       }
     }
   }
 
-  private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean sendOn) {
-    MemberUpdate before = entry.update();
+  private void accept(MemberEntry entry, MemberUpdate update, Moment now, boolean disseminate) {
+    MemberUpdate previous = entry.update();
     entry.setUpdate(update, now);
-    if (update.standing() == MemberState.SUSPECT) {
+    if (update.state() == MemberState.SUSPECT) {
       entry.setSuspicion(newSuspicion(update, now));
     }
-    if (sendOn) {
+    if (disseminate) {
       dissemination.add(update);
     }
-    if (before == null
-        || before.standing() != update.standing()
-        || before.incarnation() != update.incarnation()) {
-      port.changed(update);
+    if (previous == null
+        || previous.state() != update.state()
+        || previous.incarnation() != update.incarnation()) {
+      port.stateChanged(update);
     }
   }
 
   private Suspicion newSuspicion(MemberUpdate update, Moment now) {
-    long there = table.countThere() + 1;
-    double periods = settings.suspicion() * Math.max(1, Math.log10(there));
-    Span least = settings.period().times(periods);
-    Span most = least.times(settings.longest());
-    int confirming = (int) Math.min(settings.confirmed(), Math.max(0, there - 3));
-    boolean byThis = update.by() == own.number();
-    return new Suspicion(now, least, most, confirming, update.by(), byThis);
+    long present = table.countPresent() + 1;
+    double periods = settings.suspicion() * Math.max(1, Math.log10(present));
+    Span minDuration = settings.period().times(periods);
+    Span maxDuration = minDuration.times(settings.longest());
+    int maxConfirmations = (int) Math.min(settings.confirmed(), Math.max(0, present - 3));
+    boolean raisedLocally = update.source() == own.number();
+    return new Suspicion(
+        now, minDuration, maxDuration, maxConfirmations, update.source(), raisedLocally);
   }
 
   /**
-   * Somebody speaks of this front: what is not so it denies, by an incarnation that overrules it
-   * (SWIM, 4.2).
+   * Handles an update about this front. A false one is refuted with a higher incarnation, which
+   * supersedes it (SWIM, 4.2).
    */
   private void onOwnUpdate(MemberUpdate update) {
-    if (own.isClash(update)) {
-      port.clash(update.member().address());
+    if (own.isNumberConflict(update)) {
+      port.numberConflict(update.member().address());
     }
-    if (!membership.denies() || !own.mustDeny(update)) {
+    if (!membership.refutes() || !own.mustRefute(update)) {
       return;
     }
-    own.deny(update);
-    boolean heldForGone =
-        update.standing() == MemberState.SUSPECT || update.standing() == MemberState.DEAD;
-    health.worse(heldForGone ? 1 : 0);
+    own.refute(update);
+    boolean reportedUnreachable =
+        update.state() == MemberState.SUSPECT || update.state() == MemberState.DEAD;
+    health.degrade(reportedUnreachable ? 1 : 0);
     dissemination.add(own.update());
   }
 }
