--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -17,51 +17,52 @@
 import linengauge.membership.MembershipSettings;
 
 /**
- * Fronts that tell each other of themselves, in virtual time, over ways that lose, hold up and
- * double what is sent. It judges by what it does to them itself and by what each holds, never by a
- * front's reasons.
+ * Simulates fronts in virtual time over a network that loses, delays and duplicates datagrams. It
+ * checks invariants against the injected faults and the resulting member tables only, never against
+ * the internal reasons of a front.
  */
 public final class FleetSimulation {
   /**
-   * What was broken, and when; the figures of the run.
+   * Violated invariants with their times, and the figures of the run.
    *
-   * @param suspected how often a front began by itself to suspect one that nothing ailed
-   * @param foundAfter of each front that held a dead one for dead, how long after it had died
+   * @param falseSuspicions how often a front itself raised a suspicion of an unaffected member
+   * @param detectionDelays for each front that declared a dead member dead, the time since the
+   *     death
    */
   public record Outcome(
-      List<String> broken,
+      List<String> violations,
       long datagrams,
-      int mostBytesASecond,
-      int suspected,
-      List<Span> foundAfter) {}
+      int maxBytesPerSecond,
+      int falseSuspicions,
+      List<Span> detectionDelays) {}
 
-  /** Makes a front's core; one that lacks a guard, to see what it guards. */
-  public interface Maker {
-    Membership make(
-        MembershipSettings terms,
+  /** Creates the membership of a front. Tests create variants in which a safeguard is disabled. */
+  public interface MembershipFactory {
+    Membership create(
+        MembershipSettings settings,
         Member own,
         long incarnation,
         List<String> seeds,
         Membership.Port port,
-        SplittableRandom chance);
+        SplittableRandom random);
   }
 
-  private record Due(Moment at, long number, Runnable deed) {}
+  private record Event(Moment at, long order, Runnable action) {}
 
   private final class Front implements Membership.Port {
     private final int number;
     private final Member member;
-    private Membership core;
+    private Membership membership;
     private int life;
-    private Moment wakesAt;
+    private Moment timerAt;
     private boolean up;
-    private boolean stepping;
-    private final ArrayDeque<Runnable> unread = new ArrayDeque<>();
-    private int bytes;
+    private boolean resumeScheduled;
+    private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
+    private int bytesInSecond;
     private long second;
 
-    /** The incarnation of each other that this life holds. */
-    private final Map<Integer, Long> seen = new HashMap<>();
+    /** Latest incarnation of each other member seen since the last start. */
+    private final Map<Integer, Long> seenIncarnations = new HashMap<>();
 
     private Front(int number) {
       this.number = number;
@@ -71,124 +72,130 @@
     private void start() {
       life++;
       up = true;
-      wakesAt = null;
-      unread.clear();
-      seen.clear();
-      core =
-          maker.make(
-              terms,
+      timerAt = null;
+      deferred.clear();
+      seenIncarnations.clear();
+      membership =
+          factory.create(
+              settings,
               member,
               now.micros() / 1000 + 1,
               List.of("10.0.0.0:7000", "10.0.0.1:7000"),
               this,
-              chance.split());
-      core.start(now);
-      wake();
+              random.split());
+      membership.start(now);
+      scheduleTimer();
     }
 
-    private void wake() {
-      Moment next = core.next().orLater(now);
-      if (wakesAt != null && !next.before(wakesAt)) {
+    private void scheduleTimer() {
+      Moment next = membership.nextStep().max(now);
+      if (timerAt != null && !next.isBefore(timerAt)) {
         return;
       }
-      wakesAt = next;
-      int mine = life;
-      at(
+      timerAt = next;
+      int timerLife = life;
+      scheduleAt(
           next,
           () -> {
-            if (up && mine == life && next.equals(wakesAt)) {
-              run(
+            if (up && timerLife == life && next.equals(timerAt)) {
+              runOrDefer(
                   () -> {
-                    wakesAt = null;
-                    core.step(now);
-                    wake();
+                    timerAt = null;
+                    membership.step(now);
+                    scheduleTimer();
                   });
             }
           });
     }
 
-    /** One that is stopped reads and steps when it goes on. */
-    private void run(Runnable deed) {
-      if (schedule.is(Fault.Kind.FREEZE, number, 0, now)) {
-        unread.add(deed);
-        if (!stepping) {
-          stepping = true;
-          Moment goesOn =
-              schedule.troubles().stream()
+    /** Runs the action, or defers it until the end of the pause if the front is paused. */
+    private void runOrDefer(Runnable action) {
+      if (schedule.isActive(Fault.Kind.FREEZE, number, 0, now)) {
+        deferred.add(action);
+        if (!resumeScheduled) {
+          resumeScheduled = true;
+          Moment resumesAt =
+              schedule.faults().stream()
                   .filter(
-                      t -> t.kind() == Fault.Kind.FREEZE && t.a() == number && now.before(t.to()))
+                      fault ->
+                          fault.kind() == Fault.Kind.FREEZE
+                              && fault.target() == number
+                              && now.isBefore(fault.to()))
                   .map(Fault::to)
                   .max(Moment::compareTo)
                   .orElse(now);
-          at(
-              goesOn,
+          scheduleAt(
+              resumesAt,
               () -> {
-                stepping = false;
-                List<Runnable> all = List.copyOf(unread);
-                unread.clear();
+                resumeScheduled = false;
+                List<Runnable> actions = List.copyOf(deferred);
+                deferred.clear();
                 if (up) {
-                  all.forEach(this::run);
+                  actions.forEach(this::runOrDefer);
                 }
               });
         }
       } else {
-        deed.run();
+        action.run();
       }
     }
 
     @Override
-    public void send(String address, Datagram words) {
-      Datagram w = words;
-      if (schedule.is(Fault.Kind.SICK, number, 0, now)) {
-        List<MemberUpdate> nonsense = new ArrayList<>();
-        core.held()
+    public void send(String address, Datagram datagram) {
+      Datagram outgoing = datagram;
+      if (schedule.isActive(Fault.Kind.SICK, number, 0, now)) {
+        List<MemberUpdate> falseDeaths = new ArrayList<>();
+        membership
+            .members()
             .forEach(
-                n ->
-                    nonsense.add(
-                        new MemberUpdate(n.member(), n.incarnation(), MemberState.DEAD, number)));
-        w =
+                update ->
+                    falseDeaths.add(
+                        new MemberUpdate(
+                            update.member(), update.incarnation(), MemberState.DEAD, number)));
+        outgoing =
             new Datagram(
-                words.kind(),
+                datagram.kind(),
                 number,
-                words.sequence(),
-                words.about(),
-                nonsense.subList(0, Math.min(20, nonsense.size())));
+                datagram.sequence(),
+                datagram.argument(),
+                falseDeaths.subList(0, Math.min(20, falseDeaths.size())));
       }
-      byte[] sent = w.bytes();
-      if (sent.length > Datagram.MOST) {
-        broken.add(at() + number + " sends " + sent.length + " bytes");
+      byte[] bytes = outgoing.encode();
+      if (bytes.length > Datagram.MAX_BYTES) {
+        violations.add(timePrefix() + number + " sends " + bytes.length + " bytes");
       }
       datagrams++;
-      traffic.sent(now, number, sent.length);
+      traffic.recordSent(now, number, bytes.length);
       if (second != now.micros() / 1_000_000) {
         second = now.micros() / 1_000_000;
-        bytes = 0;
+        bytesInSecond = 0;
       }
-      bytes += sent.length;
-      mostBytes = Math.max(mostBytes, bytes);
+      bytesInSecond += bytes.length;
+      maxBytesPerSecond = Math.max(maxBytesPerSecond, bytesInSecond);
       int to = Integer.parseInt(address.substring("10.0.0.".length(), address.indexOf(':')));
       boolean lossy =
-          schedule.is(Fault.Kind.LOSS, number, 0, now) || schedule.is(Fault.Kind.LOSS, to, 0, now);
+          schedule.isActive(Fault.Kind.LOSS, number, 0, now)
+              || schedule.isActive(Fault.Kind.LOSS, to, 0, now);
       if (to >= fronts.size()
-          || schedule.isCut(number, to, now)
-          || lossy && chance.nextInt(10) < 3) {
+          || schedule.isBlocked(number, to, now)
+          || lossy && random.nextInt(10) < 3) {
         return;
       }
-      int copies = chance.nextInt(50) == 0 ? 2 : 1;
+      int copies = random.nextInt(50) == 0 ? 2 : 1;
       for (int i = 0; i < copies; i++) {
-        at(
-            now.plus(new Span(200 + chance.nextInt(lossy ? 150_000 : 5_000))),
+        scheduleAt(
+            now.plus(new Span(200 + random.nextInt(lossy ? 150_000 : 5_000))),
             () -> {
-              Front f = fronts.get(to);
-              if (f.up) {
-                traffic.received(now, to, sent.length);
-                int mine = f.life;
-                Datagram read = Datagram.read(sent, sent.length);
-                f.run(
+              Front receiver = fronts.get(to);
+              if (receiver.up) {
+                traffic.recordReceived(now, to, bytes.length);
+                int receiverLife = receiver.life;
+                Datagram decoded = Datagram.decode(bytes, bytes.length);
+                receiver.runOrDefer(
                     () -> {
-                      if (f.life == mine) {
-                        f.core.heard(now, member.address(), read);
-                        f.wake();
+                      if (receiver.life == receiverLife) {
+                        receiver.membership.onDatagram(now, member.address(), decoded);
+                        receiver.scheduleTimer();
                       }
                     });
               }
@@ -197,155 +204,187 @@
     }
 
     @Override
-    public void changed(MemberUpdate held) {
-      Long before = seen.put(held.member().number(), held.incarnation());
-      if (before != null && held.incarnation() < before) {
-        broken.add(
-            at() + number + " holds an older life of " + held.member().number() + " after a newer");
+    public void stateChanged(MemberUpdate update) {
+      Long previous = seenIncarnations.put(update.member().number(), update.incarnation());
+      if (previous != null && update.incarnation() < previous) {
+        violations.add(
+            timePrefix()
+                + number
+                + " holds an older incarnation of "
+                + update.member().number()
+                + " after a newer");
       }
-      if (held.standing() == MemberState.SUSPECT
-          && held.by() == number
-          && !troubled(held.member().number())) {
-        suspected++;
+      if (update.state() == MemberState.SUSPECT
+          && update.source() == number
+          && !isAffectedByFault(update.member().number())) {
+        falseSuspicions++;
       }
-      if (held.standing() == MemberState.DEAD) {
-        Moment died = killedAt.get(held.member().number());
+      if (update.state() == MemberState.DEAD) {
+        Moment died = killedAt.get(update.member().number());
         if (died != null) {
-          foundAfter.add(now.since(died));
-        } else if (!troubled(held.member().number())) {
-          broken.add(
-              at() + number + " gives up " + held.member().number() + ", which nothing ailed");
+          detectionDelays.add(now.since(died));
+        } else if (!isAffectedByFault(update.member().number())) {
+          violations.add(
+              timePrefix()
+                  + number
+                  + " declares "
+                  + update.member().number()
+                  + " dead, which no fault affects");
         }
       }
     }
 
     @Override
-    public void clash(String address) {
-      broken.add(at() + number + " hears its own number from " + address);
+    public void numberConflict(String address) {
+      violations.add(timePrefix() + number + " receives its own number from " + address);
     }
   }
 
-  private final Maker maker;
-  private final MembershipSettings terms;
+  private final MembershipFactory factory;
+  private final MembershipSettings settings;
   private final FaultSchedule schedule;
-  private final SplittableRandom chance;
-  private final PriorityQueue<Due> due =
+  private final SplittableRandom random;
+  private final PriorityQueue<Event> events =
       new PriorityQueue<>(
-          (a, b) -> a.at.equals(b.at) ? Long.compare(a.number, b.number) : a.at.compareTo(b.at));
+          (a, b) -> a.at.equals(b.at) ? Long.compare(a.order, b.order) : a.at.compareTo(b.at));
   private final List<Front> fronts = new ArrayList<>();
-  private final List<String> broken = new ArrayList<>();
-  private final List<Span> foundAfter = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
+  private final List<Span> detectionDelays = new ArrayList<>();
   private final Map<Integer, Moment> killedAt = new HashMap<>();
   private final TrafficMeter traffic;
   private Moment now = new Moment(0);
-  private long number;
+  private long nextOrder;
   private long datagrams;
-  private int mostBytes;
-  private int suspected;
+  private int maxBytesPerSecond;
+  private int falseSuspicions;
 
-  public FleetSimulation(MembershipSettings terms, FaultSchedule schedule) {
-    this(terms, schedule, Membership::new);
+  public FleetSimulation(MembershipSettings settings, FaultSchedule schedule) {
+    this(settings, schedule, Membership::new);
   }
 
-  public FleetSimulation(MembershipSettings terms, FaultSchedule schedule, Maker maker) {
-    this.maker = maker;
-    this.terms = terms;
+  public FleetSimulation(
+      MembershipSettings settings, FaultSchedule schedule, MembershipFactory factory) {
+    this.factory = factory;
+    this.settings = settings;
     this.schedule = schedule;
-    this.chance = new SplittableRandom(schedule.seed() ^ 0x5bd1e995L);
+    this.random = new SplittableRandom(schedule.seed() ^ 0x5bd1e995L);
     this.traffic = new TrafficMeter(schedule.fronts());
   }
 
-  /** What each front sent and received, by second. */
+  /** Returns the traffic of each front by second. */
   public TrafficMeter traffic() {
     return traffic;
   }
 
-  private String at() {
+  private String timePrefix() {
     return String.format("%.3f s: ", now.micros() / 1e6);
   }
 
-  private void at(Moment when, Runnable deed) {
-    due.add(new Due(when, number++, deed));
+  private void scheduleAt(Moment when, Runnable action) {
+    events.add(new Event(when, nextOrder++, action));
   }
 
   /**
-   * Whether anything ails the member or all its ways, within the time that a suspicion may take.
+   * Whether a fault affects the member, or all paths to it, within the longest time that a
+   * suspicion can last. Of a SICK front only the front itself counts, since it refutes nothing; its
+   * reports about other members are no reason to declare those dead. A single CUT does not count
+   * either, since other fronts still reach the member.
    */
-  private boolean troubled(int a) {
+  private boolean isAffectedByFault(int front) {
     Moment from = now.minus(longestSuspicion());
     long cuts =
-        schedule.troubles().stream()
-            .filter(t -> t.kind() == Fault.Kind.CUT && from.before(t.to()) && !now.before(t.from()))
+        schedule.faults().stream()
+            .filter(
+                fault ->
+                    fault.kind() == Fault.Kind.CUT
+                        && from.isBefore(fault.to())
+                        && !now.isBefore(fault.from()))
             .count();
     return cuts > 1
-        || schedule.troubles().stream()
+        || schedule.faults().stream()
             .anyMatch(
-                t ->
-                    from.before(t.to())
-                        && !now.before(t.from())
-                        && switch (t.kind()) {
-                          case CUT -> false; // the others reach it
+                fault ->
+                    from.isBefore(fault.to())
+                        && !now.isBefore(fault.from())
+                        && switch (fault.kind()) {
+                          case CUT -> false; // reachable through others
                           case MUTE, DEAF -> true;
-                          case LOSS, KILL, FREEZE -> t.a() == a;
-                          case SICK ->
-                              t.a()
-                                  == a; // it denies nothing; what it says of others is no reason to
-                            // give these up
+                          case LOSS, KILL, FREEZE -> fault.target() == front;
+                          case SICK -> fault.target() == front; // never refutes
                         });
   }
 
   private Span longestSuspicion() {
-    return terms
+    return settings
         .period()
         .times(
-            terms.suspicion() * Math.max(1, Math.log10(schedule.fronts())) * terms.longest() + 6);
+            settings.suspicion() * Math.max(1, Math.log10(schedule.fronts())) * settings.longest()
+                + 6);
   }
 
-  public Outcome play() {
+  public Outcome run() {
     for (int i = 0; i < schedule.fronts(); i++) {
-      Front f = new Front(i);
-      fronts.add(f);
-      at(new Moment(chance.nextInt(1_000_000)), f::start);
+      Front front = new Front(i);
+      fronts.add(front);
+      scheduleAt(new Moment(random.nextInt(1_000_000)), front::start);
     }
-    for (Fault t : schedule.troubles()) {
-      if (t.kind() == Fault.Kind.KILL) {
-        at(
-            t.from(),
+    for (Fault fault : schedule.faults()) {
+      if (fault.kind() == Fault.Kind.KILL) {
+        scheduleAt(
+            fault.from(),
             () -> {
-              fronts.get(t.a()).up = false;
-              killedAt.put(t.a(), now);
+              fronts.get(fault.target()).up = false;
+              killedAt.put(fault.target(), now);
             });
-        at(
-            t.to(),
+        scheduleAt(
+            fault.to(),
             () -> {
-              if (!schedule.is(Fault.Kind.KILL, t.a(), 0, now) && !fronts.get(t.a()).up) {
-                killedAt.remove(t.a());
-                fronts.get(t.a()).start();
+              if (!schedule.isActive(Fault.Kind.KILL, fault.target(), 0, now)
+                  && !fronts.get(fault.target()).up) {
+                killedAt.remove(fault.target());
+                fronts.get(fault.target()).start();
               }
             });
       }
     }
-    while (!due.isEmpty() && due.peek().at.before(schedule.end())) {
-      Due d = due.poll();
-      now = d.at;
-      d.deed.run();
+    while (!events.isEmpty() && events.peek().at.isBefore(schedule.end())) {
+      Event event = events.poll();
+      now = event.at;
+      event.action.run();
     }
-    comeRound();
+    checkConvergence();
     return new Outcome(
-        List.copyOf(broken), datagrams, mostBytes, suspected, List.copyOf(foundAfter));
+        List.copyOf(violations),
+        datagrams,
+        maxBytesPerSecond,
+        falseSuspicions,
+        List.copyOf(detectionDelays));
   }
 
-  /** Long after the last trouble everybody holds everybody for there, in their present life. */
-  private void comeRound() {
-    for (Front f : fronts) {
-      List<MemberUpdate> held = f.core.held();
-      if (held.size() != fronts.size() - 1) {
-        broken.add(at() + f.number + " holds " + held.size() + " of " + (fronts.size() - 1));
+  /** Checks that every front holds every other one as alive, at its current incarnation. */
+  private void checkConvergence() {
+    for (Front front : fronts) {
+      List<MemberUpdate> members = front.membership.members();
+      if (members.size() != fronts.size() - 1) {
+        violations.add(
+            timePrefix()
+                + front.number
+                + " holds "
+                + members.size()
+                + " of "
+                + (fronts.size() - 1));
       }
-      for (MemberUpdate n : held) {
-        Front other = fronts.get(n.member().number());
-        if (n.standing() != MemberState.ALIVE || n.incarnation() != other.core.incarnation()) {
-          broken.add(at() + f.number + " holds " + n.member().number() + " for " + n.standing());
+      for (MemberUpdate update : members) {
+        Front other = fronts.get(update.member().number());
+        if (update.state() != MemberState.ALIVE
+            || update.incarnation() != other.membership.incarnation()) {
+          violations.add(
+              timePrefix()
+                  + front.number
+                  + " holds "
+                  + update.member().number()
+                  + " as "
+                  + update.state());
         }
       }
     }
--- a/src/main/java/linengauge/membership/udp/MembershipNode.java
+++ b/src/main/java/linengauge/membership/udp/MembershipNode.java
@@ -16,31 +16,32 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One front's members over UDP, on a thread of their own or on a loop that it shares with others.
- * Datagrams go through a {@link SealedChannel}.
+ * Runs the membership of one front over UDP, on a thread of its own or on a shared loop. Datagrams
+ * go through a {@link SealedChannel}.
  */
 public final class MembershipNode implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(MembershipNode.class);
 
-  /** Version 1, and where a datagram says who sends it. */
-  private static final SealedChannel.Form FORM = new SealedChannel.Form(1, 2, 4, Datagram.MOST);
+  /** Protocol version 1, and the position of the sender's number in a datagram. */
+  private static final SealedChannel.DatagramFormat HEADER_FORMAT =
+      new SealedChannel.DatagramFormat(1, 2, 4, Datagram.MAX_BYTES);
 
-  /** What was dropped, by cause; another version is unreadable. */
+  /** Dropped datagrams by cause. Those of another protocol version count as unreadable. */
   public record Drops(long strangers, long replayed, long unreadable) {}
 
   private final DatagramLoop ownLoop;
   private final DatagramLoop loop;
   private final SealedChannel channel;
-  private final Membership members;
-  private final Served part = new Served();
-  private boolean clashed;
-  private boolean stale;
-  private volatile boolean silently;
+  private final Membership membership;
+  private final LoopPart loopPart = new LoopPart();
+  private boolean conflictLogged;
+  private boolean snapshotStale;
+  private volatile boolean stopsWithoutLeaving;
   private volatile boolean started;
-  private volatile List<MemberUpdate> held = List.of();
+  private volatile List<MemberUpdate> memberSnapshot = List.of();
 
-  /** The members as the loop serves them. */
-  private final class Served implements DatagramLoop.Part {
+  /** Adapter that the loop calls. */
+  private final class LoopPart implements DatagramLoop.Handler {
     @Override
     public SealedChannel channel() {
       return channel;
@@ -48,154 +49,157 @@
 
     @Override
     public void start(Moment now) {
-      members.start(now);
+      membership.start(now);
     }
 
     @Override
-    public void heard(Moment now, String address, byte[] bytes, int length) {
-      members.heard(now, address, Datagram.read(bytes, length));
-      if (stale) {
-        publish();
+    public void onDatagram(Moment now, String address, byte[] bytes, int length) {
+      membership.onDatagram(now, address, Datagram.decode(bytes, length));
+      if (snapshotStale) {
+        updateSnapshot();
       }
     }
 
     @Override
     public void step(Moment now) {
-      members.step(now);
-      publish();
+      membership.step(now);
+      updateSnapshot();
     }
 
     @Override
-    public Moment next() {
-      return members.next();
+    public Moment nextStepAt() {
+      return membership.nextStep();
     }
 
     @Override
     public void end(Moment now) {
-      if (!silently) {
-        members.leave(now);
+      if (!stopsWithoutLeaving) {
+        membership.leave(now);
       }
     }
   }
 
   /**
-   * Binds at once and starts with {@link #start}, on a thread of its own.
+   * Binds the socket on a loop with a thread of its own. The protocol starts with {@link #start}.
    *
-   * @param own its address is where it listens and where the others reach it, as host:port with the
-   *     host in numbers
-   * @param key the fleet's, of 16 bytes at least
-   * @param changed told on the node's thread of each change, to be over at once
-   * @throws IOException where it cannot listen there
+   * @param own its address is where this node listens and where others reach it, as host:port with
+   *     a numeric host
+   * @param key key of the fleet, at least 16 bytes
+   * @param listener called on the node's thread for each change; must return quickly
+   * @throws IOException if the socket cannot be bound
    */
   public MembershipNode(
-      MembershipSettings terms,
+      MembershipSettings settings,
       Member own,
       List<String> seeds,
       byte[] key,
-      Consumer<MemberUpdate> changed)
+      Consumer<MemberUpdate> listener)
       throws IOException {
-    this(terms, own, seeds, key, changed, null);
+    this(settings, own, seeds, key, listener, null);
   }
 
   /**
-   * The same on a loop that serves others as well.
+   * Binds the socket on a shared loop.
    *
-   * @param shared null: a thread of its own
+   * @param sharedLoop loop to run on, or null for a thread of its own
    */
   public MembershipNode(
-      MembershipSettings terms,
+      MembershipSettings settings,
       Member own,
       List<String> seeds,
       byte[] key,
-      Consumer<MemberUpdate> changed,
-      DatagramLoop shared)
+      Consumer<MemberUpdate> listener,
+      DatagramLoop sharedLoop)
       throws IOException {
-    channel = new SealedChannel(FORM, own.address(), own.number(), key);
-    ownLoop = shared == null ? new DatagramLoop("members") : null;
-    loop = shared == null ? ownLoop : shared;
-    long clock = System.currentTimeMillis();
-    members =
+    channel = new SealedChannel(HEADER_FORMAT, own.address(), own.number(), key);
+    ownLoop = sharedLoop == null ? new DatagramLoop("members") : null;
+    loop = sharedLoop == null ? ownLoop : sharedLoop;
+    long wallClockMillis = System.currentTimeMillis();
+    membership =
         new Membership(
-            terms,
+            settings,
             own,
-            clock,
+            wallClockMillis,
             seeds,
-            port(own, changed),
-            new SplittableRandom(clock ^ own.number()));
+            port(own, listener),
+            new SplittableRandom(wallClockMillis ^ own.number()));
   }
 
-  private Membership.Port port(Member own, Consumer<MemberUpdate> changed) {
+  private Membership.Port port(Member own, Consumer<MemberUpdate> listener) {
     return new Membership.Port() {
       @Override
-      public void send(String address, Datagram words) {
-        channel.send(address, words.bytes());
+      public void send(String address, Datagram datagram) {
+        channel.send(address, datagram.encode());
       }
 
       @Override
-      public void changed(MemberUpdate news) {
-        stale = true;
-        changed.accept(news);
+      public void stateChanged(MemberUpdate update) {
+        snapshotStale = true;
+        listener.accept(update);
       }
 
       @Override
-      public void clash(String address) {
-        if (!clashed) {
-          clashed = true;
+      public void numberConflict(String address) {
+        if (!conflictLogged) {
+          conflictLogged = true;
           LOG.error(
-              "members: another front goes by this one's number {} at {}", own.number(), address);
+              "members: another front uses this front's number {} at {}", own.number(), address);
         }
       }
     };
   }
 
   public void start() {
-    started = loop.add(part);
+    started = loop.add(loopPart);
   }
 
-  /** All that is held of the others, as of the last turn. */
-  public List<MemberUpdate> held() {
-    return held;
+  /** Returns the current update of every other member as of the last iteration of the loop. */
+  public List<MemberUpdate> members() {
+    return memberSnapshot;
   }
 
   public Drops drops() {
-    SealedChannel.Drops all = channel.drops();
-    return new Drops(all.strangers(), all.replayed(), all.unreadable() + all.otherVersions());
+    SealedChannel.Drops channelDrops = channel.drops();
+    return new Drops(
+        channelDrops.strangers(),
+        channelDrops.replayed(),
+        channelDrops.unreadable() + channelDrops.otherVersions());
   }
 
-  /** What goes over its socket, and for trials what is lost there on purpose. */
+  /** Returns the channel, with its traffic and, for tests, its injected loss. */
   public SealedChannel channel() {
     return channel;
   }
 
-  /** Tells some that it leaves, and ends; does not wait for it. */
+  /** Announces to some members that this one leaves, and stops. Does not wait. */
   public void leave() {
-    loop.remove(part);
+    loop.remove(loopPart);
   }
 
-  /** Ends without a word, as a front that is killed; waited for, a second at most. */
-  public void stop() {
-    silently = true;
+  /** Stops without announcing it, as a killed front does. Waits for at most one second. */
+  public void stopWithoutLeaving() {
+    stopsWithoutLeaving = true;
     close();
   }
 
-  /** {@link #leave}, waited for, a second at most. */
+  /** Leaves as {@link #leave} does, and waits for it for at most one second. */
   @Override
   public void close() {
     try {
-      if (started && !loop.removeAndWait(part)) {
-        LOG.warn("members: still at work");
+      if (started && !loop.removeAndWait(loopPart)) {
+        LOG.warn("members: loop did not stop in time");
       }
       if (ownLoop != null) {
         ownLoop.close();
       }
       channel.close();
     } catch (IOException e) {
-      LOG.warn("members", e);
+      LOG.warn("members: closing the socket failed", e);
     }
   }
 
-  private void publish() {
-    held = members.held();
-    stale = false;
+  private void updateSnapshot() {
+    memberSnapshot = membership.members();
+    snapshotStale = false;
   }
 }
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -6,188 +6,201 @@
 import java.util.Map;
 import java.util.Set;
 import linengauge.Moment;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
-import linengauge.platform.codec.SetUpForm;
-import linengauge.platform.codec.Texts;
-import linengauge.platform.keep.AcceptBacklog;
-import linengauge.platform.keep.IdleConnection;
-import linengauge.platform.keep.IdleConnections;
-import linengauge.session.Held;
+import linengauge.platform.codec.SetUpRequest;
+import linengauge.platform.codec.TextFormat;
+import linengauge.platform.connection.AcceptBacklog;
+import linengauge.platform.connection.IdleConnectionReaper;
+import linengauge.platform.connection.IdleTracker;
+import linengauge.session.Session;
 
 /**
- * Where viewers connect: ids to viewings, and what is owed to viewers whose connection has gone.
+ * Accepts the connections of clients, finds sessions by their ids, and keeps the releases that are
+ * owed to clients whose connection has closed.
  */
 final class ClientListener {
-  /** Bytes that may wait for a viewer that does not read. */
-  static final int MOST_UNREAD = 64 * 1024;
+  /** Bytes that may wait for a client that does not read. */
+  static final int WRITE_BUFFER_BYTES = 64 * 1024;
 
   /**
-   * Bytes of set-ups that wait on one connection, and on all; what passes it is turned away at
-   * once.
+   * Bytes of requests that may wait on one connection, and on all; requests beyond that are
+   * rejected at once.
    */
-  static final int MOST_KEPT = 48 * 1024;
+  static final int MAX_QUEUED_BYTES_PER_CONNECTION = 48 * 1024;
 
-  private static final int MOST_KEPT_IN_ALL = 4 * 1024 * 1024;
-  private static final long LONGEST_PATIENCE_MS = 600_000;
-  private static final Span SIGN = Span.ofMillis(2200);
-  private static final Span RELEASE_KEPT = Span.ofSeconds(8);
+  private static final int MAX_QUEUED_BYTES = 4 * 1024 * 1024;
+  private static final long MAX_TIME_LIMIT_MS = 600_000;
 
-  /** As many as the library's loop takes from the listener in one turn. */
-  private static final int TAKEN_A_TURN = 16;
+  /**
+   * A connection is closed if it is idle and nothing has been answered on it for this long after it
+   * was accepted, or if a message on it stays incomplete for this long.
+   */
+  private static final Span FIRST_REQUEST_TIME_LIMIT = Span.ofMillis(2200);
+
+  private static final Span RELEASE_RETENTION = Span.ofSeconds(8);
+
+  /** As many as the library's event loop accepts in one iteration. */
+  private static final int ACCEPTS_PER_ITERATION = 16;
 
-  /** As many as can stand at once. */
-  private static final int MOST_RELEASES = 8192;
+  /** At least as many as sessions can be established at once. */
+  private static final int MAX_PENDING_RELEASES = 8192;
 
-  private record Release(long id, boolean cut, Moment until) {}
+  private record PendingRelease(long id, boolean interrupted, Moment expiresAt) {}
 
   private final PlatformFront front;
-  private final IdleConnections idle;
+  private final IdleConnectionReaper idleConnections;
   private final AcceptBacklog backlog;
 
-  /** Viewings by their ids on the wire; each leaves with its refusal or its end. */
-  private final Map<Long, ClientSession> seats = new HashMap<>();
+  /** Sessions by their ids on the wire; each is removed with its rejection or its end. */
+  private final Map<Long, ClientSession> sessions = new HashMap<>();
 
-  private final Set<ClientConnection> lines = new LinkedHashSet<>();
+  private final Set<ClientConnection> connections = new LinkedHashSet<>();
 
   /**
-   * Set-ups that have come and are not begun, by id; each leaves as it is begun, ended or dropped.
+   * Connections with a received request that is not started, by the request's id; removed when it
+   * is started, ended or dropped.
    */
-  private final Map<Long, ClientConnection> queued = new HashMap<>();
+  private final Map<Long, ClientConnection> queuedRequests = new HashMap<>();
 
-  private int kept;
-  private boolean makesPlace;
+  private int queuedBytes;
+  private boolean closingScheduled;
 
   /**
-   * Ends that no connection was there for; bounded, and emptied by the next connection or by time.
+   * Releases for which there was no connection; bounded, and emptied by the next connection or by
+   * time.
    */
-  private final ArrayDeque<Release> releases = new ArrayDeque<>();
+  private final ArrayDeque<PendingRelease> pendingReleases = new ArrayDeque<>();
 
-  ClientListener(PlatformFront front, int places) {
+  ClientListener(PlatformFront front, int maxConnections) {
     this.front = front;
-    this.idle = new IdleConnections(new IdleConnections.Terms(places, SIGN));
-    this.backlog = new AcceptBacklog(TAKEN_A_TURN, front.now());
+    this.idleConnections =
+        new IdleConnectionReaper(
+            new IdleConnectionReaper.Limits(maxConnections, FIRST_REQUEST_TIME_LIMIT));
+    this.backlog = new AcceptBacklog(ACCEPTS_PER_ITERATION, front.now());
   }
 
   PlatformFront front() {
     return front;
   }
 
-  int viewings() {
-    return seats.size();
+  int sessionCount() {
+    return sessions.size();
   }
 
-  /** Ends that wait for a connection on which they can be told. */
-  int untold() {
-    return releases.size();
+  /** Releases that wait for a connection on which they can be sent. */
+  int pendingReleaseCount() {
+    return pendingReleases.size();
   }
 
-  int connections() {
-    return lines.size();
+  int connectionCount() {
+    return connections.size();
   }
 
-  void log(String kind, Object about, String detail) {
-    front.log(kind, about, detail);
+  void warn(String kind, Object subject, String detail) {
+    front.warn(kind, subject, detail);
   }
 
-  void arrived(Net.Connection socket) {
-    backlog.taken();
-    ClientConnection line = new ClientConnection(this, socket, backlog.cameAfter());
-    lines.add(line);
-    line.idle(
-        idle.arrived(() -> line.close("idle, or its place is wanted"), line::rests, front.now()));
-    makePlace();
+  void accepted(Net.Connection socket) {
+    backlog.onAccepted();
+    ClientConnection connection = new ClientConnection(this, socket, backlog.earliestArrival());
+    connections.add(connection);
+    connection.setIdleState(
+        idleConnections.add(
+            () -> connection.close("idle, or connection limit reached"),
+            connection::isIdle,
+            front.now()));
+    closeExcessConnections();
   }
 
   /**
-   * Where there are more than there are places some are closed, but only once the loop has read
-   * what everybody sent: a set-up that lies unread on a connection that seems to rest would be lost
-   * with it.
+   * Closes connections if there are more than the limit, but only once the loop has read what all
+   * clients have sent: an unread request on a connection that seems idle would be lost with it.
    */
-  private void makePlace() {
-    if (!makesPlace && idle.isOver()) {
-      makesPlace = true;
-      front.later(
+  private void closeExcessConnections() {
+    if (!closingScheduled && idleConnections.isOverLimit()) {
+      closingScheduled = true;
+      front.defer(
           () ->
-              front.whenRead(
+              front.runOnceCaughtUp(
                   () -> {
-                    makesPlace = false;
-                    if (idle.makePlace() > 0) {
-                      log("no place for a viewer", null, "");
+                    closingScheduled = false;
+                    if (idleConnections.evictExcess() > 0) {
+                      warn("connection limit reached with requests open", null, "");
                     }
                   }));
     }
   }
 
-  void left(ClientConnection line, IdleConnection one) {
-    lines.remove(line);
-    idle.left(one);
+  void connectionClosed(ClientConnection connection, IdleTracker idleState) {
+    connections.remove(connection);
+    idleConnections.remove(idleState);
   }
 
-  void queued(long id, ClientConnection by) {
-    queued.putIfAbsent(id, by);
+  void requestQueued(long id, ClientConnection connection) {
+    queuedRequests.putIfAbsent(id, connection);
   }
 
-  void unqueued(long id, ClientConnection by) {
-    queued.remove(id, by);
+  void requestDequeued(long id, ClientConnection connection) {
+    queuedRequests.remove(id, connection);
   }
 
-  /** The front ends: what became of every request that still waits is logged. */
-  void logWaiting() {
-    for (ClientSession seat : seats.values()) {
-      if (seat.asker() != null) {
-        seat.logHeld();
+  /** The front stops: logs what happened to every request that is still open. */
+  void logOpenRequests() {
+    for (ClientSession session : sessions.values()) {
+      if (session.requester() != null) {
+        session.flushLog();
       }
     }
   }
 
-  /** The front ends: whatever waits for its turn is begun, on every connection. */
-  void beginAll() {
-    new LinkedHashSet<>(queued.values()).forEach(ClientConnection::beginAll);
+  /** The front stops: starts all requests that still wait, on every connection. */
+  void startAllQueued() {
+    new LinkedHashSet<>(queuedRequests.values()).forEach(ClientConnection::startAllQueued);
   }
 
-  void keeps(int more) {
-    kept += more;
+  void addQueuedBytes(int bytes) {
+    queuedBytes += bytes;
   }
 
-  boolean mayKeep(int more) {
-    return kept + more <= MOST_KEPT_IN_ALL;
+  boolean hasRoomFor(int bytes) {
+    return queuedBytes + bytes <= MAX_QUEUED_BYTES;
   }
 
-  /** One is turned away before it is taken; returns when to come back. */
-  Span turnedAway() {
-    return front.desk().turnedAway();
+  /** Counts a request that is rejected before it reaches the core; returns when to retry. */
+  Span recordRejection() {
+    return front.sessionManager().rejectForCapacity();
   }
 
-  /** The loop's beat. */
-  void beat(Moment now) {
-    backlog.beat(now);
+  /** To be called on each tick of the event loop. */
+  void tick(Moment now) {
+    backlog.tick(now);
   }
 
-  void look(Moment now) {
-    idle.look(now);
-    while (!releases.isEmpty() && releases.peek().until().before(now)) {
-      releases.poll();
+  void sweep(Moment now) {
+    idleConnections.closeOverdue(now);
+    while (!pendingReleases.isEmpty() && pendingReleases.peek().expiresAt().isBefore(now)) {
+      pendingReleases.poll();
     }
   }
 
-  /* ---- what viewers say ---- */
-
-  void setUp(ClientConnection line, long id, SetUpForm form) {
-    int pack = front.briefing().packages().indexOf(form.pack());
-    int cells = front.briefing().headend().fleet().cells();
-    int rungs = front.briefing().headend().ladderKb().length;
-    boolean handedOver = form.at() != null;
-    if (pack < 0
-        || !within(form.firstCell(), cells)
-        || !within(form.cellsInRow(), cells + 1L)
-        || !within(form.ceiling(), rungs)
-        || handedOver && Texts.box(form.at()) < 0
-        || !handedOver && (form.leftMs() <= 0 || form.leftMs() > LONGEST_PATIENCE_MS)) {
-      line.unfit(
+  /* ---- messages from clients ---- */
+
+  void handleRequest(ClientConnection connection, long id, SetUpRequest form) {
+    int packageIndex = front.settings().packageNames().indexOf(form.packageName());
+    int cellCount = front.settings().deployment().fleet().cellCount();
+    int rungCount = front.settings().deployment().ladderKbPerSecond().length;
+    boolean isHandOver = form.serverName() != null;
+    if (packageIndex < 0
+        || !isAbsentOrBelow(form.firstCell(), cellCount)
+        || !isAbsentOrBelow(form.cellsInRow(), cellCount + 1L)
+        || !isAbsentOrBelow(form.ceiling(), rungCount)
+        || isHandOver && TextFormat.parseServerId(form.serverName()) < 0
+        || !isHandOver && (form.timeLeftMs() <= 0 || form.timeLeftMs() > MAX_TIME_LIMIT_MS)) {
+      connection.onUnusable(
           id,
-          "unknown package or a figure out of range: "
-              + form.pack()
+          "unknown package or value out of range: "
+              + form.packageName()
               + " "
               + form.firstCell()
               + " "
@@ -195,121 +208,136 @@
               + " "
               + form.ceiling()
               + " "
-              + form.leftMs()
+              + form.timeLeftMs()
               + " "
-              + form.at());
+              + form.serverName());
       return;
     }
-    ClientSession before = seats.get(id);
-    if (before != null) {
-      again(line, before, handedOver);
+    ClientSession existing = sessions.get(id);
+    if (existing != null) {
+      handleDuplicateId(connection, existing, isHandOver);
       return;
     }
-    PackageTerms terms = front.briefing().headend().packages().get(pack);
-    int ceiling = form.ceiling() < 0 ? terms.highestRung() : (int) form.ceiling();
-    var ask =
-        new Held.Ask(
+    PackageSettings packageSettings = front.settings().deployment().packages().get(packageIndex);
+    int ceiling = form.ceiling() < 0 ? packageSettings.highestRung() : (int) form.ceiling();
+    var request =
+        new Session.SessionRequest(
             form.title(),
             (int) Math.max(0, form.firstCell()),
             (int) Math.max(0, form.cellsInRow()),
-            pack,
-            terms,
+            packageIndex,
+            packageSettings,
             ceiling,
-            Span.ofMillis(Math.max(0, form.leftMs())).minus(line.lain()),
+            Span.ofMillis(Math.max(0, form.timeLeftMs())).minus(connection.maxQueueingDelay()),
             null);
-    if (handedOver) {
-      line.viewers();
-      ClientSession seat = new ClientSession(this, id, form.pack(), null, null, front.now());
-      seats.put(id, seat);
-      line.home(seat);
-      seat.held(front.desk().handOver(ask, Texts.box(form.at()), seat));
-      if (seat.held() != null) {
-        front.boxes().stands(seat);
+    if (isHandOver) {
+      connection.markUsedByClient();
+      ClientSession session =
+          new ClientSession(this, id, form.packageName(), null, null, front.now());
+      sessions.put(id, session);
+      connection.setAsOriginOf(session);
+      session.setSession(
+          front
+              .sessionManager()
+              .adopt(request, TextFormat.parseServerId(form.serverName()), session));
+      if (session.session() != null) {
+        front.serverLinks().adopt(session);
       }
       return;
     }
-    ClientSession seat =
+    ClientSession session =
         new ClientSession(
-            this, id, form.pack(), form.description(), line, front.now().plus(ask.patience()));
-    seats.put(id, seat);
-    line.waits(seat);
-    Held held = front.desk().take(ask, seat);
-    seat.held(held);
+            this,
+            id,
+            form.packageName(),
+            form.description(),
+            connection,
+            front.now().plus(request.timeLimit()));
+    sessions.put(id, session);
+    connection.addUnanswered(session);
+    Session coreSession = front.sessionManager().accept(request, session);
+    session.setSession(coreSession);
   }
 
-  private static boolean within(long figure, long below) {
-    return figure == SetUpForm.ABSENT || figure >= 0 && figure < below;
+  private static boolean isAbsentOrBelow(long value, long limit) {
+    return value == SetUpRequest.ABSENT || value >= 0 && value < limit;
   }
 
   /**
-   * An id that is in use: the viewing that has it is left alone, unless it came by the very same
-   * connection.
+   * Handles a request whose id is in use: the session that has the id is not changed, unless both
+   * requests came by the same connection, which is closed then.
    */
-  private void again(ClientConnection line, ClientSession before, boolean handedOver) {
-    if (handedOver) {
-      return; // told of something held already
+  private void handleDuplicateId(
+      ClientConnection connection, ClientSession existing, boolean isHandOver) {
+    if (isHandOver) {
+      return; // the session is known already
     }
-    if (before.asker() == line) {
-      line.close("two set-ups of one id");
+    if (existing.requester() == connection) {
+      connection.close("two requests with one id");
     } else {
-      line.unfit(before.id(), "the id of another viewing");
+      connection.onUnusable(existing.id(), "the id of another session");
     }
   }
 
-  void endedByViewer(long id) {
-    ClientConnection unbegun = queued.get(id);
-    if (unbegun != null) {
-      unbegun.endedUnbegun(id);
+  void endedByClient(long id) {
+    ClientConnection queuedOn = queuedRequests.get(id);
+    if (queuedOn != null) {
+      queuedOn.endedBeforeStart(id);
     }
-    ClientSession seat = seats.get(id);
-    if (seat != null) {
-      giveUp(seat);
+    ClientSession session = sessions.get(id);
+    if (session != null) {
+      abandon(session);
     }
   }
 
-  /** Its viewer no longer waits for it, or no longer wants it. */
-  void giveUp(ClientSession seat) {
-    ClientConnection line = seat.asker();
-    if (line != null) {
-      line.unwait(seat);
+  /** The client no longer waits for the session, or no longer wants it. */
+  void abandon(ClientSession session) {
+    ClientConnection connection = session.requester();
+    if (connection != null) {
+      connection.removeUnanswered(session);
     }
-    seat.unasked();
-    over(seat);
-    if (seat.held() != null) {
-      seat.held().viewerLeft();
+    session.clientLeft();
+    remove(session);
+    if (session.session() != null) {
+      session.session().viewerLeft();
     }
   }
 
-  /** Nothing is owed for it any more. */
-  void over(ClientSession seat) {
-    seats.remove(seat.id(), seat);
+  /** Removes a session for which nothing is owed to its client any more. */
+  void remove(ClientSession session) {
+    sessions.remove(session.id(), session);
   }
 
-  /* ---- what viewers are told ---- */
+  /* ---- messages to clients ---- */
 
   /**
-   * A viewing that played is over: its viewer is told on its own connection, or else on any of a
-   * viewer's.
+   * Sends the release of an established session on the connection by which it came, or else on any
+   * other that is used by a client.
    */
-  void release(long id, boolean cut, ClientConnection home) {
-    if (home != null && home.isOpen() && home.release(id, cut)) {
+  void sendRelease(long id, boolean interrupted, ClientConnection origin) {
+    if (origin != null && origin.isOpen() && origin.sendRelease(id, interrupted)) {
       return;
     }
-    for (ClientConnection l : lines) {
-      if (l != home && l.isOpen() && l.isViewers() && l.release(id, cut)) {
+    for (ClientConnection connection : connections) {
+      if (connection != origin
+          && connection.isOpen()
+          && connection.isUsedByClient()
+          && connection.sendRelease(id, interrupted)) {
         return;
       }
     }
-    if (releases.size() == MOST_RELEASES) {
-      releases.poll();
+    if (pendingReleases.size() == MAX_PENDING_RELEASES) {
+      pendingReleases.poll();
     }
-    releases.add(new Release(id, cut, front.now().plus(RELEASE_KEPT)));
+    pendingReleases.add(new PendingRelease(id, interrupted, front.now().plus(RELEASE_RETENTION)));
   }
 
-  /** A connection has shown itself to be viewers': what waited for one is told on it. */
-  void viewers(ClientConnection line) {
-    while (!releases.isEmpty() && line.release(releases.peek().id(), releases.peek().cut())) {
-      releases.poll();
+  /** A connection has proved to be used by a client: sends the pending releases on it. */
+  void sendPendingReleases(ClientConnection connection) {
+    while (!pendingReleases.isEmpty()
+        && connection.sendRelease(
+            pendingReleases.peek().id(), pendingReleases.peek().interrupted())) {
+      pendingReleases.poll();
     }
   }
 }
--- a/src/main/java/linengauge/platform/ClientSession.java
+++ b/src/main/java/linengauge/platform/ClientSession.java
@@ -1,226 +1,238 @@
 package linengauge.platform;
 
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 import linengauge.platform.LogEvent.Kind;
-import linengauge.platform.codec.ViewerMessages;
+import linengauge.platform.codec.ClientMessageCodec;
 import linengauge.session.BoxTable;
-import linengauge.session.Held;
+import linengauge.session.Session;
 import linengauge.session.Viewer;
 
 /**
- * The viewer's end of one viewing on the platform: its id on the wire, and the connection on which
- * its answer is owed.
+ * The client's side of one session: its id on the wire, and the connection on which its answer is
+ * owed.
  */
 final class ClientSession implements Viewer {
-  private final ClientListener door;
+  private final ClientListener listener;
   private final long id;
-  private final String pack;
+  private final String packageName;
 
-  /** What its boxes are told; null once it plays, as nobody is told it any more. */
+  /** Sent to the servers; null once the session is established, as it is not sent any more. */
   private String description;
 
-  /** Null once the answer is given, or the viewer no longer waits. */
-  private ClientConnection asker;
+  /** Null once the answer is sent, or the client no longer waits. */
+  private ClientConnection requester;
 
-  private final int length;
-  private Held held;
+  private final int descriptionLength;
+  private Session session;
 
-  /** What the box answered; written to the viewer as it came. */
+  /** The server's answer, which is sent to the client unchanged. */
   private byte[] answer;
 
-  /** The connection it came by, for its end; it may have closed. */
-  private ClientConnection home;
+  /** The connection by which the session came, for its release; it may have closed. */
+  private ClientConnection origin;
 
-  /** The connection that it was set up on, while it plays; null for one that was handed over. */
-  private ServerConnection wire;
+  /**
+   * The connection on which the session was set up, while it is established; null for one that was
+   * handed over.
+   */
+  private ServerConnection serverConnection;
 
-  private ServerConnection lastUsed;
+  private ServerConnection lastUsedConnection;
 
-  /** Until when its viewer waits. */
-  private final Moment answerBy;
+  /** The client waits until then. */
+  private final Moment answerDeadline;
 
   private final RequestTrail trail;
 
-  /** It plays, or has been handed over as playing. */
-  private boolean stands;
+  /** The session is established, or was handed over as such. */
+  private boolean established;
 
   ClientSession(
-      ClientListener door,
+      ClientListener listener,
       long id,
-      String pack,
+      String packageName,
       String description,
-      ClientConnection asker,
-      Moment answerBy) {
-    this.door = door;
+      ClientConnection requester,
+      Moment answerDeadline) {
+    this.listener = listener;
     this.id = id;
-    this.pack = pack;
+    this.packageName = packageName;
     this.description = description;
-    this.length = description == null ? 0 : description.length();
-    this.asker = asker;
-    this.answerBy = answerBy;
-    this.trail = door.front().events().trail();
-    this.stands = description == null;
-    if (!stands) {
-      String asked = "class " + pack + ", " + answerBy.since(door.front().now()).micros() / 1000;
-      log(Kind.REQUEST_TAKEN, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, asked + " ms", false);
+    this.descriptionLength = description == null ? 0 : description.length();
+    this.requester = requester;
+    this.answerDeadline = answerDeadline;
+    this.trail = listener.front().events().newTrail();
+    this.established = description == null;
+    if (!established) {
+      String details =
+          "class "
+              + packageName
+              + ", "
+              + answerDeadline.since(listener.front().now()).micros() / 1000;
+      log(Kind.REQUEST_TAKEN, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, details + " ms", false);
     }
   }
 
-  /* ---- what the log is told ---- */
+  /* ---- logging ---- */
 
   private void log(
       Kind kind, long server, int attempt, int connection, String reason, boolean notable) {
     trail.add(
-        door.front().events().ofRequest(kind, id, server, attempt, connection, reason), notable);
+        listener.front().events().requestEvent(kind, id, server, attempt, connection, reason),
+        notable);
   }
 
   private void log(Kind kind, String reason, boolean notable) {
     log(kind, LogEvent.NONE, LogEvent.NONE, LogEvent.NONE, reason, notable);
   }
 
-  /** Something happened to an attempt at that server. */
-  void logged(Kind kind, BoxTable.Entry server, int attempt, int connection, String reason) {
+  /** Logs an event of an attempt at that server. */
+  void logAttempt(Kind kind, BoxTable.Entry server, int attempt, int connection, String reason) {
     log(kind, server.id(), attempt, connection, reason, false);
   }
 
   /**
-   * An attempt leaves by that connection; every one but the first is logged with what led to it.
+   * Logs that an attempt is sent on that connection; every attempt but the first is logged together
+   * with the events that led to it.
    */
-  void attemptSent(int attempt, BoxTable.Entry server, int connection, Span wait) {
-    String waits = "waits " + wait.micros() / 1000 + " ms";
-    log(Kind.ATTEMPT_SENT, server.id(), attempt, connection, waits, attempt > 0);
+  void logAttemptSent(int attempt, BoxTable.Entry server, int connection, Span wait) {
+    String timeLeft = "waits up to " + wait.micros() / 1000 + " ms";
+    log(Kind.ATTEMPT_SENT, server.id(), attempt, connection, timeLeft, attempt > 0);
   }
 
   @Override
-  public void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {
-    boolean ordinary = how == Outside.Ending.FINISHED || how == Outside.Ending.WITHDRAWN;
-    Kind kind = stands ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
-    int connection = wire == null ? LogEvent.NONE : wire.number();
-    log(kind, server.id(), attempt, connection, how.name(), !ordinary);
+  public void attemptEnded(int attempt, BoxTable.Entry server, Environment.AttemptOutcome outcome) {
+    boolean ordinary =
+        outcome == Environment.AttemptOutcome.FINISHED
+            || outcome == Environment.AttemptOutcome.WITHDRAWN;
+    Kind kind = established ? Kind.SESSION_ENDED : Kind.ATTEMPT_ENDED;
+    int connection = serverConnection == null ? LogEvent.NONE : serverConnection.number();
+    log(kind, server.id(), attempt, connection, outcome.name(), !ordinary);
   }
 
-  /** Logs what has happened so far, though nothing notable did. */
-  void logHeld() {
-    trail.logHeld();
+  /** Logs the events so far, although none of them is notable. */
+  void flushLog() {
+    trail.flush();
   }
 
-  /** Its answer leaves after its time. */
-  void answeredLate(Span by) {
-    log(Kind.REQUEST_FAILED, "answered late by " + by.micros() / 1000 + " ms", true);
+  /** Logs that the answer is sent after its deadline. */
+  void logLateAnswer(Span lateness) {
+    log(Kind.REQUEST_FAILED, "answered late by " + lateness.micros() / 1000 + " ms", true);
   }
 
-  Moment answerBy() {
-    return answerBy;
+  Moment answerDeadline() {
+    return answerDeadline;
   }
 
   long id() {
     return id;
   }
 
-  String pack() {
-    return pack;
+  String packageName() {
+    return packageName;
   }
 
   String description() {
     return description;
   }
 
-  /** Of its description, in characters. */
-  int length() {
-    return length;
+  /** The length of the description, in characters. */
+  int descriptionLength() {
+    return descriptionLength;
   }
 
-  Held held() {
-    return held;
+  Session session() {
+    return session;
   }
 
-  void held(Held given) {
-    held = given;
+  void setSession(Session newSession) {
+    session = newSession;
   }
 
-  ClientConnection asker() {
-    return asker;
+  ClientConnection requester() {
+    return requester;
   }
 
-  /** Its box answers; the description is kept until the core has said whether it plays. */
-  void answered(byte[] bytes) {
-    answer = bytes;
+  /** Keeps the server's answer until the core has decided whether the session is established. */
+  void setAnswer(byte[] message) {
+    answer = message;
   }
 
-  /** Whoever asked no longer waits. */
-  void unasked() {
-    asker = null;
+  /** The client no longer waits. */
+  void clientLeft() {
+    requester = null;
     log(Kind.CLIENT_LEFT, "", false);
   }
 
   @Override
-  public void plays(Held vw) {
-    stands = true;
-    asker.home(this);
-    settle(ViewerMessages.plays(id, answer));
+  public void started(Session startedSession) {
+    established = true;
+    requester.setAsOriginOf(this);
+    sendAnswer(ClientMessageCodec.encodeStarted(id, answer));
     answer = null;
     description = null;
-    trail.settled();
+    trail.discard();
   }
 
   @Override
-  public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+  public void rejected(Span retryAfter, Environment.RejectionReason reason) {
     log(Kind.REQUEST_REFUSED, reason.name(), true);
-    settle(ViewerMessages.blocked(id, comeBackAfter.micros() / 1000));
-    door.over(this);
+    sendAnswer(ClientMessageCodec.encodeRejected(id, retryAfter.micros() / 1000));
+    listener.remove(this);
   }
 
   @Override
-  public void aborted(Cause cause) {
+  public void failed(FailureCause cause) {
     log(Kind.REQUEST_FAILED, cause.name(), true);
-    settle(ViewerMessages.aborted(id));
-    door.over(this);
+    sendAnswer(ClientMessageCodec.encodeFailed(id));
+    listener.remove(this);
   }
 
-  private void settle(byte[] message) {
-    ClientConnection line = asker;
-    asker = null;
-    if (line != null) {
-      line.answer(this, message);
+  private void sendAnswer(byte[] message) {
+    ClientConnection connection = requester;
+    requester = null;
+    if (connection != null) {
+      connection.sendAnswer(this, message);
     }
   }
 
   @Override
-  public void ended(End how) {
-    door.over(this);
-    if (how != End.LEFT) {
-      door.release(id, how != End.OVER, home);
+  public void ended(EndReason reason) {
+    listener.remove(this);
+    if (reason != EndReason.LEFT) {
+      listener.sendRelease(id, reason != EndReason.OVER, origin);
     }
   }
 
-  ServerConnection wire() {
-    return wire;
+  ServerConnection serverConnection() {
+    return serverConnection;
   }
 
-  void wire(ServerConnection by) {
-    wire = by;
+  void setServerConnection(ServerConnection connection) {
+    serverConnection = connection;
   }
 
   /**
-   * The connection that carries what is told to its server; null where none has yet, or it closed.
+   * The connection that carries messages about the session to its server; null if there has been
+   * none yet, or it has closed.
    */
-  ServerConnection lastUsed() {
-    return lastUsed;
+  ServerConnection lastUsedConnection() {
+    return lastUsedConnection;
   }
 
-  void lastUsed(ServerConnection by) {
-    lastUsed = by;
+  void setLastUsedConnection(ServerConnection connection) {
+    lastUsedConnection = connection;
   }
 
-  void home(ClientConnection line) {
-    home = line;
+  void setOrigin(ClientConnection connection) {
+    origin = connection;
   }
 
   @Override
-  public Moment lastAsked() {
-    return Moment
-        .DISTANT_PAST; // viewers here ask for nothing while they play; no idle bound is set
+  public Moment lastRequestAt() {
+    // Clients send nothing while a session is established, and no idle limit is set.
+    return Moment.DISTANT_PAST;
   }
 }
--- a/src/main/java/linengauge/platform/Configuration.java
+++ b/src/main/java/linengauge/platform/Configuration.java
@@ -11,152 +11,168 @@
 import java.util.List;
 import java.util.Map;
 import linengauge.Moment;
-import linengauge.briefing.BadBriefing;
-import linengauge.briefing.Briefing;
-import linengauge.briefing.JsonTree;
-import linengauge.platform.codec.JournalFrames;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.JournalFrameCodec;
+import linengauge.platform.codec.TextFormat;
 import linengauge.session.BoxTable;
-import linengauge.session.BoxTable.Row;
+import linengauge.session.BoxTable.ListedBox;
+import linengauge.settings.InvalidSettingsException;
+import linengauge.settings.JsonTree;
+import linengauge.settings.Settings;
 
 /**
- * Where and as what the platform posts this front: the configuration that it is started with
- * (docs/protocol/platform.md, "Configuration"). Descriptors: how many files and sockets the process
- * may hold.
+ * The configuration with which the platform starts a front (docs/protocol/platform.md,
+ * "Configuration").
+ *
+ * @param listenAddress where the front listens for clients, as host:port
+ * @param journalAddress the journal service, as host:port
+ * @param seed the seed of all random decisions
+ * @param descriptorLimit how many files and sockets the process may have open
+ * @param settings the settings of the module
+ * @param knownEvents the discovery events known at the start
  */
 public record Configuration(
-    String listen,
-    String journal,
+    String listenAddress,
+    String journalAddress,
     long seed,
-    int descriptors,
-    Briefing briefing,
-    List<Piece> known) {
-  /** One event of the box list. */
-  public record Piece(long number, boolean whole, List<Row> rows) {}
+    int descriptorLimit,
+    Settings settings,
+    List<DiscoveryEvent> knownEvents) {
+  /** One discovery event: the full server list, or changes of it. */
+  public record DiscoveryEvent(long number, boolean full, List<ListedBox> rows) {}
 
-  /** Reads and checks the whole file; throws with one line that says what is wrong with it. */
-  static Configuration read(Path file) throws BadBriefing {
+  /** Reads and validates the file; the message of the exception says what is wrong with it. */
+  static Configuration read(Path file) throws InvalidSettingsException {
     try {
       return read(Files.readAllBytes(file));
     } catch (IOException e) {
-      throw new BadBriefing("it cannot be read: " + e);
+      throw new InvalidSettingsException("it cannot be read: " + e);
     }
   }
 
-  /** The same of what stands in such a file. */
-  public static Configuration read(byte[] text) throws BadBriefing {
-    try (JsonParser p = new JsonFactory().createParser(text)) {
-      JsonToken first = p.nextToken();
+  /** Parses and validates the content of a configuration file. */
+  public static Configuration read(byte[] text) throws InvalidSettingsException {
+    try (JsonParser parser = new JsonFactory().createParser(text)) {
+      JsonToken first = parser.nextToken();
       if (first != JsonToken.START_OBJECT
-          || !(JsonTree.read(p, first) instanceof Map<?, ?> all)
-          || p.nextToken() != null) {
-        throw new BadBriefing("it should hold one object");
+          || !(JsonTree.read(parser, first) instanceof Map<?, ?> root)
+          || parser.nextToken() != null) {
+        throw new InvalidSettingsException("it should contain one JSON object");
       }
-      if (!(all.get("settings") instanceof Map<?, ?> settings)
-          || !(all.get("limits") instanceof Map<?, ?> limits)
-          || !(all.get("known") instanceof Map<?, ?> known)) {
-        throw new BadBriefing("'settings', 'limits' and 'known' should be objects");
+      if (!(root.get("settings") instanceof Map<?, ?> settingsObject)
+          || !(root.get("limits") instanceof Map<?, ?> limitsObject)
+          || !(root.get("known") instanceof Map<?, ?> knownObject)) {
+        throw new InvalidSettingsException("'settings', 'limits' and 'known' should be objects");
       }
-      Briefing briefing = Briefing.read(settings);
-      if (briefing.packages().isEmpty() || briefing.headend().ladderKb().length == 0) {
-        throw new BadBriefing("'settings' name no packages or no ladder");
+      Settings settings = Settings.read(settingsObject);
+      if (settings.packageNames().isEmpty()
+          || settings.deployment().ladderKbPerSecond().length == 0) {
+        throw new InvalidSettingsException("'settings' name no packages or no ladder");
       }
       return new Configuration(
-          address(all, "listen"),
-          address(all, "journal"),
-          seed(all.get("seed")),
-          (int) whole(limits, "sockets", 1024),
-          briefing,
-          known(known, briefing));
+          requireAddress(root, "listen"),
+          requireAddress(root, "journal"),
+          parseSeed(root.get("seed")),
+          (int) wholeNumber(limitsObject, "sockets", 1024),
+          settings,
+          parseKnownEvents(knownObject, settings));
     } catch (JsonProcessingException e) {
-      throw new BadBriefing("it is no JSON: " + e.getOriginalMessage());
+      throw new InvalidSettingsException("it is not valid JSON: " + e.getOriginalMessage());
     } catch (IOException e) {
-      throw new BadBriefing("it cannot be read: " + e);
+      throw new InvalidSettingsException("it cannot be read: " + e);
     }
   }
 
-  private static String address(Map<?, ?> from, String key) throws BadBriefing {
-    if (from.get(key) instanceof String s && port(s) > 0 && !host(s).isEmpty()) {
-      return s;
+  private static String requireAddress(Map<?, ?> object, String key)
+      throws InvalidSettingsException {
+    if (object.get(key) instanceof String address
+        && port(address) > 0
+        && !host(address).isEmpty()) {
+      return address;
     }
-    throw new BadBriefing("'" + key + "' should be host:port");
+    throw new InvalidSettingsException("'" + key + "' should be host:port");
   }
 
   static String host(String address) {
     return address.substring(0, Math.max(0, address.lastIndexOf(':')));
   }
 
-  /** The port of host:port, or -1. */
+  /** The port of host:port, or -1 if there is no valid one. */
   static int port(String address) {
-    long port = Texts.whole(address.substring(address.lastIndexOf(':') + 1));
+    long port = TextFormat.parseWholeNumber(address.substring(address.lastIndexOf(':') + 1));
     return port > 0 && port < 65536 ? (int) port : -1;
   }
 
-  private static long seed(Object given) throws BadBriefing {
-    if (given instanceof String s) {
+  private static long parseSeed(Object value) throws InvalidSettingsException {
+    if (value instanceof String text) {
       try {
-        return Long.parseUnsignedLong(s, 16);
+        return Long.parseUnsignedLong(text, 16);
       } catch (NumberFormatException e) {
-        // said below
+        // reported below
       }
     }
-    throw new BadBriefing("'seed' should be up to 16 hex digits");
+    throw new InvalidSettingsException("'seed' should be up to 16 hex digits");
   }
 
-  private static long whole(Map<?, ?> from, String key, long absent) throws BadBriefing {
-    Object v = from.get(key);
-    if (v == null) {
-      return absent;
+  private static long wholeNumber(Map<?, ?> object, String key, long defaultValue)
+      throws InvalidSettingsException {
+    Object value = object.get(key);
+    if (value == null) {
+      return defaultValue;
     }
-    if (v instanceof Double d && d == Math.rint(d)) {
-      return d.longValue();
+    if (value instanceof Double number && number == Math.rint(number)) {
+      return number.longValue();
     }
-    throw new BadBriefing("'" + key + "' should be a whole number");
+    throw new InvalidSettingsException("'" + key + "' should be a whole number");
   }
 
-  private static List<Piece> known(Map<?, ?> known, Briefing briefing) throws BadBriefing {
-    List<Piece> pieces = new ArrayList<>();
-    if (known.get("entries") instanceof List<?> entries) {
-      for (Object one : entries) {
-        if (!(one instanceof Map<?, ?> entry)
+  private static List<DiscoveryEvent> parseKnownEvents(Map<?, ?> knownObject, Settings settings)
+      throws InvalidSettingsException {
+    List<DiscoveryEvent> events = new ArrayList<>();
+    if (knownObject.get("entries") instanceof List<?> entries) {
+      for (Object item : entries) {
+        if (!(item instanceof Map<?, ?> entry)
             || !(entry.get("hosts") instanceof Map<?, ?> hosts)
             || !(hosts.get("targets") instanceof List<?> targets)) {
-          throw new BadBriefing("an entry of 'known' should hold 'pos' and 'hosts' with 'targets'");
+          throw new InvalidSettingsException(
+              "an entry of 'known' should contain 'pos' and 'hosts' with 'targets'");
         }
-        List<Row> rows = new ArrayList<>();
-        for (Object t : targets) {
-          rows.add(row(t, briefing));
+        List<ListedBox> rows = new ArrayList<>();
+        for (Object target : targets) {
+          rows.add(parseRow(target, settings));
         }
-        pieces.add(new Piece(whole(entry, "pos", 0), Boolean.TRUE.equals(hosts.get("all")), rows));
+        events.add(
+            new DiscoveryEvent(
+                wholeNumber(entry, "pos", 0), Boolean.TRUE.equals(hosts.get("all")), rows));
       }
     }
-    return pieces;
+    return events;
   }
 
-  private static Row row(Object target, Briefing briefing) throws BadBriefing {
-    if (!(target instanceof Map<?, ?> t)
-        || !(t.get("uid") instanceof String uid)
-        || Texts.box(uid) < 0) {
-      throw new BadBriefing("a box of 'known' should be an object with 'uid'");
+  private static ListedBox parseRow(Object item, Settings settings)
+      throws InvalidSettingsException {
+    if (!(item instanceof Map<?, ?> target)
+        || !(target.get("uid") instanceof String uid)
+        || TextFormat.parseServerId(uid) < 0) {
+      throw new InvalidSettingsException("a server of 'known' should be an object with 'uid'");
     }
     BoxTable.State state =
-        switch (String.valueOf(t.get("state"))) {
+        switch (String.valueOf(target.get("state"))) {
           case "up" -> BoxTable.State.SERVING;
           case "draining" -> BoxTable.State.DRAINING;
           case "removed" -> BoxTable.State.GONE;
-          default -> throw new BadBriefing("box " + uid + " is in no known state");
+          default -> throw new InvalidSettingsException("server " + uid + " has an unknown state");
         };
-    Moment started = JournalFrames.startedAt(whole(t, "boot_ms", 0));
-    String address = t.get("endpoint") instanceof String s ? s : null;
-    double weight = t.get("capacity_hint") instanceof Double d ? d : 1;
-    return new Row(
-        Texts.box(uid),
+    Moment startedAt = JournalFrameCodec.bootTime(wholeNumber(target, "boot_ms", 0));
+    String address = target.get("endpoint") instanceof String text ? text : null;
+    double weight = target.get("capacity_hint") instanceof Double number ? number : 1;
+    return new ListedBox(
+        TextFormat.parseServerId(uid),
         address,
         weight,
-        (int) whole(t, "pod_group", 0),
-        Math.max(0, briefing.kinds().indexOf(t.get("model"))),
+        (int) wholeNumber(target, "pod_group", 0),
+        Math.max(0, settings.kindNames().indexOf(target.get("model"))),
         state,
-        Math.max(0, briefing.buildings().indexOf(t.get("az"))),
-        started);
+        Math.max(0, settings.buildingNames().indexOf(target.get("az"))),
+        startedAt);
   }
 }
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -2,24 +2,24 @@
 
 import java.util.Locale;
 import linengauge.Moment;
-import linengauge.platform.codec.Texts;
+import linengauge.platform.codec.TextFormat;
 
 /**
- * One thing that happened to a request, a connection or a server, as the log tells it: ids as the
- * platform writes them, and why. Figures that do not apply are {@link #NONE}.
+ * One event of a request, a connection or a server, as it is logged: ids in the platform's
+ * notation, and the reason. Numbers that do not apply are {@link #NONE}.
  *
  * @param at when it happened, which may be long before its line is written
- * @param request the id of the set-up on the wire
- * @param server the server's id in the list
+ * @param request the id of the request on the wire
+ * @param server the id of the server in discovery
  * @param attempt counted from 0 for each request
- * @param connection counted from 1 over all connections to servers in one life of the front
+ * @param connection counted from 1 over all connections to servers since the front started
  */
 public record LogEvent(
     Moment at, Kind kind, long request, long server, int attempt, int connection, String reason) {
-  /** Does not apply. */
+  /** The value of a number that does not apply. */
   public static final int NONE = -1;
 
-  private static final long MICROS = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   /** What happened. */
   public enum Kind {
@@ -43,17 +43,17 @@
     SHUTDOWN
   }
 
-  /** One line of key=value pairs, without its end. */
+  /** One line of key=value pairs, without a line separator. */
   public String line() {
     StringBuilder line = new StringBuilder(128);
     line.append("event=").append(kind.name().toLowerCase(Locale.ROOT).replace('_', '-'));
-    line.append(" at=").append(at.micros() / MICROS).append('.');
-    line.append(Long.toString(MICROS + at.micros() % MICROS), 1, 7);
+    line.append(" at=").append(at.micros() / MICROS_PER_SECOND).append('.');
+    line.append(Long.toString(MICROS_PER_SECOND + at.micros() % MICROS_PER_SECOND), 1, 7);
     if (request != NONE) {
-      line.append(" request=").append(Texts.id(request));
+      line.append(" request=").append(TextFormat.formatId(request));
     }
     if (server != NONE) {
-      line.append(" server=").append(Texts.server(server));
+      line.append(" server=").append(TextFormat.formatServerId(server));
     }
     if (attempt != NONE) {
       line.append(" attempt=").append(attempt);
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -5,275 +5,286 @@
 import linengauge.Moment;
 import linengauge.Policy;
 import linengauge.Span;
-import linengauge.briefing.Briefing;
-import linengauge.platform.keep.DescriptorBudget;
-import linengauge.platform.keep.EventLoopLag;
-import linengauge.session.Carrier.Wake;
-import linengauge.session.Desk;
+import linengauge.platform.connection.DescriptorBudget;
+import linengauge.platform.connection.EventLoopLag;
+import linengauge.session.SessionManager;
+import linengauge.session.Transport.Timer;
+import linengauge.settings.Settings;
 
 /**
- * A front in the operators' platform (docs/protocol/platform.md): viewers, boxes, the journal
- * service and the core, all of them carried by one {@link Net}. Whatever comes from outside enters
- * by {@link #onEvent}, which tells the core the time.
+ * A front of the operators' platform (docs/protocol/platform.md): clients, media servers, the
+ * journal service and the core, all connected through one {@link Net}. Every external event enters
+ * through {@link #handleEvent}, which updates the core's clock first.
  */
 public final class PlatformFront {
-  private static final Span SWEEP = Span.ofMillis(200);
-  private static final Span TICK = Span.ofMillis(20);
+  private static final Span SWEEP_INTERVAL = Span.ofMillis(200);
+  private static final Span TICK_INTERVAL = Span.ofMillis(20);
 
-  /** A turn of the loop so long is told. */
-  private static final Span STOOD_STILL = Span.ofMillis(200);
+  /** A pause of the event loop longer than this is logged. */
+  private static final Span LOGGED_PAUSE = Span.ofMillis(200);
 
-  private static final Span STILL_COMING = Span.ofMillis(750);
-  private static final Span LONGEST_STOP = Span.ofSeconds(3);
-  private static final Span BEFORE_KILL = Span.ofMillis(500);
+  /** Requests may still arrive for this long after the order to stop. */
+  private static final Span ACCEPT_AFTER_STOP = Span.ofMillis(750);
+
+  private static final Span MAX_STOP_TIME_LIMIT = Span.ofSeconds(3);
+  private static final Span STOP_AFTER_TIME_LIMIT = Span.ofMillis(500);
 
   /**
-   * For its last words to leave, at the most; with what follows less than is left until it could be
-   * killed.
+   * Upper bound for writing out the last messages. Together with {@link #LINGER_TIME} it is less
+   * than the time left until the platform may kill the process.
    */
-  private static final Span LAST_WORDS = Span.ofMillis(90);
+  private static final Span FLUSH_TIME_LIMIT = Span.ofMillis(90);
 
   /**
-   * For peers to read them. Guards against the process's end over bytes that peers have sent
-   * meanwhile: the system resets such a connection, and what the peer has not read is lost with it.
+   * Time for the peers to read the last messages before the process exits. If the process exits
+   * while bytes from a peer are unread, the system resets that connection, and what the peer has
+   * not read yet is lost.
    */
-  private static final Span AFTER_LAST_WORD = Span.ofMillis(60);
+  private static final Span LINGER_TIME = Span.ofMillis(60);
 
-  /** What the platform allows for two words that cross. */
-  private static final Span CROSSING = Span.ofMillis(50);
+  /** How long the platform allows two messages to cross on the wire. */
+  private static final Span MAX_CROSSING_TIME = Span.ofMillis(50);
 
-  /** What may run in one turn of what waits, and the next one. */
-  private static final Span TURN = Span.ofMillis(10);
+  /** Time that deferred tasks may use in one loop iteration. */
+  private static final Span MAX_BATCH_TIME = Span.ofMillis(10);
 
-  private static final Span NEXT_TURN = Span.ofMillis(1);
-  private static final Span COME_BACK = Span.ofMillis(600);
-  private static final int MOST_VIEWINGS = 8000;
+  private static final Span NEXT_ITERATION_DELAY = Span.ofMillis(1);
+  private static final Span RETRY_AFTER = Span.ofMillis(600);
+  private static final int MAX_SESSIONS = 8000;
 
-  /** Where it tells what operators should know. */
-  public interface Told {
-    /** Something that may come by the thousand: what kind, of whom, and more. */
-    void warn(String kind, Object about, String detail);
+  /** Receives what operators should know. */
+  public interface Observer {
+    /** A warning that may occur thousands of times: its kind, its subject and the details. */
+    void warn(String kind, Object subject, String detail);
 
-    /** Something that comes seldom. */
-    void info(String line);
+    /** A message about a rare event. */
+    void info(String message);
 
-    /** Something that happened to a request, a connection or a server; may come by the thousand. */
+    /** An event of a request, a connection or a server; may be called thousands of times. */
     default void event(LogEvent event) {}
 
-    /** It has ended: in order (empty, null), or by a failure, which is named. */
-    void over(String failed, RuntimeException cause);
+    /** The front has stopped: in order (empty text, null), or because of a failure. */
+    void stopped(String failure, RuntimeException cause);
   }
 
-  /** How full its tables are. */
-  public record Figures(
-      int viewings,
-      int ids,
-      int viewersConnections,
-      int endsUntold,
-      int boxes,
-      int boxesLinked,
-      int boxConnections,
+  /** The sizes of the front's tables. */
+  public record TableSizes(
+      int sessions,
+      int clientSessions,
+      int clientConnections,
+      int pendingReleases,
+      int servers,
+      int linkedServers,
+      int serverConnections,
       int titles) {}
 
-  private final Configuration posting;
+  private final Configuration configuration;
   private final Net net;
-  private final Told told;
+  private final Observer observer;
   private final EventLoopLag lag;
   private final EventLog events;
-  private final ServerLinks boxes;
-  private final ClientListener door;
-  private final Desk desk;
-  private final DiscoveryWatch journal;
+  private final ServerLinks serverLinks;
+  private final ClientListener clientListener;
+  private final SessionManager sessionManager;
+  private final DiscoveryWatch discoveryWatch;
 
-  /** What waits until the loop has read what may have come meanwhile; the next turns empty it. */
-  private final ArrayDeque<Unread> unread = new ArrayDeque<>();
+  /**
+   * Tasks that wait until the loop has read what may have arrived meanwhile; run by the next loop
+   * iterations.
+   */
+  private final ArrayDeque<DeferredTask> deferredTasks = new ArrayDeque<>();
 
   private Moment now;
   private boolean stopping;
 
-  /** Turns in which something waited there. */
-  private long turns;
+  /** Counts the loop iterations in which a task was waiting. */
+  private long iterations;
 
-  private boolean turnComes;
+  private boolean iterationScheduled;
 
-  private record Unread(long turn, Moment since, Runnable deed) {}
+  private record DeferredTask(long iteration, Moment addedAt, Runnable task) {}
 
-  /** To be made and used where the net's calls run. */
-  public PlatformFront(Configuration posting, Net net, Told told) {
-    this.posting = posting;
+  /** Must be created and used on the thread on which the net runs its callbacks. */
+  public PlatformFront(Configuration configuration, Net net, Observer observer) {
+    this.configuration = configuration;
     this.net = net;
-    this.told = told;
+    this.observer = observer;
     this.now = net.now();
-    this.lag = new EventLoopLag(CROSSING, now);
-    this.events = new EventLog(this::now, told::event);
-    DescriptorBudget places = DescriptorBudget.of(posting.descriptors());
-    this.boxes = new ServerLinks(this, places.boxes());
-    this.door = new ClientListener(this, places.viewers());
-    // No idle bound; and no stand-still of the core's own noticing: each request says how long it
-    // may have lain.
-    var bounds =
-        new Desk.Bounds(
-            MOST_VIEWINGS,
+    this.lag = new EventLoopLag(MAX_CROSSING_TIME, now);
+    this.events = new EventLog(this::now, observer::event);
+    DescriptorBudget budget = DescriptorBudget.of(configuration.descriptorLimit());
+    this.serverLinks = new ServerLinks(this, budget.servers());
+    this.clientListener = new ClientListener(this, budget.clients());
+    // No idle limit, and no pause detection by the core: each request carries the time that it may
+    // have waited unread.
+    var limits =
+        new SessionManager.Limits(
+            MAX_SESSIONS,
             Span.NONE,
-            COME_BACK.orLess(posting.briefing().headend().permits().longestAdvice()),
+            RETRY_AFTER.min(configuration.settings().deployment().permissions().maxRetryAfter()),
             Span.ofMillis(500),
             Span.ofSeconds(3600),
             Policy.ANSWER_MARGIN);
-    this.desk =
-        new Desk(
-            posting.briefing().headend(),
-            bounds,
-            posting.seed(),
+    this.sessionManager =
+        new SessionManager(
+            configuration.settings().deployment(),
+            limits,
+            configuration.seed(),
             Long.toString(now.micros(), 36),
-            boxes);
-    this.journal = new DiscoveryWatch(this, posting.journal(), posting.seed());
+            serverLinks);
+    this.discoveryWatch =
+        new DiscoveryWatch(this, configuration.journalAddress(), configuration.seed());
   }
 
-  /** Begins to serve; the outcome is told once: null, or why it cannot. */
+  /**
+   * Starts serving; the outcome is reported once: null, or the reason why the front cannot serve.
+   */
   public void start(Consumer<String> outcome) {
-    desk.clock(now);
-    posting.known().forEach(journal::known);
-    journal.connect();
-    net.every(
-        TICK,
+    sessionManager.updateTime(now);
+    configuration.knownEvents().forEach(discoveryWatch::applyKnown);
+    discoveryWatch.connect();
+    net.scheduleEvery(
+        TICK_INTERVAL,
         () -> {
           now = net.now();
-          Span since = lag.beat(now);
-          door.beat(now);
-          if (STOOD_STILL.under(since)) {
-            log("stood still", since.micros() / 1000 + " ms", "");
+          Span sinceLastTick = lag.tick(now);
+          clientListener.tick(now);
+          if (LOGGED_PAUSE.isShorterThan(sinceLastTick)) {
+            warn("event loop paused", sinceLastTick.micros() / 1000 + " ms", "");
           }
         });
-    net.every(
-        SWEEP,
+    net.scheduleEvery(
+        SWEEP_INTERVAL,
         () ->
-            onEvent(
+            handleEvent(
                 () -> {
-                  door.look(now);
-                  boxes.look();
-                  journal.look(now);
+                  clientListener.sweep(now);
+                  serverLinks.sweep();
+                  discoveryWatch.checkSilence(now);
                 }));
     net.listen(
-        posting.listen(),
-        ClientListener.MOST_UNREAD,
-        new Net.Listener() {
+        configuration.listenAddress(),
+        ClientListener.WRITE_BUFFER_BYTES,
+        new Net.AcceptHandler() {
           @Override
-          public void listens(String failed) {
-            if (failed == null) {
-              told.info(
+          public void listening(String failure) {
+            if (failure == null) {
+              observer.info(
                   "serving on "
-                      + posting.listen()
+                      + configuration.listenAddress()
                       + " with "
-                      + desk.boxes().size()
-                      + " boxes known");
+                      + sessionManager.boxes().size()
+                      + " servers known");
             }
             outcome.accept(
-                failed == null ? null : "cannot listen on " + posting.listen() + ": " + failed);
+                failure == null
+                    ? null
+                    : "cannot listen on " + configuration.listenAddress() + ": " + failure);
           }
 
           @Override
-          public void arrived(Net.Connection connection) {
-            onEvent(() -> door.arrived(connection));
+          public void accepted(Net.Connection connection) {
+            handleEvent(() -> clientListener.accepted(connection));
           }
 
           @Override
-          public void notTaken(String why) {
-            log("connection not taken", null, why);
+          public void acceptFailed(String reason) {
+            warn("connection not accepted", null, reason);
           }
         });
   }
 
-  /** Anything that comes from outside: the core is told the time, then it runs. */
-  void onEvent(Runnable deed) {
-    tick();
-    deed.run();
+  /** Handles an external event: updates the core's clock, then runs the task. */
+  void handleEvent(Runnable task) {
+    updateClock();
+    task.run();
   }
 
   /**
-   * The time anew, for each message of a piece that was read: the process may have been held up in
-   * its midst, and a yes must not leave after the viewer's patience.
+   * Updates the clock, once for each message of a chunk that was read: the process may have been
+   * paused in the middle of it, and a positive answer must not be sent after the client's deadline.
    */
-  void tick() {
+  void updateClock() {
     now = net.now();
-    desk.clock(now);
+    sessionManager.updateTime(now);
   }
 
-  /** Tries a connection; what comes of it enters as an event of its own. */
-  void connect(String address, int mostUnread, Net.Tried then) {
+  /** Opens a connection; its outcome is handled as an event of its own. */
+  void connect(String address, int writeBufferBytes, Net.ConnectHandler handler) {
     net.connect(
         address,
-        mostUnread,
-        new Net.Tried() {
+        writeBufferBytes,
+        new Net.ConnectHandler() {
           @Override
-          public void up(Net.Connection connection) {
-            onEvent(() -> then.up(connection));
+          public void connected(Net.Connection connection) {
+            handleEvent(() -> handler.connected(connection));
           }
 
           @Override
-          public void failed(boolean refused, String why) {
-            onEvent(() -> then.failed(refused, why));
+          public void failed(boolean refused, String reason) {
+            handleEvent(() -> handler.failed(refused, reason));
           }
         });
   }
 
-  /** Runs it as an event of its own, once the present one is over. */
-  void later(Runnable deed) {
-    net.later(() -> onEvent(deed));
+  /** Runs the task as an event of its own, after the current one. */
+  void defer(Runnable task) {
+    net.defer(() -> handleEvent(task));
   }
 
-  /** Runs it once, after the span and never within the present event. */
-  Wake after(Span span, Runnable deed) {
-    return net.after(span, () -> onEvent(deed));
+  /** Runs the task once, after the delay and never within the current event. */
+  Timer schedule(Span delay, Runnable task) {
+    return net.schedule(delay, () -> handleEvent(task));
   }
 
-  /** How long what is read now may have lain unread. */
-  Span unread() {
-    return lag.unread(now);
+  /** Upper bound of the time that what is read now may have waited unread. */
+  Span maxReadDelay() {
+    return lag.maxReadDelay(now);
   }
 
-  /** What came longer ago than words may cross may still lie unread. */
+  /** Whether messages that arrived more than {@link #MAX_CROSSING_TIME} ago may still be unread. */
   boolean isBehind() {
     return lag.isBehind(net.now());
   }
 
   /**
-   * Runs it once the loop has read what may have come longer ago than words may cross: at once
-   * where it keeps up, else some turns later. Guards against acting, in or after a long turn, on
-   * what a word that lies unread has undone: a set-up whose viewer has left, a connection closed
-   * under a request. What waits runs in shares of a turn, so that it makes no long turn itself. It
-   * could hurt by those turns where nothing had come; where they are long, one reading after 50 ms
-   * must do.
+   * Runs the task once the loop has read everything that may have arrived more than {@link
+   * #MAX_CROSSING_TIME} ago: at once if the loop keeps up, else some iterations later. Without this
+   * the front could act, in or after a long iteration, on something that an unread message has
+   * undone: send an attempt whose client has left, or use a connection that was closed under a
+   * request. Deferred tasks run in batches of limited time, so that they cause no long iteration
+   * themselves. The task waits for these iterations even if nothing had arrived; if they are long,
+   * one read after {@link #MAX_CROSSING_TIME} has to suffice.
    */
-  void whenRead(Runnable deed) {
-    if (unread.isEmpty() && !isBehind()) {
-      deed.run();
+  void runOnceCaughtUp(Runnable task) {
+    if (deferredTasks.isEmpty() && !isBehind()) {
+      task.run();
     } else {
-      unread.add(new Unread(turns, net.now(), deed));
-      turnForUnread();
+      deferredTasks.add(new DeferredTask(iterations, net.now(), task));
+      scheduleDeferredTasks();
     }
   }
 
-  private void turnForUnread() {
-    if (!turnComes) {
-      turnComes = true;
-      net.after(
-          NEXT_TURN,
-          this::runUnread); // by a timer: what is merely put off runs before the loop reads
+  private void scheduleDeferredTasks() {
+    if (!iterationScheduled) {
+      iterationScheduled = true;
+      // By a timer: a task given to Net.defer runs before the loop reads.
+      net.schedule(NEXT_ITERATION_DELAY, this::runDeferredTasks);
     }
   }
 
-  private void runUnread() {
-    turnComes = false;
-    turns++;
-    Moment begun = net.now();
-    while (!unread.isEmpty()
-        && net.now().before(begun.plus(TURN))
-        && (unread.peek().turn() + EventLoopLag.READS <= turns
-            || !begun.before(unread.peek().since().plus(CROSSING)))) {
-      onEvent(unread.poll().deed());
+  private void runDeferredTasks() {
+    iterationScheduled = false;
+    iterations++;
+    Moment startedAt = net.now();
+    while (!deferredTasks.isEmpty()
+        && net.now().isBefore(startedAt.plus(MAX_BATCH_TIME))
+        && (deferredTasks.peek().iteration() + EventLoopLag.TURNS_TO_READ <= iterations
+            || !startedAt.isBefore(deferredTasks.peek().addedAt().plus(MAX_CROSSING_TIME)))) {
+      handleEvent(deferredTasks.poll().task());
     }
-    if (!unread.isEmpty()) {
-      turnForUnread();
+    if (!deferredTasks.isEmpty()) {
+      scheduleDeferredTasks();
     }
   }
 
@@ -289,93 +300,102 @@
     return now;
   }
 
-  Desk desk() {
-    return desk;
+  SessionManager sessionManager() {
+    return sessionManager;
   }
 
-  ServerLinks boxes() {
-    return boxes;
+  ServerLinks serverLinks() {
+    return serverLinks;
   }
 
-  ClientListener door() {
-    return door;
+  ClientListener clientListener() {
+    return clientListener;
   }
 
-  Briefing briefing() {
-    return posting.briefing();
+  Settings settings() {
+    return configuration.settings();
   }
 
-  void log(String kind, Object about, String detail) {
-    told.warn(kind, about, detail);
+  void warn(String kind, Object subject, String detail) {
+    observer.warn(kind, subject, detail);
   }
 
   void failed(RuntimeException cause) {
-    told.over("the module failed: " + cause, cause);
+    observer.stopped("the module failed: " + cause, cause);
   }
 
-  public Figures figures() {
-    return new Figures(
-        desk.viewings(),
-        door.viewings(),
-        door.connections(),
-        door.untold(),
-        desk.boxes().size(),
-        boxes.linked(),
-        boxes.connections(),
-        desk.titlesHeld());
+  public TableSizes tableSizes() {
+    return new TableSizes(
+        sessionManager.sessionCount(),
+        clientListener.sessionCount(),
+        clientListener.connectionCount(),
+        clientListener.pendingReleaseCount(),
+        sessionManager.boxes().size(),
+        serverLinks.linkCount(),
+        serverLinks.connectionCount(),
+        sessionManager.titleCount());
   }
 
-  /** A new configuration: of it the address of the journal service counts. */
-  public void postedAnew(Configuration anew) {
-    onEvent(() -> journal.moved(anew.journal()));
+  /** Applies a new configuration, of which only the address of the journal service is used. */
+  public void reconfigure(Configuration updated) {
+    handleEvent(() -> discoveryWatch.changeAddress(updated.journalAddress()));
   }
 
   /**
-   * The end in order: what comes is taken for as long as it may still come, every answer is given,
-   * and what plays is kept playing until shortly before the process could be killed.
+   * Stops in order: requests are accepted for as long as they may still arrive, every request is
+   * answered, and sessions are kept until shortly before the process could be killed.
    */
   public void stop() {
     if (stopping) {
       return;
     }
     stopping = true;
-    tick();
-    told.info(
-        "told to stop: " + door.viewings() + " viewings, " + door.connections() + " connections");
-    // Killed no sooner than the longest patience (3 s at the most) and 0.7 s from now
-    // (docs/protocol/platform.md); where that is
-    // short it may come before this end: all is answered by then, and what plays is handed to the
-    // next life.
-    Span end =
-        briefing().longestPatience().orLess(LONGEST_STOP).orMore(STILL_COMING).plus(BEFORE_KILL);
-    // The listener stays: closing it would close every connection that came by it, with what is
-    // owed there.
-    after(STILL_COMING, desk::stopTaking);
-    after(
-        end,
+    updateClock();
+    observer.info(
+        "stopping: "
+            + clientListener.sessionCount()
+            + " sessions, "
+            + clientListener.connectionCount()
+            + " connections");
+    // The platform kills the process no sooner than 0.7 s after the longest time limit of a
+    // request (3 s at the most), counted from now (docs/protocol/platform.md). If that time limit
+    // is short, the kill may come before the end of this stop: by then every request has been
+    // answered, and established sessions are handed over to the next process.
+    Span stopDelay =
+        settings()
+            .longestTimeLimit()
+            .min(MAX_STOP_TIME_LIMIT)
+            .max(ACCEPT_AFTER_STOP)
+            .plus(STOP_AFTER_TIME_LIMIT);
+    // The listener stays open: closing it would close every connection accepted by it, together
+    // with the answers that are still owed there.
+    schedule(ACCEPT_AFTER_STOP, sessionManager::stopAccepting);
+    schedule(
+        stopDelay,
         () -> {
-          told.info(
-              "ending: "
-                  + door.viewings()
-                  + " viewings, "
-                  + door.connections()
+          observer.info(
+              "closing: "
+                  + clientListener.sessionCount()
+                  + " sessions, "
+                  + clientListener.connectionCount()
                   + " connections, "
-                  + boxes.figures()
-                  + ", longest turn "
-                  + lag.longest().micros() / 1000
+                  + serverLinks.summary()
+                  + ", longest loop iteration "
+                  + lag.longestTurn().micros() / 1000
                   + " ms");
-          door.logWaiting();
-          door.beginAll();
-          desk.endAll();
-          told.info(
-              "ended: "
-                  + door.viewings()
-                  + " viewings, "
-                  + door.connections()
+          clientListener.logOpenRequests();
+          clientListener.startAllQueued();
+          sessionManager.endAll();
+          observer.info(
+              "stopped: "
+                  + clientListener.sessionCount()
+                  + " sessions, "
+                  + clientListener.connectionCount()
                   + " connections, "
-                  + door.untold()
-                  + " ends untold");
-          net.written(LAST_WORDS, () -> net.after(AFTER_LAST_WORD, () -> told.over("", null)));
+                  + clientListener.pendingReleaseCount()
+                  + " releases pending");
+          net.whenFlushed(
+              FLUSH_TIME_LIMIT, () -> net.schedule(LINGER_TIME, () -> observer.stopped("", null)));
         });
   }
 }
--- a/src/main/java/linengauge/platform/RequestTrail.java
+++ b/src/main/java/linengauge/platform/RequestTrail.java
@@ -5,48 +5,48 @@
 import java.util.function.Consumer;
 
 /**
- * What happened to one request so far. Most requests are answered by their first attempt, and
- * nothing of them is logged; the first event that operators may have to explain (a retry, a
- * refusal, a failure, a broken connection) logs all that went before it as well, and from then on
- * every event at once.
+ * The events of one request so far. Most requests are answered by their first attempt, and none of
+ * their events is logged. The first event that operators may have to explain (a retry, a rejection,
+ * a failure, a broken connection) logs all events before it as well, and from then on each event is
+ * logged at once.
  */
 final class RequestTrail {
-  /** Some three attempts with all their events. */
-  private static final int MOST_HELD = 24;
+  /** Enough for about three attempts with all their events. */
+  private static final int MAX_BUFFERED_EVENTS = 24;
 
-  private final Consumer<LogEvent> log;
+  private final Consumer<LogEvent> sink;
 
-  /** Bounded, what comes after is not held; null once every event is logged at once. */
-  private List<LogEvent> held = new ArrayList<>(4);
+  /** Bounded: later events are dropped. Null once every event is logged at once. */
+  private List<LogEvent> buffered = new ArrayList<>(4);
 
-  RequestTrail(Consumer<LogEvent> log) {
-    this.log = log;
+  RequestTrail(Consumer<LogEvent> sink) {
+    this.sink = sink;
   }
 
-  /** A notable event is one that operators may have to explain. */
+  /** Adds an event; a notable one is one that operators may have to explain. */
   void add(LogEvent event, boolean notable) {
     if (notable) {
-      logHeld();
+      flush();
     }
-    if (held == null) {
-      log.accept(event);
-    } else if (held.size() < MOST_HELD) {
-      held.add(event);
+    if (buffered == null) {
+      sink.accept(event);
+    } else if (buffered.size() < MAX_BUFFERED_EVENTS) {
+      buffered.add(event);
     }
   }
 
-  /** Logs what went before, and every further event at once. */
-  void logHeld() {
-    if (held != null) {
-      held.forEach(log);
-      held = null;
+  /** Logs the buffered events, and every later event at once. */
+  void flush() {
+    if (buffered != null) {
+      buffered.forEach(sink);
+      buffered = null;
     }
   }
 
-  /** Forgets what is held: all went as it should. */
-  void settled() {
-    if (held != null) {
-      held.clear();
+  /** Discards the buffered events, as there is nothing to explain. */
+  void discard() {
+    if (buffered != null) {
+      buffered.clear();
     }
   }
 }
--- a/src/main/java/linengauge/platform/ServerLinks.java
+++ b/src/main/java/linengauge/platform/ServerLinks.java
@@ -4,169 +4,167 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import linengauge.Outside;
+import linengauge.Environment;
 import linengauge.Span;
 import linengauge.session.BoxTable;
-import linengauge.session.Carrier;
-import linengauge.session.Held;
+import linengauge.session.Session;
+import linengauge.session.Transport;
 
 /**
- * All media boxes' connections, by the box's id: a successor may have the address of one that has
- * gone.
+ * The connections to all media servers, by the server's id: a new server may have the address of
+ * one that is gone.
  */
-final class ServerLinks implements Carrier {
+final class ServerLinks implements Transport {
   private final PlatformFront front;
-  private final int places;
-  private int wires;
-  private long tests;
-  private int connectionNumber;
+  private final int maxConnections;
+  private int connectionCount;
+  private long lastTestId;
+  private int lastConnectionNumber;
 
-  /** Emptied by {@link #look}: a link leaves once its box has gone and nothing of it is left. */
+  /** A link is removed by {@link #sweep} once its server is gone and nothing of it is left. */
   private final Map<Long, ServerLink> links = new LinkedHashMap<>();
 
-  ServerLinks(PlatformFront front, int places) {
+  ServerLinks(PlatformFront front, int maxConnections) {
     this.front = front;
-    this.places = places;
+    this.maxConnections = maxConnections;
   }
 
   PlatformFront front() {
     return front;
   }
 
-  /** Whether one more connection may be opened; each counts until it has closed. */
-  boolean place() {
-    if (wires >= places) {
+  /** Reserves one more connection, which counts until it has closed; false if there is no room. */
+  boolean reserveConnection() {
+    if (connectionCount >= maxConnections) {
       return false;
     }
-    wires++;
+    connectionCount++;
     return true;
   }
 
-  void placeFree() {
-    wires--;
+  void releaseConnection() {
+    connectionCount--;
   }
 
   /**
-   * Where no place is left: the connection that takes nothing new and has the fewest viewings gives
-   * its own.
+   * Closes the retired connection with the fewest sessions to make room; false if there is none.
    */
-  boolean makePlace() {
+  boolean closeRetiredConnection() {
     ServerConnection least = null;
     for (ServerLink link : links.values()) {
-      least = link.leastRetired(least);
+      least = link.leastUsedRetired(least);
     }
     if (least != null) {
-      least.close("its place is wanted");
+      least.close("connection limit reached");
     }
     return least != null;
   }
 
-  /** Numbers connections, over all servers. */
+  /** Numbers the connections, over all servers. */
   int nextConnectionNumber() {
-    return ++connectionNumber;
+    return ++lastConnectionNumber;
   }
 
-  long testId() {
-    return ++tests;
+  long nextTestId() {
+    return ++lastTestId;
   }
 
-  private ServerLink link(BoxTable.Entry box) {
-    return links.computeIfAbsent(box.id(), n -> new ServerLink(this, box));
+  private ServerLink linkTo(BoxTable.Entry server) {
+    return links.computeIfAbsent(server.id(), id -> new ServerLink(this, server));
   }
 
-  /** A viewing that plays already at its box: what the box says of it must be able to come. */
-  void stands(ClientSession seat) {
-    link(seat.held().box()).stands(seat);
+  /** Takes on an established session: what its server reports about it must be able to arrive. */
+  void adopt(ClientSession clientSession) {
+    linkTo(clientSession.session().box()).adopt(clientSession);
   }
 
-  /** The list has changed. */
-  void listed() {
-    look();
+  /** The server list has changed. */
+  void discoveryUpdated() {
+    sweep();
   }
 
-  void look() {
+  void sweep() {
     for (ServerLink link : List.copyOf(links.values())) {
-      if (link.look(front.now())) {
-        links.remove(link.box().id());
+      if (link.sweep(front.now())) {
+        links.remove(link.server().id());
       }
     }
   }
 
   @Override
-  public Wake wakeAfter(Span span, Runnable step) {
-    return front.after(span, step);
+  public Timer schedule(Span delay, Runnable task) {
+    return front.schedule(delay, task);
   }
 
   @Override
-  public void setUp(Held vw, int tuneIn) {
-    BoxTable.Entry box = vw.box();
-    // Guards against two out at once: what ends the one before may have been written while its
-    // connection was being read,
-    // and leaves only as that reading is over, where this one would leave at once on another
-    // connection. And against one
-    // for a viewer whose end has come with what is being read now.
-    front.later(
+  public void setUp(Session session, int attempt) {
+    BoxTable.Entry server = session.box();
+    // Two attempts must not be open at once. The end of the previous one may have been written
+    // while its connection was being read, and then leaves only when that read is over, whereas
+    // this attempt would leave at once on another connection. Nor must an attempt be sent for a
+    // client whose end has arrived with what is being read now.
+    front.defer(
         () -> {
-          if (vw.waitsFor(tuneIn)) {
-            link(box).setUp(vw, tuneIn);
+          if (session.isAwaiting(attempt)) {
+            linkTo(server).startAttempt(session, attempt);
           }
         });
   }
 
   @Override
-  public void rung(Held vw) {
-    link(vw.box()).rung((ClientSession) vw.viewer(), vw.rungNow());
+  public void changeRung(Session session) {
+    linkTo(session.box()).sendRung((ClientSession) session.viewer(), session.currentRung());
   }
 
   @Override
-  public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
-    link(box).withdraw(vw, tuneIn);
+  public void cancelAtBox(Session session, BoxTable.Entry server, int attempt) {
+    linkTo(server).cancel(session, attempt);
   }
 
   @Override
-  public Outside.Ending unanswered(Held vw, int tuneIn) {
-    return link(vw.box()).unanswered(vw, tuneIn);
+  public Environment.AttemptOutcome classifyTimeout(Session session, int attempt) {
+    return linkTo(session.box()).timeoutOutcome(session, attempt);
   }
 
   @Override
-  public void askConfirmation(Held vw, long box) {
-    ServerLink link = links.get(box);
+  public void requestEndConfirmation(Session session, long serverId) {
+    ServerLink link = links.get(serverId);
     if (link != null) {
-      link.askConfirmation(((ClientSession) vw.viewer()).id());
+      link.requestEndConfirmation(((ClientSession) session.viewer()).id());
     }
   }
 
   @Override
-  public void probe(BoxTable.Entry box) {
-    link(box).probe();
+  public void probe(BoxTable.Entry server) {
+    linkTo(server).probe();
   }
 
   @Override
   public void send(int front, byte[] datagram) {
-    // the platform carries no words between fronts; its settings permit none
+    // the platform has no messages between fronts; its settings permit none
   }
 
   @Override
-  public void failed(RuntimeException cause) {
+  public void coreFailed(RuntimeException cause) {
     front.failed(cause);
   }
 
-  int linked() {
+  int linkCount() {
     return links.size();
   }
 
-  int connections() {
-    return wires;
+  int connectionCount() {
+    return connectionCount;
   }
 
-  /** Figures for the log: connections and links. */
-  String figures() {
-    return links.size() + " boxes, " + wires + " connections";
+  /** The number of servers and connections, for the log. */
+  String summary() {
+    return links.size() + " servers, " + connectionCount + " connections";
   }
 
-  static <K, V> List<V> taken(Map<K, V> from) {
-    List<V> all = new ArrayList<>(from.values());
-    from.clear();
-    return all;
+  static <K, V> List<V> drain(Map<K, V> map) {
+    List<V> values = new ArrayList<>(map.values());
+    map.clear();
+    return values;
   }
 }
--- a/src/main/java/linengauge/platform/Service.java
+++ b/src/main/java/linengauge/platform/Service.java
@@ -4,141 +4,149 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.atomic.AtomicBoolean;
-import linengauge.briefing.BadBriefing;
-import linengauge.carry.EventWriter;
-import linengauge.carry.Sparse;
+import linengauge.net.EventWriter;
+import linengauge.net.RateLimitedLog;
+import linengauge.settings.InvalidSettingsException;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/**
- * The process of a front in the platform: its configuration file, its signals, its log, and sockets
- * that carry it.
- */
-public final class Service implements PlatformFront.Told {
+/** The process of a front of the platform: its configuration file, signals, log and sockets. */
+public final class Service implements PlatformFront.Observer {
   private static final Logger LOG = LoggerFactory.getLogger("linengauge.platform");
 
-  private final Path file;
-  private final Configuration posting;
+  private final Path configurationFile;
+  private final Configuration configuration;
   private final VertxNet net;
-  private final Sparse sparse = new Sparse(LOG);
+  private final RateLimitedLog rateLimitedLog = new RateLimitedLog(LOG);
   private final EventWriter<LogEvent> events = new EventWriter<>(LOG, LogEvent::line);
-  private final CompletableFuture<String> over = new CompletableFuture<>();
-  private final Object reload = new Object();
-  private final AtomicBoolean reloadWaits = new AtomicBoolean();
+  private final CompletableFuture<String> stopReason = new CompletableFuture<>();
+  private final Object reloadLock = new Object();
+  private final AtomicBoolean reloadPending = new AtomicBoolean();
   private PlatformFront front;
 
-  Service(Path file, Configuration posting) {
-    this.file = file;
-    this.posting = posting;
-    this.net = new VertxNet(posting.briefing().dial());
+  Service(Path configurationFile, Configuration configuration) {
+    this.configurationFile = configurationFile;
+    this.configuration = configuration;
+    this.net = new VertxNet(configuration.settings().dialTimeout());
   }
 
-  /** Runs a front until it is told to stop; returns the process's exit code. */
+  /** Runs a front until it is asked to stop; returns the exit code of the process. */
   public static int run(Map<String, String> environment) {
-    // Signals may come before anything else is ready: they are remembered.
-    var early = new CompletableFuture<Service>();
-    if (!Signals.on("HUP", () -> early.thenAcceptAsync(Service::postedAnew, Service::aside))
-        || !Signals.on("TERM", () -> early.thenAccept(Service::tellToStop))
-        || !Signals.on("INT", () -> early.thenAccept(Service::tellToStop))) {
-      System.err.println("linengauge: this virtual machine hands no signals on");
+    // Signals may arrive before the front is ready: they are kept until it is.
+    var started = new CompletableFuture<Service>();
+    if (!Signals.register(
+            "HUP", () -> started.thenAcceptAsync(Service::reload, Service::startReloadThread))
+        || !Signals.register("TERM", () -> started.thenAccept(Service::stop))
+        || !Signals.register("INT", () -> started.thenAccept(Service::stop))) {
+      System.err.println("linengauge: this virtual machine does not support signal handlers");
       return 1;
     }
-    String config = environment.get("PROXY_CONFIG");
-    if (config == null || config.isEmpty()) {
+    String path = environment.get("PROXY_CONFIG");
+    if (path == null || path.isEmpty()) {
       System.err.println("linengauge: PROXY_CONFIG should name the configuration file");
       return 1;
     }
     Service service;
     try {
-      service = new Service(Path.of(config), Configuration.read(Path.of(config)));
-    } catch (BadBriefing e) {
-      System.err.println("linengauge: " + config + ": " + e.getMessage());
+      service = new Service(Path.of(path), Configuration.read(Path.of(path)));
+    } catch (InvalidSettingsException error) {
+      System.err.println("linengauge: " + path + ": " + error.getMessage());
       return 1;
     }
-    service.begin().whenComplete((v, e) -> early.complete(service));
-    String failed = service.over.join();
+    service.start().whenComplete((ignored, error) -> started.complete(service));
+    String failure = service.stopReason.join();
     service.events.flush();
-    if (!failed.isEmpty()) {
-      System.err.println("linengauge: " + failed);
+    if (!failure.isEmpty()) {
+      System.err.println("linengauge: " + failure);
     }
-    return failed.isEmpty() ? 0 : 1;
+    return failure.isEmpty() ? 0 : 1;
   }
 
-  /** Begins; the future is done once it listens. */
-  CompletableFuture<Void> begin() {
+  /** Starts the front; the future completes once it listens. */
+  CompletableFuture<Void> start() {
     var listening = new CompletableFuture<Void>();
     events.start();
-    net.onLoop(
+    net.runOnLoop(
         () -> {
-          front = new PlatformFront(posting, net, this);
+          front = new PlatformFront(configuration, net, this);
           front.start(
-              failed -> {
-                if (failed == null) {
+              failure -> {
+                if (failure == null) {
                   listening.complete(null);
                 } else {
-                  over.complete(failed);
-                  listening.completeExceptionally(new IllegalStateException(failed));
+                  stopReason.complete(failure);
+                  listening.completeExceptionally(new IllegalStateException(failure));
                 }
               });
         });
     return listening;
   }
 
-  /** Waits for the end; empty, or what it failed by. Everything that it held is closed. */
-  String await() {
-    String failed = over.join();
+  /**
+   * Waits until the front has stopped and closes all that it held; returns the failure, or an empty
+   * text if there was none.
+   */
+  String awaitStop() {
+    String failure = stopReason.join();
     net.close();
-    return failed;
+    return failure;
   }
 
-  /** Tells it to stop in order; from any thread. */
-  void tellToStop() {
-    net.onLoop(() -> front.stop());
+  /** Asks the front to stop in order; may be called from any thread. */
+  void stop() {
+    net.runOnLoop(() -> front.stop());
   }
 
   /**
-   * On a thread of its own: a file is read, which the loop, where the future may be done, must not
-   * wait for.
+   * Runs the task on a thread of its own: a reload reads a file, and the event loop, on which the
+   * future may complete, must not wait for that.
    */
-  private static void aside(Runnable deed) {
-    Thread thread = new Thread(deed, "reload");
+  private static void startReloadThread(Runnable task) {
+    Thread thread = new Thread(task, "reload");
     thread.setDaemon(true);
     thread.start();
   }
 
   /**
-   * Not on the loop: a file that cannot be used leaves what is in force. Each signal has a thread
-   * of its own; one reads at a time and hands over what it read before the next one reads, so that
-   * what is applied last was read last. One that waits for that reads for all that came meanwhile.
+   * Reads the configuration file again; must not run on the event loop. If the file cannot be used,
+   * the current configuration stays in force. Each signal has a thread of its own; one thread at a
+   * time reads the file and passes the result on before the next one reads, so that the
+   * configuration applied last is the one read last. A thread that waits reads on behalf of all
+   * signals that arrive meanwhile.
    */
-  void postedAnew() {
-    if (reloadWaits.getAndSet(true)) {
+  void reload() {
+    if (reloadPending.getAndSet(true)) {
       return;
     }
-    synchronized (reload) {
-      reloadWaits.set(false);
+    synchronized (reloadLock) {
+      reloadPending.set(false);
       try {
-        Configuration anew = Configuration.read(file);
-        net.onLoop(() -> front.postedAnew(anew));
-      } catch (BadBriefing e) {
-        net.onLoop(() -> warn("new configuration not used", file.getFileName(), e.getMessage()));
+        Configuration updated = Configuration.read(configurationFile);
+        net.runOnLoop(() -> front.reconfigure(updated));
+      } catch (InvalidSettingsException error) {
+        net.runOnLoop(
+            () ->
+                warn(
+                    "new configuration rejected",
+                    configurationFile.getFileName(),
+                    error.getMessage()));
       }
     }
   }
 
-  /** Runs it on the front's loop, which does nothing else meanwhile. */
-  void onLoop(Runnable deed) {
-    net.onLoop(deed);
+  /** Runs the task on the front's event loop, which does nothing else meanwhile. */
+  void runOnLoop(Runnable task) {
+    net.runOnLoop(task);
   }
 
   @Override
-  public void warn(String kind, Object about, String detail) {
-    sparse.warn(kind, about + (detail.isEmpty() ? "" : ": " + detail), detail);
+  public void warn(String kind, Object subject, String detail) {
+    rateLimitedLog.warn(kind, subject + (detail.isEmpty() ? "" : ": " + detail), detail);
   }
 
   @Override
-  public void info(String line) {
-    LOG.info("{}", line);
+  public void info(String message) {
+    LOG.info("{}", message);
   }
 
   @Override
@@ -147,10 +155,10 @@
   }
 
   @Override
-  public void over(String failed, RuntimeException cause) {
+  public void stopped(String failure, RuntimeException cause) {
     if (cause != null) {
-      LOG.error(failed, cause);
+      LOG.error(failure, cause);
     }
-    over.complete(failed);
+    stopReason.complete(failure);
   }
 }
--- a/src/main/java/linengauge/platform/Signals.java
+++ b/src/main/java/linengauge/platform/Signals.java
@@ -4,33 +4,33 @@
 import java.lang.reflect.Proxy;
 
 /**
- * The process's signals. The virtual machine ends on SIGHUP unless told otherwise, and its class
- * for that is outside the language's own library: it is reached by reflection, as the compiler
- * warns of naming it.
+ * Handlers for the signals of the process. The virtual machine exits on SIGHUP unless a handler is
+ * registered. The class for that is not part of the Java platform's API, and the compiler warns
+ * about its use, so it is called by reflection.
  */
 final class Signals {
   private Signals() {}
 
   /**
-   * Runs the step, on a thread of the virtual machine's, each time the signal comes. False where
-   * that can't be had.
+   * Runs the action each time the signal arrives, on a thread of the virtual machine. Returns false
+   * if this is not supported.
    */
-  static boolean on(String name, Runnable step) {
+  static boolean register(String name, Runnable action) {
     try {
-      Class<?> signal = Class.forName("sun.misc.Signal");
-      Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object ours =
+      Class<?> signalType = Class.forName("sun.misc.Signal");
+      Class<?> handlerType = Class.forName("sun.misc.SignalHandler");
+      Object handler =
           Proxy.newProxyInstance(
               Signals.class.getClassLoader(),
-              new Class<?>[] {handler},
-              (self, m, args) -> {
-                switch (m.getName()) {
-                  case "handle" -> step.run();
+              new Class<?>[] {handlerType},
+              (proxy, method, arguments) -> {
+                switch (method.getName()) {
+                  case "handle" -> action.run();
                   case "hashCode" -> {
-                    return System.identityHashCode(self);
+                    return System.identityHashCode(proxy);
                   }
                   case "equals" -> {
-                    return self == args[0];
+                    return proxy == arguments[0];
                   }
                   case "toString" -> {
                     return "handler of " + name;
@@ -39,9 +39,9 @@
                 }
                 return null;
               });
-      signal
-          .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance(name), ours);
+      signalType
+          .getMethod("handle", signalType, handlerType)
+          .invoke(null, signalType.getConstructor(String.class).newInstance(name), handler);
       return true;
     } catch (ClassNotFoundException
         | NoSuchMethodException
--- a/src/main/java/linengauge/platform/VertxNet.java
+++ b/src/main/java/linengauge/platform/VertxNet.java
@@ -14,25 +14,28 @@
 import java.util.function.Consumer;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.Wall;
-import linengauge.session.Carrier.Wake;
+import linengauge.net.WallClock;
+import linengauge.session.Transport.Timer;
 
 /** Sockets and timers on one event loop. */
 final class VertxNet implements Net {
-  /** Where the settings give no time for dialling. */
-  private static final Span UNLIMITED_DIAL = Span.ofSeconds(1);
+  /** Used if the settings give no connect timeout. */
+  private static final Span DEFAULT_CONNECT_TIMEOUT = Span.ofSeconds(1);
 
   private final Vertx vertx;
-  private final Context loop;
+  private final Context context;
   private final NetClient client;
   private final NetServer server;
 
-  /** Messages that have not left the process yet, and what waits for that; on the loop alone. */
-  private long unwritten;
+  /**
+   * Writes that have not left the process yet, and the task that waits for them; used on the event
+   * loop only.
+   */
+  private long pendingWrites;
 
-  private Runnable onceWritten;
+  private Runnable flushTask;
 
-  VertxNet(Span dial) {
+  VertxNet(Span connectTimeout) {
     this.vertx =
         Vertx.builder()
             .withTransport(new OneLoopTransport())
@@ -46,13 +49,18 @@
                             .setClassPathResolvingEnabled(false)
                             .setFileCachingEnabled(false)))
             .build();
-    this.loop = vertx.getOrCreateContext();
+    this.context = vertx.getOrCreateContext();
     this.client =
         vertx.createNetClient(
             new NetClientOptions()
                 .setTcpNoDelay(true)
                 .setReconnectAttempts(0)
-                .setConnectTimeout((int) ms(dial.equals(Span.NONE) ? UNLIMITED_DIAL : dial)));
+                .setConnectTimeout(
+                    (int)
+                        toMillis(
+                            connectTimeout.equals(Span.NONE)
+                                ? DEFAULT_CONNECT_TIMEOUT
+                                : connectTimeout)));
     this.server =
         vertx.createNetServer(
             new NetServerOptions()
@@ -61,118 +69,118 @@
                 .setReuseAddress(true));
   }
 
-  /** From any thread: runs it on the loop. */
-  void onLoop(Runnable deed) {
-    loop.runOnContext(v -> deed.run());
+  /** Runs the task on the event loop; may be called from any thread. */
+  void runOnLoop(Runnable task) {
+    context.runOnContext(ignored -> task.run());
   }
 
-  /** Closes everything and waits for it; not to be called on the loop. */
+  /** Closes everything and waits for it; must not be called on the event loop. */
   void close() {
     vertx.close().toCompletionStage().toCompletableFuture().join();
   }
 
   @Override
   public Moment now() {
-    return Wall.now();
+    return WallClock.now();
   }
 
   @Override
-  public void connect(String address, int mostUnread, Tried then) {
+  public void connect(String address, int writeBufferBytes, ConnectHandler handler) {
     client
         .connect(Configuration.port(address), Configuration.host(address))
         .onComplete(
-            done -> {
-              if (done.succeeded()) {
-                then.up(new Socket(done.result(), mostUnread));
+            result -> {
+              if (result.succeeded()) {
+                handler.connected(new Socket(result.result(), writeBufferBytes));
               } else {
-                Throwable cause = done.cause();
-                boolean timeOut = cause.getClass().getSimpleName().contains("Timeout");
-                then.failed(
-                    cause instanceof ConnectException && !timeOut,
+                Throwable cause = result.cause();
+                boolean isTimeout = cause.getClass().getSimpleName().contains("Timeout");
+                handler.failed(
+                    cause instanceof ConnectException && !isTimeout,
                     String.valueOf(cause.getMessage()));
               }
             });
   }
 
   @Override
-  public void listen(String address, int mostUnread, Listener listener) {
-    server.connectHandler(socket -> listener.arrived(new Socket(socket, mostUnread)));
-    server.exceptionHandler(e -> listener.notTaken(String.valueOf(e.getMessage())));
+  public void listen(String address, int writeBufferBytes, AcceptHandler handler) {
+    server.connectHandler(socket -> handler.accepted(new Socket(socket, writeBufferBytes)));
+    server.exceptionHandler(e -> handler.acceptFailed(String.valueOf(e.getMessage())));
     server
         .listen(Configuration.port(address), Configuration.host(address))
         .onComplete(
-            done ->
-                listener.listens(
-                    done.succeeded() ? null : String.valueOf(done.cause().getMessage())));
+            result ->
+                handler.listening(
+                    result.succeeded() ? null : String.valueOf(result.cause().getMessage())));
   }
 
   @Override
-  public Wake after(Span span, Runnable step) {
-    long timer = vertx.setTimer(ms(span), t -> step.run());
+  public Timer schedule(Span delay, Runnable task) {
+    long timer = vertx.setTimer(toMillis(delay), timerId -> task.run());
     return () -> vertx.cancelTimer(timer);
   }
 
   @Override
-  public void every(Span span, Runnable step) {
-    vertx.setPeriodic(ms(span), t -> step.run());
+  public void scheduleEvery(Span interval, Runnable task) {
+    vertx.setPeriodic(toMillis(interval), timerId -> task.run());
   }
 
   @Override
-  public void later(Runnable step) {
-    vertx.runOnContext(v -> step.run());
+  public void defer(Runnable task) {
+    vertx.runOnContext(ignored -> task.run());
   }
 
   @Override
-  public void written(Span atMost, Runnable step) {
-    boolean[] done = {false};
-    Runnable once =
+  public void whenFlushed(Span timeLimit, Runnable task) {
+    boolean[] hasRun = {false};
+    Runnable runOnce =
         () -> {
-          if (!done[0]) {
-            done[0] = true;
-            step.run();
+          if (!hasRun[0]) {
+            hasRun[0] = true;
+            task.run();
           }
         };
-    onceWritten = once;
-    after(atMost, once);
-    later(this::leftOne);
+    flushTask = runOnce;
+    schedule(timeLimit, runOnce);
+    defer(this::runFlushTask);
   }
 
-  private void leftOne() {
-    if (unwritten == 0 && onceWritten != null) {
-      Runnable step = onceWritten;
-      onceWritten = null;
-      step.run();
+  private void runFlushTask() {
+    if (pendingWrites == 0 && flushTask != null) {
+      Runnable task = flushTask;
+      flushTask = null;
+      task.run();
     }
   }
 
-  private static long ms(Span span) {
+  private static long toMillis(Span span) {
     return Math.max(1, (span.micros() + 999) / 1000);
   }
 
   private final class Socket implements Connection {
     private final NetSocket socket;
 
-    private Socket(NetSocket socket, int mostUnread) {
+    private Socket(NetSocket socket, int writeBufferBytes) {
       this.socket = socket;
-      socket.setWriteQueueMaxSize(mostUnread);
-      socket.exceptionHandler(e -> {}); // the close that follows says all
+      socket.setWriteQueueMaxSize(writeBufferBytes);
+      socket.exceptionHandler(e -> {}); // the close handler is called as well
     }
 
     @Override
-    public void hears(Consumer<byte[]> data, Runnable closed) {
-      socket.handler(b -> data.accept(b.getBytes()));
-      socket.closeHandler(v -> closed.run());
+    public void setHandlers(Consumer<byte[]> dataHandler, Runnable closeHandler) {
+      socket.handler(buffer -> dataHandler.accept(buffer.getBytes()));
+      socket.closeHandler(ignored -> closeHandler.run());
     }
 
     @Override
     public void write(byte[] message) {
-      unwritten++;
+      pendingWrites++;
       socket
           .write(Buffer.buffer(message))
           .onComplete(
-              left -> {
-                unwritten--;
-                leftOne();
+              result -> {
+                pendingWrites--;
+                runFlushTask();
               });
     }
 
--- /dev/null
+++ b/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
@@ -0,0 +1,146 @@
+package linengauge.platform.connection;
+
+import linengauge.Moment;
+import linengauge.Span;
+
+/**
+ * Detects from the behaviour of its connections whether a server is reachable; its sessions are
+ * lost with it.
+ *
+ * <p>The connections of a machine that has vanished stay open and silent. A timeout alone proves
+ * nothing, as a process that pauses is silent too and continues its sessions afterwards. Only
+ * connections that fail to come up for a while are proof. If the path to a server is cut for longer
+ * than that while the server keeps its sessions, their clients have to reconnect.
+ */
+public final class ReachabilityDetector {
+  /**
+   * Time limits of the detection.
+   *
+   * @param silenceBeforeTest silence after which the server is tested
+   * @param testTimeout time without an answer to the test, after which a connection is attempted
+   * @param failureTimeout time of failed connection attempts after which the server is lost
+   * @param maxSilence silence after which the shorter {@code minFailureTime} suffices
+   * @param minFailureTime time of failed connection attempts required in any case
+   * @param firstRetryDelay delay between the first two connection attempts, doubled each time
+   * @param maxRetryDelay upper bound of the delay
+   */
+  public record Settings(
+      Span silenceBeforeTest,
+      Span testTimeout,
+      Span failureTimeout,
+      Span maxSilence,
+      Span minFailureTime,
+      Span firstRetryDelay,
+      Span maxRetryDelay) {
+    /**
+     * Servers are silent by nature while nothing is set up and nothing runs short, and each
+     * additional connection has a cost over the whole fleet. So silence is examined as late as
+     * possible: sessions of a vanished server must be released within the 8 s that the platform's
+     * protocol allows, less one second for a front that is itself late.
+     */
+    public static final Settings PLATFORM =
+        new Settings(
+            Span.ofMillis(5000),
+            Span.ofMillis(500),
+            Span.ofMillis(3500),
+            Span.ofMillis(7000),
+            Span.ofMillis(1000),
+            Span.ofMillis(50),
+            Span.ofMillis(800));
+  }
+
+  private final Settings settings;
+  private Moment lastReceivedAt;
+
+  /** Whether a test has been sent since something was last received. */
+  private boolean testSent;
+
+  private Moment failedSince;
+  private Moment nextAttemptAt = Moment.DISTANT_PAST;
+  private Span retryDelay;
+
+  /**
+   * Number of connections closed so far, and how many of those closes preceded the start of the
+   * latest connection that came up.
+   */
+  private int closeCount;
+
+  private int closesCovered;
+
+  public ReachabilityDetector(Settings settings, Moment now) {
+    this.settings = settings;
+    this.lastReceivedAt = now;
+    this.retryDelay = settings.firstRetryDelay();
+  }
+
+  /** A connection has closed, possibly with a last report of the server that did not arrive. */
+  public void onClosed() {
+    closeCount++;
+  }
+
+  /**
+   * Returns the number of closes, to be read as a connection is begun and passed on once it is up.
+   */
+  public int closeCount() {
+    return closeCount;
+  }
+
+  public void onUp(int closeCountWhenBegun, Moment now) {
+    closesCovered = Math.max(closesCovered, closeCountWhenBegun);
+    onReceived(now);
+  }
+
+  /**
+   * Returns whether a connection is needed for the sessions at the server in addition to the usable
+   * ones: there is none, or the server has reports to repeat, as it does on the next connection
+   * begun after a close, or it has been silent for long.
+   */
+  public boolean needsConnection(int usable, Moment now) {
+    return (usable == 0 || closesCovered < closeCount) && mayAttempt(now) || isSuspect(now);
+  }
+
+  /** Something was received from the server. */
+  public void onReceived(Moment now) {
+    lastReceivedAt = now;
+    testSent = false;
+    failedSince = null;
+    retryDelay = settings.firstRetryDelay();
+    nextAttemptAt = Moment.DISTANT_PAST;
+  }
+
+  /** Returns whether to test the server now on an open connection, once per silence. */
+  public boolean needsTest(Moment now) {
+    boolean needed =
+        !testSent && settings.silenceBeforeTest().isShorterThan(now.since(lastReceivedAt));
+    testSent |= needed;
+    return needed;
+  }
+
+  /** A connection attempt has failed. */
+  public void onConnectFailed(Moment now) {
+    failedSince = failedSince == null ? now : failedSince;
+    nextAttemptAt = now.plus(retryDelay);
+    retryDelay = retryDelay.times(2).min(settings.maxRetryDelay());
+  }
+
+  /** Returns whether the bounded back-off permits a connection attempt now. */
+  private boolean mayAttempt(Moment now) {
+    return !now.isBefore(nextAttemptAt);
+  }
+
+  /** Returns whether the silence calls for a new connection to show that the server is there. */
+  private boolean isSuspect(Moment now) {
+    return settings
+            .silenceBeforeTest()
+            .plus(settings.testTimeout())
+            .isShorterThan(now.since(lastReceivedAt))
+        && mayAttempt(now);
+  }
+
+  public boolean isLost(Moment now) {
+    return failedSince != null
+        && (!now.isBefore(failedSince.plus(settings.failureTimeout()))
+            || !now.isBefore(lastReceivedAt.plus(settings.maxSilence()))
+                && !now.isBefore(failedSince.plus(settings.minFailureTime())));
+  }
+}
--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -16,13 +16,13 @@
 import linengauge.Span;
 
 /**
- * A media box of the fleet in virtual time, as it speaks on the platform
+ * A media box of the fleet in virtual time, speaking the platform's protocol
  * (docs/protocol/platform.md, "Boxes").
  */
-final class BoxModel implements Roads.Place {
-  /** What becomes of set-ups. */
-  enum Mood {
-    WELL,
+final class BoxModel implements NetworkModel.Acceptor {
+  /** How the box handles set-ups. */
+  enum Behavior {
+    HEALTHY,
     ERRORS,
     SILENT,
     SLOW
@@ -30,66 +30,69 @@
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** The uplink that the boxes of a rack share. */
+  /** The uplink shared by the boxes of a rack. */
   static final class Rack {
-    private final double sizeKb;
-    private double askedKb;
+    private final double capacityKb;
+    private double demandKb;
 
-    Rack(double sizeKb) {
-      this.sizeKb = sizeKb;
+    Rack(double capacityKb) {
+      this.capacityKb = capacityKb;
     }
   }
 
-  private static final class Playing {
-    private final Viewers.Watch watch;
+  private static final class ActiveViewing {
+    private final Viewers.Viewer viewer;
     private int rung;
-    private double kb;
-    private Pipe.End end;
+    private double rateKb;
+    private SimulatedConnection.Endpoint endpoint;
 
-    /** Its answer went astray. */
-    private boolean lost;
+    /** Whether the answer to the set-up was lost on its way. */
+    private boolean answerLost;
 
-    private Playing(Viewers.Watch watch) {
-      this.watch = watch;
+    private ActiveViewing(Viewers.Viewer viewer) {
+      this.viewer = viewer;
     }
   }
 
-  private final FleetDay day;
-  private final Clockwork clock;
-  private final Ledger ledger;
-  private final SplittableRandom chance;
+  private final FleetSimulation simulation;
+  private final VirtualClock clock;
+  private final TrafficRecorder recorder;
+  private final SplittableRandom random;
   private final long id;
   private final String address;
   private final int cell;
   private final int zone;
   private final Rack rack;
   private final double linkKb;
-  private final Host host;
-  private final List<Pipe.End> ends = new ArrayList<>();
-  private final Map<String, Playing> playing = new LinkedHashMap<>();
+  private final SimulatedProcess process;
+  private final List<SimulatedConnection.Endpoint> endpoints = new ArrayList<>();
+  private final Map<String, ActiveViewing> activeViewings = new LinkedHashMap<>();
 
-  /** Set-ups heard and not yet answered, by viewing. */
-  private final Map<String, Pipe.End> settingUp = new LinkedHashMap<>();
+  /** Set-ups that were received and are not answered yet, by the viewing's tag. */
+  private final Map<String, SimulatedConnection.Endpoint> pendingSetUps = new LinkedHashMap<>();
 
   /**
-   * Ends, to be said to their fronts on the next connection from these: once more, or for the first
-   * time.
+   * END messages, by front, that are sent on the front's next connection. They repeat ends that
+   * were sent already and hold those that found no open connection.
    */
-  private final Map<String, List<String>> untold = new LinkedHashMap<>();
+  private final Map<String, List<String>> unreportedEnds = new LinkedHashMap<>();
 
-  /** Those whose end a front has written; each leaves as that arrives, or with the box's life. */
-  private final Set<String> givenUp = new HashSet<>();
+  /**
+   * Tags of viewings whose end a front has written. A tag is removed as the message arrives, or
+   * when the box crashes.
+   */
+  private final Set<String> endedByFront = new HashSet<>();
 
-  private double askedKb;
+  private double demandKb;
   private Moment startedAt;
-  private Mood mood = Mood.WELL;
+  private Behavior behavior = Behavior.HEALTHY;
   private boolean up = true;
 
-  /** Counts lives: what an earlier one had under way is nothing to a later one. */
-  private int life;
+  /** Counts the box's starts. Work that was scheduled before a crash is ignored after it. */
+  private int incarnation;
 
   BoxModel(
-      FleetDay day,
+      FleetSimulation simulation,
       long id,
       String address,
       int cell,
@@ -97,10 +100,10 @@
       Rack rack,
       double linkKb,
       Moment startedAt) {
-    this.day = day;
-    this.clock = day.clock();
-    this.ledger = day.ledger();
-    this.chance = day.chance().split();
+    this.simulation = simulation;
+    this.clock = simulation.clock();
+    this.recorder = simulation.recorder();
+    this.random = simulation.random().split();
     this.id = id;
     this.address = address;
     this.cell = cell;
@@ -108,8 +111,15 @@
     this.rack = rack;
     this.linkKb = linkKb;
     this.startedAt = startedAt;
-    this.host = Host.idle(clock);
-    ledger.saw("box-started", "box", id, "cold", startedAt != null, "streams", FleetDay.STREAMS);
+    this.process = SimulatedProcess.instantaneous(clock);
+    recorder.record(
+        "box-started",
+        "box",
+        id,
+        "cold",
+        startedAt != null,
+        "streams",
+        FleetSimulation.MAX_VIEWINGS_PER_BOX);
   }
 
   long id() {
@@ -129,7 +139,7 @@
   }
 
   double weight() {
-    return linkKb / FleetDay.KB_PER_WEIGHT;
+    return linkKb / FleetSimulation.KB_PER_WEIGHT;
   }
 
   long bootMs() {
@@ -140,142 +150,147 @@
     return up;
   }
 
-  void mood(Mood m) {
-    mood = m;
+  void setBehavior(Behavior newBehavior) {
+    behavior = newBehavior;
   }
 
-  /** Its process dies: what it plays is cut, connections are reset, new ones refused. */
-  void die() {
+  /** Crashes the process: viewings are cut, connections break and new ones are refused. */
+  void crash() {
     up = false;
-    life++;
-    day.roads().shut(address);
-    List.copyOf(ends).forEach(this::broken);
-    List.copyOf(playing.values()).forEach(p -> drop(p).cut(this));
-    playing.clear();
-    settingUp.clear();
-    givenUp.clear();
-    untold.clear();
-    day.roads().died(address, p -> {});
-    ends.clear();
-    ledger.saw("box-lost", "box", id);
-  }
-
-  /** It comes back under its name, cold. */
-  void comeBack() {
+    incarnation++;
+    simulation.network().stopListening(address);
+    List.copyOf(endpoints).forEach(this::recordBrokenSetUps);
+    List.copyOf(activeViewings.values()).forEach(viewing -> releaseRate(viewing).viewingCut(this));
+    activeViewings.clear();
+    pendingSetUps.clear();
+    endedByFront.clear();
+    unreportedEnds.clear();
+    simulation.network().breakConnections(address, viewing -> {});
+    endpoints.clear();
+    recorder.record("box-lost", "box", id);
+  }
+
+  /** Restarts the box under its old name, cold. */
+  void restart() {
     up = true;
     startedAt = clock.now();
-    day.roads().open(address, this);
-    ledger.saw("box-started", "box", id, "cold", true, "streams", FleetDay.STREAMS);
+    simulation.network().listen(address, this);
+    recorder.record(
+        "box-started", "box", id, "cold", true, "streams", FleetSimulation.MAX_VIEWINGS_PER_BOX);
   }
 
   @Override
-  public Host host() {
-    return host;
+  public SimulatedProcess process() {
+    return process;
   }
 
   @Override
-  public boolean takes(Pipe.End end) {
-    ends.removeIf(e -> !e.isOpen());
-    if (ends.size() >= FleetDay.CONNECTIONS) {
+  public boolean accept(SimulatedConnection.Endpoint endpoint) {
+    endpoints.removeIf(open -> !open.isOpen());
+    if (endpoints.size() >= FleetSimulation.MAX_CONNECTIONS_PER_BOX) {
       return false;
     }
-    ends.add(end);
-    StringBuilder part = new StringBuilder();
-    end.hears(
+    endpoints.add(endpoint);
+    StringBuilder partialLine = new StringBuilder();
+    endpoint.setHandlers(
         data -> {
-          part.append(new String(data, StandardCharsets.UTF_8));
-          for (int nl = part.indexOf("\n"); nl >= 0; nl = part.indexOf("\n")) {
-            heard(end, part.substring(0, nl));
-            part.delete(0, nl + 1);
+          partialLine.append(new String(data, StandardCharsets.UTF_8));
+          for (int newline = partialLine.indexOf("\n");
+              newline >= 0;
+              newline = partialLine.indexOf("\n")) {
+            receive(endpoint, partialLine.substring(0, newline));
+            partialLine.delete(0, newline + 1);
           }
         },
-        () -> closed(end));
-    end.pipe().tap(written -> tapped(end, written));
-    for (String line : untold.getOrDefault(end.peer(), List.of())) {
-      say(end, line);
+        () -> connectionClosed(endpoint));
+    endpoint.connection().observeWrites(written -> observeWrite(endpoint, written));
+    for (String line : unreportedEnds.getOrDefault(endpoint.peer(), List.of())) {
+      send(endpoint, line);
     }
-    untold.remove(end.peer());
+    unreportedEnds.remove(endpoint.peer());
     return true;
   }
 
-  private void closed(Pipe.End end) {
-    ends.remove(end);
-    broken(end);
-    settingUp.values().removeIf(by -> by == end);
+  private void connectionClosed(SimulatedConnection.Endpoint endpoint) {
+    endpoints.remove(endpoint);
+    recordBrokenSetUps(endpoint);
+    pendingSetUps.values().removeIf(usedEndpoint -> usedEndpoint == endpoint);
   }
 
-  /** Set-ups that are open on it end with it. */
-  private void broken(Pipe.End end) {
+  /** Records that the set-ups which are open on a connection have ended with it. */
+  private void recordBrokenSetUps(SimulatedConnection.Endpoint endpoint) {
     List<String> tags = new ArrayList<>();
-    settingUp.forEach(
-        (tag, by) -> {
-          if (by == end) {
+    pendingSetUps.forEach(
+        (tag, usedEndpoint) -> {
+          if (usedEndpoint == endpoint) {
             tags.add(tag);
           }
         });
-    playing.forEach(
-        (tag, p) -> {
-          if (p.lost && p.end == end) {
+    activeViewings.forEach(
+        (tag, viewing) -> {
+          if (viewing.answerLost && viewing.endpoint == endpoint) {
             tags.add(tag);
           }
         });
     tags.forEach(
         tag ->
-            ledger.saw(
+            recorder.record(
                 "set-up-broken",
                 "box",
                 id,
                 "viewing",
-                day.viewers().viewing(tag),
+                simulation.viewers().viewingId(tag),
                 "tuneIn",
-                day.viewers().tuneIn(tag)));
+                simulation.viewers().lastTuneIn(tag)));
   }
 
   /**
-   * What a front writes is seen as it is written: an end counts from then, though the way to the
-   * box may be cut.
+   * Observes what a front writes at the moment it is written: an end counts from then on, even
+   * where the network delays its arrival.
    */
-  private void tapped(Pipe.End end, byte[] written) {
+  private void observeWrite(SimulatedConnection.Endpoint endpoint, byte[] written) {
     if (written.length == 0) {
-      broken(end);
+      recordBrokenSetUps(endpoint);
       return;
     }
     for (String line : new String(written, StandardCharsets.UTF_8).split("\n")) {
       if (line.startsWith("{\"verb\":\"FINISH\"")) {
         String tag = line.replaceFirst(".*\"tag\":\"([0-9a-f]{16})\".*", "$1");
-        givenUp.add(tag);
-        ledger.saw("ended", "box", id, "viewing", day.viewers().viewing(tag), "why", "asked");
+        endedByFront.add(tag);
+        recorder.record(
+            "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
       }
     }
   }
 
-  private void heard(Pipe.End end, String line) {
-    JsonNode n;
+  private void receive(SimulatedConnection.Endpoint endpoint, String line) {
+    JsonNode json;
     try {
-      n = JSON.readTree(line);
+      json = JSON.readTree(line);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a front wrote what is no JSON: " + line, e);
+      throw new IllegalStateException("a front wrote a line that is not JSON: " + line, e);
     }
-    String tag = n.path("tag").asText();
-    switch (n.path("verb").asText()) {
-      case "START" -> setUp(end, n, tag);
-      case "FINISH" -> finished(tag);
+    String tag = json.path("tag").asText();
+    switch (json.path("verb").asText()) {
+      case "START" -> handleSetUp(endpoint, json, tag);
+      case "FINISH" -> handleFinish(tag);
       case "RATE" -> {
-        Playing p = playing.get(tag);
-        if (p != null) {
-          ledger.count("changes of rung", 1);
-          rung(p, n.path("opts").path("rung").asInt());
-          ledger.saw("rung", "box", id, "viewing", p.watch.viewing(), "rung", p.rung);
+        ActiveViewing viewing = activeViewings.get(tag);
+        if (viewing != null) {
+          recorder.count("changes of rung", 1);
+          setRung(viewing, json.path("opts").path("rung").asInt());
+          recorder.record(
+              "rung", "box", id, "viewing", viewing.viewer.viewingId(), "rung", viewing.rung);
         }
       }
       case "ECHO" -> {
-        ledger.count("tests", 1);
-        clock.after(
+        recorder.count("tests", 1);
+        clock.scheduleAfter(
             Span.ofMillis(3),
             () ->
-                say(
-                    end,
-                    line(
+                send(
+                    endpoint,
+                    message(
                         "ECHOED",
                         tag,
                         1,
@@ -284,201 +299,236 @@
                         String.format(
                             java.util.Locale.ROOT,
                             "outstanding:%d;x0:%.3f;x1:%.3f",
-                            playing.size(),
-                            asked(),
-                            rack.askedKb / rack.sizeKb))));
+                            activeViewings.size(),
+                            linkLoad(),
+                            rack.demandKb / rack.capacityKb))));
       }
-      default -> throw new IllegalStateException("a front wrote " + line);
+      default -> throw new IllegalStateException("a front wrote an unknown message: " + line);
     }
   }
 
-  private double linkNow() {
-    double age = startedAt == null ? 1e9 : clock.now().since(startedAt).seconds();
+  private double currentLinkKb() {
+    double ageSeconds = startedAt == null ? 1e9 : clock.now().since(startedAt).seconds();
     return linkKb
         * Math.min(
             1,
-            FleetDay.START_CAPACITY
-                + (1 - FleetDay.START_CAPACITY) * age / FleetDay.COLD.seconds());
+            FleetSimulation.START_CAPACITY
+                + (1 - FleetSimulation.START_CAPACITY)
+                    * ageSeconds
+                    / FleetSimulation.COLD_DURATION.seconds());
   }
 
-  private double asked() {
-    return askedKb / linkNow();
+  private double linkLoad() {
+    return demandKb / currentLinkKb();
   }
 
-  /** The share of their rates that viewings get here now. */
-  private double share() {
+  /** The share of their rates that viewings on this box receive now. */
+  private double deliveredShare() {
     return Math.min(
-        1, Math.min(1 / Math.max(0.01, asked()), rack.sizeKb / Math.max(1, rack.askedKb)));
+        1, Math.min(1 / Math.max(0.01, linkLoad()), rack.capacityKb / Math.max(1, rack.demandKb)));
   }
 
-  private void setUp(Pipe.End end, JsonNode n, String tag) {
-    Viewers.Watch watch = day.viewers().watch(tag);
-    if (givenUp.contains(tag)) {
-      // held up on its way until its front had given it up: never out, and what ends it follows
+  private void handleSetUp(SimulatedConnection.Endpoint endpoint, JsonNode json, String tag) {
+    Viewers.Viewer viewer = simulation.viewers().find(tag);
+    if (endedByFront.contains(tag)) {
+      // The network held the set-up until its front had ended it. It never started, and the end
+      // follows.
       return;
     }
-    if (watch == null) {
-      if (!day.viewers().sent(tag)) {
-        throw new IllegalStateException("a set-up that no viewer sent: " + tag);
+    if (viewer == null) {
+      if (!simulation.viewers().wasIssued(tag)) {
+        throw new IllegalStateException("received a set-up that no viewer sent: " + tag);
       }
-      return; // held up on its way until its viewer had gone; what ends it follows
+      // The network held the set-up until its viewer had left. The end follows.
+      return;
     }
-    int front = Integer.parseInt(end.peer().substring(1));
-    int rung = n.path("opts").path("rung").asInt();
-    int tuneIn = watch.tunedIn(front);
-    sawSetUp(watch, front, tuneIn, rung, tag);
-    settingUp.put(tag, end);
-    int mine = life;
-    Span takes = Span.ofMillis(mood == Mood.SLOW ? 1500 : 15 + chance.nextInt(25));
-    Mood now = mood;
-    if (now == Mood.SILENT) {
+    int front = Integer.parseInt(endpoint.peer().substring(1));
+    int rung = json.path("opts").path("rung").asInt();
+    int tuneIn = viewer.nextTuneIn(front);
+    recordSetUp(viewer, front, tuneIn, rung, tag);
+    pendingSetUps.put(tag, endpoint);
+    int thisIncarnation = incarnation;
+    Span answerDelay = Span.ofMillis(behavior == Behavior.SLOW ? 1500 : 15 + random.nextInt(25));
+    Behavior currentBehavior = behavior;
+    if (currentBehavior == Behavior.SILENT) {
       return;
     }
-    clock.after(
-        takes,
+    clock.scheduleAfter(
+        answerDelay,
         () -> {
-          if (mine != life || settingUp.get(tag) != end) {
+          if (thisIncarnation != incarnation || pendingSetUps.get(tag) != endpoint) {
             return;
           }
-          settingUp.remove(tag);
-          if (now == Mood.ERRORS || playing.size() >= FleetDay.STREAMS) {
-            answered(watch, tuneIn, now == Mood.ERRORS ? "error" : "turned-away");
-            say(end, line("FINISH", tag, now == Mood.ERRORS ? 47 : 34, null));
+          pendingSetUps.remove(tag);
+          if (currentBehavior == Behavior.ERRORS
+              || activeViewings.size() >= FleetSimulation.MAX_VIEWINGS_PER_BOX) {
+            recordAnswer(
+                viewer, tuneIn, currentBehavior == Behavior.ERRORS ? "error" : "turned-away");
+            send(
+                endpoint,
+                message("FINISH", tag, currentBehavior == Behavior.ERRORS ? 47 : 34, null));
           } else {
-            play(end, watch, tag, tuneIn, rung);
+            startViewing(endpoint, viewer, tag, tuneIn, rung);
           }
         });
   }
 
-  private void sawSetUp(Viewers.Watch watch, int front, int tuneIn, int rung, String tag) {
-    ledger.saw(
+  private void recordSetUp(Viewers.Viewer viewer, int front, int tuneIn, int rung, String tag) {
+    recorder.record(
         "set-up",
         "box",
         id,
         "viewing",
-        watch.viewing(),
+        viewer.viewingId(),
         "front",
         front,
         "tuneIn",
         tuneIn,
         "title",
-        watch.title(),
+        viewer.title(),
         "package",
-        watch.pack(),
+        viewer.packageName(),
         "rung",
         rung,
         "key",
         tag);
-    ledger.count("set-ups", 1);
-    if (startedAt != null && clock.now().since(startedAt).under(FleetDay.COLD)) {
-      ledger.count("set-ups on cold boxes", 1);
+    recorder.count("set-ups", 1);
+    if (startedAt != null
+        && clock.now().since(startedAt).isShorterThan(FleetSimulation.COLD_DURATION)) {
+      recorder.count("set-ups on cold boxes", 1);
     }
   }
 
-  private void play(Pipe.End end, Viewers.Watch watch, String tag, int tuneIn, int rung) {
-    Playing p = new Playing(watch);
-    p.end = end;
-    playing.put(tag, p);
-    rung(p, rung);
-    boolean lost = day.answersLost() > 0 && chance.nextDouble() < day.answersLost();
-    answered(watch, tuneIn, lost ? "swallowed" : "plays");
-    watch.plays(this);
-    if (!lost) {
-      say(end, line("STARTED", tag, -1, "made for " + tag));
+  private void startViewing(
+      SimulatedConnection.Endpoint endpoint,
+      Viewers.Viewer viewer,
+      String tag,
+      int tuneIn,
+      int rung) {
+    ActiveViewing viewing = new ActiveViewing(viewer);
+    viewing.endpoint = endpoint;
+    activeViewings.put(tag, viewing);
+    setRung(viewing, rung);
+    boolean answerLost =
+        simulation.answerLossRate() > 0 && random.nextDouble() < simulation.answerLossRate();
+    recordAnswer(viewer, tuneIn, answerLost ? "swallowed" : "plays");
+    viewer.setCurrentBox(this);
+    if (!answerLost) {
+      send(endpoint, message("STARTED", tag, -1, "made for " + tag));
     }
-    p.lost = lost;
-    clock.after(watch.length(), () -> over(tag, p));
-  }
-
-  private void answered(Viewers.Watch watch, int tuneIn, String how) {
-    ledger.saw(
-        "set-up-answered", "box", id, "viewing", watch.viewing(), "tuneIn", tuneIn, "how", how);
-  }
-
-  /** It plays here already, as a day begins. */
-  void playsAlready(Viewers.Watch watch, int rung) {
-    Playing p = new Playing(watch);
-    playing.put(watch.tag(), p);
-    rung(p, rung);
-    watch.plays(this);
-    clock.after(watch.length(), () -> over(watch.tag(), p));
+    viewing.answerLost = answerLost;
+    clock.scheduleAfter(viewer.remaining(), () -> completeViewing(tag, viewing));
   }
 
-  private void rung(Playing p, int to) {
-    double kb = to < 0 ? 0 : FleetDay.LADDER_KB[to] * p.watch.rateFactor();
-    askedKb += kb - p.kb;
-    rack.askedKb += kb - p.kb;
-    p.kb = kb;
-    p.rung = to;
-  }
-
-  private Viewers.Watch drop(Playing p) {
-    rung(p, -1);
-    return p.watch;
-  }
-
-  /** It has come to its end. */
-  private void over(String tag, Playing p) {
-    if (playing.remove(tag, p)) {
-      drop(p).over(this);
-      ledger.saw("ended", "box", id, "viewing", p.watch.viewing(), "why", "lease");
-      String said = line("FINISH", tag, 16, null);
-      Pipe.End by =
-          p.end != null && p.end.isOpen()
-              ? p.end
-              : ends.stream()
-                  .filter(e -> e.isOpen() && e.peer().equals("f" + p.watch.front()))
+  private void recordAnswer(Viewers.Viewer viewer, int tuneIn, String outcome) {
+    recorder.record(
+        "set-up-answered",
+        "box",
+        id,
+        "viewing",
+        viewer.viewingId(),
+        "tuneIn",
+        tuneIn,
+        "how",
+        outcome);
+  }
+
+  /** Adds a viewing that is playing on this box before the simulation starts. */
+  void addExistingViewing(Viewers.Viewer viewer, int rung) {
+    ActiveViewing viewing = new ActiveViewing(viewer);
+    activeViewings.put(viewer.tag(), viewing);
+    setRung(viewing, rung);
+    viewer.setCurrentBox(this);
+    clock.scheduleAfter(viewer.remaining(), () -> completeViewing(viewer.tag(), viewing));
+  }
+
+  private void setRung(ActiveViewing viewing, int newRung) {
+    double newRateKb =
+        newRung < 0 ? 0 : FleetSimulation.LADDER_KB[newRung] * viewing.viewer.rateFactor();
+    demandKb += newRateKb - viewing.rateKb;
+    rack.demandKb += newRateKb - viewing.rateKb;
+    viewing.rateKb = newRateKb;
+    viewing.rung = newRung;
+  }
+
+  private Viewers.Viewer releaseRate(ActiveViewing viewing) {
+    setRung(viewing, -1);
+    return viewing.viewer;
+  }
+
+  /** Ends a viewing that has played to its end. */
+  private void completeViewing(String tag, ActiveViewing viewing) {
+    if (activeViewings.remove(tag, viewing)) {
+      releaseRate(viewing).viewingCompleted(this);
+      recorder.record("ended", "box", id, "viewing", viewing.viewer.viewingId(), "why", "lease");
+      String endMessage = message("FINISH", tag, 16, null);
+      SimulatedConnection.Endpoint openEndpoint =
+          viewing.endpoint != null && viewing.endpoint.isOpen()
+              ? viewing.endpoint
+              : endpoints.stream()
+                  .filter(open -> open.isOpen() && open.peer().equals("f" + viewing.viewer.front()))
                   .findFirst()
                   .orElse(null);
-      if (by != null) {
-        say(by, said);
+      if (openEndpoint != null) {
+        send(openEndpoint, endMessage);
       }
-      untold.computeIfAbsent("f" + p.watch.front(), k -> new ArrayList<>()).add(said);
+      unreportedEnds
+          .computeIfAbsent("f" + viewing.viewer.front(), front -> new ArrayList<>())
+          .add(endMessage);
     }
   }
 
-  private void finished(String tag) {
-    givenUp.remove(tag);
-    settingUp.remove(tag);
-    Playing p = playing.remove(tag);
-    if (p != null) {
-      drop(p).cut(this);
+  private void handleFinish(String tag) {
+    endedByFront.remove(tag);
+    pendingSetUps.remove(tag);
+    ActiveViewing viewing = activeViewings.remove(tag);
+    if (viewing != null) {
+      releaseRate(viewing).viewingCut(this);
     }
-    // Once more as it arrives: the set-up itself may have come no sooner.
-    ledger.saw("ended", "box", id, "viewing", day.viewers().viewing(tag), "why", "asked");
+    // The end is recorded again on arrival: the set-up itself may have arrived just before it.
+    recorder.record(
+        "ended", "box", id, "viewing", simulation.viewers().viewingId(tag), "why", "asked");
   }
 
   /**
-   * Counts what is served here over the span, of what its viewers want; and tells one of each front
-   * of a shortage.
+   * Counts what is served over the span, weighted by worth and rung, and where the box is short of
+   * capacity notifies one viewing of each front.
    */
   void serve(Span span, boolean notes) {
-    double share = share();
-    Map<Integer, Playing> byFront = new LinkedHashMap<>();
-    for (Playing p : playing.values()) {
-      double stall = Math.max(0, 1 - FleetDay.STALL * Math.max(0, 0.98 - share));
-      ledger.count("served", span.seconds() * p.watch.worth() * FleetDay.WORTH[p.rung] * stall);
-      if (p.end != null && p.end.isOpen()) {
-        byFront.putIfAbsent(p.watch.front(), p);
+    double share = deliveredShare();
+    Map<Integer, ActiveViewing> byFront = new LinkedHashMap<>();
+    for (ActiveViewing viewing : activeViewings.values()) {
+      double stall = Math.max(0, 1 - FleetSimulation.STALL_FACTOR * Math.max(0, 0.98 - share));
+      recorder.count(
+          "served",
+          span.seconds()
+              * viewing.viewer.worth()
+              * FleetSimulation.WORTH_BY_RUNG[viewing.rung]
+              * stall);
+      if (viewing.endpoint != null && viewing.endpoint.isOpen()) {
+        byFront.putIfAbsent(viewing.viewer.front(), viewing);
       }
     }
     if (notes && share < 0.98) {
-      double told = share;
+      double reportedShare = share;
       byFront
           .values()
           .forEach(
-              p ->
-                  clock.after(
+              viewing ->
+                  clock.scheduleAfter(
                       Span.ofMillis(300),
                       () -> {
-                        if (p.end.isOpen() && playing.containsKey(p.watch.tag())) {
-                          say(p.end, note(p.watch.tag(), told));
+                        if (viewing.endpoint.isOpen()
+                            && activeViewings.containsKey(viewing.viewer.tag())) {
+                          send(
+                              viewing.endpoint,
+                              shortageNotice(viewing.viewer.tag(), reportedShare));
                         }
                       }));
     }
   }
 
-  private static String note(String tag, double share) {
+  private static String shortageNotice(String tag, double share) {
     return "{\"verb\":\"NOTICE\",\"tag\":\""
         + tag
         + "\",\"opts\":{\"note\":\"got\",\"value\":"
@@ -486,21 +536,21 @@
         + "}}";
   }
 
-  private void say(Pipe.End end, String line) {
+  private void send(SimulatedConnection.Endpoint endpoint, String line) {
     if (up) {
-      end.write((line + "\n").getBytes(StandardCharsets.UTF_8));
+      endpoint.write((line + "\n").getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  private static String line(String verb, String tag, int cause, String blob, String... fields) {
-    ObjectNode n = JSON.createObjectNode().put("verb", verb).put("tag", tag);
-    ObjectNode opts = n.putObject("opts");
+  private static String message(String verb, String tag, int cause, String blob, String... fields) {
+    ObjectNode json = JSON.createObjectNode().put("verb", verb).put("tag", tag);
+    ObjectNode options = json.putObject("opts");
     for (int i = 0; i < fields.length; i += 2) {
-      opts.put(fields[i], fields[i + 1]);
+      options.put(fields[i], fields[i + 1]);
     }
     if (cause >= 0) {
-      n.put("rc", cause);
+      json.put("rc", cause);
     }
-    return (blob == null ? n : n.put("blob", blob)).toString();
+    return (blob == null ? json : json.put("blob", blob)).toString();
   }
 }
--- a/src/main/java/linengauge/rules/Judge.java
+++ b/src/main/java/linengauge/rules/Judge.java
@@ -8,95 +8,107 @@
 import java.util.Set;
 
 /**
- * Judges the six rules from a record of traffic alone (docs/protocol/traffic.md). It knows no code
- * of the front. Moments were taken at the ends of sockets, so a little slack, told in the record's
- * terms, stands between what a front did and what was seen of it; it always counts for the front.
+ * Checks the six rules against a traffic record alone (docs/protocol/traffic.md), without any
+ * knowledge of the front's code. Moments are taken at the sockets of the stand-ins, so they differ
+ * a little from those at the front. The slack stated in the record's terms covers this difference,
+ * and it is always applied in favour of the front.
  */
 public final class Judge {
   private static final String ONE_ANSWER = "one-answer";
   private static final String NO_DOUBLE_SET_UP = "no-double-set-up";
   private static final Set<String> ANSWERS = Set.of("plays", "blocked", "aborted");
 
-  private final Day day;
+  private final TrafficRecord record;
   private final Verdict verdict = new Verdict();
 
-  private Judge(Day day) {
-    this.day = day;
+  private Judge(TrafficRecord record) {
+    this.record = record;
   }
 
-  /** Judges a record, one JSON object a line. */
-  public static Verdict judge(List<String> lines) throws BadRecord {
-    Judge j = new Judge(Day.read(lines));
-    j.oneAnswer();
-    j.noDoubleSetUp();
-    j.drains();
-    j.coldBoxes();
-    j.floors();
-    j.seats();
-    j.furtherTuneIns();
-    return j.verdict;
+  /** Judges a record that has one JSON object a line. */
+  public static Verdict judge(List<String> lines) throws InvalidRecordException {
+    Judge judge = new Judge(TrafficRecord.read(lines));
+    judge.checkOneAnswer();
+    judge.checkNoDoubleSetUp();
+    judge.checkDrains();
+    judge.checkColdBoxes();
+    judge.checkRungLimits();
+    judge.checkSeats();
+    judge.checkRetryBudget();
+    return judge.verdict;
   }
 
   /**
-   * Rule 1. A request counts as taken unless its front was dead or killed, or stood still past the
-   * viewer's patience.
+   * Rule 1: each accepted request has exactly one answer. A request counts as accepted unless its
+   * front was down, was killed, or was paused beyond the viewer's deadline.
    */
-  private void oneAnswer() {
-    for (Day.Ask a : day.asks.values()) {
-      if (hadNoFront(a)) {
-        judgeAnswersOfKilled(a);
-      } else if (isTaken(a)) {
-        verdict.tried(ONE_ANSWER);
-        String wrong = wrongAnswer(a);
-        if (wrong != null) {
-          verdict.broken(ONE_ANSWER, a.at, a.id, 0, wrong);
+  private void checkOneAnswer() {
+    for (TrafficRecord.ViewerRequest request : record.requests.values()) {
+      if (hadNoRunningFront(request)) {
+        checkAnswersOfKilledFront(request);
+      } else if (isAccepted(request)) {
+        verdict.countCheck(ONE_ANSWER);
+        String fault = answerFault(request);
+        if (fault != null) {
+          verdict.addBreach(ONE_ANSWER, request.at, request.id, 0, fault);
         }
       }
     }
   }
 
-  /** Its front was dead, or killed before the request was over. */
-  private boolean hadNoFront(Day.Ask a) {
-    long patienceEnds = a.at + a.patience;
-    long last = a.ends.isEmpty() ? patienceEnds : a.ends.get(a.ends.size() - 1).at();
-    return day.down(a.front, a.at)
-        || day.killedWithin(a.front, a.at, Math.max(last, patienceEnds) + day.terms.slack());
+  /** The front was down, or was killed before the request ended. */
+  private boolean hadNoRunningFront(TrafficRecord.ViewerRequest request) {
+    long deadline = request.at + request.timeLimit;
+    long last =
+        request.outcomes.isEmpty()
+            ? deadline
+            : request.outcomes.get(request.outcomes.size() - 1).at();
+    return record.isDown(request.front, request.at)
+        || record.wasKilledWithin(
+            request.front, request.at, Math.max(last, deadline) + record.terms.slack());
   }
 
-  private void judgeAnswersOfKilled(Day.Ask a) {
-    long answers = a.ends.stream().filter(e -> e.what().equals("answered")).count();
+  private void checkAnswersOfKilledFront(TrafficRecord.ViewerRequest request) {
+    long answers = request.outcomes.stream().filter(e -> e.what().equals("answered")).count();
     if (answers > 1) {
-      verdict.broken(
-          ONE_ANSWER, a.at, a.id, 0, "answered " + answers + " times by a front since killed");
+      verdict.addBreach(
+          ONE_ANSWER,
+          request.at,
+          request.id,
+          0,
+          "answered " + answers + " times by a front since killed");
     }
   }
 
   /**
-   * Its front did not stand still past the viewer's patience, and the network did not break it as
-   * the shared address went to another front.
+   * The front was not paused at the viewer's deadline, and the network did not break the connection
+   * because the shared address moved to another front.
    */
-  private boolean isTaken(Day.Ask a) {
-    long patienceEnds = a.at + a.patience;
-    boolean cut = a.cut && a.ends.size() == 1 && !a.ends.get(0).what().equals("answered");
-    return day.running(a.front, patienceEnds) == patienceEnds && !cut;
+  private boolean isAccepted(TrafficRecord.ViewerRequest request) {
+    long deadline = request.at + request.timeLimit;
+    boolean cut =
+        request.cutByNetwork
+            && request.outcomes.size() == 1
+            && !request.outcomes.get(0).what().equals("answered");
+    return record.runsFrom(request.front, deadline) == deadline && !cut;
   }
 
-  /** What is wrong with how the request ended, or null. */
-  private String wrongAnswer(Day.Ask a) {
-    if (a.ends.size() != 1) {
-      return a.ends.size() + " ends of one request";
+  /** Returns what is wrong with the end of the request, or null. */
+  private String answerFault(TrafficRecord.ViewerRequest request) {
+    if (request.outcomes.size() != 1) {
+      return request.outcomes.size() + " ends of one request";
     }
-    Seen end = a.ends.get(0);
+    RecordEvent end = request.outcomes.get(0);
     String how = end.text("how");
-    long patienceEnds = a.at + a.patience;
+    long deadline = request.at + request.timeLimit;
     if (!end.what().equals("answered")) {
       return "no answer: " + end.what();
     }
     if (how == null || !ANSWERS.contains(how)) {
       return "an unclear answer: " + end.text("status");
     }
-    if (end.at() > patienceEnds + day.terms.slack()) {
-      return "answered " + (end.at() - patienceEnds) / 1000 + " ms after the viewer's patience";
+    if (end.at() > deadline + record.terms.slack()) {
+      return "answered " + (end.at() - deadline) / 1000 + " ms after the viewer's patience";
     }
     return how.equals("plays") && !isPlayed(end.text("viewing"))
         ? "said to play, and no box plays it"
@@ -104,100 +116,108 @@
   }
 
   private boolean isPlayed(String viewing) {
-    return day.byViewing.getOrDefault(viewing, List.of()).stream()
-        .anyMatch(u -> "plays".equals(u.how));
+    return record.byViewing.getOrDefault(viewing, List.of()).stream()
+        .anyMatch(setUp -> "plays".equals(setUp.answer));
   }
 
-  /** Rule 2. */
-  private void noDoubleSetUp() {
-    day.byViewing.values().forEach(this::judgeSetUpsOfOneViewing);
-    Map<String, List<Day.SetUp>> byKey = new HashMap<>();
-    day.setUps.forEach(
-        u -> byKey.computeIfAbsent(u.key + "@" + u.front, k -> new ArrayList<>()).add(u));
-    for (Day.Ask a : day.asks.values()) {
-      if (day.terms.packages().get(a.pack).paid()
-          && !a.ends.isEmpty()
-          && "blocked".equals(a.ends.get(0).text("how"))) {
-        judgeBlockedThoughPaid(a, byKey.getOrDefault(a.key + "@" + a.front, List.of()));
+  /** Rule 2: no viewing is set up twice. */
+  private void checkNoDoubleSetUp() {
+    record.byViewing.values().forEach(this::checkSetUpsOfViewing);
+    Map<String, List<TrafficRecord.SetUp>> byKey = new HashMap<>();
+    record.setUps.forEach(
+        setUp ->
+            byKey
+                .computeIfAbsent(setUp.key + "@" + setUp.front, k -> new ArrayList<>())
+                .add(setUp));
+    for (TrafficRecord.ViewerRequest request : record.requests.values()) {
+      if (record.terms.packages().get(request.packageName).paid()
+          && !request.outcomes.isEmpty()
+          && "blocked".equals(request.outcomes.get(0).text("how"))) {
+        checkRejectedDespitePayment(
+            request, byKey.getOrDefault(request.key + "@" + request.front, List.of()));
       }
     }
   }
 
-  private void judgeSetUpsOfOneViewing(List<Day.SetUp> setUps) {
+  private void checkSetUpsOfViewing(List<TrafficRecord.SetUp> setUps) {
     Set<Integer> numbers = new HashSet<>();
     for (int i = 0; i < setUps.size(); i++) {
-      Day.SetUp u = setUps.get(i);
-      verdict.tried(NO_DOUBLE_SET_UP);
-      if (!numbers.add(u.tuneIn)) {
-        breaksNoDoubleSetUp(u.at, u, "tune-in " + u.tuneIn + " was sent twice");
+      TrafficRecord.SetUp setUp = setUps.get(i);
+      verdict.countCheck(NO_DOUBLE_SET_UP);
+      if (!numbers.add(setUp.tuneIn)) {
+        addDoubleSetUpBreach(setUp.at, setUp, "tune-in " + setUp.tuneIn + " was sent twice");
       }
-      for (Day.SetUp earlier : setUps.subList(0, i)) {
-        if (earlier.noLongerOut() > u.at + day.terms.slack()) {
-          breaksNoDoubleSetUp(u.at, u, "two tune-ins out: the other at box " + earlier.box);
+      for (TrafficRecord.SetUp earlier : setUps.subList(0, i)) {
+        if (earlier.pendingUntil() > setUp.at + record.terms.slack()) {
+          addDoubleSetUpBreach(
+              setUp.at, setUp, "two tune-ins out: the other at box " + earlier.box);
         }
-        if (day.terms.packages().get(u.pack).paid() && !earlier.provablyNeverRan()) {
-          breaksNoDoubleSetUp(u.at, u, "set up again though paid for at box " + earlier.box);
+        if (record.terms.packages().get(setUp.packageName).paid() && !earlier.provablyNeverRan()) {
+          addDoubleSetUpBreach(
+              setUp.at, setUp, "set up again though paid for at box " + earlier.box);
         }
       }
     }
   }
 
-  private void judgeBlockedThoughPaid(Day.Ask a, List<Day.SetUp> ofItsKey) {
-    verdict.tried(NO_DOUBLE_SET_UP);
-    long answered = a.ends.get(0).at();
-    for (Day.SetUp u : ofItsKey) {
-      if (u.at >= a.at && u.at <= answered && !u.provablyNeverRan()) {
-        breaksNoDoubleSetUp(answered, u, "blocked, though paid for and perhaps set up");
+  private void checkRejectedDespitePayment(
+      TrafficRecord.ViewerRequest request, List<TrafficRecord.SetUp> setUpsOfKey) {
+    verdict.countCheck(NO_DOUBLE_SET_UP);
+    long answered = request.outcomes.get(0).at();
+    for (TrafficRecord.SetUp setUp : setUpsOfKey) {
+      if (setUp.at >= request.at && setUp.at <= answered && !setUp.provablyNeverRan()) {
+        addDoubleSetUpBreach(answered, setUp, "blocked, though paid for and perhaps set up");
       }
     }
   }
 
-  private void breaksNoDoubleSetUp(long at, Day.SetUp u, String why) {
-    verdict.broken(NO_DOUBLE_SET_UP, at, u.viewing, u.box, why);
+  private void addDoubleSetUpBreach(long at, TrafficRecord.SetUp setUp, String why) {
+    verdict.addBreach(NO_DOUBLE_SET_UP, at, setUp.viewing, setUp.box, why);
   }
 
   /**
-   * Rule 3. A front hears when it runs; a whole list that no longer names a box says that it is
-   * gone.
+   * Rule 3: a draining box gets no set-ups after the grace period. A front receives reports only
+   * while it runs; a complete list that no longer names a box reports that box as gone.
    */
-  private void drains() {
+  private void checkDrains() {
     String rule = "drains";
     Map<String, Long> notServing = new HashMap<>();
     Map<Integer, Set<Long>> known = new HashMap<>();
-    for (Seen s : day.all) {
-      int front = (int) s.whole("front");
-      switch (s.what()) {
+    for (RecordEvent event : record.events) {
+      int front = (int) event.number("front");
+      switch (event.what()) {
         case "front-started" -> {
           notServing.keySet().removeIf(k -> k.startsWith(front + "/"));
           known.remove(front);
         }
         case "told" ->
-            told(
+            updateBoxState(
                 notServing,
                 known,
                 front,
-                s.whole("box"),
-                s.at(),
-                s.text("state").equals("serving"));
+                event.number("box"),
+                event.at(),
+                event.text("state").equals("serving"));
         case "told-whole" -> {
           Set<Long> named = new HashSet<>();
-          s.fields().path("boxes").forEach(b -> named.add(b.asLong()));
+          event.fields().path("boxes").forEach(b -> named.add(b.asLong()));
           for (long box : List.copyOf(known.getOrDefault(front, Set.of()))) {
             if (!named.contains(box)) {
-              told(notServing, known, front, box, s.at(), false);
+              updateBoxState(notServing, known, front, box, event.at(), false);
             }
           }
         }
         case "set-up" -> {
-          Long since = notServing.get(front + "/" + s.whole("box"));
+          Long since = notServing.get(front + "/" + event.number("box"));
           if (since != null
-              && s.at() > day.running(front, since) + day.terms.grace() + day.terms.slack()) {
-            verdict.broken(
+              && event.at()
+                  > record.runsFrom(front, since) + record.terms.grace() + record.terms.slack()) {
+            verdict.addBreach(
                 rule,
-                s.at(),
-                s.text("viewing"),
-                s.whole("box"),
-                "sent " + (s.at() - since) / 1000 + " ms after it was told not to serve");
+                event.at(),
+                event.text("viewing"),
+                event.number("box"),
+                "sent " + (event.at() - since) / 1000 + " ms after it was told not to serve");
           }
         }
         default -> {}
@@ -205,7 +225,7 @@
     }
   }
 
-  private void told(
+  private void updateBoxState(
       Map<String, Long> notServing,
       Map<Integer, Set<Long>> known,
       int front,
@@ -216,158 +236,168 @@
     if (serving) {
       notServing.remove(front + "/" + box);
     } else if (notServing.putIfAbsent(front + "/" + box, at) == null) {
-      verdict.tried("drains");
+      verdict.countCheck("drains");
     }
   }
 
   /**
-   * Rule 4. In no window of the fall's length may all fronts together send more than the multiple
-   * of the pace.
+   * Rule 4: in no window of the length after which an overloaded cold box fails may all fronts
+   * together send more set-ups than the allowed multiple of its pace.
    */
-  private void coldBoxes() {
+  private void checkColdBoxes() {
     String rule = "cold-boxes";
     Map<Long, long[]> cold = new HashMap<>();
     Map<Long, List<Long>> sends = new HashMap<>();
-    for (Seen s : day.all) {
-      long box = s.whole("box");
-      if (s.what().equals("box-started")) {
+    for (RecordEvent event : record.events) {
+      long box = event.number("box");
+      if (event.what().equals("box-started")) {
         sends.remove(box);
         cold.remove(box);
-        if (s.fields().path("cold").asBoolean()) {
-          cold.put(box, new long[] {s.at(), s.whole("streams")});
+        if (event.fields().path("cold").asBoolean()) {
+          cold.put(box, new long[] {event.at(), event.number("streams")});
         }
-      } else if (s.what().equals("box-fell")) {
-        verdict.broken(rule, s.at(), "all", box, "the box fell over");
-      } else if (s.what().equals("set-up") && cold.containsKey(box)) {
+      } else if (event.what().equals("box-fell")) {
+        verdict.addBreach(rule, event.at(), "all", box, "the box fell over");
+      } else if (event.what().equals("set-up") && cold.containsKey(box)) {
         long[] start = cold.get(box);
-        if (s.at() - start[0] >= day.terms.cold()) {
+        if (event.at() - start[0] >= record.terms.cold()) {
           cold.remove(box);
           continue;
         }
-        verdict.tried(rule);
-        List<Long> of = sends.computeIfAbsent(box, b -> new ArrayList<>());
-        of.add(s.at());
-        long from = s.at() - day.terms.fallAfter();
-        of.removeIf(at -> at < from);
-        double most =
+        verdict.countCheck(rule);
+        List<Long> recentSends = sends.computeIfAbsent(box, b -> new ArrayList<>());
+        recentSends.add(event.at());
+        long from = event.at() - record.terms.fallAfter();
+        recentSends.removeIf(at -> at < from);
+        double limit =
             Math.max(
                 1,
-                day.terms.fallMultiple()
+                record.terms.fallMultiple()
                     * start[1]
-                    * warmed(Math.max(0, from - start[0]), s.at() - start[0])
-                    / day.terms.cold());
-        if (of.size() > most) {
-          verdict.broken(
+                    * warmCapacity(Math.max(0, from - start[0]), event.at() - start[0])
+                    / record.terms.cold());
+        if (recentSends.size() > limit) {
+          verdict.addBreach(
               rule,
-              s.at(),
-              s.text("viewing"),
+              event.at(),
+              event.text("viewing"),
               box,
-              of.size()
+              recentSends.size()
                   + " set-ups in a window of "
-                  + String.format(java.util.Locale.ROOT, "%.1f", most));
+                  + String.format(java.util.Locale.ROOT, "%.1f", limit));
         }
       }
     }
   }
 
   /**
-   * The share warmed, summed over a window of a cold box's age, microseconds. A window that began
-   * before it counts whole.
+   * Returns the warm share of capacity, summed over a window of a cold box's age in microseconds. A
+   * window that began before the box started counts in full.
    */
-  private double warmed(long from, long to) {
-    double start = day.terms.startCapacity();
-    double middle = start + (1 - start) * ((from + to) / 2.0) / day.terms.cold();
-    return Math.min(1, middle) * day.terms.fallAfter();
+  private double warmCapacity(long from, long to) {
+    double start = record.terms.startCapacity();
+    double middle = start + (1 - start) * ((from + to) / 2.0) / record.terms.cold();
+    return Math.min(1, middle) * record.terms.fallAfter();
   }
 
-  /** Rule 5, the rungs. */
-  private void floors() {
-    Map<String, Terms.Pack> packs = new HashMap<>();
-    for (Seen s : day.all) {
-      boolean setUp = s.what().equals("set-up");
-      if (!setUp && !s.what().equals("rung")) {
+  /** Rule 5, rungs: each viewing stays within the rungs of its package. */
+  private void checkRungLimits() {
+    Map<String, Terms.PackageLimits> packs = new HashMap<>();
+    for (RecordEvent event : record.events) {
+      boolean isSetUp = event.what().equals("set-up");
+      if (!isSetUp && !event.what().equals("rung")) {
         continue;
       }
-      if (setUp) {
-        packs.put(s.text("viewing"), day.terms.packages().get(s.text("package")));
+      if (isSetUp) {
+        packs.put(event.text("viewing"), record.terms.packages().get(event.text("package")));
       }
-      Terms.Pack p = packs.get(s.text("viewing"));
-      if (p == null) {
+      Terms.PackageLimits limits = packs.get(event.text("viewing"));
+      if (limits == null) {
         continue;
       }
-      if (p.lowest() > 0) {
-        verdict.tried("terms");
+      if (limits.lowest() > 0) {
+        verdict.countCheck("terms");
       }
-      if (s.whole("rung") < p.lowest() || s.whole("rung") > p.highest()) {
-        verdict.broken(
+      if (event.number("rung") < limits.lowest() || event.number("rung") > limits.highest()) {
+        verdict.addBreach(
             "terms",
-            s.at(),
-            s.text("viewing"),
-            s.whole("box"),
-            "rung " + s.whole("rung") + " of a package with " + p.lowest() + " to " + p.highest());
+            event.at(),
+            event.text("viewing"),
+            event.number("box"),
+            "rung "
+                + event.number("rung")
+                + " of a package with "
+                + limits.lowest()
+                + " to "
+                + limits.highest());
       }
     }
   }
 
   /**
-   * Rule 5, the seats: viewings of one title and package that one life of a front holds, set-ups
-   * counted.
+   * Rule 5, seats: counts the viewings of one title and package that one life of a front has,
+   * including set-ups.
    */
-  private void seats() {
-    Map<String, List<Day.SetUp>> held = new HashMap<>();
-    for (Day.SetUp u : day.setUps) {
-      int seats = day.terms.packages().get(u.pack).seats();
+  private void checkSeats() {
+    Map<String, List<TrafficRecord.SetUp>> viewingsByPackage = new HashMap<>();
+    for (TrafficRecord.SetUp setUp : record.setUps) {
+      int seats = record.terms.packages().get(setUp.packageName).seats();
       if (seats <= 0) {
         continue;
       }
-      verdict.tried("terms");
-      List<Day.SetUp> of =
-          held.computeIfAbsent(u.life() + "/" + u.title + "/" + u.pack, k -> new ArrayList<>());
-      of.removeIf(
-          other -> other.overAt <= u.at + day.terms.slack() || other.viewing.equals(u.viewing));
-      of.add(u);
-      if (of.size() > seats) {
-        verdict.broken(
+      verdict.countCheck("terms");
+      List<TrafficRecord.SetUp> occupied =
+          viewingsByPackage.computeIfAbsent(
+              setUp.life() + "/" + setUp.title + "/" + setUp.packageName, k -> new ArrayList<>());
+      occupied.removeIf(
+          other ->
+              other.endedAt <= setUp.at + record.terms.slack()
+                  || other.viewing.equals(setUp.viewing));
+      occupied.add(setUp);
+      if (occupied.size() > seats) {
+        verdict.addBreach(
             "terms",
-            u.at,
-            u.viewing,
-            u.box,
-            of.size() + " viewings of " + u.title + " on " + seats + " seats");
+            setUp.at,
+            setUp.viewing,
+            setUp.box,
+            occupied.size() + " viewings of " + setUp.title + " on " + seats + " seats");
       }
     }
   }
 
-  /** Rule 6, for each life of a front. */
-  private void furtherTuneIns() {
-    if (day.terms.furtherSpan() <= 0) {
+  /** Rule 6: the retry budget of each life of a front. */
+  private void checkRetryBudget() {
+    if (record.terms.furtherSpan() <= 0) {
       return;
     }
-    Map<String, List<Long>> further = new HashMap<>();
-    for (Day.SetUp u : day.setUps) {
-      if (u.tuneIn == 0) {
+    Map<String, List<Long>> retriesByLife = new HashMap<>();
+    for (TrafficRecord.SetUp setUp : record.setUps) {
+      if (setUp.tuneIn == 0) {
         continue;
       }
-      verdict.tried("further-tune-ins");
-      List<Long> of = further.computeIfAbsent(u.life(), l -> new ArrayList<>());
-      of.add(u.at);
-      long from = u.at - day.terms.furtherSpan();
-      of.removeIf(at -> at <= from + day.terms.slack());
-      long taken =
-          day.asks.values().stream()
-              .filter(a -> a.front == u.front)
-              .mapToLong(a -> day.running(a.front, a.at))
-              .filter(at -> at >= from - day.terms.slack() && at <= u.at + day.terms.slack())
+      verdict.countCheck("further-tune-ins");
+      List<Long> recentRetries =
+          retriesByLife.computeIfAbsent(setUp.life(), l -> new ArrayList<>());
+      recentRetries.add(setUp.at);
+      long from = setUp.at - record.terms.furtherSpan();
+      recentRetries.removeIf(at -> at <= from + record.terms.slack());
+      long acceptedRequests =
+          record.requests.values().stream()
+              .filter(request -> request.front == setUp.front)
+              .mapToLong(request -> record.runsFrom(request.front, request.at))
+              .filter(
+                  at -> at >= from - record.terms.slack() && at <= setUp.at + record.terms.slack())
               .count();
-      double most = day.terms.furtherFree() + day.terms.furtherShare() * taken;
-      if (of.size() > most) {
-        verdict.broken(
+      double limit = record.terms.furtherFree() + record.terms.furtherShare() * acceptedRequests;
+      if (recentRetries.size() > limit) {
+        verdict.addBreach(
             "further-tune-ins",
-            u.at,
-            u.viewing,
-            u.box,
-            of.size()
+            setUp.at,
+            setUp.viewing,
+            setUp.box,
+            recentRetries.size()
                 + " further tune-ins of "
-                + String.format(java.util.Locale.ROOT, "%.1f", most));
+                + String.format(java.util.Locale.ROOT, "%.1f", limit));
       }
     }
   }
--- a/src/main/java/linengauge/rules/Terms.java
+++ b/src/main/java/linengauge/rules/Terms.java
@@ -4,9 +4,9 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What was agreed on the day of a record, as its first line tells; spans in microseconds. */
+/** The limits that apply to a record, read from its first line; spans are in microseconds. */
 record Terms(
-    Map<String, Pack> packages,
+    Map<String, PackageLimits> packages,
     long grace,
     long cold,
     double startCapacity,
@@ -17,26 +17,26 @@
     long furtherSpan,
     long slack) {
 
-  record Pack(int lowest, int highest, int seats, boolean paid) {}
+  record PackageLimits(int lowest, int highest, int seats, boolean paid) {}
 
-  static Terms read(JsonNode line) throws BadRecord {
-    Map<String, Pack> packs = new HashMap<>();
-    for (JsonNode p : line.path("packages")) {
-      packs.put(
-          p.path("name").asText(),
-          new Pack(
-              p.path("lowestRung").asInt(),
-              p.path("highestRung").asInt(),
-              p.path("seats").asInt(),
-              p.path("paidAtSetUp").asBoolean()));
+  static Terms read(JsonNode line) throws InvalidRecordException {
+    Map<String, PackageLimits> packages = new HashMap<>();
+    for (JsonNode entry : line.path("packages")) {
+      packages.put(
+          entry.path("name").asText(),
+          new PackageLimits(
+              entry.path("lowestRung").asInt(),
+              entry.path("highestRung").asInt(),
+              entry.path("seats").asInt(),
+              entry.path("paidAtSetUp").asBoolean()));
     }
-    if (packs.isEmpty()
+    if (packages.isEmpty()
         || !line.path("drainGraceMs").isNumber()
         || !line.path("slackMs").isNumber()) {
-      throw new BadRecord(1, "the terms lack packages, drainGraceMs or slackMs");
+      throw new InvalidRecordException(1, "the terms lack packages, drainGraceMs or slackMs");
     }
     return new Terms(
-        packs,
+        packages,
         ms(line, "drainGraceMs"),
         ms(line, "coldMs"),
         line.path("startCapacity").asDouble(),
--- a/src/main/java/linengauge/scale/fronts/FrontStage.java
+++ b/src/main/java/linengauge/scale/fronts/FrontTestbed.java
@@ -9,8 +9,8 @@
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformTryOut;
 
-/** One front with its boxes and journal service, all stand-ins but the front. */
-final class FrontStage implements AutoCloseable {
+/** One real front with stand-ins for its boxes and its journal service. */
+final class FrontTestbed implements AutoCloseable {
   private static final int BOXES = 20;
 
   private final FrontPlan plan;
@@ -20,7 +20,7 @@
   private final int port;
   private ServeProcess front;
 
-  FrontStage(FrontPlan plan) throws IOException, InterruptedException {
+  FrontTestbed(FrontPlan plan) throws IOException, InterruptedException {
     this.plan = plan;
     folder = Files.createTempDirectory("linengauge-scale");
     for (int i = 0; i < BOXES; i++) {
@@ -34,7 +34,7 @@
         port,
         journal.port(),
         boxes.stream().map(PlatformBox::port).toList(),
-        plan.descriptors());
+        plan.maxDescriptors());
     try {
       start();
     } catch (IOException e) {
@@ -46,7 +46,7 @@
   private void start() throws IOException, InterruptedException {
     front =
         new ServeProcess(
-            plan.run(),
+            plan.runCommand(),
             plan.root(),
             folder.resolve("front.json"),
             folder.resolve("front.log"),
@@ -54,8 +54,8 @@
     front.awaitReady();
   }
 
-  /** Kills the front and starts it anew at the same port. */
-  void killAndStart() throws IOException, InterruptedException {
+  /** Kills the front and restarts it on the same port. */
+  void restartAfterKill() throws IOException, InterruptedException {
     front.close();
     start();
   }
@@ -76,7 +76,7 @@
     return String.format("%016x", id);
   }
 
-  /** At which box a viewing plays; -1 where at none. */
+  /** The index of the box at which a viewing plays, or -1 if there is none. */
   int boxOf(long id) {
     for (int i = 0; i < boxes.size(); i++) {
       if (boxes.get(i).playing().containsKey(tag(id))) {
--- a/src/main/java/linengauge/scale/fronts/RealFronts.java
+++ b/src/main/java/linengauge/scale/fronts/RealFronts.java
@@ -12,16 +12,16 @@
 
 /** Measures a real front under each load at each size, one front at a time. */
 public final class RealFronts {
-  /** Told what is measured next. */
+  /** Notified before each run of a measurement. */
   public interface Progress {
-    void at(String load, int size, int run);
+    void runStarting(String load, int size, int run);
   }
 
   private interface Load {
     Map<String, Double> run(int size) throws IOException, InterruptedException;
   }
 
-  private record Named(String event, List<Integer> sizes, Load load) {}
+  private record NamedLoad(String event, List<Integer> sizes, Load load) {}
 
   private static final Map<String, String> UNITS =
       Map.of(
@@ -41,26 +41,27 @@
     this.progress = progress;
   }
 
-  /** Loads whose size is a number of connections. */
+  /** Runs the loads whose size is a number of connections. */
   public void connections(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
-    run(recorder, new Named("idle connections", plan.connections(), loads::idle));
-    run(recorder, new Named("playing connections", plan.connections(), loads::playing));
-    run(recorder, new Named("reconnects after a kill", plan.connections(), loads::reconnects));
+    run(recorder, new NamedLoad("idle connections", plan.connections(), loads::idle));
+    run(recorder, new NamedLoad("playing connections", plan.connections(), loads::playing));
+    run(recorder, new NamedLoad("reconnects after a kill", plan.connections(), loads::reconnects));
   }
 
-  /** Loads whose size is a rate. */
+  /** Runs the loads whose size is a message rate. */
   public void messages(ScaleRecorder recorder) throws IOException, InterruptedException {
     var loads = new FrontLoads(plan);
-    run(recorder, new Named("set-ups", plan.rates(), loads::setUps));
-    run(recorder, new Named("deliveries", plan.rates(), loads::deliveries));
+    run(recorder, new NamedLoad("set-ups", plan.rates(), loads::setUps));
+    run(recorder, new NamedLoad("deliveries", plan.rates(), loads::deliveries));
   }
 
-  private void run(ScaleRecorder recorder, Named load) throws IOException, InterruptedException {
+  private void run(ScaleRecorder recorder, NamedLoad load)
+      throws IOException, InterruptedException {
     for (int size : load.sizes()) {
       Map<String, List<Double>> figures = new LinkedHashMap<>();
       for (int run = 1; run <= plan.runs(); run++) {
-        progress.at(load.event(), size, run);
+        progress.runStarting(load.event(), size, run);
         load.load()
             .run(size)
             .forEach(
