--- a/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
+++ b/src/main/java/linengauge/scale/fronts/ServeConfiguration.java
@@ -9,12 +9,12 @@
 import java.util.List;
 
 /**
- * Writes the file with which a front is started (docs/protocol/platform.md, "Configuration"): boxes
- * and links so large that they never are what limits it.
+ * Writes the configuration file of a front (docs/protocol/platform.md, "Configuration"). Boxes and
+ * links have ample capacity, so that they never limit the front.
  */
 final class ServeConfiguration {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final double AMPLE = 1e9;
+  private static final double AMPLE_CAPACITY_KB = 1e9;
   private static final String SETTINGS =
       """
       {"balancers":1,"charges":{"probe":0.01},
@@ -33,7 +33,7 @@
 
   private ServeConfiguration() {}
 
-  /** What a box of this index is called on the wire. */
+  /** The name of the box with this index on the wire. */
   static String boxName(int index) {
     return String.format("s-%08x", index + 1);
   }
@@ -51,9 +51,9 @@
     targets(hosts.putArray("targets"), boxes);
     ObjectNode settings = (ObjectNode) JSON.readTree(SETTINGS);
     ((ObjectNode) settings.get("domain"))
-        .put("uplinkKb", AMPLE)
-        .put("weightKb", AMPLE)
-        .put("linksKb", AMPLE);
+        .put("uplinkKb", AMPLE_CAPACITY_KB)
+        .put("weightKb", AMPLE_CAPACITY_KB)
+        .put("linksKb", AMPLE_CAPACITY_KB);
     root.set("settings", settings);
     Files.writeString(file, JSON.writeValueAsString(root));
   }
--- a/src/main/java/linengauge/scale/hollow/HollowControl.java
+++ b/src/main/java/linengauge/scale/hollow/HollowControl.java
@@ -14,7 +14,7 @@
 import linengauge.consensus.SaveFailedException;
 import linengauge.consensus.tcp.ConsensusNode;
 import linengauge.consensus.tcp.ConsensusStore;
-import linengauge.drill.FoundingStore;
+import linengauge.drill.VoterStores;
 import linengauge.lease.DirectoryEntry;
 import linengauge.lease.MemberDirectory;
 import linengauge.lease.udp.ControlNode;
@@ -52,7 +52,7 @@
             ports.machines(),
             log);
     node = new ControlNode(settings, store(spec, key), listener());
-    node.channel().filter(gate);
+    node.channel().setFilter(gate);
   }
 
   private static ConsensusStore store(HollowSpec spec, byte[] key) throws IOException {
@@ -60,7 +60,7 @@
       return null;
     }
     try {
-      return FoundingStore.open(
+      return VoterStores.open(
           Path.of(spec.files().store()),
           key,
           spec.index(),
@@ -82,7 +82,7 @@
       }
 
       @Override
-      public void stands(ConsensusNode.View view) {
+      public void logViewChanged(ConsensusNode.View view) {
         // the directory says who leads
       }
     };
@@ -105,7 +105,7 @@
 
   @Override
   public HollowSample sample(boolean watches, long heapKb) {
-    node.ask((directory, registrar) -> leader = directory.leader());
+    node.query((directory, registrar) -> leader = directory.leader());
     SealedChannel.Traffic udp = node.channel().traffic();
     ConsensusNode.Traffic log = node.logTraffic();
     SealedChannel.Drops drops = node.channel().drops();
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -1,23 +1,23 @@
 package linengauge.session;
 
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
 import linengauge.Span;
 
 /**
- * The viewer's end of one viewing. Exactly one of plays, blocked and aborted is called, once; after
- * plays, ended is called once.
+ * The viewer's side of one viewing. Exactly one of started, rejected and failed is called, once;
+ * after started, ended is called once.
  */
 public interface Viewer {
-  /** Why a viewing was aborted. */
-  enum Cause {
+  /** Why a viewing failed. */
+  enum FailureCause {
     FAILED,
     NO_ANSWER,
     FRONT_FAILED
   }
 
-  /** How a viewing that played has ended; OVER: its box says that it has come to its end. */
-  enum End {
+  /** Why a viewing that played has ended; OVER: its box reports that it has come to its end. */
+  enum EndReason {
     OVER,
     LEFT,
     IDLE,
@@ -27,18 +27,19 @@
     LET_GO
   }
 
-  void plays(Held vw);
+  void started(Session session);
 
-  /** A further try is harmless, best after the span (none: no advice). */
-  void blocked(Span comeBackAfter, Outside.Refusal reason);
+  /** A retry is harmless, best after the span (none: no advice). */
+  void rejected(Span retryAfter, Environment.RejectionReason reason);
 
-  /** An attempt is no longer out, or what it set up no longer plays; for the log. */
-  default void attemptEnded(int attempt, BoxTable.Entry server, Outside.Ending how) {}
+  /** An attempt is no longer open, or what it set up no longer plays; for the log. */
+  default void attemptEnded(
+      int attempt, BoxTable.Entry server, Environment.AttemptOutcome outcome) {}
 
-  void aborted(Cause cause);
+  void failed(FailureCause cause);
 
-  void ended(End how);
+  void ended(EndReason reason);
 
-  /** When the viewer last asked for anything of a viewing that plays. */
-  Moment lastAsked();
+  /** When the viewer last made a request of a viewing that plays. */
+  Moment lastRequestAt();
 }
--- a/src/main/java/linengauge/standin/BoxFleet.java
+++ b/src/main/java/linengauge/standin/BoxFleet.java
@@ -9,72 +9,72 @@
 
 /**
  * Stand-in media boxes (docs/protocol/box.md), all on one event loop, with the links and uplinks
- * that they share. Each taps what it sees on its sockets before any fault acts on it.
+ * that they share. Each box records the traffic on its sockets before any fault is applied to it.
  */
 public final class BoxFleet {
-  /** What all boxes of a fleet have in common; spans in milliseconds. */
-  public record Kind(
+  /** The settings that all boxes of a fleet share; spans are in milliseconds. */
+  public record BoxSpec(
       int streams,
       double[] ladderKb,
       Map<String, Double> rateFactors,
       int setUpMs,
       int leaseMs,
-      int seeMs,
-      int tellMs,
-      boolean loadInAnswers,
-      boolean tellsUplink,
+      int noteDelayMs,
+      int loadReportIntervalMs,
+      boolean reportsLoadInAnswers,
+      boolean reportsUplink,
       int coldMs,
       double startCapacity,
       double fallMultiple,
       int fallAfterMs) {}
 
-  /** The place of one box. */
-  public record Place(long id, String host, int port, int cell, String building) {}
+  /** The address and location of one box. */
+  public record BoxLocation(long id, String host, int port, int cell, String building) {}
 
   private final Vertx vertx;
-  private final Kind kind;
+  private final BoxSpec spec;
   private final Tap tap;
-  private final Links links;
+  private final NetworkLinks links;
   private final SplittableRandom random;
   private final MediaRates rates;
   private final List<StandInBox> boxes = new ArrayList<>();
-  private int extraNoteMs;
+  private int extraNoteDelayMs;
 
   /**
-   * Link and uplink sizes are drawn a quarter and a fifth up or down, as real ones lie off what is
-   * told.
+   * Draws the capacity of each link and uplink up to a fifth above or below the nominal one, as
+   * real capacities differ from the reported ones.
    */
   public BoxFleet(
       Vertx vertx,
-      Kind kind,
-      List<Place> places,
+      BoxSpec spec,
+      List<BoxLocation> locations,
       int racks,
       double linkKb,
       double uplinkKb,
       long seed,
       Tap tap) {
     this.vertx = vertx;
-    this.kind = kind;
+    this.spec = spec;
     this.tap = tap;
     this.random = new SplittableRandom(seed);
-    this.rates = new MediaRates(kind, random);
-    double[] sizes = new double[places.size()];
-    int[] rackOf = new int[places.size()];
+    this.rates = new MediaRates(spec, random);
+    double[] sizes = new double[locations.size()];
+    int[] rackOf = new int[locations.size()];
     double[] uplinks = new double[racks];
     for (int i = 0; i < sizes.length; i++) {
       sizes[i] = linkKb * (0.8 + 0.4 * random.nextDouble());
-      rackOf[i] = places.get(i).cell() % racks;
+      rackOf[i] = locations.get(i).cell() % racks;
     }
     for (int i = 0; i < racks; i++) {
       uplinks[i] = uplinkKb * (0.8 + 0.4 * random.nextDouble());
     }
-    this.links = new Links(sizes, rackOf, uplinks);
-    for (int i = 0; i < places.size(); i++) {
-      boxes.add(new StandInBox(this, i, places.get(i)));
+    this.links = new NetworkLinks(sizes, rackOf, uplinks);
+    for (int i = 0; i < locations.size(); i++) {
+      boxes.add(new StandInBox(this, i, locations.get(i)));
     }
   }
 
-  /** Opens all boxes, warm. */
+  /** Starts all boxes; they are warm. */
   public Future<?> open() {
     List<Future<?>> all = new ArrayList<>();
     for (StandInBox box : boxes) {
@@ -93,34 +93,34 @@
     return links.racks();
   }
 
-  public void uplinkGives(int rack, double part) {
-    links.uplinkGives(rack, part);
+  public void setUplinkCapacity(int rack, double share) {
+    links.setUplinkCapacity(rack, share);
   }
 
-  /** Notes come this much later than usual. */
-  public void notesLater(int ms) {
-    extraNoteMs = ms;
+  /** Delays notes by this much in addition to the usual delay. */
+  public void setExtraNoteDelay(int ms) {
+    extraNoteDelayMs = ms;
   }
 
   public int viewings() {
     return boxes.stream().mapToInt(StandInBox::runningCount).sum();
   }
 
-  /* ---- what its boxes share ---- */
+  /* ---- shared by the boxes ---- */
 
   Vertx vertx() {
     return vertx;
   }
 
-  Kind kind() {
-    return kind;
+  BoxSpec spec() {
+    return spec;
   }
 
   Tap tap() {
     return tap;
   }
 
-  Links links() {
+  NetworkLinks links() {
     return links;
   }
 
@@ -132,7 +132,7 @@
     return rates;
   }
 
-  int extraNoteMs() {
-    return extraNoteMs;
+  int extraNoteDelayMs() {
+    return extraNoteDelayMs;
   }
 }
--- a/src/main/java/linengauge/standin/BoxViewings.java
+++ b/src/main/java/linengauge/standin/BoxViewings.java
@@ -5,20 +5,20 @@
 import java.util.List;
 import java.util.Map;
 
-/** The viewings of one stand-in box: those that run, are being set up, and have ended. */
+/** The viewings of one stand-in box: running, being set up, and ended. */
 final class BoxViewings {
-  private static final int MOST_ENDED = 2000;
+  private static final int MAX_ENDED = 2000;
 
   private final int box;
-  private final Links links;
+  private final NetworkLinks links;
   private final Map<String, RunningViewing> running = new LinkedHashMap<>();
 
-  /** Set-ups not answered yet, by id. */
+  /** Pending set-ups by viewing id. */
   private final Map<String, HttpServerRequest> settingUp = new LinkedHashMap<>();
 
   /**
-   * Ids that have ended here, with the tune-in: a set-up that comes after its end is not run.
-   * Emptied oldest first.
+   * Ended viewing ids with their last tune-in: a set-up that arrives after its end is not run. The
+   * oldest entries are removed first.
    */
   private final Map<String, Integer> ended =
       new LinkedHashMap<>() {
@@ -26,11 +26,11 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Integer> eldest) {
-          return size() > MOST_ENDED;
+          return size() > MAX_ENDED;
         }
       };
 
-  BoxViewings(int box, Links links) {
+  BoxViewings(int box, NetworkLinks links) {
     this.box = box;
     this.links = links;
   }
@@ -39,21 +39,21 @@
     return running.size();
   }
 
-  /** Streams that are taken: by what runs and by what is being set up. */
-  int streams() {
+  /** Returns the number of streams used by running viewings and pending set-ups. */
+  int usedStreams() {
     return running.size() + settingUp.size();
   }
 
-  /** Null where no such viewing runs. */
+  /** Returns null if no such viewing is running. */
   RunningViewing get(String id) {
     return running.get(id);
   }
 
-  boolean runs(String id) {
+  boolean isRunning(String id) {
     return running.containsKey(id);
   }
 
-  /** A copy, so that viewings may end while it is read. */
+  /** Returns a copy, so that viewings may end during iteration. */
   List<RunningViewing> all() {
     return List.copyOf(running.values());
   }
@@ -62,28 +62,28 @@
     settingUp.put(id, request);
   }
 
-  /** False where that request was no set-up of that id any more. */
+  /** Returns false if the request was not a pending set-up of that id. */
   boolean endSetUp(String id, HttpServerRequest request) {
     return settingUp.remove(id, request);
   }
 
   void start(RunningViewing viewing) {
     running.put(viewing.id(), viewing);
-    links.ask(box, viewing.kb());
+    links.addDemand(box, viewing.kb());
   }
 
   void change(RunningViewing viewing, int rung, double kb) {
-    links.ask(box, kb - viewing.kb());
+    links.addDemand(box, kb - viewing.kb());
     viewing.changeTo(rung, kb);
   }
 
   void stop(RunningViewing viewing) {
     if (running.remove(viewing.id(), viewing)) {
-      links.ask(box, -viewing.kb());
+      links.addDemand(box, -viewing.kb());
     }
   }
 
-  /** No set-up of that id up to that tune-in is run any more. */
+  /** From now on no set-up of that id with this tune-in or an earlier one is run. */
   void markEnded(String id, int tuneIn) {
     ended.merge(id, tuneIn, Math::max);
   }
@@ -93,7 +93,7 @@
     return last != null && last >= tuneIn;
   }
 
-  void loseAll() {
+  void clear() {
     all().forEach(this::stop);
     settingUp.clear();
     ended.clear();
--- a/src/main/java/linengauge/standin/FaultyLink.java
+++ b/src/main/java/linengauge/standin/FaultyLink.java
@@ -10,147 +10,147 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A TCP link between any two that can be made to delay, trickle, hold or swallow one way, or reset.
- * Its methods may be called from any thread.
+ * A TCP link between two endpoints that can delay or reset traffic, slow answers down, or hold or
+ * drop one direction. Its methods may be called from any thread.
  */
 public final class FaultyLink {
   private final Vertx vertx;
   private final NetClient client;
   private final String host;
-  private final int to;
+  private final int targetPort;
 
-  private record End(NetSocket socket, boolean answers) {}
+  private record Endpoint(NetSocket socket, boolean sendsAnswers) {}
 
-  private final List<End> open = new CopyOnWriteArrayList<>();
+  private final List<Endpoint> endpoints = new CopyOnWriteArrayList<>();
   private NetServer server;
   private volatile int delayMs;
   private volatile int trickleBytes;
-  private volatile boolean swallowAnswers;
-  private volatile boolean swallowAsked;
+  private volatile boolean dropAnswers;
+  private volatile boolean dropRequests;
   private volatile boolean resetOnAnswer;
-  private volatile boolean holdAsked;
+  private volatile boolean holdRequests;
   private volatile boolean holdAnswers;
 
-  public FaultyLink(Vertx vertx, String host, int to) {
+  public FaultyLink(Vertx vertx, String host, int targetPort) {
     this.vertx = vertx;
     this.host = host;
-    this.to = to;
+    this.targetPort = targetPort;
     this.client = vertx.createNetClient();
   }
 
-  /** Opens the link; done with its port. */
+  /** Opens the link; completes with its port. */
   public Future<Integer> open() {
     server = vertx.createNetServer();
     server.connectHandler(
-        near -> {
-          End asks = new End(near, false);
-          open.add(asks);
-          near.pause();
+        callerSocket -> {
+          Endpoint callerEnd = new Endpoint(callerSocket, false);
+          endpoints.add(callerEnd);
+          callerSocket.pause();
           client
-              .connect(to, host)
-              .onFailure(e -> near.close())
+              .connect(targetPort, host)
+              .onFailure(error -> callerSocket.close())
               .onSuccess(
-                  far -> {
-                    End answers = new End(far, true);
-                    open.add(answers);
-                    carry(asks, far);
-                    carry(answers, near);
-                    goOn(asks);
-                    goOn(answers);
+                  targetSocket -> {
+                    Endpoint targetEnd = new Endpoint(targetSocket, true);
+                    endpoints.add(targetEnd);
+                    forward(callerEnd, targetSocket);
+                    forward(targetEnd, callerSocket);
+                    updateReading(callerEnd);
+                    updateReading(targetEnd);
                   });
         });
     return server.listen(0, host).map(NetServer::actualPort);
   }
 
-  private boolean isHeld(End e) {
-    return e.answers ? holdAnswers : holdAsked;
+  private boolean isHeld(Endpoint endpoint) {
+    return endpoint.sendsAnswers ? holdAnswers : holdRequests;
   }
 
-  private void goOn(End e) {
-    if (isHeld(e)) {
-      e.socket.pause();
+  private void updateReading(Endpoint endpoint) {
+    if (isHeld(endpoint)) {
+      endpoint.socket.pause();
     } else {
-      e.socket.resume();
+      endpoint.socket.resume();
     }
   }
 
-  private void carry(End end, NetSocket on) {
-    NetSocket from = end.socket;
-    boolean answers = end.answers;
-    from.exceptionHandler(e -> {});
-    from.closeHandler(
+  private void forward(Endpoint endpoint, NetSocket destination) {
+    NetSocket source = endpoint.socket;
+    boolean answers = endpoint.sendsAnswers;
+    source.exceptionHandler(error -> {});
+    source.closeHandler(
         v -> {
-          open.remove(end);
-          vertx.setTimer(Math.max(1, delayMs), t -> on.close());
+          endpoints.remove(endpoint);
+          vertx.setTimer(Math.max(1, delayMs), t -> destination.close());
         });
-    from.handler(
-        b -> {
+    source.handler(
+        data -> {
           if (answers && resetOnAnswer) {
-            from.close();
-            on.close();
-          } else if (answers ? swallowAnswers : swallowAsked) {
+            source.close();
+            destination.close();
+          } else if (answers ? dropAnswers : dropRequests) {
             return;
           } else if (answers && trickleBytes > 0) {
-            trickle(on, b, 0);
+            trickle(destination, data, 0);
           } else if (delayMs > 0) {
-            vertx.setTimer(delayMs, t -> on.write(b));
+            vertx.setTimer(delayMs, t -> destination.write(data));
           } else {
-            on.write(b);
-            if (on.writeQueueFull()) {
-              from.pause();
-              on.drainHandler(v -> goOn(end));
+            destination.write(data);
+            if (destination.writeQueueFull()) {
+              source.pause();
+              destination.drainHandler(v -> updateReading(endpoint));
             }
           }
         });
   }
 
-  private void trickle(NetSocket on, Buffer b, int from) {
-    int until = Math.min(b.length(), from + trickleBytes);
-    on.write(b.getBuffer(from, until));
-    if (until < b.length()) {
-      vertx.setTimer(100, t -> trickle(on, b, until));
+  private void trickle(NetSocket destination, Buffer data, int from) {
+    int until = Math.min(data.length(), from + trickleBytes);
+    destination.write(data.getBuffer(from, until));
+    if (until < data.length()) {
+      vertx.setTimer(100, t -> trickle(destination, data, until));
     }
   }
 
-  public void delay(int ms) {
+  public void setDelay(int ms) {
     delayMs = ms;
   }
 
-  /** Answers come with so many bytes in each tenth of a second; 0: at full speed. */
-  public void trickle(int bytes) {
+  /** Limits answers to so many bytes per tenth of a second; 0 means full speed. */
+  public void setTrickle(int bytes) {
     trickleBytes = bytes;
   }
 
   /**
-   * What is asked stays unread from now on, and is carried once this is over: as where a network
-   * drops its packets.
+   * While on, requests stay unread; they are forwarded once it is off, as when a network drops
+   * packets and TCP sends them again.
    */
-  public void holdAsked(boolean on) {
-    holdAsked = on;
-    open.forEach(this::goOn);
+  public void holdRequests(boolean on) {
+    holdRequests = on;
+    endpoints.forEach(this::updateReading);
   }
 
-  /** The same of what is answered. */
+  /** Holds answers in the same way. */
   public void holdAnswers(boolean on) {
     holdAnswers = on;
-    open.forEach(this::goOn);
+    endpoints.forEach(this::updateReading);
   }
 
-  public void swallowAnswers(boolean on) {
-    swallowAnswers = on;
+  public void dropAnswers(boolean on) {
+    dropAnswers = on;
   }
 
-  public void swallowAsked(boolean on) {
-    swallowAsked = on;
+  public void dropRequests(boolean on) {
+    dropRequests = on;
   }
 
-  /** Connections break as soon as the other side answers. */
+  /** Closes a connection as soon as the other side answers. */
   public void resetOnAnswer(boolean on) {
     resetOnAnswer = on;
   }
 
-  /** Breaks all connections now. */
-  public void cut() {
-    open.forEach(e -> e.socket.close());
+  /** Closes all connections now. */
+  public void closeConnections() {
+    endpoints.forEach(endpoint -> endpoint.socket.close());
   }
 }
--- a/src/main/java/linengauge/standin/FaultyServer.java
+++ b/src/main/java/linengauge/standin/FaultyServer.java
@@ -22,44 +22,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A server of the platform (docs/protocol/platform.md, "Boxes") behind a faulty network: each
- * connection has a latency of its own, so that what is written on two of them may be read in
- * another order than it was written; order within a connection is kept. It notes when each attempt
- * arrived and what became of it, by the rules of the operators' page. One thread does everything
- * but reading sockets.
+ * A server of the platform (docs/protocol/platform.md, "Boxes") behind a faulty network. Each
+ * connection has a latency of its own, so messages written on two connections may be read in
+ * another order than they were written; order within a connection is kept. The server records when
+ * each attempt arrived and how it ended, by the operators' rules. One thread does everything except
+ * reading sockets.
  */
 public final class FaultyServer implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
-  private static final int REFUSED_FULL = 34;
+  private static final int REJECTED_FULL = 34;
   private static final int ERROR = 47;
   private static final int RESET = 41;
-  private static final int OVER = 16;
+  private static final int FINISHED_NORMALLY = 16;
   private static final int ACCEPT_QUEUE = 64;
-  private static final int LATE_COPY_MS = 8;
+  private static final int DUPLICATE_DELAY_MS = 8;
   private static final long NEVER = Long.MAX_VALUE;
 
   /**
-   * What becomes of attempts; shares are of all attempts, drawn one by one; the rest is answered.
+   * The faults of attempts. Shares are of all attempts and drawn for each one; the rest are
+   * answered.
    */
   public record Faults(
-      int mostLatencyMs,
+      int maxLatencyMs,
       double silentShare,
       double unreadableShare,
-      double refusedShare,
+      double rejectedShare,
       double resetShare,
-      int leastAnswerMs,
-      int mostAnswerMs,
+      int minAnswerMs,
+      int maxAnswerMs,
       boolean confirmsEnds,
-      double secondCopyShare) {}
+      double duplicateShare) {}
 
-  /** How a session came to its end, where the server ended it. */
-  public enum End {
+  /** Why the server ended a session. */
+  public enum EndCause {
     OPEN,
     RELEASED,
     PROCESS_DIED
   }
 
-  /** One attempt as the server saw it; moments are microseconds of the system's running clock. */
+  /** One attempt as the server saw it; moments are in microseconds of the monotonic clock. */
   public static final class Attempt {
     public final String request;
     public final String server;
@@ -67,30 +68,30 @@
     public final long arrivedAt;
 
     /** When the server answered it, the front wrote its end, or its connection closed. */
-    public long outUntil = NEVER;
+    public long pendingUntil = NEVER;
 
-    /** When it or what it set up was over for the server. */
-    public long overAt = NEVER;
+    /** When the attempt, or the session that it set up, ended at the server. */
+    public long endedAt = NEVER;
 
-    /** The server has said that it never ran. */
+    /** The server has reported that it never ran. */
     public boolean neverRan;
 
-    public boolean stands;
-    public End endedBy = End.OPEN;
-    private final Socket by;
+    public boolean established;
+    public EndCause endedBy = EndCause.OPEN;
+    private final Socket connection;
 
-    private Attempt(String request, String server, int rung, Socket by) {
+    private Attempt(String request, String server, int rung, Socket connection) {
       this.request = request;
       this.server = server;
       this.rung = rung;
       this.arrivedAt = nowMicros();
-      this.by = by;
+      this.connection = connection;
     }
   }
 
   private final String id;
   private final ServerSocket listener;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final ScheduledExecutorService loop =
       Executors.newSingleThreadScheduledExecutor(
           r -> {
@@ -102,10 +103,10 @@
   private final List<Socket> fillers = new ArrayList<>();
   private final Map<String, Attempt> open = new HashMap<>();
   private final List<Attempt> attempts = new ArrayList<>();
-  private final List<String> overtaken = new ArrayList<>();
+  private final List<String> overlappingAttempts = new ArrayList<>();
 
-  /** What is to be done once the process goes on; null while it runs. */
-  private ArrayDeque<Runnable> hung;
+  /** The steps deferred until the process resumes; null while it runs. */
+  private ArrayDeque<Runnable> deferredSteps;
 
   private boolean accepting = true;
   private volatile Faults faults;
@@ -115,7 +116,7 @@
     this.listener = new ServerSocket();
     this.listener.setReuseAddress(true);
     this.listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), ACCEPT_QUEUE);
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.faults = faults;
     start(this::accept);
   }
@@ -132,21 +133,24 @@
     return listener.getLocalPort();
   }
 
-  public void faults(Faults anew) {
-    faults = anew;
+  public void setFaults(Faults newFaults) {
+    faults = newFaults;
   }
 
-  /** Every attempt so far. */
+  /** Returns every attempt so far. */
   public synchronized List<Attempt> attempts() {
     return List.copyOf(attempts);
   }
 
-  /** Attempts that were read while another one of the same request was out or stood here. */
-  public synchronized List<String> overtaken() {
-    return List.copyOf(overtaken);
+  /**
+   * Returns a description of each attempt that was read while another one of the same request was
+   * pending or established here.
+   */
+  public synchronized List<String> overlappingAttempts() {
+    return List.copyOf(overlappingAttempts);
   }
 
-  /** Requests that have an attempt or a session open here. */
+  /** Returns the requests that have an attempt or a session open here. */
   public synchronized List<String> open() {
     return List.copyOf(open.keySet());
   }
@@ -168,12 +172,12 @@
         int latencyMs;
         synchronized (this) {
           sockets.add(socket);
-          latencyMs = chance.nextInt(faults.mostLatencyMs() + 1);
+          latencyMs = random.nextInt(faults.maxLatencyMs() + 1);
         }
         start(() -> read(socket, latencyMs));
       }
     } catch (IOException | InterruptedException e) {
-      // closed
+      // The server has been closed.
     }
   }
 
@@ -190,53 +194,57 @@
               new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
         JsonNode message = JSON.readTree(line);
-        Runnable step = arrived(socket, message);
-        after(latencyMs, step);
+        Runnable step = onMessageArrived(socket, message);
+        schedule(latencyMs, step);
       }
     } catch (IOException e) {
-      // its other side has gone
+      // The peer has closed the connection.
     } finally {
-      closeArrived(socket);
-      after(latencyMs, () -> closed(socket));
+      onCloseArrived(socket);
+      schedule(latencyMs, () -> onClosed(socket));
     }
   }
 
-  /** Notes what has come, and returns what is to be done once it is read. */
-  private synchronized Runnable arrived(Socket socket, JsonNode message) {
+  /** Records the arrival of a message and returns the step that runs once it is read. */
+  private synchronized Runnable onMessageArrived(Socket socket, JsonNode message) {
     String tag = message.path("tag").asText();
     return switch (message.path("verb").asText()) {
       case "START" -> {
         int rung = message.path("opts").path("rung").asInt();
         Attempt attempt = new Attempt(tag, id, rung, socket);
         attempts.add(attempt);
-        yield () -> started(attempt, message.path("blob").asText());
+        yield () -> onStart(attempt, message.path("blob").asText());
       }
       case "FINISH" -> {
-        attempts.stream().filter(a -> a.request.equals(tag)).forEach(FaultyServer::noLongerOut);
-        yield () -> finished(socket, tag);
+        attempts.stream()
+            .filter(a -> a.request.equals(tag))
+            .forEach(FaultyServer::markNoLongerPending);
+        yield () -> onFinish(socket, tag);
       }
-      case "ECHO" -> () -> say(socket, tested(tag));
+      case "ECHO" -> () -> send(socket, probeReply(tag));
       default -> () -> {};
     };
   }
 
-  private static void noLongerOut(Attempt attempt) {
-    attempt.outUntil = Math.min(attempt.outUntil, nowMicros());
+  private static void markNoLongerPending(Attempt attempt) {
+    attempt.pendingUntil = Math.min(attempt.pendingUntil, nowMicros());
   }
 
-  private synchronized void closeArrived(Socket socket) {
-    attempts.stream().filter(a -> a.by == socket).forEach(FaultyServer::noLongerOut);
+  private synchronized void onCloseArrived(Socket socket) {
+    attempts.stream()
+        .filter(a -> a.connection == socket)
+        .forEach(FaultyServer::markNoLongerPending);
   }
 
-  private void after(int ms, Runnable step) {
+  private void schedule(int ms, Runnable step) {
     if (!loop.isShutdown()) {
       loop.schedule(() -> runOrDefer(step), ms, TimeUnit.MILLISECONDS);
     }
   }
 
   private synchronized void runOrDefer(Runnable step) {
-    if (hung != null) {
-      hung.add(step);
+    if (deferredSteps != null) {
+      deferredSteps.add(step);
     } else {
       step.run();
     }
@@ -244,13 +252,13 @@
 
   /* ---- faults of the whole server ---- */
 
-  /** Reads and says nothing until told to go on; connections stay open and new ones come up. */
+  /** Stops reading and writing until resumed; connections stay open and new ones are accepted. */
   public synchronized void hang() {
-    hung = hung == null ? new ArrayDeque<>() : hung;
+    deferredSteps = deferredSteps == null ? new ArrayDeque<>() : deferredSteps;
   }
 
-  /** The same, and no new connection comes up: its queue of those to be accepted is full. */
-  public void vanish() throws IOException {
+  /** Hangs and accepts no new connection, because the accept queue is full. */
+  public void becomeUnreachable() throws IOException {
     synchronized (this) {
       accepting = false;
     }
@@ -261,21 +269,21 @@
       try {
         filler.connect(listener.getLocalSocketAddress(), 20);
       } catch (IOException e) {
-        return; // it is full
+        return; // The accept queue is full.
       }
     }
   }
 
-  /** Goes on where it stood. */
-  public synchronized void goOn() throws IOException {
+  /** Resumes and runs the deferred steps. */
+  public synchronized void resume() throws IOException {
     for (Socket filler : fillers) {
       filler.close();
     }
     fillers.clear();
     accepting = true;
     notifyAll();
-    ArrayDeque<Runnable> deferred = hung == null ? new ArrayDeque<>() : hung;
-    hung = null;
+    ArrayDeque<Runnable> deferred = deferredSteps == null ? new ArrayDeque<>() : deferredSteps;
+    deferredSteps = null;
     deferred.forEach(Runnable::run);
   }
 
@@ -286,49 +294,52 @@
 
   /* ---- attempts ---- */
 
-  private void started(Attempt attempt, String description) {
+  private void onStart(Attempt attempt, String description) {
     if (open.put(attempt.request, attempt) != null) {
-      overtaken.add("request " + attempt.request + " set up at " + id + " while one was open");
+      overlappingAttempts.add(
+          "request " + attempt.request + " set up at " + id + " while one was open");
     }
-    Faults f = faults;
-    double drawn = chance.nextDouble();
-    int answerMs = f.leastAnswerMs() + chance.nextInt(f.mostAnswerMs() - f.leastAnswerMs() + 1);
-    int cause = chance.nextBoolean() ? REFUSED_FULL : ERROR;
-    double unreadable = f.silentShare() + f.unreadableShare();
-    double refused = unreadable + f.refusedShare();
-    if (drawn < f.silentShare()) {
+    Faults currentFaults = faults;
+    double drawn = random.nextDouble();
+    int answerMs =
+        currentFaults.minAnswerMs()
+            + random.nextInt(currentFaults.maxAnswerMs() - currentFaults.minAnswerMs() + 1);
+    int cause = random.nextBoolean() ? REJECTED_FULL : ERROR;
+    double unreadable = currentFaults.silentShare() + currentFaults.unreadableShare();
+    double rejected = unreadable + currentFaults.rejectedShare();
+    if (drawn < currentFaults.silentShare()) {
       return;
     }
     if (drawn < unreadable) {
-      after(answerMs, () -> write(attempt.by, "\u0001{{{ unreadable\n"));
-    } else if (drawn < refused) {
-      after(answerMs, () -> refuse(attempt, cause));
-    } else if (drawn < refused + f.resetShare()) {
-      after(answerMs, () -> reset(attempt.by));
+      schedule(answerMs, () -> write(attempt.connection, "\u0001{{{ unreadable\n"));
+    } else if (drawn < rejected) {
+      schedule(answerMs, () -> reject(attempt, cause));
+    } else if (drawn < rejected + currentFaults.resetShare()) {
+      schedule(answerMs, () -> reset(attempt.connection));
     } else {
-      after(answerMs, () -> answer(attempt, description));
+      schedule(answerMs, () -> answer(attempt, description));
     }
   }
 
-  private void finished(Socket socket, String tag) {
-    over(open.remove(tag));
+  private void onFinish(Socket socket, String tag) {
+    markEnded(open.remove(tag));
     if (faults.confirmsEnds()) {
-      say(socket, reply("FINISHED", tag, -1));
+      send(socket, reply("FINISHED", tag, -1));
     }
   }
 
-  private static void over(Attempt attempt) {
+  private static void markEnded(Attempt attempt) {
     if (attempt != null) {
-      attempt.overAt = nowMicros();
+      attempt.endedAt = nowMicros();
     }
   }
 
-  private void refuse(Attempt attempt, int cause) {
+  private void reject(Attempt attempt, int cause) {
     if (open.remove(attempt.request, attempt)) {
-      over(attempt);
-      noLongerOut(attempt);
-      attempt.neverRan = cause == REFUSED_FULL;
-      say(attempt.by, reply("FINISH", attempt.request, cause));
+      markEnded(attempt);
+      markNoLongerPending(attempt);
+      attempt.neverRan = cause == REJECTED_FULL;
+      send(attempt.connection, reply("FINISH", attempt.request, cause));
     }
   }
 
@@ -336,13 +347,13 @@
     if (open.get(attempt.request) != attempt) {
       return;
     }
-    attempt.stands = true;
-    noLongerOut(attempt);
+    attempt.established = true;
+    markNoLongerPending(attempt);
     ObjectNode answer =
         reply("STARTED", attempt.request, -1).put("blob", description + "at " + id + "\r\n");
-    say(attempt.by, answer);
-    if (chance.nextDouble() < faults.secondCopyShare()) {
-      after(LATE_COPY_MS, () -> say(attempt.by, answer));
+    send(attempt.connection, answer);
+    if (random.nextDouble() < faults.duplicateShare()) {
+      schedule(DUPLICATE_DELAY_MS, () -> send(attempt.connection, answer));
     }
   }
 
@@ -351,36 +362,39 @@
       socket.setSoLinger(true, 0);
       socket.close();
     } catch (IOException e) {
-      // its other side has gone
+      // The peer has closed the connection.
     }
   }
 
-  /** Attempts open on a connection that closes are given up; what stands stays. */
-  private void closed(Socket socket) {
+  /** Cancels the pending attempts of a closed connection; established sessions stay. */
+  private void onClosed(Socket socket) {
     sockets.remove(socket);
     open.values()
         .removeIf(
             attempt -> {
-              boolean ends = attempt.by == socket && !attempt.stands;
+              boolean ends = attempt.connection == socket && !attempt.established;
               if (ends) {
-                over(attempt);
+                markEnded(attempt);
               }
               return ends;
             });
   }
 
-  /** Ends some of the sessions that stand, as at their ordinary end or cut. */
+  /** Ends some of the established sessions, either normally or by a reset. */
   public synchronized void endSome(double share) {
-    if (hung != null) {
+    if (deferredSteps != null) {
       return;
     }
     for (Attempt attempt : List.copyOf(open.values())) {
-      Socket by = attempt.by.isClosed() && !sockets.isEmpty() ? sockets.get(0) : attempt.by;
-      if (attempt.stands && !by.isClosed() && chance.nextDouble() < share) {
+      Socket connection =
+          attempt.connection.isClosed() && !sockets.isEmpty() ? sockets.get(0) : attempt.connection;
+      if (attempt.established && !connection.isClosed() && random.nextDouble() < share) {
         open.remove(attempt.request);
-        over(attempt);
-        attempt.endedBy = End.RELEASED;
-        say(by, reply("FINISH", attempt.request, chance.nextBoolean() ? OVER : RESET));
+        markEnded(attempt);
+        attempt.endedBy = EndCause.RELEASED;
+        send(
+            connection,
+            reply("FINISH", attempt.request, random.nextBoolean() ? FINISHED_NORMALLY : RESET));
       }
     }
   }
@@ -391,20 +405,20 @@
     return cause < 0 ? reply : reply.put("rc", cause);
   }
 
-  private static ObjectNode tested(String tag) {
+  private static ObjectNode probeReply(String tag) {
     ObjectNode reply = reply("ECHOED", tag, 1);
     reply.withObject("/opts").put("load", "x0:0.2;x1:0.2;outstanding:1");
     return reply;
   }
 
-  private void say(Socket socket, JsonNode line) {
+  private void send(Socket socket, JsonNode line) {
     write(socket, line + "\n");
   }
 
-  /** One line in ten leaves in two pieces. */
+  /** Writes a line; one line in ten is sent in two pieces. */
   private void write(Socket socket, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int first = chance.nextInt(10) == 0 ? chance.nextInt(bytes.length) : bytes.length;
+    int first = random.nextInt(10) == 0 ? random.nextInt(bytes.length) : bytes.length;
     try {
       socket.getOutputStream().write(bytes, 0, first);
       if (first < bytes.length) {
@@ -412,13 +426,16 @@
         socket.getOutputStream().write(bytes, first, bytes.length - first);
       }
     } catch (IOException e) {
-      // its other side has gone
+      // The peer has closed the connection.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Its process dies: connections are reset, sessions cut, and new ones refused. */
+  /**
+   * Simulates the death of the process: connections are reset, sessions end, and new connections
+   * are refused.
+   */
   @Override
   public synchronized void close() throws IOException {
     listener.close();
@@ -426,10 +443,12 @@
       filler.close();
     }
     resetAll();
-    open.values().forEach(FaultyServer::over);
-    open.values().stream().filter(a -> a.stands).forEach(a -> a.endedBy = End.PROCESS_DIED);
+    open.values().forEach(FaultyServer::markEnded);
+    open.values().stream()
+        .filter(a -> a.established)
+        .forEach(a -> a.endedBy = EndCause.PROCESS_DIED);
     open.clear();
-    attempts.forEach(FaultyServer::noLongerOut);
+    attempts.forEach(FaultyServer::markNoLongerPending);
     accepting = true;
     notifyAll();
     loop.shutdownNow();
--- a/src/main/java/linengauge/standin/PlatformBox.java
+++ b/src/main/java/linengauge/standin/PlatformBox.java
@@ -17,59 +17,59 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A media box as the platform speaks with it (docs/protocol/platform.md, "Boxes"), on loopback; for
- * tests and try-outs.
+ * A media box that speaks the platform's protocol (docs/protocol/platform.md, "Boxes") on loopback;
+ * for tests and trial runs.
  */
 public final class PlatformBox implements AutoCloseable {
-  /** What becomes of set-ups. */
-  public enum Mood {
-    WELL,
-    ERRORS,
+  /** How the box reacts to set-ups. */
+  public enum Behavior {
+    NORMAL,
+    ERROR,
     FULL,
     SILENT,
-    NOISE,
-    STOPS_SHORT,
+    GARBAGE,
+    TRUNCATED,
     ENDLESS,
-    RESETS,
-    TWICE,
+    RESET,
+    DUPLICATE,
     NO_DESCRIPTION,
     LATE
   }
 
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  private final ServerSocket door;
+  private final ServerSocket listener;
   private final List<Socket> sockets = new CopyOnWriteArrayList<>();
 
-  /** Viewings that play here, with the connection that they were set up on. */
+  /** The viewings that play here, with the connection on which each was set up. */
   private final Map<String, Socket> playing = new ConcurrentHashMap<>();
 
-  private final List<JsonNode> heard = new CopyOnWriteArrayList<>();
-  private final java.util.concurrent.atomic.AtomicLong came =
+  private final List<JsonNode> received = new CopyOnWriteArrayList<>();
+  private final java.util.concurrent.atomic.AtomicLong accepted =
       new java.util.concurrent.atomic.AtomicLong();
-  public volatile Mood mood = Mood.WELL;
+  public volatile Behavior behavior = Behavior.NORMAL;
 
   public PlatformBox() throws IOException {
-    door = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+    listener = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
     start(this::accept);
   }
 
   public int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
-  /** Every line heard, in order of its coming. */
-  public List<JsonNode> heard() {
-    return heard;
+  /** Returns every message received, in order of arrival. */
+  public List<JsonNode> received() {
+    return received;
   }
 
-  /** How many connections have come so far. */
+  /** Returns the number of connections accepted so far. */
   public long connections() {
-    return came.get();
+    return accepted.get();
   }
 
-  public long heard(String verb) {
-    return heard.stream().filter(n -> n.path("verb").asText().equals(verb)).count();
+  public long receivedCount(String verb) {
+    return received.stream().filter(message -> message.path("verb").asText().equals(verb)).count();
   }
 
   public Map<String, Socket> playing() {
@@ -78,139 +78,143 @@
 
   /** Ends a viewing that plays. */
   public void end(String tag, int cause) throws IOException {
-    Socket by = playing.remove(tag);
-    say(by, line("FINISH", tag, cause, null));
+    Socket connection = playing.remove(tag);
+    send(connection, message("FINISH", tag, cause, null));
   }
 
-  /** A note on a viewing that plays. */
-  public void note(String tag, String kind, double value) throws IOException {
-    ObjectNode n = line("NOTICE", tag, -1, null);
-    n.putObject("opts").put("note", kind).put("value", value);
-    say(playing.get(tag), n);
+  /** Sends a note about a viewing that plays. */
+  public void sendNote(String tag, String kind, double value) throws IOException {
+    ObjectNode message = message("NOTICE", tag, -1, null);
+    message.putObject("opts").put("note", kind).put("value", value);
+    send(playing.get(tag), message);
   }
 
-  /** Writes anything on all connections. */
-  public void noise(byte[] bytes) throws IOException {
-    for (Socket s : sockets) {
-      s.getOutputStream().write(bytes);
+  /** Writes the given bytes on all connections. */
+  public void sendToAll(byte[] bytes) throws IOException {
+    for (Socket socket : sockets) {
+      socket.getOutputStream().write(bytes);
     }
   }
 
   private static void start(Runnable job) {
-    Thread t = new Thread(job, "platform-box");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(job, "platform-box");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   private void accept() {
     try {
       while (true) {
-        Socket s = door.accept();
-        s.setTcpNoDelay(true);
-        sockets.add(s);
-        came.incrementAndGet();
-        start(() -> serve(s));
+        Socket socket = listener.accept();
+        socket.setTcpNoDelay(true);
+        sockets.add(socket);
+        accepted.incrementAndGet();
+        start(() -> serve(socket));
       }
     } catch (IOException e) {
-      // closed
+      // The box has been closed.
     }
   }
 
-  private void serve(Socket s) {
-    try (s) {
+  private void serve(Socket socket) {
+    try (socket) {
       var in =
-          new BufferedReader(new InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8));
+          new BufferedReader(
+              new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8));
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        JsonNode n = JSON.readTree(line);
-        heard.add(n);
-        String tag = n.path("tag").asText();
-        switch (n.path("verb").asText()) {
-          case "START" -> setUp(s, n, tag);
+        JsonNode message = JSON.readTree(line);
+        received.add(message);
+        String tag = message.path("tag").asText();
+        switch (message.path("verb").asText()) {
+          case "START" -> setUp(socket, message, tag);
           case "FINISH" -> playing.remove(tag);
           case "ECHO" -> {
-            ObjectNode answer = line("ECHOED", tag, 1, null);
-            if (n.path("rc").asInt() == 1) { // a report comes to a test of cause 1 alone
+            ObjectNode answer = message("ECHOED", tag, 1, null);
+            if (message.path("rc").asInt() == 1) { // Only a probe of cause 1 gets a report.
               answer
                   .putObject("opts")
                   .put("load", "outstanding:" + playing.size() + ";x0:0.2;x1:0.3");
             }
-            say(s, answer);
+            send(socket, answer);
           }
           default -> {}
         }
       }
     } catch (IOException e) {
-      // its other side has gone
+      // The peer has closed the connection.
     } finally {
-      sockets.remove(s);
+      sockets.remove(socket);
     }
   }
 
-  private void setUp(Socket s, JsonNode asked, String tag) throws IOException {
-    ObjectNode stands =
-        line("STARTED", tag, -1, "made for " + tag + "\r\n" + asked.path("blob").asText());
-    switch (mood) {
-      case WELL -> {
-        playing.put(tag, s);
-        say(s, stands);
+  private void setUp(Socket socket, JsonNode request, String tag) throws IOException {
+    ObjectNode answer =
+        message("STARTED", tag, -1, "made for " + tag + "\r\n" + request.path("blob").asText());
+    switch (behavior) {
+      case NORMAL -> {
+        playing.put(tag, socket);
+        send(socket, answer);
       }
-      case ERRORS -> say(s, line("FINISH", tag, 47, null));
-      case FULL -> say(s, line("FINISH", tag, 34, null));
-      case NOISE ->
-          s.getOutputStream().write("\u0001{{{ no such thing\n".getBytes(StandardCharsets.UTF_8));
-      case STOPS_SHORT ->
-          s.getOutputStream()
-              .write(stands.toString().substring(0, 40).getBytes(StandardCharsets.UTF_8));
+      case ERROR -> send(socket, message("FINISH", tag, 47, null));
+      case FULL -> send(socket, message("FINISH", tag, 34, null));
+      case GARBAGE ->
+          socket
+              .getOutputStream()
+              .write("\u0001{{{ no such thing\n".getBytes(StandardCharsets.UTF_8));
+      case TRUNCATED ->
+          socket
+              .getOutputStream()
+              .write(answer.toString().substring(0, 40).getBytes(StandardCharsets.UTF_8));
       case ENDLESS -> {
-        byte[] much =
+        byte[] chunk =
             "{\"verb\":\"STARTED\",\"x\":\""
                 .concat("y".repeat(8000))
                 .getBytes(StandardCharsets.UTF_8);
         for (int i = 0; i < 1000; i++) {
-          s.getOutputStream().write(much);
+          socket.getOutputStream().write(chunk);
         }
       }
-      case RESETS -> {
-        s.setSoLinger(true, 0);
-        s.close();
+      case RESET -> {
+        socket.setSoLinger(true, 0);
+        socket.close();
       }
-      case TWICE -> {
-        playing.put(tag, s);
-        say(s, line("STARTED", "00000000000000aa", -1, "of nobody"));
-        say(s, stands);
-        say(s, stands);
+      case DUPLICATE -> {
+        playing.put(tag, socket);
+        send(socket, message("STARTED", "00000000000000aa", -1, "of nobody"));
+        send(socket, answer);
+        send(socket, answer);
       }
-      case NO_DESCRIPTION -> say(s, line("STARTED", tag, -1, null));
+      case NO_DESCRIPTION -> send(socket, message("STARTED", tag, -1, null));
       default -> {
-        // no answer
+        // Sends no answer.
       }
     }
   }
 
-  private static ObjectNode line(String verb, String tag, int cause, String blob) {
-    ObjectNode n = JSON.createObjectNode().put("verb", verb).put("tag", tag);
-    n.putObject("opts");
+  private static ObjectNode message(String verb, String tag, int cause, String blob) {
+    ObjectNode message = JSON.createObjectNode().put("verb", verb).put("tag", tag);
+    message.putObject("opts");
     if (cause >= 0) {
-      n.put("rc", cause);
+      message.put("rc", cause);
     }
-    return blob == null ? n : n.put("blob", blob);
+    return blob == null ? message : message.put("blob", blob);
   }
 
-  private static synchronized void say(Socket s, JsonNode line) throws IOException {
-    s.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
+  private static synchronized void send(Socket socket, JsonNode message) throws IOException {
+    socket.getOutputStream().write((message + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  /** Its process dies: nothing listens any more, and connections are reset. */
+  /** Simulates the death of the process: the port is closed and connections are reset. */
   @Override
   public void close() throws IOException {
-    door.close();
-    for (Socket s : sockets) {
+    listener.close();
+    for (Socket socket : sockets) {
       try {
-        s.setSoLinger(true, 0);
+        socket.setSoLinger(true, 0);
       } catch (SocketException e) {
-        // its other side has closed it meanwhile
+        // The connection has been closed in the meantime.
       }
-      s.close();
+      socket.close();
     }
   }
 }
--- a/src/main/java/linengauge/standin/PlatformJournal.java
+++ b/src/main/java/linengauge/standin/PlatformJournal.java
@@ -11,56 +11,56 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The journal service of the platform (docs/protocol/platform.md), on loopback; for tests and
- * try-outs.
+ * The journal service of the platform (docs/protocol/platform.md) on loopback; for tests and trial
+ * runs.
  */
 public final class PlatformJournal implements AutoCloseable {
-  private final ServerSocket door;
+  private final ServerSocket listener;
   private final List<byte[]> events = new ArrayList<>();
   private final List<Socket> readers = new CopyOnWriteArrayList<>();
 
-  /** The numbers from which it was asked. */
-  public final List<Long> asked = new CopyOnWriteArrayList<>();
+  /** The event numbers that readers requested to start after. */
+  public final List<Long> requestedPositions = new CopyOnWriteArrayList<>();
 
-  /** Numbers go on from that of the last event known elsewhere. */
-  public PlatformJournal(long from) throws IOException {
-    this(from, 0);
+  /** Starts a journal whose numbers continue from the last event known elsewhere. */
+  public PlatformJournal(long lastNumber) throws IOException {
+    this(lastNumber, 0);
   }
 
-  /** The same at a port, as one that comes back there. */
-  public PlatformJournal(long from, int port) throws IOException {
-    door = new ServerSocket(port, 16, InetAddress.getLoopbackAddress());
-    for (long i = 0; i < from; i++) {
+  /** Starts the journal at a given port, as one that is restarted there. */
+  public PlatformJournal(long lastNumber, int port) throws IOException {
+    listener = new ServerSocket(port, 16, InetAddress.getLoopbackAddress());
+    for (long i = 0; i < lastNumber; i++) {
       events.add(new byte[0]);
     }
-    Thread t = new Thread(this::accept, "platform-journal");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(this::accept, "platform-journal");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   public int port() {
-    return door.getLocalPort();
+    return listener.getLocalPort();
   }
 
   private void accept() {
     try {
       while (true) {
-        Socket s = door.accept();
-        long last = new DataInputStream(s.getInputStream()).readLong();
+        Socket socket = listener.accept();
+        long last = new DataInputStream(socket.getInputStream()).readLong();
         synchronized (this) {
-          asked.add(last);
-          readers.add(s);
-          for (long n = last; n < events.size(); n++) {
-            s.getOutputStream().write(events.get((int) n));
+          requestedPositions.add(last);
+          readers.add(socket);
+          for (long number = last; number < events.size(); number++) {
+            socket.getOutputStream().write(events.get((int) number));
           }
         }
       }
     } catch (IOException e) {
-      // closed
+      // The journal has been closed.
     }
   }
 
-  /** A record of the list; state: 0 ready, 1 draining, 2 gone. */
+  /** Returns an entry of the list; state: 0 ready, 1 draining, 2 gone. */
   public static byte[] record(int id, int port, int state, int cell, long startedMs) {
     return ByteBuffer.allocate(27)
         .putInt(id)
@@ -75,55 +75,55 @@
         .array();
   }
 
-  public synchronized void change(byte[]... records) {
-    ByteBuffer f =
+  public synchronized void publish(byte[]... records) {
+    ByteBuffer frame =
         ByteBuffer.allocate(13 + 27 * records.length)
             .putInt(9 + 27 * records.length)
             .putLong(events.size() + 1)
             .put((byte) 2);
-    for (byte[] r : records) {
-      f.put(r);
+    for (byte[] entry : records) {
+      frame.put(entry);
     }
-    events.add(f.array());
-    tell(f.array());
+    events.add(frame.array());
+    send(frame.array());
   }
 
-  /** The sign of life. */
-  public synchronized void nothingNew() {
-    tell(ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0).array());
+  /** Sends a heartbeat, which has the number of the last event. */
+  public synchronized void sendHeartbeat() {
+    send(ByteBuffer.allocate(13).putInt(9).putLong(events.size()).put((byte) 0).array());
   }
 
-  /** Begins an event and breaks off within it; who asks again gets it whole. */
-  public synchronized void breakWithin(byte[] record) throws IOException {
-    ByteBuffer f =
+  /** Breaks the connections within an event; a reader that reconnects gets the whole event. */
+  public synchronized void breakDuringEvent(byte[] record) throws IOException {
+    ByteBuffer frame =
         ByteBuffer.allocate(13 + 27)
             .putInt(9 + 27)
             .putLong(events.size() + 1)
             .put((byte) 2)
             .put(record);
-    events.add(f.array());
-    for (Socket s : readers) {
-      s.getOutputStream().write(f.array(), 0, 20);
-      s.close();
+    events.add(frame.array());
+    for (Socket socket : readers) {
+      socket.getOutputStream().write(frame.array(), 0, 20);
+      socket.close();
     }
     readers.clear();
   }
 
-  public synchronized void tell(byte[] bytes) {
-    for (Socket s : readers) {
+  public synchronized void send(byte[] bytes) {
+    for (Socket socket : readers) {
       try {
-        s.getOutputStream().write(bytes);
+        socket.getOutputStream().write(bytes);
       } catch (IOException e) {
-        readers.remove(s);
+        readers.remove(socket);
       }
     }
   }
 
   @Override
   public void close() throws IOException {
-    door.close();
-    for (Socket s : readers) {
-      s.close();
+    listener.close();
+    for (Socket socket : readers) {
+      socket.close();
     }
   }
 }
--- a/src/main/java/linengauge/standin/PlatformTryOut.java
+++ b/src/main/java/linengauge/standin/PlatformTryOut.java
@@ -5,7 +5,7 @@
 import java.net.ServerSocket;
 
 /**
- * The other side of a try-out: three boxes, the journal service and a connection of viewers, on
+ * The environment of a trial run: three boxes, the journal service and a connection of viewers, on
  * free loopback ports.
  */
 public final class PlatformTryOut implements AutoCloseable {
@@ -18,10 +18,10 @@
     port = freePort();
   }
 
-  /** A port that was free just now. */
+  /** Returns a port that is currently free. */
   public static int freePort() throws IOException {
-    try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return s.getLocalPort();
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return socket.getLocalPort();
     }
   }
 
@@ -37,29 +37,30 @@
     return new int[] {boxes[0].port(), boxes[1].port(), boxes[2].port()};
   }
 
-  /** True where every viewing asked for was answered: it plays. */
+  /** Returns true if at least half of the requested viewings were answered as playing. */
   public boolean play() throws IOException, InterruptedException {
     int played = 0;
     try (var viewers = new PlatformViewers(port)) {
-      viewers.test();
+      viewers.sendProbe();
       viewers.next(2000);
-      journal.change(PlatformJournal.record(9, 1, 1, 3, 0));
+      journal.publish(PlatformJournal.record(9, 1, 1, 3, 0));
       for (int id = 1; id <= VIEWINGS; id++) {
         viewers.send(PlatformViewers.setUp(id, "lesson", 2000, ""));
-        boxes[id % 3].mood = id % 20 == 0 ? PlatformBox.Mood.FULL : PlatformBox.Mood.WELL;
-        for (var said = viewers.next(3000); said != null; said = viewers.next(3000)) {
-          if (said.id() == id) {
-            played += said.type() == 9 ? 1 : 0;
+        boxes[id % 3].behavior =
+            id % 20 == 0 ? PlatformBox.Behavior.FULL : PlatformBox.Behavior.NORMAL;
+        for (var message = viewers.next(3000); message != null; message = viewers.next(3000)) {
+          if (message.id() == id) {
+            played += message.type() == 9 ? 1 : 0;
             break;
           }
         }
         if (id % 2 == 0) {
           viewers.end(id, 16);
         } else {
-          for (PlatformBox b : boxes) {
-            if (b.playing().containsKey(String.format("%016x", id))) {
-              b.note(String.format("%016x", id), "got", 0.9);
-              b.end(String.format("%016x", id), 16);
+          for (PlatformBox box : boxes) {
+            if (box.playing().containsKey(String.format("%016x", id))) {
+              box.sendNote(String.format("%016x", id), "got", 0.9);
+              box.end(String.format("%016x", id), 16);
             }
           }
         }
@@ -70,8 +71,8 @@
 
   @Override
   public void close() throws IOException {
-    for (PlatformBox b : boxes) {
-      b.close();
+    for (PlatformBox box : boxes) {
+      box.close();
     }
     journal.close();
   }
--- a/src/main/java/linengauge/standin/PlatformViewers.java
+++ b/src/main/java/linengauge/standin/PlatformViewers.java
@@ -11,89 +11,90 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One connection of viewers as the platform's speak (docs/protocol/platform.md, "Viewers"); for
- * tests and try-outs.
+ * One viewer connection that speaks the platform's protocol (docs/protocol/platform.md, "Viewers");
+ * for tests and trial runs.
  */
 public final class PlatformViewers implements AutoCloseable {
   /**
-   * What the front said: type, id, cause (-1: none), description and advice (null: none). CLOSED
-   * ends it.
+   * A message of the front: type, id, cause (-1: none), description and retry advice (null: none).
+   * CLOSED is the last one.
    */
-  public record Said(int type, long id, int cause, String description, String comeBack) {
-    public static final Said CLOSED = new Said(-1, 0, -1, null, null);
+  public record FrontMessage(int type, long id, int cause, String description, String retryAdvice) {
+    public static final FrontMessage CLOSED = new FrontMessage(-1, 0, -1, null, null);
   }
 
   private final Socket socket;
-  private final BlockingQueue<Said> said = new LinkedBlockingQueue<>();
+  private final BlockingQueue<FrontMessage> received = new LinkedBlockingQueue<>();
 
   public PlatformViewers(int port) throws IOException {
     socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setTcpNoDelay(true);
-    Thread t = new Thread(this::read, "platform-viewers");
-    t.setDaemon(true);
-    t.start();
+    Thread thread = new Thread(this::read, "platform-viewers");
+    thread.setDaemon(true);
+    thread.start();
   }
 
   private void read() {
     try {
       var in = new DataInputStream(socket.getInputStream());
       while (true) {
-        byte[] m = new byte[in.readUnsignedShort()];
-        in.readFully(m);
-        ByteBuffer b = ByteBuffer.wrap(m);
-        int type = b.get() & 0xff;
-        long id = b.getLong();
+        byte[] frame = new byte[in.readUnsignedShort()];
+        in.readFully(frame);
+        ByteBuffer buffer = ByteBuffer.wrap(frame);
+        int type = buffer.get() & 0xff;
+        long id = buffer.getLong();
         int cause = -1;
         String description = null;
-        String comeBack = null;
-        while (b.hasRemaining()) {
-          int code = b.get() & 0xff;
-          byte[] value = new byte[b.getShort() & 0xffff];
-          b.get(value);
+        String retryAdvice = null;
+        while (buffer.hasRemaining()) {
+          int code = buffer.get() & 0xff;
+          byte[] value = new byte[buffer.getShort() & 0xffff];
+          buffer.get(value);
           switch (code) {
             case 61 -> cause = value[0] & 0xff;
             case 63 -> description = new String(value, StandardCharsets.UTF_8);
-            case 45 -> comeBack = new String(value, StandardCharsets.UTF_8);
+            case 45 -> retryAdvice = new String(value, StandardCharsets.UTF_8);
             default -> {}
           }
         }
-        said.add(new Said(type, id, cause, description, comeBack));
+        received.add(new FrontMessage(type, id, cause, description, retryAdvice));
       }
     } catch (IOException e) {
-      said.add(Said.CLOSED);
+      received.add(FrontMessage.CLOSED);
     }
   }
 
-  /** The next thing the front says, or null when nothing came in that time. */
-  public Said next(long ms) throws InterruptedException {
-    return said.poll(ms, TimeUnit.MILLISECONDS);
+  /** Returns the next message of the front, or null if none arrives within the time limit. */
+  public FrontMessage next(long timeLimitMs) throws InterruptedException {
+    return received.poll(timeLimitMs, TimeUnit.MILLISECONDS);
   }
 
   public static byte[] message(int type, long id, Object... parameters) {
-    ByteBuffer b = ByteBuffer.allocate(16 * 1024).putShort((short) 0).put((byte) type).putLong(id);
+    ByteBuffer buffer =
+        ByteBuffer.allocate(16 * 1024).putShort((short) 0).put((byte) type).putLong(id);
     for (int i = 0; i < parameters.length; i += 2) {
       byte[] value =
           parameters[i + 1] instanceof byte[] bytes
               ? bytes
               : parameters[i + 1].toString().getBytes(StandardCharsets.UTF_8);
-      b.put(((Integer) parameters[i]).byteValue()).putShort((short) value.length).put(value);
+      buffer.put(((Integer) parameters[i]).byteValue()).putShort((short) value.length).put(value);
     }
-    b.putShort(0, (short) (b.position() - 2));
-    return java.util.Arrays.copyOf(b.array(), b.position());
+    buffer.putShort(0, (short) (buffer.position() - 2));
+    return java.util.Arrays.copyOf(buffer.array(), buffer.position());
   }
 
-  public static byte[] setUp(long id, String pack, long leftMs, String more) {
+  public static byte[] setUp(long id, String packageName, long leftMs, String moreAttributes) {
     return message(
         1,
         id,
         33,
-        pack,
+        packageName,
         35,
         leftMs,
         41,
         "7f3a9c21e0b4d655",
         43,
-        "home:0;copies:0;top:4;viewer:00000000b4d65521" + more,
+        "home:0;copies:0;top:4;viewer:00000000b4d65521" + moreAttributes,
         63,
         "m=audio of " + id + "\r\n");
   }
@@ -102,7 +103,7 @@
     socket.getOutputStream().write(bytes);
   }
 
-  public void test() throws IOException {
+  public void sendProbe() throws IOException {
     send(message(52, 1, 61, new byte[] {0}));
   }
 
--- a/src/main/java/linengauge/standin/RunningViewing.java
+++ b/src/main/java/linengauge/standin/RunningViewing.java
@@ -4,18 +4,18 @@
 final class RunningViewing {
   private final String id;
   private final String title;
-  private final String pack;
+  private final String packageName;
   private int rung;
   private double kb;
-  private long askedAt;
+  private long lastRequestAt;
 
-  RunningViewing(String id, String title, String pack, int rung, double kb) {
+  RunningViewing(String id, String title, String packageName, int rung, double kb) {
     this.id = id;
     this.title = title;
-    this.pack = pack;
+    this.packageName = packageName;
     this.rung = rung;
     this.kb = kb;
-    markAsked();
+    renewLease();
   }
 
   String id() {
@@ -27,15 +27,15 @@
   }
 
   /** The package in which the title is sent. */
-  String pack() {
-    return pack;
+  String packageName() {
+    return packageName;
   }
 
   int rung() {
     return rung;
   }
 
-  /** Its rate, in kB a second. */
+  /** Returns the rate in kB per second. */
   double kb() {
     return kb;
   }
@@ -45,13 +45,13 @@
     kb = newKb;
   }
 
-  /** Its viewer asks for something now: the lease begins anew. */
-  void markAsked() {
-    askedAt = System.currentTimeMillis();
+  /** Renews the lease when the viewer requests something. */
+  void renewLease() {
+    lastRequestAt = System.currentTimeMillis();
   }
 
-  /** Epoch milliseconds of the last request for it. */
-  long askedAt() {
-    return askedAt;
+  /** Returns the time of the last request in epoch milliseconds. */
+  long lastRequestAt() {
+    return lastRequestAt;
   }
 }
--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -22,35 +22,35 @@
 import java.util.regex.Pattern;
 
 /**
- * A stand-in LAN with its switch. It carries VRRP's datagrams between nodes, with loss, delay,
- * copies and cut links, and viewers' connections to whoever announced a shared address last, as a
- * switch does that has learnt from gratuitous ARP (RFC 5227) or unsolicited neighbour
- * advertisements (RFC 4861). Connections through it to a node that lost the address break. Each
- * node has a loopback address of its own, which the LAN sends from in its place at another port.
- * Everything here runs on one event loop, whose clock is the tap's.
+ * A stand-in LAN with its switch. It forwards VRRP datagrams between nodes, with loss, delay,
+ * duplicates and cut links. It forwards viewers' connections to the node that announced a shared
+ * address last, as a switch does that has learnt from gratuitous ARP (RFC 5227) or unsolicited
+ * neighbour advertisements (RFC 4861). Connections to a node that loses the address break. Each
+ * node has a loopback address of its own, from which the LAN sends on the node's behalf at another
+ * port. Everything here runs on one event loop, and times are those of the tap.
  */
 public final class SharedLan {
-  private static final Pattern ASKED =
+  private static final Pattern VIEWING_REQUEST =
       Pattern.compile(
           "^GET /titles/([^/]+)/main\\.m3u8\\?package=([^&]+)&ceiling=(\\d+)&patience=(\\d+)&key=(\\S+) HTTP");
-  private static final Pattern ASK = Pattern.compile("(?i)\r\nX-Ask: *([^\r]+)\r\n");
-  private static final int LONGEST_HEAD = 16_384;
+  private static final Pattern REQUEST_ID = Pattern.compile("(?i)\r\nX-Ask: *([^\r]+)\r\n");
+  private static final int MAX_HEAD_CHARS = 16_384;
 
   /**
-   * A node: its address, its port for datagrams, the LAN's port in its place, and where it takes
-   * viewers by VRID.
+   * A node: its address, its port for datagrams, the port at which the LAN acts for it, and its
+   * viewer address by VRID.
    */
   public record Node(
       int number, String host, int port, int lanPort, Map<Integer, String> viewers) {}
 
   /** A shared address. */
-  public record Shared(int vrid, String host, int port) {}
+  public record SharedAddress(int vrid, String host, int port) {}
 
   private final Vertx vertx;
   private final Tap tap;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<Node> nodes;
-  private final List<Shared> shared;
+  private final List<SharedAddress> shared;
   private final List<DatagramSocket> sockets = new ArrayList<>();
   private final boolean[][] cut;
   private final String announceHost;
@@ -58,120 +58,123 @@
   private final NetClient client;
 
   /** By VRID: the node that announced last. */
-  private final Map<Integer, Integer> holders = new HashMap<>();
+  private final Map<Integer, Integer> owners = new HashMap<>();
 
   /**
-   * By node and VRID: the number of its last announcement, so that one overtaken by another is
-   * passed over.
+   * By node and VRID: the number of the last announcement, so that one that arrives out of order is
+   * ignored.
    */
-  private final Map<String, Long> announced = new HashMap<>();
+  private final Map<String, Long> lastAnnouncements = new HashMap<>();
 
-  private final Map<Integer, Set<Line>> lines = new HashMap<>();
-  private final Map<String, Integer> tookBy = new ConcurrentHashMap<>();
-  private double lost;
-  private double copied;
-  private int lateMs;
-  private long carried;
+  private final Map<Integer, Set<Connection>> connections = new HashMap<>();
+  private final Map<String, Integer> receivingNode = new ConcurrentHashMap<>();
+  private double lossRate;
+  private double duplicationRate;
+  private int maxDelayMs;
+  private long relayed;
 
   /** One viewer's connection through the switch. */
-  private final class Line {
+  private final class Connection {
     private final int vrid;
     private final int node;
-    private final NetSocket near;
-    private NetSocket far;
+    private final NetSocket viewerSide;
+    private NetSocket nodeSide;
     private String head = "";
-    private String ask;
-    private boolean over;
+    private String requestId;
+    private boolean closed;
 
-    private Line(int vrid, int node, NetSocket near) {
+    private Connection(int vrid, int node, NetSocket viewerSide) {
       this.vrid = vrid;
       this.node = node;
-      this.near = near;
+      this.viewerSide = viewerSide;
     }
 
     private void open() {
-      near.pause();
-      near.exceptionHandler(e -> {});
-      near.closeHandler(v -> end());
-      String[] at = nodes.get(node).viewers.get(vrid).split(":");
+      viewerSide.pause();
+      viewerSide.exceptionHandler(e -> {});
+      viewerSide.closeHandler(v -> end());
+      String[] hostAndPort = nodes.get(node).viewers.get(vrid).split(":");
       client
-          .connect(Integer.parseInt(at[1]), at[0])
-          .onFailure(e -> near.close())
+          .connect(Integer.parseInt(hostAndPort[1]), hostAndPort[0])
+          .onFailure(e -> viewerSide.close())
           .onSuccess(
-              s -> {
-                far = s;
-                far.exceptionHandler(e -> {});
-                far.closeHandler(v -> end());
-                near.handler(
-                    b -> {
-                      if (over) {
-                        return; // nothing more is handed on, nor seen
+              socket -> {
+                nodeSide = socket;
+                nodeSide.exceptionHandler(e -> {});
+                nodeSide.closeHandler(v -> end());
+                viewerSide.handler(
+                    received -> {
+                      if (closed) {
+                        return; // Late data is neither forwarded nor recorded.
                       }
-                      look(b);
-                      far.write(b);
+                      inspect(received);
+                      nodeSide.write(received);
                     });
-                far.handler(
-                    b -> {
-                      near.write(b);
-                      if (near.writeQueueFull()) {
-                        far.pause();
-                        near.drainHandler(v -> far.resume());
+                nodeSide.handler(
+                    received -> {
+                      viewerSide.write(received);
+                      if (viewerSide.writeQueueFull()) {
+                        nodeSide.pause();
+                        viewerSide.drainHandler(v -> nodeSide.resume());
                       }
                     });
-                near.resume();
+                viewerSide.resume();
               });
     }
 
-    /** The tap: a request for a viewing is about to be handed on, to this node. */
-    private void look(Buffer b) {
-      if (ask != null || head.length() > LONGEST_HEAD) {
+    /** Records a request for a viewing before it is forwarded to this node. */
+    private void inspect(Buffer data) {
+      if (requestId != null || head.length() > MAX_HEAD_CHARS) {
         return;
       }
-      head += b.toString("ISO-8859-1");
+      head += data.toString("ISO-8859-1");
       if (!head.contains("\r\n\r\n")) {
         return;
       }
-      Matcher id = ASK.matcher(head);
-      Matcher asked = ASKED.matcher(head);
-      if (id.find() && asked.find()) {
-        ask = id.group(1);
-        tookBy.put(ask, node);
-        tap.saw(
+      Matcher idMatch = REQUEST_ID.matcher(head);
+      Matcher requestMatch = VIEWING_REQUEST.matcher(head);
+      if (idMatch.find() && requestMatch.find()) {
+        requestId = idMatch.group(1);
+        receivingNode.put(requestId, node);
+        tap.recordEvent(
             "asked",
             "ask",
-            ask,
+            requestId,
             "front",
             node,
             "key",
-            asked.group(5),
+            requestMatch.group(5),
             "title",
-            asked.group(1),
+            requestMatch.group(1),
             "package",
-            asked.group(2),
+            requestMatch.group(2),
             "ceiling",
-            Integer.parseInt(asked.group(3)),
+            Integer.parseInt(requestMatch.group(3)),
             "patienceMs",
-            Integer.parseInt(asked.group(4)),
+            Integer.parseInt(requestMatch.group(4)),
             "vrid",
             vrid);
       }
       head = "";
     }
 
-    /** The switch sends it elsewhere from now on, where nobody knows it. */
-    private void breakOff() {
-      if (ask != null) {
-        tap.saw("cut", "ask", ask, "front", node);
+    /**
+     * Closes the connection because the switch now forwards to another node, which does not know
+     * it.
+     */
+    private void cutByHandover() {
+      if (requestId != null) {
+        tap.recordEvent("cut", "ask", requestId, "front", node);
       }
       end();
     }
 
     private void end() {
-      over = true;
-      lines.get(vrid).remove(this);
-      near.close();
-      if (far != null) {
-        far.close();
+      closed = true;
+      connections.get(vrid).remove(this);
+      viewerSide.close();
+      if (nodeSide != null) {
+        nodeSide.close();
       }
     }
   }
@@ -179,7 +182,7 @@
   public SharedLan(
       Vertx vertx,
       List<Node> nodes,
-      List<Shared> shared,
+      List<SharedAddress> shared,
       String announceHost,
       int announcePort,
       long seed,
@@ -190,144 +193,146 @@
     this.announceHost = announceHost;
     this.announcePort = announcePort;
     this.tap = tap;
-    this.chance = new SplittableRandom(seed);
+    this.random = new SplittableRandom(seed);
     this.cut = new boolean[nodes.size()][nodes.size()];
     this.client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(1000));
   }
 
-  /** Opens all ways; to be called on the LAN's loop, as everything here but {@link #tookBy}. */
+  /**
+   * Opens all sockets; runs on the LAN's loop, as everything here except {@link #receivingNode}.
+   */
   public Future<?> open() {
     List<Future<?>> open = new ArrayList<>();
-    for (Node n : nodes) {
-      DatagramSocket s = vertx.createDatagramSocket();
-      sockets.add(s);
-      open.add(hear(s, n.lanPort, n.host, (from, data) -> carry(from, n, data)));
+    for (Node node : nodes) {
+      DatagramSocket socket = vertx.createDatagramSocket();
+      sockets.add(socket);
+      open.add(bind(socket, node.lanPort, node.host, (from, data) -> forward(from, node, data)));
     }
     DatagramSocket announcements = vertx.createDatagramSocket();
-    open.add(hear(announcements, announcePort, announceHost, this::announced));
-    for (Shared a : shared) {
-      open.add(openShared(a));
+    open.add(bind(announcements, announcePort, announceHost, this::onAnnouncement));
+    for (SharedAddress address : shared) {
+      open.add(openShared(address));
     }
     return Future.all(open);
   }
 
-  /** Binds a socket; what a node sends there goes to the receiver, with the node. */
-  private Future<?> hear(
+  /** Binds a socket; datagrams of a node go to the receiver together with that node. */
+  private Future<?> bind(
       DatagramSocket socket, int port, String host, BiConsumer<Node, Buffer> receiver) {
     return socket
         .listen(port, host)
         .onSuccess(
             bound ->
                 bound.handler(
-                    p -> {
+                    packet -> {
                       for (Node from : nodes) {
-                        if (from.host.equals(p.sender().hostAddress())
-                            && from.port == p.sender().port()) {
-                          receiver.accept(from, p.data());
+                        if (from.host.equals(packet.sender().hostAddress())
+                            && from.port == packet.sender().port()) {
+                          receiver.accept(from, packet.data());
                         }
                       }
                     }));
   }
 
-  /** Opens a shared address: its connections go to whoever holds it. */
-  private Future<?> openShared(Shared a) {
-    lines.put(a.vrid, new HashSet<>());
+  /** Opens a shared address; its connections go to the node that owns it. */
+  private Future<?> openShared(SharedAddress address) {
+    connections.put(address.vrid, new HashSet<>());
     NetServer server = vertx.createNetServer(new NetServerOptions().setReusePort(false));
     server.connectHandler(
-        near -> {
-          Integer holder = holders.get(a.vrid);
-          if (holder == null) {
-            near.close();
+        viewerSide -> {
+          Integer owner = owners.get(address.vrid);
+          if (owner == null) {
+            viewerSide.close();
             return;
           }
-          Line l = new Line(a.vrid, holder, near);
-          lines.get(a.vrid).add(l);
-          l.open();
+          Connection connection = new Connection(address.vrid, owner, viewerSide);
+          connections.get(address.vrid).add(connection);
+          connection.open();
         });
-    return server.listen(a.port, a.host);
+    return server.listen(address.port, address.host);
   }
 
   /**
-   * What a node sends to another, as it is on the wire; section 5.2 of RFC 9568 says where priority
-   * and VRID are.
+   * Forwards a datagram from one node to another as it is on the wire; section 5.2 of RFC 9568
+   * gives the positions of priority and VRID.
    */
-  private void carry(Node from, Node to, Buffer b) {
-    if (b.length() < 8) {
+  private void forward(Node from, Node to, Buffer data) {
+    if (data.length() < 8) {
       return;
     }
-    tap.saw(
+    tap.recordEvent(
         "advert",
         "node",
         from.number,
         "to",
         to.number,
         "vrid",
-        b.getUnsignedByte(1),
+        data.getUnsignedByte(1),
         "priority",
-        b.getUnsignedByte(2),
+        data.getUnsignedByte(2),
         "carried",
         !cut[from.number][to.number]);
-    int times = 1 + (chance.nextDouble() < copied ? 1 : 0);
+    int times = 1 + (random.nextDouble() < duplicationRate ? 1 : 0);
     for (int i = 0; i < times; i++) {
-      if (cut[from.number][to.number] || chance.nextDouble() < lost) {
+      if (cut[from.number][to.number] || random.nextDouble() < lossRate) {
         continue;
       }
-      carried++;
+      relayed++;
       DatagramSocket socket = sockets.get(from.number);
-      if (lateMs == 0) {
-        socket.send(b, to.port, to.host);
+      if (maxDelayMs == 0) {
+        socket.send(data, to.port, to.host);
       } else {
-        vertx.setTimer(1 + chance.nextInt(lateMs), t -> socket.send(b, to.port, to.host));
+        vertx.setTimer(1 + random.nextInt(maxDelayMs), t -> socket.send(data, to.port, to.host));
       }
     }
   }
 
-  private void announced(Node from, Buffer b) {
-    if (b.length() != 12 || b.getByte(0) != 0x4c || b.getByte(1) != 0x41) {
+  private void onAnnouncement(Node from, Buffer data) {
+    if (data.length() != 12 || data.getByte(0) != 0x4c || data.getByte(1) != 0x41) {
       return;
     }
-    int vrid = b.getUnsignedByte(3);
-    boolean takes = b.getByte(2) == 1;
-    long number = b.getLong(4);
-    if (number <= announced.getOrDefault(from.number + "/" + vrid, Long.MIN_VALUE)) {
+    int vrid = data.getUnsignedByte(3);
+    boolean takes = data.getByte(2) == 1;
+    long number = data.getLong(4);
+    if (number <= lastAnnouncements.getOrDefault(from.number + "/" + vrid, Long.MIN_VALUE)) {
       return;
     }
-    announced.put(from.number + "/" + vrid, number);
-    tap.saw(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
-    Integer before = holders.get(vrid);
-    if (takes && (before == null || before != from.number)) {
-      holders.put(vrid, from.number);
-      for (Line l : List.copyOf(lines.getOrDefault(vrid, Set.of()))) {
-        l.breakOff();
+    lastAnnouncements.put(from.number + "/" + vrid, number);
+    tap.recordEvent(takes ? "announced" : "given-up", "node", from.number, "vrid", vrid);
+    Integer previous = owners.get(vrid);
+    if (takes && (previous == null || previous != from.number)) {
+      owners.put(vrid, from.number);
+      for (Connection connection : List.copyOf(connections.getOrDefault(vrid, Set.of()))) {
+        connection.cutByHandover();
       }
     }
   }
 
-  /** The node that a request was handed to; null where it was to none. On any thread. */
-  public Integer tookBy(String ask) {
-    return tookBy.get(ask);
+  /** Returns the node that received a request, or null if none did. May be called on any thread. */
+  public Integer receivingNode(String request) {
+    return receivingNode.get(request);
   }
 
-  /** The node that announced an address last; null where none did. */
-  public Integer holder(int vrid) {
-    return holders.get(vrid);
+  /** Returns the node that announced an address last, or null if none did. */
+  public Integer owner(int vrid) {
+    return owners.get(vrid);
   }
 
-  public void cut(int from, int to, boolean isCut) {
+  public void setCut(int from, int to, boolean isCut) {
     cut[from][to] = isCut;
   }
 
   /**
-   * From now on this part of all datagrams is lost, this part comes twice, and each up to so late,
-   * out of order too.
+   * Sets the probabilities that a datagram is lost or duplicated, and the maximum delay in
+   * milliseconds; datagrams may be reordered.
    */
-  public void trouble(double lose, double copy, int late) {
-    lost = lose;
-    copied = copy;
-    lateMs = late;
+  public void setImpairments(double loss, double duplication, int delayMs) {
+    lossRate = loss;
+    duplicationRate = duplication;
+    maxDelayMs = delayMs;
   }
 
-  public long carried() {
-    return carried;
+  public long relayed() {
+    return relayed;
   }
 }
--- a/src/main/java/linengauge/standin/SlowCrowd.java
+++ b/src/main/java/linengauge/standin/SlowPlayerSimulator.java
@@ -13,101 +13,102 @@
 import java.util.regex.Pattern;
 
 /**
- * Stand-in players that are slow, each in its own way, on plain sockets with small receive buffers
- * and one thread: HTTP/1.1 as RFC 9112 has it, as far as a front's answers need. What each was
- * asked and answered goes to the tap as for any player.
+ * Simulates players that are slow in different ways, on plain sockets with small receive buffers
+ * and one thread. It implements as much of HTTP/1.1 (RFC 9112) as the answers of a front need.
+ * Requests and answers are recorded in the tap as for any player.
  */
-public final class SlowCrowd implements AutoCloseable {
+public final class SlowPlayerSimulator implements AutoCloseable {
   private static final int TICK_MS = 20;
   private static final int RECEIVE_BYTES = 8192;
   private static final Pattern LENGTH = Pattern.compile("(?i)\r\nContent-Length: *([0-9]+)");
   private static final Pattern VIEWING = Pattern.compile("/v/([A-Za-z0-9-]+)/media\\.m3u8");
 
-  /** How a player is slow. The last two are honest and are to be served. */
-  public enum Way {
-    /** Asks for a segment and reads one byte a second of it. */
+  /** How a player is slow. The last two are legitimate and must be served. */
+  public enum SlowMode {
+    /** Requests a segment and reads one byte of it a second. */
     BYTE_A_SECOND(1),
     /** Sends one byte of its request's headers a second. */
     HEADER_A_SECOND(0),
-    /** Reads its playlists and asks for nothing more. */
+    /** Reads its playlists and requests nothing more. */
     NEVER_AGAIN(1e9),
     /** Reads at a third of the lowest rung's rate. */
     THIRD(10_000),
-    /** Stops for three seconds in the middle of every second segment. */
+    /** Pauses for three seconds in the middle of every second segment. */
     PAUSES(400_000),
     /** Reads at the lowest rung's rate, whatever rung it is sent. */
     WEAK(30_000);
 
     private final double bytesPerSecond;
 
-    Way(double bytesPerSecond) {
+    SlowMode(double bytesPerSecond) {
       this.bytesPerSecond = bytesPerSecond;
     }
 
-    public boolean isHonest() {
+    public boolean isLegitimate() {
       return this == PAUSES || this == WEAK;
     }
   }
 
   /**
-   * What became of one player so far: its viewing or null, since when it has been slow and when its
-   * connection ended in microseconds of the tap, -1: not (yet). One that does not read hears of its
-   * end late; its box hears in time.
+   * The state of one player so far: its viewing or null, and when it became slow and when its
+   * connection ended, in microseconds of the tap (-1: not yet). A player that does not read detects
+   * the end late; its box is informed in time.
    */
-  public record Fate(
-      Way way, String viewing, long slowSince, long endedAt, int segments, long bytes) {}
+  public record PlayerOutcome(
+      SlowMode mode, String viewing, long slowSince, long endedAt, int segments, long bytes) {}
 
   private final String host;
   private final int port;
   private final int front;
-  private final String pack;
+  private final String packageName;
   private final List<String> titles;
   private final Tap tap;
-  private final List<Member> members = new ArrayList<>();
-  private final List<Member> coming = new ArrayList<>();
+  private final List<Player> players = new ArrayList<>();
+  private final List<Player> scheduled = new ArrayList<>();
   private final ByteBuffer buffer = ByteBuffer.allocateDirect(65_536);
   private final Thread thread = new Thread(this::run, "slow players");
   private volatile boolean closing;
-  private int number;
+  private int nextPlayerNumber;
 
-  public SlowCrowd(String host, int port, int front, String pack, List<String> titles, Tap tap) {
+  public SlowPlayerSimulator(
+      String host, int port, int front, String packageName, List<String> titles, Tap tap) {
     this.host = host;
     this.port = port;
     this.front = front;
-    this.pack = pack;
+    this.packageName = packageName;
     this.titles = List.copyOf(titles);
     this.tap = tap;
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** So many come in this way, evenly over a span. */
-  public synchronized void come(Way way, int count, long overMs) {
-    long now = tap.micros();
+  /** Schedules so many players of this mode, evenly over a span. */
+  public synchronized void schedulePlayers(SlowMode mode, int count, long spanMs) {
+    long now = tap.elapsedMicros();
     for (int i = 0; i < count; i++) {
-      coming.add(new Member(way, number++, now + 1000 * overMs * i / count));
+      scheduled.add(new Player(mode, nextPlayerNumber++, now + 1000 * spanMs * i / count));
     }
   }
 
-  public synchronized List<Fate> fates() {
-    return members.stream().map(Member::fate).toList();
+  public synchronized List<PlayerOutcome> outcomes() {
+    return players.stream().map(Player::outcome).toList();
   }
 
-  private synchronized List<Member> present() {
-    long now = tap.micros();
-    coming.removeIf(m -> m.comesAt <= now && members.add(m));
-    return new ArrayList<>(members);
+  private synchronized List<Player> currentPlayers() {
+    long now = tap.elapsedMicros();
+    scheduled.removeIf(player -> player.arrivesAt <= now && players.add(player));
+    return new ArrayList<>(players);
   }
 
   private void run() {
     while (!closing) {
-      long from = System.nanoTime();
-      for (Member m : present()) {
-        m.step();
+      long startedAt = System.nanoTime();
+      for (Player player : currentPlayers()) {
+        player.step();
       }
-      long left = TICK_MS - (System.nanoTime() - from) / 1_000_000;
+      long leftMs = TICK_MS - (System.nanoTime() - startedAt) / 1_000_000;
       try {
-        Thread.sleep(Math.max(1, left));
+        Thread.sleep(Math.max(1, leftMs));
       } catch (InterruptedException e) {
         return;
       }
@@ -122,26 +123,26 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    for (Member m : present()) {
-      m.end(false);
+    for (Player player : currentPlayers()) {
+      player.end(false);
     }
   }
 
-  private final class Member {
-    private final Way way;
+  private final class Player {
+    private final SlowMode mode;
     private final String key;
     private final String title;
-    private final long comesAt;
+    private final long arrivesAt;
     private SocketChannel channel;
     private long steppedAt;
-    private double credit;
-    private String ask;
-    private int tries;
+    private double byteCredit;
+    private String requestId;
+    private int attempts;
     private String head = "";
     private String body = "";
     private boolean inBody;
-    private long left;
-    private long whole;
+    private long bytesLeft;
+    private long bodyLength;
     private int status;
     private String viewing;
     private String firstSegment;
@@ -152,24 +153,24 @@
     private boolean hasPaused;
     private int segments;
     private long bytes;
-    private int dripped;
+    private int headerBytesSent;
 
-    private Member(Way way, int number, long comesAt) {
-      this.way = way;
+    private Player(SlowMode mode, int number, long arrivesAt) {
+      this.mode = mode;
       this.key = "s" + number;
       this.title = titles.get(number % titles.size());
-      this.comesAt = comesAt;
+      this.arrivesAt = arrivesAt;
     }
 
-    private synchronized Fate fate() {
-      return new Fate(way, viewing, slowSince, endedAt, segments, bytes);
+    private synchronized PlayerOutcome outcome() {
+      return new PlayerOutcome(mode, viewing, slowSince, endedAt, segments, bytes);
     }
 
     private synchronized void step() {
       if (endedAt >= 0) {
         return;
       }
-      long now = tap.micros();
+      long now = tap.elapsedMicros();
       try {
         if (channel == null) {
           if (now >= retryAt) {
@@ -177,12 +178,12 @@
           }
           return;
         }
-        if (way == Way.HEADER_A_SECOND) {
-          drip(now);
+        if (mode == SlowMode.HEADER_A_SECOND) {
+          sendHeaderByte(now);
         }
         read(now);
       } catch (IOException e) {
-        broke();
+        onDisconnected();
       }
       steppedAt = now;
     }
@@ -194,15 +195,15 @@
       channel.connect(new InetSocketAddress(host, port));
       channel.configureBlocking(false);
       steppedAt = now;
-      if (way == Way.HEADER_A_SECOND) {
+      if (mode == SlowMode.HEADER_A_SECOND) {
         slowSince = now;
         return;
       }
-      ask = key + "-" + tries++;
-      tap.saw(
+      requestId = key + "-" + attempts++;
+      tap.recordEvent(
           "asked",
           "ask",
-          ask,
+          requestId,
           "front",
           front,
           "key",
@@ -210,7 +211,7 @@
           "title",
           title,
           "package",
-          pack,
+          packageName,
           "ceiling",
           2,
           "patienceMs",
@@ -219,7 +220,7 @@
           "/titles/"
               + title
               + "/main.m3u8?package="
-              + pack
+              + packageName
               + "&ceiling=2&patience=3000&key="
               + key);
     }
@@ -232,17 +233,21 @@
     }
 
     private void write(String text) throws IOException {
-      ByteBuffer b = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
-      while (b.hasRemaining()) {
-        channel.write(b); // a request is far smaller than the socket's buffer
+      ByteBuffer data = ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII));
+      while (data.hasRemaining()) {
+        channel.write(
+            data); // A request is far smaller than the send buffer, so this loop ends quickly.
       }
     }
 
-    private void drip(long now) throws IOException {
-      if (now - slowSince >= 1_000_000L * dripped) {
+    private void sendHeaderByte(long now) throws IOException {
+      if (now - slowSince >= 1_000_000L * headerBytesSent) {
         String line = "GET /titles/" + title + "/main.m3u8 HTTP/1.1\r\nHost: x\r\nX: ";
-        write(dripped < line.length() ? line.substring(dripped, dripped + 1) : "y");
-        dripped++;
+        write(
+            headerBytesSent < line.length()
+                ? line.substring(headerBytesSent, headerBytesSent + 1)
+                : "y");
+        headerBytesSent++;
       }
     }
 
@@ -251,59 +256,59 @@
     }
 
     private void read(long now) throws IOException {
-      double rate = isSegment() ? way.bytesPerSecond : 1e9;
-      if (isAtItsPause()) {
+      double rate = isSegment() ? mode.bytesPerSecond : 1e9;
+      if (mustPause()) {
         hasPaused = true;
         pausedUntil = now + 3_000_000;
       }
       if (now < pausedUntil) {
-        credit = 0;
+        byteCredit = 0;
         return;
       }
-      credit = Math.min(credit + rate * (now - steppedAt) / 1e6, Math.max(1, rate / 4));
-      while (credit >= 1) {
-        int n = readOnce();
-        if (n < 0) {
-          broke();
+      byteCredit = Math.min(byteCredit + rate * (now - steppedAt) / 1e6, Math.max(1, rate / 4));
+      while (byteCredit >= 1) {
+        int count = readOnce();
+        if (count < 0) {
+          onDisconnected();
           return;
         }
-        if (n == 0) {
+        if (count == 0) {
           return;
         }
-        if (inBody && left == 0) {
-          answered(now);
+        if (inBody && bytesLeft == 0) {
+          onResponse(now);
           return;
         }
       }
     }
 
-    /** Half way through every other segment. */
-    private boolean isAtItsPause() {
+    /** Returns true half way through every other segment. */
+    private boolean mustPause() {
       return isSegment()
-          && way == Way.PAUSES
+          && mode == SlowMode.PAUSES
           && segments % 2 == 1
           && inBody
-          && left < whole / 2
+          && bytesLeft < bodyLength / 2
           && !hasPaused;
     }
 
-    /** Reads what its credit allows: one byte of a head, or more of a body. */
+    /** Reads as much as the byte credit allows: one byte of a head, or more of a body. */
     private int readOnce() throws IOException {
-      long most = inBody ? Math.min(left, (long) credit) : 1;
-      buffer.clear().limit((int) Math.min(buffer.capacity(), most));
-      int n = channel.read(buffer);
-      if (n > 0) {
-        credit -= n;
-        bytes += n;
+      long limit = inBody ? Math.min(bytesLeft, (long) byteCredit) : 1;
+      buffer.clear().limit((int) Math.min(buffer.capacity(), limit));
+      int count = channel.read(buffer);
+      if (count > 0) {
+        byteCredit -= count;
+        bytes += count;
         buffer.flip();
-        take(n);
+        consume(count);
       }
-      return n;
+      return count;
     }
 
-    private void take(int n) {
+    private void consume(int count) {
       if (inBody) {
-        left -= n;
+        bytesLeft -= count;
         if (!isSegment()) {
           body += StandardCharsets.US_ASCII.decode(buffer);
         }
@@ -312,25 +317,25 @@
       head += (char) buffer.get();
       if (head.endsWith("\r\n\r\n")) {
         status = Integer.parseInt(head.substring(9, 12));
-        Matcher m = LENGTH.matcher(head);
-        left = m.find() ? Long.parseLong(m.group(1)) : 0;
-        whole = left;
+        Matcher lengthMatch = LENGTH.matcher(head);
+        bytesLeft = lengthMatch.find() ? Long.parseLong(lengthMatch.group(1)) : 0;
+        bodyLength = bytesLeft;
         inBody = true;
       }
     }
 
-    private void answered(long now) throws IOException {
+    private void onResponse(long now) throws IOException {
       if (viewing == null) {
-        joined(now);
+        onViewingAnswer(now);
       } else if (status != 200) {
-        broke();
+        onDisconnected();
       } else if (firstSegment == null) {
         firstSegment =
             body.lines()
                 .filter(l -> l.startsWith("/v/"))
                 .findFirst()
-                .orElseThrow(() -> new IOException("no segment"));
-        if (way == Way.NEVER_AGAIN) {
+                .orElseThrow(() -> new IOException("the playlist has no segment"));
+        if (mode == SlowMode.NEVER_AGAIN) {
           slowSince = now;
           inBody = false;
           head = "";
@@ -345,13 +350,13 @@
       }
     }
 
-    private void joined(long now) throws IOException {
-      Matcher m = VIEWING.matcher(body);
-      boolean plays = status == 200 && m.find();
-      tap.saw(
+    private void onViewingAnswer(long now) throws IOException {
+      Matcher viewingMatch = VIEWING.matcher(body);
+      boolean plays = status == 200 && viewingMatch.find();
+      tap.recordEvent(
           "answered",
           "ask",
-          ask,
+          requestId,
           "front",
           front,
           "how",
@@ -361,12 +366,12 @@
           "status",
           status,
           "viewing",
-          plays ? m.group(1) : null);
-      ask = null;
+          plays ? viewingMatch.group(1) : null);
+      requestId = null;
       if (plays) {
-        viewing = m.group(1);
+        viewing = viewingMatch.group(1);
         request("/v/" + viewing + "/media.m3u8");
-      } else if (tries < 5) {
+      } else if (attempts < 5) {
         channel.close();
         channel = null;
         retryAt = now + 1_000_000;
@@ -375,35 +380,35 @@
       }
     }
 
-    private void broke() {
-      if (ask != null) {
-        tap.saw("broke", "ask", ask, "front", front);
-        ask = null;
+    private void onDisconnected() {
+      if (requestId != null) {
+        tap.recordEvent("broke", "ask", requestId, "front", front);
+        requestId = null;
       } else if (viewing != null) {
-        tap.saw("play-broke", "viewing", viewing, "front", front, "status", status);
+        tap.recordEvent("play-broke", "viewing", viewing, "front", front, "status", status);
       }
       end(true);
     }
 
     private synchronized void end(boolean byFront) {
       if (endedAt < 0) {
-        endedAt = tap.micros();
+        endedAt = tap.elapsedMicros();
         if (!byFront && viewing != null) {
-          tap.saw("left", "viewing", viewing, "front", front);
+          tap.recordEvent("left", "viewing", viewing, "front", front);
         }
         try {
           if (channel != null) {
             channel.close();
           }
         } catch (IOException e) {
-          endedAt = tap.micros(); // closed in any case
+          endedAt = tap.elapsedMicros(); // The channel counts as closed in any case.
         }
       }
     }
 
     @Override
     public String toString() {
-      return String.format(Locale.ROOT, "%s %s", way, key);
+      return String.format(Locale.ROOT, "%s %s", mode, key);
     }
   }
 }
--- a/src/main/java/linengauge/standin/Tap.java
+++ b/src/main/java/linengauge/standin/Tap.java
@@ -9,40 +9,40 @@
 import java.util.List;
 
 /**
- * What was seen on the sockets, in the order seen, one JSON object a line
- * (docs/protocol/traffic.md). All stand-ins of a drill write to one tap, so their moments are of
- * one clock. It holds at most {@link #MOST} lines and then says that it is full: a record cut short
- * is no proof.
+ * Records the events seen on the sockets, in order, as one JSON object a line
+ * (docs/protocol/traffic.md). All stand-ins of a drill share one tap, so their times come from one
+ * clock. It holds at most {@link #MAX_LINES} lines and then reports that it is full, because an
+ * incomplete record proves nothing.
  */
 public final class Tap {
-  static final int MOST = 4_000_000;
+  static final int MAX_LINES = 4_000_000;
   private static final ObjectMapper JSON = new ObjectMapper();
 
   private final long origin = System.nanoTime();
   private final List<String> lines = new ArrayList<>();
-  private boolean full;
+  private boolean isFull;
 
-  /** Microseconds since the tap was opened. */
-  public long micros() {
+  /** Returns the microseconds since the tap was created. */
+  public long elapsedMicros() {
     return (System.nanoTime() - origin) / 1000;
   }
 
-  /** Writes one line down; the values go in pairs, name and value. */
-  public synchronized void saw(String what, Object... pairs) {
-    if (lines.size() >= MOST) {
-      full = true;
+  /** Records one event; the values are pairs of name and value. */
+  public synchronized void recordEvent(String what, Object... pairs) {
+    if (lines.size() >= MAX_LINES) {
+      isFull = true;
       return;
     }
     StringWriter text = new StringWriter(160);
-    try (JsonGenerator g = JSON.createGenerator(text)) {
-      g.writeStartObject();
-      g.writeNumberField("at", micros());
-      g.writeStringField("what", what);
+    try (JsonGenerator generator = JSON.createGenerator(text)) {
+      generator.writeStartObject();
+      generator.writeNumberField("at", elapsedMicros());
+      generator.writeStringField("what", what);
       for (int i = 0; i < pairs.length; i += 2) {
-        g.writeFieldName((String) pairs[i]);
-        g.writePOJO(pairs[i + 1]);
+        generator.writeFieldName((String) pairs[i]);
+        generator.writePOJO(pairs[i + 1]);
       }
-      g.writeEndObject();
+      generator.writeEndObject();
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -53,7 +53,7 @@
     return new ArrayList<>(lines);
   }
 
-  public synchronized boolean full() {
-    return full;
+  public synchronized boolean isFull() {
+    return isFull;
   }
 }
--- a/src/test/java/linengauge/cli/ScaleCommandsTest.java
+++ b/src/test/java/linengauge/cli/ScaleCommandsTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Guards against exit codes and files that say something else than what happened. */
+/** Guards against exit codes and result files that do not match the outcome of a command. */
 @Timeout(120)
 class ScaleCommandsTest {
   private static final String PAGE = "# Page\n<!-- table: membership-gossip -->\n<!-- end -->\n";
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void aSimulationIsRecordedAndTheSameSeedsGiveTheSame() throws Exception {
+  void sameSeedsRecordSameTraffic() throws Exception {
     Path first = folder.resolve("results/first.json");
     Path second = folder.resolve("second.json");
     Object[] plan = {"--mechanism", "gossip", "--sizes", "10,14", "--seeds", 2, "--event", "quiet"};
@@ -49,19 +49,22 @@
     assertEquals(Completeness.COMPLETE, result.completeness());
     assertEquals(List.of(1L, 2L), result.seeds());
     assertTrue(result.command().startsWith("linengauge scale simulate --out"), result.command());
-    assertTrue(result.measurements().stream().allMatch(m -> m.values().size() == 2));
+    assertTrue(
+        result.measurements().stream().allMatch(measurement -> measurement.values().size() == 2));
     assertEquals(traffic(result), traffic(ScaleResultFile.read(second)));
     assertFalse(traffic(result).isEmpty());
   }
 
-  /** All but processor time, which is the machine's. */
+  /** Returns the measured traffic; processor time differs between runs on the same seeds. */
   private static List<Object> traffic(ScaleResult result) {
     return List.copyOf(
-        result.measurements().stream().filter(m -> m.quantity().startsWith("bytes")).toList());
+        result.measurements().stream()
+            .filter(measurement -> measurement.quantity().startsWith("bytes"))
+            .toList());
   }
 
   @Test
-  void whatDoesNotFitIsRefusedBeforeTheStart() {
+  void invalidArgumentsAreRejectedBeforeStart() {
     Path out = folder.resolve("none.json");
     assertEquals(2, simulate(out, "--mechanism", "gossip", "--sizes", "10,4000000"));
     assertEquals(2, simulate(out, "--mechanism", "gossip", "--sizes", "0"));
@@ -76,7 +79,7 @@
     assertEquals(2, scale("following", "--sizes", "10,601", "--out", out));
     assertEquals(2, scale("following", "--sizes", "0", "--out", out));
     assertEquals(2, scale("following", "--sizes", "5", "--changes-a-minute", 601, "--out", out));
-    assertFalse(Files.exists(out), "nothing was begun");
+    assertFalse(Files.exists(out), "no result file is created");
   }
 
   @Test
@@ -88,12 +91,12 @@
     Files.writeString(page, PAGE);
     simulate(result, "--mechanism", "gossip", "--sizes", "10", "--seeds", 1, "--event", "quiet");
     Object[] check = {"tables", "--page", page, "--results", results, "--check"};
-    // when, then: a page that was not printed differs, one that was does not
+    // when, then: an outdated page differs, a freshly printed one does not
     assertEquals(1, scale(check));
     assertEquals(PAGE, Files.readString(page), "a check writes nothing");
     assertEquals(0, scale("tables", "--page", page, "--results", results));
     assertEquals(0, scale(check));
-    // a doctored page, a doctored result, a damaged one, no page
+    // an edited page, an edited result, a damaged result, a missing page
     String printed = Files.readString(page);
     Files.writeString(page, printed.replaceFirst("10 fronts", "11 fronts"));
     assertEquals(1, scale(check));
@@ -109,7 +112,7 @@
   }
 
   @Test
-  void fitsArePrintedOfGoodFilesAlone() throws Exception {
+  void fitAcceptsOnlyValidFiles() throws Exception {
     Path result = folder.resolve("gossip.json");
     simulate(result, "--mechanism", "gossip", "--sizes", "10,14", "--seeds", 1);
     assertEquals(0, scale("fit", result));
--- a/src/test/java/linengauge/front/FrontSocketsTest.java
+++ b/src/test/java/linengauge/front/FrontSocketsTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -19,187 +21,225 @@
 import linengauge.standin.FaultyLink;
 import org.junit.jupiter.api.Test;
 
-/** The hard cases of the front's sockets, each built with scripted boxes. */
+/** Failures on the front's sockets, caused by scripted boxes. */
 class FrontSocketsTest {
-  private static final String QUICK =
+  private static final String FAST_SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, boxes: { endRetryMs: 50 }";
 
-  private static Rig rig(int boxes) throws Exception {
-    return new Rig(boxes, QUICK).start();
+  private static FrontFixture start(int boxes) throws Exception {
+    return new FrontFixture(boxes, FAST_SETTINGS).start();
   }
 
   @Test
   void aViewingIsPlacedPlayedAndEnded() throws Exception {
-    try (Rig r = rig(1)) {
-      HttpResponse<String> joined = r.join("&ceiling=1&key=me");
+    try (FrontFixture fixture = start(1)) {
+      HttpResponse<String> joined = fixture.requestViewing("&ceiling=1&key=me");
       assertEquals(200, joined.statusCode());
-      String media = Rig.path(joined);
-      String segment = Rig.path(r.get(r.viewers, media));
-      assertEquals("segment", r.get(r.viewers, segment).body());
+      String media = viewingPath(joined);
+      String segment = viewingPath(fixture.get(fixture.viewerPort, media));
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
       String id = media.substring(3, media.indexOf('/', 3));
-      r.client.send(
+      fixture.client.send(
           java.net.http.HttpRequest.newBuilder(
-                  java.net.URI.create("http://" + Ports.HOST + ":" + r.viewers + "/v/" + id))
+                  java.net.URI.create(
+                      "http://" + Ports.HOST + ":" + fixture.viewerPort + "/v/" + id))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE /viewings/" + id) == 1);
-      assertEquals(410, r.get(r.viewers, segment).statusCode());
-      r.untilEmpty();
+      waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE /viewings/" + id) == 1);
+      assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
-  void aBoxThatNeverAnswersCostsATryAndIsGivenUpFirst() throws Exception {
-    try (Rig r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> {});
-      CompletableFuture<HttpResponse<String>> joined = r.joins("");
-      Rig.until(() -> r.boxes.stream().anyMatch(b -> b.saw("PUT") > 0));
-      r.boxes.forEach(b -> b.setUps = b::plays);
+  void aBoxThatNeverAnswersIsCancelledBeforeTheRetry() throws Exception {
+    try (FrontFixture fixture = start(2)) {
+      fixture.boxes.forEach(box -> box.setUpHandler = request -> {});
+      CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
+      waitUntil(() -> fixture.boxes.stream().anyMatch(box -> box.countEvents("PUT") > 0));
+      fixture.boxes.forEach(box -> box.setUpHandler = box::acceptSetUp);
       assertEquals(200, joined.join().statusCode());
-      Rig.Box hung = r.boxes.stream().filter(b -> b.saw("closed") > 0).findFirst().orElseThrow();
-      Rig.until(() -> hung.saw("DELETE") == 1);
-      assertEquals(1, hung.saw("PUT"));
+      FrontFixture.ScriptedBox hung =
+          fixture.boxes.stream()
+              .filter(box -> box.countEvents("closed") > 0)
+              .findFirst()
+              .orElseThrow();
+      waitUntil(() -> hung.countEvents("DELETE") == 1);
+      assertEquals(1, hung.countEvents("PUT"));
     }
   }
 
   @Test
-  void anAnswerAfterTheTimeOutIsCancelledAtItsBoxAndPlaysNothing() throws Exception {
-    try (Rig r = rig(1)) {
-      Rig.Box box = r.boxes.get(0);
-      box.setUps = q -> r.vertx.setTimer(1500, t -> box.plays(q));
-      HttpResponse<String> answer = r.join("&patience=1200");
+  void anAnswerAfterTheTimeOutIsCancelledAtItsBox() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.setUpHandler = request -> fixture.vertx.setTimer(1500, t -> box.acceptSetUp(request));
+      HttpResponse<String> answer = fixture.requestViewing("&patience=1200");
       assertTrue(
           answer.statusCode() == 503 || answer.statusCode() == 504, "" + answer.statusCode());
-      Rig.until(() -> box.saw("DELETE") == box.saw("PUT") && box.saw("closed") >= 1);
-      r.untilEmpty();
-      assertEquals(0, r.state().getInteger("routes"));
+      waitUntil(
+          () ->
+              box.countEvents("DELETE") == box.countEvents("PUT")
+                  && box.countEvents("closed") >= 1);
+      fixture.waitUntilIdle();
+      assertEquals(0, fixture.state().getInteger("routes"));
     }
   }
 
   @Test
-  void aPaidSetUpThatIsResetIsNeverSentAgain() throws Exception {
-    try (Rig r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> q.connection().close());
+  void aPaidSetUpIsNotRetriedAfterAReset() throws Exception {
+    try (FrontFixture fixture = start(2)) {
+      fixture.boxes.forEach(box -> box.setUpHandler = request -> request.connection().close());
+      assertEquals(
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      assertEquals(1, r.boxes.get(0).saw("PUT") + r.boxes.get(1).saw("PUT"));
-      r.boxes.forEach(
-          b ->
-              b.setUps = q -> q.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
+          1, fixture.boxes.get(0).countEvents("PUT") + fixture.boxes.get(1).countEvents("PUT"));
+      fixture.boxes.forEach(
+          box ->
+              box.setUpHandler =
+                  request ->
+                      request.response().setStatusCode(503).putHeader("Never-Ran", "true").end());
       assertEquals(
-          503, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
+          503,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
       assertTrue(
-          r.boxes.get(0).saw("PUT") + r.boxes.get(1).saw("PUT") > 2,
-          "a refusal proves that it never ran");
+          fixture.boxes.get(0).countEvents("PUT") + fixture.boxes.get(1).countEvents("PUT") > 2,
+          "a set-up that provably never ran is retried");
     }
   }
 
   @Test
-  void aBrokenPlaylistIsAnAbortedViewingThatEndsAtItsBox() throws Exception {
-    try (Rig r = rig(1)) {
-      r.boxes.get(0).setUps = q -> q.response().setStatusCode(201).end("<html>");
-      assertEquals(503, r.join("").statusCode());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE") == r.boxes.get(0).saw("PUT"));
+  void anInvalidPlaylistFailsTheViewingAndEndsItAtItsBox() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      fixture.boxes.get(0).setUpHandler =
+          request -> request.response().setStatusCode(201).end("<html>");
+      assertEquals(503, fixture.requestViewing("").statusCode());
+      waitUntil(
+          () ->
+              fixture.boxes.get(0).countEvents("DELETE")
+                  == fixture.boxes.get(0).countEvents("PUT"));
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      r.untilEmpty();
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
-  void aListThatBreaksAndSkipsAChangeIsAskedForWhole() throws Exception {
-    try (Rig r = rig(2)) {
-      r.list.skipOne();
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      Thread.sleep(100); // lost on its way, and nothing to show it
-      assertEquals(0, r.state().getInteger("listGaps"));
-      r.list.set(r.boxes.get(1).place, "s", "serving", 0);
-      Rig.until(() -> r.state().getInteger("listGaps") == 1);
-      Rig.until(() -> r.state().getLong("listRevision") == 5);
-      r.list.breakFor(200);
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      Rig.until(
-          () -> r.state().getLong("listRevision") == 6 && r.state().getLong("listBreaks") > 0);
+  void aDiscoveryStreamThatSkipsAChangeIsRequestedWhole() throws Exception {
+    try (FrontFixture fixture = start(2)) {
+      fixture.discovery.dropNextChange();
+      fixture.discovery.publish(fixture.boxes.get(0).place, "s", "draining", 0);
+      Thread.sleep(100); // the change is lost, and nothing shows it yet
+      assertEquals(0, fixture.state().getInteger("listGaps"));
+      fixture.discovery.publish(fixture.boxes.get(1).place, "s", "serving", 0);
+      waitUntil(() -> fixture.state().getInteger("listGaps") == 1);
+      waitUntil(() -> fixture.state().getLong("listRevision") == 5);
+      fixture.discovery.interruptFor(200);
+      fixture.discovery.publish(fixture.boxes.get(0).place, "s", "draining", 0);
+      waitUntil(
+          () ->
+              fixture.state().getLong("listRevision") == 6
+                  && fixture.state().getLong("listBreaks") > 0);
       for (int i = 0; i < 5; i++) {
-        assertEquals(200, r.join("").statusCode());
+        assertEquals(200, fixture.requestViewing("").statusCode());
       }
-      assertEquals(0, r.boxes.get(0).saw("PUT"), "it drains");
+      assertEquals(0, fixture.boxes.get(0).countEvents("PUT"), "a draining box receives no set-up");
     }
   }
 
   @Test
-  void aViewerThatBreaksOffTakesItsSetUpAlong() throws Exception {
-    try (Rig r = rig(1)) {
-      r.boxes.get(0).setUps = q -> {};
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(request("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
-        Rig.until(() -> r.boxes.get(0).saw("PUT") == 1);
+  void aViewerThatDisconnectsCancelsItsSetUp() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      fixture.boxes.get(0).setUpHandler = request -> {};
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket
+            .getOutputStream()
+            .write(httpGet("/titles/t/main.m3u8?package=paid&patience=9000&key=me"));
+        waitUntil(() -> fixture.boxes.get(0).countEvents("PUT") == 1);
       }
-      Rig.until(() -> r.boxes.get(0).saw("closed") == 1 && r.boxes.get(0).saw("DELETE") == 1);
-      r.untilEmpty();
-      assertEquals(0, r.state().getInteger("keys"));
-      assertEquals(1, r.state().getInteger("left"));
+      waitUntil(
+          () ->
+              fixture.boxes.get(0).countEvents("closed") == 1
+                  && fixture.boxes.get(0).countEvents("DELETE") == 1);
+      fixture.waitUntilIdle();
+      assertEquals(0, fixture.state().getInteger("keys"));
+      assertEquals(1, fixture.state().getInteger("left"));
     }
   }
 
-  private static byte[] request(String path) {
+  private static byte[] httpGet(String path) {
     return ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII);
   }
 
   @Test
-  void twoRequestsWithOneKeyGiveOneAnswerEachAndOneViewing() throws Exception {
-    try (Rig r = rig(2)) {
-      r.boxes.forEach(b -> b.setUps = q -> r.vertx.setTimer(200, t -> b.plays(q)));
-      CompletableFuture<HttpResponse<String>> first = r.joins("&key=me");
-      Rig.until(() -> r.state().getInteger("held") == 1);
-      HttpResponse<String> second = r.join("&key=me");
+  void twoRequestsWithTheSameKeyLeadToOneViewing() throws Exception {
+    try (FrontFixture fixture = start(2)) {
+      fixture.boxes.forEach(
+          box ->
+              box.setUpHandler =
+                  request -> fixture.vertx.setTimer(200, t -> box.acceptSetUp(request)));
+      CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("&key=me");
+      waitUntil(() -> fixture.state().getInteger("held") == 1);
+      HttpResponse<String> second = fixture.requestViewing("&key=me");
       assertEquals(503, second.statusCode());
       assertEquals("1", second.headers().firstValue("Retry-After").orElseThrow());
       assertEquals(200, first.join().statusCode());
-      assertEquals(200, r.join("&key=me").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=me").statusCode());
       assertEquals(
-          410, r.get(r.viewers, Rig.path(first.join())).statusCode(), "the earlier one is over");
-      assertEquals(1, r.state().getInteger("held"));
+          410,
+          fixture.get(fixture.viewerPort, viewingPath(first.join())).statusCode(),
+          "the earlier viewing has been replaced");
+      assertEquals(1, fixture.state().getInteger("held"));
     }
   }
 
   @Test
-  void aDrainHeardWhileASetUpQueuesForAConnectionKeepsItBack() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }").start()) {
-      Rig.Box box = r.boxes.get(0);
-      box.setUps = q -> r.vertx.setTimer(300, t -> box.plays(q));
-      CompletableFuture<HttpResponse<String>> first = r.joins("");
-      Rig.until(() -> box.saw("PUT") == 1);
-      CompletableFuture<HttpResponse<String>> queued = r.joins("");
-      Rig.until(() -> r.state().getInteger("held") == 2);
-      r.list.set(box.place, "s", "draining", 0);
+  void aDrainReportedWhileASetUpWaitsForAConnectionPreventsIt() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(1, "boxes: { connections: 1, connectMs: 900 }, stop: { playingMs: 100 }")
+            .start()) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.setUpHandler = request -> fixture.vertx.setTimer(300, t -> box.acceptSetUp(request));
+      CompletableFuture<HttpResponse<String>> first = fixture.requestViewingAsync("");
+      waitUntil(() -> box.countEvents("PUT") == 1);
+      CompletableFuture<HttpResponse<String>> queued = fixture.requestViewingAsync("");
+      waitUntil(() -> fixture.state().getInteger("held") == 2);
+      fixture.discovery.publish(box.place, "s", "draining", 0);
       assertEquals(200, first.join().statusCode());
       assertEquals(503, queued.join().statusCode());
-      assertEquals(1, box.saw("PUT"));
+      assertEquals(1, box.countEvents("PUT"));
     }
   }
 
   @Test
-  void garbageOversizedAndSlowRequestsAreTurnedAwayAndHarmNobody() throws Exception {
-    try (Rig r =
-        new Rig(
+  void malformedOversizedAndSlowRequestsAreRejected() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(
                 1,
                 "viewers: { firstByteMs: 300, headersMs: 300, requestLineBytes: 512, headerBytes: 1024, connections: 5 }, "
                     + "stop: { playingMs: 100 }")
             .start()) {
-      assertTrue(said(r, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
+      assertTrue(statusLine(fixture, "\u0000\u0001 garbage\r\n\r\n").matches("HTTP/1.[01] 400"));
       assertTrue(
-          said(r, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n").matches("HTTP/1.[01] 414"));
+          statusLine(fixture, "GET /" + "x".repeat(600) + " HTTP/1.1\r\n\r\n")
+              .matches("HTTP/1.[01] 414"));
       assertTrue(
-          said(r, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
+          statusLine(fixture, "GET / HTTP/1.1\r\nX: " + "y".repeat(2000) + "\r\n\r\n")
               .matches("HTTP/1.[01] 431"));
       assertTrue(
-          said(r, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
+          statusLine(fixture, "POST /titles/t/main.m3u8 HTTP/1.1\r\nHost: x\r\n\r\n")
               .startsWith("HTTP/1.1 405"));
       assertEquals(
-          "", said(r, "GET /titles/t/ma"), "half a request line, and the connection is closed");
+          "", statusLine(fixture, "GET /titles/t/ma"), "an incomplete request line times out");
       for (String bad :
           new String[] {
             "?package=none",
@@ -209,219 +249,251 @@
             "?package=plain&key=a%20b",
             ""
           }) {
-        assertEquals(400, r.get(r.viewers, "/titles/t/main.m3u8" + bad).statusCode(), bad);
+        assertEquals(
+            400, fixture.get(fixture.viewerPort, "/titles/t/main.m3u8" + bad).statusCode(), bad);
       }
-      assertEquals(404, r.get(r.viewers, "/v/none/media.m3u8").statusCode());
+      assertEquals(404, fixture.get(fixture.viewerPort, "/v/none/media.m3u8").statusCode());
       Socket[] idle = new Socket[12];
       for (int i = 0; i < idle.length; i++) {
-        idle[i] = new Socket(Ports.HOST, r.viewers);
+        idle[i] = new Socket(Ports.HOST, fixture.viewerPort);
       }
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("turnedAway") > 0);
-      Rig.until(() -> r.state().getInteger("viewerConnections") <= 1);
-      for (Socket s : idle) {
-        s.close();
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turnedAway") > 0);
+      waitUntil(() -> fixture.state().getInteger("viewerConnections") <= 1);
+      for (Socket socket : idle) {
+        socket.close();
       }
-      assertEquals(200, r.join("").statusCode());
+      assertEquals(200, fixture.requestViewing("").statusCode());
     }
   }
 
-  /** What the front says to raw bytes until it closes the connection or has answered. */
-  private static String said(Rig r, String raw) throws IOException {
-    try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-      s.setSoTimeout(15_000);
-      s.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
-      InputStream in = s.getInputStream();
+  /**
+   * Sends raw bytes and returns the start of the status line, empty where the connection was
+   * closed.
+   */
+  private static String statusLine(FrontFixture fixture, String raw) throws IOException {
+    try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+      socket.setSoTimeout(15_000);
+      socket.getOutputStream().write(raw.getBytes(StandardCharsets.ISO_8859_1));
+      InputStream in = socket.getInputStream();
       byte[] head = in.readNBytes(12);
       return new String(head, StandardCharsets.US_ASCII);
     }
   }
 
   @Test
-  void aSlowReaderHoldsItsBoxBackAndNothingIsHeldWhole() throws Exception {
-    try (Rig r = rig(1)) {
-      long whole = 200L << 20;
+  void aStalledReaderAppliesBackPressureToItsBox() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      long totalBytes = 200L << 20;
       AtomicLong sent = new AtomicLong();
-      r.boxes.get(0).segments =
-          q -> {
-            HttpServerResponse to = q.response().putHeader("Content-Length", Long.toString(whole));
-            pour(to, sent, whole);
+      fixture.boxes.get(0).segmentHandler =
+          request -> {
+            HttpServerResponse response =
+                request.response().putHeader("Content-Length", Long.toString(totalBytes));
+            writeUntilFull(response, sent, totalBytes);
           };
-      String segment = Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(request(segment));
-        Rig.until(() -> sent.get() > 100_000);
+      String segment =
+          viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
+        waitUntil(() -> sent.get() > 100_000);
         long before;
         do {
           before = sent.get();
           Thread.sleep(300);
-        } while (sent.get() != before); // what the sockets hold is full
+        } while (sent.get() != before); // until the buffers of the sockets are full
         assertTrue(
-            sent.get() < whole / 4,
-            "the front took " + sent.get() + " of " + whole + " for a reader of nothing");
-        assertEquals(200, r.join("").statusCode(), "others are served meanwhile");
+            sent.get() < totalBytes / 4,
+            "the front read "
+                + sent.get()
+                + " of "
+                + totalBytes
+                + " bytes for a viewer that reads nothing");
+        assertEquals(200, fixture.requestViewing("").statusCode(), "others are served meanwhile");
       }
-      Rig.until(() -> r.state().getInteger("held") == 2);
+      waitUntil(() -> fixture.state().getInteger("held") == 2);
     }
   }
 
-  private static void pour(HttpServerResponse to, AtomicLong sent, long whole) {
-    while (!to.writeQueueFull() && sent.get() < whole && !to.closed()) {
-      int n = (int) Math.min(65536, whole - sent.get());
-      to.write(Buffer.buffer(new byte[n]));
-      sent.addAndGet(n);
+  private static void writeUntilFull(
+      HttpServerResponse response, AtomicLong sent, long totalBytes) {
+    while (!response.writeQueueFull() && sent.get() < totalBytes && !response.closed()) {
+      int chunkBytes = (int) Math.min(65536, totalBytes - sent.get());
+      response.write(Buffer.buffer(new byte[chunkBytes]));
+      sent.addAndGet(chunkBytes);
     }
-    to.drainHandler(v -> pour(to, sent, whole));
+    response.drainHandler(v -> writeUntilFull(response, sent, totalBytes));
   }
 
   @Test
-  void aBoxThatTellsOfALaterStartThanTheListIsCold() throws Exception {
-    try (Rig r =
-        new Rig(
+  void aBoxThatReportsALaterStartThanDiscoveryIsCold() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(
                 1,
                 "rules: { coldMs: 60000, fallAfterMs: 5000, fallMultiple: 2.5 }, stop: { playingMs: 100 }")
             .start()) {
-      Rig.Box box = r.boxes.get(0);
-      box.setUps =
-          q -> {
-            q.response().putHeader("Box-Age-Ms", "1000");
-            box.plays(q);
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.setUpHandler =
+          request -> {
+            request.response().putHeader("Box-Age-Ms", "1000");
+            box.acceptSetUp(request);
           };
       int plays = 0;
       for (int i = 0; i < 8; i++) {
-        plays += r.join("&patience=400").statusCode() == 200 ? 1 : 0;
+        plays += fixture.requestViewing("&patience=400").statusCode() == 200 ? 1 : 0;
       }
       assertEquals(
           1,
           plays,
-          "after its first answer a front that has itself just started sends nothing there");
+          "after the first response a front that has itself just started sends nothing to a cold box");
     }
   }
 
   @Test
-  void aBoxThatSendsNoMediaOrBreaksOffIsToldToTheViewerAsSuch() throws Exception {
-    try (Rig r =
-        new Rig(
+  void aMediaFailureOfTheBoxIsReportedToTheViewer() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(
                 1,
                 "boxes: { firstByteMs: 300, mediaSilenceMs: 300, connectMs: 100 }, stop: { playingMs: 100 }")
             .start()) {
-      Rig.Box box = r.boxes.get(0);
-      String segment = Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
-      box.segments = q -> {};
-      assertEquals(504, r.get(r.viewers, segment).statusCode(), "nothing at all");
-      box.segments = q -> q.response().setStatusCode(500).end();
-      assertEquals(502, r.get(r.viewers, segment).statusCode());
-      box.segments = q -> q.response().putHeader("Content-Length", "1000").write("some");
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String segment =
+          viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
+      box.segmentHandler = request -> {};
+      assertEquals(
+          504, fixture.get(fixture.viewerPort, segment).statusCode(), "the box sends nothing");
+      box.segmentHandler = request -> request.response().setStatusCode(500).end();
+      assertEquals(502, fixture.get(fixture.viewerPort, segment).statusCode());
+      box.segmentHandler =
+          request -> request.response().putHeader("Content-Length", "1000").write("some");
       assertThrows(
           AssertionError.class,
-          () -> r.get(r.viewers, segment),
-          "a short body is not passed off as whole");
-      box.segments = q -> q.response().end("again");
+          () -> fixture.get(fixture.viewerPort, segment),
+          "a truncated body is not passed off as complete");
+      box.segmentHandler = request -> request.response().end("again");
       assertEquals(
-          "again", r.get(r.viewers, segment).body(), "one bad segment does not end the viewing");
-      box.segments = q -> {};
-      CompletableFuture<?>[] four = new CompletableFuture<?>[4];
+          "again",
+          fixture.get(fixture.viewerPort, segment).body(),
+          "one bad segment does not end the viewing");
+      box.segmentHandler = request -> {};
+      CompletableFuture<?>[] responses = new CompletableFuture<?>[4];
       for (int i = 0; i < 4; i++) {
-        four[i] = CompletableFuture.supplyAsync(() -> r.get(r.viewers, segment));
+        responses[i] =
+            CompletableFuture.supplyAsync(() -> fixture.get(fixture.viewerPort, segment));
       }
-      long before = box.saw("GET");
-      Rig.until(() -> box.saw("GET") >= before + 4 || four[0].isDone());
-      CompletableFuture.allOf(four).join();
-      box.segments = q -> q.response().setStatusCode(410).end();
-      assertEquals(410, r.get(r.viewers, segment).statusCode());
-      Rig.until(() -> r.state().getInteger("held") == 0);
+      long before = box.countEvents("GET");
+      waitUntil(() -> box.countEvents("GET") >= before + 4 || responses[0].isDone());
+      CompletableFuture.allOf(responses).join();
+      box.segmentHandler = request -> request.response().setStatusCode(410).end();
+      assertEquals(410, fixture.get(fixture.viewerPort, segment).statusCode());
+      waitUntil(() -> fixture.state().getInteger("held") == 0);
     }
   }
 
   @Test
-  void aPlaylistOverItsBoundIsRefusedAndNotHeldWhole() throws Exception {
-    try (Rig r = new Rig(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
-      r.boxes.get(0).setUps =
-          q -> q.response().setStatusCode(201).end(Rig.MULTI + "#long\n".repeat(1000));
+  void aPlaylistOverTheSizeLimitIsRejected() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(1, "boxes: { playlistBytes: 2000 }, stop: { playingMs: 100 }").start()) {
+      fixture.boxes.get(0).setUpHandler =
+          request ->
+              request
+                  .response()
+                  .setStatusCode(201)
+                  .end(FrontFixture.MULTIVARIANT_PLAYLIST + "#long\n".repeat(1000));
       assertEquals(
-          502, r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode());
-      Rig.until(() -> r.boxes.get(0).saw("DELETE") == 1);
-      r.untilEmpty();
+          502,
+          fixture
+              .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+              .statusCode());
+      waitUntil(() -> fixture.boxes.get(0).countEvents("DELETE") == 1);
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
-  void anEndThatABoxWillNotHearIsTriedABoundedNumberOfTimes() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }").start()) {
-      Rig.Box box = r.boxes.get(0);
-      box.others = q -> q.response().setStatusCode(500).end();
-      box.setUps = q -> q.response().setStatusCode(500).end();
-      String media = Rig.path(joined(r, box));
-      r.client.send(
+  void anUnconfirmedEndIsRetriedALimitedNumberOfTimes() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(1, "boxes: { endTries: 3, endRetryMs: 20 }, stop: { playingMs: 100 }")
+            .start()) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      box.otherHandler = request -> request.response().setStatusCode(500).end();
+      box.setUpHandler = request -> request.response().setStatusCode(500).end();
+      String media = viewingPath(requestAccepted(fixture, box));
+      fixture.client.send(
           java.net.http.HttpRequest.newBuilder(
                   java.net.URI.create(
                       "http://"
                           + Ports.HOST
                           + ":"
-                          + r.viewers
+                          + fixture.viewerPort
                           + media.substring(0, media.indexOf('/', 3))))
               .DELETE()
               .build(),
           HttpResponse.BodyHandlers.discarding());
-      Rig.until(() -> r.state().getLong("endsGivenUp") == 1);
-      assertEquals(3, box.saw("DELETE"));
-      r.untilEmpty();
+      waitUntil(() -> fixture.state().getLong("endsGivenUp") == 1);
+      assertEquals(3, box.countEvents("DELETE"));
+      fixture.waitUntilIdle();
     }
   }
 
-  private static HttpResponse<String> joined(Rig r, Rig.Box box) {
-    box.setUps = box::plays;
-    return r.join("");
+  private static HttpResponse<String> requestAccepted(
+      FrontFixture fixture, FrontFixture.ScriptedBox box) {
+    box.setUpHandler = box::acceptSetUp;
+    return fixture.requestViewing("");
   }
 
   @Test
-  void aBoxThatCannotBeHeardAnyMoreHasLostItsViewings() throws Exception {
-    try (Rig r =
-        new Rig(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
+  void anUnreachableBoxLosesItsViewings() throws Exception {
+    try (FrontFixture fixture =
+        new FrontFixture(1, "boxes: { notesRetryMs: 20, notesTries: 3 }, stop: { playingMs: 100 }")
             .start()) {
-      String media = Rig.path(r.join(""));
-      Rig.until(() -> r.state().getInteger("noteStreamsInUse") == 1);
-      r.boxes.get(0).close();
-      Rig.until(() -> r.state().getInteger("held") == 0);
-      assertEquals("ended: BOX_LOST\n", r.get(r.viewers, media).body());
+      String media = viewingPath(fixture.requestViewing(""));
+      waitUntil(() -> fixture.state().getInteger("noteStreamsInUse") == 1);
+      fixture.boxes.get(0).close();
+      waitUntil(() -> fixture.state().getInteger("held") == 0);
+      assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, media).body());
     }
   }
 
   @Test
-  void aBoxBehindALinkThatSwallowsTricklesOrResetsIsTakenForWhatItShows() throws Exception {
-    try (Rig r = rig(1)) {
-      Rig.Box box = r.boxes.get(0);
-      FaultyLink link = new FaultyLink(r.vertx, Ports.HOST, box.port);
-      r.list.set(
-          new BoxFleet.Place(1, Ports.HOST, Rig.await(link.open()), 1, "a"), "s", "serving", 0);
-      Rig.until(() -> r.state().getLong("listRevision") == 3);
-      link.swallowAnswers(true);
-      int status = r.join("&patience=1500").statusCode();
+  void aLinkThatDropsDelaysOrResetsDeterminesTheOutcome() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      FaultyLink link = new FaultyLink(fixture.vertx, Ports.HOST, box.port);
+      fixture.discovery.publish(
+          new BoxFleet.BoxLocation(1, Ports.HOST, FrontFixture.await(link.open()), 1, "a"),
+          "s",
+          "serving",
+          0);
+      waitUntil(() -> fixture.state().getLong("listRevision") == 3);
+      link.dropAnswers(true);
+      int status = fixture.requestViewing("&patience=1500").statusCode();
       assertTrue(status == 503 || status == 504, "" + status);
-      link.swallowAnswers(false);
-      link.trickle(100);
-      Rig.until(() -> r.join("").statusCode() == 200);
-      link.trickle(0);
+      link.dropAnswers(false);
+      link.setTrickle(100);
+      waitUntil(() -> fixture.requestViewing("").statusCode() == 200);
+      link.setTrickle(0);
       link.resetOnAnswer(true);
-      long before = box.saw("PUT");
-      Rig.until(
+      long before = box.countEvents("PUT");
+      waitUntil(
           () ->
-              r.get(r.viewers, "/titles/t/main.m3u8?package=paid&patience=3000").statusCode()
+              fixture
+                      .get(fixture.viewerPort, "/titles/t/main.m3u8?package=paid&patience=3000")
+                      .statusCode()
                   == 502);
-      assertEquals(before + 1, box.saw("PUT"), "it may have run: not sent again");
-      link.cut();
+      assertEquals(before + 1, box.countEvents("PUT"), "a set-up that may have run is not retried");
+      link.closeConnections();
     }
   }
 
   @Test
-  void aPortInUseIsSaidAtStart() throws Exception {
-    try (Rig r = rig(1)) {
-      FrontProgram second = r.program();
-      Exception e = assertThrows(Exception.class, () -> Rig.await(second.start(1)));
-      assertTrue(e.getMessage().contains("in use"), e.getMessage());
+  void aPortInUseFailsTheStart() throws Exception {
+    try (FrontFixture fixture = start(1)) {
+      FrontServer second = fixture.newFront();
+      Exception failure = assertThrows(Exception.class, () -> FrontFixture.await(second.start(1)));
+      assertTrue(failure.getMessage().contains("in use"), failure.getMessage());
       second.stop();
       assertTrue(second.await(15_000));
-      assertFalse(r.front.await(1), "the first one runs on");
+      assertFalse(fixture.front.await(1), "the first front keeps running");
     }
   }
 }
--- a/src/test/java/linengauge/front/LeaseMembershipTest.java
+++ b/src/test/java/linengauge/front/LeaseMembershipTest.java
@@ -1,5 +1,6 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -27,11 +28,11 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front with a lease, kept by a control machine that is a process of the program. */
+/** A front with a lease from a control machine that runs as a separate process. */
 @Timeout(value = 90, unit = TimeUnit.SECONDS)
 class LeaseMembershipTest {
   private static final String KEY = "a key of the whole fleet";
-  private static final int CONTROL = 60_000;
+  private static final int CONTROL_NUMBER = 60_000;
   private static final int HEARTBEAT_MS = 100;
 
   @TempDir private Path folder;
@@ -40,23 +41,23 @@
   private List<Integer> ports;
 
   @BeforeEach
-  void given() throws Exception {
+  void prepare() throws Exception {
     key = Files.writeString(folder.resolve("key"), KEY + "\n");
     ports = Ports.free(4);
   }
 
   @AfterEach
-  void stop() throws Exception {
+  void stopProcesses() throws Exception {
     for (Process process : processes) {
       process.destroyForcibly().waitFor();
     }
   }
 
-  private static String at(int port) {
+  private static String address(int port) {
     return Ports.HOST + ":" + port;
   }
 
-  private Process controlMachine() throws Exception {
+  private Process startControlMachine() throws Exception {
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -66,11 +67,11 @@
                 System.getProperty("java.class.path"),
                 Main.class.getName(),
                 "control",
-                "--number=" + CONTROL,
-                "--listen=" + at(ports.get(0)),
-                "--machine=" + CONTROL + "=0@" + at(ports.get(0)),
-                "--log-listen=" + at(ports.get(1)),
-                "--voter=" + CONTROL + "=" + at(ports.get(1)),
+                "--number=" + CONTROL_NUMBER,
+                "--listen=" + address(ports.get(0)),
+                "--machine=" + CONTROL_NUMBER + "=0@" + address(ports.get(0)),
+                "--log-listen=" + address(ports.get(1)),
+                "--voter=" + CONTROL_NUMBER + "=" + address(ports.get(1)),
                 "--store=" + folder.resolve("store"),
                 "--found",
                 "--key-file=" + key,
@@ -82,13 +83,15 @@
     return process;
   }
 
-  private String section(Path keyFile) {
+  private String leaseSettings(Path keyFile) {
     return "lease: { listen: '%s', keyFile: '%s', region: 0, heartbeatMs: %d, control: [ { number: %d, region: 0, address: '%s' } ] }"
-        .formatted(at(ports.get(2)), keyFile, HEARTBEAT_MS, CONTROL, at(ports.get(0)));
+        .formatted(
+            address(ports.get(2)), keyFile, HEARTBEAT_MS, CONTROL_NUMBER, address(ports.get(0)));
   }
 
-  private LeaseNode otherFront(AtomicReference<DirectoryEntry> lastOfFrontZero) throws Exception {
-    Member member = new Member(1, at(ports.get(3)), 0, 0);
+  private LeaseNode startOtherFront(AtomicReference<DirectoryEntry> lastOfFrontZero)
+      throws Exception {
+    Member member = new Member(1, address(ports.get(3)), 0, 0);
     LeaseNode.Listener listener =
         new LeaseNode.Listener() {
           @Override
@@ -100,14 +103,14 @@
 
           @Override
           public void superseded(long incarnation) {
-            // not of this test
+            // not covered by this test
           }
         };
     LeaseNode node =
         new LeaseNode(
             LeaseSettings.USUAL.withHeartbeat(Span.ofMillis(HEARTBEAT_MS)),
             member,
-            List.of(new ControlMachine(CONTROL, 0, at(ports.get(0)))),
+            List.of(new ControlMachine(CONTROL_NUMBER, 0, address(ports.get(0)))),
             KEY.getBytes(StandardCharsets.UTF_8),
             listener,
             null);
@@ -115,69 +118,67 @@
     return node;
   }
 
-  private static JsonObject lease(Rig rig) {
-    return rig.state().getJsonObject("lease");
+  private static JsonObject leaseState(FrontFixture fixture) {
+    return fixture.state().getJsonObject("lease");
   }
 
   @Test
-  void aFrontHoldsALeaseIsSeenByAnotherAndSaysThatItLeaves() throws Exception {
+  void aFrontHoldsALeaseIsListedAndAnnouncesItsDeparture() throws Exception {
     // given
-    controlMachine();
+    startControlMachine();
     AtomicReference<DirectoryEntry> seen = new AtomicReference<>();
-    try (LeaseNode other = otherFront(seen)) {
+    try (LeaseNode other = startOtherFront(seen)) {
       // when
-      try (Rig rig = new Rig(1, section(key)).start()) {
+      try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
         // then
-        Rig.until(() -> lease(rig).getBoolean("holdsLease", false));
-        Rig.until(() -> lease(rig).getJsonArray("present").size() == 2);
-        assertEquals("CURRENT", lease(rig).getString("mode"));
-        Rig.until(() -> seen.get() != null);
+        waitUntil(() -> leaseState(fixture).getBoolean("holdsLease", false));
+        waitUntil(() -> leaseState(fixture).getJsonArray("present").size() == 2);
+        assertEquals("CURRENT", leaseState(fixture).getString("mode"));
+        waitUntil(() -> seen.get() != null);
         assertEquals(DirectoryEntry.State.PRESENT, seen.get().state());
-        assertEquals(at(ports.get(2)), seen.get().member().address());
+        assertEquals(address(ports.get(2)), seen.get().member().address());
       }
-      Rig.until(() -> seen.get().state() == DirectoryEntry.State.LEFT);
+      waitUntil(() -> seen.get().state() == DirectoryEntry.State.LEFT);
       assertFalse(other.isSilent());
     }
   }
 
-  /**
-   * Guards against a fleet that is listed anew, front by front, after its control machine's
-   * restart.
-   */
+  /** Guards against a control machine that lists every front anew after its restart. */
   @Test
-  void aControlMachineThatIsRestartedStillListsTheFrontInTheSameLife() throws Exception {
+  void aRestartedControlMachineKeepsTheIncarnationOfTheFront() throws Exception {
     // given
-    Process first = controlMachine();
-    try (Rig rig = new Rig(1, section(key)).start()) {
-      Rig.until(() -> lease(rig).getBoolean("holdsLease", false));
-      long incarnation = lease(rig).getLong("incarnation");
-      long version = lease(rig).getLong("version");
+    Process first = startControlMachine();
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
+      waitUntil(() -> leaseState(fixture).getBoolean("holdsLease", false));
+      long incarnation = leaseState(fixture).getLong("incarnation");
+      long version = leaseState(fixture).getLong("version");
       // when
       first.destroy();
       assertTrue(first.waitFor(10, TimeUnit.SECONDS));
-      Rig.until(() -> !lease(rig).getBoolean("holdsLease"));
-      controlMachine();
+      waitUntil(() -> !leaseState(fixture).getBoolean("holdsLease"));
+      startControlMachine();
       // then
-      Rig.until(() -> lease(rig).getBoolean("holdsLease"));
-      assertEquals(incarnation, lease(rig).getLong("incarnation"));
-      assertTrue(lease(rig).getLong("version") >= version);
-      assertEquals(1, lease(rig).getJsonArray("present").size());
+      waitUntil(() -> leaseState(fixture).getBoolean("holdsLease"));
+      assertEquals(incarnation, leaseState(fixture).getLong("incarnation"));
+      assertTrue(leaseState(fixture).getLong("version") >= version);
+      assertEquals(1, leaseState(fixture).getJsonArray("present").size());
     }
   }
 
   @Test
-  void withoutControlMachinesTheFrontServesAndSaysThatItHoldsNothing() throws Exception {
-    try (Rig rig = new Rig(1, section(key)).start()) {
-      assertEquals("STARTING", lease(rig).getString("mode"));
-      assertEquals(false, lease(rig).getBoolean("holdsLease"));
+  void withoutControlMachinesTheFrontServesWithoutALease() throws Exception {
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(key)).start()) {
+      assertEquals("STARTING", leaseState(fixture).getString("mode"));
+      assertEquals(false, leaseState(fixture).getBoolean("holdsLease"));
     }
   }
 
   @Test
-  void withAKeyThatIsNoneItDoesNotStart() throws Exception {
+  void aShortKeyFailsTheStart() throws Exception {
     Path tooShort = Files.writeString(folder.resolve("short"), "short");
-    try (Rig rig = new Rig(1, section(tooShort))) {
-      Exception e = assertThrows(Exception.class, () -> Rig.await(rig.program().start(7)));
+    try (FrontFixture fixture = new FrontFixture(1, leaseSettings(tooShort))) {
+      Exception e =
+          assertThrows(Exception.class, () -> FrontFixture.await(fixture.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("lease.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -185,9 +186,9 @@
   }
 
   @Test
-  void withoutTheSectionNothingIsSaidOfIt() throws Exception {
-    try (Rig rig = new Rig(1, "").start()) {
-      assertEquals(new JsonObject(), lease(rig));
+  void withoutLeaseSettingsTheStateIsEmpty() throws Exception {
+    try (FrontFixture fixture = new FrontFixture(1, "").start()) {
+      assertEquals(new JsonObject(), leaseState(fixture));
     }
   }
 }
--- a/src/test/java/linengauge/front/MembersTest.java
+++ b/src/test/java/linengauge/front/MembersTest.java
@@ -1,5 +1,6 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,13 +19,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A front among members, beside one that the test runs. */
+/** Fleet membership of a front, beside a member that the test runs. */
 class MembersTest {
   private static final String KEY = "a key of the whole fleet";
 
   @TempDir private Path dir;
 
-  private static String section(int own, int seed, Path key) {
+  private static String memberSettings(int own, int seed, Path key) {
     return "members: { listen: '"
         + Ports.HOST
         + ":"
@@ -39,40 +40,43 @@
   }
 
   @Test
-  void itIsSeenWhileItServesAndSaysThatItLeaves() throws Exception {
+  void aFrontIsListedWhileItServesAndAnnouncesItsDeparture() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), KEY + "\n");
     List<Integer> ports = Ports.free(2);
     Member own = new Member(1, Ports.HOST + ":" + ports.get(1), 0, 2);
     try (MembershipNode other =
         new MembershipNode(
-            MembershipSettings.USUAL.inPeriods(Span.ofMillis(100)),
+            MembershipSettings.DEFAULT.withPeriod(Span.ofMillis(100)),
             own,
             List.of(),
             KEY.getBytes(StandardCharsets.UTF_8),
             n -> {})) {
       other.start();
-      try (Rig rig = new Rig(1, section(ports.get(0), ports.get(1), key)).start()) {
-        Rig.until(
+      try (FrontFixture fixture =
+          new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key)).start()) {
+        waitUntil(
             () ->
-                other.held().size() == 1
-                    && rig.state().getJsonObject("members").getJsonArray("others").size() == 1);
+                other.members().size() == 1
+                    && fixture.state().getJsonObject("members").getJsonArray("others").size() == 1);
         JsonObject seen =
-            rig.state().getJsonObject("members").getJsonArray("others").getJsonObject(0);
+            fixture.state().getJsonObject("members").getJsonArray("others").getJsonObject(0);
         assertEquals("ALIVE", seen.getString("standing"));
         assertEquals(2, seen.getInteger("region"));
         assertEquals(
-            new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.held().get(0).member());
+            new Member(0, Ports.HOST + ":" + ports.get(0), 0, 3), other.members().get(0).member());
       }
-      Rig.until(() -> other.held().get(0).standing() == MemberState.LEFT);
+      waitUntil(() -> other.members().get(0).state() == MemberState.LEFT);
     }
   }
 
   @Test
-  void withAKeyThatIsNoneItDoesNotStart() throws Exception {
+  void aShortKeyFailsTheStart() throws Exception {
     Path key = Files.writeString(dir.resolve("key"), "short");
     List<Integer> ports = Ports.free(2);
-    try (Rig rig = new Rig(1, section(ports.get(0), ports.get(1), key))) {
-      Exception e = assertThrows(Exception.class, () -> Rig.await(rig.program().start(7)));
+    try (FrontFixture fixture =
+        new FrontFixture(1, memberSettings(ports.get(0), ports.get(1), key))) {
+      Exception e =
+          assertThrows(Exception.class, () -> FrontFixture.await(fixture.newFront().start(7)));
       assertTrue(
           e.getMessage().contains("members.keyFile holds a key of fewer than 16 bytes"),
           e.getMessage());
@@ -80,9 +84,9 @@
   }
 
   @Test
-  void withoutTheSectionNothingIsSaidOfIt() throws Exception {
-    try (Rig rig = new Rig(1, "").start()) {
-      assertEquals(new JsonObject(), rig.state().getJsonObject("members"));
+  void withoutMemberSettingsTheStateIsEmpty() throws Exception {
+    try (FrontFixture fixture = new FrontFixture(1, "").start()) {
+      assertEquals(new JsonObject(), fixture.state().getJsonObject("members"));
     }
   }
 }
--- a/src/test/java/linengauge/front/RetryOrderSocketsTest.java
+++ b/src/test/java/linengauge/front/RetryOrderSocketsTest.java
@@ -9,26 +9,29 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** Over HTTP: a request goes to the same box again only once that has answered the end before. */
+/**
+ * A retry over HTTP goes to the same box only after the box has confirmed the end of the previous
+ * attempt.
+ */
 class RetryOrderSocketsTest {
   private static final String SETTINGS =
       "desk: { idleMs: 60000 }, stop: { playingMs: 100 }, rules: { coldMs: 0 },"
           + " boxes: { endRetryMs: 50 }";
-  private static final int ANSWERS_ENDS_AFTER_MS = 150;
+  private static final int END_RESPONSE_DELAY_MS = 150;
 
-  private static String answered(int tuneIn) {
+  private static String endConfirmed(int tuneIn) {
     return "answered tuneIn=" + tuneIn;
   }
 
-  /** Ends are answered late, and noted as they are. */
-  private static void answersEndsLate(Rig rig, Rig.Box box) {
-    box.others =
+  /** Delays the responses to ends, and records each as it is sent. */
+  private static void delayEndResponses(FrontFixture fixture, FrontFixture.ScriptedBox box) {
+    box.otherHandler =
         request -> {
           if (request.method() == HttpMethod.DELETE) {
-            rig.vertx.setTimer(
-                ANSWERS_ENDS_AFTER_MS,
+            fixture.vertx.setTimer(
+                END_RESPONSE_DELAY_MS,
                 t -> {
-                  box.seen.add(answered(Integer.parseInt(request.getParam("tuneIn"))));
+                  box.events.add(endConfirmed(Integer.parseInt(request.getParam("tuneIn"))));
                   request.response().setStatusCode(404).end();
                 });
           } else {
@@ -37,57 +40,62 @@
         };
   }
 
-  private static void eachAttemptFollowsTheAnsweredEndOfTheOneBefore(Rig.Box box) {
-    List<String> seen = List.copyOf(box.seen);
+  private static void assertEachAttemptFollowsTheConfirmedEndOfThePrevious(
+      FrontFixture.ScriptedBox box) {
+    List<String> events = List.copyOf(box.events);
     int attempts = 0;
-    for (int i = 0; i < seen.size(); i++) {
-      if (seen.get(i).startsWith("PUT")) {
+    for (int i = 0; i < events.size(); i++) {
+      if (events.get(i).startsWith("PUT")) {
         assertTrue(
-            attempts == 0 || seen.subList(0, i).contains(answered(attempts - 1)), seen.toString());
+            attempts == 0 || events.subList(0, i).contains(endConfirmed(attempts - 1)),
+            events.toString());
         attempts++;
       }
     }
-    assertTrue(attempts > 1, "tried again once it was confirmed: " + seen);
+    assertTrue(attempts > 1, "the set-up is retried once the end is confirmed: " + events);
   }
 
   /** Guards against a retry that a box reads before the end of the attempt that timed out. */
   @Test
-  void afterATimeOutTheSameBoxIsTriedOnceItHasAnsweredTheEnd() throws Exception {
-    try (Rig rig = new Rig(1, SETTINGS).start()) {
-      Rig.Box box = rig.boxes.get(0);
-      answersEndsLate(rig, box);
-      box.setUps =
+  void aBoxThatTimedOutIsRetriedAfterItConfirmedTheEnd() throws Exception {
+    try (FrontFixture fixture = new FrontFixture(1, SETTINGS).start()) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      delayEndResponses(fixture, box);
+      box.setUpHandler =
           request -> {
-            if (box.saw("PUT") > 1) {
-              box.plays(request);
+            if (box.countEvents("PUT") > 1) {
+              box.acceptSetUp(request);
             }
           };
-      CompletableFuture<HttpResponse<String>> joined = rig.joins("");
+      CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
       assertEquals(200, joined.join().statusCode());
-      eachAttemptFollowsTheAnsweredEndOfTheOneBefore(box);
+      assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
     }
   }
 
-  /** Guards against an attempt that goes on at a box after its connection broke or was spoilt. */
+  /**
+   * Guards against an attempt that continues at a box after its connection broke or its answer was
+   * invalid.
+   */
   @Test
-  void afterABreakOrASpoiltAnswerTheBoxIsToldTheEndBeforeItIsTriedAgain() throws Exception {
+  void aBoxWithABrokenOrInvalidAnswerIsRetriedAfterItConfirmedTheEnd() throws Exception {
     for (boolean breaks : new boolean[] {true, false}) {
-      try (Rig rig = new Rig(1, SETTINGS).start()) {
-        Rig.Box box = rig.boxes.get(0);
-        answersEndsLate(rig, box);
-        box.setUps =
+      try (FrontFixture fixture = new FrontFixture(1, SETTINGS).start()) {
+        FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+        delayEndResponses(fixture, box);
+        box.setUpHandler =
             request -> {
-              if (box.saw("PUT") > 1) {
-                box.plays(request);
+              if (box.countEvents("PUT") > 1) {
+                box.acceptSetUp(request);
               } else if (breaks) {
                 request.connection().close();
               } else {
                 request.response().setStatusCode(201).end("<html>");
               }
             };
-        CompletableFuture<HttpResponse<String>> joined = rig.joins("");
+        CompletableFuture<HttpResponse<String>> joined = fixture.requestViewingAsync("");
         joined.join();
-        eachAttemptFollowsTheAnsweredEndOfTheOneBefore(box);
+        assertEachAttemptFollowsTheConfirmedEndOfThePrevious(box);
       }
     }
   }
--- a/src/test/java/linengauge/front/SharedAddressTest.java
+++ b/src/test/java/linengauge/front/SharedAddressTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -20,54 +22,67 @@
 import java.util.concurrent.CompletableFuture;
 import linengauge.Span;
 import linengauge.drill.Ports;
-import linengauge.vrrp.Advert;
-import linengauge.vrrp.Fitness;
+import linengauge.vrrp.Advertisement;
+import linengauge.vrrp.FrontHealth;
 import linengauge.vrrp.NodeAddress;
-import linengauge.vrrp.Packets;
+import linengauge.vrrp.PacketCodec;
 import org.junit.jupiter.api.Test;
 
 /** A front behind a shared address, with a scripted partner. */
 class SharedAddressTest {
-  private static final Packets PACKETS = new Packets(false);
+  private static final PacketCodec PACKETS = new PacketCodec(false);
 
-  /** The other node: says what it is told to, and keeps the priorities that it hears. */
+  /**
+   * The other VRRP node: advertises a priority (none where it is negative) and records the
+   * priorities that it receives.
+   */
   private static final class Partner implements AutoCloseable {
     private final DatagramSocket socket;
-    private final List<Integer> heard = Collections.synchronizedList(new ArrayList<>());
-    private final int to;
-    private volatile int says = -1;
+    private final List<Integer> receivedPriorities =
+        Collections.synchronizedList(new ArrayList<>());
+    private final int targetPort;
+    private volatile int advertisedPriority = -1;
 
-    private Partner(int port, int to) throws Exception {
-      this.to = to;
-      socket = new DatagramSocket(port, InetAddress.getByName(Ports.node(1)));
+    private Partner(int port, int targetPort) throws Exception {
+      this.targetPort = targetPort;
+      socket = new DatagramSocket(port, InetAddress.getByName(Ports.nodeAddress(1)));
       socket.setSoTimeout(20);
-      Thread t = new Thread(this::run, "partner");
-      t.setDaemon(true);
-      t.start();
+      Thread thread = new Thread(this::run, "partner");
+      thread.setDaemon(true);
+      thread.start();
     }
 
     private static NodeAddress address(int node) throws Exception {
-      return new NodeAddress(InetAddress.getByName(Ports.node(node)).getAddress());
+      return new NodeAddress(InetAddress.getByName(Ports.nodeAddress(node)).getAddress());
     }
 
     private void run() {
-      DatagramPacket in = new DatagramPacket(new byte[100], 100);
+      DatagramPacket received = new DatagramPacket(new byte[100], 100);
       while (!socket.isClosed()) {
         try {
-          if (says >= 0) {
-            byte[] b =
+          if (advertisedPriority >= 0) {
+            byte[] packet =
                 PACKETS.encode(
-                    new Advert(9, says, Span.ofMillis(200), List.of(NodeAddress.of(192, 0, 2, 9))),
+                    new Advertisement(
+                        9,
+                        advertisedPriority,
+                        Span.ofMillis(200),
+                        List.of(NodeAddress.of(192, 0, 2, 9))),
                     address(1),
                     address(0));
-            socket.send(new DatagramPacket(b, b.length, InetAddress.getByName(Ports.node(0)), to));
+            socket.send(
+                new DatagramPacket(
+                    packet,
+                    packet.length,
+                    InetAddress.getByName(Ports.nodeAddress(0)),
+                    targetPort));
           }
-          socket.receive(in);
-          heard.add(in.getData()[2] & 255);
+          socket.receive(received);
+          receivedPriorities.add(received.getData()[2] & 255);
         } catch (SocketTimeoutException e) {
           continue;
         } catch (Exception e) {
-          return; // closed
+          return; // the socket is closed
         }
       }
     }
@@ -78,13 +93,13 @@
     }
   }
 
-  private static String vrrp(List<Integer> ports, String more) throws Exception {
+  private static String vrrpSettings(List<Integer> ports, String extraSettings) throws Exception {
     return "vrrp: { listen: '"
-        + Ports.node(0)
+        + Ports.nodeAddress(0)
         + ":"
         + ports.get(0)
         + "', partners: [ '"
-        + Ports.node(1)
+        + Ports.nodeAddress(1)
         + ":"
         + ports.get(1)
         + "' ], routers: [ { vrid: 9, priority: 100, advertMs: 200, preempt: true, accept: true, addresses: [ '192.0.2.9' ], "
@@ -93,183 +108,201 @@
         + ":"
         + ports.get(2)
         + "' } ], "
-        + more
+        + extraSettings
         + " }";
   }
 
-  private static HttpResponse<String> joins(Rig r, int port) {
-    return r.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
+  private static HttpResponse<String> requestViewing(FrontFixture fixture, int port) {
+    return fixture.get(port, "/titles/t/main.m3u8?package=plain&patience=3000");
   }
 
   @Test
-  void viewersOfASharedAddressAreTakenWhereItIsHeldAndPlayOnAtTheFrontsOwn() throws Exception {
+  void viewersAreServedAtTheSharedAddressWhileItIsHeldAndKeepPlayingAtTheOwnAddress()
+      throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, ""))) {
-      p.says = 200;
-      r.start();
-      Rig.until(() -> r.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
-      HttpResponse<String> elsewhere = joins(r, ports.get(2));
-      assertEquals(503, elsewhere.statusCode());
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, ""))) {
+      partner.advertisedPriority = 200;
+      fixture.start();
+      waitUntil(() -> fixture.state().getJsonObject("vrrp").getLong("heard", 0L) > 3);
+      HttpResponse<String> rejected = requestViewing(fixture, ports.get(2));
+      assertEquals(503, rejected.statusCode());
       assertEquals(
-          0, r.boxes.get(0).saw("PUT"), "nothing is taken at an address that is another's");
-      assertEquals(200, joins(r, r.viewers).statusCode(), "its own address is always its own");
-      p.says = -1; // the partner has died
-      List<HttpResponse<String>> last = new ArrayList<>();
-      Rig.until(
-          () -> last.add(joins(r, ports.get(2))) && last.get(last.size() - 1).statusCode() == 200);
-      HttpResponse<String> plays = last.get(last.size() - 1);
-      String own = "http://" + Ports.HOST + ":" + r.viewers;
+          0,
+          fixture.boxes.get(0).countEvents("PUT"),
+          "no request is accepted at an address that another front holds");
+      assertEquals(
+          200,
+          requestViewing(fixture, fixture.viewerPort).statusCode(),
+          "the front's own address is always served");
+      partner.advertisedPriority = -1; // the partner stops advertising
+      List<HttpResponse<String>> responses = new ArrayList<>();
+      waitUntil(
+          () ->
+              responses.add(requestViewing(fixture, ports.get(2)))
+                  && responses.get(responses.size() - 1).statusCode() == 200);
+      HttpResponse<String> playing = responses.get(responses.size() - 1);
+      String own = "http://" + Ports.HOST + ":" + fixture.viewerPort;
       String media =
-          plays.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
-      // A better one comes: the address goes, what plays stays.
-      p.says = 200;
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 503);
-      assertEquals(200, r.get(r.viewers, media.substring(own.length())).statusCode());
+          playing.body().lines().filter(l -> l.startsWith(own + "/v/")).findFirst().orElseThrow();
+      // A partner of higher priority takes the address over; running viewings continue.
+      partner.advertisedPriority = 200;
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 503);
+      assertEquals(
+          200, fixture.get(fixture.viewerPort, media.substring(own.length())).statusCode());
     }
   }
 
   @Test
-  void aFrontThatIsToldToEndGivesTheAddressUpAtOnceAndPlaysOnAtItsOwn() throws Exception {
+  void aStoppingFrontReleasesTheAddressAtOnceAndKeepsPlayingAtItsOwn() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "") + ", stop: { playingMs: 60000 }")) {
-      r.start();
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
-      HttpResponse<String> plays = r.join("&key=last");
-      CompletableFuture<Void> stop = CompletableFuture.runAsync(r.front::stop);
-      Rig.until(() -> p.heard.contains(0));
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture =
+            new FrontFixture(1, vrrpSettings(ports, "") + ", stop: { playingMs: 60000 }")) {
+      fixture.start();
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      HttpResponse<String> playing = fixture.requestViewing("&key=last");
+      CompletableFuture<Void> stop = CompletableFuture.runAsync(fixture.front::stop);
+      waitUntil(() -> partner.receivedPriorities.contains(0));
       stop.get();
-      int zero = p.heard.indexOf(0);
+      int firstZero = partner.receivedPriorities.indexOf(0);
       Thread.sleep(300);
-      List<Integer> then = List.copyOf(p.heard);
+      List<Integer> priorities = List.copyOf(partner.receivedPriorities);
       assertTrue(
-          then.subList(zero, then.size()).stream().allMatch(x -> x == 0),
-          "after giving up " + then);
-      assertTrue(then.size() - zero > 1, "a goodbye that is lost is said again");
-      assertEquals(200, r.get(r.viewers, Rig.path(plays)).statusCode());
-      assertEquals(503, joins(r, ports.get(2)).statusCode());
-      r.endAll();
+          priorities.subList(firstZero, priorities.size()).stream().allMatch(x -> x == 0),
+          "priorities after the release: " + priorities);
+      assertTrue(
+          priorities.size() - firstZero > 1, "the release is repeated, as a datagram may be lost");
+      assertEquals(200, fixture.get(fixture.viewerPort, viewingPath(playing)).statusCode());
+      assertEquals(503, requestViewing(fixture, ports.get(2)).statusCode());
+      fixture.endAll();
     }
   }
 
   @Test
-  void anAnswerThatIsOwedWhenTheAddressGoesIsStillGiven() throws Exception {
+  void aPendingRequestIsAnsweredAfterTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start()) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
-      List<io.vertx.core.http.HttpServerRequest> held =
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      List<io.vertx.core.http.HttpServerRequest> pendingSetUps =
           Collections.synchronizedList(new ArrayList<>());
-      r.boxes.get(0).setUps = held::add;
-      CompletableFuture<HttpResponse<String>> waits =
-          CompletableFuture.supplyAsync(() -> joins(r, ports.get(2)));
-      Rig.until(() -> !held.isEmpty());
-      p.says = 200;
-      Rig.until(() -> router(r).getString("state").equals("BACKUP"));
-      // Where this took long, the module has withdrawn the first set-up and tries others.
-      r.boxes.get(0).setUps = r.boxes.get(0)::plays;
-      List.copyOf(held)
+      fixture.boxes.get(0).setUpHandler = pendingSetUps::add;
+      CompletableFuture<HttpResponse<String>> pendingResponse =
+          CompletableFuture.supplyAsync(() -> requestViewing(fixture, ports.get(2)));
+      waitUntil(() -> !pendingSetUps.isEmpty());
+      partner.advertisedPriority = 200;
+      waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
+      // If this took long, the module has cancelled the first set-up and sends others.
+      fixture.boxes.get(0).setUpHandler = fixture.boxes.get(0)::acceptSetUp;
+      List.copyOf(pendingSetUps)
           .forEach(
-              q -> {
-                if (!q.response().closed()) {
-                  r.boxes.get(0).plays(q);
+              request -> {
+                if (!request.response().closed()) {
+                  fixture.boxes.get(0).acceptSetUp(request);
                 }
               });
-      assertEquals(200, waits.get().statusCode());
+      assertEquals(200, pendingResponse.get().statusCode());
     }
   }
 
   @Test
-  void connectionsThatRestAtTheAddressAreClosedWhenItGoes() throws Exception {
+  void idleConnectionsAreClosedWhenTheAddressIsLost() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start();
-        Socket rests = new Socket(Ports.HOST, ports.get(2))) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
-      rests.setSoTimeout(10_000); // under the bound after which one that rests is closed anyway
-      rests
-          .getOutputStream()
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start();
+        Socket idle = new Socket(Ports.HOST, ports.get(2))) {
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      // Below the time limit after which an idle connection is closed anyway.
+      idle.setSoTimeout(10_000);
+      idle.getOutputStream()
           .write("GET /nothing HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-      assertEquals('H', rests.getInputStream().read());
-      p.says = 200;
-      while (rests.getInputStream().read() >= 0) {
-        continue; // the rest of its answer, and then the end
+      assertEquals('H', idle.getInputStream().read());
+      partner.advertisedPriority = 200;
+      while (idle.getInputStream().read() >= 0) {
+        continue; // the rest of the response, then the end of the stream
       }
     }
   }
 
   @Test
-  void aRequestThatWasOnItsWayWhenTheAddressWentHearsAnAnswerAndNoBreak() throws Exception {
+  void aRequestInTransitWhenTheAddressIsLostIsAnswered() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "")).start()) {
-      Rig.until(() -> joins(r, ports.get(2)).statusCode() == 200);
-      try (Socket comes = new Socket(Ports.HOST, ports.get(2))) {
-        int connections = r.state().getInteger("viewerConnections");
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture = new FrontFixture(1, vrrpSettings(ports, "")).start()) {
+      waitUntil(() -> requestViewing(fixture, ports.get(2)).statusCode() == 200);
+      try (Socket connection = new Socket(Ports.HOST, ports.get(2))) {
+        int connections = fixture.state().getInteger("viewerConnections");
         assertTrue(connections > 0);
-        p.says = 200;
-        Rig.until(() -> router(r).getString("state").equals("BACKUP"));
-        comes
+        partner.advertisedPriority = 200;
+        waitUntil(() -> routerState(fixture).getString("state").equals("BACKUP"));
+        connection
             .getOutputStream()
             .write(
                 ("GET /titles/t/main.m3u8?package=plain HTTP/1.1\r\nHost: x\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
-        String all = new String(comes.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
+        String response =
+            new String(connection.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         assertTrue(
-            all.startsWith("HTTP/1.1 503") && all.contains("retry-after")
-                || all.contains("Retry-After"),
-            all);
+            response.startsWith("HTTP/1.1 503") && response.contains("retry-after")
+                || response.contains("Retry-After"),
+            response);
       }
     }
   }
 
-  private static io.vertx.core.json.JsonObject router(Rig r) {
-    return r.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
+  private static io.vertx.core.json.JsonObject routerState(FrontFixture fixture) {
+    return fixture.state().getJsonObject("vrrp").getJsonArray("routers").getJsonObject(0);
   }
 
   @Test
-  void aFrontThatSeesNoServingBoxFallsBehindItsPartner() throws Exception {
+  void aFrontWithoutServingBoxesLowersItsPriority() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Partner p = new Partner(ports.get(1), ports.get(0));
-        Rig r = new Rig(1, vrrp(ports, "unwellMinus: 60, unwellAfterMs: 50")).start()) {
-      p.says = 80;
-      Rig.until(() -> p.heard.contains(100));
-      r.list.set(r.boxes.get(0).place, "s", "draining", 0);
-      Rig.until(
+    try (Partner partner = new Partner(ports.get(1), ports.get(0));
+        FrontFixture fixture =
+            new FrontFixture(1, vrrpSettings(ports, "unwellMinus: 60, unwellAfterMs: 50"))
+                .start()) {
+      partner.advertisedPriority = 80;
+      waitUntil(() -> partner.receivedPriorities.contains(100));
+      fixture.discovery.publish(fixture.boxes.get(0).place, "s", "draining", 0);
+      waitUntil(
+          () ->
+              routerState(fixture).getBoolean("unwell")
+                  && routerState(fixture).getInteger("priority") == 40
+                  && routerState(fixture).getString("state").equals("BACKUP"));
+      fixture.discovery.publish(fixture.boxes.get(0).place, "s", "serving", 0);
+      waitUntil(
           () ->
-              router(r).getBoolean("unwell")
-                  && router(r).getInteger("priority") == 40
-                  && router(r).getString("state").equals("BACKUP"));
-      r.list.set(r.boxes.get(0).place, "s", "serving", 0);
-      Rig.until(
-          () -> !router(r).getBoolean("unwell") && router(r).getString("state").equals("ACTIVE"));
+              !routerState(fixture).getBoolean("unwell")
+                  && routerState(fixture).getString("state").equals("ACTIVE"));
     }
   }
 
   @Test
-  void aDeskThatDoesNotComeRoundIsUnwellWhereThatIsBounded() {
-    assertTrue(new Fitness(3, Span.ofMillis(400), Span.ofMillis(400)).isUnwell());
-    assertFalse(new Fitness(3, Span.ofMillis(399), Span.ofMillis(400)).isUnwell());
-    assertFalse(new Fitness(3, Span.ofMillis(10_000), Span.NONE).isUnwell());
+  void aDelayedSessionLoopIsUnfitWhereALimitIsSet() {
+    assertTrue(new FrontHealth(3, Span.ofMillis(400), Span.ofMillis(400)).isUnhealthy());
+    assertFalse(new FrontHealth(3, Span.ofMillis(399), Span.ofMillis(400)).isUnhealthy());
+    assertFalse(new FrontHealth(3, Span.ofMillis(10_000), Span.NONE).isUnhealthy());
   }
 
   @Test
-  void aKeyThatIsMissingOrShortStopsTheStart() throws Exception {
+  void aMissingOrShortKeyFailsTheStart() throws Exception {
     List<Integer> ports = Ports.free(3);
-    try (Rig r = new Rig(1, vrrp(ports, "keyFile: 'no-such-file'"))) {
+    try (FrontFixture fixture =
+        new FrontFixture(1, vrrpSettings(ports, "keyFile: 'no-such-file'"))) {
       assertTrue(
-          assertThrows(Exception.class, r::start)
+          assertThrows(Exception.class, fixture::start)
               .toString()
               .contains("vrrp.keyFile cannot be read"));
-      r.front = null;
+      fixture.front = null;
     }
     Path key = Files.createTempFile("linengauge", ".key");
     Files.writeString(key, "short\n");
-    try (Rig r = new Rig(1, vrrp(ports, "keyFile: '" + key + "'"))) {
+    try (FrontFixture fixture =
+        new FrontFixture(1, vrrpSettings(ports, "keyFile: '" + key + "'"))) {
       assertTrue(
-          assertThrows(Exception.class, r::start).toString().contains("fewer than 16 bytes"));
-      r.front = null;
+          assertThrows(Exception.class, fixture::start).toString().contains("fewer than 16 bytes"));
+      fixture.front = null;
     } finally {
       Files.delete(key);
     }
