--- a/src/test/java/linengauge/front/SlowSocketsTest.java
+++ b/src/test/java/linengauge/front/SlowSocketsTest.java
@@ -1,5 +1,7 @@
 package linengauge.front;
 
+import static linengauge.front.FrontFixture.viewingPath;
+import static linengauge.front.FrontFixture.waitUntil;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,143 +22,142 @@
 import linengauge.drill.Ports;
 import org.junit.jupiter.api.Test;
 
-/** Slow peers on sockets, each built with scripted boxes and raw callers. */
+/** Slow peers on sockets, with scripted boxes and raw client connections. */
 class SlowSocketsTest {
-  private static final String QUICK =
+  private static final String FAST_SETTINGS =
       "stop: { playingMs: 100 }, flow: { beatMs: 50, lateMs: 5000, windowMs: 1600, "
           + "evidenceMs: 800, graceMs: 400 }, ";
 
-  private static Rig rig(String more) throws Exception {
-    return new Rig(1, QUICK + more).start();
+  private static FrontFixture start(String extraSettings) throws Exception {
+    return new FrontFixture(1, FAST_SETTINGS + extraSettings).start();
   }
 
-  private static String segment(Rig r) {
-    return Rig.path(r.get(r.viewers, Rig.path(r.join(""))));
+  private static String segmentPath(FrontFixture fixture) {
+    return viewingPath(fixture.get(fixture.viewerPort, viewingPath(fixture.requestViewing(""))));
   }
 
-  private static byte[] get(String path) {
+  private static byte[] httpGet(String path) {
     return ("GET " + path + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** A caller that has asked for this and reads nothing. */
-  private static Socket deaf(Rig r, String path) throws IOException {
-    Socket s = new Socket();
-    s.setReceiveBufferSize(8192);
-    s.connect(new InetSocketAddress(Ports.HOST, r.viewers));
-    s.getOutputStream().write(get(path));
-    return s;
+  /** Opens a connection that requests the path and reads nothing. */
+  private static Socket openStalledReader(FrontFixture fixture, String path) throws IOException {
+    Socket socket = new Socket();
+    socket.setReceiveBufferSize(8192);
+    socket.connect(new InetSocketAddress(Ports.HOST, fixture.viewerPort));
+    socket.getOutputStream().write(httpGet(path));
+    return socket;
   }
 
-  private static void endless(HttpServerResponse to) {
-    to.setChunked(true);
-    pour(to);
+  private static void writeEndlessly(HttpServerResponse response) {
+    response.setChunked(true);
+    writeUntilFull(response);
   }
 
-  private static void pour(HttpServerResponse to) {
-    while (!to.writeQueueFull() && !to.closed()) {
-      to.write(Buffer.buffer(new byte[16_384]));
+  private static void writeUntilFull(HttpServerResponse response) {
+    while (!response.writeQueueFull() && !response.closed()) {
+      response.write(Buffer.buffer(new byte[16_384]));
     }
-    to.drainHandler(v -> pour(to));
+    response.drainHandler(v -> writeUntilFull(response));
   }
 
-  private static String said(Socket s, int bytes) throws IOException {
-    s.setSoTimeout(15_000);
-    InputStream in = s.getInputStream();
+  private static String read(Socket socket, int bytes) throws IOException {
+    socket.setSoTimeout(15_000);
+    InputStream in = socket.getInputStream();
     return new String(in.readNBytes(bytes), StandardCharsets.ISO_8859_1);
   }
 
   @Test
-  void aReaderOfNothingIsLetGoAndItsNeighboursOnBoxAndLoopAreNot() throws Exception {
-    try (Rig r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
-      String slow = segment(r);
-      String healthy = segment(r);
-      box.segments =
-          q -> {
-            if (q.path().contains(slow.substring(3, slow.indexOf('/', 3)))) {
-              endless(q.response());
+  void aStalledReaderIsClosedAndOthersOnTheSameBoxAndLoopAreServed() throws Exception {
+    try (FrontFixture fixture = start("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String slow = segmentPath(fixture);
+      String healthy = segmentPath(fixture);
+      box.segmentHandler =
+          request -> {
+            if (request.path().contains(slow.substring(3, slow.indexOf('/', 3)))) {
+              writeEndlessly(request.response());
             } else {
-              q.response().end("segment");
+              request.response().end("segment");
             }
           };
-      try (Socket s = deaf(r, slow)) {
-        assertTrue(s.isConnected());
-        while (r.state().getInteger("letGo") == 0) {
-          assertEquals("segment", r.get(r.viewers, healthy).body());
-          assertTrue(r.state().getJsonObject("flow").getLong("waitingBytes") < 300_000);
+      try (Socket socket = openStalledReader(fixture, slow)) {
+        assertTrue(socket.isConnected());
+        while (fixture.state().getInteger("letGo") == 0) {
+          assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
+          assertTrue(fixture.state().getJsonObject("flow").getLong("waitingBytes") < 300_000);
         }
       }
-      assertEquals("ended: LET_GO\n", r.get(r.viewers, slow).body());
-      Rig.until(() -> box.saw("DELETE") == 1);
-      assertEquals("segment", r.get(r.viewers, healthy).body());
-      assertEquals(1, r.state().getInteger("held"));
+      assertEquals("ended: LET_GO\n", fixture.get(fixture.viewerPort, slow).body());
+      waitUntil(() -> box.countEvents("DELETE") == 1);
+      assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
+      assertEquals(1, fixture.state().getInteger("held"));
     }
   }
 
   @Test
-  void slowReadersOnEveryStreamOfABoxLeaveOthersTheirPlaces() throws Exception {
-    try (Rig r =
-        rig(
+  void stalledReadersOfABoxLeaveCapacityForOthers() throws Exception {
+    try (FrontFixture fixture =
+        start(
             "viewers: { loops: 1, atOnce: 2 }, boxes: { mediaConnections: 40 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
-      String healthy = segment(r);
-      List<Socket> deaf = new ArrayList<>();
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String healthy = segmentPath(fixture);
+      List<Socket> stalledReaders = new ArrayList<>();
       try {
-        box.segments = q -> endless(q.response());
+        box.segmentHandler = request -> writeEndlessly(request.response());
         for (int i = 0; i < 12; i++) {
-          String slow = segment(r);
-          deaf.add(deaf(r, slow));
-          deaf.add(deaf(r, slow));
+          String slow = segmentPath(fixture);
+          stalledReaders.add(openStalledReader(fixture, slow));
+          stalledReaders.add(openStalledReader(fixture, slow));
         }
-        Rig.until(() -> box.saw("GET /viewings/") >= 37);
-        box.segments = q -> q.response().end("segment");
+        waitUntil(() -> box.countEvents("GET /viewings/") >= 37);
+        box.segmentHandler = request -> request.response().end("segment");
         for (int i = 0; i < 20; i++) {
-          assertEquals("segment", r.get(r.viewers, healthy).body());
+          assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
         }
-        Rig.until(() -> r.state().getInteger("letGo") == 12);
+        waitUntil(() -> fixture.state().getInteger("letGo") == 12);
       } finally {
-        for (Socket s : deaf) {
-          s.close();
+        for (Socket socket : stalledReaders) {
+          socket.close();
         }
       }
-      assertEquals("segment", r.get(r.viewers, healthy).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, healthy).body());
     }
   }
 
   @Test
-  void aBoxThatDripsIsABreakForTheModuleAndForTheViewer() throws Exception {
-    try (Rig r = rig("desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
-      String segment = segment(r);
-      box.segments =
-          q -> {
-            q.response().putHeader("Content-Length", "100000");
-            long timer = r.vertx.setPeriodic(50, t -> q.response().write("x"));
-            q.response().closeHandler(v -> r.vertx.cancelTimer(timer));
+  void aBoxThatSendsTooSlowlyIsReportedAsLost() throws Exception {
+    try (FrontFixture fixture = start("desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String segment = segmentPath(fixture);
+      box.segmentHandler =
+          request -> {
+            request.response().putHeader("Content-Length", "100000");
+            long timer = fixture.vertx.setPeriodic(50, t -> request.response().write("x"));
+            request.response().closeHandler(v -> fixture.vertx.cancelTimer(timer));
           };
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(get(segment));
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
         assertTrue(
-            said(s, 100_000).length() < 1000, "it breaks off, and is not passed off as whole");
+            read(socket, 100_000).length() < 1000,
+            "the response breaks off and is not passed off as complete");
       }
-      Rig.until(
-          () ->
-              box.saw("DELETE")
-                  == 1); // the core hears of it on another loop than the one that broke off
-      assertEquals("ended: BOX_LOST\n", r.get(r.viewers, segment).body());
-      assertEquals(1, r.state().getJsonObject("flow").getInteger("boxesLetGo"));
-      r.untilEmpty();
+      // The session manager is notified on another event loop than the one that ended the transfer.
+      waitUntil(() -> box.countEvents("DELETE") == 1);
+      assertEquals("ended: BOX_LOST\n", fixture.get(fixture.viewerPort, segment).body());
+      assertEquals(1, fixture.state().getJsonObject("flow").getInteger("boxesLetGo"));
+      fixture.waitUntilIdle();
     }
   }
 
   @Test
-  void aBoxThatSendsMoreThanItAnnouncedHarmsNoOther() throws Exception {
-    try (Rig r = rig("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
-      Rig.Box box = r.boxes.get(0);
-      String segment = segment(r);
-      box.segments =
-          q ->
-              ((ConnectionBase) q.connection())
+  void surplusBytesOfABoxReachNoOtherViewer() throws Exception {
+    try (FrontFixture fixture = start("viewers: { loops: 1 }, desk: { idleMs: 60000 }")) {
+      FrontFixture.ScriptedBox box = fixture.boxes.get(0);
+      String segment = segmentPath(fixture);
+      box.segmentHandler =
+          request ->
+              ((ConnectionBase) request.connection())
                   .channel()
                   .pipeline()
                   .firstContext()
@@ -165,226 +166,232 @@
                           "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nrightHTTP/1.1 200 OK\r\n"
                               + "Content-Length: 5\r\n\r\nwrong",
                           StandardCharsets.ISO_8859_1));
-      assertEquals("right", r.get(r.viewers, segment).body());
-      box.segments = q -> q.response().end("segment");
+      assertEquals("right", fixture.get(fixture.viewerPort, segment).body());
+      box.segmentHandler = request -> request.response().end("segment");
       for (int i = 0; i < 3; i++) {
-        HttpResponse<String> next = r.get(r.viewers, segment);
+        HttpResponse<String> next = fixture.get(fixture.viewerPort, segment);
         assertTrue(
             next.statusCode() == 502 || next.body().equals("segment"),
-            "never another's bytes: " + next.body());
+            "no bytes of another response: " + next.body());
       }
-      assertEquals("segment", r.get(r.viewers, segment).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
     }
   }
 
   @Test
-  void aBoxThatNeverClosesIsGivenUpInTime() throws Exception {
-    try (Rig r = rig("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
-      String segment = segment(r);
-      r.boxes.get(0).segments = q -> q.response().setChunked(true).write("all there is");
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream().write(get(segment));
-        String all = said(s, 10_000);
+  void aBoxThatNeverEndsItsResponseTimesOut() throws Exception {
+    try (FrontFixture fixture = start("boxes: { mediaSilenceMs: 300 }, desk: { idleMs: 60000 }")) {
+      String segment = segmentPath(fixture);
+      fixture.boxes.get(0).segmentHandler =
+          request -> request.response().setChunked(true).write("all there is");
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket.getOutputStream().write(httpGet(segment));
+        String response = read(socket, 10_000);
         assertTrue(
-            all.contains("all there is") && !all.endsWith("0\r\n\r\n"),
-            "no end where the box gave none");
+            response.contains("all there is") && !response.endsWith("0\r\n\r\n"),
+            "no last chunk where the box sent none");
       }
     }
   }
 
   @Test
-  void callersThatSayNothingDripOrRestAreClosedAndToldApart() throws Exception {
-    try (Rig r = rig("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
-      try (Socket silent = new Socket(Ports.HOST, r.viewers);
-          Socket drips = new Socket(Ports.HOST, r.viewers);
-          Socket rests = new Socket(Ports.HOST, r.viewers)) {
-        rests.getOutputStream().write(get("/v/none/x"));
-        CompletableFuture<Void> dripping =
+  void silentSlowAndIdleConnectionsAreClosedAndCountedSeparately() throws Exception {
+    try (FrontFixture fixture =
+        start("viewers: { firstByteMs: 300, headersMs: 600, keepAliveMs: 900 }")) {
+      try (Socket silent = new Socket(Ports.HOST, fixture.viewerPort);
+          Socket slow = new Socket(Ports.HOST, fixture.viewerPort);
+          Socket idle = new Socket(Ports.HOST, fixture.viewerPort)) {
+        idle.getOutputStream().write(httpGet("/v/none/x"));
+        CompletableFuture<Void> slowSender =
             CompletableFuture.runAsync(
                 () -> {
                   try {
                     for (byte b :
                         "GET /titles/t/main.m3u8?package=plain HTTP/1.1\r\nX: yyyyyyyyyy"
                             .getBytes(StandardCharsets.US_ASCII)) {
-                      drips.getOutputStream().write(b);
+                      slow.getOutputStream().write(b);
                       Thread.sleep(60);
                     }
                   } catch (IOException | InterruptedException closed) {
                     return;
                   }
                 });
-        assertEquals("", said(silent, 10));
-        assertTrue(said(rests, 10_000).startsWith("HTTP/1.1 404"));
-        dripping.join();
+        assertEquals("", read(silent, 10));
+        assertTrue(read(idle, 10_000).startsWith("HTTP/1.1 404"));
+        slowSender.join();
       }
-      Rig.until(
+      waitUntil(
           () -> {
-            var f = r.state().getJsonObject("flow");
-            return f.getInteger("noFirstByte") == 1
-                && f.getInteger("headersTooSlow") == 1
-                && f.getInteger("restedTooLong") >= 1;
+            var flow = fixture.state().getJsonObject("flow");
+            return flow.getInteger("noFirstByte") == 1
+                && flow.getInteger("headersTooSlow") == 1
+                && flow.getInteger("restedTooLong") >= 1;
           });
-      Rig.until(() -> r.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
+      waitUntil(() -> fixture.state().getJsonObject("flow").getInteger("callersWaiting") == 0);
     }
   }
 
   @Test
-  void aFullDoorTellsTheNewestWhenToComeAgainAndKeepsPlacesForOtherAddressesAndOperators()
-      throws Exception {
-    try (Rig r =
-        rig("viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
-      List<Socket> crowd = new ArrayList<>();
+  void aFullListenerRejectsNewConnectionsAndKeepsCapacityForOtherAddresses() throws Exception {
+    try (FrontFixture fixture =
+        start("viewers: { connections: 40, perAddress: 30, turningAway: 2, firstByteMs: 20000 }")) {
+      List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 30; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewers));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("served") == 30);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 30);
         for (int i = 0; i < 2; i++) {
-          Socket s = new Socket(Ports.HOST, r.viewers);
-          crowd.add(s);
-          Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") > 0);
+          Socket socket = new Socket(Ports.HOST, fixture.viewerPort);
+          connections.add(socket);
+          waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") > 0);
         }
-        for (Socket s : crowd.subList(30, 32)) {
-          s.getOutputStream().write(get("/titles/t/main.m3u8?package=plain"));
-          String all = said(s, 10_000);
-          assertTrue(all.startsWith("HTTP/1.1 503") && all.contains("Retry-After: 1"), all);
+        for (Socket socket : connections.subList(30, 32)) {
+          socket.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain"));
+          String reply = read(socket, 10_000);
+          assertTrue(reply.startsWith("HTTP/1.1 503") && reply.contains("Retry-After: 1"), reply);
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 0);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") == 0);
         for (int i = 0; i < 2; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewers));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("turningAway") == 2);
-        Socket shutOut = new Socket(Ports.HOST, r.viewers);
-        crowd.add(shutOut);
-        assertEquals("", said(shutOut, 10), "no place even to be told");
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("turningAway") == 2);
+        Socket refused = new Socket(Ports.HOST, fixture.viewerPort);
+        connections.add(refused);
+        assertEquals("", read(refused, 10), "no capacity even for a rejection");
         try (Socket other =
             new Socket(
                 InetAddress.getByName(Ports.HOST),
-                r.viewers,
+                fixture.viewerPort,
                 InetAddress.getByName("127.99.0.1"),
                 0)) {
-          other.getOutputStream().write(get("/titles/t/main.m3u8?package=plain&patience=3000"));
-          assertTrue(said(other, 12).endsWith("200"));
+          other.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=plain&patience=3000"));
+          assertTrue(read(other, 12).endsWith("200"));
         }
       } finally {
-        for (Socket s : crowd) {
-          s.close();
+        for (Socket socket : connections) {
+          socket.close();
         }
       }
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("served") == 0);
-      assertEquals(200, r.join("").statusCode());
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("served") == 0);
+      assertEquals(200, fixture.requestViewing("").statusCode());
     }
   }
 
   @Test
-  void tooManyHeadersAndAKeyThatAsksInALoopAreRefused() throws Exception {
-    try (Rig r = rig("viewers: { headerCount: 8, keyAsks: 2 }")) {
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        s.getOutputStream()
+  void tooManyHeadersAndTooManyRequestsOfOneKeyAreRejected() throws Exception {
+    try (FrontFixture fixture = start("viewers: { headerCount: 8, keyAsks: 2 }")) {
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        socket
+            .getOutputStream()
             .write(
                 ("GET /v/x HTTP/1.1\r\n" + "A: b\r\n".repeat(9) + "\r\n")
                     .getBytes(StandardCharsets.US_ASCII));
-        assertTrue(said(s, 12).endsWith("431"));
+        assertTrue(read(socket, 12).endsWith("431"));
       }
-      assertEquals(200, r.join("&key=k").statusCode());
-      assertEquals(200, r.join("&key=k").statusCode());
-      HttpResponse<String> third = r.join("&key=k");
+      assertEquals(200, fixture.requestViewing("&key=k").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=k").statusCode());
+      HttpResponse<String> third = fixture.requestViewing("&key=k");
       assertEquals(503, third.statusCode());
       assertTrue(third.headers().firstValue("Retry-After").isPresent());
-      assertEquals(200, r.join("&key=other").statusCode());
+      assertEquals(200, fixture.requestViewing("&key=other").statusCode());
     }
   }
 
   @Test
-  void requestsInARowBehindOneAreAnsweredInOrderOrTheConnectionEnds() throws Exception {
-    try (Rig r = rig("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
-      String segment = segment(r);
-      try (Socket s = new Socket(Ports.HOST, r.viewers)) {
-        byte[] ask = get(segment);
+  void pipelinedRequestsAreAnsweredInOrderOrTheConnectionEnds() throws Exception {
+    try (FrontFixture fixture = start("viewers: { pipelined: 2 }, desk: { idleMs: 60000 }")) {
+      String segment = segmentPath(fixture);
+      try (Socket socket = new Socket(Ports.HOST, fixture.viewerPort)) {
+        byte[] request = httpGet(segment);
         for (int i = 0; i < 50; i++) {
-          s.getOutputStream().write(ask);
+          socket.getOutputStream().write(request);
         }
-        s.shutdownOutput();
-        String all = said(s, 100_000);
-        assertTrue(all.startsWith("HTTP/1.1 200") && all.contains("segment"), all);
-        assertEquals(0, all.split("HTTP/1.1 200", -1).length - all.split("segment", -1).length);
+        socket.shutdownOutput();
+        String response = read(socket, 100_000);
+        assertTrue(response.startsWith("HTTP/1.1 200") && response.contains("segment"), response);
+        assertEquals(
+            0, response.split("HTTP/1.1 200", -1).length - response.split("segment", -1).length);
       }
-      assertEquals("segment", r.get(r.viewers, segment).body());
+      assertEquals("segment", fixture.get(fixture.viewerPort, segment).body());
     }
   }
 
   @Test
-  void whoBreaksOffASlowReadBeforeItsNextAskStillHasOneAnswerEach() throws Exception {
-    try (Rig r = rig("desk: { idleMs: 60000 }")) {
-      String slow = segment(r);
-      r.boxes.get(0).segments = q -> endless(q.response());
-      try (Socket s = deaf(r, slow)) {
-        s.getOutputStream()
-            .write(get("/titles/t/main.m3u8?package=paid&patience=3000")); // behind the segment
-        Rig.until(() -> r.state().getInteger("letGo") == 1);
+  void aRequestPipelinedBehindAStalledReadLeavesNoOpenViewing() throws Exception {
+    try (FrontFixture fixture = start("desk: { idleMs: 60000 }")) {
+      String slow = segmentPath(fixture);
+      fixture.boxes.get(0).segmentHandler = request -> writeEndlessly(request.response());
+      try (Socket socket = openStalledReader(fixture, slow)) {
+        // Pipelined behind the segment.
+        socket.getOutputStream().write(httpGet("/titles/t/main.m3u8?package=paid&patience=3000"));
+        waitUntil(() -> fixture.state().getInteger("letGo") == 1);
       }
-      r.untilEmpty();
-      assertEquals(r.state().getLong("taken"), r.state().getLong("played"));
+      fixture.waitUntilIdle();
+      assertEquals(fixture.state().getLong("taken"), fixture.state().getLong("played"));
     }
   }
 
   @Test
-  void aFrontWhoseProcessMayNotHaveTheBudgetDoesNotStart() throws Exception {
-    try (Rig r = new Rig(1, "flow: { waitingBytes: 1000000000000 }")) {
-      Throwable e = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, r::start);
+  void aWaitingByteLimitOverTheDirectMemoryFailsTheStart() throws Exception {
+    try (FrontFixture fixture = new FrontFixture(1, "flow: { waitingBytes: 1000000000000 }")) {
+      Throwable e = org.junit.jupiter.api.Assertions.assertThrows(Exception.class, fixture::start);
       assertTrue(e.toString().contains("-XX:MaxDirectMemorySize"), e.toString());
-      r.front = null;
+      fixture.front = null;
     }
   }
 
   @Test
-  void operatorsHavePlacesOfTheirOwnAndNoMoreThanThose() throws Exception {
-    try (Rig r =
-        rig("control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
-      List<Socket> crowd = new ArrayList<>();
+  void controlConnectionsAreLimitedSeparately() throws Exception {
+    try (FrontFixture fixture =
+        start("control: { connections: 3 }, viewers: { connections: 2, firstByteMs: 20000 }")) {
+      List<Socket> connections = new ArrayList<>();
       try {
         for (int i = 0; i < 300; i++) {
-          crowd.add(new Socket(Ports.HOST, r.viewers));
+          connections.add(new Socket(Ports.HOST, fixture.viewerPort));
         }
-        Rig.until(() -> r.state().getJsonObject("door").getInteger("shutOut") > 0);
+        waitUntil(() -> fixture.state().getJsonObject("door").getInteger("shutOut") > 0);
         for (int i = 0; i < 5; i++) {
-          crowd.add(new Socket(Ports.HOST, r.control));
+          connections.add(new Socket(Ports.HOST, fixture.controlPort));
         }
-        assertEquals("", said(crowd.get(crowd.size() - 1), 1), "the fourth and later are closed");
-        assertTrue(r.state().getBoolean("ready"), "the one that asked before keeps its place");
+        assertEquals(
+            "",
+            read(connections.get(connections.size() - 1), 1),
+            "the fourth and later connections are closed");
+        assertTrue(fixture.state().getBoolean("ready"), "the earlier connection is kept");
       } finally {
-        for (Socket s : crowd) {
-          s.close();
+        for (Socket socket : connections) {
+          socket.close();
         }
       }
     }
   }
 
   @Test
-  void moreAsksThanTheDeskCanAnswerInTimeAreBlockedAtOnceAndTheRestAreAnswered() throws Exception {
-    try (Rig r = rig("desk: { waitingAsks: 1, idleMs: 60000 }")) {
-      List<CompletableFuture<HttpResponse<String>>> all = new ArrayList<>();
+  void requestsOverTheQueueLimitAreRejectedAndTheRestAreAnswered() throws Exception {
+    try (FrontFixture fixture = start("desk: { waitingAsks: 1, idleMs: 60000 }")) {
+      List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
       for (int i = 0; i < 150; i++) {
-        all.add(
-            r.client.sendAsync(
+        responses.add(
+            fixture.client.sendAsync(
                 java.net.http.HttpRequest.newBuilder(
                         java.net.URI.create(
                             "http://"
                                 + Ports.HOST
                                 + ":"
-                                + r.viewers
+                                + fixture.viewerPort
                                 + "/titles/t/main.m3u8?package=plain&patience=3000"))
                     .build(),
                 HttpResponse.BodyHandlers.ofString()));
       }
-      int turnedAway = 0;
-      for (CompletableFuture<HttpResponse<String>> a : all) {
-        int status = a.join().statusCode();
+      int rejected = 0;
+      for (CompletableFuture<HttpResponse<String>> response : responses) {
+        int status = response.join().statusCode();
         assertTrue(status == 200 || status == 503, "" + status);
-        turnedAway += a.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
+        rejected += response.join().body().equals("blocked: too many ask at once\n") ? 1 : 0;
       }
-      assertEquals(turnedAway, r.state().getJsonObject("door").getInteger("asksTurnedAway"));
-      Rig.until(() -> r.state().getJsonObject("door").getInteger("asksWaiting") == 0);
+      assertEquals(rejected, fixture.state().getJsonObject("door").getInteger("asksTurnedAway"));
+      waitUntil(() -> fixture.state().getJsonObject("door").getInteger("asksWaiting") == 0);
     }
   }
 }
--- a/src/test/java/linengauge/platform/CodecTest.java
+++ b/src/test/java/linengauge/platform/CodecTest.java
@@ -12,11 +12,11 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
-import linengauge.platform.codec.BadMessage;
-import linengauge.platform.codec.BoxLines;
-import linengauge.platform.codec.JournalFrames;
-import linengauge.platform.codec.SetUpForm;
-import linengauge.platform.codec.ViewerMessages;
+import linengauge.platform.codec.ClientMessageCodec;
+import linengauge.platform.codec.JournalFrameCodec;
+import linengauge.platform.codec.MalformedMessageException;
+import linengauge.platform.codec.ServerLineCodec;
+import linengauge.platform.codec.SetUpRequest;
 import linengauge.standin.PlatformJournal;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
@@ -24,138 +24,148 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 class CodecTest {
-  private static final class Ear implements ViewerMessages.Heard, BoxLines.Heard {
-    final List<String> heard = new ArrayList<>();
+  private static final class RecordingHandler
+      implements ClientMessageCodec.Handler, ServerLineCodec.Handler {
+    final List<String> calls = new ArrayList<>();
 
     @Override
-    public void setUp(long id, SetUpForm form) {
-      heard.add(
+    public void onSetUp(long id, SetUpRequest request) {
+      calls.add(
           "setUp "
               + id
               + " "
-              + form.pack()
+              + request.packageName()
               + " "
-              + form.leftMs()
+              + request.timeLeftMs()
               + " "
-              + form.title()
+              + request.title()
               + " "
-              + form.firstCell()
+              + request.firstCell()
               + " "
-              + form.cellsInRow()
+              + request.cellsInRow()
               + " "
-              + form.ceiling()
+              + request.ceiling()
               + " "
-              + form.at());
+              + request.serverName());
     }
 
     @Override
-    public void ended(long id, int cause) {
-      heard.add("ended " + id + " " + cause);
+    public void onEnded(long id, int cause) {
+      calls.add("ended " + id + " " + cause);
     }
 
     @Override
-    public void test(long id) {
-      heard.add("test " + id);
+    public void onTest(long id) {
+      calls.add("test " + id);
     }
 
     @Override
-    public void unfit(long id, String why) {
-      heard.add("unfit " + id);
+    public void onUnusable(long id, String reason) {
+      calls.add("unfit " + id);
     }
 
     @Override
-    public void plays(long id, byte[] description) {
-      heard.add("plays " + id + " " + new String(description, StandardCharsets.UTF_8));
+    public void onStarted(long id, byte[] description) {
+      calls.add("plays " + id + " " + new String(description, StandardCharsets.UTF_8));
     }
 
     @Override
-    public void ended(long id, int cause, BoxLines.Load load) {
-      heard.add("ended " + id + " " + cause + " " + load);
+    public void onEnded(long id, int cause, ServerLineCodec.Load load) {
+      calls.add("ended " + id + " " + cause + " " + load);
     }
 
     @Override
-    public void endConfirmed(long id) {
-      heard.add("confirmed " + id);
+    public void onEndConfirmed(long id) {
+      calls.add("confirmed " + id);
     }
 
     @Override
-    public void tested(long id, boolean passed, BoxLines.Load load) {
-      heard.add("tested " + id + " " + passed + " " + load);
+    public void onTestAnswered(long id, boolean passed, ServerLineCodec.Load load) {
+      calls.add("tested " + id + " " + passed + " " + load);
     }
 
     @Override
-    public void shareDelivered(long id, double share) {
-      heard.add("share " + id + " " + share);
+    public void onShareDelivered(long id, double share) {
+      calls.add("share " + id + " " + share);
     }
 
     @Override
-    public void rungInForce(long id, int rung) {
-      heard.add("rung " + id + " " + rung);
+    public void onRungApplied(long id, int rung) {
+      calls.add("rung " + id + " " + rung);
     }
 
     @Override
-    public void loadsTold(long id, double link, double uplink) {
-      heard.add("loads " + id + " " + link + " " + uplink);
+    public void onLoadsReported(long id, double link, double uplink) {
+      calls.add("loads " + id + " " + link + " " + uplink);
     }
   }
 
-  private static byte[] joined(byte[]... parts) {
-    ByteBuffer b = ByteBuffer.allocate(Arrays.stream(parts).mapToInt(p -> p.length).sum());
-    Arrays.stream(parts).forEach(b::put);
-    return b.array();
+  private static byte[] concatenate(byte[]... parts) {
+    ByteBuffer buffer =
+        ByteBuffer.allocate(Arrays.stream(parts).mapToInt(part -> part.length).sum());
+    Arrays.stream(parts).forEach(buffer::put);
+    return buffer.array();
   }
 
-  private static List<String> viewers(byte[] bytes, SplittableRandom cuts) throws BadMessage {
-    Ear ear = new Ear();
-    ViewerMessages reader = new ViewerMessages(ear);
-    for (int at = 0; at < bytes.length; ) {
-      int to = cuts == null ? bytes.length : Math.min(bytes.length, at + 1 + cuts.nextInt(40));
-      reader.feed(Arrays.copyOfRange(bytes, at, to));
-      at = to;
+  private static List<String> decodeClientMessages(byte[] bytes, SplittableRandom chunkSizes)
+      throws MalformedMessageException {
+    RecordingHandler handler = new RecordingHandler();
+    ClientMessageCodec codec = new ClientMessageCodec(handler);
+    for (int position = 0; position < bytes.length; ) {
+      int end =
+          chunkSizes == null
+              ? bytes.length
+              : Math.min(bytes.length, position + 1 + chunkSizes.nextInt(40));
+      codec.feed(Arrays.copyOfRange(bytes, position, end));
+      position = end;
     }
-    assertFalse(reader.isMidMessage());
-    return ear.heard;
+    assertFalse(codec.hasPartialMessage());
+    return handler.calls;
   }
 
   @Test
-  void messagesOfViewersAreReadInPiecesOfAnySize() throws BadMessage {
-    byte[] all =
-        joined(
+  void decodesClientMessagesFromChunksOfAnySize() throws MalformedMessageException {
+    byte[] messages =
+        concatenate(
             PlatformViewers.setUp(7, "lesson", 1500, ";again:1"),
             PlatformViewers.setUp(8, "lesson", 1500, ";at:s-00c41f7a"),
             PlatformViewers.message(12, 9, 61, new byte[] {16}),
             PlatformViewers.message(52, 1, 61, new byte[] {0}),
             PlatformViewers.message(44, 3, 61, new byte[] {0}));
-    List<String> whole = viewers(all, null);
+    List<String> decoded = decodeClientMessages(messages, null);
     assertEquals(
         List.of(
             "setUp 7 lesson 1500 7f3a9c21e0b4d655 0 0 4 null",
             "setUp 8 lesson 1500 7f3a9c21e0b4d655 0 0 4 s-00c41f7a",
             "ended 9 16",
             "test 1"),
-        whole);
+        decoded);
     for (int seed = 0; seed < 50; seed++) {
-      assertEquals(whole, viewers(all, new SplittableRandom(seed)));
+      assertEquals(decoded, decodeClientMessages(messages, new SplittableRandom(seed)));
     }
   }
 
   @Test
-  void aMessageThatPassesTheBoundIsRefusedBeforeAnythingOfItIsStored() {
+  void rejectsAnOversizedMessageFromItsLengthAlone() {
     for (int length : new int[] {0, 8, 16 * 1024, 65535}) {
       byte[] head = ByteBuffer.allocate(2).putShort((short) length).array();
       assertThrows(
-          BadMessage.class, () -> new ViewerMessages(new Ear()).feed(head), "length " + length);
+          MalformedMessageException.class,
+          () -> new ClientMessageCodec(new RecordingHandler()).feed(head),
+          "length " + length);
     }
-    byte[] wrong = PlatformViewers.message(1, 5, 33, "lesson");
-    wrong[12] = 0x7f; // the length of its parameter
-    assertThrows(BadMessage.class, () -> new ViewerMessages(new Ear()).feed(wrong));
+    byte[] malformed = PlatformViewers.message(1, 5, 33, "lesson");
+    malformed[12] = 0x7f; // The length of its parameter.
+    assertThrows(
+        MalformedMessageException.class,
+        () -> new ClientMessageCodec(new RecordingHandler()).feed(malformed));
   }
 
   @Test
-  void whatCanBeReadAndNotUsedIsUnfit() throws BadMessage {
+  void reportsReadableButUnusableSetUps() throws MalformedMessageException {
     String figures = "home:0;copies:3;top:4;viewer:00";
     byte[] description = "v".getBytes(StandardCharsets.UTF_8);
-    List<byte[]> bad =
+    List<byte[]> unusable =
         List.of(
             PlatformViewers.message(1, 5, 35, "10", 41, "t", 43, figures, 63, description),
             PlatformViewers.message(
@@ -169,34 +179,36 @@
             PlatformViewers.message(1, 5, 33, "p", 35, "10", 41, "t", 43, "home", 63, description),
             PlatformViewers.message(
                 1, 0, 33, "p", 35, "10", 41, "t", 43, figures, 63, description));
-    for (byte[] one : bad) {
-      String heard = viewers(one, null).toString();
-      assertTrue(heard.startsWith("[unfit "), heard);
+    for (byte[] message : unusable) {
+      String calls = decodeClientMessages(message, null).toString();
+      assertTrue(calls.startsWith("[unfit "), calls);
     }
     assertTrue(
-        viewers(
+        decodeClientMessages(
                 PlatformViewers.message(
                     1, 5, 33, "p", 35, "10", 41, "t", 43, "home:x;copies:3", 63, description),
                 null)
             .toString()
-            .contains(" " + SetUpForm.NONE + " 3 " + SetUpForm.ABSENT));
+            .contains(" " + SetUpRequest.INVALID + " 3 " + SetUpRequest.ABSENT));
   }
 
-  private static List<String> box(String text, int step) throws BadMessage {
-    Ear ear = new Ear();
-    BoxLines reader = new BoxLines(ear);
+  private static List<String> decodeServerLines(String text, int chunkBytes)
+      throws MalformedMessageException {
+    RecordingHandler handler = new RecordingHandler();
+    ServerLineCodec codec = new ServerLineCodec(handler);
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    for (int at = 0; at < bytes.length; at += step) {
-      reader.feed(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + step)));
+    for (int position = 0; position < bytes.length; position += chunkBytes) {
+      codec.feed(
+          Arrays.copyOfRange(bytes, position, Math.min(bytes.length, position + chunkBytes)));
     }
-    return ear.heard;
+    return handler.calls;
   }
 
   @Test
-  void linesOfBoxesAreReadInPiecesOfAnySize() throws BadMessage {
+  void decodesServerLinesFromChunksOfAnySize() throws MalformedMessageException {
     String id = "9b1f03aa5c7e2d41";
-    long n = Long.parseUnsignedLong(id, 16);
-    String all =
+    long number = Long.parseUnsignedLong(id, 16);
+    String lines =
         "{\"verb\":\"STARTED\",\"tag\":\""
             + id
             + "\",\"opts\":{},\"blob\":\"a\\r\\nb\u00e9\"}\n"
@@ -224,17 +236,17 @@
             + "{\"verb\":\"PENDING\",\"tag\":\""
             + id
             + "\",\"opts\":{}}\n";
-    List<String> wanted =
+    List<String> expected =
         List.of(
-            "plays " + n + " a\r\nb\u00e9",
-            "ended " + n + " 34 Load[linkAsked=0.5, uplinkAsked=NaN, streams=NaN]",
-            "tested " + n + " true Load[linkAsked=0.396, uplinkAsked=1.043, streams=71.1]",
-            "share " + n + " 0.9",
-            "rung " + n + " 3",
-            "loads " + n + " 1.1 NaN",
-            "loads " + n + " NaN 0.7");
-    for (int step : new int[] {1, 7, 100_000}) {
-      assertEquals(wanted, box(all, step));
+            "plays " + number + " a\r\nb\u00e9",
+            "ended " + number + " 34 Load[linkAsked=0.5, uplinkAsked=NaN, streams=NaN]",
+            "tested " + number + " true Load[linkAsked=0.396, uplinkAsked=1.043, streams=71.1]",
+            "share " + number + " 0.9",
+            "rung " + number + " 3",
+            "loads " + number + " 1.1 NaN",
+            "loads " + number + " NaN 0.7");
+    for (int chunkBytes : new int[] {1, 7, 100_000}) {
+      assertEquals(expected, decodeServerLines(lines, chunkBytes));
     }
   }
 
@@ -252,68 +264,77 @@
         "{\"verb\":\"STARTED\",\"tag\":\"9b1f03aa5c7e2d41\",\"blob\":\"x",
         "{\"verb\":7,\"tag\":\"9b1f03aa5c7e2d41\"}"
       })
-  void aSpoiltLineSpoilsItsConnection(String line) {
-    assertThrows(BadMessage.class, () -> box(line + "\n", 1000));
+  void rejectsAMalformedLine(String line) {
+    assertThrows(MalformedMessageException.class, () -> decodeServerLines(line + "\n", 1000));
   }
 
   @Test
-  void aLineWithoutEndIsGivenUpAtTheBound() {
-    assertThrows(BadMessage.class, () -> box("{\"verb\":\"" + "x".repeat(BoxLines.MOST), 500));
+  void rejectsAnUnterminatedLineAtTheLimit() {
+    assertThrows(
+        MalformedMessageException.class,
+        () -> decodeServerLines("{\"verb\":\"" + "x".repeat(ServerLineCodec.MAX_LINE_BYTES), 500));
     assertThrows(
-        BadMessage.class,
+        MalformedMessageException.class,
         () ->
-            box(
-                "{\"verb\":\"" + "x".repeat(BoxLines.MOST - 20) + "\"}" + " ".repeat(20) + "\n",
-                BoxLines.MOST - 12),
-        "nor at the bound where its end comes with what passes it");
+            decodeServerLines(
+                "{\"verb\":\""
+                    + "x".repeat(ServerLineCodec.MAX_LINE_BYTES - 20)
+                    + "\"}"
+                    + " ".repeat(20)
+                    + "\n",
+                ServerLineCodec.MAX_LINE_BYTES - 12),
+        "also at the limit, where the end of the line comes with the excess bytes");
   }
 
   /**
-   * Without cause 1 a box answers a test with no report, and the front would believe its own
-   * reckoning alone.
+   * Guards against a test with cause 0: a server answers it without a load report, and the front
+   * would rely on its own estimate alone.
    */
   @Test
-  void aTestAsksForAReport() {
+  void aTestRequestsALoadReport() {
     assertEquals(
         "{\"verb\":\"ECHO\",\"tag\":\"0000000000000005\",\"opts\":{},\"rc\":1}\n",
-        new String(BoxLines.test(5), StandardCharsets.UTF_8));
+        new String(ServerLineCodec.encodeTest(5), StandardCharsets.UTF_8));
   }
 
   @Test
-  void descriptionsGoThroughByteForByte() throws Exception {
-    String said = "c=IN IP4 10.4.7.9\r\n\"\\\u0001\u00e9\ud83d\ude00";
-    byte[] line = BoxLines.setUp(5, "lesson", "t", 100, 2, said);
+  void passesDescriptionsUnchanged() throws Exception {
+    String description = "c=IN IP4 10.4.7.9\r\n\"\\\u0001\u00e9\ud83d\ude00";
+    byte[] line = ServerLineCodec.encodeSetUp(5, "lesson", "t", 100, 2, description);
     assertEquals(
-        said,
+        description,
         new com.fasterxml.jackson.databind.ObjectMapper().readTree(line).path("blob").asText());
-    byte[] bytes = said.getBytes(StandardCharsets.UTF_8);
-    byte[] answer = ViewerMessages.plays(5, bytes);
+    byte[] bytes = description.getBytes(StandardCharsets.UTF_8);
+    byte[] answer = ClientMessageCodec.encodeStarted(5, bytes);
     assertArrayEquals(
         bytes, Arrays.copyOfRange(answer, answer.length - bytes.length, answer.length));
-    assertFalse(ViewerMessages.fits(new byte[16 * 1024]));
+    assertFalse(ClientMessageCodec.fitsInMessage(new byte[16 * 1024]));
   }
 
   @Test
-  void eventsOfTheJournalServiceAreToldWholeOrNotAtAll() throws BadMessage {
-    List<String> told = new ArrayList<>();
+  void deliversOnlyCompleteJournalEvents() throws MalformedMessageException {
+    List<String> events = new ArrayList<>();
     byte[] record = PlatformJournal.record(0xc41f7a, 3868, 1, 7, 5000);
     byte[] frame =
         ByteBuffer.allocate(13 + 27).putInt(9 + 27).putLong(42).put((byte) 2).put(record).array();
-    byte[] life = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
-    JournalFrames reader =
-        new JournalFrames((n, whole, rows) -> told.add(n + " " + whole + " " + rows.get(0)));
-    reader.feed(life);
-    reader.feed(Arrays.copyOf(frame, 30));
-    assertEquals(List.of(), told);
-    reader.feed(Arrays.copyOfRange(frame, 30, frame.length));
+    byte[] heartbeat = ByteBuffer.allocate(13).putInt(9).putLong(42).put((byte) 0).array();
+    JournalFrameCodec codec =
+        new JournalFrameCodec(
+            (number, whole, rows) -> events.add(number + " " + whole + " " + rows.get(0)));
+    codec.feed(heartbeat);
+    codec.feed(Arrays.copyOf(frame, 30));
+    assertEquals(List.of(), events);
+    codec.feed(Arrays.copyOfRange(frame, 30, frame.length));
     assertEquals(
         List.of(
-            "42 false Row[id=12853114, address=127.0.0.1:3868, weight=2.0, cell=7, kind=0, state=DRAINING, "
+            "42 false ListedBox[id=12853114, address=127.0.0.1:3868, weight=2.0, cell=7, kind=0, state=DRAINING, "
                 + "building=0, startedAt=Moment[micros=5000000]]"),
-        told);
+        events);
     for (int length : new int[] {-1, 8, Integer.MAX_VALUE}) {
-      byte[] bad = ByteBuffer.allocate(4).putInt(length).array();
-      assertThrows(BadMessage.class, () -> new JournalFrames((n, w, r) -> {}).feed(bad));
+      byte[] malformed = ByteBuffer.allocate(4).putInt(length).array();
+      assertThrows(
+          MalformedMessageException.class,
+          () -> new JournalFrameCodec((number, whole, rows) -> {}).feed(malformed));
     }
   }
 }
--- a/src/test/java/linengauge/platform/EventLogTest.java
+++ b/src/test/java/linengauge/platform/EventLogTest.java
@@ -10,16 +10,16 @@
 import java.util.List;
 import linengauge.Moment;
 import linengauge.Span;
-import linengauge.carry.EventWriter;
+import linengauge.net.EventWriter;
 import linengauge.platform.LogEvent.Kind;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 import org.slf4j.LoggerFactory;
 
-/** What operators find in the log of a request, and what bounds the log. */
+/** What the log contains about a request, and the limits of the log. */
 class EventLogTest {
-  private static List<String> ofRequest(PaperNet net, long id) {
-    return net.events.stream().filter(e -> e.request() == id).map(LogEvent::line).toList();
+  private static List<String> ofRequest(FakeNet net, long id) {
+    return net.events.stream().filter(event -> event.request() == id).map(LogEvent::line).toList();
   }
 
   private static int indexOf(List<String> lines, String... parts) {
@@ -31,13 +31,13 @@
     throw new AssertionError(String.join(" ", parts) + " is not in\n" + String.join("\n", lines));
   }
 
-  /** Guards against a log that cannot say which attempt was where, on which connection, and why. */
+  /** Guards against a log without the server, the connection or the reason of an attempt. */
   @Test
   void aRetryLogsTheWholeRequestWithServersAttemptsConnectionsAndReasons() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.pass(Span.ofSeconds(3));
-    String server = at.endsWith(":3") ? "server=s-00000001" : "server=s-00000002";
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.advance(Span.ofSeconds(3));
+    String server = address.endsWith(":3") ? "server=s-00000001" : "server=s-00000002";
     List<String> lines = ofRequest(net, 7);
     int taken = indexOf(lines, "event=request-taken", "request=0000000000000007", "class lesson");
     int sent = indexOf(lines, "event=attempt-sent", "attempt=0", "connection=", server);
@@ -50,30 +50,30 @@
         String.join("\n", lines));
   }
 
-  /** Guards against a log that grows with the ordinary traffic. */
+  /** Guards against a log that grows with ordinary traffic. */
   @Test
   void aRequestAnsweredByItsFirstAttemptIsNotLogged() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.answers(net.setUpOut(), 7);
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, 7, 61, new byte[1]));
-    net.settle();
+    FakeNet net = FakeNet.front();
+    net.answerSetUp(net.sendFirstSetUp(), 7);
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, 7, 61, new byte[1]));
+    net.runDeferred();
     assertEquals(List.of(), ofRequest(net, 7));
   }
 
   /** Guards against closes without a reason. */
   @Test
-  void everyCloseOfAServersConnectionSaysWhoAndWhyAndWhatWasOpen() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.box(at).comes("no such thing");
-    net.settle();
+  void everyServerConnectionCloseLogsItsReasonAndOpenAttempts() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.latestConnection(address).deliver("no such thing");
+    net.runDeferred();
     List<String> lines = net.events.stream().map(LogEvent::line).toList();
-    indexOf(lines, "event=connection-closed", "a line that is no JSON", "1 attempts out");
+    indexOf(lines, "event=connection-closed", "line is not valid JSON", "1 attempts out");
   }
 
-  /** Guards against a log that takes the front's memory or its disk when everything goes wrong. */
+  /** Guards against a log that exhausts the front's memory or disk during a large failure. */
   @Test
-  void linesPastTheBoundsAreDroppedAndCounted() throws Exception {
+  void linesBeyondTheLimitsAreDroppedAndCounted() throws Exception {
     Logger logger = (Logger) LoggerFactory.getLogger("bounded");
     logger.setLevel(Level.INFO);
     logger.setAdditive(false);
@@ -83,7 +83,7 @@
     EventWriter<LogEvent> writer = new EventWriter<>(logger, LogEvent::line);
     EventLog events = new EventLog(() -> new Moment(1), writer::accept);
     for (int i = 0; i < 10_000; i++) {
-      events.ofFront(Kind.DISCOVERY, "closed");
+      events.logFront(Kind.DISCOVERY, "closed");
     }
     writer.flush();
     assertTrue(written.list.size() <= 202, written.list.size() + " lines");
--- a/src/test/java/linengauge/platform/PlatformFrontTest.java
+++ b/src/test/java/linengauge/platform/PlatformFrontTest.java
@@ -7,287 +7,307 @@
 import java.io.ByteArrayOutputStream;
 import java.util.List;
 import linengauge.Span;
-import linengauge.platform.PaperNet.Line;
+import linengauge.platform.FakeNet.FakeConnection;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 
-/** What a front writes and closes, in the order in which it does so, and when. */
+/** What a front writes and closes, in which order and when. */
 class PlatformFrontTest {
-  private static final int BLOCKED = 12;
+  private static final int RELEASED = 12;
 
   /**
-   * A set-up is out until its connection is closed: made elsewhere before, it would be a second
-   * one.
+   * A set-up is outstanding until its connection is closed: a retry elsewhere before that would be
+   * a second other.
    */
   @Test
-  void theConnectionToABoxThatHasGoneIsClosedBeforeItsSetUpsAreMadeElsewhere() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.gone(at);
-    net.onlyAfter("close " + at);
+  void theConnectionToARemovedServerIsClosedBeforeItsSetUpsAreRetried() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.removeServer(address);
+    net.assertRetriedOnlyAfter("close " + address);
   }
 
   @Test
-  void anAnswerThatCameTooLateIsTakenBackBeforeTheNextSetUpLeaves() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.standsStill(Span.ofMillis(600));
-    net.answers(at, 7);
-    net.pass(Span.ofMillis(60)); // it reads on before it sends
-    net.onlyAfter("end " + at);
+  void aLateAnswerIsEndedBeforeTheNextSetUpIsSent() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.stall(Span.ofMillis(600));
+    net.answerSetUp(address, 7);
+    net.advance(Span.ofMillis(60)); // It continues to read before it sends.
+    net.assertRetriedOnlyAfter("end " + address);
   }
 
   @Test
-  void aConnectionThatSaysWhatCannotBeReadIsClosedBeforeItsSetUpsAreMadeElsewhere()
-      throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.box(at).comes("no such thing");
-    net.pass(Span.ofMillis(1));
-    net.onlyAfter("close " + at);
+  void aConnectionWithMalformedDataIsClosedBeforeItsSetUpsAreRetried() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.latestConnection(address).deliver("no such thing");
+    net.advance(Span.ofMillis(1));
+    net.assertRetriedOnlyAfter("close " + address);
   }
 
   @Test
-  void aBoxWhoseTableIsFullIsNotTakenForDeadWhileAConnectionToItIsUp() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.answers(at, 7);
-    net.refusing.add(at);
-    net.boxesAnswerTests = false;
-    net.pass(Span.ofMillis(6000)); // tested in its silence, then a connection is tried
-    assertFalse(net.said.contains("server lost"), net.said.toString());
-    net.box(at).breaks();
-    net.pass(Span.ofMillis(500));
-    assertTrue(net.said.contains("server lost"), "nothing else is up, and nothing listens");
+  void aServerThatRefusesConnectionsIsNotLostWhileOneIsUp() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.answerSetUp(address, 7);
+    net.refusing.add(address);
+    net.serversAnswerTests = false;
+    // The silent server is tested, then a connection is attempted.
+    net.advance(Span.ofMillis(6000));
+    assertFalse(net.logLines.contains("server lost"), net.logLines.toString());
+    net.latestConnection(address).closeByPeer();
+    net.advance(Span.ofMillis(500));
+    assertTrue(
+        net.logLines.contains("server lost"), "no other connection is up, and nothing listens");
   }
 
   @Test
-  void aSilentBoxIsTestedOnTheConnectionThatItHas() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = net.setUpOut();
-    net.answers(at, 7);
-    long before = net.opened(at);
+  void aSilentServerIsTestedOnItsExistingConnection() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = net.sendFirstSetUp();
+    net.answerSetUp(address, 7);
+    long before = net.connectionCount(address);
     for (int i = 0; i < 4; i++) {
-      net.done.clear();
-      net.pass(Span.ofMillis(5300));
+      net.actions.clear();
+      net.advance(Span.ofMillis(5300));
       assertEquals(
-          1, net.done.stream().filter(("test " + at)::equals).count(), net.done.toString());
+          1,
+          net.actions.stream().filter(("test " + address)::equals).count(),
+          net.actions.toString());
     }
-    assertEquals(before, net.opened(at), "no connection for silence that a test has broken");
+    assertEquals(
+        before,
+        net.connectionCount(address),
+        "an answered test ends the silence, so no connection is opened");
   }
 
-  private static byte[] many(int from, int to, long leftMs) {
+  private static byte[] setUps(int from, int to, long timeLeftMs) {
     var all = new ByteArrayOutputStream();
     for (int id = from; id < to; id++) {
-      all.writeBytes(PlatformViewers.setUp(id, "lesson", leftMs, ""));
+      all.writeBytes(PlatformViewers.setUp(id, "lesson", timeLeftMs, ""));
     }
     return all.toByteArray();
   }
 
-  /** A piece of hundreds made everybody wait for all of it. */
+  /** Guards against a large chunk that delays all other clients until it has been processed. */
   @Test
-  void aPieceOfHundredsIsReadInTurnsAndOthersAreReadBetween() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.step = Span.ofMillis(1);
-    Line many = net.viewers();
-    Line one = net.viewers();
-    long begun = net.now().micros();
-    many.comes(many(100, 300, 20_000));
-    long turn = net.now().micros() - begun;
-    assertTrue(turn < 25_000, turn + " us in one turn");
-    assertFalse(many.paused, "its end would not be seen");
-    one.comes(PlatformViewers.message(52, 1, 61, new byte[] {0}));
-    assertEquals(List.of(53), one.types, "tested in between");
-    assertTrue(many.types.size() < 100);
-    net.pass(Span.ofSeconds(15));
-    assertEquals(200, many.types.size(), "each is answered in the end");
-    assertFalse(many.paused);
+  void aLargeChunkIsReadInTurnsInterleavedWithOtherClients() throws Exception {
+    FakeNet net = FakeNet.front();
+    net.clockStep = Span.ofMillis(1);
+    FakeConnection sender = net.acceptClient();
+    FakeConnection other = net.acceptClient();
+    long beginMicros = net.now().micros();
+    sender.deliver(setUps(100, 300, 20_000));
+    long turnMicros = net.now().micros() - beginMicros;
+    assertTrue(turnMicros < 25_000, turnMicros + " us in one turn");
+    assertFalse(sender.paused, "its end would not be noticed");
+    other.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
+    assertEquals(List.of(53), other.messageTypes, "the test is answered in between");
+    assertTrue(sender.messageTypes.size() < 100);
+    net.advance(Span.ofSeconds(15));
+    assertEquals(200, sender.messageTypes.size(), "each is answered in the end");
+    assertFalse(sender.paused);
   }
 
   /**
-   * Lying unread counts: while a long piece is read, and on a connection that was paused for it.
+   * Time unread counts towards the limit: while a large chunk is processed, and on a connection
+   * that was paused for it.
    */
   @Test
-  void whatHasLainPastItsViewersPatienceIsTurnedAwayAndSentToNobody() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.step = Span.ofMillis(1);
-    Line many = net.viewers();
-    many.comes(many(100, 300, 400));
-    net.pass(Span.ofSeconds(3));
-    assertEquals(200, many.types.size());
+  void setUpsUnreadPastTheirDeadlineAreRejectedAndNotSent() throws Exception {
+    FakeNet net = FakeNet.front();
+    net.clockStep = Span.ofMillis(1);
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(setUps(100, 300, 400));
+    net.advance(Span.ofSeconds(3));
+    assertEquals(200, sender.messageTypes.size());
     assertTrue(
-        net.setUps.contains(100L) && !net.setUps.contains(299L),
-        "the last was read when its viewer had gone");
-    assertTrue(net.setUps.stream().distinct().count() < 150, net.setUps.toString());
+        net.setUpIds.contains(100L) && !net.setUpIds.contains(299L),
+        "the last one was read after its client had left");
+    assertTrue(net.setUpIds.stream().distinct().count() < 150, net.setUpIds.toString());
   }
 
   @Test
-  void whatComesOnAPausedConnectionMayHaveLainSinceItWasPaused() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.step = Span.ofMillis(1);
-    Line many = net.viewers();
-    many.comes(PlatformViewers.message(52, 1, 61, new byte[] {0}));
+  void dataOnAPausedConnectionMayHaveWaitedSinceThePause() throws Exception {
+    FakeNet net = FakeNet.front();
+    net.clockStep = Span.ofMillis(1);
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(PlatformViewers.message(52, 1, 61, new byte[] {0}));
     var ends = new ByteArrayOutputStream();
     for (int id = 1000; ends.size() < 40 * 1024; id++) {
       ends.writeBytes(PlatformViewers.message(12, id, 61, new byte[] {16}));
     }
-    long pausedAt = net.now().micros();
-    many.comes(ends.toByteArray());
-    assertTrue(many.paused);
-    for (int i = 0; i < 2000 && many.paused; i++) {
-      net.pass(Span.ofMillis(5));
+    long pausedAtMicros = net.now().micros();
+    sender.deliver(ends.toByteArray());
+    assertTrue(sender.paused);
+    for (int i = 0; i < 2000 && sender.paused; i++) {
+      net.advance(Span.ofMillis(5));
     }
-    assertFalse(many.paused);
-    long paused =
-        (net.now().micros() - pausedAt) / 1000; // over 24 KB of them; 16 KB are still to be read
-    many.comes(many(500, 501, paused * 7 / 6));
-    net.pass(Span.ofMillis(3 * paused));
-    assertFalse(net.setUps.contains(500L), "it may have been sent as the connection was paused");
-    many.comes(many(502, 503, 250));
-    net.pass(Span.ofMillis(200));
-    assertTrue(net.setUps.contains(502L), "all that waited has come by then");
+    assertFalse(sender.paused);
+    // More than 24 KB have been read; 16 KB are pending.
+    long pausedMs = (net.now().micros() - pausedAtMicros) / 1000;
+    sender.deliver(setUps(500, 501, pausedMs * 7 / 6));
+    net.advance(Span.ofMillis(3 * pausedMs));
+    assertFalse(net.setUpIds.contains(500L), "it may have been sent as the connection was paused");
+    sender.deliver(setUps(502, 503, 250));
+    net.advance(Span.ofMillis(200));
+    assertTrue(net.setUpIds.contains(502L), "all data that waited has arrived by then");
   }
 
   /**
-   * Reading in turns is not a pause: what comes meanwhile is kept, as old as it is, and waits for
-   * what came before it.
+   * Reading over several turns is not a pause: data that arrives meanwhile is queued with its own
+   * arrival time, and waits for what arrived before it.
    */
   @Test
-  void whatComesBehindALongPieceIsAsOldAsItsOwnComing() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.step = Span.ofMillis(1);
-    Line many = net.viewers();
-    many.comes(many(100, 160, 20_000));
-    assertFalse(many.paused);
-    many.comes(many(500, 501, 100));
-    many.comes(many(501, 502, 3000));
-    net.pass(Span.ofSeconds(2));
-    assertFalse(net.setUps.contains(500L), "its viewer had gone when its turn came");
-    assertTrue(net.setUps.contains(501L), "its viewer had not");
+  void dataBehindALargeChunkIsAsOldAsItsOwnArrival() throws Exception {
+    FakeNet net = FakeNet.front();
+    net.clockStep = Span.ofMillis(1);
+    FakeConnection sender = net.acceptClient();
+    sender.deliver(setUps(100, 160, 20_000));
+    assertFalse(sender.paused);
+    sender.deliver(setUps(500, 501, 100));
+    sender.deliver(setUps(501, 502, 3000));
+    net.advance(Span.ofSeconds(2));
+    assertFalse(net.setUpIds.contains(500L), "its client had left when it was started");
+    assertTrue(net.setUpIds.contains(501L), "its client was still waiting");
   }
 
-  /** A piece that ends one message and begins others is not as old as that one's beginning. */
+  /**
+   * Messages that begin in the chunk which completes an earlier one are not as old as the beginning
+   * of that other.
+   */
   @Test
-  void whatFollowsAMessageInPiecesIsAsOldAsItsOwnPiece() throws Exception {
-    PaperNet net = PaperNet.front();
-    Line line = net.viewers();
-    byte[] two = many(20, 22, 800);
-    line.comes(java.util.Arrays.copyOf(two, 30));
-    net.pass(Span.ofSeconds(1));
-    line.comes(java.util.Arrays.copyOfRange(two, 30, two.length));
-    net.pass(Span.ofMillis(200));
-    assertTrue(net.setUps.contains(21L) && !net.setUps.contains(20L), net.setUps.toString());
+  void aMessageBehindASplitOneIsAsOldAsItsOwnChunk() throws Exception {
+    FakeNet net = FakeNet.front();
+    FakeConnection client = net.acceptClient();
+    byte[] twoSetUps = setUps(20, 22, 800);
+    client.deliver(java.util.Arrays.copyOf(twoSetUps, 30));
+    net.advance(Span.ofSeconds(1));
+    client.deliver(java.util.Arrays.copyOfRange(twoSetUps, 30, twoSetUps.length));
+    net.advance(Span.ofMillis(200));
+    assertTrue(net.setUpIds.contains(21L) && !net.setUpIds.contains(20L), net.setUpIds.toString());
   }
 
   @Test
-  void aConnectionTakenAfterAStandStillHasLainAsLong() throws Exception {
-    PaperNet net = PaperNet.front();
-    net.pass(Span.ofSeconds(1));
-    net.standsStill(Span.ofMillis(900));
-    Line late = net.viewers(); // taken in the turn after the stand-still, and read some beats later
-    net.pass(Span.ofMillis(70));
-    late.comes(PlatformViewers.setUp(9, "lesson", 800, ""));
-    net.settle();
-    assertEquals(List.of(BLOCKED), late.types, "its viewer may have gone");
-    net.pass(Span.ofSeconds(1));
-    Line soon = net.viewers();
-    soon.comes(PlatformViewers.setUp(10, "lesson", 800, ""));
-    net.pass(Span.ofMillis(200));
-    assertEquals(List.of(10L), net.setUps.stream().distinct().toList());
+  void aConnectionAcceptedAfterAStallMayHaveWaitedAsLong() throws Exception {
+    FakeNet net = FakeNet.front();
+    net.advance(Span.ofSeconds(1));
+    net.stall(Span.ofMillis(900));
+    // Accepted in the turn after the stall, and read some ticks later.
+    FakeConnection late = net.acceptClient();
+    net.advance(Span.ofMillis(70));
+    late.deliver(PlatformViewers.setUp(9, "lesson", 800, ""));
+    net.runDeferred();
+    assertEquals(List.of(RELEASED), late.messageTypes, "its client may have left");
+    net.advance(Span.ofSeconds(1));
+    FakeConnection soon = net.acceptClient();
+    soon.deliver(PlatformViewers.setUp(10, "lesson", 800, ""));
+    net.advance(Span.ofMillis(200));
+    assertEquals(List.of(10L), net.setUpIds.stream().distinct().toList());
   }
 
-  /** A front with one box, on which a viewing plays, and a second connection to it. */
-  private static String twoConnections(PaperNet net) throws Exception {
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    Line first = net.box(at);
-    Line viewers = net.viewers();
-    viewers.comes(PlatformViewers.setUp(8, "lesson", 2000, ""));
-    net.pass(Span.ofMillis(100));
-    assertEquals(2, net.opened(at), "the first has a set-up open");
-    first.comes(started(7));
-    net.box(at).comes(started(8));
-    net.pass(Span.ofMillis(10));
-    viewers.comes(PlatformViewers.message(12, 8, 61, new byte[] {16}));
-    net.done.clear();
-    return at;
+  /** Leaves the front one server, with an established session and a second connection to it. */
+  private static String openTwoConnections(FakeNet net) throws Exception {
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    FakeConnection first = net.latestConnection(address);
+    FakeConnection client = net.acceptClient();
+    client.deliver(PlatformViewers.setUp(8, "lesson", 2000, ""));
+    net.advance(Span.ofMillis(100));
+    assertEquals(2, net.connectionCount(address), "the first connection has an outstanding set-up");
+    first.deliver(startedLine(7));
+    net.latestConnection(address).deliver(startedLine(8));
+    net.advance(Span.ofMillis(10));
+    client.deliver(PlatformViewers.message(12, 8, 61, new byte[] {16}));
+    net.actions.clear();
+    return address;
   }
 
-  private static String started(long id) {
+  private static String startedLine(long id) {
     return "{\"verb\":\"STARTED\",\"tag\":\""
         + String.format("%016x", id)
         + "\",\"opts\":{},\"blob\":\"b\"}";
   }
 
   @Test
-  void aSpareConnectionThatRestsIsClosedAndNotReplaced() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = twoConnections(net);
-    net.pass(Span.ofMillis(4900));
-    assertEquals(1, net.done.stream().filter(("close " + at)::equals).count(), net.done.toString());
-    assertEquals(2, net.opened(at));
+  void anIdleSpareConnectionIsClosedAndNotReplaced() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = openTwoConnections(net);
+    net.advance(Span.ofMillis(4900));
+    assertEquals(
+        1,
+        net.actions.stream().filter(("close " + address)::equals).count(),
+        net.actions.toString());
+    assertEquals(2, net.connectionCount(address));
   }
 
   @Test
-  void aSpareConnectionStaysWhileAViewingWithoutOneOfItsOwnStandsThere() throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = twoConnections(net);
-    net.viewers()
-        .comes(
-            PlatformViewers.setUp(9, "lesson", 0, ";at:s-0000000" + (at.endsWith(":3") ? 1 : 2)));
-    net.pass(Span.ofMillis(4900));
-    assertFalse(net.done.contains("close " + at), "its end may come on either");
+  void aSpareConnectionStaysWhileASessionHasNoConnectionOfItsOwn() throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = openTwoConnections(net);
+    net.acceptClient()
+        .deliver(
+            PlatformViewers.setUp(
+                9, "lesson", 0, ";at:s-0000000" + (address.endsWith(":3") ? 1 : 2)));
+    net.advance(Span.ofMillis(4900));
+    assertFalse(
+        net.actions.contains("close " + address),
+        "the end of the session may arrive on either connection");
   }
 
-  private static int sentOfTen(PaperNet net) {
-    net.setUps.clear();
-    Line viewers = net.viewers();
+  private static int countSentOfTen(FakeNet net) {
+    net.setUpIds.clear();
+    FakeConnection client = net.acceptClient();
     for (int id = 40; id < 50; id++) {
-      viewers.comes(PlatformViewers.setUp(id, "lesson", 2000, ""));
-      net.pass(Span.ofMillis(100));
-      long out = net.setUps.isEmpty() ? 0 : net.setUps.get(net.setUps.size() - 1);
-      List.copyOf(net.lines).stream()
+      client.deliver(PlatformViewers.setUp(id, "lesson", 2000, ""));
+      net.advance(Span.ofMillis(100));
+      long outstanding = net.setUpIds.isEmpty() ? 0 : net.setUpIds.get(net.setUpIds.size() - 1);
+      List.copyOf(net.serverConnections).stream()
           .skip(1)
-          .filter(l -> !l.over)
-          .forEach(l -> l.comes(started(out)));
+          .filter(connection -> !connection.closed)
+          .forEach(connection -> connection.deliver(startedLine(outstanding)));
     }
-    return (int) net.setUps.stream().distinct().count();
+    return (int) net.setUpIds.stream().distinct().count();
   }
 
   /**
-   * One box, its second connection silent with a set-up out; what else happens decides what that
-   * means.
+   * One server whose second connection is silent with an outstanding set-up; the parameters
+   * determine how the silence is to be interpreted.
    */
-  private static PaperNet unanswered(boolean heard, boolean heldUp) throws Exception {
-    PaperNet net = PaperNet.front();
-    String at = twoConnections(net);
-    net.boxesAnswerTests = false;
-    net.viewers().comes(PlatformViewers.setUp(11, "lesson", 350, ""));
-    net.pass(Span.ofMillis(100));
-    assertTrue(net.setUps.contains(11L), "sent once its tests had gone unanswered for a while");
-    if (heldUp) {
-      net.standsStill(Span.ofMillis(600));
+  private static FakeNet frontWithUnansweredSetUp(boolean received, boolean stalled)
+      throws Exception {
+    FakeNet net = FakeNet.front();
+    String address = openTwoConnections(net);
+    net.serversAnswerTests = false;
+    net.acceptClient().deliver(PlatformViewers.setUp(11, "lesson", 350, ""));
+    net.advance(Span.ofMillis(100));
+    assertTrue(net.setUpIds.contains(11L), "sent once its tests had been unanswered for a while");
+    if (stalled) {
+      net.stall(Span.ofMillis(600));
     }
-    net.pass(Span.ofMillis(10));
-    if (heard) {
-      net.lines.stream()
-          .filter(l -> l.to.equals(at))
+    net.advance(Span.ofMillis(10));
+    if (received) {
+      net.serverConnections.stream()
+          .filter(connection -> connection.address.equals(address))
           .forEach(
-              l ->
-                  l.comes(
+              connection ->
+                  connection.deliver(
                       "{\"verb\":\"NOTICE\",\"tag\":\""
                           + "0".repeat(15)
                           + "7\",\"opts\":{\"note\":\"got\",\"value\":1}}"));
     }
-    net.pass(Span.ofMillis(400));
-    net.boxesAnswerTests = true;
+    net.advance(Span.ofMillis(400));
+    net.serversAnswerTests = true;
     return net;
   }
 
   @Test
-  void onlyABoxFromWhichNothingCameIsHeldToAColdPace() throws Exception {
-    assertTrue(sentOfTen(unanswered(false, false)) < 10, "it may have started anew");
-    assertEquals(10, sentOfTen(unanswered(true, false)), "heard meanwhile");
-    assertEquals(10, sentOfTen(unanswered(false, true)), "the front stood still");
+  void onlyAServerThatSentNothingIsTreatedAsCold() throws Exception {
+    assertTrue(
+        countSentOfTen(frontWithUnansweredSetUp(false, false)) < 10, "it may have restarted");
+    assertEquals(
+        10, countSentOfTen(frontWithUnansweredSetUp(true, false)), "data was received meanwhile");
+    assertEquals(10, countSentOfTen(frontWithUnansweredSetUp(false, true)), "the front stalled");
   }
 }
--- a/src/test/java/linengauge/platform/RetryOrderTest.java
+++ b/src/test/java/linengauge/platform/RetryOrderTest.java
@@ -6,237 +6,263 @@
 
 import java.util.List;
 import linengauge.Span;
-import linengauge.platform.PaperNet.Line;
+import linengauge.platform.FakeNet.FakeConnection;
 import linengauge.standin.PlatformViewers;
 import org.junit.jupiter.api.Test;
 
-/** A front that knows one server: what must have come from it before a request goes there again. */
+/** What a front must have received from its only server before it retries a request there. */
 class RetryOrderTest {
   private static final long REQUEST = 7;
 
   /**
-   * Its first attempt was given up, though the server shows that it is there; tests are answered
-   * only where a test of this class says so.
+   * The first attempt has been abandoned although the server has shown that it received it; tests
+   * are answered only on request of the individual test.
    */
-  private static PaperNet givenUp() throws Exception {
-    return givenUp(false);
-  }
-
-  private static PaperNet givenUp(boolean probing) throws Exception {
-    PaperNet net =
-        PaperNet.front(text -> text.replace("\"probing\":true", "\"probing\":" + probing));
-    net.pass(Span.ofSeconds(3)); // young fronts send nothing to a server that may have started anew
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.boxesAnswerTests = probing;
-    net.pass(Span.ofMillis(50));
-    first(net).comes(line("PENDING", ""));
-    for (int i = 0; i < 100 && first(net).ended.isEmpty(); i++) {
-      net.pass(Span.ofMillis(10));
+  private static FakeNet frontAfterGivingUp() throws Exception {
+    return frontAfterGivingUp(false);
+  }
+
+  private static FakeNet frontAfterGivingUp(boolean probing) throws Exception {
+    FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":" + probing));
+    // A front that has just started sends nothing to a server that may have restarted.
+    net.advance(Span.ofSeconds(3));
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.serversAnswerTests = probing;
+    net.advance(Span.ofMillis(50));
+    firstAttemptConnection(net).deliver(line("PENDING", ""));
+    for (int i = 0; i < 100 && firstAttemptConnection(net).endedIds.isEmpty(); i++) {
+      net.advance(Span.ofMillis(10));
     }
-    assertEquals(List.of(REQUEST), first(net).ended);
+    assertEquals(List.of(REQUEST), firstAttemptConnection(net).endedIds);
     return net;
   }
 
-  private static Line first(PaperNet net) {
-    return net.lines.stream().filter(l -> l.setUps.contains(REQUEST)).findFirst().orElseThrow();
+  private static FakeConnection firstAttemptConnection(FakeNet net) {
+    return net.serverConnections.stream()
+        .filter(connection -> connection.setUpIds.contains(REQUEST))
+        .findFirst()
+        .orElseThrow();
   }
 
-  private static String line(String verb, String more) {
-    return "{\"verb\":\"" + verb + "\",\"tag\":\"0000000000000007\",\"opts\":{}" + more + "}";
+  private static String line(String verb, String extraFields) {
+    return "{\"verb\":\""
+        + verb
+        + "\",\"tag\":\"0000000000000007\",\"opts\":{}"
+        + extraFields
+        + "}";
   }
 
-  private static int attempts(PaperNet net) {
-    net.pass(Span.ofMillis(150));
-    return net.setUps.size();
+  private static int attemptsAfterAWait(FakeNet net) {
+    net.advance(Span.ofMillis(150));
+    return net.setUpIds.size();
   }
 
   /**
    * Guards against a second attempt while nothing shows that the server has read the first's end.
    */
   @Test
-  void withoutAWordNoFurtherAttemptGoesToTheSameServer() throws Exception {
-    PaperNet net = givenUp();
-    net.pass(Span.ofSeconds(3));
-    assertEquals(List.of(REQUEST), net.setUps);
+  void withoutConfirmationNoRetryGoesToTheSameServer() throws Exception {
+    FakeNet net = frontAfterGivingUp();
+    net.advance(Span.ofSeconds(3));
+    assertEquals(List.of(REQUEST), net.setUpIds);
     assertTrue(
-        net.events.stream().anyMatch(e -> e.reason().equals("EARLIER_ATTEMPT_UNCONFIRMED")),
-        () -> "the refusal says why: " + net.events);
+        net.events.stream().anyMatch(event -> event.reason().equals("EARLIER_ATTEMPT_UNCONFIRMED")),
+        () -> "the refusal states its reason: " + net.events);
   }
 
-  /** Guards against refusing what the server has cleared. */
+  /** Guards against a refusal after the server has confirmed the end. */
   @Test
-  void aConfirmedOrRefusedEndFreesTheServer() throws Exception {
-    for (String word :
+  void aConfirmedOrRefusedEndAllowsARetry() throws Exception {
+    for (String reply :
         List.of(line("FINISHED", ""), line("FINISH", ",\"rc\":34"), line("FINISH", ",\"rc\":16"))) {
-      PaperNet net = givenUp();
-      first(net).comes(word);
-      assertEquals(2, attempts(net), word);
+      FakeNet net = frontAfterGivingUp();
+      firstAttemptConnection(net).deliver(reply);
+      assertEquals(2, attemptsAfterAWait(net), reply);
     }
   }
 
   /** Guards against a refusal where the server would confirm the end if it were asked. */
   @Test
-  void whereNoOtherServerIsLeftItIsAskedForTheConfirmation() throws Exception {
-    PaperNet net = givenUp(true);
-    assertEquals(2, attempts(net));
+  void theOnlyServerLeftIsAskedForTheConfirmation() throws Exception {
+    FakeNet net = frontAfterGivingUp(true);
+    assertEquals(2, attemptsAfterAWait(net));
     assertTrue(
-        net.events.stream().anyMatch(e -> e.kind() == LogEvent.Kind.END_CONFIRMED),
+        net.events.stream().anyMatch(event -> event.kind() == LogEvent.Kind.END_CONFIRMED),
         () -> net.events.toString());
   }
 
   /** Guards against taking for a confirmation what the server may write before it reads the end. */
   @Test
-  void aLateAnswerOrTheCloseOfTheConnectionConfirmsNothing() throws Exception {
-    PaperNet answered = givenUp();
-    first(answered).comes(line("STARTED", ",\"blob\":\"late\""));
-    assertEquals(1, attempts(answered));
-    assertFalse(first(answered).over, "its end may still be confirmed");
-    PaperNet closed = givenUp();
-    first(closed).breaks();
-    assertEquals(1, attempts(closed));
+  void aLateAnswerOrAConnectionCloseConfirmsNothing() throws Exception {
+    FakeNet answered = frontAfterGivingUp();
+    firstAttemptConnection(answered).deliver(line("STARTED", ",\"blob\":\"late\""));
+    assertEquals(1, attemptsAfterAWait(answered));
+    assertFalse(firstAttemptConnection(answered).closed, "the end may still be confirmed");
+    FakeNet closed = frontAfterGivingUp();
+    firstAttemptConnection(closed).closeByPeer();
+    assertEquals(1, attemptsAfterAWait(closed));
   }
 
   /** Guards against a retry that overtakes the close of the connection before it. */
   @Test
-  void anAttemptWhoseConnectionClosesIsNotTriedAgainAtItsServer() throws Exception {
+  void anAttemptWhoseConnectionClosesIsNotRetriedAtItsServer() throws Exception {
     for (boolean byTheServer : new boolean[] {true, false}) {
-      PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-      net.pass(Span.ofSeconds(3));
-      String at = net.setUpOut();
-      net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+      FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
+      net.advance(Span.ofSeconds(3));
+      String address = net.sendFirstSetUp();
+      net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
       if (byTheServer) {
-        first(net).breaks();
+        firstAttemptConnection(net).closeByPeer();
       } else {
-        first(net).comes("no such thing");
+        firstAttemptConnection(net).deliver("no such thing");
       }
-      net.pass(Span.ofSeconds(3));
-      assertEquals(List.of(REQUEST), net.setUps);
+      net.advance(Span.ofSeconds(3));
+      assertEquals(List.of(REQUEST), net.setUpIds);
     }
   }
 
-  /** Two sessions of one server, set up on two connections; the second has been heard last. */
-  private static PaperNet twoStand() throws Exception {
-    PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-    net.pass(Span.ofSeconds(3));
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.viewers().comes(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
-    net.settle();
+  /** Two sessions at one server on two connections; data was last received on the second. */
+  private static FakeNet frontWithTwoSessions() throws Exception {
+    FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
+    net.advance(Span.ofSeconds(3));
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.acceptClient().deliver(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
+    net.runDeferred();
     for (long id = REQUEST; id <= REQUEST + 1; id++) {
-      long of = id;
-      Line by = net.lines.stream().filter(l -> l.setUps.contains(of)).findFirst().orElseThrow();
-      by.comes(line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
-      net.pass(Span.ofMillis(10));
+      long sessionId = id;
+      FakeConnection setUpConnection =
+          net.serverConnections.stream()
+              .filter(connection -> connection.setUpIds.contains(sessionId))
+              .findFirst()
+              .orElseThrow();
+      setUpConnection.deliver(
+          line("STARTED", ",\"blob\":\"b\"").replace("7\",\"opts", id + "\",\"opts"));
+      net.advance(Span.ofMillis(10));
     }
     return net;
   }
 
-  /** Guards against a rung or an end that overtakes what was written of the session before. */
+  /** Guards against a rung or an end that overtakes what was written for the session before. */
   @Test
-  void whatConcernsASessionKeepsToTheConnectionOfItsSetUp() throws Exception {
-    PaperNet net = twoStand();
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    assertEquals(List.of(REQUEST), first(net).ended);
+  void messagesOfASessionUseTheConnectionOfItsSetUp() throws Exception {
+    FakeNet net = frontWithTwoSessions();
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    assertEquals(List.of(REQUEST), firstAttemptConnection(net).endedIds);
   }
 
-  /** Guards against a session that stands for nobody: answered as its connection was closed. */
+  /** Guards against an orphaned session that was answered as its connection was closed. */
   @Test
   void anAttemptWhoseConnectionClosesIsEndedOnAnotherConnection() throws Exception {
     for (boolean byTheServer : new boolean[] {true, false}) {
-      PaperNet net = twoStand();
-      net.viewers().comes(PlatformViewers.setUp(9, "lesson", 2000, ""));
-      net.settle();
-      Line of = net.lines.stream().filter(l -> l.setUps.contains(9L)).findFirst().orElseThrow();
+      FakeNet net = frontWithTwoSessions();
+      net.acceptClient().deliver(PlatformViewers.setUp(9, "lesson", 2000, ""));
+      net.runDeferred();
+      FakeConnection attemptConnection =
+          net.serverConnections.stream()
+              .filter(connection -> connection.setUpIds.contains(9L))
+              .findFirst()
+              .orElseThrow();
       if (byTheServer) {
-        of.breaks();
+        attemptConnection.closeByPeer();
       } else {
-        of.comes("no such thing");
+        attemptConnection.deliver("no such thing");
       }
-      net.settle();
+      net.runDeferred();
       assertTrue(
-          net.lines.stream().anyMatch(l -> l != of && l.ended.contains(9L)), net.done.toString());
+          net.serverConnections.stream()
+              .anyMatch(
+                  connection ->
+                      connection != attemptConnection && connection.endedIds.contains(9L)),
+          net.actions.toString());
     }
   }
 
-  /** Guards against sessions that play on for nobody at a server whose way was cut for long. */
+  /** Guards against orphaned sessions at a server that was unreachable for long. */
   @Test
-  void sessionsGivenUpWhileTheirServerWasOutOfReachAreEndedOnceItIsReachedAgain() throws Exception {
-    PaperNet net = twoStand();
-    Line first = first(net);
-    net.unreachable.add(first.to);
-    net.lines.stream().filter(l -> l.to.equals(first.to)).forEach(Line::breaks);
-    net.pass(Span.ofSeconds(5));
-    assertTrue(net.said.contains("server lost"), net.said.toString());
-    long connections = net.opened(first.to);
+  void sessionsOfAnUnreachableServerAreEndedOnceItIsReachableAgain() throws Exception {
+    FakeNet net = frontWithTwoSessions();
+    FakeConnection first = firstAttemptConnection(net);
+    net.unreachable.add(first.address);
+    net.serverConnections.stream()
+        .filter(connection -> connection.address.equals(first.address))
+        .forEach(FakeConnection::closeByPeer);
+    net.advance(Span.ofSeconds(5));
+    assertTrue(net.logLines.contains("server lost"), net.logLines.toString());
+    long connectionsBefore = net.connectionCount(first.address);
     net.unreachable.clear();
-    net.pass(Span.ofSeconds(3)); // and nobody asks for anything there
-    assertEquals(connections + 1, net.opened(first.to));
-    Line again = net.box(first.to);
-    assertTrue(again.ended.containsAll(List.of(REQUEST, REQUEST + 1)), again.ended.toString());
+    net.advance(Span.ofSeconds(3)); // No client requests anything there.
+    assertEquals(connectionsBefore + 1, net.connectionCount(first.address));
+    FakeConnection reconnected = net.latestConnection(first.address);
+    assertTrue(
+        reconnected.endedIds.containsAll(List.of(REQUEST, REQUEST + 1)),
+        reconnected.endedIds.toString());
   }
 
-  /** Guards against an end that is lost with the connection that was reset behind it. */
+  /** Guards against an end that is lost with a connection reset right after it. */
   @Test
-  void anEndWrittenJustBeforeItsConnectionClosesIsToldOnAnother() throws Exception {
-    PaperNet net = twoStand();
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    Line of = first(net);
-    assertEquals(List.of(REQUEST), of.ended);
-    of.breaks();
-    net.settle();
-    assertTrue(net.lines.stream().anyMatch(l -> l != of && l.ended.contains(REQUEST)));
+  void anEndWrittenJustBeforeItsConnectionClosesIsRepeatedOnAnother() throws Exception {
+    FakeNet net = frontWithTwoSessions();
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    FakeConnection attemptConnection = firstAttemptConnection(net);
+    assertEquals(List.of(REQUEST), attemptConnection.endedIds);
+    attemptConnection.closeByPeer();
+    net.runDeferred();
+    assertTrue(
+        net.serverConnections.stream()
+            .anyMatch(
+                connection ->
+                    connection != attemptConnection && connection.endedIds.contains(REQUEST)));
   }
 
   /**
    * Guards against an end that waits for a new connection while the session's own is still open.
    */
   @Test
-  void anEndLeavesOnAConnectionThatIsSilentWhereNoOtherIsUp() throws Exception {
-    PaperNet net = givenUpSilently();
-    Line only = first(net);
-    assertEquals(List.of(REQUEST + 1), only.ended, "it takes no more set-ups from here on");
-    net.viewersLines.get(0).comes(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
-    net.settle();
-    assertTrue(only.ended.contains(REQUEST), only.ended.toString());
-  }
-
-  /** A session stands; a second attempt on its connection is given up with nothing heard. */
-  private static PaperNet givenUpSilently() throws Exception {
-    PaperNet net = PaperNet.front(t -> t.replace("\"probing\":true", "\"probing\":false"));
-    net.pass(Span.ofSeconds(3));
-    String at = net.setUpOut();
-    net.gone(at.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
-    net.boxesAnswerTests = false;
-    first(net).comes(line("STARTED", ",\"blob\":\"b\""));
-    net.settle();
-    net.unreachable.add(first(net).to);
-    net.viewers().comes(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
-    for (int i = 0; i < 100 && first(net).ended.isEmpty(); i++) {
-      net.pass(Span.ofMillis(10));
+  void anEndIsSentOnASilentConnectionWhereNoOtherIsUp() throws Exception {
+    FakeNet net = frontAfterASilentAttempt();
+    FakeConnection only = firstAttemptConnection(net);
+    assertEquals(List.of(REQUEST + 1), only.endedIds, "it takes no further set-ups from here on");
+    net.clientConnections.get(0).deliver(PlatformViewers.message(12, REQUEST, 61, new byte[] {16}));
+    net.runDeferred();
+    assertTrue(only.endedIds.contains(REQUEST), only.endedIds.toString());
+  }
+
+  /** A session is established; a second attempt on its connection is abandoned with no reply. */
+  private static FakeNet frontAfterASilentAttempt() throws Exception {
+    FakeNet net = FakeNet.front(text -> text.replace("\"probing\":true", "\"probing\":false"));
+    net.advance(Span.ofSeconds(3));
+    String address = net.sendFirstSetUp();
+    net.removeServer(address.endsWith(":3") ? "127.0.0.1:4" : "127.0.0.1:3");
+    net.serversAnswerTests = false;
+    firstAttemptConnection(net).deliver(line("STARTED", ",\"blob\":\"b\""));
+    net.runDeferred();
+    net.unreachable.add(firstAttemptConnection(net).address);
+    net.acceptClient().deliver(PlatformViewers.setUp(REQUEST + 1, "lesson", 2000, ""));
+    for (int i = 0; i < 100 && firstAttemptConnection(net).endedIds.isEmpty(); i++) {
+      net.advance(Span.ofMillis(10));
     }
     return net;
   }
 
-  /**
-   * Guards against a session that stands for nobody at a new server that has a gone one's address.
-   */
+  /** Guards against an orphaned session at a new server that has the address of a removed one. */
   @Test
-  void anAttemptUnderAConnectionThatTheFrontClosesIsEndedOnItFirst() throws Exception {
-    for (boolean gone : new boolean[] {true, false}) {
-      PaperNet net = PaperNet.front();
-      String at = net.setUpOut();
-      Line of = first(net);
-      if (gone) {
-        net.gone(at);
+  void anAttemptIsEndedBeforeTheFrontClosesItsConnection() throws Exception {
+    for (boolean removed : new boolean[] {true, false}) {
+      FakeNet net = FakeNet.front();
+      String address = net.sendFirstSetUp();
+      FakeConnection attemptConnection = firstAttemptConnection(net);
+      if (removed) {
+        net.removeServer(address);
       } else {
-        of.comes("no such thing");
+        attemptConnection.deliver("no such thing");
       }
-      net.settle();
-      assertTrue(of.over);
-      assertEquals(List.of(REQUEST), of.ended);
+      net.runDeferred();
+      assertTrue(attemptConnection.closed);
+      assertEquals(List.of(REQUEST), attemptConnection.endedIds);
     }
   }
 }
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -4,39 +4,39 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import linengauge.Headend;
+import linengauge.Deployment;
+import linengauge.Environment;
 import linengauge.Moment;
-import linengauge.Outside;
-import linengauge.PackageTerms;
+import linengauge.PackageSettings;
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 
 /**
- * A front that stood still reads an answer after the wait that it told the box, before its own
- * timer has run.
+ * After a process pause, a front reads an answer that came later than the wait that it sent to the
+ * box, before its own timer has run.
  */
 class LateAnswerTest {
   private final List<String> done = new ArrayList<>();
-  private Held out;
+  private Session sentSession;
 
-  private final Carrier carrier =
-      new Carrier() {
+  private final Transport transport =
+      new Transport() {
         @Override
-        public Wake wakeAfter(Span span, Runnable step) {
+        public Timer schedule(Span span, Runnable step) {
           return () -> {};
         }
 
         @Override
-        public void setUp(Held vw, int tuneIn) {
+        public void setUp(Session session, int tuneIn) {
           done.add("set-up " + tuneIn);
-          out = vw;
+          sentSession = session;
         }
 
         @Override
-        public void rung(Held vw) {}
+        public void changeRung(Session session) {}
 
         @Override
-        public void withdraw(Held vw, BoxTable.Entry box, int tuneIn) {
+        public void cancelAtBox(Session session, BoxTable.Entry box, int tuneIn) {
           done.add("withdrawn " + tuneIn);
         }
 
@@ -47,7 +47,7 @@
         public void send(int front, byte[] datagram) {}
 
         @Override
-        public void failed(RuntimeException cause) {
+        public void coreFailed(RuntimeException cause) {
           throw cause;
         }
       };
@@ -55,60 +55,63 @@
   private final Viewer viewer =
       new Viewer() {
         @Override
-        public void plays(Held vw) {
+        public void started(Session session) {
           done.add("plays");
         }
 
         @Override
-        public void blocked(Span comeBackAfter, Outside.Refusal reason) {
+        public void rejected(Span retryAfter, Environment.RejectionReason reason) {
           done.add("blocked");
         }
 
         @Override
-        public void aborted(Cause cause) {
+        public void failed(FailureCause cause) {
           done.add("aborted");
         }
 
         @Override
-        public void ended(End how) {
+        public void ended(EndReason reason) {
           done.add("ended");
         }
 
         @Override
-        public Moment lastAsked() {
+        public Moment lastRequestAt() {
           return Moment.DISTANT_PAST;
         }
       };
 
-  private List<String> answeredAfter(long ms) {
-    PackageTerms pack = new PackageTerms(1, Span.ofMillis(800), 1, 0, 1, 0, false);
-    Headend house =
-        new Headend(
+  private List<String> answeredAfter(long millis) {
+    PackageSettings packageSettings = new PackageSettings(1, Span.ofMillis(800), 1, 0, 1, 0, false);
+    Deployment deployment =
+        new Deployment(
             1,
             0,
             0,
-            List.of(pack),
+            List.of(packageSettings),
             new double[] {100, 200},
             new double[] {0.5, 1},
-            new Headend.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
-            new Headend.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
-            new Headend.Permits(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
-    Desk desk =
-        new Desk(
-            house,
-            new Desk.Bounds(
+            new Deployment.Fleet(1, 1, new int[] {50}, 10_000, 5000, 50_000, Span.ofSeconds(1)),
+            new Deployment.Rules(Span.ofSeconds(5), 0.5, 2, Span.ofSeconds(1), 0, 0, Span.NONE),
+            new Deployment.Permissions(3, false, false, true, 0, 0, 0, Span.ofSeconds(1)));
+    SessionManager manager =
+        new SessionManager(
+            deployment,
+            new SessionManager.Limits(
                 10, Span.NONE, Span.NONE, Span.ofMillis(500), Span.ofSeconds(5), Span.NONE),
             1,
             "e",
-            carrier);
-    desk.clock(new Moment(0));
-    desk.listed(
+            transport);
+    manager.updateTime(new Moment(0));
+    manager.applyDiscovery(
         1,
         List.of(
-            new BoxTable.Row(1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
-    desk.take(new Held.Ask("t", 0, 0, 0, pack, 1, Span.ofMillis(1000), null), viewer);
-    desk.clock(new Moment(ms * 1000));
-    out.plays(0);
+            new BoxTable.ListedBox(
+                1, "a:1", 2, 0, 0, BoxTable.State.SERVING, 0, Moment.DISTANT_PAST)));
+    manager.accept(
+        new Session.SessionRequest("t", 0, 0, 0, packageSettings, 1, Span.ofMillis(1000), null),
+        viewer);
+    manager.updateTime(new Moment(millis * 1000));
+    sentSession.setUpSucceeded(0);
     return done;
   }
 
@@ -118,12 +121,12 @@
   }
 
   @Test
-  void oneAfterTheWaitToldToTheBoxIsTakenBackAndDoesNotPlay() {
+  void anAnswerAfterTheTuneInTimeoutIsCancelledAndDoesNotPlay() {
     assertEquals(List.of("set-up 0", "withdrawn 0"), answeredAfter(500));
   }
 
   @Test
-  void oneAfterTheViewersPatienceIsTakenBackAndTheAnswerIsNo() {
+  void anAnswerAfterTheDeadlineIsCancelledAndTheRequestFails() {
     assertEquals(List.of("set-up 0", "aborted", "withdrawn 0"), answeredAfter(1100));
   }
 }
--- a/src/test/java/linengauge/soak/SoakClients.java
+++ b/src/test/java/linengauge/soak/SoakClients.java
@@ -9,23 +9,23 @@
 import java.util.SplittableRandom;
 import linengauge.standin.FaultyServer;
 import linengauge.standin.PlatformViewers;
-import linengauge.standin.PlatformViewers.Said;
+import linengauge.standin.PlatformViewers.FrontMessage;
 
 /**
- * The clients of one front, on a thread of their own: usual ones, some that give up early, repeat,
- * write in pieces or close as they write, and bad ones. They use open connections as long as these
- * are open, and come again at once where one ends.
+ * The clients of one front, on one thread: regular ones, some that cancel early, repeat, write in
+ * pieces or close the connection right after writing, and some that send invalid data. They reuse
+ * open connections as long as these last, and retry at once when one ends.
  */
 final class SoakClients implements Runnable {
   private static final int ANSWERED = 9;
   private static final int RELEASED = 12;
   private static final int MOVED = 51;
-  private static final int MOST_CONNECTIONS = 4;
+  private static final int MAX_CONNECTIONS = 4;
   private static final int TICK_MS = 3;
-  private static final int GIVE_UP = 16;
-  private static final long CROSSING_MICROS = 55_000;
-  private static final int BAD_BYTES = 4096;
-  private static final List<Integer> REFUSALS = List.of(34, 42, 102);
+  private static final int CANCEL_CAUSE = 16;
+  private static final long RESEND_WINDOW_MICROS = 55_000;
+  private static final int MAX_INVALID_BYTES = 4096;
+  private static final List<Integer> REJECTION_CAUSES = List.of(34, 42, 102);
 
   private final class Connection {
     private final PlatformViewers socket;
@@ -38,35 +38,35 @@
 
   private final SoakFront front;
   private final SoakTerms terms;
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<Connection> connections = new ArrayList<>();
-  private final List<PlatformViewers> bad = new ArrayList<>();
+  private final List<PlatformViewers> invalidClients = new ArrayList<>();
   private final Map<Long, SoakRequest> requests = new HashMap<>();
   private long nextId;
-  private volatile boolean asking = true;
+  private volatile boolean sending = true;
   private volatile boolean running = true;
-  private volatile int burst;
-  private volatile boolean handOver;
+  private volatile int burstSize;
+  private volatile boolean handOverPending;
 
-  SoakClients(SoakFront front, SoakTerms terms, SplittableRandom chance) {
+  SoakClients(SoakFront front, SoakTerms terms, SplittableRandom random) {
     this.front = front;
     this.terms = terms;
-    this.chance = chance;
+    this.random = random;
     this.nextId = (front.number + 1L) * 1_000_000;
   }
 
-  /** So many requests at once, with the next turn. */
-  void burst(int more) {
-    burst = more;
+  /** Sends so many requests at once in the next turn. */
+  void scheduleBurst(int size) {
+    burstSize = size;
   }
 
-  /** The front has come back after it was killed: what stands is handed over to it. */
-  void handOver() {
-    handOver = true;
+  /** Hands the open sessions over in the next turn, after the front has restarted. */
+  void scheduleHandOver() {
+    handOverPending = true;
   }
 
-  void stopAsking() {
-    asking = false;
+  void stopSending() {
+    sending = false;
   }
 
   void stop() {
@@ -83,9 +83,9 @@
     try {
       while (running) {
         Thread.sleep(TICK_MS);
-        turn(asking && FaultyServer.nowMicros() >= nextAt);
+        turn(sending && FaultyServer.nowMicros() >= nextAt);
         if (FaultyServer.nowMicros() >= nextAt) {
-          nextAt = FaultyServer.nowMicros() + 1000L * (10 + chance.nextInt(70));
+          nextAt = FaultyServer.nowMicros() + 1000L * (10 + random.nextInt(70));
         }
       }
     } catch (InterruptedException e) {
@@ -93,179 +93,189 @@
     }
   }
 
-  private synchronized void turn(boolean asks) throws InterruptedException {
+  private synchronized void turn(boolean requestDue) throws InterruptedException {
     for (Connection connection : List.copyOf(connections)) {
-      hear(connection);
+      receive(connection);
     }
     endSessions();
-    if (handOver) {
-      handOver = false;
-      handOverStanding();
+    if (handOverPending) {
+      handOverPending = false;
+      handOverSessions();
     }
-    int count = (asks ? 1 : 0) + burst;
-    burst = 0;
+    int count = (requestDue ? 1 : 0) + burstSize;
+    burstSize = 0;
     for (int i = 0; i < count; i++) {
-      ask();
+      sendRequest();
     }
-    if (asks && chance.nextInt(12) == 0) {
-      beBad();
+    if (requestDue && random.nextInt(12) == 0) {
+      sendInvalid();
     }
   }
 
-  /* ---- asking ---- */
+  /* ---- requests ---- */
 
-  private void ask() throws InterruptedException {
+  private void sendRequest() throws InterruptedException {
     long[] deadlines = {terms.deadlineMs(), terms.deadlineMs(), terms.deadlineMs() / 2};
     SoakRequest request =
         new SoakRequest(
             nextId++,
-            chance.nextInt(4) == 0,
+            random.nextInt(4) == 0,
             front.number,
-            deadlines[chance.nextInt(deadlines.length)]);
+            deadlines[random.nextInt(deadlines.length)]);
     requests.put(request.id, request);
-    send(request, chance.nextInt(4) > 0);
+    send(request, random.nextInt(4) > 0);
   }
 
-  private void send(SoakRequest request, boolean onOpenOne) throws InterruptedException {
-    Connection by = onOpenOne && !connections.isEmpty() ? any() : connect();
-    if (by == null) {
-      request.notTaken = true;
+  private void send(SoakRequest request, boolean reuseConnection) throws InterruptedException {
+    Connection connection = reuseConnection && !connections.isEmpty() ? anyConnection() : connect();
+    if (connection == null) {
+      request.notConnected = true;
       return;
     }
     byte[] message =
         PlatformViewers.setUp(request.id, request.paid ? "paid" : "lesson", request.deadlineMs, "");
     try {
-      int first = chance.nextInt(8) == 0 ? 1 + chance.nextInt(message.length - 1) : message.length;
-      by.socket.send(java.util.Arrays.copyOf(message, first));
-      if (first < message.length) {
-        Thread.sleep(1 + chance.nextInt(4));
-        by.socket.send(java.util.Arrays.copyOfRange(message, first, message.length));
+      int firstLength =
+          random.nextInt(8) == 0 ? 1 + random.nextInt(message.length - 1) : message.length;
+      connection.socket.send(java.util.Arrays.copyOf(message, firstLength));
+      if (firstLength < message.length) {
+        Thread.sleep(1 + random.nextInt(4));
+        connection.socket.send(java.util.Arrays.copyOfRange(message, firstLength, message.length));
       }
       request.sentAt = FaultyServer.nowMicros();
-      by.waiting.put(request.id, request);
-      afterSending(by, request);
+      connection.waiting.put(request.id, request);
+      abandonSome(connection, request);
     } catch (IOException e) {
       request.sentAt = FaultyServer.nowMicros();
-      by.waiting.put(request.id, request);
-      ended(by);
+      connection.waiting.put(request.id, request);
+      connectionEnded(connection);
     }
   }
 
-  /** Some leave at once: by an end right behind it, or by closing the connection. */
-  private void afterSending(Connection by, SoakRequest request) throws IOException {
-    int how = chance.nextInt(40);
-    if (how == 0) {
-      giveUp(by, request);
-    } else if (how == 1) {
-      closeByClient(by);
+  /**
+   * Some leave at once: by a cancellation right behind the request, or by closing the connection.
+   */
+  private void abandonSome(Connection connection, SoakRequest request) throws IOException {
+    int choice = random.nextInt(40);
+    if (choice == 0) {
+      cancel(connection, request);
+    } else if (choice == 1) {
+      closeFromClient(connection);
     }
   }
 
-  private Connection any() {
-    return connections.get(chance.nextInt(connections.size()));
+  private Connection anyConnection() {
+    return connections.get(random.nextInt(connections.size()));
   }
 
   private Connection connect() {
-    if (connections.size() >= MOST_CONNECTIONS) {
-      return any();
+    if (connections.size() >= MAX_CONNECTIONS) {
+      return anyConnection();
     }
     try {
-      Connection anew = new Connection();
-      connections.add(anew);
-      return anew;
+      Connection opened = new Connection();
+      connections.add(opened);
+      return opened;
     } catch (ConnectException e) {
-      return null; // nobody listens
+      return null; // Nothing listens there.
     } catch (IOException e) {
       return null;
     }
   }
 
-  private void giveUp(Connection by, SoakRequest request) throws IOException {
-    by.socket.end(request.id, GIVE_UP);
-    request.gaveUpAt = FaultyServer.nowMicros();
-    by.waiting.remove(request.id);
+  private void cancel(Connection connection, SoakRequest request) throws IOException {
+    connection.socket.end(request.id, CANCEL_CAUSE);
+    request.cancelledAt = FaultyServer.nowMicros();
+    connection.waiting.remove(request.id);
   }
 
-  private void closeByClient(Connection by) throws IOException {
-    connections.remove(by);
-    for (SoakRequest request : by.waiting.values()) {
-      request.gaveUpAt = FaultyServer.nowMicros();
-      request.leftByClose = true;
+  private void closeFromClient(Connection connection) throws IOException {
+    connections.remove(connection);
+    for (SoakRequest request : connection.waiting.values()) {
+      request.cancelledAt = FaultyServer.nowMicros();
+      request.abandonedByClose = true;
     }
-    by.socket.close();
+    connection.socket.close();
   }
 
-  /* ---- hearing ---- */
+  /* ---- answers ---- */
 
-  private void hear(Connection by) throws InterruptedException {
-    for (Said said = by.socket.next(0); said != null; said = by.socket.next(0)) {
-      if (said == Said.CLOSED) {
-        ended(by);
+  private void receive(Connection connection) throws InterruptedException {
+    for (FrontMessage message = connection.socket.next(0);
+        message != null;
+        message = connection.socket.next(0)) {
+      if (message == FrontMessage.CLOSED) {
+        connectionEnded(connection);
         return;
       }
-      SoakRequest request = requests.get(said.id());
+      SoakRequest request = requests.get(message.id());
       if (request != null) {
-        hear(request, said);
-        by.waiting.remove(said.id());
+        handle(request, message);
+        connection.waiting.remove(message.id());
       }
     }
     long now = FaultyServer.nowMicros();
-    for (SoakRequest request : List.copyOf(by.waiting.values())) {
-      if (now - request.sentAt > 1000 * request.deadlineMs / 4 && chance.nextInt(2000) == 0) {
+    for (SoakRequest request : List.copyOf(connection.waiting.values())) {
+      if (now - request.sentAt > 1000 * request.deadlineMs / 4 && random.nextInt(2000) == 0) {
         try {
-          giveUp(by, request);
+          cancel(connection, request);
         } catch (IOException e) {
-          ended(by);
+          connectionEnded(connection);
           return;
         }
       }
     }
   }
 
-  private void hear(SoakRequest request, Said said) {
+  private void handle(SoakRequest request, FrontMessage message) {
     long now = FaultyServer.nowMicros();
-    if (said.type() == ANSWERED) {
-      answered(request, said, now);
-    } else if (said.type() == RELEASED || said.type() == MOVED) {
+    if (message.type() == ANSWERED) {
+      handleAnswer(request, message, now);
+    } else if (message.type() == RELEASED || message.type() == MOVED) {
       if (request.answers.contains("answered")) {
         request.releasedAt = Math.min(request.releasedAt, now);
       } else {
-        settle(request, REFUSALS.contains(said.cause()) ? "refused" : "failed", now);
+        recordAnswer(
+            request, REJECTION_CAUSES.contains(message.cause()) ? "refused" : "failed", now);
       }
     }
   }
 
-  private void answered(SoakRequest request, Said said, long now) {
-    settle(request, "answered", now);
-    String made = "m=audio of " + request.id + "\r\nat ";
-    if (said.description() == null || !said.description().startsWith(made)) {
-      request.wrong = "answered with what no server made for it: " + said.description();
+  private void handleAnswer(SoakRequest request, FrontMessage message, long now) {
+    recordAnswer(request, "answered", now);
+    String expectedStart = "m=audio of " + request.id + "\r\nat ";
+    if (message.description() == null || !message.description().startsWith(expectedStart)) {
+      request.wrongAnswer =
+          "answered with a description that no server made for it: " + message.description();
     } else {
-      request.server = said.description().substring(made.length()).strip();
-      request.standsUntil = now + 1000L * (200 + chance.nextInt(3000));
+      request.server = message.description().substring(expectedStart.length()).strip();
+      request.sessionUntil = now + 1000L * (200 + random.nextInt(3000));
     }
   }
 
-  private static void settle(SoakRequest request, String how, long now) {
-    request.answers.add(how);
+  private static void recordAnswer(SoakRequest request, String outcome, long now) {
+    request.answers.add(outcome);
     request.answeredAt = Math.min(request.answeredAt, now);
   }
 
-  /** The connection has ended from the other side; what crossed its end is sent again, once. */
-  private void ended(Connection by) throws InterruptedException {
-    connections.remove(by);
+  /**
+   * Handles a connection that the other side has closed: a request that was sent just before is
+   * sent again, once.
+   */
+  private void connectionEnded(Connection connection) throws InterruptedException {
+    connections.remove(connection);
     try {
-      by.socket.close();
+      connection.socket.close();
     } catch (IOException e) {
-      // closed already
+      // The socket is closed already.
     }
     long now = FaultyServer.nowMicros();
-    for (SoakRequest request : List.copyOf(by.waiting.values())) {
-      if (now - request.sentAt <= CROSSING_MICROS && !request.sentAgain) {
-        request.sentAgain = true;
+    for (SoakRequest request : List.copyOf(connection.waiting.values())) {
+      if (now - request.sentAt <= RESEND_WINDOW_MICROS && !request.resent) {
+        request.resent = true;
         send(request, false);
       } else {
-        request.cutAt = now;
+        request.connectionLostAt = now;
       }
     }
   }
@@ -275,27 +285,27 @@
   private void endSessions() {
     long now = FaultyServer.nowMicros();
     for (SoakRequest request : requests.values()) {
-      if (request.stands() && request.standsUntil < now && !connections.isEmpty()) {
-        Connection by = any();
+      if (request.hasSession() && request.sessionUntil < now && !connections.isEmpty()) {
+        Connection connection = anyConnection();
         try {
-          by.socket.end(request.id, GIVE_UP);
+          connection.socket.end(request.id, CANCEL_CAUSE);
           request.endedByClientAt = now;
-          if (chance.nextInt(25) == 0) {
-            closeByClient(by); // right behind what it wrote
+          if (random.nextInt(25) == 0) {
+            closeFromClient(connection); // Closes right behind the message it wrote.
           }
         } catch (IOException e) {
-          return; // told again with the next turn
+          return; // The next turn sends the end again.
         }
       }
     }
   }
 
-  private void handOverStanding() {
-    Connection by = connect();
+  private void handOverSessions() {
+    Connection connection = connect();
     for (SoakRequest request : requests.values()) {
-      if (by != null && request.stands()) {
+      if (connection != null && request.hasSession()) {
         try {
-          by.socket.send(
+          connection.socket.send(
               PlatformViewers.setUp(
                   request.id, request.paid ? "paid" : "lesson", 0, ";at:" + request.server));
         } catch (IOException e) {
@@ -305,20 +315,20 @@
     }
   }
 
-  /* ---- bad clients ---- */
+  /* ---- invalid clients ---- */
 
-  private void beBad() {
+  private void sendInvalid() {
     try {
       PlatformViewers socket = new PlatformViewers(front.port);
-      bad.add(socket);
-      if (bad.size() > 10) {
-        bad.remove(0).close();
+      invalidClients.add(socket);
+      if (invalidClients.size() > 10) {
+        invalidClients.remove(0).close();
       }
-      byte[] noise = new byte[chance.nextInt(BAD_BYTES) + 1];
-      switch (chance.nextInt(5)) {
+      byte[] noise = new byte[random.nextInt(MAX_INVALID_BYTES) + 1];
+      switch (random.nextInt(5)) {
         case 0 -> {
           for (int i = 0; i < noise.length; i++) {
-            noise[i] = (byte) chance.nextInt(256);
+            noise[i] = (byte) random.nextInt(256);
           }
           socket.send(noise);
         }
@@ -330,11 +340,11 @@
           socket.close();
         }
         default -> {
-          // connects and says nothing
+          // Connects and sends nothing.
         }
       }
     } catch (IOException e) {
-      // closed on it, as it should be
+      // The front has closed the connection, as it should.
     }
   }
 }
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -19,92 +19,94 @@
 import linengauge.standin.PlatformViewers;
 
 /**
- * One short dense day: a few fronts as real processes, their servers, discovery and clients, with
- * faults drawn from a seed, several at once. What was broken is told by {@link SoakJudge}.
+ * One short and dense run: a few fronts as real processes with their servers, discovery and
+ * clients, and with faults drawn from a seed, several at a time. {@link SoakJudge} finds the rules
+ * that were broken.
  */
 final class SoakDay implements AutoCloseable {
   private static final int FRONTS = 3;
   private static final int SERVERS = 6;
   private static final int CELLS = 2;
-  private static final int FAULTY_MS = 9000;
-  private static final int SETTLES_MS = 2500;
+  private static final int FAULT_PHASE_MS = 9000;
+  private static final int SETTLING_MS = 2500;
   private static final int TEST_PASSED = 53;
-  private static final long MICROS = 1000;
+  private static final long MICROS_PER_MS = 1000;
 
-  private record Listed(FaultyServer server, int number, int cell, long startedMs) {}
+  private record ListedServer(FaultyServer server, int number, int cell, long startedMs) {}
 
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
 
-  /** For what runs beside the script, so that this depends on the seed alone. */
-  private final SplittableRandom asideChance;
+  /** For the background steps, so that the script depends on the seed alone. */
+  private final SplittableRandom backgroundRandom;
 
   private final SoakTerms terms;
   private final Path folder;
   private final SoakDiscovery discovery;
   private final List<SoakFront> fronts = new ArrayList<>();
   private final List<SoakClients> clients = new ArrayList<>();
-  private final List<Listed> listed = new CopyOnWriteArrayList<>();
+  private final List<ListedServer> listedServers = new CopyOnWriteArrayList<>();
   private final List<FaultyServer> servers = new CopyOnWriteArrayList<>();
   private final Map<String, Long> coldSince = new LinkedHashMap<>();
-  private final List<Long> moves = new CopyOnWriteArrayList<>();
-  private final List<CompletableFuture<Void>> under = new CopyOnWriteArrayList<>();
-  private final List<String> limits = new CopyOnWriteArrayList<>();
+  private final List<Long> discoveryMoves = new CopyOnWriteArrayList<>();
+  private final List<CompletableFuture<Void>> backgroundSteps = new CopyOnWriteArrayList<>();
+  private final List<String> limitViolations = new CopyOnWriteArrayList<>();
 
-  /** What was done, with its time; for whoever looks into a day. */
+  /** The faults with their times, for whoever investigates a run. */
   private final List<String> script = new CopyOnWriteArrayList<>();
 
-  private final long begunAt = FaultyServer.nowMicros();
-  private int serverNumber;
+  private final long startedAt = FaultyServer.nowMicros();
+  private int lastServerNumber;
 
   SoakDay(long seed, Path folder) throws IOException {
-    this.chance = new SplittableRandom(seed);
-    this.asideChance = chance.split();
-    this.terms = SoakTerms.draw(chance);
+    this.random = new SplittableRandom(seed);
+    this.backgroundRandom = random.split();
+    this.terms = SoakTerms.draw(random);
     this.folder = folder;
-    this.discovery = new SoakDiscovery(chance.split());
+    this.discovery = new SoakDiscovery(random.split());
     for (int i = 0; i < SERVERS; i++) {
       addServer(0, 0);
     }
     for (int i = 0; i < FRONTS; i++) {
       SoakFront front = new SoakFront(i, PlatformTryOut.freePort(), folder);
       fronts.add(front);
-      clients.add(new SoakClients(front, terms, chance.split()));
+      clients.add(new SoakClients(front, terms, random.split()));
     }
   }
 
-  /** Plays the day and returns what was broken. */
-  List<String> play() throws Exception {
+  /** Runs the script and returns the broken rules. */
+  List<String> run() throws Exception {
     for (SoakFront front : fronts) {
       start(front);
     }
-    for (SoakClients of : clients) {
-      Thread thread = new Thread(of, "soak-clients");
+    for (SoakClients frontClients : clients) {
+      Thread thread = new Thread(frontClients, "soak-clients");
       thread.setDaemon(true);
       thread.start();
     }
-    long until = FaultyServer.nowMicros() + FAULTY_MS * MICROS;
-    aside(this::restartAll);
+    long until = FaultyServer.nowMicros() + FAULT_PHASE_MS * MICROS_PER_MS;
+    runInBackground(this::restartAll);
     while (FaultyServer.nowMicros() < until) {
-      Thread.sleep(80 + chance.nextInt(400));
-      oneFault();
-      sampleLimits();
+      Thread.sleep(80 + random.nextInt(400));
+      injectFault();
+      checkLimits();
     }
-    for (CompletableFuture<Void> step : under) {
+    for (CompletableFuture<Void> step : backgroundSteps) {
       step.join();
     }
     return settle();
   }
 
   private List<String> settle() throws Exception {
-    for (Listed one : listed) {
-      one.server.faults(healthy());
+    for (ListedServer target : listedServers) {
+      target.server.setFaults(healthy());
     }
-    clients.forEach(SoakClients::stopAsking);
-    Thread.sleep(terms.deadlineMs() + 4000); // the last answers, and the last sessions' ends
-    Thread.sleep(SETTLES_MS);
-    List<String> standing = standing();
+    clients.forEach(SoakClients::stopSending);
+    // Until the last answers have come and the last sessions have ended.
+    Thread.sleep(terms.deadlineMs() + 4000);
+    Thread.sleep(SETTLING_MS);
+    List<String> orphaned = orphanedRequests();
     for (SoakFront front : fronts) {
-      front.tellToStop();
+      front.requestStop();
     }
     Thread.sleep(terms.killAfterMs());
     for (SoakFront front : fronts) {
@@ -114,29 +116,30 @@
     long endedAt = FaultyServer.nowMicros();
     clients.forEach(SoakClients::stop);
     List<SoakRequest> requests = new ArrayList<>();
-    clients.forEach(of -> requests.addAll(of.requests()));
-    SoakJudge.Day day =
-        new SoakJudge.Day(
+    clients.forEach(frontClients -> requests.addAll(frontClients.requests()));
+    SoakJudge.Observations observations =
+        new SoakJudge.Observations(
             terms,
             fronts,
             requests,
             servers,
             coldSince,
-            discovery.withdrawn(),
+            discovery.removals(),
             discovery.outages(),
-            moves,
-            standing,
+            discoveryMoves,
+            orphaned,
             endedAt);
-    List<String> broken = SoakJudge.judge(day);
-    broken.addAll(limits);
-    broken.addAll(crashesLogged());
-    figures(requests);
-    return broken;
+    List<String> violations = SoakJudge.judge(observations);
+    violations.addAll(limitViolations);
+    violations.addAll(loggedCrashes());
+    writeScript(requests);
+    return violations;
   }
 
-  private void figures(List<SoakRequest> requests) throws IOException {
-    long answered = requests.stream().filter(r -> r.answers.contains("answered")).count();
-    long attempts = servers.stream().mapToLong(s -> s.attempts().size()).sum();
+  private void writeScript(List<SoakRequest> requests) throws IOException {
+    long answered =
+        requests.stream().filter(request -> request.answers.contains("answered")).count();
+    long attempts = servers.stream().mapToLong(server -> server.attempts().size()).sum();
     script.add(
         terms
             + ": "
@@ -149,42 +152,49 @@
     Files.write(folder.resolve("script"), script);
   }
 
-  /** What was asked, answered and done, in one line. */
+  /** The settings and the numbers of requests, answers and attempts, in one line. */
   String summary() {
     return script.get(script.size() - 1);
   }
 
-  /** Requests that stand at a server though their client has left, or never heard of it. */
-  private List<String> standing() {
+  /** Requests that are open at a server though their client has left or never got an answer. */
+  private List<String> orphanedRequests() {
     Map<String, SoakRequest> byTag = new LinkedHashMap<>();
-    clients.forEach(of -> of.requests().forEach(r -> byTag.put(r.tag, r)));
-    List<String> standing = new ArrayList<>();
-    for (Listed one : listed) {
-      for (String tag : one.server.open()) {
+    clients.forEach(
+        frontClients ->
+            frontClients.requests().forEach(request -> byTag.put(request.tag, request)));
+    List<String> orphaned = new ArrayList<>();
+    for (ListedServer target : listedServers) {
+      for (String tag : target.server.open()) {
         SoakRequest request = byTag.get(tag);
-        boolean wanted = request != null && request.stands();
-        if (request != null && !wanted && !request.leftByClose && !diedMeanwhile(request)) {
-          standing.add(tag + " at " + one.server.id() + ", " + request);
+        boolean wanted = request != null && request.hasSession();
+        if (request != null
+            && !wanted
+            && !request.abandonedByClose
+            && !frontWasKilledMeanwhile(request)) {
+          orphaned.add(tag + " at " + target.server.id() + ", " + request);
         }
       }
     }
-    return standing;
+    return orphaned;
   }
 
-  /** Its front was killed while it was out: nobody is left who knows of the attempt. */
-  private boolean diedMeanwhile(SoakRequest request) {
-    return fronts.get(request.front).lives.stream()
+  /**
+   * Whether the front was killed while the request was open, so that no process knows the attempt.
+   */
+  private boolean frontWasKilledMeanwhile(SoakRequest request) {
+    return fronts.get(request.front).runs.stream()
         .anyMatch(
-            life ->
-                life.killedAt != SoakFront.Life.NEVER
-                    && life.startedAt < request.sentAt
-                    && request.sentAt < life.killedAt);
+            run ->
+                run.killedAt != SoakFront.ProcessRun.NEVER
+                    && run.startedAt < request.sentAt
+                    && request.sentAt < run.killedAt);
   }
 
-  private List<String> crashesLogged() throws IOException {
+  private List<String> loggedCrashes() throws IOException {
     List<String> found = new ArrayList<>();
     for (SoakFront front : fronts) {
-      for (String line : Files.readAllLines(front.log())) {
+      for (String line : Files.readAllLines(front.logFile())) {
         if (line.contains("Exception") || line.matches("\\S+ ERROR .*")) {
           found.add("crash front " + front.number + " logged: " + line);
         }
@@ -193,19 +203,19 @@
     return found;
   }
 
-  private void sampleLimits() {
+  private void checkLimits() {
     for (SoakFront front : fronts) {
       int[] usage = front.isAlive() ? front.usage() : null;
       if (usage != null && (usage[0] > SoakTerms.MEMORY_MB || usage[1] > SoakTerms.DESCRIPTORS)) {
-        limits.add("limits front " + front.number + ": " + usage[0] + " MB, " + usage[1]);
+        limitViolations.add("limits front " + front.number + ": " + usage[0] + " MB, " + usage[1]);
       }
     }
   }
 
   /* ---- faults ---- */
 
-  private void aside(Callable<Void> step) {
-    under.add(
+  private void runInBackground(Callable<Void> step) {
+    backgroundSteps.add(
         CompletableFuture.runAsync(
             () -> {
               try {
@@ -221,38 +231,38 @@
             }));
   }
 
-  private void note(String what) {
-    script.add((FaultyServer.nowMicros() - begunAt) / MICROS + " ms " + what);
+  private void addToScript(String text) {
+    script.add((FaultyServer.nowMicros() - startedAt) / MICROS_PER_MS + " ms " + text);
   }
 
-  private void oneFault() throws Exception {
-    Listed one = listed.get(chance.nextInt(listed.size()));
-    int span = 200 + chance.nextInt(2500);
-    switch (chance.nextInt(12)) {
-      case 0 -> forAWhile(one, "hangs", span, one.server::hang);
-      case 1 -> forAWhile(one, "vanishes", span, () -> vanish(one));
+  private void injectFault() throws Exception {
+    ListedServer target = listedServers.get(random.nextInt(listedServers.size()));
+    int durationMs = 200 + random.nextInt(2500);
+    switch (random.nextInt(12)) {
+      case 0 -> injectFaultFor(target, "hangs", durationMs, target.server::hang);
+      case 1 -> injectFaultFor(target, "vanishes", durationMs, () -> vanish(target));
       case 2 -> {
-        note(one.server.id() + " resets its connections");
-        one.server.resetAll();
+        addToScript(target.server.id() + " resets its connections");
+        target.server.resetAll();
       }
       case 3, 4 -> {
         Faults faults = drawFaults();
-        note(one.server.id() + " " + faults);
-        one.server.faults(faults);
+        addToScript(target.server.id() + " " + faults);
+        target.server.setFaults(faults);
       }
-      case 5 -> aside(() -> replace(one, span));
-      case 6 -> silence(span);
-      case 7 -> outage(span);
+      case 5 -> runInBackground(() -> replaceServer(target, durationMs));
+      case 6 -> silenceDiscovery(durationMs);
+      case 7 -> interruptDiscovery(durationMs);
       case 8 -> moveDiscovery();
       case 9 -> {
-        note("a crowd");
-        clients.get(chance.nextInt(clients.size())).burst(40 + chance.nextInt(120));
+        addToScript("a burst of requests");
+        clients.get(random.nextInt(clients.size())).scheduleBurst(40 + random.nextInt(120));
       }
       case 10 -> {
-        note(one.server.id() + " ends some sessions");
-        one.server.endSome(0.5);
+        addToScript(target.server.id() + " ends some sessions");
+        target.server.endSome(0.5);
       }
-      default -> killOutright();
+      default -> killSomeFront();
     }
   }
 
@@ -262,165 +272,170 @@
 
   private Faults drawFaults() {
     return new Faults(
-        chance.nextInt(150),
-        chance.nextDouble() * 0.5,
-        chance.nextDouble() * 0.2,
-        chance.nextDouble() * 0.3,
-        chance.nextDouble() * 0.15,
+        random.nextInt(150),
+        random.nextDouble() * 0.5,
+        random.nextDouble() * 0.2,
+        random.nextDouble() * 0.3,
+        random.nextDouble() * 0.15,
         1,
-        1 + chance.nextInt(400),
-        chance.nextBoolean(),
-        chance.nextDouble() * 0.3);
+        1 + random.nextInt(400),
+        random.nextBoolean(),
+        random.nextDouble() * 0.3);
   }
 
-  private static void vanish(Listed one) {
+  private static void vanish(ListedServer target) {
     try {
-      one.server.vanish();
+      target.server.becomeUnreachable();
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private void forAWhile(Listed one, String what, int ms, Runnable fault) {
-    note(one.server.id() + " " + what + " for " + ms + " ms");
-    aside(
+  private void injectFaultFor(ListedServer target, String text, int durationMs, Runnable fault) {
+    addToScript(target.server.id() + " " + text + " for " + durationMs + " ms");
+    runInBackground(
         () -> {
           fault.run();
-          Thread.sleep(ms);
-          one.server.goOn();
+          Thread.sleep(durationMs);
+          target.server.resume();
           return null;
         });
   }
 
   private boolean discoveryFaulty;
 
-  private synchronized boolean takeDiscovery() {
+  private synchronized boolean acquireDiscovery() {
     boolean free = !discoveryFaulty;
     discoveryFaulty = true;
     return free;
   }
 
-  private synchronized void giveDiscoveryBack() {
+  private synchronized void releaseDiscovery() {
     discoveryFaulty = false;
   }
 
-  private void silence(int ms) {
-    if (takeDiscovery()) {
-      note("discovery silent for " + ms + " ms");
-      aside(
+  private void silenceDiscovery(int durationMs) {
+    if (acquireDiscovery()) {
+      addToScript("discovery silent for " + durationMs + " ms");
+      runInBackground(
           () -> {
-            discovery.fallSilent();
-            Thread.sleep(ms);
-            discovery.speakAgain();
-            giveDiscoveryBack();
+            discovery.startSilence();
+            Thread.sleep(durationMs);
+            discovery.endSilence();
+            releaseDiscovery();
             return null;
           });
     }
   }
 
-  private void outage(int ms) {
-    if (takeDiscovery()) {
-      note("discovery down for " + ms + " ms");
-      aside(
+  private void interruptDiscovery(int durationMs) {
+    if (acquireDiscovery()) {
+      addToScript("discovery down for " + durationMs + " ms");
+      runInBackground(
           () -> {
-            discovery.goDown();
-            Thread.sleep(ms);
-            discovery.comeBack();
-            giveDiscoveryBack();
+            discovery.stop();
+            Thread.sleep(durationMs);
+            discovery.restart();
+            releaseDiscovery();
             return null;
           });
     }
   }
 
-  /** A new address, and then the same configuration once more, in quick succession. */
+  /**
+   * Moves discovery to a new address; each front then gets the same configuration twice in a row.
+   */
   private void moveDiscovery() throws Exception {
-    if (takeDiscovery()) {
-      note("discovery moves");
+    if (acquireDiscovery()) {
+      addToScript("discovery moves");
       discovery.move();
-      moves.add(FaultyServer.nowMicros());
+      discoveryMoves.add(FaultyServer.nowMicros());
       for (SoakFront front : fronts) {
-        aside(() -> reload(front));
+        runInBackground(() -> reload(front));
       }
-      giveDiscoveryBack();
+      releaseDiscovery();
     }
   }
 
-  /** Not before it is ready, nor in its first second, as the operators do. */
+  /** Reloads a front, as the operators do: never before it is ready nor in its first second. */
   private Void reload(SoakFront front) throws Exception {
-    boolean young = !front.isAlive() || !ready(front);
-    while (!front.isAlive() || !ready(front)) {
+    boolean waited = !front.isAlive() || !isReady(front);
+    while (!front.isAlive() || !isReady(front)) {
       Thread.sleep(50);
     }
-    if (young) {
+    if (waited) {
       Thread.sleep(1000);
-      moves.add(FaultyServer.nowMicros());
+      discoveryMoves.add(FaultyServer.nowMicros());
     }
     for (int i = 0; i < 2 && front.isAlive(); i++) {
-      post(front);
+      writeConfiguration(front);
       front.reload();
     }
     return null;
   }
 
-  /** A server drains, is gone, dies, and a new one comes, at its address or another one. */
-  private Void replace(Listed one, int ms) throws Exception {
+  /** Drains, removes and closes a server, and adds a new one at its address or at another one. */
+  private Void replaceServer(ListedServer target, int durationMs) throws Exception {
     synchronized (this) {
-      if (!listed.remove(one) || listed.size() < SERVERS / 2) {
+      if (!listedServers.remove(target) || listedServers.size() < SERVERS / 2) {
         return null;
       }
     }
-    note(one.server.id() + " is replaced");
-    tell(one, 1);
-    Thread.sleep(ms);
-    tell(one, 2);
-    one.server.close();
+    addToScript(target.server.id() + " is replaced");
+    publish(target, 1);
+    Thread.sleep(durationMs);
+    publish(target, 2);
+    target.server.close();
     Thread.sleep(100);
-    addServer(ms % 2 == 0 ? one.server.port() : 0, System.currentTimeMillis());
+    addServer(durationMs % 2 == 0 ? target.server.port() : 0, System.currentTimeMillis());
     return null;
   }
 
   private synchronized void addServer(int port, long startedMs) throws IOException {
-    int number = ++serverNumber;
+    int number = ++lastServerNumber;
     String id = String.format("s-%08x", number);
-    FaultyServer server = new FaultyServer(id, asideChance.nextLong(), port, healthy());
-    Listed one = new Listed(server, number, number % CELLS, startedMs);
+    FaultyServer server = new FaultyServer(id, backgroundRandom.nextLong(), port, healthy());
+    ListedServer added = new ListedServer(server, number, number % CELLS, startedMs);
     servers.add(server);
-    listed.add(one);
+    listedServers.add(added);
     if (startedMs > 0) {
       coldSince.put(id, FaultyServer.nowMicros());
     }
-    tell(one, 0);
+    publish(added, 0);
   }
 
-  private void tell(Listed one, int state) {
+  private void publish(ListedServer target, int state) {
     discovery.changed(
-        one.server.id(),
+        target.server.id(),
         state == 0,
-        PlatformJournal.record(one.number, one.server.port(), state, one.cell, one.startedMs));
+        PlatformJournal.record(
+            target.number, target.server.port(), state, target.cell, target.startedMs));
   }
 
-  private void killOutright() {
-    SoakFront front = fronts.get(chance.nextInt(fronts.size()));
-    if (chance.nextInt(3) > 0) {
+  private void killSomeFront() {
+    SoakFront front = fronts.get(random.nextInt(fronts.size()));
+    if (random.nextInt(3) > 0) {
       return;
     }
-    aside(
+    runInBackground(
         () -> {
           synchronized (front) {
-            note("front " + front.number + " is killed");
+            addToScript("front " + front.number + " is killed");
             front.kill();
             start(front);
           }
-          clients.get(front.number).handOver();
+          clients.get(front.number).scheduleHandOver();
           return null;
         });
   }
 
-  /** One after another, each told while the one before still ends; signals in series. */
+  /**
+   * Restarts the fronts one after another, each while the one before is ending; repeats signals.
+   */
   private Void restartAll() throws Exception {
     Thread.sleep(1000);
     for (SoakFront front : fronts) {
-      aside(() -> restart(front, (front.number + serverNumber) % 3));
+      runInBackground(() -> restart(front, (front.number + lastServerNumber) % 3));
       Thread.sleep(terms.killAfterMs() / 2);
     }
     return null;
@@ -431,8 +446,8 @@
       if (!front.isAlive()) {
         return null;
       }
-      note("front " + front.number + " is told to stop");
-      front.tellToStop();
+      addToScript("front " + front.number + " is asked to stop");
+      front.requestStop();
       for (int i = 0; i < signals; i++) {
         front.signal(i == 0 ? "HUP" : "TERM");
       }
@@ -440,43 +455,43 @@
       front.kill();
       start(front);
     }
-    clients.get(front.number).handOver();
+    clients.get(front.number).scheduleHandOver();
     return null;
   }
 
   /* ---- fronts ---- */
 
   private void start(SoakFront front) throws Exception {
-    post(front);
+    writeConfiguration(front);
     front.start();
-    for (int i = 0; i < 2000 && !ready(front); i++) {
+    for (int i = 0; i < 2000 && !isReady(front); i++) {
       Thread.sleep(10);
     }
   }
 
-  private boolean ready(SoakFront front) throws InterruptedException {
+  private boolean isReady(SoakFront front) throws InterruptedException {
     try (var viewers = new PlatformViewers(front.port)) {
-      viewers.test();
-      PlatformViewers.Said said = viewers.next(2000);
-      return said != null && said.type() == TEST_PASSED;
+      viewers.sendProbe();
+      PlatformViewers.FrontMessage message = viewers.next(2000);
+      return message != null && message.type() == TEST_PASSED;
     } catch (IOException e) {
-      return false; // not listening yet, or any more
+      return false; // The front is not listening yet, or no longer.
     }
   }
 
-  private synchronized void post(SoakFront front) throws IOException {
+  private synchronized void writeConfiguration(SoakFront front) throws IOException {
     StringBuilder targets = new StringBuilder();
-    for (Listed one : listed) {
+    for (ListedServer target : listedServers) {
       targets
           .append(targets.isEmpty() ? "" : ",")
           .append(
               String.format(
                   "{\"uid\":\"%s\",\"endpoint\":\"127.0.0.1:%d\",\"az\":\"hall\",\"model\":\"box\","
                       + "\"pod_group\":%d,\"state\":\"up\",\"capacity_hint\":2,\"boot_ms\":%d}",
-                  one.server.id(), one.server.port(), one.cell, one.startedMs));
+                  target.server.id(), target.server.port(), target.cell, target.startedMs));
     }
     int position = discovery.position();
-    front.post(
+    front.writeConfiguration(
         String.format(
             "{\"name\":\"n%d\",\"listen\":\"127.0.0.1:%d\",\"seed\":\"%x\",\"limits\":{\"cores\":1,"
                 + "\"memory_mb\":%d,\"sockets\":%d},\"journal\":\"127.0.0.1:%d\",\"known\":"
@@ -484,7 +499,7 @@
                 + "\"targets\":[%s]}}]},\"settings\":%s}",
             front.number,
             front.port,
-            asideChance.nextLong(),
+            backgroundRandom.nextLong(),
             SoakTerms.MEMORY_MB,
             SoakTerms.DESCRIPTORS,
             discovery.port(),
--- a/src/test/java/linengauge/soak/SoakDiscovery.java
+++ b/src/test/java/linengauge/soak/SoakDiscovery.java
@@ -14,41 +14,45 @@
 import linengauge.standin.FaultyServer;
 
 /**
- * The discovery service of a day: one store of numbered events, told at one address after another,
- * that falls silent, breaks off amid an event, tells events twice, and is down for a while.
+ * The discovery service of a run: one store of numbered events, served at changing addresses. It
+ * falls silent, cuts the connection in the middle of an event, repeats events, and is down for a
+ * while.
  */
 final class SoakDiscovery implements AutoCloseable {
-  private static final long SIGN_EVERY_MS = 1000;
-  private static final int HEAD = 9;
+  private static final long KEEP_ALIVE_INTERVAL_MS = 1000;
+  private static final int HEADER_BYTES = 9;
 
-  /** When a server was last said to drain or be gone, and from when a front must have been told. */
-  record Told(String server, long had) {}
+  /** A server that was reported as draining or removed, and when the event was stored. */
+  record Removal(String server, long recordedAt) {}
 
-  /** A span in which the service did not tell what it had. */
-  record Outage(long from, long until, boolean down) {}
+  /**
+   * A span in which the service did not report what it had stored; it is not lasting where only the
+   * streams were cut within an event.
+   */
+  record Outage(long from, long until, boolean lasting) {}
 
-  private final SplittableRandom chance;
+  private final SplittableRandom random;
   private final List<byte[]> frames = new ArrayList<>();
-  private final List<Told> withdrawn = new ArrayList<>();
+  private final List<Removal> removals = new ArrayList<>();
   private final List<Outage> outages = new ArrayList<>();
-  private final List<Socket> readers = new CopyOnWriteArrayList<>();
+  private final List<Socket> subscribers = new CopyOnWriteArrayList<>();
   private ServerSocket listener;
   private volatile boolean silent;
   private volatile boolean closed;
   private long outageSince;
 
-  SoakDiscovery(SplittableRandom chance) throws IOException {
-    this.chance = chance;
+  SoakDiscovery(SplittableRandom random) throws IOException {
+    this.random = random;
     open(0);
-    start(this::signs);
+    start(this::sendKeepAlives);
   }
 
   private void open(int port) throws IOException {
-    ServerSocket anew = new ServerSocket();
-    anew.setReuseAddress(true);
-    anew.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
-    listener = anew;
-    start(() -> accept(anew));
+    ServerSocket newListener = new ServerSocket();
+    newListener.setReuseAddress(true);
+    newListener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 16);
+    listener = newListener;
+    start(() -> accept(newListener));
   }
 
   private static void start(Runnable job) {
@@ -66,36 +70,36 @@
     return frames.size();
   }
 
-  private void accept(ServerSocket from) {
+  private void accept(ServerSocket serverSocket) {
     try {
       while (true) {
-        Socket reader = from.accept();
-        start(() -> serve(reader));
+        Socket subscriber = serverSocket.accept();
+        start(() -> serve(subscriber));
       }
     } catch (IOException e) {
-      // closed
+      // The listener is closed.
     }
   }
 
-  private void serve(Socket reader) {
+  private void serve(Socket subscriber) {
     try {
-      long last = new DataInputStream(reader.getInputStream()).readLong();
+      long last = new DataInputStream(subscriber.getInputStream()).readLong();
       synchronized (this) {
-        readers.add(reader);
-        for (int n = (int) Math.max(0, last); n < frames.size() && !silent; n++) {
-          reader.getOutputStream().write(frames.get(n));
+        subscribers.add(subscriber);
+        for (int number = (int) Math.max(0, last); number < frames.size() && !silent; number++) {
+          subscriber.getOutputStream().write(frames.get(number));
         }
       }
     } catch (IOException e) {
-      // its front has gone
+      // The front has closed the connection.
     }
   }
 
-  private void signs() {
+  private void sendKeepAlives() {
     try {
       while (!closed) {
-        Thread.sleep(SIGN_EVERY_MS);
-        tell(frame(0, position(), new byte[0]));
+        Thread.sleep(KEEP_ALIVE_INTERVAL_MS);
+        send(frame(0, position(), new byte[0]));
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -103,103 +107,103 @@
   }
 
   private static byte[] frame(int kind, long number, byte[] records) {
-    return ByteBuffer.allocate(4 + HEAD + records.length)
-        .putInt(HEAD + records.length)
+    return ByteBuffer.allocate(4 + HEADER_BYTES + records.length)
+        .putInt(HEADER_BYTES + records.length)
         .putLong(number)
         .put((byte) kind)
         .put(records)
         .array();
   }
 
-  private synchronized void tell(byte[] bytes) {
+  private synchronized void send(byte[] bytes) {
     if (silent) {
       return;
     }
-    for (Socket reader : readers) {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.getOutputStream().write(bytes);
+        subscriber.getOutputStream().write(bytes);
       } catch (IOException e) {
-        readers.remove(reader);
+        subscribers.remove(subscriber);
       }
     }
   }
 
-  /** An event is had from now on; one in ten is told twice, one in ten breaks off midway. */
+  /** Stores and sends an event; one in ten is sent twice, one in ten is cut off half way. */
   synchronized void changed(String server, boolean serves, byte[] records) {
     byte[] frame = frame(2, frames.size() + 1L, records);
     frames.add(frame);
     if (!serves) {
-      withdrawn.add(new Told(server, FaultyServer.nowMicros()));
+      removals.add(new Removal(server, FaultyServer.nowMicros()));
     }
-    int how = chance.nextInt(10);
-    if (how == 0 && !silent) {
-      breakOff(frame);
+    int variant = random.nextInt(10);
+    if (variant == 0 && !silent) {
+      sendTruncated(frame);
     } else {
-      tell(frame);
-      if (how == 1) {
-        tell(frame);
+      send(frame);
+      if (variant == 1) {
+        send(frame);
       }
     }
   }
 
-  private void breakOff(byte[] frame) {
+  private void sendTruncated(byte[] frame) {
     long now = FaultyServer.nowMicros();
     outages.add(new Outage(now, now, false));
-    for (Socket reader : readers) {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.getOutputStream().write(frame, 0, frame.length / 2);
-        reader.close();
+        subscriber.getOutputStream().write(frame, 0, frame.length / 2);
+        subscriber.close();
       } catch (IOException e) {
-        // its front has gone
+        // The front has closed the connection.
       }
     }
-    readers.clear();
+    subscribers.clear();
   }
 
-  /** Open streams stay open and tell nothing, new ones too. */
-  synchronized void fallSilent() {
+  /** Keeps streams open, old and new, and sends nothing on them. */
+  synchronized void startSilence() {
     silent = true;
     outageSince = FaultyServer.nowMicros();
   }
 
-  /** Streams that fell silent stay so; whoever asks anew is told. */
-  synchronized void speakAgain() {
+  /** Serves new streams again; those that fell silent stay silent. */
+  synchronized void endSilence() {
     silent = false;
-    readers.clear();
+    subscribers.clear();
     outages.add(new Outage(outageSince, FaultyServer.nowMicros(), true));
   }
 
-  synchronized void goDown() throws IOException {
+  synchronized void stop() throws IOException {
     outageSince = FaultyServer.nowMicros();
     listener.close();
-    closeReaders();
+    closeSubscribers();
   }
 
-  synchronized void comeBack() throws IOException {
+  synchronized void restart() throws IOException {
     open(listener.getLocalPort());
     outages.add(new Outage(outageSince, FaultyServer.nowMicros(), true));
   }
 
-  /** Another address from now on; the old one takes nobody and tells nothing more. */
+  /** Moves to another address; the old one accepts no connections and sends nothing any more. */
   synchronized void move() throws IOException {
     listener.close();
-    readers.clear();
+    subscribers.clear();
     open(0);
   }
 
-  private void closeReaders() {
-    for (Socket reader : readers) {
+  private void closeSubscribers() {
+    for (Socket subscriber : subscribers) {
       try {
-        reader.close();
+        subscriber.close();
       } catch (IOException e) {
-        // closed already
+        // The socket is closed already.
       }
     }
-    readers.clear();
+    subscribers.clear();
   }
 
-  synchronized List<Told> withdrawn() {
-    return List.copyOf(withdrawn);
+  synchronized List<Removal> removals() {
+    return List.copyOf(removals);
   }
 
   synchronized List<Outage> outages() {
@@ -210,6 +214,6 @@
   public synchronized void close() throws IOException {
     closed = true;
     listener.close();
-    closeReaders();
+    closeSubscribers();
   }
 }
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -11,19 +11,21 @@
 import linengauge.cli.Main;
 import linengauge.standin.FaultyServer;
 
-/** One front as a process, over all its lives. */
+/** One front as a process, across its restarts. */
 final class SoakFront {
-  /** From its start to its end; signals as they were sent. NEVER: not yet, or not at all. */
-  static final class Life {
+  /**
+   * One process from its start to its end, with the times of signals; NEVER where none was sent.
+   */
+  static final class ProcessRun {
     static final long NEVER = Long.MAX_VALUE;
     final long startedAt = FaultyServer.nowMicros();
-    long toldToStopAt = NEVER;
+    long stopRequestedAt = NEVER;
     long killedAt = NEVER;
     long endedAt = NEVER;
     long lastReloadAt = Long.MIN_VALUE;
-    int exit = -1;
+    int exitCode = -1;
 
-    boolean covers(long at) {
+    boolean isAliveAt(long at) {
       return startedAt <= at && at < endedAt;
     }
   }
@@ -31,34 +33,34 @@
   final int number;
   final int port;
   private final Path folder;
-  private final Path file;
-  final List<Life> lives = new ArrayList<>();
+  private final Path configurationFile;
+  final List<ProcessRun> runs = new ArrayList<>();
   private volatile Process process;
 
   SoakFront(int number, int port, Path folder) {
     this.number = number;
     this.port = port;
     this.folder = folder;
-    this.file = folder.resolve("front-" + number + ".json");
+    this.configurationFile = folder.resolve("front-" + number + ".json");
   }
 
-  Life life() {
-    return lives.get(lives.size() - 1);
+  ProcessRun currentRun() {
+    return runs.get(runs.size() - 1);
   }
 
-  Path log() {
+  Path logFile() {
     return folder.resolve("front-" + number + ".log");
   }
 
-  /** Replaces the configuration whole, as the operators do. */
-  void post(String configuration) throws IOException {
-    Path anew = folder.resolve("front-" + number + ".new");
-    Files.writeString(anew, configuration);
-    Files.move(anew, file, StandardCopyOption.ATOMIC_MOVE);
+  /** Replaces the configuration file atomically, as the operators do. */
+  void writeConfiguration(String configuration) throws IOException {
+    Path temporaryFile = folder.resolve("front-" + number + ".new");
+    Files.writeString(temporaryFile, configuration);
+    Files.move(temporaryFile, configurationFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
   void start() throws IOException {
-    ProcessBuilder run =
+    ProcessBuilder builder =
         new ProcessBuilder(
             Path.of(System.getProperty("java.home"), "bin", "java").toString(),
             "-Xms24m",
@@ -72,20 +74,21 @@
             System.getProperty("java.class.path"),
             Main.class.getName(),
             "serve");
-    run.environment().put("PROXY_CONFIG", file.toString());
-    run.environment().put("MALLOC_ARENA_MAX", "1");
-    lives.add(new Life());
+    builder.environment().put("PROXY_CONFIG", configurationFile.toString());
+    builder.environment().put("MALLOC_ARENA_MAX", "1");
+    runs.add(new ProcessRun());
     process =
-        run.redirectErrorStream(true)
-            .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()))
+        builder
+            .redirectErrorStream(true)
+            .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()))
             .start();
-    Life life = life();
-    process.onExit().thenAccept(p -> ended(life, p.exitValue()));
+    ProcessRun run = currentRun();
+    process.onExit().thenAccept(exited -> recordExit(run, exited.exitValue()));
   }
 
-  private void ended(Life life, int exit) {
-    life.endedAt = FaultyServer.nowMicros();
-    life.exit = exit;
+  private void recordExit(ProcessRun run, int exitCode) {
+    run.endedAt = FaultyServer.nowMicros();
+    run.exitCode = exitCode;
   }
 
   boolean isAlive() {
@@ -93,18 +96,18 @@
   }
 
   void reload() throws IOException, InterruptedException {
-    life().lastReloadAt = FaultyServer.nowMicros();
+    currentRun().lastReloadAt = FaultyServer.nowMicros();
     signal("HUP");
   }
 
-  void tellToStop() throws IOException, InterruptedException {
-    life().toldToStopAt = FaultyServer.nowMicros();
+  void requestStop() throws IOException, InterruptedException {
+    currentRun().stopRequestedAt = FaultyServer.nowMicros();
     signal("TERM");
   }
 
   void kill() throws InterruptedException {
     if (isAlive()) {
-      life().killedAt = FaultyServer.nowMicros();
+      currentRun().killedAt = FaultyServer.nowMicros();
     }
     process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
   }
@@ -113,16 +116,16 @@
     new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
   }
 
-  /** Resident memory in MB, and sockets; null where it has ended. */
+  /** Resident memory in MB and the number of sockets; null where the process has ended. */
   int[] usage() {
     try {
-      Path of = Path.of("/proc", Long.toString(process.pid()));
+      Path processFolder = Path.of("/proc", Long.toString(process.pid()));
       String resident =
-          Files.readAllLines(of.resolve("status")).stream()
+          Files.readAllLines(processFolder.resolve("status")).stream()
               .filter(line -> line.startsWith("VmRSS"))
               .findFirst()
               .orElse("VmRSS: 0 kB");
-      try (var descriptors = Files.list(of.resolve("fd"))) {
+      try (var descriptors = Files.list(processFolder.resolve("fd"))) {
         return new int[] {
           Integer.parseInt(resident.replaceAll("\\D", "")) / 1024,
           (int) descriptors.filter(SoakFront::isSocket).count()
@@ -137,7 +140,7 @@
     try {
       return Files.readSymbolicLink(descriptor).toString().startsWith("socket:");
     } catch (IOException e) {
-      return false; // closed meanwhile
+      return false; // The descriptor was closed meanwhile.
     }
   }
 }
--- a/src/test/java/linengauge/soak/SoakTerms.java
+++ b/src/test/java/linengauge/soak/SoakTerms.java
@@ -3,40 +3,41 @@
 import java.util.SplittableRandom;
 
 /**
- * What one day's fronts are told to keep, drawn from its seed; in the settings' own units,
+ * The settings of one run's fronts, drawn from its seed, in the units of the configuration:
  * microseconds and milliseconds.
  */
 record SoakTerms(long deadlineMs, int coldMs, int tipMs, int maxAttempts) {
   static final int DRAIN_GRACE_MS = 1000;
-  static final int PLACES = 30;
+  static final int SESSIONS_PER_SERVER = 30;
   static final double FALL_MULTIPLE = 2.5;
   static final double START_CAPACITY = 0.4;
   static final double FREE_RETRIES = 5;
   static final double RETRY_RATIO = 0.3;
   static final int RETRY_SPAN_MS = 5000;
-  static final int FLOOR_OF_PAID = 1;
+  static final int FLOOR_OF_PAID_CLASS = 1;
   static final int TOP_RUNG = 4;
   static final int MEMORY_MB = 128;
   static final int DESCRIPTORS = 320;
 
   /**
-   * The operators' page: killed so long after the longest deadline, which counts as 3 s at most.
+   * The operators' rules: a process is killed this long after the longest deadline, of which at
+   * most 3 s count.
    */
   static final long KILL_AFTER_DEADLINE_MS = 700;
 
-  static final long LONGEST_COUNTED_MS = 3000;
+  static final long MAX_COUNTED_DEADLINE_MS = 3000;
 
-  static SoakTerms draw(SplittableRandom chance) {
+  static SoakTerms draw(SplittableRandom random) {
     long[] deadlines = {400, 900, 1500, 3000};
     return new SoakTerms(
-        deadlines[chance.nextInt(deadlines.length)], 3000, 500, 2 + chance.nextInt(3));
+        deadlines[random.nextInt(deadlines.length)], 3000, 500, 2 + random.nextInt(3));
   }
 
   long killAfterMs() {
-    return Math.min(deadlineMs, LONGEST_COUNTED_MS) + KILL_AFTER_DEADLINE_MS;
+    return Math.min(deadlineMs, MAX_COUNTED_DEADLINE_MS) + KILL_AFTER_DEADLINE_MS;
   }
 
-  /** The configuration's `settings`. */
+  /** The value of `settings` in the configuration. */
   String settings() {
     return """
         {"balancers":3,"charges":{"probe":0.01,"handshake":0.01},
@@ -55,10 +56,10 @@
           {"aimUs":400000,"deadlineUs":%d,"idempotency":"unsafe","name":"paid","worth":2}],
          "weights":"rough","zone":0}"""
         .formatted(
-            FLOOR_OF_PAID,
+            FLOOR_OF_PAID_CLASS,
             TOP_RUNG,
             TOP_RUNG,
-            PLACES,
+            SESSIONS_PER_SERVER,
             1000 * coldMs,
             1000 * DRAIN_GRACE_MS,
             FALL_MULTIPLE,
--- a/src/test/java/linengauge/vrrp/ExplorerTest.java
+++ b/src/test/java/linengauge/vrrp/ExplorerTest.java
@@ -5,117 +5,134 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
+import linengauge.vrrp.explore.ExplorationPlan;
 import linengauge.vrrp.explore.Explorer;
-import linengauge.vrrp.explore.Plan;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Every schedule of troubles to a small depth, with the real state machine and with planted faults
- * in it.
+ * Explores every schedule of faults to a small depth, with the real state machine and with planted
+ * defects in it.
  */
 class ExplorerTest {
   private static Explorer.Outcome explore(
       List<Integer> priorities,
       boolean preempt,
-      RouterTerms.Additions more,
+      RouterSettings.Extensions extensions,
       int depth,
-      int faults,
-      Plan.Maker maker) {
-    return Explorer.explore(new Plan(priorities, preempt, more, depth, faults, maker));
+      int maxFaults,
+      ExplorationPlan.RouterFactory routerFactory) {
+    return Explorer.explore(
+        new ExplorationPlan(priorities, preempt, extensions, depth, maxFaults, routerFactory));
   }
 
   @ParameterizedTest
   @CsvSource({"200,100,true", "100,100,true", "200,100,false"})
-  void twoNodesSettleOnOneAfterAnyTwoTroubles(int first, int second, boolean preempt) {
-    for (RouterTerms.Additions more : List.of(RouterTerms.Additions.NONE, Plan.shortAdditions())) {
-      Explorer.Outcome o =
-          explore(List.of(first, second), preempt, more, 12, 2, VirtualRouter::new);
-      assertNull(o.found(), () -> o.found() + "");
-      assertTrue(o.schedules() > 500, "schedules " + o.schedules());
+  void twoNodesSettleOnOneActiveAfterAnyTwoFaults(int first, int second, boolean preempt) {
+    for (RouterSettings.Extensions extensions :
+        List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
+      Explorer.Outcome outcome =
+          explore(List.of(first, second), preempt, extensions, 12, 2, VirtualRouter::new);
+      assertNull(outcome.violation(), () -> outcome.violation() + "");
+      assertTrue(outcome.schedules() > 500, "schedules " + outcome.schedules());
     }
   }
 
   @Test
-  void threeNodesSettleOnOneAfterAnyTrouble() {
-    for (RouterTerms.Additions more : List.of(RouterTerms.Additions.NONE, Plan.shortAdditions())) {
-      Explorer.Outcome o = explore(List.of(200, 150, 150), true, more, 12, 1, VirtualRouter::new);
-      assertNull(o.found(), () -> o.found() + "");
+  void threeNodesSettleOnOneActiveAfterAnyFault() {
+    for (RouterSettings.Extensions extensions :
+        List.of(RouterSettings.Extensions.NONE, ExplorationPlan.shortExtensions())) {
+      Explorer.Outcome outcome =
+          explore(List.of(200, 150, 150), true, extensions, 12, 1, VirtualRouter::new);
+      assertNull(outcome.violation(), () -> outcome.violation() + "");
     }
   }
 
-  /** A router made wrong on purpose. */
-  private static class Planted extends VirtualRouter {
-    Planted(RouterTerms terms, Port port) {
-      super(terms, port);
+  /** A router that never yields in a tie. */
+  private static class WithoutTieBreak extends VirtualRouter {
+    WithoutTieBreak(RouterSettings settings, Port port) {
+      super(settings, port);
     }
 
-    Planted(Planted o, Port port) {
-      super(o, port);
+    WithoutTieBreak(WithoutTieBreak other, Port port) {
+      super(other, port);
     }
 
     @Override
-    public VirtualRouter copy(Port other) {
-      return new Planted(this, other);
+    public VirtualRouter copy(Port otherPort) {
+      return new WithoutTieBreak(this, otherPort);
     }
 
     @Override
-    protected boolean isGreater(NodeAddress from) {
+    protected boolean winsTie(NodeAddress from) {
       return false;
     }
   }
 
   @Test
-  void withoutTheTieRuleItReportsASchedule() {
-    Explorer.Outcome o =
-        explore(List.of(100, 100), true, RouterTerms.Additions.NONE, 12, 2, Planted::new);
-    assertFalse(o.held());
-    assertTrue(o.found().what().contains("in which it heard a better one"), o.found().what());
+  void missingTieBreakIsReported() {
+    Explorer.Outcome outcome =
+        explore(
+            List.of(100, 100), true, RouterSettings.Extensions.NONE, 12, 2, WithoutTieBreak::new);
+    assertFalse(outcome.passed());
+    assertTrue(
+        outcome.violation().description().contains("in which it heard a better one"),
+        outcome.violation().description());
   }
 
-  /** Announces itself before it steps down. */
-  private static final class LastWord extends VirtualRouter {
+  /** A router that sends another advertisement as it steps down. */
+  private static final class AdvertisesAfterStepDown extends VirtualRouter {
     private final Port port;
 
-    LastWord(RouterTerms terms, Port port) {
-      super(terms, port);
+    AdvertisesAfterStepDown(RouterSettings settings, Port port) {
+      super(settings, port);
       this.port = port;
     }
 
-    LastWord(LastWord o, Port port) {
-      super(o, port);
+    AdvertisesAfterStepDown(AdvertisesAfterStepDown other, Port port) {
+      super(other, port);
       this.port = port;
     }
 
     @Override
-    public VirtualRouter copy(Port other) {
-      return new LastWord(this, other);
+    public VirtualRouter copy(Port otherPort) {
+      return new AdvertisesAfterStepDown(this, otherPort);
     }
 
     @Override
-    public void heard(Advert a, NodeAddress from, linengauge.Moment at) {
-      boolean active = state() == State.ACTIVE;
-      super.heard(a, from, at);
-      if (active && state() == State.BACKUP) {
-        port.send(new Advert(a.vrid(), 100, a.interval(), a.addresses()));
+    public void receive(Advertisement advertisement, NodeAddress from, linengauge.Moment moment) {
+      boolean wasActive = state() == State.ACTIVE;
+      super.receive(advertisement, from, moment);
+      if (wasActive && state() == State.BACKUP) {
+        port.send(
+            new Advertisement(
+                advertisement.vrid(), 100, advertisement.interval(), advertisement.addresses()));
       }
     }
   }
 
   @Test
-  void aNodeThatSendsAsItLearnsOfABetterOneIsReportedWithItsSchedule() {
-    Explorer.Outcome o =
-        explore(List.of(200, 100), true, RouterTerms.Additions.NONE, 14, 3, LastWord::new);
-    assertFalse(o.held());
-    assertTrue(o.found().what().contains("in which it heard a better one"), o.found().what());
-    assertFalse(o.found().schedule().isEmpty());
+  void advertisingAfterASuperiorAdvertisementIsReportedWithItsSchedule() {
+    Explorer.Outcome outcome =
+        explore(
+            List.of(200, 100),
+            true,
+            RouterSettings.Extensions.NONE,
+            14,
+            3,
+            AdvertisesAfterStepDown::new);
+    assertFalse(outcome.passed());
+    assertTrue(
+        outcome.violation().description().contains("in which it heard a better one"),
+        outcome.violation().description());
+    assertFalse(outcome.violation().schedule().isEmpty());
   }
 
   @Test
-  void withoutTheGuardOfWokenNodesOneSendsAfterStandingStill() {
-    RouterTerms.Additions deaf =
-        new RouterTerms.Additions(
+  void missingPauseDetectionIsReported() {
+    RouterSettings.Extensions pauseDetection =
+        new RouterSettings.Extensions(
             1,
             true,
             linengauge.Span.NONE,
@@ -125,20 +142,22 @@
             0,
             0,
             linengauge.Span.NONE);
-    Plan.Maker planted =
-        (t, port) ->
+    ExplorationPlan.RouterFactory withoutPauseDetection =
+        (settings, port) ->
             new VirtualRouter(
-                new RouterTerms(
-                    t.vrid(),
-                    t.priority(),
-                    t.interval(),
-                    t.preempt(),
-                    t.accept(),
-                    t.addresses(),
-                    t.own(),
-                    RouterTerms.Additions.NONE),
+                new RouterSettings(
+                    settings.vrid(),
+                    settings.priority(),
+                    settings.interval(),
+                    settings.preemptMode(),
+                    settings.acceptMode(),
+                    settings.addresses(),
+                    settings.primaryAddress(),
+                    RouterSettings.Extensions.NONE),
                 port);
-    assertTrue(explore(List.of(200, 100), true, deaf, 10, 1, VirtualRouter::new).held());
-    assertFalse(explore(List.of(200, 100), true, deaf, 10, 1, planted).held());
+    assertTrue(
+        explore(List.of(200, 100), true, pauseDetection, 10, 1, VirtualRouter::new).passed());
+    assertFalse(
+        explore(List.of(200, 100), true, pauseDetection, 10, 1, withoutPauseDetection).passed());
   }
 }
