--- a/src/main/java/linengauge/Deployment.java
+++ b/src/main/java/linengauge/Deployment.java
@@ -3,9 +3,11 @@
 import java.util.List;
 
 /**
- * The settings of a front at its start: its number among the fronts, the fleet of media boxes, the
- * ladder, the packages, and what the front may do.
+ * The settings of a front at its start. A front takes the requests of viewers and places each
+ * viewing at a media box; all fronts share one fleet of boxes. Rates and capacities are in kB per
+ * second.
  *
+ * @param frontNumber number of this front, from 0 to frontCount - 1
  * @param building number of the building in which the front runs
  * @param ladderKbPerSecond rate of each rung, from the lowest
  * @param rungValues value of each rung, from the lowest
@@ -29,7 +31,8 @@
    * @param linkKbPerSecondPerWeight capacity of a link for each unit of its weight in the box list;
    *     0 where the list has no weights
    * @param uplinkKbPerSecond nominal capacity of a rack's uplink
-   * @param shareReportDelay age of a report of the delivered share when it arrives
+   * @param shareReportDelay age of a report of the delivered share when it arrives. That is the
+   *     share of a viewing's rate that its box delivers; below 1, a link or an uplink is short.
    */
   public record Fleet(
       int cellCount,
@@ -45,8 +48,8 @@
    *
    * @param coldPeriod how long a box is cold after its start
    * @param coldStartCapacity share of its capacity that a box has at its start
-   * @param overloadMultiple a cold box fails where its set-ups come at this multiple of the rate
-   *     that fills its streams within the cold period
+   * @param overloadMultiple a cold box fails where its set-ups come at this multiple of its
+   *     streams, times its present share of capacity, per cold period
    * @param overloadWindow how long such a rate lasts until the box fails
    * @param freeRetries retries within the window that are always allowed
    * @param retriesPerRequest further retries for each request within the window
@@ -62,12 +65,16 @@
       Span retryWindow) {}
 
   /**
-   * What the front may do, and the prices that it weighs: of a probe, of a viewing across buildings
-   * and of a new connection to a box.
+   * What the front may do, and the prices that it weighs against each other and against the room
+   * at a box. All prices have the unit of the deployment's charges; 0 means free. {@link Policy}
+   * holds the constants that turn them into probes and room.
    *
    * @param maxTuneIns tune-ins for one request, at most
    * @param mayMessageFronts whether the front may exchange messages with other fronts
    * @param boxesReportUplink whether load reports of boxes cover the uplink
+   * @param probePrice price of one probe of a box
+   * @param buildingCrossingPrice price of a viewing at a box of another building
+   * @param connectionPrice price of a new connection to a box
    * @param maxRetryAfter longest advice to a viewer on when to retry
    */
   public record Permissions(
--- a/src/main/java/linengauge/Environment.java
+++ b/src/main/java/linengauge/Environment.java
@@ -15,13 +15,20 @@
    * rates that the uplink delivers there.
    *
    * @param rate of all viewings of this front at the box, in kB per second
+   * @param uplinkShare 1: the uplink is not short
    */
   void sendUsage(
       int rackOwner, Policy.MediaBox box, int viewingCount, double rate, double uplinkShare);
 
   /**
-   * Answers such a report with what all other fronts play at the box, what all fronts play on its
-   * rack, and the capacity of the rack's uplink. Rates and capacity are in kB per second.
+   * Sends the rack owner's reply to a usage report of another front. Rates and capacity are in kB
+   * per second.
+   *
+   * @param front the front that sent the report
+   * @param otherFrontsViewings viewings of all fronts but that one at the box, this front included
+   * @param otherFrontsRate rate of these viewings
+   * @param rackRate rate of all fronts' viewings on the rack, those of the reporting front included
+   * @param rackCapacity capacity of the rack's uplink
    */
   void sendRackUsage(
       int front,
@@ -59,14 +66,20 @@
     NO_SERVER,
     /** Every server that may take the viewing would be overloaded, even at the lowest rung. */
     SERVERS_FULL,
+    /** The request has made as many tune-ins as are allowed. */
     ATTEMPTS_USED_UP,
     /** Every server that could take an attempt may still have an earlier one in progress. */
     EARLIER_ATTEMPT_UNCONFIRMED,
+    /** The request needs a retry, and the front has used up the retries of the present window. */
     RETRY_BUDGET_USED_UP,
+    /** Too little time is left for a tune-in. */
     DEADLINE_TOO_CLOSE,
+    /** The front holds as many sessions as it may. */
     FRONT_FULL,
     FRONT_STOPPING,
+    /** The module has failed. */
     FRONT_FAILED,
+    /** An earlier request with the same viewer key has not been answered yet. */
     SAME_KEY_OPEN
   }
 
@@ -78,25 +91,34 @@
     void probe();
   }
 
-  /**
-   * How a tune-in that is no longer in progress has ended. UNHEARD: no answer came, but the box has
-   * sent something else meanwhile on a connection that stayed open, so it runs and has not
-   * restarted. HELD_UP: no answer was read in time because the front itself was paused. BROKEN: its
-   * connection was closed. RESET: the server reports that the attempt broke off on its way. SPOILT:
-   * the answer is of no use to any client.
-   */
+  /** How a tune-in (or a probe) that is no longer in progress has ended. */
   enum AttemptOutcome {
+    /** What it set up has played and ended in order; of a probe: it was answered. */
     FINISHED(false, true),
+    /** The server answered with an error. */
     ERROR(false, true),
+    /** The server refused it and did not run it. */
     TURNED_AWAY(true, true),
+    /** No answer came in time, and nothing shows that the box runs: it may have restarted. */
     NO_ANSWER(false, false),
+    /** No connection to the box was available, so nothing was sent; the box may have restarted. */
     NOT_REACHED(true, true),
+    /** Its connection was closed or its box was lost. */
     BROKEN(false, false),
+    /** The server reports that the attempt broke off on its way. */
     RESET(false, true),
+    /** The answer is of no use to any client, such as an invalid playlist. */
     SPOILT(false, false),
+    /**
+     * No answer came, but the box has sent something else meanwhile on a connection that stayed
+     * open, so it runs and has not restarted.
+     */
     UNHEARD(false, false),
+    /** No answer was read in time because the front itself was paused; the box is not to blame. */
     HELD_UP(false, false),
+    /** Cancelled by the front, or ended by the viewer, before anything else ended it. */
     WITHDRAWN(false, false),
+    /** The front did not send it: it was not allowed any more, or no connection was free. */
     NEVER_SENT(true, true);
 
     /** It is certain that the set-up never ran. */
--- a/src/main/java/linengauge/Policy.java
+++ b/src/main/java/linengauge/Policy.java
@@ -30,11 +30,13 @@
   /** Rungs step down once the short average reaches this load. */
   private static final double STEP_DOWN_LOAD = 1.0;
 
+  /** Value of the short average after a step down, and at a box's first viewing. */
   private static final double SHORT_AVERAGE_RESET = 0.8;
 
   /** Load that a step down aims at. */
   private static final double STEP_DOWN_TARGET_LOAD = 0.93;
 
+  /** Value of the long average after a step up, and at a box's first viewing. */
   private static final double LONG_AVERAGE_RESET = 0.95;
 
   /** Shortest time between two steps up on a box. */
@@ -70,7 +72,7 @@
   /**
    * A front that has just started has not received the usage of all other fronts: for this long it
    * neither applies usage reports nor answers them. Reports that have not been answered are
-   * repeated at this interval.
+   * repeated at this interval, and a shortage of the uplink is reported at most this often.
    */
   private static final Span SETTLING_SPAN = Span.ofMillis(1200);
 
@@ -485,7 +487,7 @@
 
     void recoverCapacity() {
       double nominalCapacity = deployment.fleet().uplinkKbPerSecond();
-      // Without usage reports, which may have been lost, the capacity recovers more slowly.
+      // Usage reports may be lost. Where none are known, the capacity does not recover at once.
       double recoverySeconds = UPLINK_RECOVERY_SPAN.seconds() * (reportedFrontsRate > 0 ? 1 : 6);
       double weight = Math.min(1, now.since(capacityUpdatedAt).seconds() / recoverySeconds);
       capacity += weight * (nominalCapacity - capacity);
@@ -1461,11 +1463,11 @@
   private boolean mayTuneInIgnoringUnconfirmed(Viewing viewing, MediaBox box) {
     return !viewing.answered
         && viewing.currentBox == null
-        && viewing.mayMakeAttempt() // one tune-in at a time, and none again that was paid for
+        && viewing.mayMakeAttempt() // one at a time, none after a paid one that may have run
         && viewing.answerMargin.isShorterThan(
             timeUntilAnswer(viewing)) // the answer comes before the viewer's deadline
         && box.serving
-        && box.holds(viewing.title) // no tune-in once it drains, well within the grace period
+        && box.holds(viewing.title) // none once it drains: the grace period is not used
         && (viewing.settings.maxViewingsPerTitle() <= 0
             || viewing.title.viewingsByPackage.getOrDefault(viewing.settings, 0)
                 < viewing.settings.maxViewingsPerTitle())
