--- a/src/main/java/linengauge/Deployment.java
+++ b/src/main/java/linengauge/Deployment.java
@@ -48,8 +48,8 @@
    *
    * @param coldPeriod how long a box is cold after its start
    * @param coldStartCapacity share of its capacity that a box has at its start
-   * @param overloadMultiple a cold box fails where its set-ups come at this multiple of its
-   *     streams, times its present share of capacity, per cold period
+   * @param overloadMultiple a cold box fails where its set-ups come at more than this multiple of
+   *     its normal rate: its streams, times its present share of capacity, per cold period
    * @param overloadWindow how long such a rate lasts until the box fails
    * @param freeRetries retries within the window that are always allowed
    * @param retriesPerRequest further retries for each request within the window
@@ -65,9 +65,9 @@
       Span retryWindow) {}
 
   /**
-   * What the front may do, and the prices that it weighs against each other and against the room
-   * at a box. All prices have the unit of the deployment's charges; 0 means free. {@link Policy}
-   * holds the constants that turn them into probes and room.
+   * What the front may do, and the prices that it weighs against the room at a box. All prices have
+   * the same unit; 0 means free. The constants that turn them into a number of probes or into room
+   * are in {@link Policy}.
    *
    * @param maxTuneIns tune-ins for one request, at most
    * @param mayMessageFronts whether the front may exchange messages with other fronts
--- a/src/main/java/linengauge/session/BoxTable.java
+++ b/src/main/java/linengauge/session/BoxTable.java
@@ -14,8 +14,8 @@
 
 /**
  * The media boxes known to this front, by id: what discovery last reported of each, and the
- * module's handle. A box is removed once discovery no longer lists it and it holds no viewing of
- * this front.
+ * module's handle. A box is removed once discovery no longer lists it and the module no longer
+ * needs it ({@link Policy.MediaBox#isDiscardable}).
  */
 public final class BoxTable {
   /** The state of a box in discovery. GONE: removed, or no longer named by a full list. */
@@ -112,7 +112,7 @@
 
   /**
    * Boxes that are not listed: they still held viewings when they left discovery, or a viewing
-   * named them before discovery did. The next update removes those without viewings.
+   * named them before discovery did. An update removes those that may be discarded by then.
    */
   private final Map<Long, Entry> unlisted = new HashMap<>();
 
--- a/src/main/java/linengauge/session/DiscoveryCache.java
+++ b/src/main/java/linengauge/session/DiscoveryCache.java
@@ -3,9 +3,10 @@
 import java.util.List;
 
 /**
- * Applies discovery lists in the order of their revisions. Changes are applied only on the revision
- * that they start from; after a gap, too long a break or a list that started anew, the full list is
- * needed.
+ * Applies discovery lists in the order of their revisions. Changes are applied only to the revision
+ * that they start from. The full list is needed where an update was missed, and where discovery
+ * cannot name the changes since the known revision: after too long a break, or after a restart of
+ * its own.
  */
 public final class DiscoveryCache {
   /** The outcome of an update. */
@@ -31,7 +32,7 @@
   }
 
   /**
-   * The revision of the boxes, from which changes may be requested; NO_REVISION: the full list is
+   * The last applied revision, from which changes may be requested; NO_REVISION: the full list is
    * needed.
    */
   public long revision() {
@@ -39,8 +40,8 @@
   }
 
   /**
-   * Applies a full list. One that is older than the known revision comes from a list that started
-   * anew, and is applied as well.
+   * Applies a full list. One that is older than the known revision comes from a discovery service
+   * that has restarted, and is applied as well.
    */
   public UpdateResult applyFull(long newRevision, List<BoxTable.ListedBox> listings) {
     boxes.apply(true, listings);
--- a/src/main/java/linengauge/session/PeerMessages.java
+++ b/src/main/java/linengauge/session/PeerMessages.java
@@ -6,7 +6,8 @@
 /**
  * The two messages between fronts, distinguished by their length: a report of what one front plays
  * at a box, and the reply of the rack owner. Ids have 32 bits; rates are in steps of 8 kB/s, rack
- * figures in steps of 32, the uplink's share in steps of 1/200; counts saturate at 255.
+ * rates and capacities in steps of 32 kB/s, the share that the uplink delivers in steps of 1/200;
+ * counts saturate at 255.
  */
 public final class PeerMessages {
   private static final int REPORT_BYTES = 8;
@@ -14,7 +15,10 @@
 
   private PeerMessages() {}
 
-  /** A report to the owner of a box's rack. */
+  /**
+   * Encodes a report to the owner of a box's rack: the number and the rate of the viewings that
+   * this front plays at the box, and the share of the rates that the uplink delivers there.
+   */
   public static byte[] encodeReport(
       Policy.MediaBox box, int viewings, double kb, double uplinkShare) {
     return header(REPORT_BYTES, box, viewings, kb)
@@ -22,7 +26,10 @@
         .array();
   }
 
-  /** The rack owner's reply: the same figures for all other fronts, and the rack's kB and size. */
+  /**
+   * Encodes the rack owner's reply: number and rate of the viewings that all fronts but the
+   * addressee play at the box, the rate of all fronts on the rack, and its uplink's capacity.
+   */
   public static byte[] encodeReply(
       Policy.MediaBox box, int othersViewings, double othersKb, double rackKb, double rackSizeKb) {
     return header(REPLY_BYTES, box, othersViewings, othersKb)
--- a/src/main/java/linengauge/session/Session.java
+++ b/src/main/java/linengauge/session/Session.java
@@ -7,9 +7,10 @@
 import linengauge.Span;
 
 /**
- * One viewing in the registry, from its acceptance until its answer is given and no tune-in is open
- * or playing. Events are reported by calls on it, which may come at any time and in any order; a
- * call that no longer applies has no effect.
+ * One viewing in the registry, from the acceptance of its request until the answer is given and no
+ * tune-in is open (its box is chosen, but has not answered yet) or playing. Events are reported by
+ * calls on it, which may come at any time and in any order; a call that no longer applies has no
+ * effect.
  */
 public final class Session implements Environment.ViewingPort {
   private final SessionManager manager;
@@ -121,8 +122,8 @@
   }
 
   /**
-   * It plays already, at a box that was named to this front; from here on it is treated as if it
-   * had been set up here.
+   * The viewing plays already: it was handed over to this front together with the name of its box.
+   * From here on it is treated as if it had been set up here.
    */
   void adopted(BoxTable.Entry box, Policy.Viewing newViewing) {
     currentBox = box;
@@ -227,11 +228,10 @@
 
   /**
    * The last check, made directly before a set-up is written; once it has returned true the tune-in
-   * counts as sent. It must still be awaited, its box must not have been reported as draining or
-   * gone while it waited for a connection, and its viewer must still be there. The choice of the
-   * box must be recent too: after a pause of the front between choice and sending, what was chosen
-   * before it would leave together with what is chosen after it; and a box that was warm at the
-   * choice may have been reported to have restarted since.
+   * counts as sent. The tune-in must still be awaited and its viewer still wait. The box must not
+   * have been reported as draining or gone, nor as restarted or lost since the choice, as it may be
+   * cold now. The choice must also be recent: after a pause of the front between choice and
+   * sending, set-ups chosen before the pause would leave in one burst with those chosen after it.
    */
   public boolean tryBeginSend(int tuneIn) {
     boolean sendable =
@@ -339,7 +339,8 @@
   }
 
   /**
-   * The viewer reads less than it is due and is dropped: box, stream and seat are freed at once.
+   * The viewer reads less than it is due and is dropped: its stream at the box and its place among
+   * the viewings of the title are freed at once.
    */
   public void dropSlowViewer() {
     manager.runGuarded(
--- a/src/main/java/linengauge/session/Viewer.java
+++ b/src/main/java/linengauge/session/Viewer.java
@@ -11,19 +11,29 @@
 public interface Viewer {
   /** Why a viewing failed. */
   enum FailureCause {
+    /** The last tune-in did not lead to a viewing, for another cause than those below. */
     FAILED,
+    /** No answer came in time. */
     NO_ANSWER,
+    /** The front shuts down, or its module has failed. */
     FRONT_FAILED
   }
 
-  /** Why a viewing that played has ended; OVER: its box reports that it has come to its end. */
+  /** Why a viewing that played has ended. */
   enum EndReason {
+    /** Its box reports that it has come to its end. */
     OVER,
+    /** The viewer has gone or asked for its end. */
     LEFT,
+    /** The viewer made no request for the idle timeout. */
     IDLE,
+    /** Its box has ended it, restarted or is lost, or a handed-over viewing cannot be held here. */
     BOX_LOST,
+    /** The same viewer has made a new request. */
     REPLACED,
+    /** The front has shut down, or its module has failed. */
     STOPPED,
+    /** The viewer read less than it was due and was dropped. */
     LET_GO
   }
 
--- a/src/main/java/linengauge/wire/WireFront.java
+++ b/src/main/java/linengauge/wire/WireFront.java
@@ -126,8 +126,8 @@
   }
 
   /**
-   * Runs one call into the module. An exception thrown by the module ends the front with the wire's
-   * fault action.
+   * Runs one call into the module, whose decisions go to the given writer. If the module throws,
+   * the front writes the action "exception" and ignores all later calls.
    */
   private void call(Moment now, JsonGenerator writer, ModuleCall moduleCall)
       throws IOException, MalformedBatchException {
@@ -159,6 +159,10 @@
     call(now, writer, () -> boxes.apply(!mode.equals("changes"), listings));
   }
 
+  /**
+   * Handles one event. Its values are read in their fixed order: one that is not used is skipped,
+   * or read without use where its type is to be checked.
+   */
   void handleEvent(String name, Message message, Moment now, JsonGenerator writer)
       throws IOException, MalformedBatchException {
     switch (name) {
@@ -330,6 +334,7 @@
         });
   }
 
+  /** The topic says what the level is: a share, a rung, a load of the link or of the uplink. */
   private static void applyNote(WireViewing viewing, int topic, double level) {
     switch (topic) {
       case 1 -> viewing.policyViewing.shareDelivered(level);
@@ -340,6 +345,7 @@
     }
   }
 
+  /** The keys hold the load of the link (x0) and the uplink (x1), and the number of streams. */
   private static void applyLoad(BoxTable.Entry box, Map<?, ?> load) {
     if (!load.isEmpty()) {
       box.mediaBox()
--- a/src/main/java/linengauge/wire/WireHost.java
+++ b/src/main/java/linengauge/wire/WireHost.java
@@ -23,9 +23,10 @@
 import linengauge.session.BoxTable.ListedBox;
 
 /**
- * The adapter: reads one batch per line, passes its events to the fronts that it hosts, and writes
- * their decisions, one reply per line. It decides nothing itself; the fronts share nothing but this
- * input and output.
+ * The adapter between the simulator and the fronts that it hosts. Each line of input is a batch of
+ * events at one simulated time; the events are passed to their fronts, whose decisions make up one
+ * line of output. The adapter decides nothing itself, and the fronts share nothing but this input
+ * and output.
  */
 public final class WireHost {
   private final InputStream in;
@@ -122,6 +123,11 @@
     out.flush();
   }
 
+  /**
+   * Handles one event of a batch. "pool" gives a numbered box list, which "backendsChanged" applies
+   * to a front; "attach" starts a front and "kill" removes it. All others go to their front; those
+   * for a front that is not hosted are ignored.
+   */
   private void dispatch(Message message, Moment now, JsonGenerator generator)
       throws IOException, MalformedBatchException {
     String name = message.readName();
--- a/src/test/java/linengauge/ArchitectureTest.java
+++ b/src/test/java/linengauge/ArchitectureTest.java
@@ -81,6 +81,7 @@
           .orShould()
           .callMethod(Math.class, "random");
 
+  /** The rule checker judges recorded runs and shares no code, and so no fault, with the front. */
   @ArchTest
   static final ArchRule THE_RULE_CHECKER_DOES_NOT_DEPEND_ON_THE_FRONT =
       noClasses()
@@ -146,8 +147,9 @@
               "io.vertx.core.http..");
 
   /**
-   * The platform front does all input and output through its port. The exceptions are the classes
-   * that implement the port and run the process.
+   * The platform front does all input and output through its port, the interface {@code Net}, so
+   * that it also runs in virtual time. Exempt are the classes that implement the port with sockets
+   * and those that run the process.
    */
   @ArchTest
   static final ArchRule THE_PLATFORM_DOES_IO_THROUGH_ITS_PORT =
--- a/src/test/java/linengauge/ColdRampTest.java
+++ b/src/test/java/linengauge/ColdRampTest.java
@@ -109,8 +109,8 @@
     }
 
     private void sendTuneIn(PolicyHarness harness, Viewer viewer) {
-      // A set-up whose box was chosen before the front learned of the box's start is not sent: the
-      // session checks this and the box is chosen again.
+      // A set-up whose box was chosen before the front learned of the box's start is not sent:
+      // Session.tryBeginSend checks this, and the box is chosen again.
       if (!viewer.box.startedAt.isBefore(boxesStartedAt)) {
         Moment sentAt =
             random.nextInt(3) == 0
--- a/src/test/java/linengauge/PolicyHarness.java
+++ b/src/test/java/linengauge/PolicyHarness.java
@@ -13,7 +13,12 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** A front with its boxes and viewers. Checks the six rules at every tune-in and every answer. */
+/**
+ * A front with its boxes and viewers. Checks the six rules at every tune-in and every answer: one
+ * answer, before the deadline; no paid set-up repeated, and never two attempts in progress; no
+ * tune-in to a box after its drain grace period; cold boxes within their limit; rungs and viewings
+ * of a title within the package's bounds; retries within the budget.
+ */
 final class PolicyHarness implements Environment {
   private static final Span DRAIN_GRACE = Span.ofMillis(1000);
 
@@ -78,7 +83,7 @@
     int rung;
     boolean playing;
     boolean mayHaveRun;
-    String answer;
+    String answer; // null while it waits; "blocked" is a rejection, "aborted" a failure
     Span timeout;
 
     Viewer(PackageSettings settings, Policy.Title title, int ceilingRung, Span timeLimit) {
--- a/src/test/java/linengauge/session/LateAnswerTest.java
+++ b/src/test/java/linengauge/session/LateAnswerTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * After a process pause, a front reads an answer that came later than the wait that it sent to the
- * box, before its own timer has run.
+ * Guards against a set-up that is taken as playing though the box, which was sent the time limit of
+ * the tune-in, no longer holds it. After a process pause a front may read such a late answer before
+ * its own timer has run.
  */
 class LateAnswerTest {
   private final List<String> done = new ArrayList<>();
--- a/src/test/java/linengauge/session/SessionSimulation.java
+++ b/src/test/java/linengauge/session/SessionSimulation.java
@@ -123,7 +123,7 @@
     boolean delaysSending;
     int openTimers;
 
-    /** Timers shorter than this are lost. */
+    /** Timers shorter than this never fire. */
     Span losesTimersUnder = Span.NONE;
 
     Front(int number, Deployment deployment, long seed) {
