--- a/src/test/java/linengauge/PolicyTest.java
+++ b/src/test/java/linengauge/PolicyTest.java
@@ -431,7 +431,7 @@
 
   /**
    * Guards against a lost answer, or a pause of the front itself, that is taken for a restart of
-   * the box and limits it as a cold one.
+   * the box and limits it as a cold one for long.
    */
   @Test
   void aBoxThatMadeContactMeanwhileIsNotLimitedAsCold() {
