--- a/src/main/java/linengauge/net/RateLimitedLog.java
+++ b/src/main/java/linengauge/net/RateLimitedLog.java
@@ -25,7 +25,10 @@
     this.log = log;
   }
 
-  /** Logs a warning of the given kind, unless one was logged within the last second. */
+  /**
+   * Logs a warning of the given kind, unless one was logged within the last second. The detail and
+   * the number of suppressed lines are fields of the JSON output only, not part of the text.
+   */
   public void warn(String kind, String about, Object detail) {
     KindState state = kinds.computeIfAbsent(kind, key -> new KindState());
     long now = WallClock.micros();
--- a/src/main/java/linengauge/platform/ClientConnection.java
+++ b/src/main/java/linengauge/platform/ClientConnection.java
@@ -374,7 +374,7 @@
 
   /* ---- closing ---- */
 
-  /** Closes the connection, which answers all requests that wait on it. */
+  /** Closes the connection; the requests that wait on it get no other answer than the close. */
   void close(String reason) {
     if (!closed) {
       socket.close();
--- a/src/main/java/linengauge/platform/ClientListener.java
+++ b/src/main/java/linengauge/platform/ClientListener.java
@@ -264,8 +264,9 @@
   }
 
   /**
-   * Handles a request whose id is in use: the session that has the id is not changed, unless both
-   * requests came by the same connection, which is closed then.
+   * Handles a request whose id is in use. A hand-over is ignored. Another request is rejected as
+   * unusable, unless the session with that id still waits for its answer on the same connection,
+   * which is closed then.
    */
   private void handleDuplicateId(
       ClientConnection connection, ClientSession existing, boolean isHandOver) {
--- a/src/main/java/linengauge/platform/EventLog.java
+++ b/src/main/java/linengauge/platform/EventLog.java
@@ -5,7 +5,10 @@
 import linengauge.Moment;
 import linengauge.platform.LogEvent.Kind;
 
-/** Logs what happens to requests, connections and servers, with the time. */
+/**
+ * Creates the events of requests, and logs those of connections, servers and the front, with the
+ * time.
+ */
 final class EventLog {
   private final Supplier<Moment> now;
   private final Consumer<LogEvent> sink;
@@ -20,6 +23,7 @@
     return new RequestTrail(sink);
   }
 
+  /** Creates an event of a request without logging it: that is left to the request's trail. */
   LogEvent requestEvent(
       Kind kind, long request, long server, int attempt, int connection, String reason) {
     return new LogEvent(now.get(), kind, request, server, attempt, connection, reason);
--- a/src/main/java/linengauge/platform/LogEvent.java
+++ b/src/main/java/linengauge/platform/LogEvent.java
@@ -21,7 +21,14 @@
 
   private static final long MICROS_PER_SECOND = 1_000_000;
 
-  /** What happened. */
+  /**
+   * What happened. ATTEMPT_ENDED and SESSION_ENDED: the end before and after the session was
+   * established. GIVE_UP_SENT: the end of an open attempt was written to its server; END_CONFIRMED:
+   * the server has shown that the attempt is over. REQUEST_FAILED: also an answer sent after its
+   * deadline. CONNECTION_DIALLED, CONNECTION_UP and CONNECTION_CLOSED: of a connection to a server.
+   * SERVER_STATE: a change of one server in discovery; DISCOVERY: the journal connection and its
+   * events.
+   */
   public enum Kind {
     REQUEST_TAKEN,
     ATTEMPT_SENT,
@@ -43,7 +50,10 @@
     SHUTDOWN
   }
 
-  /** One line of key=value pairs, without a line separator. */
+  /**
+   * One line of key=value pairs, without a line separator; the time is in seconds since the Unix
+   * epoch.
+   */
   public String line() {
     StringBuilder line = new StringBuilder(128);
     line.append("event=").append(kind.name().toLowerCase(Locale.ROOT).replace('_', '-'));
--- a/src/main/java/linengauge/platform/OneLoopTransport.java
+++ b/src/main/java/linengauge/platform/OneLoopTransport.java
@@ -9,8 +9,8 @@
  * A transport whose connections are accepted by the same event loop that reads them. The library's
  * own transport accepts on a separate loop, which takes hundreds of connections while the front's
  * loop is busy: each holds a descriptor until the front's loop has seen it, and none is left for
- * servers and the journal service. If one loop cannot accept connections as fast as they arrive,
- * they wait in the system's backlog.
+ * servers and the journal service. Here, connections that arrive faster than the one loop accepts
+ * them wait in the system's backlog.
  */
 final class OneLoopTransport extends NioTransport implements io.vertx.core.transport.Transport {
   private EventLoopGroup group;
--- a/src/main/java/linengauge/platform/PlatformFront.java
+++ b/src/main/java/linengauge/platform/PlatformFront.java
@@ -250,11 +250,11 @@
   /**
    * Runs the task once the loop has read everything that may have arrived more than {@link
    * #MAX_CROSSING_TIME} ago: at once if the loop keeps up, else some iterations later. Without this
-   * the front could act, in or after a long iteration, on something that an unread message has
-   * undone: send an attempt whose client has left, or use a connection that was closed under a
-   * request. Deferred tasks run in batches of limited time, so that they cause no long iteration
-   * themselves. The task waits for these iterations even if nothing had arrived; if they are long,
-   * one read after {@link #MAX_CROSSING_TIME} has to suffice.
+   * the front could act, in or after a long iteration, against a message that it has not read yet:
+   * send an attempt whose client has left, or close a connection on which a request waits. Deferred
+   * tasks run in batches of limited time, so that they cause no long iteration themselves. The task
+   * waits for these iterations even if nothing had arrived; if they are long, one read after {@link
+   * #MAX_CROSSING_TIME} has to suffice.
    */
   void runOnceCaughtUp(Runnable task) {
     if (deferredTasks.isEmpty() && !isBehind()) {
--- a/src/main/java/linengauge/platform/ServerConnection.java
+++ b/src/main/java/linengauge/platform/ServerConnection.java
@@ -30,7 +30,10 @@
   /** The connection stays open this long for the server to confirm an end written on it. */
   private static final Span END_CONFIRMATION_TIME = Span.ofSeconds(1);
 
-  /** How the connection ended: closed by either side, or never established. */
+  /**
+   * How the connection ended: closed by either side, not reached, or refused, as nothing listens at
+   * the address.
+   */
   private enum CloseCause {
     CLOSED,
     NOT_REACHED,
@@ -59,7 +62,8 @@
   private final RecentAttemptIds usedIds = new RecentAttemptIds(MAX_TRACKED_IDS, ID_RETENTION);
 
   /**
-   * An attempt whose end was written here; null where the end is that of an established session.
+   * An attempt whose end was written here. For the end of an established session, {@link
+   * #unconfirmedEnds} holds null in its place.
    */
   private record CancelledAttempt(Session session, int attempt) {}
 
@@ -102,6 +106,10 @@
     return openAttempts.size() + pendingTests.size();
   }
 
+  /**
+   * How many connections to the server had closed when this one was dialled: once it is up, the
+   * server repeats on it what those closes may have lost.
+   */
   int closesBeforeDial() {
     return closesBeforeDial;
   }
@@ -288,13 +296,13 @@
 
   /**
    * Tests whether the server responds at all: any message from it is a sign of life; silence is
-   * judged by {@link ServerLink#sweep}.
+   * judged by {@link ServerLink#sweep}. The answer also confirms the ends written before the test.
    */
   void sendLivenessTest(long id) {
     writeTest(id);
   }
 
-  /** Sends the end of an established session. */
+  /** Sends the end of an established session; no attempt waits for its confirmation. */
   void sendEnd(long id) {
     sendEnd(id, null);
   }
@@ -304,7 +312,10 @@
     unconfirmedEnds.onEndWritten(id, cancelled, front().now());
   }
 
-  /** Cancels an attempt that is open here; false if it is not. */
+  /**
+   * Cancels an attempt that is open here; false if it is not. Counts it as unanswered if its
+   * client's time has run out.
+   */
   boolean cancel(Session session, int attempt) {
     long id = ((ClientSession) session.viewer()).id();
     OpenAttempt openAttempt = openAttempts.get(id);
--- a/src/main/java/linengauge/platform/ServerLink.java
+++ b/src/main/java/linengauge/platform/ServerLink.java
@@ -26,7 +26,10 @@
   /** As long as the platform allows a front for the release of a session that has ended. */
   private static final Span EARLY_END_RETENTION = Span.ofSeconds(8);
 
-  /** If nothing else opens a connection, one is dialled at this interval, and for this long. */
+  /**
+   * If messages wait and nothing else opens a connection, one is dialled at this interval, until
+   * the last of them has waited for the period below.
+   */
   private static final Span UNSENT_DIAL_INTERVAL = Span.ofSeconds(2);
 
   private static final Span UNSENT_DIAL_PERIOD = Span.ofSeconds(30);
--- a/src/main/java/linengauge/platform/codec/ClientMessageCodec.java
+++ b/src/main/java/linengauge/platform/codec/ClientMessageCodec.java
@@ -284,7 +284,10 @@
     return encode(ANSWER, id, DESCRIPTION, description);
   }
 
-  /** A retry is harmless, and best made after this many milliseconds; 0 gives no advice. */
+  /**
+   * Cause 34, rejected: a retry is harmless, and best made after this many milliseconds; 0 gives no
+   * advice.
+   */
   public static byte[] encodeRejected(long id, long retryAfterMs) {
     return retryAfterMs <= 0
         ? encodeEnd(id, 34)
@@ -297,16 +300,17 @@
             Long.toString(retryAfterMs).getBytes(StandardCharsets.US_ASCII));
   }
 
+  /** Cause 47, failed: an attempt may or may not have run at a server. */
   public static byte[] encodeFailed(long id) {
     return encodeEnd(id, 47);
   }
 
-  /** The set-up cannot be used, so that a retry is pointless. */
+  /** Cause 95: the set-up cannot be used, so that a retry is pointless. */
   public static byte[] encodeUnusable(long id) {
     return encodeEnd(id, 95);
   }
 
-  /** An established session is over: it has ended by itself, or has been cut. */
+  /** An established session is over: it has been cut (cause 41) or has ended by itself (16). */
   public static byte[] encodeOver(long id, boolean cut) {
     return encodeEnd(id, cut ? 41 : 16);
   }
--- a/src/main/java/linengauge/platform/codec/JournalFrameCodec.java
+++ b/src/main/java/linengauge/platform/codec/JournalFrameCodec.java
@@ -66,6 +66,7 @@
     return completed;
   }
 
+  /** Kind 0 is a heartbeat, 1 carries the full server list, 2 carries changes of it. */
   private void decodeFrame(ByteBuffer frame) throws MalformedMessageException {
     long number = frame.getLong();
     int kind = frame.get();
--- a/src/main/java/linengauge/platform/codec/ServerLineCodec.java
+++ b/src/main/java/linengauge/platform/codec/ServerLineCodec.java
@@ -172,7 +172,11 @@
     }
   }
 
-  /** Maps the cause of a release to the outcome of a set-up that has not been answered. */
+  /**
+   * Maps the cause of a release to the outcome of a set-up that has not been answered. 34: the
+   * server turned it away; 102: it never ran; 47 (an error at the server) and any other cause (a
+   * reset): it may have run.
+   */
   public static AttemptOutcome setUpOutcome(int cause) {
     return switch (cause) {
       case 34 -> AttemptOutcome.TURNED_AWAY;
@@ -183,8 +187,9 @@
   }
 
   /**
-   * Maps the cause of a release to the outcome of an established session. WITHDRAWN means that the
-   * client has ended the session and is owed no further message.
+   * Maps the cause of a release to the outcome of an established session. 16: it has come to its
+   * end; 31: WITHDRAWN, the client has ended it and is owed no further message; any other cause: it
+   * was cut.
    */
   public static AttemptOutcome sessionOutcome(int cause) {
     return switch (cause) {
--- a/src/main/java/linengauge/platform/connection/ConnectionHealth.java
+++ b/src/main/java/linengauge/platform/connection/ConnectionHealth.java
@@ -16,7 +16,10 @@
   /** A partial line that is not completed within this time is regarded as corrupt. */
   private static final Span PARTIAL_LINE_TIMEOUT = Span.ofMillis(400);
 
-  /** What is to be done with the connection. */
+  /**
+   * What is to be done with the connection. CLOSE_IDLE: nothing is open on it, and it is retired or
+   * has been idle for too long. CLOSE_BROKEN: a partial line has not been completed in time.
+   */
   public enum Verdict {
     KEEP,
     CLOSE_IDLE,
@@ -62,8 +65,8 @@
   }
 
   /**
-   * A set-up written at the given moment has not been answered in time. If nothing else was
-   * received since then, the connection takes no further set-ups.
+   * A set-up or a test written at the given moment has not been answered in time. If nothing else
+   * was received since then, the connection takes no further set-ups.
    */
   public void onUnanswered(Moment writtenAt) {
     retired |= lastReceivedAt.isBefore(writtenAt);
@@ -87,8 +90,8 @@
   }
 
   /**
-   * Decides what to do, given the number of outstanding set-ups and tests. With an idle timeout of
-   * NONE, an idle connection is never closed.
+   * Decides what to do, given the number of set-ups, tests and recent ends without a reply. With an
+   * idle timeout of NONE, only a retired connection is closed as idle.
    */
   public Verdict verdict(int outstanding, Span idleTimeout, Moment now) {
     if (partialSince != null && PARTIAL_LINE_TIMEOUT.isShorterThan(now.since(partialSince))) {
--- a/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
+++ b/src/main/java/linengauge/platform/connection/ReachabilityDetector.java
@@ -10,7 +10,8 @@
  * <p>The connections of a machine that has vanished stay open and silent. A timeout alone proves
  * nothing, as a process that pauses is silent too and continues its sessions afterwards. Only
  * connections that fail to come up for a while are proof. If the path to a server is cut for longer
- * than that while the server keeps its sessions, their clients have to reconnect.
+ * than that while the server keeps its sessions, these are given up all the same, and their clients
+ * have to request new ones.
  */
 public final class ReachabilityDetector {
   /**
--- a/src/main/java/linengauge/platform/connection/TimeoutCause.java
+++ b/src/main/java/linengauge/platform/connection/TimeoutCause.java
@@ -19,8 +19,9 @@
   private TimeoutCause() {}
 
   /**
-   * Returns the outcome for something written at the given moment. The connections are those to the
-   * server that are up, except for one that has just failed.
+   * Returns the outcome for something written at the given moment: HELD_UP if this front stalled,
+   * UNHEARD if a connection shows that the process of the server lives on, else NO_ANSWER. The
+   * connections are those to the server that are up, except for one that has just failed.
    */
   public static AttemptOutcome outcome(
       Moment writtenAt, EventLoopLag lag, Moment now, Iterable<ConnectionHealth> connections) {
--- a/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
+++ b/src/main/java/linengauge/platform/connection/UnconfirmedEnds.java
@@ -9,11 +9,11 @@
 
 /**
  * Ends of attempts that were written on one connection to a server and are not confirmed yet. A
- * connection preserves the order of what is written on it, so any reply there about the attempt, or
- * about a test written after the end, shows that the server has read the end. Neither a message on
- * another connection nor a close shows it.
+ * connection preserves the order of what is written on it, so two messages received on it confirm
+ * an end: that the attempt is over, or the answer to a test written after the end. A late answer to
+ * the attempt, a message on another connection or a close confirms nothing.
  *
- * @param <A> the type of the attempts; an end may belong to none
+ * @param <A> the type of the attempts; null stands for the end of an established session
  */
 public final class UnconfirmedEnds<A> {
   private record End<A>(A attempt, long lastTest, Moment writtenAt) {}
