--- a/src/test/java/linengauge/platform/ConnectionTrackingTest.java
+++ b/src/test/java/linengauge/platform/ConnectionTrackingTest.java
@@ -217,7 +217,10 @@
     }
   }
 
-  /** A turn of half a second leaves a request that is read in the next one that much less time. */
+  /**
+   * After a turn of half a second, a request read in the next one may have waited that long, and
+   * its client's time limit is that much shorter.
+   */
   @Test
   void readDelayCoversTheLastTwoTurns() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
@@ -231,7 +234,10 @@
     assertEquals(Span.ofMillis(25), lag.maxReadDelay(at(545)));
   }
 
-  /** Pending data is read over several turns: the bytes in one, the close in the next. */
+  /**
+   * Pending data is read over several turns: the bytes in one, the close in the next, and tasks
+   * deferred by these run in the third.
+   */
   @Test
   void aLoopIsBehindDuringALongTurnAndForSomeTicksAfterIt() {
     EventLoopLag lag = new EventLoopLag(Span.ofMillis(50), at(0));
@@ -241,7 +247,7 @@
     lag.tick(at(140));
     for (int t = 141; t < 144; t++) {
       assertTrue(lag.isBehind(at(t)));
-      lag.tick(at(t)); // Missed ticks run back to back.
+      lag.tick(at(t)); // Missed ticks run one per turn.
     }
     assertFalse(lag.isBehind(at(144)));
   }
--- a/src/test/java/linengauge/platform/EventOrderTest.java
+++ b/src/test/java/linengauge/platform/EventOrderTest.java
@@ -299,8 +299,8 @@
   }
 
   /**
-   * The set-up is made in a loop that is behind, after its connection has come up and before the
-   * tasks deferred by that run. Guards against sending it twice.
+   * A set-up made in a loop that is behind, between its connection coming up and the tasks deferred
+   * by that, is queued to be sent twice: by itself and by these tasks. Only one may write it.
    */
   @Test
   void aSetUpMadeAsItsConnectionComesUpIsSentOnce() throws Exception {
--- a/src/test/java/linengauge/platform/PlatformFrontTest.java
+++ b/src/test/java/linengauge/platform/PlatformFrontTest.java
@@ -16,8 +16,8 @@
   private static final int RELEASED = 12;
 
   /**
-   * A set-up is outstanding until its connection is closed: a retry elsewhere before that would be
-   * a second other.
+   * A set-up is outstanding until its connection is closed: with a retry elsewhere before that, two
+   * would be outstanding at once.
    */
   @Test
   void theConnectionToARemovedServerIsClosedBeforeItsSetUpsAreRetried() throws Exception {
