--- a/src/test/java/linengauge/platform/ConnectionTrackingTest.java
+++ b/src/test/java/linengauge/platform/ConnectionTrackingTest.java
@@ -235,7 +235,7 @@
   }
 
   /**
-   * Pending data is read over several turns: the bytes in one, the close in the next, and tasks
+   * Pending data is read over several turns: the bytes in one, the close in the next, and the tasks
    * deferred by these run in the third.
    */
   @Test
--- a/src/test/java/linengauge/platform/EventOrderSocketsTest.java
+++ b/src/test/java/linengauge/platform/EventOrderSocketsTest.java
@@ -194,7 +194,9 @@
         .count();
   }
 
-  /** Runs a session after everything that arrived before it has been processed. */
+  /**
+   * Runs a session; once it is established, everything that arrived before it has been processed.
+   */
   private void runSession(long id) throws Exception {
     try (var client = new PlatformViewers(port)) {
       startSession(client, id);
@@ -225,7 +227,7 @@
           }
           default -> {}
         }
-        Thread.sleep(120); // Longer than the time after which an attempt may start.
+        Thread.sleep(120); // Longer than an attempt may still start after its client has left.
       }
       runSession(3);
       assertEquals(0, setUpsReceived(2), "set up 0.1 s after its client had left");
@@ -263,7 +265,7 @@
       try (LoopBlocker blocker = new LoopBlocker()) {
         socket.getOutputStream().write(concatenate(setUps(1000, 1200), end(1)));
         socket.close();
-        Thread.sleep(120); // Longer than the time after which an attempt may start.
+        Thread.sleep(120); // Longer than an attempt may still start after its client has left.
       }
       waitUntil(() -> !server.playing().containsKey(tag(1)));
       runSession(3);
