--- a/src/main/java/linengauge/work/Job.java
+++ b/src/main/java/linengauge/work/Job.java
@@ -7,7 +7,7 @@
  *
  * @param name identifies the job: a submission under the name of a job that is still scheduled does
  *     not add another one
- * @param urgency 0 is the most urgent
+ * @param urgency 0 is the most urgent; greater numbers are less urgent
  * @param startWithin time limit for the start after the job is submitted or due; a job over its
  *     limit precedes all that are not; none: no limit
  * @param interval after which a completed job is due again; none: it runs once
@@ -30,7 +30,7 @@
   public interface Action {
     void run(ScheduledJob job);
 
-    /** The job has failed for the last time, or was evicted by a more urgent one. */
+    /** The job has failed for the last time, or was evicted by one of a smaller rank. */
     default void abandoned(ScheduledJob job) {
       // most actions have nothing to release
     }
--- a/src/main/java/linengauge/work/JobScheduler.java
+++ b/src/main/java/linengauge/work/JobScheduler.java
@@ -12,16 +12,20 @@
 /**
  * Decides which background job runs next, if any. Viewers take precedence: in any window jobs have
  * limited budgets of session loop time and of bytes, and only the floor of both while the session
- * loop is late. The most urgent due job runs first. Urgency grows with waiting time, so that no job
- * starves, and a job over its own start limit precedes all that are not. The scheduler has no
- * clock, thread or timer: the caller polls for the next job, and asks when to poll again.
+ * loop is late. Due jobs run in ascending order of their rank ({@link ScheduledJob#rank}): the most
+ * urgent first. The rank falls with waiting time, so that no job starves, and a job over its own
+ * start limit precedes all that are not. The scheduler has no clock, thread or timer: the caller
+ * polls for the next job, and asks when to poll again.
  */
 public final class JobScheduler {
   /** The result of a submission. */
   public enum Result {
     ACCEPTED,
+    /** A job of the same name is waiting or running. */
     ALREADY_SUBMITTED,
+    /** There are as many jobs as allowed, and the new one precedes none that is waiting. */
     FULL,
+    /** The estimate exceeds a whole budget. */
     TOO_LARGE
   }
 
@@ -85,8 +89,9 @@
 
   /**
    * Submits a job that is due at {@code notBefore}. If a job of the same name is waiting or
-   * running, that one is returned. If the scheduler is full, the waiting job of the lowest rank is
-   * evicted and notified, provided that the new job outranks it.
+   * running, that one is returned. If the scheduler is full, the waiting job that would run last,
+   * which is the one of the greatest rank, is evicted and notified, provided that the rank of the
+   * new job is smaller.
    */
   public Submission submit(Job job, Moment notBefore, Moment at) {
     advanceTo(at);
@@ -116,7 +121,8 @@
 
   private boolean evictFor(Job job) {
     // By rank rather than by urgency alone: otherwise every new job could evict a job that has
-    // been waiting for a long time.
+    // been waiting for a long time. The smallest rank runs first; {@code lowest} is the job that
+    // would run last, the one of the greatest rank.
     long rank = job.urgency() * settings.agingInterval().micros();
     ScheduledJob lowest = null;
     for (ScheduledJob scheduled : jobs.values()) {
@@ -134,6 +140,7 @@
     counts.evicted++;
     jobs.remove(lowest.job().name());
     lowest.evicted();
+    // Notified like a job that has failed for the last time, but counted as evicted only.
     lowest.job().action().abandoned(lowest);
     return true;
   }
@@ -179,7 +186,7 @@
     return null;
   }
 
-  /** Jobs that are waiting and due, highest rank first. */
+  /** Jobs that are waiting and due, by ascending rank, which is the order in which they run. */
   private List<ScheduledJob> due() {
     List<ScheduledJob> due = new ArrayList<>();
     for (ScheduledJob scheduled : jobs.values()) {
--- a/src/main/java/linengauge/work/ScheduledJob.java
+++ b/src/main/java/linengauge/work/ScheduledJob.java
@@ -8,8 +8,10 @@
 public final class ScheduledJob {
   /** The lifecycle state. */
   public enum State {
+    /** Not due yet, or due and not started; also between two runs or attempts. */
     WAITING,
     RUNNING,
+    /** Has run for the last time, or was abandoned, evicted or cancelled. */
     ENDED
   }
 
@@ -21,7 +23,10 @@
   private Moment dueAt;
   private int failures;
 
-  /** Submitted again while running: the job is due at once when it ends. */
+  /**
+   * Submitted again while running: the job is due at once when it succeeds. A failure discards the
+   * resubmission and keeps the backoff.
+   */
   private boolean rerunRequested;
 
   private Span estimatedLoopTime;
@@ -69,8 +74,8 @@
   }
 
   /**
-   * The rank; the smallest runs first. It is the urgency reduced by the waiting time; a job over
-   * its start limit precedes all that are not.
+   * The rank in microseconds; the smallest runs first. It is the urgency number, counted in aging
+   * intervals, less the waiting time. A job over its start limit precedes all that are not.
    */
   long rank(Moment now, Span agingInterval) {
     Span waited = now.since(dueAt).max(Span.NONE);
--- a/src/test/java/linengauge/work/JobSchedulerTest.java
+++ b/src/test/java/linengauge/work/JobSchedulerTest.java
@@ -261,7 +261,10 @@
     assertNotNull(scheduler.nextJob(now));
   }
 
-  /** A started job with its reserved amounts. */
+  /**
+   * A started job with its reserved amounts. Those of a window that ends now are summed here, to
+   * check the budgets independently of the scheduler's own count.
+   */
   private record StartedJob(Moment at, Span loopTime, long bytes) {}
 
   @Test
