--- a/src/main/java/linengauge/zones/ZoneEntry.java
+++ b/src/main/java/linengauge/zones/ZoneEntry.java
@@ -11,7 +11,8 @@
  *     remoteShare, is rejected by the zone
  * @param relapses how often the zone was given up since it last served for a long time
  * @param holdReason given by the operator that holds the entry, or ""
- * @param stateSinceVersion version of the table in which the state last changed
+ * @param stateSinceVersion version of the table in which the state last changed, or the entry was
+ *     last held or released
  */
 public record ZoneEntry(
     ZoneState state,
--- a/src/main/java/linengauge/zones/ZoneRouter.java
+++ b/src/main/java/linengauge/zones/ZoneRouter.java
@@ -16,9 +16,13 @@
 public final class ZoneRouter {
   /** How far the front follows the table. */
   public enum Mode {
+    /** All new viewers are placed by the table. */
     COORDINATED,
+    /** The table is stale: a rising share of new viewers ignores it. */
     DETACHING,
+    /** No new viewer is placed by the table. */
     INDEPENDENT,
+    /** The table is confirmed again: a falling share of new viewers ignores it. */
     REATTACHING
   }
 
@@ -87,8 +91,8 @@
   }
 
   /**
-   * Updates and returns the share of new viewers that ignore the table. A process pause changes it
-   * by at most one quarter, since no viewer was placed during the pause.
+   * Updates and returns the share of new viewers that ignore the table. One update changes it by at
+   * most one quarter, even after a process pause, since no viewer was placed during the pause.
    */
   public double updateIndependentShare(Moment now) {
     if (updatedAt != null) {
@@ -116,7 +120,10 @@
             : share >= 1 ? Mode.INDEPENDENT : Mode.REATTACHING;
   }
 
-  /** Selects the zones for a new viewer: its own zone, others, or none. */
+  /**
+   * Selects the zones for a new viewer: its own zone, others, none (it is rejected), or all where
+   * this viewer ignores the table.
+   */
   public Route route(Moment now) {
     if (random.nextDouble() < updateIndependentShare(now)) {
       return new Route(new TreeMap<>(), true, table.version());
--- a/src/main/java/linengauge/zones/ZoneTable.java
+++ b/src/main/java/linengauge/zones/ZoneTable.java
@@ -40,7 +40,7 @@
     return java.util.Collections.unmodifiableSortedMap(entries);
   }
 
-  /** Whether every zone serves its own viewers. */
+  /** Whether every zone serves all of its own viewers. */
   public boolean isAllNear() {
     return entries.values().stream().allMatch(entry -> entry.state() == ZoneState.NEAR);
   }
--- a/src/test/java/linengauge/zones/ZoneRouterTest.java
+++ b/src/test/java/linengauge/zones/ZoneRouterTest.java
@@ -11,7 +11,7 @@
 import linengauge.Span;
 import org.junit.jupiter.api.Test;
 
-/** The router of one front in zone 0 of three. */
+/** The router of a front in zone 0, beside zones 1 and 2; zone 2 has three times the capacity. */
 class ZoneRouterTest {
   private final ZoneTable table = new ZoneTable();
   private final ZoneRouter router =
@@ -25,6 +25,7 @@
     router.setCapacity(2, 3000);
   }
 
+  /** Changes the entry of one zone; its relapses, 1 here, do not affect the router. */
   private void change(int zone, ZoneState state, double localShare, double remoteShare) {
     table.apply(
         ++index,
@@ -46,8 +47,8 @@
   }
 
   /**
-   * The outcomes of 10,000 new viewers at one moment, as shares: local, sent elsewhere, rejected,
-   * and placed without the table.
+   * The shares of 10,000 new viewers at one moment by outcome: "stays" in the own zone, "goes" with
+   * the weights of the other zones, "refused" if rejected, "alone" if placed without the table.
    */
   private Map<String, Double> routeShares() {
     Map<String, Double> shares = new TreeMap<>();
