--- a/src/main/java/linengauge/flow/BufferBudget.java
+++ b/src/main/java/linengauge/flow/BufferBudget.java
@@ -4,8 +4,8 @@
  * Limits the bytes queued on one loop. A floor is reserved for every peer; the rest of the budget
  * is shared. A single limit applies to all peers: the floor plus the part of the shared budget that
  * is still free. A peer above the limit receives nothing more until it has read some of its bytes,
- * and a peer below the limit may always queue more. With n greedy peers each converges to a share
- * of 1/(n + 1), and the last share stays free for the next peer.
+ * and a peer below the limit may always queue more. With n greedy peers each converges to 1/(n + 1)
+ * of the shared budget, and the last such part stays free for the next peer.
  *
  * <p>This prevents many peers that do not read from filling the memory. The cost: while the budget
  * is nearly used up, a fast viewer with a long round-trip time has only its floor in flight.
--- a/src/main/java/linengauge/flow/ConnectionAttempt.java
+++ b/src/main/java/linengauge/flow/ConnectionAttempt.java
@@ -15,7 +15,10 @@
  * </pre>
  */
 public final class ConnectionAttempt {
-  /** What the connection waits for; {@code BETWEEN} is idle between two requests. */
+  /**
+   * What the connection waits for: {@code FIRST_BYTE} of its first request, the end of the {@code
+   * HEADERS}, the response to a request {@code UNDER_WAY}, or the next request ({@code BETWEEN}).
+   */
   public enum State {
     FIRST_BYTE,
     HEADERS,
--- a/src/main/java/linengauge/flow/ConnectionLedger.java
+++ b/src/main/java/linengauge/flow/ConnectionLedger.java
@@ -18,7 +18,9 @@
   /** How a new connection is handled. */
   public enum Admission {
     SERVED,
+    /** One request is read and answered with a rejection. */
     REJECTED,
+    /** Closed without a response. */
     DROPPED
   }
 
--- a/src/main/java/linengauge/flow/FlowSettings.java
+++ b/src/main/java/linengauge/flow/FlowSettings.java
@@ -9,7 +9,8 @@
  * @param enabled false: no peer is paused or disconnected; meant only to show the effect of the
  *     limits
  * @param tickInterval how often peers are evaluated
- * @param lateTolerance a tick that is later than this indicates a process pause
+ * @param lateTolerance a tick that comes more than this after its due time indicates a process
+ *     pause
  * @param window over which the throughput of a peer is measured
  * @param minOwedTime how long within the window a peer must have been owed bytes before it can be
  *     found slow
--- a/src/main/java/linengauge/flow/PeerTraffic.java
+++ b/src/main/java/linengauge/flow/PeerTraffic.java
@@ -168,8 +168,8 @@
   }
 
   /**
-   * Whether bytes are wanted from the box. None are while the viewer blocks the transfer and after
-   * the last byte.
+   * Sets whether bytes are wanted from the box. None are wanted while the viewer does not keep up,
+   * and after the last byte.
    */
   public void setBytesWanted(boolean isWanted) {
     bytesWanted = isWanted;
@@ -187,7 +187,10 @@
 
   /* ---- ticks of the loop ---- */
 
-  /** Records the loop time since the last tick; whether the minimum rate was reached. */
+  /**
+   * Records the bytes transferred in the loop time since the last tick. True if bytes were
+   * transferred at no less than the minimum rate, which counts as progress.
+   */
   boolean sample(Span span) {
     long movedBytes;
     boolean wasOwed;
