--- a/src/main/java/linengauge/front/BackgroundJobs.java
+++ b/src/main/java/linengauge/front/BackgroundJobs.java
@@ -28,7 +28,8 @@
    * Submits a short task that runs once after a delay, when the budget permits. Called on the
    * session loop.
    *
-   * @param estimatedTime expected time on the session loop; measured from the first run on
+   * @param estimatedTime expected time on the session loop, reserved at the start; if the run takes
+   *     longer, the excess is charged at its end
    * @return false where the task was refused for now and has to be submitted again
    */
   boolean submit(String name, int urgency, Span delay, Span estimatedTime, Runnable task) {
--- a/src/main/java/linengauge/front/BoxClient.java
+++ b/src/main/java/linengauge/front/BoxClient.java
@@ -39,8 +39,8 @@
   static final ObjectMapper JSON = new ObjectMapper();
 
   /**
-   * The most that the library reads at once by default. A larger limit needs no setting, and a
-   * setting would also fix the size of the socket's receive buffer.
+   * The most that the library reads at once by default. Limits from here on are not set: a setting
+   * would gain nothing, and would also fix the size of the socket's receive buffer.
    */
   private static final int LARGEST_READ_BYTES = 65_536;
 
@@ -358,8 +358,8 @@
   }
 
   /**
-   * Sends an end. Once the box has answered, nothing of the tune-in runs there or can start later,
-   * as the box remembers the end (docs/protocol/box.md).
+   * Sends an end. Once the box has confirmed it (2xx, 404 or 410), nothing of the tune-in runs
+   * there or can start later, as the box remembers the end (docs/protocol/box.md).
    */
   private void tryEnd(
       BoxTable.Entry box, String uri, int triesLeft, Backoff backoff, Runnable onConfirmed) {
--- a/src/main/java/linengauge/front/DiscoveryClient.java
+++ b/src/main/java/linengauge/front/DiscoveryClient.java
@@ -30,7 +30,7 @@
   /** Before all other background jobs: without discovery a front works with outdated data. */
   private static final int URGENCY = 0;
 
-  /** Estimated time on the session loop for opening a stream, until it has been measured. */
+  /** Estimated time on the session loop for opening a stream: 300 microseconds. */
   static final Span ESTIMATED_OPEN_TIME = new Span(300);
 
   private final FrontServer front;
--- a/src/main/java/linengauge/front/Listener.java
+++ b/src/main/java/linengauge/front/Listener.java
@@ -94,7 +94,7 @@
                 .setMaxHeaderSize(limits.headerBytes())
                 .setAcceptBacklog(limits.backlog())
                 .setTcpNoDelay(true)
-                // Bytes in the system's buffers cannot be accounted for.
+                // Bytes in the system's buffers cannot be accounted for, so these are limited.
                 .setSendBufferSize(limits.sendBufferBytes())
                 // Otherwise a connection is reported only with its first bytes.
                 .setHttp2ClearTextEnabled(false));
--- a/src/main/java/linengauge/front/MediaRelay.java
+++ b/src/main/java/linengauge/front/MediaRelay.java
@@ -279,7 +279,7 @@
       }
     }
 
-    /** Resumes where the viewer has read the waiting bytes, or the pool has room for it again. */
+    /** Resumes where the viewer has read the waiting bytes, or the buffer budget has room again. */
     @Override
     public void resume() {
       if (paused
--- a/src/main/java/linengauge/front/NoteStreams.java
+++ b/src/main/java/linengauge/front/NoteStreams.java
@@ -29,7 +29,7 @@
 final class NoteStreams {
   private static final Pattern DIGITS = Pattern.compile("[0-9]{1,13}");
 
-  /** Upper limit of reported ages; an older start makes no difference. */
+  /** Greater reported ages are cut to this limit, as an older start makes no difference. */
   private static final long MAX_AGE_MS = 1_000_000_000L;
 
   /** Urgency of streams that failed more than once: after discovery. */
--- a/src/main/java/linengauge/front/SessionLoop.java
+++ b/src/main/java/linengauge/front/SessionLoop.java
@@ -72,7 +72,10 @@
     return timers.schedule(span.micros(), () -> run(step));
   }
 
-  /** Runs a task after the span that is no step of the session manager. */
+  /**
+   * Runs a task on the session loop after the span, but not as a step: the session manager's clock
+   * is not set. Used to close the front after the session manager has failed.
+   */
   void scheduleOutsideSteps(Span span, Runnable task) {
     timers.schedule(span.micros(), task);
   }
--- a/src/test/java/linengauge/front/FrontFixture.java
+++ b/src/test/java/linengauge/front/FrontFixture.java
@@ -96,6 +96,7 @@
   final DiscoveryService discovery;
   final List<ScriptedBox> boxes = new ArrayList<>();
   final HttpClient client = HttpClient.newHttpClient();
+  // Records the events at the discovery service, which requires it; no test reads them.
   final Tap tap = new Tap();
   final int viewerPort;
   final int controlPort;
--- a/src/test/java/linengauge/front/SlowSocketsTest.java
+++ b/src/test/java/linengauge/front/SlowSocketsTest.java
@@ -24,6 +24,11 @@
 
 /** Slow peers on sockets, with scripted boxes and raw client connections. */
 class SlowSocketsTest {
+  /**
+   * Short spans, so that a slow peer is found within seconds. {@code lateMs} is long, so that a
+   * tick delayed by a busy machine does not count as a process pause: no peer is disconnected in
+   * the tick after one.
+   */
   private static final String FAST_SETTINGS =
       "stop: { playingMs: 100 }, flow: { beatMs: 50, lateMs: 5000, windowMs: 1600, "
           + "evidenceMs: 800, graceMs: 400 }, ";
