--- a/src/main/java/linengauge/front/FleetLease.java
+++ b/src/main/java/linengauge/front/FleetLease.java
@@ -90,7 +90,7 @@
 
   /**
    * Passes the current state to the receiver, on an arbitrary thread; at once and empty where
-   * membership by lease is not configured.
+   * membership by lease is not configured or the node's queue is full.
    */
   void state(Consumer<JsonObject> receiver) {
     if (node == null || !node.query(agent -> receiver.accept(state(agent, DatagramLoop.now())))) {
--- a/src/main/java/linengauge/front/VrrpPairing.java
+++ b/src/main/java/linengauge/front/VrrpPairing.java
@@ -75,7 +75,7 @@
     }
   }
 
-  /** Leaves and waits until that is done; partners take over at once. */
+  /** Leaves and waits for that, a second at most; partners take over at once. */
   void close() {
     if (node != null) {
       node.close();
