--- a/src/main/java/linengauge/cli/DrillCommands.java
+++ b/src/main/java/linengauge/cli/DrillCommands.java
@@ -301,6 +301,7 @@
     return 0;
   }
 
+  /** See {@link MemberProcess}. Only input ends it, not the end of its input. */
   @Command(
       name = "member",
       hidden = true,
@@ -367,6 +368,7 @@
         .toList();
   }
 
+  /** See {@link LeaseProcess}. Any input ends it, too, not only the end of its input. */
   @Command(
       name = "lease-member",
       hidden = true,
@@ -390,7 +392,7 @@
     return 0;
   }
 
-  /** Options of a front's membership process. */
+  /** Options of a front's membership process, explained at {@link LeaseProcess.Options}. */
   static final class LeaseOptions {
     @Option(names = "--number", required = true)
     int number;
@@ -423,6 +425,7 @@
     long heartbeatMs;
   }
 
+  /** See {@link ControlProcess}. Any input ends it, too, not only the end of its input. */
   @Command(
       name = "control",
       hidden = true,
@@ -445,6 +448,7 @@
         Span.ofMillis(options.beatMs));
   }
 
+  /** Hollow fronts are the control parts of fronts in isolation, over real sockets. */
   @Command(name = "hollow-fronts", hidden = true, description = "Run a process of hollow fronts.")
   int hollowFronts(@Parameters Path spec, @CommandLine.Mixin Commands.LogOptions log)
       throws IOException {
@@ -462,7 +466,10 @@
     return HollowChild.run(spec, true);
   }
 
-  /** Options of a control machine process. */
+  /**
+   * Options of a control machine process, explained at {@link ControlProcess.Options}; `--way`
+   * gives the routes.
+   */
   static final class ControlOptions {
     @Option(names = "--number", required = true)
     int number;
--- a/src/main/java/linengauge/drill/ControlProcess.java
+++ b/src/main/java/linengauge/drill/ControlProcess.java
@@ -24,7 +24,7 @@
 /**
  * Runs a single control machine as a process. Its record has a line for each change of the
  * directory, one for each change of the log's role or term, and ten lines a second for the current
- * directory. It ends at the end of input.
+ * directory. It ends when input arrives or ends.
  */
 public final class ControlProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
@@ -104,6 +104,7 @@
     return 0;
   }
 
+  /** Returns the default settings of a log follower with all durations scaled to the given tick. */
   private static LogFollower.Terms followerSettings(Span tick) {
     double scale = tick.seconds() / RaftSettings.USUAL.beat().seconds();
     LogFollower.Terms defaults = LogFollower.Terms.USUAL;
--- a/src/main/java/linengauge/drill/DayImporter.java
+++ b/src/main/java/linengauge/drill/DayImporter.java
@@ -103,15 +103,20 @@
     }
     ObjectNode root = JSON.createObjectNode();
     root.put("name", dayName()).put("lengthS", round(keptSeconds));
+    // A day script is played once for each name in this list; here once, with that package paid
+    // for.
     root.putArray("paidPasses").add(paidPackage());
     ObjectNode fleet = root.putObject("fleet").put("boxes", boxes).put("racks", racks);
     ArrayNode buildings = fleet.putArray("buildings");
     day.path("zones").forEach(zone -> buildings.add(zone.asText()));
     while (buildings.size() > fronts) {
-      // No front would accept the viewers of a building without one.
+      // Fronts are spread over the buildings; no front would accept the viewers of a building
+      // without one.
       buildings.remove(buildings.size() - 1);
     }
     boolean loadInAnswers = "answers".equals(tier.path("report_how").asText());
+    // `seeMs` delays the notes of boxes; `tellMs` is the interval of their load reports, which only
+    // boxes that also report their load in answers send (0: none).
     fleet
         .put(
             "streams",
@@ -156,6 +161,7 @@
         .path("shape")
         .forEach(
             point -> shape.addArray().add(point.get(0).asDouble()).add(point.get(1).asDouble()));
+    // The script cannot state viewings that play as the day begins, so these build up by arrivals.
     addChange(
         "viewers come at %.2f a second, as many for each box as before; those of the day's first moment come with time",
         perSecond);
@@ -173,7 +179,10 @@
     return name.replaceAll("[^A-Za-z0-9._-]", "-").substring(0, Math.min(64, name.length()));
   }
 
-  /** Returns the first package that is not safe to set up twice: it is paid for at set-up. */
+  /**
+   * Returns the first package that is not safe to set up twice, or "" if all are safe. The fronts
+   * treat it as paid for at set-up.
+   */
   private String paidPackage() {
     for (JsonNode packageClass : day.path("classes")) {
       if (!packageClass.path("effect").asText().equals("safe")) {
@@ -264,7 +273,9 @@
               "deploy: boxes restart in turns of %.0f in place of being replaced by new ones",
               size);
         }
+        // The share of racks whose uplinks become slow.
         case "origin_slow" -> fraction = 0.3;
+        // All datagrams between the fronts are lost.
         case "peer_down" -> size = 1;
         default -> {}
       }
--- a/src/main/java/linengauge/drill/FailoverDrill.java
+++ b/src/main/java/linengauge/drill/FailoverDrill.java
@@ -48,7 +48,10 @@
   private static final int SURGE_MS = 5000;
   private static final String KEY = "a key for this drill alone";
 
-  /** Faults of a node or of the LAN between the two. */
+  /**
+   * Faults of a node, or of the LAN between the two: SPLIT drops their datagrams in both
+   * directions, ONE_WAY only those that the node sends.
+   */
   enum Fault {
     KILL,
     FREEZE,
--- a/src/main/java/linengauge/drill/LeaseProcess.java
+++ b/src/main/java/linengauge/drill/LeaseProcess.java
@@ -22,8 +22,8 @@
 
 /**
  * Runs a single front's membership as a process: by lease, by gossip, or both. Its record has a
- * line for each change, and ten lines a second for the current view. It ends at the end of input,
- * and then announces that it leaves.
+ * line for each change, and ten lines a second for the current view. It ends when input arrives or
+ * ends, and then announces that it leaves.
  */
 public final class LeaseProcess {
   private static final long SAMPLE_INTERVAL_MS = 100;
--- a/src/main/java/linengauge/drill/MemberProcess.java
+++ b/src/main/java/linengauge/drill/MemberProcess.java
@@ -24,8 +24,8 @@
   private MemberProcess() {}
 
   /**
-   * Runs until there is input. All durations of the default settings are scaled to the given
-   * period.
+   * Runs until there is input; the end of the input alone does not end it. All durations of the
+   * default settings are scaled to the given period.
    */
   public static void run(Member self, List<String> seeds, Path keyFile, Path record, Span period)
       throws IOException, InterruptedException {
--- a/src/main/java/linengauge/drill/SlowPeersDrill.java
+++ b/src/main/java/linengauge/drill/SlowPeersDrill.java
@@ -42,8 +42,9 @@
   private static final int IDLE_TIMEOUT_MS = 10_000;
 
   /**
-   * Time limit within which a slow reader is disconnected: the data that its window holds at the
-   * start of a segment, plus a few checks by the front.
+   * Time limit within which a slow reader is disconnected. The burst at the start of a segment
+   * counts in its favour until it has left the front's throughput window; a few checks by the front
+   * come on top.
    */
   private static final long SLOW_READER_LIMIT_MS = 9_000;
 
