--- a/src/main/java/linengauge/rehearsal/BoxModel.java
+++ b/src/main/java/linengauge/rehearsal/BoxModel.java
@@ -20,7 +20,10 @@
  * (docs/protocol/platform.md, "Boxes").
  */
 final class BoxModel implements NetworkModel.Acceptor {
-  /** How the box handles set-ups. */
+  /**
+   * How the box handles set-ups: ERRORS rejects with cause 47, SILENT never answers, SLOW answers
+   * only after 1.5 s.
+   */
   enum Behavior {
     HEALTHY,
     ERRORS,
@@ -362,6 +365,7 @@
           pendingSetUps.remove(tag);
           if (currentBehavior == Behavior.ERRORS
               || activeViewings.size() >= FleetSimulation.MAX_VIEWINGS_PER_BOX) {
+            // Cause 47 is an error; with 34 the box is full and the set-up never ran.
             recordAnswer(
                 viewer, tuneIn, currentBehavior == Behavior.ERRORS ? "error" : "turned-away");
             send(
@@ -461,6 +465,7 @@
     if (activeViewings.remove(tag, viewing)) {
       releaseRate(viewing).viewingCompleted(this);
       recorder.record("ended", "box", id, "viewing", viewing.viewer.viewingId(), "why", "lease");
+      // Cause 16: the viewing has ended normally.
       String endMessage = message("FINISH", tag, 16, null);
       SimulatedConnection.Endpoint openEndpoint =
           viewing.endpoint != null && viewing.endpoint.isOpen()
@@ -491,13 +496,15 @@
   }
 
   /**
-   * Counts what is served over the span, weighted by worth and rung, and where the box is short of
-   * capacity notifies one viewing of each front.
+   * Counts what is served over the span, weighted by worth and rung. If `notes` is set and viewings
+   * receive less than 0.98 of their rates, one viewing of each front is notified 300 ms later.
    */
   void serve(Span span, boolean notes) {
     double share = deliveredShare();
     Map<Integer, ActiveViewing> byFront = new LinkedHashMap<>();
     for (ActiveViewing viewing : activeViewings.values()) {
+      // The part of the worth that remains despite stalls: 1 while the share is at least 0.98,
+      // falling to 0 at a share of about 0.81.
       double stall = Math.max(0, 1 - FleetSimulation.STALL_FACTOR * Math.max(0, 0.98 - share));
       recorder.count(
           "served",
--- a/src/main/java/linengauge/rehearsal/Scenario.java
+++ b/src/main/java/linengauge/rehearsal/Scenario.java
@@ -3,7 +3,10 @@
 import java.util.function.Consumer;
 import linengauge.Span;
 
-/** The faults of one of the operators' test days at full size, in outline. */
+/**
+ * The faults of one of the operators' test days at full size, in outline. A degraded box answers
+ * set-ups with errors, not at all, or late.
+ */
 public enum Scenario {
   /** No faults. */
   CALM(simulation -> {}),
--- a/src/main/java/linengauge/rehearsal/Viewers.java
+++ b/src/main/java/linengauge/rehearsal/Viewers.java
@@ -118,6 +118,7 @@
         int code = message.get() & 0xff;
         byte[] value = new byte[message.getShort() & 0xffff];
         message.get(value);
+        // Code 61 is the cause, 45 the time in ms to wait before a retry.
         cause = code == 61 ? value[0] & 0xff : cause;
         retryAfterMs =
             code == 45
@@ -264,6 +265,9 @@
       recorder.count("asked", 1);
     }
 
+    /**
+     * Codes: 33 package, 35 time limit in ms, 41 title, 43 figures, 63 description of the stream.
+     */
     private byte[] setUpMessage() {
       return PlatformViewers.message(
           SET_UP_MESSAGE,
@@ -323,7 +327,10 @@
       }
     }
 
-    /** Handles an END from the front, which ends the viewing or rejects the request. */
+    /**
+     * Handles an END from the front, which ends the viewing or the request. Causes 34, 42 and 102
+     * reject the request, 16 is the normal end, and all others are failures.
+     */
     private void handleEnd(int cause, long retryAfterMs) {
       if (!answered) {
         handleAnswer(
--- a/src/main/java/linengauge/rules/AddressOwnershipJudge.java
+++ b/src/main/java/linengauge/rules/AddressOwnershipJudge.java
@@ -196,7 +196,8 @@
 
   /**
    * Checks a claim of a node that was paused for more than four intervals while another node took
-   * the address: it must step down before it sends its first advertisement.
+   * the address: the node must step down first, so it may not advertise the address within two
+   * intervals of resuming.
    */
   private void checkAfterResume(long vrid, long node, long at) {
     Long resumed = resumedAt.get(node);
--- a/src/main/java/linengauge/rules/TrafficRecord.java
+++ b/src/main/java/linengauge/rules/TrafficRecord.java
@@ -30,7 +30,10 @@
     int rung;
     String key;
 
-    /** The answer to the set-up, or null; its time follows. */
+    /**
+     * The answer to the set-up: "plays", "error", "turned-away" (it never ran), "swallowed" (it
+     * runs, but the answer was lost), or null.
+     */
     String answer;
 
     long answeredAt = NEVER;
@@ -41,7 +44,9 @@
     /** When the box has nothing left of it, as far as the front can know. */
     long endedAt = NEVER;
 
-    /** Returns when it was no longer pending: answered or cancelled. */
+    /**
+     * Returns when it was no longer pending: answered or cancelled. A lost answer does not count.
+     */
     long pendingUntil() {
       return Math.min("swallowed".equals(answer) ? NEVER : answeredAt, cancelledAt);
     }
--- a/src/main/java/linengauge/standin/FaultyServer.java
+++ b/src/main/java/linengauge/standin/FaultyServer.java
@@ -30,6 +30,7 @@
  */
 public final class FaultyServer implements AutoCloseable {
   private static final ObjectMapper JSON = new ObjectMapper();
+  // Causes of a FINISH. After REJECTED_FULL the attempt never ran; after ERROR it may have run.
   private static final int REJECTED_FULL = 34;
   private static final int ERROR = 47;
   private static final int RESET = 41;
@@ -41,6 +42,14 @@
   /**
    * The faults of attempts. Shares are of all attempts and drawn for each one; the rest are
    * answered.
+   *
+   * @param maxLatencyMs limit of a connection's latency, which is drawn as it is accepted
+   * @param silentShare attempts that get no answer
+   * @param unreadableShare attempts that get a line which is not JSON
+   * @param rejectedShare attempts that end with cause 34 or 47
+   * @param resetShare attempts whose connection is reset in place of an answer
+   * @param confirmsEnds whether the server confirms that it has read an end
+   * @param duplicateShare answers that are sent twice
    */
   public record Faults(
       int maxLatencyMs,
@@ -53,7 +62,10 @@
       boolean confirmsEnds,
       double duplicateShare) {}
 
-  /** Why the server ended a session. */
+  /**
+   * Why the server ended a session: OPEN if it did not, RELEASED if it sent an end, PROCESS_DIED if
+   * it closed without one.
+   */
   public enum EndCause {
     OPEN,
     RELEASED,
@@ -73,7 +85,7 @@
     /** When the attempt, or the session that it set up, ended at the server. */
     public long endedAt = NEVER;
 
-    /** The server has reported that it never ran. */
+    /** The server has reported, by cause 34, that it never ran. */
     public boolean neverRan;
 
     public boolean established;
@@ -380,7 +392,10 @@
             });
   }
 
-  /** Ends some of the established sessions, either normally or by a reset. */
+  /**
+   * Ends some of the established sessions with the cause of a normal end or of a cut session. If a
+   * session's connection is closed, its end goes out on another one that is open.
+   */
   public synchronized void endSome(double share) {
     if (deferredSteps != null) {
       return;
@@ -405,6 +420,7 @@
     return cause < 0 ? reply : reply.put("rc", cause);
   }
 
+  /** Cause 1: the probe has passed. The report gives the load of link (x0) and uplink (x1). */
   private static ObjectNode probeReply(String tag) {
     ObjectNode reply = reply("ECHOED", tag, 1);
     reply.withObject("/opts").put("load", "x0:0.2;x1:0.2;outstanding:1");
--- a/src/main/java/linengauge/standin/NetworkLinks.java
+++ b/src/main/java/linengauge/standin/NetworkLinks.java
@@ -1,9 +1,9 @@
 package linengauge.standin;
 
 /**
- * The links of stand-in boxes and the uplinks that racks share. If demand exceeds the capacity of a
- * link or uplink, all viewings on it get the same share of their rates, as the operators describe
- * their boxes. Rates are in kB per second.
+ * The links of stand-in boxes and the uplinks that racks share. If demand exceeds what is usable of
+ * a link or uplink, all viewings on it get the same share of their rates, as the operators describe
+ * their boxes. Rates are in kB per second; capacity and background usage are parts of 1.
  */
 final class NetworkLinks {
   private final double[] linkKb;
@@ -38,19 +38,22 @@
     rackDemandKb[rackOf[box]] = Math.max(0, rackDemandKb[rackOf[box]] + kbPerSecond);
   }
 
+  /** Sets the usable part of a box's link; 1 is all of it. */
   void setLinkCapacity(int box, double share) {
     linkCapacity[box] = share;
   }
 
-  /** Sets the share of the link that another program uses. */
+  /** Sets the part of the link's usable capacity that another program takes from the viewings. */
   void setBackgroundUsage(int box, double share) {
     backgroundUsage[box] = share;
   }
 
+  /** Sets the usable part of a rack's uplink; 1 is all of it. */
   void setUplinkCapacity(int rack, double share) {
     uplinkCapacity[rack] = share;
   }
 
+  /** Returns the demand relative to what is usable of the link; it may exceed 1. */
   double linkLoad(int box) {
     return demandKb[box]
         / Math.max(1, linkKb[box] * linkCapacity[box] * (1 - backgroundUsage[box]));
@@ -61,6 +64,10 @@
     return rackDemandKb[rack] / Math.max(1, uplinkKb[rack] * uplinkCapacity[rack]);
   }
 
+  /**
+   * Returns the share of their rates that viewings on a box get: 1, or less if the link or the
+   * uplink is overloaded, by the worse of the two.
+   */
   double share(int box) {
     return 1 / Math.max(1, Math.max(linkLoad(box), uplinkLoad(box)));
   }
--- a/src/main/java/linengauge/standin/PlatformBox.java
+++ b/src/main/java/linengauge/standin/PlatformBox.java
@@ -21,7 +21,10 @@
  * for tests and trial runs.
  */
 public final class PlatformBox implements AutoCloseable {
-  /** How the box reacts to set-ups. */
+  /**
+   * How the box reacts to set-ups. ERROR and FULL end them with cause 47 and 34; DUPLICATE sends an
+   * answer for an unknown tag, then its answer twice; SILENT and LATE send none.
+   */
   public enum Behavior {
     NORMAL,
     ERROR,
--- a/src/main/java/linengauge/standin/PlatformViewers.java
+++ b/src/main/java/linengauge/standin/PlatformViewers.java
@@ -16,8 +16,8 @@
  */
 public final class PlatformViewers implements AutoCloseable {
   /**
-   * A message of the front: type, id, cause (-1: none), description and retry advice (null: none).
-   * CLOSED is the last one.
+   * A message of the front: type (9: answer, 12: end, 53: test passed), id, cause (-1: none),
+   * description and retry advice (null: none). CLOSED is the last one.
    */
   public record FrontMessage(int type, long id, int cause, String description, String retryAdvice) {
     public static final FrontMessage CLOSED = new FrontMessage(-1, 0, -1, null, null);
@@ -83,6 +83,7 @@
     return java.util.Arrays.copyOf(buffer.array(), buffer.position());
   }
 
+  /** Codes: 33 package, 35 time limit in ms, 41 title, 43 figures, 63 description of the stream. */
   public static byte[] setUp(long id, String packageName, long leftMs, String moreAttributes) {
     return message(
         1,
--- a/src/main/java/linengauge/standin/SegmentSender.java
+++ b/src/main/java/linengauge/standin/SegmentSender.java
@@ -34,6 +34,7 @@
   }
 
   void send(RunningViewing viewing, HttpServerResponse response) {
+    // A segment is one second long, so its bytes are those of one second at the rate.
     long bytes = Math.round(viewing.kb() * 1000);
     response
         .putHeader("Content-Type", "video/mp2t")
@@ -66,7 +67,9 @@
     return false;
   }
 
-  /** Returns true once the whole segment has been sent. */
+  /**
+   * Sends what the link's share allows for one tick; returns true once the whole segment is sent.
+   */
   private static boolean sendDue(Transmission segment, double share) {
     segment.bytesDue += segment.viewing.kb() * 1000 * share * SPEED_FACTOR * TICK_MS / 1000;
     if (segment.response.writeQueueFull()) {
--- a/src/test/java/linengauge/soak/SoakFront.java
+++ b/src/test/java/linengauge/soak/SoakFront.java
@@ -14,7 +14,8 @@
 /** One front as a process, across its restarts. */
 final class SoakFront {
   /**
-   * One process from its start to its end, with the times of signals; NEVER where none was sent.
+   * One process from its start to its end, with the times of signals. NEVER: not yet, or not at
+   * all.
    */
   static final class ProcessRun {
     static final long NEVER = Long.MAX_VALUE;
--- a/src/test/java/linengauge/soak/SoakRequest.java
+++ b/src/test/java/linengauge/soak/SoakRequest.java
@@ -27,6 +27,7 @@
   /** Whether the client closed the connection while it waited, so that nobody reads the answer. */
   boolean abandonedByClose;
 
+  /** Whether it was sent again, once, as the other side closed the connection right after it. */
   boolean resent;
 
   /** Whether no connection to a front could be opened. */
@@ -35,6 +36,7 @@
   /** The server of its session, as long as the client has one. */
   String server;
 
+  /** From when on the client itself ends the session. */
   long sessionUntil;
   long endedByClientAt = NEVER;
   long releasedAt = NEVER;
