--- a/src/main/java/linengauge/standin/SharedLan.java
+++ b/src/main/java/linengauge/standin/SharedLan.java
@@ -318,6 +318,7 @@
     return owners.get(vrid);
   }
 
+  /** Drops the datagrams from one node to another, or stops doing so; viewers' connections stay. */
   public void setCut(int from, int to, boolean isCut) {
     cut[from][to] = isCut;
   }
--- a/src/test/java/linengauge/soak/SoakDay.java
+++ b/src/test/java/linengauge/soak/SoakDay.java
@@ -180,7 +180,8 @@
   }
 
   /**
-   * Whether the front was killed while the request was open, so that no process knows the attempt.
+   * Whether the process that the request was sent to was killed later, so that no process knows the
+   * attempt.
    */
   private boolean frontWasKilledMeanwhile(SoakRequest request) {
     return fronts.get(request.front).runs.stream()
