--- a/src/test/java/linengauge/rules/JudgeTest.java
+++ b/src/test/java/linengauge/rules/JudgeTest.java
@@ -292,7 +292,7 @@
   @Test
   void anExceededRetryBudgetIsFound() {
     RecordBuilder record = validRecord();
-    for (int i = 20; i < 22; i++) { // Seven requests allow 2.4 retries: two here, a third below.
+    for (int i = 20; i < 22; i++) { // Seven requests allow 2.4 retries; the last is the third.
       record
           .asked(6000, "k" + i, "plain")
           .setUp(6005, 8, "0-a-" + i, 0, "k" + i, "plain", 0)
