--- a/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterInvariants.java
@@ -106,7 +106,7 @@
   }
 
   /**
-   * @param committedThen the committed index when the follower requested the read
+   * @param committedAtRequest the committed index when the follower requested the read
    */
   void checkRead(int number, long index, long committedAtRequest) {
     if (index < committedAtRequest) {
--- a/src/main/java/linengauge/consensus/explore/Fault.java
+++ b/src/main/java/linengauge/consensus/explore/Fault.java
@@ -15,21 +15,34 @@
 public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
   /** Faults of one process, of one direction between two, and of all messages of a process. */
   public enum Kind {
+    /** The voter ends, and restarts from its saved state at the end of the fault. */
     CRASH,
+    /** The process is paused. */
     FREEZE,
+    /** The voter cannot save its state. */
     DISK_FULL,
+    /** The voter's messages leave 150 milliseconds late, as if each waited for a save. */
     SLOW_DISK,
+    /** The voter restarts with an empty store; at the end an operator replaces it. */
     EMPTIED,
+    /** Nothing that the voter sends arrives. */
     MUTE,
+    /** Nothing that is sent to the voter arrives. */
     DEAF,
+    /** Nothing that the target sends to the peer arrives; the other direction works. */
     CUT,
+    /** Three in ten messages to and from the voter are lost. */
     LOSS,
+    /** Messages to and from the voter take up to 0.9 seconds. */
     LATE,
+    /** An operator removes the voter, and adds it again at the end. */
     CHANGE
   }
 
   /**
-   * @return that many faults, generated from the seed, all of which end by {@code end}
+   * @return that many faults, generated from the seed; they begin in the first three quarters of
+   *     the time until {@code end} and last up to a quarter of it, EMPTIED and CHANGE up to 3
+   *     seconds
    */
   public static List<Fault> generate(long seed, int voters, int followers, int count, Span end) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/src/main/java/linengauge/consensus/explore/ModelState.java
+++ b/src/main/java/linengauge/consensus/explore/ModelState.java
@@ -129,8 +129,8 @@
   /**
    * Plays a schedule given as {@link Explorer#describe} writes it; returns the violation, or null.
    *
-   * @param all whether each step must be possible; otherwise impossible steps are skipped, as where
-   *     a guard has prevented what leads to them
+   * @param strict whether each step must be possible; otherwise impossible steps are skipped, as
+   *     where a guard has prevented what leads to them
    */
   String play(List<String> schedule, boolean strict) {
     for (String step : schedule) {
--- a/src/main/java/linengauge/consensus/explore/Scenario.java
+++ b/src/main/java/linengauge/consensus/explore/Scenario.java
@@ -12,6 +12,7 @@
  * @param proposals maximum number of proposals to voters that consider themselves leader
  * @param reads maximum number of read requests
  * @param changes maximum number of membership changes: a voter is removed, or the spare one added
+ * @param allowsDiskLoss whether a fault may also be the loss of a disk
  * @param setup steps played before the exploration, as a schedule
  * @param maxStates number of states after which the exploration is abandoned as too large
  */
--- a/src/main/java/linengauge/lease/explore/Conditions.java
+++ b/src/main/java/linengauge/lease/explore/Conditions.java
@@ -9,8 +9,8 @@
 import linengauge.Span;
 
 /**
- * The present faults of processes and links, and when the last of them ended. Faults of one kind
- * may overlap, so each is counted.
+ * The present faults of processes, links and regions, and when one last began or ended at each.
+ * Faults of one kind may overlap, so the present ones are counted.
  */
 final class Conditions {
   private final int[] mute;
--- a/src/main/java/linengauge/lease/explore/DelayHistogram.java
+++ b/src/main/java/linengauge/lease/explore/DelayHistogram.java
@@ -4,7 +4,10 @@
 import linengauge.Span;
 import linengauge.membership.explore.DetectionFigures;
 
-/** Counts delays in buckets of ten milliseconds, so that millions of them take little memory. */
+/**
+ * Counts delays in buckets of ten milliseconds, so that millions of them take little memory. The
+ * last bucket also counts all delays of more than ten minutes.
+ */
 final class DelayHistogram {
   private static final int BUCKET_MICROS = 10_000;
   private static final int BUCKETS = 60_000;
--- a/src/main/java/linengauge/lease/explore/DetectionTracker.java
+++ b/src/main/java/linengauge/lease/explore/DetectionTracker.java
@@ -14,7 +14,7 @@
  * unannounced end must be known everywhere within a bound.
  */
 final class DetectionTracker {
-  /** Time until a control machine leads again after the last fault of the control machines. */
+  /** Longest time after the last fault of the control machines until one of them leads again. */
   private static final Span ELECTION = Span.ofSeconds(6);
 
   /**
@@ -23,7 +23,9 @@
    */
   private static final Span SPREADING = Span.ofSeconds(4);
 
-  /** Time that a front may take to load its first copy of the directory of 1,800 members. */
+  /**
+   * Longest time that a front may take to load its first copy of the directory of 1,800 members.
+   */
   private static final Span LONGEST_LOADING = Span.ofSeconds(20);
 
   /** A life that ended. */
@@ -148,7 +150,10 @@
     return simulation.settings().lease().plus(SPREADING);
   }
 
-  /** Schedules the check of the bound, which counts from the last control or link fault. */
+  /**
+   * Schedules the check of the bound. After a recent fault of a control machine, a link or a
+   * region, the bound counts from that fault and includes a takeover and an election.
+   */
   private void later(EndedLife death, Span after) {
     simulation.events().at(simulation.events().now().plus(after), () -> due(death));
   }
--- a/src/main/java/linengauge/lease/explore/LeaseMeasurement.java
+++ b/src/main/java/linengauge/lease/explore/LeaseMeasurement.java
@@ -15,7 +15,10 @@
  * begins a minute later.
  */
 public final class LeaseMeasurement {
-  /** Start of the measurement; the event's faults begin a fraction of a second later. */
+  /**
+   * Start of the measurement, except of START; the event's faults begin a fraction of a second
+   * later.
+   */
   private static final int EVENT_SECOND = 60;
 
   /** Makes the event's random draws differ from those of the schedule. */
--- a/src/main/java/linengauge/lease/explore/SimulatedControl.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedControl.java
@@ -19,7 +19,7 @@
  */
 final class SimulatedControl extends SimulatedProcess
     implements RaftNode.Port, LogFollower.Port, Registrar.Port {
-  /** Size of the range of proposal numbers reserved for one life. */
+  /** Size of the range of proposal numbers of one life, so that no two lives use the same one. */
   private static final long MAX_PROPOSALS_PER_LIFE = 1_000_000_000L;
 
   private final LeaseSimulation simulation;
@@ -142,7 +142,10 @@
     }
   }
 
-  /** Passes decisions and the current leader to the registrar, as the process's thread does. */
+  /**
+   * Tells the registrar of new decisions, of the leader and of the age of what is known of the log,
+   * as the thread of a real control machine does.
+   */
   private void updateRegistrar() {
     long known = highestVersion;
     highestVersion = simulation.judge().directory(number, directory, highestVersion);
--- a/src/main/java/linengauge/lease/explore/SimulatedFront.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedFront.java
@@ -104,7 +104,10 @@
     agent.leave(clock());
   }
 
-  /** Ends one of the faults that keep it down; it starts when none is left. */
+  /**
+   * Ends one of the faults that keep the front down; it starts when none is left. If its previous
+   * life has announced that it leaves and has not ended yet, it starts {@link #LEAVE_TIME} later.
+   */
   void mayStart() {
     downFaults--;
     if (downFaults == 0 && isUp()) {
@@ -137,6 +140,10 @@
     agent.step(clock());
   }
 
+  /**
+   * Checks that the agent never had to empty a copy that differs from the directory, and that the
+   * version of its view falls only when it has emptied its copy.
+   */
   @Override
   void inspect() {
     long version = agent.view().version();
--- a/src/main/java/linengauge/lease/explore/SimulatedNetwork.java
+++ b/src/main/java/linengauge/lease/explore/SimulatedNetwork.java
@@ -14,7 +14,10 @@
   private static final int MIN_REMOTE_DELAY_MICROS = 10_000;
   private static final int MAX_REMOTE_DELAY_MICROS = 40_000;
 
-  /** Without a fault, one datagram in this many is lost; duplicates and late ones likewise. */
+  /**
+   * Without a fault, one datagram in this many is lost. Of {@link #DUPLICATED_ONE_IN} datagrams one
+   * is duplicated, and of {@link #LATE_ONE_IN} datagrams or messages one is late.
+   */
   private static final int LOST_ONE_IN = 1000;
 
   private static final int DUPLICATED_ONE_IN = 50;
--- a/src/main/java/linengauge/membership/LocalHealth.java
+++ b/src/main/java/linengauge/membership/LocalHealth.java
@@ -6,7 +6,7 @@
  * Local health score (Lifeguard, IV.A). It rises with missed responses, falls with timely ones, and
  * scales this front's timeouts. It keeps a front that was paused or loses incoming datagrams from
  * suspecting all others. The cost: if the other members are at fault, their deaths are detected
- * later, by up to the score in periods.
+ * later, because each period lasts 1 + score times as long.
  */
 final class LocalHealth {
   private final int maxScore;
--- a/src/main/java/linengauge/membership/Membership.java
+++ b/src/main/java/linengauge/membership/Membership.java
@@ -141,9 +141,10 @@
   }
 
   /**
-   * Restarts all timeouts after a process pause and lowers the local health. A front that acted on
-   * timeouts which ran out while it could not receive anything would suspect healthy members. The
-   * cost: where steps are habitually late, deaths are detected late too.
+   * Restarts all timeouts after a process pause and raises the local health score. A front that
+   * acted on timeouts which ran out while it could not receive anything would suspect healthy
+   * members. The cost: where steps are habitually late, deaths are detected late, as they should be
+   * by such a front.
    */
   private void checkProcessPause(Moment now) {
     Span late = now.since(nextStep());
--- a/src/main/java/linengauge/membership/MembershipSettings.java
+++ b/src/main/java/linengauge/membership/MembershipSettings.java
@@ -16,8 +16,8 @@
  * @param confirmed number of confirmations that shorten the suspicion timeout to its minimum (K)
  * @param healthMost maximum local health score, which limits how far timeouts are scaled (S)
  * @param retellings transmissions of each update, as a multiple of log2 of the fleet size (lambda)
- * @param deadKept how long an absent member is remembered and occasionally contacted
- * @param regather time between two attempts to contact an absent member or unreached seed; NONE
+ * @param deadKept how long an absent member is remembered; a dead one is contacted until then
+ * @param regather time between two attempts to contact a dead member or unreached seed; NONE
  *     disables them
  * @param most maximum number of other members; further ones are rejected
  */
--- a/src/main/java/linengauge/membership/Reconnection.java
+++ b/src/main/java/linengauge/membership/Reconnection.java
@@ -9,7 +9,7 @@
 import linengauge.membership.Datagram.Kind;
 
 /**
- * Contacts absent members and unreached seeds, and synchronizes member tables page by page
+ * Contacts dead members and unreached seeds, and synchronizes member tables page by page
  * (anti-entropy). Neither is part of the papers.
  */
 final class Reconnection {
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Pings one absent member or unreached seed and requests a page from one that is alive. Without
+   * Pings one dead member or unreached seed and requests a page from one that is alive. Without
    * this, two halves of a partitioned fleet that have declared each other dead would never contact
    * each other again. The cost: if many members are gone for good, one datagram per interval until
    * they expire.
--- a/src/main/java/linengauge/membership/Suspicion.java
+++ b/src/main/java/linengauge/membership/Suspicion.java
@@ -6,9 +6,9 @@
 import linengauge.Span;
 
 /**
- * Suspicion of a member, which the member can refute until the timeout (Lifeguard, IV.B). The
- * timeout shrinks with each further front that confirms the suspicion. Only as many confirmations
- * as affect the timeout are recorded.
+ * Suspicion of a member, which the member can refute until the timeout. The timeout shrinks with
+ * each further front that confirms the suspicion, as in section IV.B of the Lifeguard paper (Dadgar
+ * et al. 2017). Only as many confirmations as affect the timeout are recorded.
  */
 final class Suspicion {
   private final Span minDuration;
@@ -21,7 +21,8 @@
 
   /**
    * @param maxConfirmations number of confirmations at which the timeout reaches its minimum; with
-   *     0, the timeout is the minimum if raised locally and the maximum otherwise
+   *     0, because nobody else could confirm, the timeout is the minimum if raised locally and the
+   *     maximum otherwise
    * @param source front that first raised the suspicion
    */
   Suspicion(
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -35,6 +35,9 @@
   }
 
   /**
+   * Handles an update about any member. One with an implausible incarnation is ignored, because no
+   * front could refute it.
+   *
    * @param disseminate whether the update is sent on to others; updates from a page are not
    */
   void onUpdate(MemberUpdate update, Moment now, boolean disseminate) {
@@ -138,6 +141,10 @@
     }
   }
 
+  /**
+   * Confirmations can come from every present member except this front, the suspected one and the
+   * one that raised the suspicion. So a small fleet requires fewer than configured.
+   */
   private Suspicion newSuspicion(MemberUpdate update, Moment now) {
     long present = table.countPresent() + 1;
     double periods = settings.suspicion() * Math.max(1, Math.log10(present));
@@ -151,7 +158,8 @@
 
   /**
    * Handles an update about this front. A false one is refuted with a higher incarnation, which
-   * supersedes it (SWIM, 4.2).
+   * supersedes it (SWIM, 4.2). One that calls this front suspect or dead also raises the local
+   * health score, since others could not reach this front.
    */
   private void onOwnUpdate(MemberUpdate update) {
     if (own.isNumberConflict(update)) {
--- a/src/main/java/linengauge/membership/explore/Fault.java
+++ b/src/main/java/linengauge/membership/explore/Fault.java
@@ -9,19 +9,21 @@
  * @param peer for CUT, the front that the target's datagrams do not reach; otherwise unused
  */
 public record Fault(Kind kind, int target, int peer, Moment from, Moment to) {
-  /**
-   * KILL: the front is dead and restarts at the end. FREEZE: the process is paused. CUT: datagrams
-   * from one front to another are lost, in that direction only. MUTE, DEAF: no datagrams leave the
-   * zone, or none enter it. LOSS: three in ten datagrams to and from the front are lost and the
-   * others are delayed. SICK: every datagram of the front declares others dead.
-   */
+  /** Faults of one front, of one direction between two fronts, or of a zone. */
   public enum Kind {
+    /** The front ends unannounced and restarts at the end. */
     KILL,
+    /** The front is paused; its timers and what it receives are processed at the end. */
     FREEZE,
+    /** All datagrams from one front to another are lost, in that direction only. */
     CUT,
+    /** No datagram leaves the zone; those within the zone still arrive. */
     MUTE,
+    /** No datagram from outside enters the zone; those within the zone still arrive. */
     DEAF,
+    /** Three in ten datagrams to and from the front are lost, and the others are delayed. */
     LOSS,
+    /** Every datagram of the front reports members dead, up to 20 of them, in place of updates. */
     SICK
   }
 
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -288,7 +288,8 @@
    * Whether a fault affects the member, or all paths to it, within the longest time that a
    * suspicion can last. Of a SICK front only the front itself counts, since it refutes nothing; its
    * reports about other members are no reason to declare those dead. A single CUT does not count
-   * either, since other fronts still reach the member.
+   * either, since other fronts still reach the member; two or more count for every member. So do
+   * MUTE and DEAF, which separate each member from some of the others.
    */
   private boolean isAffectedByFault(int front) {
     Moment from = now.minus(longestSuspicion());
@@ -314,6 +315,7 @@
                         });
   }
 
+  /** The maximum suspicion timeout in a fleet of this size, plus a margin of six periods. */
   private Span longestSuspicion() {
     return settings
         .period()
@@ -329,6 +331,7 @@
       scheduleAt(new Moment(random.nextInt(1_000_000)), front::start);
     }
     for (Fault fault : schedule.faults()) {
+      // A front whose KILL faults overlap restarts at the end of the last one.
       if (fault.kind() == Fault.Kind.KILL) {
         scheduleAt(
             fault.from(),
--- a/src/main/java/linengauge/memory/Snapshots.java
+++ b/src/main/java/linengauge/memory/Snapshots.java
@@ -9,9 +9,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * A table stored in generations, one file each. A generation is written under a temporary name,
- * synced and renamed, and the folder is synced, before the generation before the previous one is
- * deleted. So one of the last two generations is whole, whenever a power loss interrupts this.
+ * A table stored in generations, one file each. A new generation is written whole under a temporary
+ * name and synced, then renamed, and the folder is synced. Only after that are the generations
+ * older than the previous one deleted. So whenever a power loss interrupts this, one of the last
+ * two generations is whole.
  *
  * <pre>
  * 8 bytes  "LNGMEM" and the format, 2 bytes
@@ -21,9 +22,9 @@
  * 4        CRC-32C (RFC 3720, appendix B.4) of all before it
  * </pre>
  *
- * A file of a newer format is left unchanged, and nothing is written beside it: otherwise the older
- * program's file would later be read in its place. Converting an older format is up to the reader
- * of the table, to whom `format` tells which one it is.
+ * If there is a file of a newer format, it is left unchanged and nothing is saved: otherwise the
+ * newer program would later read this older program's file in its place. A table of an older format
+ * is returned unchanged with its `format`, and its reader has to convert it.
  */
 public final class Snapshots {
   private static final long MAGIC = 0x4c4e474d454dL << 16;
@@ -33,9 +34,13 @@
 
   /** Outcome of reading the folder. */
   public enum ReadOutcome {
+    /** A whole file was found. */
     WHOLE,
+    /** There is no file of any generation. */
     NOTHING,
+    /** There are files, and none of them is whole. */
     ALL_BROKEN,
+    /** The newest whole file is of a format that this program does not know. */
     NEWER
   }
 
--- a/src/main/java/linengauge/scale/fit/LeastSquares.java
+++ b/src/main/java/linengauge/scale/fit/LeastSquares.java
@@ -41,7 +41,10 @@
     }
   }
 
-  /** Fits every model that the points determine, simplest first. */
+  /**
+   * Fits every model, simplest first, that has fewer coefficients than there are distinct sizes.
+   * With as many, it could pass through the mean at each size whether or not it is right.
+   */
   public static List<Fit> fitAll(List<SizedValue> points) {
     List<Fit> fits = new ArrayList<>();
     for (GrowthModel model : GrowthModel.values()) {
--- a/src/main/java/linengauge/scale/fronts/ClientSocket.java
+++ b/src/main/java/linengauge/scale/fronts/ClientSocket.java
@@ -39,7 +39,10 @@
     return ByteBuffer.wrap(message).get() & 0xff;
   }
 
-  /** Requests a test and returns whether the front passes it. */
+  /**
+   * Requests a test (message type 52 of id 1, whose parameter 61, the cause, is 0) and returns
+   * whether the front answers within the time limit that it passes.
+   */
   boolean passesTest() {
     try {
       send(PlatformViewers.message(52, 1, 61, new byte[] {0}));
--- a/src/main/java/linengauge/scale/fronts/FrontLoads.java
+++ b/src/main/java/linengauge/scale/fronts/FrontLoads.java
@@ -28,6 +28,7 @@
   private static final int MAX_UNANSWERED = 5;
   private static final int WARM_UP_VIEWINGS = 1000;
   private static final int FIRST_WARM_UP_ID = 10_000_000;
+  // Causes of an end (parameter 61): 31 if the viewer ends the viewing, 16 if the viewing is over.
   private static final int VIEWER_END_CODE = 31;
   private static final int BOX_END_CODE = 16;
   private static final double BYTES_PER_MEGABYTE = 1 << 20;
--- a/src/main/java/linengauge/udp/SealedChannel.java
+++ b/src/main/java/linengauge/udp/SealedChannel.java
@@ -47,7 +47,10 @@
     }
   }
 
-  /** Counts of dropped datagrams by cause; `strangers` are those with an invalid trailer. */
+  /**
+   * Counts of dropped datagrams by cause; `strangers` are those with an invalid trailer, and
+   * `unreadable` are malformed or have a sender's number out of range.
+   */
   public record Drops(long strangers, long replayed, long unreadable, long otherVersions) {}
 
   /** Datagrams and bytes on the socket, with trailers but without the UDP and IP headers. */
--- a/src/main/java/linengauge/vrrp/DropReason.java
+++ b/src/main/java/linengauge/vrrp/DropReason.java
@@ -10,16 +10,19 @@
    * on the same link.
    */
   FOREIGN_SENDER,
-  /** Shorter or longer than its address count requires. */
+  /** Shorter than the header, or shorter or longer than its address count requires. */
   LENGTH,
-  /** The trailer was not made with the key of this group. */
+  /** The trailer is missing or was not made with the key of this group. */
   SEAL,
   /**
-   * The trailer's sequence number was received before or is older than the replay window: a
-   * duplicate or a replayed datagram.
+   * The trailer's sequence number was received before, or is 64 or more behind the highest received
+   * from this sender: a duplicate or a replayed datagram. Datagrams of a sender whose clock was set
+   * back while it was down are dropped for this reason too.
    */
   REPLAYED,
+  /** Another version of VRRP than 3. */
   VERSION,
+  /** Not an advertisement. */
   TYPE,
   CHECKSUM,
   /** The address count is zero. */
--- a/src/main/java/linengauge/vrrp/FrontHealth.java
+++ b/src/main/java/linengauge/vrrp/FrontHealth.java
@@ -7,10 +7,14 @@
  *
  * @param servingBoxes media boxes that are listed as serving
  * @param sessionManagerDelay the time since the session manager last ran
- * @param maxDelay the delay from which the session manager counts as overloaded; none: never
+ * @param maxDelay the delay from which the session manager counts as overloaded; with {@link
+ *     Span#NONE} it never does
  */
 public record FrontHealth(int servingBoxes, Span sessionManagerDelay, Span maxDelay) {
-  /** Returns whether this front could only reject viewings, or not even answer them. */
+  /**
+   * Returns whether this front could only reject viewings, because no box serves, or not even that,
+   * because its session manager is overloaded.
+   */
   public boolean isUnhealthy() {
     return servingBoxes == 0
         || Span.NONE.isShorterThan(maxDelay) && !sessionManagerDelay.isShorterThan(maxDelay);
--- a/src/main/java/linengauge/vrrp/RouterSettings.java
+++ b/src/main/java/linengauge/vrrp/RouterSettings.java
@@ -50,7 +50,7 @@
    *     lower priority Active
    * @param retakeDelay the minimum time between releasing the address and acquiring it again
    * @param flapHalfLife the time in which the penalty for a partner that repeatedly takes over and
-   *     fails halves; none: flaps are not counted
+   *     fails halves; {@link Span#NONE}: flaps are not counted
    * @param flapHoldThreshold the penalty from which this node keeps the address, by advertising a
    *     priority of 254
    * @param deafAfterIntervals how many intervals a partner of lower priority may stay Active beside
--- a/src/main/java/linengauge/vrrp/VirtualRouters.java
+++ b/src/main/java/linengauge/vrrp/VirtualRouters.java
@@ -200,6 +200,7 @@
     return addressMismatches;
   }
 
+  /** Returns the number of advertisements whose interval differs from the one configured here. */
   public long intervalMismatches() {
     return intervalMismatches;
   }
--- a/src/test/java/linengauge/consensus/explore/UnguardedVoter.java
+++ b/src/test/java/linengauge/consensus/explore/UnguardedVoter.java
@@ -13,13 +13,21 @@
 final class UnguardedVoter extends RaftNode {
   /** The guards that can be removed. */
   enum Guard {
+    /** A candidate asks whether it could win before it raises its term. */
     PRE_VOTE,
+    /** The state is saved before a response is sent. */
     SAVES,
+    /** Messages of a voter whose store is not the known one, because it was lost, do not count. */
     STORES,
+    /** A leader commits only entries of its own term by counting replicas. */
     OWN_TERM,
+    /** A read is answered only if a majority has answered since it was requested. */
     FRESH,
+    /** A change of voters is a single step, and starts after the previous one is committed. */
     ONE_CHANGE,
+    /** A leader changes the voters only after it has committed an entry of its own term. */
     COMMIT_IN_OWN_TERM,
+    /** A leader that a majority does not answer steps down. */
     CHECK_QUORUM
   }
 
--- a/src/test/java/linengauge/lease/explore/Guard.java
+++ b/src/test/java/linengauge/lease/explore/Guard.java
@@ -12,9 +12,13 @@
 
 /** Safeguards of the agent and the registrar that a simulation can leave out. */
 enum Guard implements Maker {
+  /** The agent turns to another control machine if its own is down or cut off from the leader. */
   AGENT_FAILS_OVER,
+  /** A lease counts from the last heartbeat that the leader confirmed, not the last received. */
   REGISTRAR_TRUSTS_CONFIRMED,
+  /** After a pause, the registrar does not take queued messages of the log for recent ones. */
   REGISTRAR_TRUSTS_AGE,
+  /** The members of a region that cannot be reached as a whole stay in the directory. */
   REGISTRAR_REGION_LOST;
 
   @Override
--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -270,7 +270,8 @@
             })) {
       node.start();
       await(() -> node.lease(1).isHeld());
-      // The node's thread blocks here in its next iteration.
+      // This pauses the node: its thread asks for its health in each iteration, and the question
+      // blocks while the test holds the lock.
       synchronized (unhealthy) {
         await(() -> !node.lease(1).isHeld());
       }
