--- a/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
+++ b/src/main/java/linengauge/consensus/explore/ClusterSimulation.java
@@ -284,7 +284,10 @@
         });
   }
 
-  /** After the last fault there is one leader, all followers catch up, and proposals commit. */
+  /**
+   * Long enough after the last fault, there must be one leader, all followers must have caught up,
+   * and a proposal made meanwhile must be committed.
+   */
   private void checkConverged(int acknowledgedBefore) {
     invariants.checkSingleLeader(voters.stream().filter(SimulatedVoter::isLeader).count());
     invariants.checkProgress(acknowledgedBefore);
--- a/src/main/java/linengauge/membership/UpdateHandler.java
+++ b/src/main/java/linengauge/membership/UpdateHandler.java
@@ -142,8 +142,9 @@
   }
 
   /**
-   * Confirmations can come from every present member except this front, the suspected one and the
-   * one that raised the suspicion. So a small fleet requires fewer than configured.
+   * This front, the suspected member and the one that raised the suspicion cannot confirm it; three
+   * are subtracted even where this front raised it. So a small fleet requires fewer confirmations
+   * than configured.
    */
   private Suspicion newSuspicion(MemberUpdate update, Moment now) {
     long present = table.countPresent() + 1;
--- a/src/main/java/linengauge/membership/explore/FleetSimulation.java
+++ b/src/main/java/linengauge/membership/explore/FleetSimulation.java
@@ -364,7 +364,10 @@
         List.copyOf(detectionDelays));
   }
 
-  /** Checks that every front holds every other one as alive, at its current incarnation. */
+  /**
+   * Checks that every front, at the end of the fault-free time, holds every other one as alive, at
+   * its current incarnation.
+   */
   private void checkConvergence() {
     for (Front front : fronts) {
       List<MemberUpdate> members = front.membership.members();
--- a/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
+++ b/src/test/java/linengauge/consensus/explore/ClusterSimulationTest.java
@@ -68,7 +68,7 @@
 
   /**
    * No safety invariant covers this: without the quorum check, a leader that receives no answers
-   * remains leader.
+   * still considers itself leader.
    */
   @Test
   void isolatedLeaderStepsDown() {
--- a/src/test/java/linengauge/memory/SnapshotsTest.java
+++ b/src/test/java/linengauge/memory/SnapshotsTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Snapshots on a folder that loses power, fails its operations and returns corrupt bytes, at every
- * step and every byte.
+ * Snapshots on a folder that loses power, fails its operations as a full disk does, and returns
+ * corrupt bytes, at every step and every byte.
  */
 class SnapshotsTest {
   private static final int MAX_TABLE_BYTES = 1000;
--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -226,6 +226,7 @@
   @Test
   void leaseExpiresWhenTheNodeIsPaused() throws Exception {
     Group group = new Group(2, 1, 100);
+    // Stays false: it is the lock with which the test blocks the node's thread.
     boolean[] unhealthy = {false};
     group.close();
     List<Integer> ports = Ports.free(1);
