--- a/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
+++ b/src/test/java/linengauge/vrrp/udp/UdpNodeTest.java
@@ -226,6 +226,7 @@
   @Test
   void leaseExpiresWhenTheNodeIsPaused() throws Exception {
     Group group = new Group(2, 1, 100);
+    // Stays false: it is the lock with which the test blocks the node's thread.
     boolean[] unhealthy = {false};
     group.close();
     List<Integer> ports = Ports.free(1);
@@ -270,7 +271,8 @@
             })) {
       node.start();
       await(() -> node.lease(1).isHeld());
-      // The node's thread blocks here in its next iteration.
+      // This pauses the node: its thread asks for its health in each iteration, and the question
+      // blocks while the test holds the lock.
       synchronized (unhealthy) {
         await(() -> !node.lease(1).isHeld());
       }
